--- /dev/null
+++ b/crates/duties/tests/golden_bytes.rs
@@ -0,0 +1,181 @@
+//! The stored records of duties, to the byte: holders, intents, and the writes under a fence. As they
+//! are written, read, and written again; kept in `golden/records.txt`.
+
+#[path = "../../core/tests/golden_file/mod.rs"]
+mod golden_file;
+
+use golden_file::Golden;
+use serde::Serialize;
+use serde_json::{json, Value};
+use walnutlug_core::job::keys;
+use walnutlug_core::registry::Outcome;
+use walnutlug_core::time::{Span, Time};
+use walnutlug_core::wire::{Change, Pair, Txn};
+use walnutlug_duties::duty::{Duty, Epoch, HolderRecord, Holding, HOLDER_FORMAT};
+use walnutlug_duties::fence::{Fence, FencedWrite};
+use walnutlug_duties::intent::{
+    intent_key, Action, IntentRecord, Rental, ReturnedMachine, StoredIntent,
+};
+use walnutlug_duties::ledger::{ActionAnswer, Ledger, LedgerCommand, WriteLimits};
+
+const RECORDS: &str = "tests/golden/records.txt";
+const WRITES: &str = "tests/golden/ledger.txt";
+const START: Time = Time(1 << 40);
+const LIMITS: WriteLimits = WriteLimits { value_bytes: 2_048, txn_ops: 10 };
+
+fn text(value: &impl Serialize) -> String {
+    serde_json::to_string(value).expect("text")
+}
+
+fn epoch() -> Epoch {
+    Epoch::from_revision(412).expect("an epoch")
+}
+
+fn holder() -> HolderRecord {
+    HolderRecord {
+        format: HOLDER_FORMAT,
+        node: "kernel-1".into(),
+        incarnation: "00ff00ff00ff00ff".into(),
+        lease: 7,
+    }
+}
+
+fn rental(number: u32) -> Rental {
+    Rental {
+        request: format!("w-412-{number}"),
+        kind: "g8".into(),
+        zone: "a".into(),
+        spot: number.is_multiple_of(2),
+        count: 10 + number,
+    }
+}
+
+fn returned(name: &str, holds_tasks: bool) -> ReturnedMachine {
+    ReturnedMachine { machine: name.into(), holds_tasks }
+}
+
+fn intents() -> Vec<(&'static str, Vec<Action>)> {
+    let back = vec![returned("n-000231", true), returned("n-000232", false)];
+    vec![
+        ("intent to rent", vec![Action::Rent(rental(1))]),
+        ("intent to return", vec![Action::Return(back.clone())]),
+        ("intent to rent and return", vec![Action::Return(back), Action::Rent(rental(2))]),
+    ]
+}
+
+/// A record below its key, as it goes to the state service.
+fn intent_text(actions: &[Action]) -> String {
+    let key = intent_key(Duty::Fleet, epoch(), 17);
+    format!("{key}\n{}", text(&IntentRecord::new(actions.to_vec())))
+}
+
+fn pair(entry: &str, mark: u64) -> Pair {
+    let (key, value) = entry.split_once('\n').expect("a key and a value");
+    Pair { key: key.to_owned(), value: serde_json::from_str(value).expect("a value"), mark }
+}
+
+fn types_write() -> Txn {
+    let mut write = FencedWrite::new(&Fence::new(Duty::MachineTypes, epoch()));
+    write.change(Change::put(keys::TYPES, json!({"breeds": []})));
+    write.into_txn()
+}
+
+#[test]
+fn holders_and_intents_are_written_and_read_as_before() {
+    let mut found: Vec<(&str, String)> =
+        intents().iter().map(|(kind, actions)| (*kind, intent_text(actions))).collect();
+    found
+        .push(("claim of the machine types", text(&Holding::claim(Duty::MachineTypes, &holder()))));
+    found.push(("claim of the fleet", text(&Holding::claim(Duty::Fleet, &holder()))));
+    found.push(("fenced write of the machine types", text(&types_write())));
+    found.push(("holder", format!("{}\n{}", Duty::MachineTypes.key(), text(&holder()))));
+    let golden = Golden::check(RECORDS, &found);
+    let holding = Holding::read(&pair(&golden.text("holder"), 412), &["kernel-1"]);
+    let Ok(holding) = holding else { panic!("holder: can't be read") };
+    assert!(holding.duty == Duty::MachineTypes, "holder: the duty");
+    assert!(holding.epoch == epoch(), "holder: the epoch");
+    assert!(holding.holder == holder(), "holder: a field was read otherwise");
+    for (kind, actions) in intents() {
+        let entry = golden.text(kind);
+        let Ok(read) = StoredIntent::read(&pair(&entry, 1)) else {
+            panic!("{kind}: can't be read")
+        };
+        assert!(read.duty == Duty::Fleet && read.epoch == epoch(), "{kind}: its key");
+        assert!(read.record.actions == actions, "{kind}: a field was read otherwise");
+        assert!(intent_text(&read.record.actions) == entry, "{kind}: written again it differs");
+    }
+}
+
+/// What the ledger writes and sends, as it goes out.
+fn noted(ledger: &mut Ledger, now: Time, lines: &mut Vec<String>) {
+    ledger.tick(now, true);
+    for command in ledger.take_commands() {
+        match command {
+            LedgerCommand::Write { id, txn } => {
+                lines.push(text(&txn));
+                ledger.written(now, id, &Outcome::Committed { mark: 500 });
+            }
+            LedgerCommand::Send { id, action } => {
+                lines.push(format!("send {}", sent(&action)));
+                let names: Vec<String> = Vec::new();
+                ledger.answered(now, id, ActionAnswer::Done, &names);
+            }
+        }
+    }
+}
+
+fn sent(action: &Action) -> String {
+    match action {
+        Action::Rent(rental) => text(&rental.request()),
+        Action::Return(machines) => {
+            let name = |machine: &ReturnedMachine| machine.machine.clone();
+            machines.iter().map(name).collect::<Vec<_>>().join(" ")
+        }
+    }
+}
+
+fn ledger() -> Ledger {
+    Ledger::new(Fence::new(Duty::Fleet, epoch()), LIMITS, Span::secs(20))
+}
+
+/// Intents are stored, sent and dropped; then what an earlier holder left is adopted and dropped.
+#[test]
+fn the_ledgers_transactions_are_written_as_before() {
+    let mut own = Vec::new();
+    let mut kept = ledger();
+    assert!(kept.rent(rental(3)), "taken on");
+    let machines = vec![returned("n-000233", false), returned("n-000234", true)];
+    assert_eq!(kept.give_back(START, machines), 1);
+    for step in 0..40 {
+        noted(&mut kept, START + Span::secs(step), &mut own);
+    }
+    let mut adopted = Vec::new();
+    let mut successor = ledger();
+    let left: Vec<Pair> = vec![left_by_the_former()];
+    let taken = successor.adopt(START, &left, |_| false);
+    assert!(taken.faults.is_empty(), "the record is read");
+    assert_eq!((taken.rentals.len(), taken.returns.len()), (1, 1));
+    for step in 0..40 {
+        noted(&mut successor, START + Span::secs(step), &mut adopted);
+    }
+    let found = [("own intents", own.join("\n")), ("adopted intents", adopted.join("\n"))];
+    let golden = Golden::check(WRITES, &found);
+    for (kind, _) in found {
+        let whole = golden.text(kind);
+        assert!(whole.contains("\"drop\":\"intent/fleet/"), "{kind}: dropped at last");
+        for line in whole.lines().filter(|line| !line.starts_with("send ")) {
+            let txn: Txn = serde_json::from_str(line).expect("a transaction");
+            // Read back, the fields of a value stand in the order of their names.
+            let before: Value = serde_json::from_str(line).expect("json");
+            assert!(json!(txn) == before, "{kind}: written again it differs");
+        }
+    }
+}
+
+fn left_by_the_former() -> Pair {
+    let former = Epoch::from_revision(300).expect("an epoch");
+    let actions: Value = json!([{"rent": {"request": "w-300-1", "kind": "t8", "zone": "b",
+        "spot": false, "count": 3}}, {"return": [{"name": "n-000100", "tasks": true}]}]);
+    let value = json!({"format": 1, "actions": actions});
+    Pair { key: intent_key(Duty::Fleet, former, 2), value, mark: 301 }
+}
