--- a/crates/walnutlug/src/main.rs
+++ b/crates/walnutlug/src/main.rs
@@ -2,6 +2,9 @@
 
 mod cli;
 mod cloud;
+#[cfg(test)]
+#[path = "../../core/tests/golden_file/mod.rs"]
+mod golden_file;
 mod http;
 mod node;
 mod peers;
--- a/crates/walnutlug/src/peers.rs
+++ b/crates/walnutlug/src/peers.rs
@@ -497,5 +497,7 @@
     }
 }
 
+#[cfg(test)]
+mod golden_tests;
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/crates/walnutlug/src/peers/golden_tests.rs
@@ -0,0 +1,233 @@
+//! Every kind of frame between nodes, byte by byte as it is kept in `golden/frames.txt`: written,
+//! read field by field, and written again.
+
+use walnutlug_core::serving::{Grant, NewMark};
+use walnutlug_core::time::Span;
+use walnutlug_core::unchanged::SettledReport;
+
+use super::*;
+use crate::golden_file::{hexadecimal, Golden};
+
+const FILE: &str = "src/peers/golden/frames.txt";
+/// Kinds of frames; the numbers from 1 to 16 without 5, which no version in use knows.
+const KINDS: usize = 15;
+
+/// The number of the frame's kind on the wire. A new kind has to be added here and to [`frames`].
+fn kind_number(frame: &Frame) -> u16 {
+    match frame {
+        Frame::Status { .. } => 1,
+        Frame::Progress { .. } => 2,
+        Frame::Ended { .. } => 3,
+        Frame::NewJob { .. } => 4,
+        Frame::Machines(_) => 6,
+        Frame::LimitsFell => 7,
+        Frame::Cancelled { .. } => 8,
+        Frame::CancelledAck { .. } => 9,
+        Frame::Vouch { .. } => 10,
+        Frame::ForwardedReport(_) => 11,
+        Frame::ForwardedAnswer(_) => 12,
+        Frame::Heard { .. } => 13,
+        Frame::AskGrant(_) => 14,
+        Frame::Granting(_) => 15,
+        Frame::Withdrawn { .. } => 16,
+    }
+}
+
+/// One frame or more of each kind. No two fields of a frame hold the same value, so that fields that
+/// change places show.
+fn frames() -> Vec<(&'static str, Frame)> {
+    let mut all = job_frames();
+    all.extend(node_frames());
+    all.extend(report_frames());
+    all.extend(grant_frames());
+    all
+}
+
+fn job_frames() -> Vec<(&'static str, Frame)> {
+    vec![
+        ("progress", Frame::Progress { job: "req-000001".into(), done: 3, running: 70_001 }),
+        ("ended done", Frame::Ended { job: "req-000002".into(), end: End::Done }),
+        ("ended aborted", Frame::Ended { job: "req-000003".into(), end: End::Aborted }),
+        ("new job", Frame::NewJob { job: "req-000004".into() }),
+        (
+            "cancelled",
+            Frame::Cancelled {
+                node: "kernel-1".into(),
+                life: 0x0102_0304_0506_0708,
+                first: 0x1112_1314_1516_1718,
+                jobs: vec!["req-000005".into(), "req-99999999999999999999".into()],
+            },
+        ),
+        (
+            "cancelled, none",
+            Frame::Cancelled { node: "kernel-1".into(), life: 21, first: 22, jobs: Vec::new() },
+        ),
+        (
+            "cancelled receipt",
+            Frame::CancelledAck {
+                node: "kernel-2".into(),
+                life: 0x0102_0304_0506_0708,
+                log_life: 0x1112_1314_1516_1718,
+                up_to: 0x2122_2324_2526_2728,
+            },
+        ),
+        (
+            "vouch",
+            Frame::Vouch {
+                node: "kernel-0".into(),
+                life: 0x0102_0304_0506_0708,
+                last: 0x1112_1314_1516_1718,
+                asker_life: 0x2122_2324_2526_2728,
+                asked: 0x3132_3334_3536_3738,
+            },
+        ),
+    ]
+}
+
+fn node_frames() -> Vec<(&'static str, Frame)> {
+    let status = |leading, served| Frame::Status {
+        name: "kernel-1".into(),
+        term: 0x0102_0304_0506_0708,
+        leading,
+        served,
+        redirected: 0x1112,
+        life: 0x2122_2324_2526_2728,
+        count: 0x3132_3334_3536_3738,
+    };
+    let machine =
+        |name: &str, last, port| (name.into(), SocketAddrV4::new([10, 1, 2, last].into(), port));
+    vec![
+        ("status of a leader", status(true, false)),
+        ("status of a served follower", status(false, true)),
+        ("limits fell", Frame::LimitsFell),
+        (
+            "machines",
+            Frame::Machines(vec![
+                machine("n-000231", 3, 9_000),
+                machine("n-00000000000000000000023X", 4, 9_001),
+            ]),
+        ),
+    ]
+}
+
+fn report_frames() -> Vec<(&'static str, Frame)> {
+    let settled = SettledReport {
+        term: 0x2122_2324_2526_2728,
+        machine: 0x3132_3334,
+        number: 0x4142_4344_4546_4748,
+    };
+    let mark = NewMark {
+        settled,
+        token: 0x5152_5354_5556_5758,
+        valid_for: Span(0x6162_6364_6566_6768),
+        withdrawn: 0x7172_7374_7576_7778,
+    };
+    let unanswered = ForwardedAnswer {
+        asker_life: 0x0102_0304_0506_0708,
+        number: 0x1112_1314_1516_1718,
+        answer: None,
+        mark: None,
+    };
+    let answered = ForwardedAnswer {
+        answer: Some(br#"{"staff":41,"calls":[]}"#.to_vec()),
+        mark: Some(mark),
+        ..unanswered.clone()
+    };
+    let unsettled = ForwardedAnswer { mark: None, ..answered.clone() };
+    let heard = |machine, number, sequence| Heard { machine, number, sequence };
+    vec![
+        (
+            "forwarded report",
+            Frame::ForwardedReport(ForwardedReport {
+                node: "kernel-1".into(),
+                life: 0x0102_0304_0506_0708,
+                number: 0x1112_1314_1516_1718,
+                report: br#"{"tree":"n-000231"}"#.to_vec(),
+            }),
+        ),
+        ("forwarded answer, none", Frame::ForwardedAnswer(unanswered)),
+        ("forwarded answer", Frame::ForwardedAnswer(unsettled)),
+        ("forwarded answer and mark", Frame::ForwardedAnswer(answered)),
+        (
+            "heard",
+            Frame::Heard {
+                term: 0x0102_0304_0506_0708,
+                heard: vec![heard(1, 2, 3), heard(0x1112_1314, 1 << 40, 1 << 50)],
+            },
+        ),
+    ]
+}
+
+fn grant_frames() -> Vec<(&'static str, Frame)> {
+    let granting = |spare, spare_to| {
+        Frame::Granting(Granting {
+            node: "kernel-0".into(),
+            asker_life: 0x0102_0304_0506_0708,
+            grant: Grant {
+                term: 0x1112_1314_1516_1718,
+                asked: 0x2122_2324_2526_2728,
+                unknown_for: Span(0x3132_3334_3536_3738),
+                withdrawn: 0x4142_4344_4546_4748,
+            },
+            spare,
+            spare_to,
+        })
+    };
+    vec![
+        (
+            "ask grant",
+            Frame::AskGrant(AskGrant {
+                node: "kernel-2".into(),
+                life: 0x0102_0304_0506_0708,
+                number: 0x1112_1314_1516_1718,
+                workers: 0x2122_2324,
+            }),
+        ),
+        ("granting", granting(0x5152, Some("kernel-2".into()))),
+        ("granting, none to spare", granting(0, None)),
+        (
+            "withdrawn",
+            Frame::Withdrawn {
+                term: 0x0102_0304_0506_0708,
+                first: 0x1112_1314_1516_1718,
+                marks: vec![(3, 4), (0x2122_2324, 1 << 40)],
+            },
+        ),
+    ]
+}
+
+#[tokio::test(start_paused = true)]
+async fn every_kind_of_frame_is_written_and_read_as_before() {
+    let frames = frames();
+    let written = |(kind, frame): &(&'static str, Frame)| (*kind, hexadecimal(&frame.encode()));
+    let golden = Golden::check(FILE, &frames.iter().map(written).collect::<Vec<_>>());
+    let mut numbers = std::collections::BTreeSet::new();
+    for (kind, frame) in &frames {
+        let bytes = golden.bytes(kind);
+        let header = [0x57, 0x4c, 0x55, 0x47, 2, 0];
+        assert!(bytes[..6] == header, "{kind}: magic number and version");
+        let number = u16::from_le_bytes([bytes[6], bytes[7]]);
+        assert!(number == kind_number(frame), "{kind}: the number of its kind");
+        numbers.insert(number);
+        let read = read_frame(&mut bytes.as_slice()).await;
+        let Ok(Some(read)) = read else { panic!("{kind}: can't be read") };
+        assert!(read == *frame, "{kind}: a field was read otherwise");
+        assert!(read.encode() == bytes, "{kind}: written again it differs");
+    }
+    assert_eq!(numbers.len(), KINDS, "every kind is here");
+}
+
+/// Looked up in the kept bytes themselves, so that the layout stands in words too.
+#[test]
+fn the_fields_of_a_status_are_where_they_were() {
+    let bytes = Golden::open(FILE).bytes("status of a leader");
+    let digits = |from: usize, length: usize| hexadecimal(&bytes[from..from + length]);
+    assert_eq!(bytes.len(), 12 + 8 + 64 + 1 + 1 + 2 + 8 + 8);
+    assert_eq!(digits(0, 12), "574c5547020001005c000000", "header");
+    assert_eq!(digits(12, 8), "0807060504030201", "term");
+    assert_eq!(digits(20, 9), "6b65726e656c2d3100", "name");
+    assert_eq!(digits(84, 2), "0100", "leading and served");
+    assert_eq!(digits(86, 2), "1211", "redirected");
+    assert_eq!(digits(88, 8), "2827262524232221", "life");
+    assert_eq!(digits(96, 8), "3837363534333231", "count");
+}
