--- a/crates/walnutlug/src/cloud.rs
+++ b/crates/walnutlug/src/cloud.rs
@@ -179,5 +179,7 @@
     good
 }
 
+#[cfg(test)]
+mod golden_tests;
 #[cfg(test)]
 mod tests;
--- a/crates/walnutlug/src/http/client.rs
+++ b/crates/walnutlug/src/http/client.rs
@@ -282,5 +282,7 @@
     }
 }
 
+#[cfg(test)]
+mod golden_tests;
 #[cfg(test)]
 mod tests;
--- a/crates/walnutlug/src/state.rs
+++ b/crates/walnutlug/src/state.rs
@@ -494,5 +494,7 @@
     json!({"node": node, "inc": incarnation, "lease": lease})
 }
 
+#[cfg(test)]
+mod golden_tests;
 #[cfg(test)]
 mod tests;
