--- a/crates/walnutlug/src/http/server.rs
+++ b/crates/walnutlug/src/http/server.rs
@@ -256,5 +256,7 @@
     }
 }
 
+#[cfg(test)]
+pub mod exchange;
 #[cfg(test)]
 mod tests;
--- a/crates/walnutlug/src/node.rs
+++ b/crates/walnutlug/src/node.rs
@@ -578,5 +578,7 @@
     }
 }
 
+#[cfg(test)]
+mod golden_tests;
 #[cfg(test)]
 pub mod tests;
