--- a/crates/core/tests/sim/follower.rs
+++ b/crates/core/tests/sim/follower.rs
@@ -8,6 +8,7 @@
 use walnutlug_core::wire::{Report, WorkerCommand};
 
 use super::Leader;
+use crate::world::transcript;
 
 /// Its number as a holder of marks.
 const HOLDER: u16 = 1;
@@ -112,12 +113,16 @@
             if let Some(token) = self.served.may_repeat(now, mark) {
                 self.heard.push((mark, report.seq));
                 self.repeated += 1;
-                return Some((token, Vec::new()));
+                let answer = Some((token, Vec::new()));
+                transcript::answer("repeated (at a follower)", &report.machine, answer.as_ref());
+                return answer;
             }
         }
         let leader = leader.filter(|l| linked && self.served.may_forward(now) == Some(l.s.term))?;
         leader.s.known_until = leader.known;
-        let (token, calls) = leader.s.report(now, report)?;
+        let answer = leader.s.report(now, report);
+        transcript::answer("forwarded", &report.machine, answer.as_ref());
+        let (token, calls) = answer?;
         let mark =
             if calls.is_empty() { leader.s.settle_report(now, report, HOLDER) } else { None };
         self.tell_withdrawn(now, leader, linked, 300);
--- /dev/null
+++ b/crates/core/tests/sim/meetings.rs
@@ -0,0 +1,275 @@
+//! The scripts in which troubles meet. They are played for their verdicts and for their transcripts.
+
+use super::Kind::*;
+use super::Trouble::{self, *};
+
+/// Two troubles or more that are laid over the load.
+pub struct Meeting {
+    pub name: &'static str,
+    pub script: &'static [(u64, Trouble)],
+    /// What has to have come to pass on every seed, or the meeting did not take place.
+    pub seen: &'static [&'static str],
+}
+
+/// What is submitted in each of them.
+pub const LOAD: [(u64, Trouble); 6] = [
+    (500, Submit(2, Plain(6))),
+    (600, Submit(2, Long(4))),
+    (700, Submit(2, Capped(3))),
+    (800, Submit(1, Bound(4))),
+    (900, Submit(1, Together(4))),
+    (1_000, Submit(1, Spread(5))),
+];
+
+/// All meetings, in the order in which they were written.
+pub const MEETINGS: &[Meeting] = &[
+    Meeting {
+        name: "controllers hand over and back, all end, one returns within a second",
+        script: &[(6_000, Crash), (10_000, Crash), (11_000, Cancel(2)), (14_000, Away(700)), (16_000, Crash)],
+        seen: &["leader ended", "all away", "elected", "cancelled"],
+    },
+    Meeting {
+        name: "transactions carried out late, after newer ones, and the leader ends",
+        script: &[
+            (4_000, LateWrites(40, 25_000)),
+            (5_000, Submit(3, Plain(5))),
+            (9_000, Cancel(3)),
+            (12_000, Crash),
+            (17_000, Submit(3, Plain(4))),
+        ],
+        seen: &["carried out late", "cancelled", "leader ended"],
+    },
+    Meeting {
+        name: "transactions carried out at once unheard, and the leader ends",
+        script: &[
+            (3_000, LostAnswers(40, 25_000)),
+            (5_000, Submit(3, Plain(5))),
+            (9_000, Cancel(3)),
+            (12_000, Crash),
+        ],
+        seen: &["carried out unheard", "cancelled", "leader ended"],
+    },
+    Meeting {
+        name: "teams at their limits, cancelled on machines that hang or are cut, the leader changes",
+        script: &[
+            (2_000, Submit(4, Capped(4))),
+            (6_000, Hang(50, 18_000)),
+            (6_000, CutMachines(40, 30_000)),
+            (7_000, Cancel(5)),
+            (8_000, Crash),
+            (13_000, Cancel(2)),
+        ],
+        seen: &["team at its limit", "cancelled on an ill machine", "leader ended"],
+    },
+    Meeting {
+        name: "workers reach no controller, direct commands reach them, jobs are cancelled",
+        script: &[(6_000, Mute(100, 30_000)), (8_000, Cancel(4)), (12_000, Crash), (16_000, Cancel(2))],
+        seen: &["mute with tasks", "cancelled on an ill machine", "leader ended"],
+    },
+    Meeting {
+        name: "a team at its limit when the leader changes, some machines can't be asked, a cancellation",
+        script: &[
+            (2_000, Submit(4, Capped(4))),
+            (6_000, Deaf(60, 25_000)),
+            (6_500, Crash),
+            (9_000, Cancel(4)),
+            (11_000, Submit(2, Capped(4))),
+        ],
+        seen: &["team at its limit", "deaf with tasks", "cancelled while the lead changed hands"],
+    },
+    Meeting {
+        name: "reports held back until a new leader has acted",
+        script: &[
+            (2_000, LateReports(60, 40_000)),
+            (8_000, Crash),
+            (10_000, Cancel(2)),
+            (16_000, Die(2)),
+            (20_000, Crash),
+            (30_000, Crash),
+        ],
+        seen: &["copies of reports", "leader ended", "machines died"],
+    },
+    Meeting {
+        name: "old reports reach everybody just as a new leader begins",
+        script: &[
+            (2_000, ReportsForNext(50_000)),
+            (9_000, Crash),
+            (10_000, Cancel(2)),
+            (22_000, CutMachines(40, 30_000)),
+            (24_000, Crash),
+            (36_000, Crash),
+        ],
+        seen: &["old reports at a new leader", "leader ended", "cancelled"],
+    },
+    Meeting {
+        name: "cancelled at the moment of the refusal, a second later down for all",
+        script: &[
+            (7_000, RefuseLeader(14_000)),
+            (7_100, Cancel(3)),
+            (7_900, Cancel(3)),
+            (8_000, Outage(46_000)),
+            (56_000, Cancel(1)),
+        ],
+        seen: &["leader refused alone", "cancelled while the leader was refused"],
+    },
+    Meeting {
+        name: "the same with the frames between nodes lost",
+        script: &[
+            (6_500, PeersLost(60_000)),
+            (7_000, RefuseLeader(14_000)),
+            (7_100, Cancel(3)),
+            (7_900, Cancel(3)),
+            (8_000, Outage(46_000)),
+        ],
+        seen: &["leader refused alone", "cancelled while the leader was refused"],
+    },
+    Meeting {
+        name: "more work than room, urgent and not, commands held up",
+        script: &[
+            (2_000, Submit(10, Plain(6))),
+            (3_000, HoldCommands(40, 30_000)),
+            (5_000, Submit(8, Urgent(3))),
+            (9_000, Crash),
+            (14_000, Submit(5, Urgent(3))),
+            (15_000, Cancel(4)),
+        ],
+        seen: &["commands held up", "leader ended", "cancelled"],
+    },
+    Meeting {
+        name: "a leader cut from state and peers while workers reach it, cancelled through the new one",
+        script: &[(6_000, CutLeader(60_000)), (7_000, Cancel(2)), (10_500, Cancel(3)), (20_000, Cancel(3))],
+        seen: &["leader cut", "cancelled while the leader was cut", "a report to the former leader"],
+    },
+    Meeting {
+        name: "a leader ends while machines with long tasks don't hear the new one",
+        script: &[
+            (6_000, Deaf(50, 45_000)),
+            (6_000, CutMachines(30, 28_000)),
+            (7_000, Crash),
+            (15_000, Cancel(3)),
+        ],
+        seen: &["deaf with tasks", "cut with tasks", "leader ended", "cancelled"],
+    },
+    Meeting {
+        name: "all controllers away for longer than a lease",
+        script: &[(7_000, Cancel(2)), (7_200, Away(26_000)), (36_000, Cancel(2)), (40_000, Away(24_000))],
+        seen: &["all away", "cancelled"],
+    },
+    Meeting {
+        name: "leaders change ten times in two minutes, also inside an outage",
+        script: &[
+            (6_000, Crash),
+            (18_000, Crash),
+            (22_000, Cancel(1)),
+            (30_000, Crash),
+            (30_500, Outage(12_000)),
+            (38_000, Crash),
+            (50_000, Crash),
+            (52_000, Submit(4, Long(3))),
+            (62_000, Crash),
+            (70_000, Cancel(1)),
+            (74_000, Crash),
+            (86_000, Crash),
+            (98_000, Crash),
+            (110_000, Crash),
+        ],
+        seen: &["leader ended", "elected", "cancelled"],
+    },
+    Meeting {
+        name: "jobs bound to one zone, arrays too, lose machines, and the leader changes",
+        script: &[
+            (2_000, Submit(3, Bound(5))),
+            (2_500, Submit(3, Together(5))),
+            (2_600, Submit(3, Spread(7))),
+            (7_000, Die(3)),
+            (8_000, Crash),
+            (12_000, Mute(40, 24_000)),
+            (20_000, Die(3)),
+            (24_000, Crash),
+        ],
+        seen: &["machines died", "leader ended"],
+    },
+    Meeting {
+        name: "new machines up within two seconds get work while writes lag, and the leader ends",
+        script: &[
+            (1_500, Boots(40_000)),
+            (2_000, LateWrites(35, 25_000)),
+            (3_000, Submit(12, Plain(6))),
+            (8_000, Crash),
+            (10_000, Submit(8, Urgent(3))),
+            (16_000, Crash),
+            (18_000, Cancel(4)),
+        ],
+        seen: &["up within two seconds", "carried out late", "leader ended"],
+    },
+    Meeting {
+        name: "a zone cut off for longer than a lease, and the leader changes",
+        script: &[(6_000, CutZone("a", 28_000)), (7_000, Cancel(3)), (9_000, Crash), (14_000, Cancel(3))],
+        seen: &["cut with tasks", "cancelled on an ill machine", "leader ended"],
+    },
+    Meeting {
+        name: "commands or their answers held up for seconds, machines hang and go on",
+        script: &[
+            (3_000, HoldCommands(50, 40_000)),
+            (6_000, Hang(50, 15_000)),
+            (7_000, Cancel(4)),
+            (24_000, Hang(50, 19_000)),
+            (25_000, Cancel(2)),
+            (26_000, Crash),
+        ],
+        seen: &["commands held up", "hung with tasks", "cancelled on an ill machine"],
+    },
+    Meeting {
+        name: "cancellations meet the ends of jobs' last tasks",
+        script: &[
+            (1_000, CancelAtEnd(50, 60_000)),
+            (2_000, Submit(20, Plain(1))),
+            (12_000, Submit(20, Plain(2))),
+            (24_000, Crash),
+        ],
+        seen: &["cancelled at the end"],
+    },
+    Meeting {
+        name: "one-task jobs several a second, a quarter cancelled, while the work changes hands",
+        script: &[(1_500, Ones(60_000)), (12_000, Crash), (30_000, RefuseLeader(9_000)), (45_000, Crash)],
+        seen: &["cancelled while the lead changed hands", "leader refused alone"],
+    },
+    Meeting {
+        name: "jobs of two or three tasks end far apart across changes of the leader",
+        script: &[
+            (1_500, Submit(6, Plain(2))),
+            (1_500, Submit(4, Long(3))),
+            (7_000, Crash),
+            (11_000, LostAnswers(30, 20_000)),
+            (14_000, Crash),
+            (60_000, Crash),
+        ],
+        seen: &["leader ended", "carried out unheard"],
+    },
+    Meeting {
+        name: "a flood of urgent jobs while leaders end, writes are late and machines are cut off",
+        script: &[
+            (3_000, Submit(45, Flood(20))),
+            (9_000, CutMachines(30, 25_000)),
+            (12_000, Crash),
+            (18_000, LateWrites(30, 15_000)),
+            (20_000, Submit(3, Capped(3))),
+            (22_000, Cancel(8)),
+            (30_000, Away(700)),
+            (41_000, Crash),
+        ],
+        seen: &["an overload shared", "leader ended", "all away", "carried out late", "team at its limit"],
+    },
+    Meeting {
+        name: "a flood of urgent jobs while the leader is cut off and jobs are cancelled through the next one",
+        script: &[
+            (3_000, Submit(45, Flood(20))),
+            (10_000, CutLeader(30_000)),
+            (16_000, Cancel(10)),
+            (22_000, HoldCommands(30, 20_000)),
+            (25_000, Deaf(30, 20_000)),
+            (34_000, RefuseLeader(9_000)),
+        ],
+        seen: &["an overload shared", "leader cut", "cancelled while the leader was cut", "commands held up"],
+    },
+];
--- a/crates/core/tests/sim/mod.rs
+++ b/crates/core/tests/sim/mod.rs
@@ -19,12 +19,15 @@
     Cause, Change, ListedMachine, MachineStage, Report, TaskStage, Txn, WorkerCommand,
 };
 
-use crate::world::{self, Store, Worker};
+use crate::world::{self, transcript, Store, Worker};
 
 mod follower;
+pub mod meetings;
 use follower::Follower;
 
 const STEP: Span = Span::millis(100);
+/// A step of a transcript, in which several of these are told together.
+const RECORDED_STEP: Span = Span::millis(500);
 const START: Time = Time(1 << 40);
 const CHUNK: u32 = 20;
 
@@ -135,10 +138,13 @@
     leader.s.known_until = leader.known;
     if let Some(mark) = repeats(settled, report) {
         if let Some(token) = leader.s.report_unchanged(now, mark, report.seq) {
-            return Some((token, Vec::new()));
+            let answer = Some((token, Vec::new()));
+            transcript::answer("repeated", &report.machine, answer.as_ref());
+            return answer;
         }
     }
     let answer = leader.s.report(now, report);
+    transcript::answer("whole", &report.machine, answer.as_ref());
     let quiet = answer.as_ref().is_some_and(|(_, calls)| calls.is_empty());
     let mark = quiet.then(|| leader.s.settle_report(now, report, OWN_NODE)).flatten();
     *settled = mark.map(|mark| (report.clone(), mark));
@@ -489,7 +495,9 @@
         }
         let strange = s.load_runs(self.now, &self.store.pairs(keys::RUN));
         assert!(strange.is_empty(), "{}: {strange:?}", self.what);
-        let names: Vec<String> = s.by_ref.keys().cloned().collect();
+        // In one order, whatever that of the table: a transcript holds what comes of it.
+        let mut names: Vec<String> = s.by_ref.keys().cloned().collect();
+        names.sort_unstable();
         for name in names.iter().filter(|n| self.store.keys.contains_key(&keys::end(n))) {
             s.job_over(self.now, name);
         }
@@ -505,12 +513,16 @@
         // What was kept for it arrives first of all.
         for report in std::mem::take(&mut self.kept) {
             self.saw("old reports at a new leader");
-            let _ = self.leaders.last_mut().expect("leader").s.report(now, &report);
+            let answer = self.leaders.last_mut().expect("leader").s.report(now, &report);
+            transcript::answer("late", &report.machine, answer.as_ref());
         }
     }
 
     fn step(&mut self) {
         self.now = self.now + STEP;
+        if self.now.since(START).0.is_multiple_of(RECORDED_STEP.0) {
+            transcript::next_step();
+        }
         self.elect();
         if self.on("ones").is_some() && self.chance(66) {
             self.submit(Kind::Plain(1));
@@ -585,7 +597,8 @@
             }
             Event::Copy(report) => {
                 if let Some(l) = self.leaders.last_mut() {
-                    let _ = l.s.report(now, &report);
+                    let answer = l.s.report(now, &report);
+                    transcript::answer("late", &report.machine, answer.as_ref());
                     self.saw("copies of reports");
                 }
             }
@@ -755,6 +768,7 @@
         }
         let term = l.s.term;
         let commands = l.s.take_commands();
+        transcript::commands(term, &commands);
         for command in commands {
             self.carry_out(i, term, served, command);
         }
--- /dev/null
+++ b/crates/core/tests/transcripts/scripts.rs
@@ -0,0 +1,805 @@
+//! The scripts that are played in the scripted world. Each is the same at every run: what chance decides in
+//! them follows from a fixed seed.
+
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+use serde_json::json;
+use walnutlug_core::job::{keys, End, JobSpec, Rank, Team};
+use walnutlug_core::leadership::{Input, Leadership, Role};
+use walnutlug_core::registry::{Command, DirectOutcome, Outcome};
+use walnutlug_core::time::{Span, Time};
+use walnutlug_core::tunables::{Objective, Site};
+use walnutlug_core::watermark::{CancelLog, Watermark};
+use walnutlug_core::wire::{Cause, ListedMachine, MachineStage, Pair, TaskStage};
+
+use crate::world::golden::Dice;
+use crate::world::{site, spec, transcript, Worker, World};
+
+const PRODUCTION_RECORDS: &str = include_str!("../fixtures/production-records.json");
+
+fn job_name(index: usize) -> String {
+    format!("req-{index:06}")
+}
+
+fn fleet_of(site: Site, machines: usize) -> World {
+    let names: Vec<String> = (0..machines).map(|i| format!("n-{i:03}")).collect();
+    let zones = ["a", "b"];
+    let machines: Vec<(&str, &str)> =
+        names.iter().enumerate().map(|(i, n)| (n.as_str(), zones[i % 2])).collect();
+    World::of(site, &machines)
+}
+
+fn team(name: &str, cpus: f64, cpus_max: f64) -> Team {
+    Team { name: name.into(), cpus, cpus_max, gpus: 0.0, gpus_max: 0.0 }
+}
+
+/// Every live task comes to an end of that kind with that chance.
+fn some_tasks_end(world: &mut World, dice: &mut Dice, percent: usize, causes: &[Cause]) {
+    for worker in world.workers.values_mut().filter(|worker| worker.alive) {
+        for state in worker.tasks.values_mut().filter(|state| state.0 != TaskStage::Exited) {
+            if dice.chance(percent) {
+                *state = (TaskStage::Exited, Some(causes[dice.below(causes.len())]));
+            }
+        }
+    }
+}
+
+/// Carries out what the leader wants done, but for the share of it that is lost or refused. What is lost
+/// was carried out half of the time.
+fn carry_out_with_losses(world: &mut World, dice: &mut Dice, percent: usize) {
+    for command in std::mem::take(&mut world.commands) {
+        match command {
+            Command::Commit { id, .. } if dice.chance(percent / 2) => {
+                transcript::count("commit refused", 1);
+                world.leader.txn_answer(world.now, id, Outcome::Refused);
+            }
+            Command::Commit { id, txn } if dice.chance(percent) => {
+                transcript::count("commit lost", 1);
+                if dice.chance(50) {
+                    world.store.apply(&txn);
+                }
+                world.leader.txn_answer(world.now, id, Outcome::Lost);
+            }
+            Command::Direct { machine, token, session, calls, .. } if dice.chance(percent) => {
+                transcript::count("direct lost", 1);
+                let name = world.leader.machines[machine as usize].name.clone();
+                if dice.chance(50) {
+                    if let Some(worker) = world.workers.get_mut(&name) {
+                        worker.direct(token, session, &calls);
+                    }
+                }
+                let outcome =
+                    if dice.chance(80) { DirectOutcome::Lost } else { DirectOutcome::NotSent };
+                world.leader.direct_answer(world.now, machine, outcome);
+            }
+            // What isn't answered, or not in whole, is asked again.
+            Command::FindEnds { names } if dice.chance(70) => {
+                transcript::count("find-ends answered in part", 1);
+                let known = dice.below(2) * names.len() / 2;
+                let found = world.store.ends(&names[..known]);
+                world.leader.ends_found(world.now, &found);
+            }
+            command => {
+                world.commands.push(command);
+                world.carry_out();
+            }
+        }
+    }
+}
+
+/// Arrays that start, end and fail, with lost and refused commits and messages on the way.
+pub fn starts() {
+    let mut world = fleet_of(site(), 6);
+    let mut dice = Dice::new(1);
+    for round in 0..60 {
+        if round % 4 == 0 && round < 40 {
+            let tasks = 1 + dice.below(14) as u32;
+            let rank = [Rank::Low, Rank::Normal, Rank::High][dice.below(3)];
+            let team = ["one", "capped"][dice.below(2)].to_owned();
+            let zone = dice.chance(20).then(|| "b".to_owned());
+            let (one_zone, spread) = [(false, false), (true, false), (false, true)][dice.below(3)];
+            let job = JobSpec { rank, team, zone, one_zone, spread, ..spec(tasks) };
+            world.submit(&job_name(round), &job);
+        }
+        for _ in 0..3 {
+            world.tick();
+            carry_out_with_losses(&mut world, &mut dice, 12);
+        }
+        some_tasks_end(&mut world, &mut dice, 25, &[Cause::Done]);
+        world.all_report();
+        world.wait(600);
+    }
+    world.run_out();
+}
+
+/// Chains, diamonds, needs that nobody submitted, a cancellation that goes down a chain, changes of the
+/// leader, and commits whose answers are lost.
+pub fn chains() {
+    let mut world = fleet_of(site(), 4);
+    let mut dice = Dice::new(2);
+    let needs = |names: &[usize]| names.iter().map(|&n| job_name(n)).collect::<Vec<_>>();
+    for index in 0..40usize {
+        let needed: Vec<usize> = match index % 8 {
+            0 => vec![],
+            1 | 2 => vec![index - 1],
+            3 => vec![index - 2, index - 1],
+            4 => vec![index - 4, index - 1],
+            5 => vec![index - 5, 900 + index],
+            _ => vec![index - 1, index - 1],
+        };
+        let rank = if index % 8 == 7 { Rank::High } else { Rank::Low };
+        let deadline_s = (index % 3 == 0).then_some(40.0);
+        let job = JobSpec { needs: needs(&needed), rank, deadline_s, ..spec(1 + index as u32 % 3) };
+        world.submit(&job_name(index), &job);
+    }
+    for round in 0..70 {
+        for _ in 0..2 {
+            world.tick();
+            carry_out_with_losses(&mut world, &mut dice, 10);
+        }
+        some_tasks_end(&mut world, &mut dice, 30, &[Cause::Done]);
+        if round % 15 == 14 {
+            world.withdraw_if_open(&job_name(8 * (round / 15)));
+        }
+        if round % 23 == 22 {
+            world.take_over_as(round == 45);
+        }
+        if round == 50 {
+            world.store.put(&keys::end(&job_name(905)), json!("done"));
+            world.leader.job_ended(world.now, &job_name(905), End::Done);
+        }
+        world.all_report();
+        world.wait(700);
+    }
+    world.run_out();
+}
+
+/// Jobs of every stage are cancelled, by users and in outages, and their machines fall silent.
+pub fn cancellations() {
+    let mut world = fleet_of(site(), 6);
+    let mut dice = Dice::new(3);
+    for round in 0..80 {
+        if round < 60 && round % 2 == 0 {
+            let checkpoint_s = if dice.chance(50) { 5.0 } else { 0.0 };
+            let job = JobSpec { checkpoint_s, save_s: 2.0, ..spec(1 + dice.below(8) as u32) };
+            world.submit(&job_name(round), &job);
+        }
+        world.tick();
+        if dice.chance(40) {
+            world.withdraw_if_open(&job_name(2 * dice.below(30)));
+        }
+        carry_out_with_losses(&mut world, &mut dice, 15);
+        some_tasks_end(&mut world, &mut dice, 8, &[Cause::Done, Cause::Done, Cause::Error]);
+        match round {
+            20 => world.workers.get_mut("n-002").expect("worker").lease_ends(),
+            30 => world.cut_off = true,
+            50 => world.cut_off = false,
+            _ => {}
+        }
+        world.all_report();
+        world.wait(700);
+    }
+    world.run_out();
+}
+
+/// Leaders follow on one another while commits and messages are lost, and machines end for good.
+pub fn failovers() {
+    let mut world = fleet_of(site(), 8);
+    let mut dice = Dice::new(4);
+    for round in 0..90 {
+        if round < 60 && round % 3 == 0 {
+            world.submit(&job_name(round), &spec(1 + dice.below(10) as u32));
+        }
+        for _ in 0..2 {
+            world.tick();
+            carry_out_with_losses(&mut world, &mut dice, 10);
+        }
+        if dice.chance(12) {
+            transcript::line("next leader", "");
+            world.take_over();
+            for worker in world.workers.values() {
+                world.leader.hint_address(world.now, &worker.name, "10.0.0.1:1");
+            }
+        }
+        if round == 35 || round == 55 {
+            let name = format!("n-{:03}", round / 10);
+            let worker = world.workers.get_mut(&name).expect("worker");
+            worker.alive = false;
+            worker.tasks.clear();
+            world.leader.machine_gone(world.now, &name);
+        }
+        some_tasks_end(&mut world, &mut dice, 15, &[Cause::Done]);
+        world.all_report();
+        world.wait(500);
+    }
+    world.run_out();
+}
+
+/// Work of three priorities crowds a small fleet, so that the urgent stops the other.
+pub fn preemption() {
+    let teams = vec![team("one", 8.0, 0.0), team("two", 0.0, 60.0)];
+    let mut world = fleet_of(Site { teams, ..site() }, 10);
+    world.leader.fleet.listed = true;
+    let mut dice = Dice::new(5);
+    for step in 0..160usize {
+        if step % 2 == 0 && step < 120 {
+            let rank = [Rank::Normal, Rank::High, Rank::Low, Rank::Prod][step / 2 % 4];
+            let cpus = [1.0, 2.0, 4.0, 8.0][dice.below(4)];
+            let team = ["one", "two"][step / 2 % 2].to_owned();
+            let (checkpoint_s, save_s) = if dice.chance(30) { (3.0, 1.0) } else { (0.0, 0.0) };
+            let job = JobSpec {
+                rank,
+                cpus,
+                team,
+                checkpoint_s,
+                save_s,
+                one_zone: dice.chance(20),
+                deadline_s: Some(7.0),
+                ..spec(1 + dice.below(24) as u32)
+            };
+            world.submit(&job_name(step), &job);
+        }
+        some_tasks_end(&mut world, &mut dice, 6, &[Cause::Done]);
+        world.all_report();
+        world.tick();
+        world.look_at_fleet();
+        world.carry_out();
+        world.wait(250);
+    }
+}
+
+/// A flood of one team beside guarantees and a limit, with a change of the leader in it.
+pub fn floods() {
+    let teams = vec![
+        team("one", 0.0, 0.0),
+        team("two", 30.0, 0.0),
+        team("capped", 0.0, 12.0),
+        team("free", 0.0, 0.0),
+    ];
+    let mut world = fleet_of(Site { teams, ..site() }, 16);
+    world.leader.fleet.listed = true;
+    let mut dice = Dice::new(6);
+    let mut shared = 0;
+    for second in 0..70usize {
+        let job = |team: &str, class: &str, rank| JobSpec {
+            team: team.into(),
+            class: class.into(),
+            rank,
+            estimate_s: 5.0,
+            deadline_s: Some(12.0),
+            ..spec(8)
+        };
+        for index in 0..5 {
+            world.submit(&job_name(10 * second + index), &job("one", "flood", Rank::High));
+        }
+        if second % 5 == 4 {
+            for (index, team) in ["two", "capped", "free"].into_iter().enumerate() {
+                let class = ["fix", "sheets"][dice.below(2)];
+                let job = JobSpec { cpus: 3.0, ..job(team, class, Rank::Normal) };
+                world.submit(&job_name(10 * second + 5 + index), &job);
+            }
+        }
+        if second == 40 {
+            world.take_over();
+            world.leader.fleet.listed = true;
+            world.all_report();
+        }
+        some_tasks_end(&mut world, &mut dice, 25, &[Cause::Done]);
+        world.all_report();
+        for _ in 0..3 {
+            world.wait(250);
+            world.tick();
+            world.look_at_fleet();
+            world.carry_out();
+        }
+        shared += u64::from(world.leader.sharing.is_on());
+    }
+    transcript::count("seconds with an overload shared", shared);
+    assert!(shared > 10, "the flood is an overload");
+}
+
+/// The cloud of a script: machines come after a while, or not at all, and go.
+struct Cloud {
+    next: usize,
+    coming: Vec<(Time, Worker)>,
+    listed: BTreeMap<String, (bool, String, MachineStage)>,
+}
+
+impl Cloud {
+    fn new(world: &World) -> Cloud {
+        let listed = world.workers.values().map(|worker| {
+            (worker.name.clone(), (false, worker.zone.clone(), MachineStage::Running))
+        });
+        Cloud { next: 0, coming: Vec::new(), listed: listed.collect() }
+    }
+
+    /// What the leader wants rented and returned is done, in part or not at all at times.
+    fn carry_out(&mut self, world: &mut World, dice: &mut Dice) {
+        let mut others = Vec::new();
+        for command in std::mem::take(&mut world.commands) {
+            match command {
+                Command::Rent { kind, zone, spot, count } => {
+                    let answer = match dice.below(10) {
+                        0 => Err(()),
+                        1 => Ok(Vec::new()),
+                        2 => Ok(self.rent(world.now, &zone, spot, count / 2)),
+                        _ => Ok(self.rent(world.now, &zone, spot, count)),
+                    };
+                    world.leader.rented(world.now, &kind, &zone, spot, count, answer);
+                }
+                Command::Return { machines } => {
+                    let done = dice.chance(80);
+                    for name in machines.iter().filter(|_| done) {
+                        world.workers.remove(name);
+                        self.coming.retain(|(_, worker)| worker.name != *name);
+                        self.listed.remove(name);
+                    }
+                    world.leader.returned(world.now, &machines, done);
+                }
+                command => others.push(command),
+            }
+        }
+        world.commands = others;
+        world.carry_out();
+    }
+
+    fn rent(&mut self, now: Time, zone: &str, spot: bool, count: u32) -> Vec<String> {
+        let mut names = Vec::new();
+        for _ in 0..count {
+            self.next += 1;
+            let name = format!("x-{:03}", self.next);
+            let worker = Worker { spot, ..Worker::new(&name, zone) };
+            self.coming.push((now + Span::secs(5), worker));
+            self.listed.insert(name.clone(), (spot, zone.to_owned(), MachineStage::Booting));
+            names.push(name);
+        }
+        names
+    }
+
+    /// Machines come up, spot machines get notice and go, one fails, and the list is read.
+    fn pass(&mut self, world: &mut World, dice: &mut Dice) {
+        let now = world.now;
+        for (_, worker) in self.coming.extract_if(.., |(at, _)| *at <= now) {
+            self.listed.get_mut(&worker.name).expect("a listed machine").2 = MachineStage::Running;
+            world.workers.insert(worker.name.clone(), worker);
+        }
+        for worker in world.workers.values_mut().filter(|worker| worker.alive) {
+            match worker.notice {
+                None if worker.spot && dice.chance(2) => worker.notice = Some(6.0),
+                None if dice.below(1_000) < 4 => worker.stop(&mut self.listed),
+                Some(left) if left <= 1.0 => worker.stop(&mut self.listed),
+                Some(left) => worker.notice = Some(left - 1.0),
+                None => {}
+            }
+        }
+        let entry =
+            |(name, (spot, zone, stage)): (&String, &(bool, String, MachineStage))| ListedMachine {
+                name: name.clone(),
+                address: Some("10.0.0.1:1".into()),
+                kind: "t8".into(),
+                zone: zone.clone(),
+                spot: *spot,
+                stage: *stage,
+                age_s: 9.0,
+            };
+        let list: Vec<ListedMachine> = self.listed.iter().map(entry).collect();
+        world.leader.machine_list(now, &list);
+    }
+}
+
+impl Worker {
+    /// It ends by itself; the list tells so.
+    fn stop(&mut self, listed: &mut BTreeMap<String, (bool, String, MachineStage)>) {
+        transcript::count("machines that ended by themselves", 1);
+        self.alive = false;
+        self.tasks.clear();
+        if let Some(entry) = listed.get_mut(&self.name) {
+            entry.2 = MachineStage::Failed;
+        }
+    }
+}
+
+/// The fleet grows with the work and shrinks after it, in two zones, on spot and ordinary machines, with
+/// notices, failures, refusals, an objective, and a change of the leader.
+pub fn scale_out_and_in() {
+    let within = Span::secs(3);
+    let objectives = vec![Objective::Wait { class: "quick".into(), within }];
+    let mut world = fleet_of(Site { objectives, ..site() }, 2);
+    let mut dice = Dice::new(7);
+    let mut cloud = Cloud::new(&world);
+    for second in 0..150usize {
+        if second < 90 && second % 5 == 0 {
+            let quick = dice.chance(30);
+            let job = JobSpec {
+                class: if quick { "quick" } else { "c" }.into(),
+                rank: if quick { Rank::High } else { Rank::Normal },
+                cpus: [1.0, 2.0, 8.0][dice.below(3)],
+                spot: dice.chance(70),
+                zone: dice.chance(20).then(|| "b".to_owned()),
+                estimate_s: 8.0,
+                deadline_s: Some(15.0),
+                ..spec(1 + dice.below(30) as u32)
+            };
+            world.submit(&job_name(second), &job);
+        }
+        if second == 60 {
+            world.take_over();
+        }
+        cloud.pass(&mut world, &mut dice);
+        some_tasks_end(&mut world, &mut dice, 12, &[Cause::Done]);
+        world.all_report();
+        for _ in 0..2 {
+            world.wait(400);
+            world.tick();
+            world.look_at_fleet();
+            cloud.carry_out(&mut world, &mut dice);
+        }
+    }
+}
+
+/// Tasks end for every cause there is; three machines fail whatever they are given.
+pub fn failing_machines() {
+    let mut world = fleet_of(site(), 8);
+    let mut dice = Dice::new(8);
+    let causes = [Cause::Done, Cause::Error, Cause::NoRoom, Cause::InUse, Cause::Unknown];
+    for round in 0..50 {
+        if round < 30 && round % 2 == 0 {
+            world.submit(&job_name(round), &spec(4 + dice.below(8) as u32));
+        }
+        for _ in 0..2 {
+            world.tick();
+            world.look_at_fleet();
+            carry_out_with_losses(&mut world, &mut dice, 4);
+        }
+        for worker in world.workers.values_mut().take(3) {
+            let live = worker.tasks.values_mut().filter(|state| state.0 != TaskStage::Exited);
+            live.for_each(|state| *state = (TaskStage::Exited, Some(Cause::Error)));
+        }
+        some_tasks_end(&mut world, &mut dice, 20, &causes);
+        world.all_report();
+        world.wait(500);
+    }
+}
+
+/// The limits of the state service fall while a large array runs, and again before a transaction's answer.
+pub fn falling_limits() {
+    let job = job_name(1);
+    let mut world = fleet_of(site(), 40);
+    let mut dice = Dice::new(9);
+    world.submit_in_chunks(&job, &spec(160), 168);
+    world.settle();
+    let fall = |world: &mut World, bytes: usize, operations: usize| {
+        world.store.limits = Some((bytes, operations));
+        world.leader.set_limits(bytes, operations);
+    };
+    fall(&mut world, 2_048, 4);
+    for round in 0..10 {
+        some_tasks_end(&mut world, &mut dice, 8, &[Cause::Done]);
+        if round % 3 == 1 {
+            world.take_over();
+        }
+        world.all_report();
+        for _ in 0..3 {
+            world.tick();
+            carry_out_with_losses(&mut world, &mut dice, 10);
+        }
+        world.wait(3_000);
+    }
+    // The answer tells that it was too large before the leader hears of the limits.
+    world.submit_in_chunks(&job_name(2), &spec(60), 168);
+    world.store.limits = Some((700, 2));
+    world.tick();
+    world.carry_out();
+    fall(&mut world, 700, 2);
+    world.run_out();
+}
+
+/// Records that the former version wrote are taken over, done and cleaned up, and the lead goes to and fro
+/// between the versions.
+pub fn former_records() {
+    let mut world = World::new(&[("n-000001", "a"), ("n-000002", "b")]);
+    let records: Vec<Pair> = serde_json::from_str(PRODUCTION_RECORDS).expect("the fixture");
+    for pair in records.into_iter().filter(|pair| pair.key != keys::LEADER) {
+        world.store.put(&pair.key, pair.value);
+    }
+    for (machine, task) in [
+        ("n-000001", "req-000001/2"),
+        ("n-000001", "req-000001/3"),
+        ("n-000002", "req-000001/4"),
+        ("n-000001", "req-000002/0"),
+        ("n-000001", "req-000002/1"),
+    ] {
+        let worker = world.workers.get_mut(machine).expect("worker");
+        worker.tasks.insert((task.to_owned(), 1), (TaskStage::Running, None));
+    }
+    world.take_over();
+    world.all_report();
+    world.run_out();
+    world.submit_in_chunks(&job_name(11), &spec(3), 168);
+    world.submit(&job_name(12), &JobSpec { needs: vec![job_name(11)], ..spec(3) });
+    for turn in 0..8 {
+        world.take_over_as(turn % 3 != 2);
+        world.all_report();
+        world.all_report();
+        if turn == 4 {
+            for (task, machines) in world.places() {
+                world.finish(&machines[0], &task);
+            }
+        }
+        world.settle();
+    }
+    world.take_over();
+    world.all_report();
+    world.run_out();
+}
+
+/// 4,200 machines are filled, some work ends, some machines go, and another leader takes over.
+pub fn large_fleet() {
+    let names: Vec<String> = (0..4_200).map(|i| format!("n-{i:06}")).collect();
+    let machines: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "a")).collect();
+    let mut world = World::new(&machines);
+    let mut dice = Dice::new(10);
+    for index in 0..84 {
+        world.submit(&job_name(index), &spec(200));
+    }
+    let play = |world: &mut World, ticks: usize| {
+        for _ in 0..ticks {
+            world.tick();
+            world.carry_out();
+        }
+    };
+    play(&mut world, 30);
+    some_tasks_end(&mut world, &mut dice, 5, &[Cause::Done]);
+    for name in names.iter().step_by(600) {
+        let worker = world.workers.get_mut(name).expect("worker");
+        worker.alive = false;
+        worker.tasks.clear();
+        world.leader.machine_gone(world.now, name);
+    }
+    world.all_report();
+    play(&mut world, 4);
+    world.all_report();
+    play(&mut world, 4);
+    world.take_over();
+    for name in &names {
+        world.leader.hint_address(world.now, name, "10.0.0.1:1");
+    }
+    play(&mut world, 6);
+    world.all_report();
+    play(&mut world, 4);
+}
+
+/// Who may lead, and what the nodes know of each other's cancellations, under any order of events.
+pub fn leadership_and_watermark() {
+    let mut dice = Dice::new(11);
+    let mut leadership = Leadership::default();
+    let mut log = CancelLog::new(&site());
+    let mut watermark = Watermark::new(["p".to_owned(), "q".to_owned()]);
+    let mut now = Time(1 << 40);
+    for step in 0..1_500u64 {
+        transcript::next_step();
+        now = now + Span::millis(dice.below(900) as u64);
+        let term = 1 + dice.below(3) as u64;
+        let changed = match dice.below(7) {
+            0 => leadership.step(now, Input::Vacant),
+            1 => leadership.step(now, Input::Won { term }),
+            2 => leadership.step(now, Input::Failed),
+            3 | 4 => leadership.step(now, Input::Loaded { term }),
+            5 => leadership.step(now, Input::Lost),
+            _ => {
+                leadership.stand_aside(now, Span::secs(2));
+                false
+            }
+        };
+        let role = match leadership.role() {
+            Role::Following => "follows".to_owned(),
+            Role::Standing => "campaigns".to_owned(),
+            Role::Loading { term } => format!("loads {term}"),
+            Role::Leading { term } => format!("leads {term}"),
+        };
+        transcript::line("role", &format!("{role} changed={changed}"));
+        let node = ["p", "q"][dice.below(2)];
+        let life = 1 + step / 400 + u64::from(dice.chance(10));
+        match dice.below(8) {
+            0 => log.append(now, &job_name(step as usize)),
+            1 => log.heard(node, life),
+            2 => log.acknowledged(node, life, dice.below(60) as u64),
+            3 => watermark.ask(now, step),
+            4 => watermark.vouch(now, node, life, dice.below(40) as u64, step.saturating_sub(2)),
+            5 => watermark.read(now),
+            6 => watermark.heard(now, node, life),
+            _ => {
+                let first = dice.below(40) as u64;
+                let up_to = watermark.told(now, node, life, first, 3);
+                transcript::line("acknowledge", &up_to.map_or("-".into(), |n| n.to_string()));
+            }
+        }
+        if let Some((first, jobs)) = log.to_tell(now, node) {
+            transcript::line("tell", &format!("{node} from {first}: {}", jobs.join(" ")));
+        }
+        let until = watermark.until(now).0;
+        transcript::line("known", &format!("last={} until={until}", log.last()));
+    }
+}
+
+/// Tunables other than the usual ones, for a script that plays with them.
+pub fn unshared_flood() {
+    let teams = vec![team("one", 0.0, 0.0), team("two", 0.0, 0.0)];
+    let mut world = fleet_of(Site { teams, ..site() }, 6);
+    let mut tunables = (*world.leader.tun).clone();
+    tunables.shared_order = false;
+    world.leader.tun = Rc::new(tunables);
+    world.leader.fleet.listed = true;
+    let mut dice = Dice::new(12);
+    for second in 0..40usize {
+        for (index, team) in ["one", "one", "one", "two"].into_iter().enumerate() {
+            let job = JobSpec { team: team.into(), deadline_s: Some(9.0), ..spec(6) };
+            world.submit(&job_name(10 * second + index), &job);
+        }
+        some_tasks_end(&mut world, &mut dice, 25, &[Cause::Done]);
+        world.all_report();
+        world.tick();
+        world.look_at_fleet();
+        world.carry_out();
+        world.wait(900);
+    }
+}
+
+/// Chains of unlike lengths press for room on two machines, each by its last step's deadline and priority,
+/// beside jobs that stand alone.
+pub fn pressed_chains() {
+    let mut world = fleet_of(site(), 2);
+    let mut dice = Dice::new(13);
+    let mut last = 0;
+    for round in 0..90usize {
+        if round < 50 && round % 2 == 0 {
+            let steps = 1 + dice.below(4);
+            for step in 0..steps {
+                let needs = if step == 0 { Vec::new() } else { vec![job_name(last)] };
+                let ends = step + 1 == steps;
+                let deadline_s = ends.then(|| 20.0 + dice.below(120) as f64);
+                let rank = if ends && dice.chance(15) { Rank::High } else { Rank::Normal };
+                let estimate_s = 4.0 + dice.below(9) as f64;
+                let tasks = 1 + dice.below(3) as u32;
+                last += 1;
+                let job = JobSpec { needs, rank, deadline_s, estimate_s, ..spec(tasks) };
+                world.submit(&job_name(last), &job);
+            }
+        }
+        world.tick();
+        world.look_at_fleet();
+        carry_out_with_losses(&mut world, &mut dice, 5);
+        some_tasks_end(&mut world, &mut dice, 30, &[Cause::Done]);
+        if round == 45 {
+            world.take_over();
+        }
+        world.all_report();
+        world.wait(900);
+    }
+}
+
+/// Classes that have to start or finish within a time crowd a small fleet.
+pub fn objectives() {
+    let wait =
+        |class: &str, within| Objective::Wait { class: class.into(), within: Span::secs(within) };
+    let objectives = vec![
+        wait("quick", 2),
+        wait("quick", 9),
+        wait("soon", 5),
+        Objective::Deadline { class: "c".into(), times: 2.0 },
+        Objective::Finished { class: "soon".into(), within: Span::secs(40) },
+    ];
+    let mut world = fleet_of(Site { objectives, ..site() }, 3);
+    let mut dice = Dice::new(14);
+    for round in 0..160usize {
+        if round < 120 {
+            let class = ["quick", "soon", "c"][dice.below(3)].to_owned();
+            let deadline_s = dice.chance(40).then(|| 5.0 + dice.below(60) as f64);
+            let rank = [Rank::Normal, Rank::High][usize::from(dice.chance(20))];
+            let estimate_s = 1.0 + dice.below(12) as f64;
+            let job =
+                JobSpec { class, deadline_s, rank, estimate_s, ..spec(1 + dice.below(6) as u32) };
+            world.submit(&job_name(round), &job);
+        }
+        some_tasks_end(&mut world, &mut dice, 22, &[Cause::Done]);
+        world.all_report();
+        world.tick();
+        world.look_at_fleet();
+        world.carry_out();
+        world.wait(500);
+    }
+}
+
+/// Spot machines get notice long and short before they go, while there is room elsewhere and while there is
+/// none, with tasks of all lengths.
+pub fn notices() {
+    let mut world = fleet_of(site(), 12);
+    let mut dice = Dice::new(15);
+    for worker in world.workers.values_mut().skip(4) {
+        worker.spot = true;
+    }
+    for second in 0..140usize {
+        if second < 120 && (second < 6 || second % 3 == 0) {
+            let estimate_s = [4.0, 15.0, 40.0, 90.0][dice.below(4)];
+            let checkpoint_s = [0.0, 5.0][dice.below(2)];
+            let job = JobSpec { estimate_s, checkpoint_s, deadline_s: Some(200.0), ..spec(4) };
+            world.submit(&job_name(second), &job);
+        }
+        for worker in world.workers.values_mut().filter(|worker| worker.spot) {
+            match worker.notice {
+                None if worker.alive && dice.chance(3) => {
+                    worker.notice = Some(3.0 + dice.below(40) as f64);
+                }
+                // It is gone, and another stands in its place some time later.
+                Some(left) if left <= 1.0 => {
+                    worker.alive = left < -9.0;
+                    worker.notice = (!worker.alive).then_some(left - 1.0);
+                    worker.tasks.clear();
+                    worker.session += u64::from(worker.alive);
+                }
+                Some(left) => worker.notice = Some(left - 1.0),
+                None => {}
+            }
+        }
+        some_tasks_end(&mut world, &mut dice, 4, &[Cause::Done]);
+        world.all_report();
+        for _ in 0..2 {
+            world.wait(400);
+            world.tick();
+            world.look_at_fleet();
+            world.carry_out();
+        }
+    }
+}
+
+/// Reports that left nothing to do come again, in and out of their order, here and at another node.
+pub fn repeated_reports() {
+    let mut world = fleet_of(site(), 4);
+    let mut dice = Dice::new(16);
+    let names: Vec<String> = world.workers.keys().cloned().collect();
+    let mut marks = BTreeMap::new();
+    for round in 0..300usize {
+        if round % 20 == 0 {
+            world.submit(&job_name(round), &spec(1 + dice.below(6) as u32));
+        }
+        if round == 150 {
+            world.take_over();
+        }
+        world.tick();
+        carry_out_with_losses(&mut world, &mut dice, 5);
+        some_tasks_end(&mut world, &mut dice, 2, &[Cause::Done]);
+        let now = world.now;
+        for name in &names {
+            let report = world.workers.get_mut(name).expect("worker").report();
+            if dice.chance(50) {
+                let answer = world.leader.report(now, &report);
+                transcript::answer("whole", name, answer.as_ref());
+                let Some((token, calls)) = answer else { continue };
+                let worker = world.workers.get_mut(name).expect("worker");
+                worker.answered(report.session, token, &calls);
+                let holder = dice.below(3) as u16;
+                let mark = world.leader.settle_report(now, &report, holder);
+                if let Some(mark) = mark {
+                    let valid_for = world.leader.settled_for(now, mark).0;
+                    let text = format!("{name} number={} valid-for={valid_for}", mark.number);
+                    transcript::line("settled", &text);
+                    marks.insert(name.clone(), mark);
+                }
+            } else if let Some(&mark) = marks.get(name) {
+                let sequence = (report.seq + 1).saturating_sub(dice.below(3) as u64);
+                let token = world.leader.report_unchanged(now, mark, sequence);
+                let token = token.map_or("-".to_owned(), |token| token.to_string());
+                transcript::line("repeated", &format!("{name} sequence={sequence} {token}"));
+                let again = world.leader.heard_unchanged(now, mark, sequence);
+                transcript::line("repeated again", &format!("{name} {again}"));
+            }
+        }
+        for withdrawn in world.leader.take_withdrawn() {
+            let (holder, mark) = (withdrawn.holder, withdrawn.settled);
+            let text = format!("holder={holder} machine={} number={}", mark.machine, mark.number);
+            transcript::line("withdrawn", &text);
+        }
+        world.wait([300, 900, 4_000][usize::from(dice.chance(20)) + usize::from(dice.chance(5))]);
+    }
+}
--- a/crates/core/tests/world/mod.rs
+++ b/crates/core/tests/world/mod.rs
@@ -17,6 +17,10 @@
     Cause, Change, MachineType, Pair, Report, TaskReport, TaskStage, Txn, WorkerCommand,
 };
 
+#[path = "../transcripts/golden.rs"]
+pub mod golden;
+pub mod transcript;
+
 /// The test's clock at its start, and the time of day then.
 const START: u64 = 1 << 40;
 pub const WALL: u64 = 1_700_000_000_000_000;
@@ -31,6 +35,12 @@
 
 impl Store {
     pub fn apply(&mut self, txn: &Txn) -> Outcome {
+        let outcome = self.decide(txn);
+        transcript::applied(txn, &outcome);
+        outcome
+    }
+
+    fn decide(&mut self, txn: &Txn) -> Outcome {
         if let Some((value_bytes, ops)) = self.limits {
             let size = |c: &Change| match c {
                 Change::Put { value, .. } => value.size(),
@@ -80,6 +90,7 @@
     }
 
     pub fn put(&mut self, key: &str, value: Value) -> u64 {
+        transcript::put(key, &value);
         self.growth += 1;
         self.keys.insert(key.to_owned(), (value, self.growth));
         self.growth
@@ -97,6 +108,7 @@
     pub tasks: BTreeMap<(String, u64), (TaskStage, Option<Cause>)>,
     pub alive: bool,
     pub notice: Option<f64>,
+    pub spot: bool,
 }
 
 impl Worker {
@@ -110,6 +122,7 @@
             tasks: BTreeMap::new(),
             alive: true,
             notice: None,
+            spot: false,
         }
     }
 
@@ -120,7 +133,7 @@
             address: "10.0.0.1:1".into(),
             kind: "t8".into(),
             zone: self.zone.clone(),
-            spot: false,
+            spot: self.spot,
             session: self.session,
             seq: self.seq,
             token: self.token,
@@ -326,9 +339,22 @@
 
     /// Lets the leader decide; what it wants done waits in `commands`.
     pub fn tick(&mut self) {
+        transcript::next_step();
         self.wait(50);
         self.leader.tick(self.now);
-        self.commands.extend(self.leader.take_commands());
+        self.take_commands();
+    }
+
+    /// Lets the leader look at what to rent and to give back.
+    pub fn look_at_fleet(&mut self) {
+        self.leader.look_at_fleet(self.now);
+        self.take_commands();
+    }
+
+    fn take_commands(&mut self) {
+        let commands = self.leader.take_commands();
+        transcript::commands(self.leader.term, &commands);
+        self.commands.extend(commands);
     }
 
     pub fn take_commit(&mut self) -> (u64, Txn) {
@@ -374,6 +400,14 @@
         self.leader.job_ended(self.now, job, End::Aborted);
     }
 
+    /// The same, if nothing has ended it yet.
+    pub fn withdraw_if_open(&mut self, job: &str) {
+        let accepted = self.store.keys.contains_key(&keys::job(job));
+        if accepted && self.end(job).is_none() {
+            self.withdraw(job);
+        }
+    }
+
     /// Lets everything that runs complete, round by round, until all is done that can be.
     pub fn run_out(&mut self) {
         for _ in 0..40 {
@@ -436,7 +470,9 @@
     pub fn report(&mut self, name: &str) {
         let worker = self.workers.get_mut(name).expect("worker");
         let report = worker.report();
-        if let Some((token, calls)) = self.leader.report(self.now, &report) {
+        let answer = self.leader.report(self.now, &report);
+        transcript::answer("whole", name, answer.as_ref());
+        if let Some((token, calls)) = answer {
             worker.answered(report.session, token, &calls);
         }
     }
@@ -473,7 +509,9 @@
         if let Some((value_bytes, ops)) = self.store.limits {
             s.set_limits(value_bytes, ops);
         }
-        let names: Vec<String> = s.by_ref.keys().cloned().collect();
+        // In one order, whatever that of the table: a transcript holds what comes of it.
+        let mut names: Vec<String> = s.by_ref.keys().cloned().collect();
+        names.sort_unstable();
         for name in names {
             if self.store.keys.contains_key(&keys::end(&name)) {
                 s.job_over(self.now, &name);
--- /dev/null
+++ b/crates/core/tests/world/transcript.rs
@@ -0,0 +1,160 @@
+//! Records what a scheduler wants done, what it answers and what the store takes, as neutral text.
+//!
+//! The one place that spells the packages' variants and fields for the transcripts: a change of names
+//! changes the patterns here, never the words. What is written to the log and the reason for which a leader
+//! steps down are free text and left out.
+
+use std::cell::RefCell;
+
+use serde::Serialize;
+use serde_json::Value;
+use walnutlug_core::registry::{Command, Outcome};
+use walnutlug_core::wire::{Change, Txn, WorkerCommand};
+
+use super::golden::Transcript;
+
+thread_local! {
+    /// The script that this thread plays, if it is recorded.
+    static RECORDED: RefCell<Option<Transcript>> = const { RefCell::new(None) };
+}
+
+/// Plays a script and gives what came to pass in it.
+pub fn record(name: &str, play: impl FnOnce()) -> Transcript {
+    RECORDED.set(Some(Transcript::new(name)));
+    play();
+    RECORDED.take().expect("the transcript of the script")
+}
+
+fn with(change: impl FnOnce(&mut Transcript)) {
+    RECORDED.with_borrow_mut(|recorded| recorded.as_mut().map(change));
+}
+
+/// What follows belongs to the next step.
+pub fn next_step() {
+    with(Transcript::next_step);
+}
+
+/// Something that the script saw for itself.
+pub fn line(kind: &str, text: &str) {
+    with(|transcript| transcript.line(kind, text));
+}
+
+/// Something that came to pass so often.
+pub fn count(kind: &str, times: u64) {
+    with(|transcript| transcript.count(kind, times));
+}
+
+fn json(value: &impl Serialize) -> String {
+    serde_json::to_string(value).expect("a value with a written form")
+}
+
+/// The part of a key before its first slash.
+fn family(key: &str) -> &str {
+    key.split('/').next().unwrap_or(key)
+}
+
+/// What the leader of that term wants done now.
+pub fn commands(term: u64, commands: &[Command]) {
+    with(|transcript| commands.iter().for_each(|c| command(transcript, term, c)));
+}
+
+fn command(transcript: &mut Transcript, term: u64, command: &Command) {
+    match command {
+        // Text for the log.
+        Command::Note(_) => {}
+        Command::Commit { id, txn } => {
+            transcript.line("commit", &format!("term={term} id={id} {}", transaction(txn)));
+            for change in &txn.apply {
+                transcript.count(&change_kind(change), 1);
+            }
+        }
+        Command::Read { id, key } => {
+            transcript.line("read", &format!("term={term} id={id} key={key}"));
+        }
+        Command::FindEnds { names } => {
+            transcript.line("find-ends", &format!("term={term} jobs={}", json(names)));
+        }
+        Command::Direct { machine, address, token, session, calls } => {
+            let to = format!("term={term} machine={machine} address={address}");
+            let body = format!("token={token} session={session} calls={}", json(calls));
+            transcript.line("direct", &format!("{to} {body}"));
+            count_calls(transcript, calls);
+        }
+        Command::Rent { kind, zone, spot, count } => {
+            let what = format!("kind={kind} zone={zone} spot={spot} count={count}");
+            transcript.line("rent", &format!("term={term} {what}"));
+        }
+        Command::Return { machines } => {
+            transcript.line("return", &format!("term={term} machines={}", json(machines)));
+        }
+        Command::CheckLead => transcript.line("check-lead", &format!("term={term}")),
+        Command::StepDown(_) => transcript.line("step-down", &format!("term={term}")),
+    }
+}
+
+/// The conditions and changes of a transaction, with the exact bytes of each value, and its whole form
+/// on the wire.
+fn transaction(txn: &Txn) -> String {
+    let conditions = txn.guards.iter().map(|guard| format!("if {}={}", guard.key, guard.mark));
+    let changes = txn.apply.iter().map(|change| match change {
+        Change::Put { put, value, lease } => {
+            let lease = lease.map_or(String::new(), |lease| format!(" lease={lease}"));
+            format!("put {put}={}{lease}", json(value))
+        }
+        Change::Drop { drop } => format!("delete {drop}"),
+    });
+    let parts: Vec<String> = conditions.chain(changes).collect();
+    format!("{} wire={}", parts.join("; "), json(txn))
+}
+
+fn change_kind(change: &Change) -> String {
+    match change {
+        Change::Put { put, .. } => format!("commit puts {}", family(put)),
+        Change::Drop { drop } => format!("commit deletes {}", family(drop)),
+    }
+}
+
+fn count_calls(transcript: &mut Transcript, calls: &[WorkerCommand]) {
+    for call in calls {
+        let kind = match call {
+            WorkerCommand::Run { .. } => "call run",
+            WorkerCommand::Kill { grace_s, .. } if *grace_s > 0.0 => "call kill with grace",
+            WorkerCommand::Kill { .. } => "call kill at once",
+            WorkerCommand::Reap { .. } => "call reap",
+        };
+        transcript.count(kind, 1);
+    }
+}
+
+/// How a report of that kind (whole, repeated, repeated at another node, late) was answered.
+pub fn answer(kind: &str, machine: &str, answer: Option<&(u64, Vec<WorkerCommand>)>) {
+    with(|transcript| {
+        let text = match answer {
+            Some((token, calls)) => {
+                count_calls(transcript, calls);
+                format!("machine={machine} token={token} calls={}", json(calls))
+            }
+            None => format!("machine={machine} refused"),
+        };
+        transcript.line(&format!("answer to a {kind} report"), &text);
+    });
+}
+
+/// What the store made of a transaction.
+pub fn applied(txn: &Txn, outcome: &Outcome) {
+    with(|transcript| match outcome {
+        Outcome::Committed { mark } => {
+            transcript.line("stored", &format!("revision={mark} {}", transaction(txn)));
+        }
+        Outcome::Conflict { failed } => {
+            transcript.line("conflict", &format!("failed={}", json(failed)));
+        }
+        Outcome::TooLarge => transcript.line("too-large", &transaction(txn)),
+        Outcome::Refused | Outcome::Lost => unreachable!("no answer of a store"),
+    });
+}
+
+/// What another node, or the script, wrote to the store.
+pub fn put(key: &str, value: &Value) {
+    line("written by others", &format!("put {key}={}", json(value)));
+}
