--- /dev/null
+++ b/crates/duties/tests/transcripts.rs
@@ -0,0 +1,476 @@
+//! Transcripts of the duties: fixed scripts with every transaction, every action and every answer, held against
+//! the files in `transcripts/`. `UPDATE_TRANSCRIPTS=1` writes the files anew, which only a change that is
+//! meant to change behaviour may do.
+//!
+//! What the scripts reach: `ledger`, `intent` and `fence` (ledger), `lease` and `duty` (leases), `balance`
+//! (balance), and the reading of stored records (records).
+
+#[path = "../../core/tests/transcripts/golden.rs"]
+mod golden;
+
+use std::collections::BTreeMap;
+
+use golden::{Dice, Transcript};
+use serde_json::{json, Value};
+use walnutlug_core::registry::Outcome;
+use walnutlug_core::time::{Span, Time};
+use walnutlug_core::wire::{Change, Pair, Txn};
+use walnutlug_duties::balance::{Balance, Standing};
+use walnutlug_duties::duty::{Duty, Epoch, EpochError, HolderRecord, Holding, RecordError};
+use walnutlug_duties::fence::Fence;
+use walnutlug_duties::intent::{Action, Rental, ReturnedMachine, StoredIntent, INTENT_PREFIX};
+use walnutlug_duties::lease::{DutyLease, LeaseInput, LeaseState};
+use walnutlug_duties::ledger::{
+    ActionAnswer, ActionId, Ledger, LedgerCommand, Stopped, WriteLimits,
+};
+
+const START: Time = Time(1 << 40);
+const SCRIPTS: [&str; 4] = ["ledger", "leases", "balance", "records"];
+
+/// What has to be in the transcripts, all together, at least so often: nine tenths of what was in them when
+/// they were written.
+const REACHED: &[(&str, u64)] = &[
+    ("adopted", 42),
+    ("answered: done", 926),
+    ("answered: not sent", 442),
+    ("answered: refused", 444),
+    ("answered: unknown", 465),
+    ("claim", 2),
+    ("hands over", 168),
+    ("held", 1_611),
+    ("holder", 18),
+    ("intent", 18),
+    ("lease ended", 196),
+    ("lease failed", 199),
+    ("lease granted", 430),
+    ("lease renewed", 916),
+    ("lease won", 417),
+    ("limits", 143),
+    ("rent", 859),
+    ("return", 1_867),
+    ("send", 2_727),
+    ("state", 3_600),
+    ("vacant", 100),
+    ("wants to rent", 195),
+    ("wants to return", 344),
+    ("write", 316),
+    ("written: committed", 153),
+    ("written: conflict", 15),
+    ("written: lost", 46),
+    ("written: refused", 34),
+    ("written: too large", 43),
+];
+
+fn json_of(value: &impl serde::Serialize) -> String {
+    serde_json::to_string(value).expect("a value with a written form")
+}
+
+fn transaction(txn: &Txn) -> String {
+    let conditions = txn.guards.iter().map(|guard| format!("if {}={}", guard.key, guard.mark));
+    let changes = txn.apply.iter().map(|change| match change {
+        Change::Put { put, value, lease } => {
+            let lease = lease.map_or(String::new(), |lease| format!(" lease={lease}"));
+            format!("put {put}={}{lease}", json_of(value))
+        }
+        Change::Drop { drop } => format!("delete {drop}"),
+    });
+    let parts: Vec<String> = conditions.chain(changes).collect();
+    format!("{} wire={}", parts.join("; "), json_of(txn))
+}
+
+fn epoch_error(error: EpochError) -> String {
+    match error {
+        EpochError::Zero => "zero".to_owned(),
+        EpochError::AtLimit(found) => format!("at the limit: {found}"),
+        EpochError::WentBack { found, known } => format!("went back: {found} after {known}"),
+    }
+}
+
+/// What is wrong with a record; the words of the reader of JSON are left out.
+fn record_error(error: &RecordError) -> String {
+    match error {
+        RecordError::Unreadable { key, .. } => format!("{key} unreadable"),
+        RecordError::NewerFormat { key, found, newest } => {
+            format!("{key} newer format {found} above {newest}")
+        }
+        RecordError::UnknownDuty { key } => format!("{key} unknown duty"),
+        RecordError::UnknownHolder { key, node } => format!("{key} unknown holder {node}"),
+        RecordError::Epoch { key, error } => format!("{key} epoch {}", epoch_error(*error)),
+    }
+}
+
+/// Something that the holder gave out and that was not answered yet.
+enum UnderWay {
+    Write { id: u64, txn: Txn },
+    Action { id: ActionId, action: Action },
+}
+
+/// A holder of the fleet's duty, with its store and its cloud.
+struct Play {
+    transcript: Transcript,
+    dice: Dice,
+    now: Time,
+    revision: u64,
+    keys: BTreeMap<String, (Value, u64)>,
+    ledger: Ledger,
+    under_way: Vec<UnderWay>,
+    requests: u64,
+    limits: WriteLimits,
+}
+
+fn ledger(epoch: u64, limits: WriteLimits) -> Ledger {
+    let fence = Fence::new(Duty::Fleet, Epoch::from_revision(epoch).expect("an epoch"));
+    Ledger::new(fence, limits, Span::secs(12))
+}
+
+impl Play {
+    fn new() -> Play {
+        let limits = WriteLimits { value_bytes: 400, txn_ops: 3 };
+        let mut play = Play {
+            transcript: Transcript::new("ledger"),
+            dice: Dice::new(21),
+            now: START,
+            revision: 1,
+            keys: BTreeMap::new(),
+            ledger: ledger(1, limits),
+            under_way: Vec::new(),
+            requests: 0,
+            limits,
+        };
+        play.keys.insert(Duty::Fleet.key(), (Value::Null, 1));
+        play
+    }
+
+    fn line(&mut self, kind: &str, text: &str) {
+        self.transcript.line(kind, text);
+    }
+
+    fn step(&mut self) {
+        self.transcript.next_step();
+        match self.dice.below(20) {
+            0 => self.rent(),
+            1 | 2 => self.give_back(),
+            3..6 => self.now = self.now + Span::millis(100 + self.dice.below(3_000) as u64),
+            6..10 => self.tick(),
+            10..19 => (0..3).for_each(|_| self.deliver()),
+            _ if self.dice.chance(20) => self.replace(),
+            _ => self.change_limits(),
+        }
+        let open = self.ledger.open_actions();
+        let stopped = match self.ledger.stopped() {
+            None => "no".to_owned(),
+            Some(Stopped::Fenced) => "fenced".to_owned(),
+            Some(Stopped::Epoch(error)) => epoch_error(*error),
+        };
+        self.line("state", &format!("open={open} stopped={stopped}"));
+    }
+
+    fn rent(&mut self) {
+        self.requests += 1;
+        let rental = Rental {
+            request: format!("ask-{}", self.requests),
+            kind: "t8".into(),
+            zone: ["a", "b"][self.dice.below(2)].into(),
+            spot: self.dice.chance(50),
+            count: 1 + self.dice.below(4) as u32,
+        };
+        let taken = self.ledger.rent(rental);
+        self.line("wants to rent", &format!("taken={taken}"));
+    }
+
+    fn give_back(&mut self) {
+        let machines: Vec<ReturnedMachine> = (0..1 + self.dice.below(12))
+            .map(|_| ReturnedMachine {
+                machine: format!("n-{:03}", self.dice.below(60)),
+                holds_tasks: self.dice.chance(30),
+            })
+            .collect();
+        let first = machines[0].machine.clone();
+        let requests = self.ledger.give_back(self.now, machines);
+        let returning = self.ledger.is_returning(&first);
+        self.line("wants to return", &format!("requests={requests} {first} returning={returning}"));
+    }
+
+    fn tick(&mut self) {
+        let holds_lease = self.dice.chance(90);
+        self.ledger.tick(self.now, holds_lease);
+        for command in self.ledger.take_commands() {
+            match command {
+                LedgerCommand::Write { id, txn } => {
+                    self.line("write", &format!("id={id} {}", transaction(&txn)));
+                    self.under_way.push(UnderWay::Write { id, txn });
+                }
+                LedgerCommand::Send { id, action } => {
+                    self.line("send", &json_of(&action));
+                    match &action {
+                        Action::Rent(rental) => self.line("rent", &json_of(&rental.request())),
+                        Action::Return(machines) => self.line("return", &json_of(machines)),
+                    }
+                    self.under_way.push(UnderWay::Action { id, action });
+                }
+            }
+        }
+    }
+
+    /// Something under way arrives and is answered, or is not.
+    fn deliver(&mut self) {
+        if self.under_way.is_empty() {
+            return;
+        }
+        let at = self.dice.below(self.under_way.len());
+        match self.under_way.remove(at) {
+            UnderWay::Write { id, txn } => {
+                let outcome = match self.dice.below(10) {
+                    0 => Outcome::Refused,
+                    1 => Outcome::Lost,
+                    2 => {
+                        self.apply(&txn);
+                        Outcome::Lost
+                    }
+                    _ => self.apply(&txn),
+                };
+                self.ledger.written(self.now, id, &outcome);
+                let kind = match outcome {
+                    Outcome::Committed { .. } => "written: committed",
+                    Outcome::Conflict { .. } => "written: conflict",
+                    Outcome::Refused => "written: refused",
+                    Outcome::TooLarge => "written: too large",
+                    Outcome::Lost => "written: lost",
+                };
+                self.line(kind, &id.to_string());
+            }
+            UnderWay::Action { id, action } => {
+                let (answer, kind) = [
+                    (ActionAnswer::Done, "answered: done"),
+                    (ActionAnswer::Done, "answered: done"),
+                    (ActionAnswer::Refused, "answered: refused"),
+                    (ActionAnswer::NotSent, "answered: not sent"),
+                    (ActionAnswer::Unknown, "answered: unknown"),
+                ][self.dice.below(5)];
+                let rented: Vec<String> = match (&action, answer) {
+                    (Action::Rent(rental), ActionAnswer::Done) => {
+                        (0..rental.count).map(|_| format!("n-{:03}", self.dice.below(60))).collect()
+                    }
+                    _ => Vec::new(),
+                };
+                self.ledger.answered(self.now, id, answer, &rented);
+                self.line(kind, &json_of(&rented));
+            }
+        }
+    }
+
+    fn apply(&mut self, txn: &Txn) -> Outcome {
+        let too_large = txn.apply.iter().any(|change| match change {
+            Change::Put { value, .. } => value.size() > self.limits.value_bytes,
+            Change::Drop { .. } => false,
+        });
+        if too_large || txn.apply.len() > self.limits.txn_ops {
+            return Outcome::TooLarge;
+        }
+        let mark = |key: &str| self.keys.get(key).map_or(0, |(_, mark)| *mark);
+        let failed = txn.guards.iter().filter(|guard| mark(&guard.key) != guard.mark);
+        let failed: Vec<String> = failed.map(|guard| guard.key.clone()).collect();
+        if !failed.is_empty() {
+            return Outcome::Conflict { failed };
+        }
+        self.revision += 1;
+        for change in &txn.apply {
+            match change {
+                Change::Put { put, value, .. } => {
+                    self.keys.insert(put.clone(), (value.to_value(), self.revision));
+                }
+                Change::Drop { drop } => {
+                    self.keys.remove(drop);
+                }
+            }
+        }
+        Outcome::Committed { mark: self.revision }
+    }
+
+    /// Another holds the duty from now on; at times the store tells the former one so first.
+    fn replace(&mut self) {
+        self.revision += 1;
+        self.keys.insert(Duty::Fleet.key(), (Value::Null, self.revision));
+        if self.dice.chance(50) {
+            self.tick();
+            self.deliver();
+        }
+        self.under_way.clear();
+        self.ledger = ledger(self.revision, self.limits);
+        let stored: Vec<Pair> = self
+            .keys
+            .iter()
+            .filter(|(key, _)| key.starts_with(INTENT_PREFIX))
+            .map(|(key, (value, mark))| Pair {
+                key: key.clone(),
+                value: value.clone(),
+                mark: *mark,
+            })
+            .collect();
+        let adopted = self.ledger.adopt(self.now, &stored, |name| name.ends_with('7'));
+        let faults: Vec<String> = adopted.faults.iter().map(record_error).collect();
+        let text = format!(
+            "rentals={} returns={} overruled={} faults={}",
+            json_of(&adopted.rentals),
+            json_of(&adopted.returns),
+            json_of(&adopted.overruled),
+            json_of(&faults)
+        );
+        self.line("adopted", &text);
+    }
+
+    fn change_limits(&mut self) {
+        let (value_bytes, txn_ops) = [(400, 3), (200, 2), (900, 8)][self.dice.below(3)];
+        self.limits = WriteLimits { value_bytes, txn_ops };
+        // At times the ledger hears of it only by a refusal.
+        if self.dice.chance(70) {
+            self.ledger.set_limits(self.limits);
+        }
+        self.line("limits", &format!("{value_bytes} {txn_ops}"));
+    }
+}
+
+#[test]
+fn ledger_is_as_it_was() {
+    let mut play = Play::new();
+    for _ in 0..4_000 {
+        play.step();
+    }
+    play.transcript.hold_against_golden();
+}
+
+#[test]
+fn leases_are_as_they_were() {
+    let mut transcript = Transcript::new("leases");
+    let mut dice = Dice::new(22);
+    let mut now = START;
+    for (life, ttl) in [10, 4, 30].into_iter().cycle().take(60).enumerate() {
+        let mut lease = DutyLease::new(Span::secs(ttl));
+        for _ in 0..40 {
+            transcript.next_step();
+            now = now + Span::millis(dice.below(4_000) as u64);
+            let sent = now - Span::millis(dice.below(900) as u64);
+            let rising = 40 + life as u64 + dice.below(30) as u64;
+            let revision = [rising, rising, 0, 5, Epoch::LIMIT + 1][dice.below(5)];
+            let (input, name) = match dice.below(10) {
+                0 | 1 => (LeaseInput::Granted { sent }, "granted"),
+                2 | 3 => (LeaseInput::Won { revision }, "won"),
+                4 => (LeaseInput::Failed, "failed"),
+                5..9 => (LeaseInput::Renewed { sent }, "renewed"),
+                _ => (LeaseInput::Ended, "ended"),
+            };
+            let changed = lease.step(input);
+            if dice.chance(3) {
+                lease.observe(Epoch::from_revision(rising).expect("an epoch"));
+            }
+            let state = match lease.state() {
+                LeaseState::Idle => "idle".to_owned(),
+                LeaseState::Acquiring { sent } => format!("acquiring since {}", sent.0),
+                LeaseState::Held { epoch, until } => {
+                    format!("held under {} until {}", epoch.revision(), until.0)
+                }
+                LeaseState::Stopped { error } => format!("stopped: {}", epoch_error(error)),
+            };
+            let permit = lease.permit(now).map_or(0, |permit| permit.epoch().revision());
+            let until = lease.held_until().map_or(0, |until| until.0);
+            let epoch = lease.epoch().map_or(0, Epoch::revision);
+            let text = format!("changed={changed} {state}; {permit} {until} {epoch}");
+            transcript.line(&format!("lease {name}"), &text);
+        }
+    }
+    transcript.hold_against_golden();
+}
+
+#[test]
+fn balance_is_as_it_was() {
+    let mut transcript = Transcript::new("balance");
+    let mut dice = Dice::new(23);
+    let mut now = START;
+    let mut balance = Balance::default();
+    let (mut leads, mut others_lead) = (false, false);
+    for _ in 0..2_000 {
+        transcript.next_step();
+        now = now + Span::millis(dice.below(3_000) as u64);
+        if dice.chance(4) {
+            (leads, others_lead) = (dice.chance(50), dice.chance(50));
+        }
+        let own = Standing { leads, served: dice.chance(90) };
+        let others = [
+            Standing { leads: others_lead, served: dice.chance(97) },
+            Standing { leads: false, served: dice.chance(97) },
+        ];
+        match dice.below(20) {
+            0 => balance.taken(),
+            1 => {
+                let takes = balance.should_take(now, own);
+                transcript.line("vacant", &format!("takes={takes}"));
+            }
+            _ => {
+                let hands_over = balance.should_hand_over(now, own, &others);
+                transcript.line("held", &format!("hands-over={hands_over}"));
+                transcript.count("hands over", u64::from(hands_over));
+            }
+        }
+    }
+    transcript.hold_against_golden();
+}
+
+/// Holders' records and intents, well and ill formed, of this format and of a newer one.
+#[test]
+fn records_are_read_and_written_as_they_were() {
+    let mut transcript = Transcript::new("records");
+    let incarnation = "x1".to_owned();
+    let holder = HolderRecord { format: 1, node: "p".into(), incarnation, lease: 9 };
+    for duty in Duty::ALL {
+        transcript.next_step();
+        transcript.line("claim", &transaction(&Holding::claim(duty, &holder)));
+    }
+    let well = json!({"format": 1, "node": "p", "inc": "x", "lease": 4});
+    for value in [
+        well.clone(),
+        json!({"format": 2, "node": "p", "inc": "x", "lease": 4}),
+        json!({"format": 0, "node": "p", "inc": "x", "lease": 4}),
+        json!({"node": "p"}),
+        json!({"format": 1, "node": "z", "inc": "x", "lease": 4}),
+        json!({"format": 1, "node": "p"}),
+        json!(null),
+    ] {
+        for (key, mark) in [("duty/machine-types", 7), ("duty/else", 7), ("duty/fleet", 1 << 50)] {
+            transcript.next_step();
+            let pair = Pair { key: key.to_owned(), value: value.clone(), mark };
+            let text = match Holding::read(&pair, &["p", "q"]) {
+                Ok(found) => {
+                    format!("{} {} {}", found.duty.name(), found.epoch, json_of(&found.holder))
+                }
+                Err(error) => record_error(&error),
+            };
+            transcript.line("holder", &text);
+        }
+    }
+    let rental = json!({"request": "ask-1", "kind": "t8", "zone": "a", "spot": true, "count": 2});
+    for value in [
+        json!({"format": 1, "actions": [{"rent": rental}]}),
+        json!({"format": 1, "actions": [{"return": [{"name": "n-1", "tasks": true}]}]}),
+        json!({"format": 1, "actions": [{"paint": []}]}),
+        json!({"format": 3, "actions": []}),
+        json!([]),
+    ] {
+        for place in ["fleet/00000000000000000007/000001", "fleet/x/1", "fleet/0/1", "other/7/1"] {
+            transcript.next_step();
+            let key = format!("{INTENT_PREFIX}{place}");
+            let text = match StoredIntent::read(&Pair { key, value: value.clone(), mark: 3 }) {
+                Ok(found) => {
+                    format!("{} {} {}", found.duty.name(), found.epoch, json_of(&found.record))
+                }
+                Err(error) => record_error(&error),
+            };
+            transcript.line("intent", &text);
+        }
+    }
+    transcript.hold_against_golden();
+}
+
+#[test]
+fn the_transcripts_cover_what_they_did() {
+    golden::must_reach(&SCRIPTS, REACHED);
+}
