--- a/crates/loopback/src/controllers.rs
+++ b/crates/loopback/src/controllers.rs
@@ -46,14 +46,15 @@
 
 /// What the controllers are run with.
 pub struct Setup<'a> {
-    pub program: &'a Path,
+    /// The program of each.
+    pub programs: [&'a Path; NODES],
     pub script: &'a Path,
     pub teams: &'a [&'a str],
 }
 
 /// The processes; they end with this value.
 pub struct Controllers {
-    program: PathBuf,
+    programs: [PathBuf; NODES],
     script: PathBuf,
     names: Vec<String>,
     pub users: Vec<String>,
@@ -107,7 +108,7 @@
             files.push(file);
         }
         let mut controllers = Controllers {
-            program: setup.program.to_owned(),
+            programs: setup.programs.map(Path::to_owned),
             script: setup.script.to_owned(),
             names,
             users,
@@ -123,7 +124,7 @@
     fn spawn(&self, node: usize) -> Child {
         let log = self.files[node].with_extension("log");
         let log = std::fs::OpenOptions::new().create(true).append(true).open(log).expect("a log");
-        Command::new(&self.program)
+        Command::new(&self.programs[node])
             .arg("serve")
             .arg("--script")
             .arg(&self.script)
@@ -148,12 +149,22 @@
         self.names.iter().position(|other| other == name)
     }
 
-    /// Ends the process without a signal that it could handle, and starts it again after a while.
+    /// Ends the processes without a signal that they could handle, and starts them again after a while.
     pub async fn kill_and_start(&mut self, nodes: &[usize], after: Duration) {
+        self.kill(nodes).await;
+        tokio::time::sleep(after).await;
+        self.start_again(nodes);
+    }
+
+    /// Ends the processes without a signal that they could handle.
+    pub async fn kill(&mut self, nodes: &[usize]) {
         for &node in nodes {
             let _ = self.children[node].kill().await;
         }
-        tokio::time::sleep(after).await;
+    }
+
+    /// Starts processes that were killed.
+    pub fn start_again(&mut self, nodes: &[usize]) {
         for &node in nodes {
             self.children[node] = self.spawn(node);
         }
@@ -175,30 +186,6 @@
     address
 }
 
-/// A user's client.
-pub fn client() -> reqwest::Client {
-    let client = reqwest::Client::builder().timeout(Duration::from_secs(2)).no_proxy().build();
-    client.expect("a client")
-}
-
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
-
-/// How many of the jobs some controller calls done.
-pub async fn count_done(users: &[String], jobs: &[String]) -> usize {
-    let client = client();
-    let mut done = 0;
-    for job in jobs {
-        for at in users {
-            let url = format!("http://{at}/submissions/{job}");
-            let Ok(answer) = client.get(url).send().await else { continue };
-            let body: serde_json::Value = answer.json().await.unwrap_or_default();
-            if body["stage"] == "done" {
-                done += 1;
-                break;
-            }
-        }
-    }
-    done
-}
--- a/crates/loopback/src/lib.rs
+++ b/crates/loopback/src/lib.rs
@@ -9,4 +9,5 @@
 pub mod run;
 pub mod state;
 pub mod store;
+pub mod user;
 pub mod worker;
--- a/crates/loopback/src/overload.rs
+++ b/crates/loopback/src/overload.rs
@@ -11,9 +11,10 @@
 use serde_json::json;
 
 use crate::cloud::Cloud;
-use crate::controllers::{client, count_done, lock, Addresses, Controllers, Setup, NODES};
+use crate::controllers::{lock, Addresses, Controllers, Setup, NODES};
 use crate::freeze::Freezer;
 use crate::state::StateService;
+use crate::user::{client, count_done, submission};
 use crate::worker::Fleet;
 
 /// The team that floods, and the others.
@@ -137,11 +138,11 @@
     }
 
     async fn submit(&self, http: &reqwest::Client, name: &str) {
-        let job = json!({"ref": name, "shell": self.team, "crew": self.team, "husk": "batch",
-            "rank": "high", "nuts": self.tasks, "vcpus": 2.0, "gpus": 0.0, "memoryGb": 1.0,
-            "seed": "i", "imageGb": 0.1, "breeds": null, "grove": null, "together": false,
-            "spread": false, "windfall": true, "ripenS": 1.5, "stashS": 0.0, "buryS": 0.0,
-            "harvestS": self.deadline_s});
+        let mut job = submission(name, self.team, self.tasks);
+        job["shell"] = json!(self.team);
+        job["rank"] = json!("high");
+        job["ripenS"] = json!(1.5);
+        job["harvestS"] = json!(self.deadline_s);
         let began = Instant::now();
         lock(&self.tally.first_try).insert(name.to_owned(), began);
         while began.elapsed() < GIVES_UP {
@@ -175,7 +176,7 @@
     let addresses = Addresses::free();
     let fleet = Fleet::new(addresses.for_workers(), TASK_TAKES);
     let cloud = Arc::new(Cloud::with_most(MACHINES, state.clone(), fleet.clone()));
-    let setup = Setup { program: &plan.program, script: &plan.script, teams: &TEAMS };
+    let setup = Setup { programs: [&plan.program; NODES], script: &plan.script, teams: &TEAMS };
     let mut controllers = Controllers::start(&setup, addresses, &state, &freezer, &cloud).await;
     let tally = Arc::new(Tally::default());
     let clients: Vec<_> = clients(&controllers.users, &tally, &fleet)
--- a/crates/loopback/src/run.rs
+++ b/crates/loopback/src/run.rs
@@ -10,9 +10,10 @@
 
 use crate::check::{check, Findings};
 use crate::cloud::Cloud;
-use crate::controllers::{client, count_done, lock, Addresses, Controllers, Setup};
+use crate::controllers::{lock, Addresses, Controllers, Setup, NODES};
 use crate::freeze::{Freezer, Point, POINTS};
 use crate::state::{Holder, StateService};
+use crate::user::{count_done, submission, User};
 use crate::worker::Fleet;
 
 const TASK_TAKES: Duration = Duration::from_millis(700);
@@ -60,7 +61,7 @@
     let addresses = Addresses::free();
     let fleet = Fleet::new(addresses.for_workers(), TASK_TAKES);
     let cloud = Arc::new(Cloud::new(state.clone(), fleet.clone()));
-    let setup = Setup { program: &plan.program, script: &plan.script, teams: &["one"] };
+    let setup = Setup { programs: [&plan.program; NODES], script: &plan.script, teams: &["one"] };
     let controllers = Controllers::start(&setup, addresses, &state, &freezer, &cloud).await;
     play(plan, &state, &freezer, &cloud, &fleet, controllers).await
 }
@@ -164,22 +165,16 @@
 
 /// Submits a small job now and then, in bursts with pauses in which machines become idle.
 async fn submit(users: Vec<String>, accepted: Arc<Mutex<Vec<String>>>) {
-    let client = client();
+    let user = User::new(&users);
     for number in 1u64.. {
         let name = format!("req-{number:06}");
-        let job = json!({"ref": name, "shell": "c", "crew": "one", "husk": "batch",
-            "rank": "normal", "nuts": rand::random_range(2..12), "vcpus": 4.0, "gpus": 0.0,
-            "memoryGb": 2.0, "seed": "i", "imageGb": 0.1, "breeds": null, "grove": null,
-            "together": false, "spread": false, "windfall": rand::random_bool(0.5), "ripenS": 1.0,
-            "stashS": 0.0, "buryS": 0.0, "harvestS": 5.0});
-        for _ in 0..20 {
-            let at = &users[rand::random_range(0..users.len())];
-            let answer = client.post(format!("http://{at}/submissions")).json(&job).send().await;
-            if answer.is_ok_and(|answer| answer.status().is_success()) {
-                lock(&accepted).push(name);
-                break;
-            }
-            tokio::time::sleep(Duration::from_millis(200)).await;
+        let mut job = submission(&name, "one", rand::random_range(2..12));
+        job["vcpus"] = json!(4.0);
+        job["memoryGb"] = json!(2.0);
+        job["windfall"] = json!(rand::random_bool(0.5));
+        job["harvestS"] = json!(5.0);
+        if user.submit(&job, rand::random_range(0..users.len())).await.is_some() {
+            lock(&accepted).push(name);
         }
         let pause = if number % BURST == 0 { BETWEEN_BURSTS } else { SUBMIT_EVERY };
         tokio::time::sleep(pause).await;
