--- a/crates/loopback/src/lib.rs
+++ b/crates/loopback/src/lib.rs
@@ -4,6 +4,7 @@
 pub mod check;
 pub mod cloud;
 pub mod controllers;
+pub mod elections;
 pub mod freeze;
 pub mod overload;
 pub mod run;
