--- a/crates/loopback/src/lib.rs
+++ b/crates/loopback/src/lib.rs
@@ -1,5 +1,5 @@
 //! Real controllers on loopback against stand-ins for everything around them, a harness that freezes the
-//! leader, and a checker of what the cloud was asked.
+//! leader, a play with two versions of the program, and a checker of what the cloud was asked.
 
 pub mod check;
 pub mod cloud;
@@ -11,4 +11,6 @@
 pub mod state;
 pub mod store;
 pub mod user;
+pub mod versions;
 pub mod worker;
+pub mod workload;
--- a/crates/loopback/src/main.rs
+++ b/crates/loopback/src/main.rs
@@ -1,12 +1,12 @@
-//! Freezes the leader of three real controllers many times over, or plays an overload, and prints what was
-//! seen.
+//! Freezes the leader of three real controllers many times over, or plays an overload or two versions side by
+//! side, and prints what was seen.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
 
 use clap::{Parser, Subcommand};
-use walnutlug_loopback::{overload, run};
+use walnutlug_loopback::{overload, run, versions};
 
 #[derive(Parser)]
 #[command(about = "Plays failures of three real controllers on loopback")]
@@ -41,6 +41,18 @@
         #[arg(long, default_value_t = 10.0)]
         minutes: f64,
     },
+    /// Lets one controller of the version before lead by turns with two new ones
+    Versions {
+        /// The program of the version before
+        #[arg(long)]
+        previous: PathBuf,
+        /// The operators' script that the controllers are run with; both versions have to know its names
+        #[arg(long, default_value = "crates/loopback/scripts/fenced.lua")]
+        script: PathBuf,
+        /// For how many minutes jobs are submitted
+        #[arg(long, default_value_t = 2.0)]
+        minutes: f64,
+    },
 }
 
 #[tokio::main]
@@ -55,6 +67,11 @@
             let length = Duration::from_secs_f64(60.0 * minutes);
             tell_overload(&overload::run(&overload::Plan { program, script, length }).await)
         }
+        Play::Versions { previous, script, minutes } => {
+            let length = Duration::from_secs_f64(60.0 * minutes);
+            let plan = versions::Plan { program, previous, script, length };
+            tell_versions(&versions::run(&plan).await)
+        }
     }
 }
 
@@ -106,3 +123,37 @@
         _ => ExitCode::FAILURE,
     }
 }
+
+fn tell_versions(report: &versions::Report) -> ExitCode {
+    let history = &report.history;
+    let ways = [
+        ("elections", history.elections),
+        ("jobs accepted under one version, done under the other", history.accepted_then_done),
+        ("jobs started under one version, done under the other", history.started_then_done),
+        ("jobs whose acceptance one version wrote, done under the other", report.written_then_done),
+        (
+            "jobs accepted under one version, cancelled under the other",
+            history.accepted_then_aborted,
+        ),
+    ];
+    for (what, both) in ways {
+        println!(
+            "{what}: previous to new {}, new to previous {}",
+            both.previous_to_new, both.new_to_previous
+        );
+    }
+    println!("elections within a version {}", history.same_version);
+    println!("jobs accepted by each node, the previous version's first {:?}", report.accepted_by);
+    println!("jobs to be done {}, to be aborted {}", report.done, report.aborted);
+    println!("undecided requests {:?}", report.undecided);
+    println!("wrong answers {:?}", report.wrong);
+    println!("tasks that ran twice at once {:?}", report.ran_twice);
+    let checks = report.checks();
+    for (check, holds) in &checks {
+        println!("{}: {check}", if *holds { "holds" } else { "FAILS" });
+    }
+    match checks.iter().all(|(_, holds)| *holds) {
+        true => ExitCode::SUCCESS,
+        false => ExitCode::FAILURE,
+    }
+}
--- a/crates/loopback/src/state.rs
+++ b/crates/loopback/src/state.rs
@@ -15,7 +15,7 @@
 use walnutlug_core::wire::{Change, Txn};
 
 use crate::freeze::{Freezer, Point};
-use crate::store::Store;
+use crate::store::{Event, Store};
 
 type Answer = (StatusCode, Json<Value>);
 
@@ -82,6 +82,11 @@
         self.lock().intents
     }
 
+    /// All changes so far.
+    pub fn history(&self) -> Vec<Event> {
+        self.lock().store.history.clone()
+    }
+
     fn commit(&self, body: Value) -> Answer {
         let Ok(txn) = serde_json::from_value::<Txn>(body) else {
             return (StatusCode::BAD_REQUEST, Json(json!({"error": "malformed"})));
