--- a/crates/admission/tests/transcripts.rs
+++ b/crates/admission/tests/transcripts.rs
@@ -5,7 +5,7 @@
 //! What the scripts reach: `deal`, `shares` and `resources` (deal), `turns` (turns), `saturation`
 //! (saturation).
 
-#[path = "../../core/tests/transcripts/golden.rs"]
+#[path = "../../scheduler/tests/transcripts/golden.rs"]
 mod golden;
 
 use std::collections::HashMap;
--- a/crates/walnutlug/src/cli.rs
+++ b/crates/controller/src/cli.rs
@@ -6,7 +6,7 @@
 use clap::{Parser, Subcommand};
 use tracing::{error, info, warn};
 use tracing_subscriber::filter::LevelFilter;
-use walnutlug_core::tunables::Tunables;
+use walnutlug_scheduler::tunables::Tunables;
 
 use crate::settings::Settings;
 use crate::{node, script};
--- a/crates/walnutlug/src/cloud/golden_tests.rs
+++ b/crates/controller/src/cloud/golden_tests.rs
@@ -1,7 +1,7 @@
 //! Every request to the cloud, as it is sent, and what is read of its answers. Kept in
 //! `golden/requests.txt`.
 
-use walnutlug_core::wire::MachineStage;
+use walnutlug_scheduler::wire::MachineStage;
 
 use super::*;
 use crate::golden_file::Golden;
--- a/crates/walnutlug/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -3,7 +3,7 @@
 mod cli;
 mod cloud;
 #[cfg(test)]
-#[path = "../../core/tests/golden_file/mod.rs"]
+#[path = "../../scheduler/tests/golden_file/mod.rs"]
 mod golden_file;
 mod http;
 mod node;
--- a/crates/walnutlug/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -17,15 +17,15 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::time::{Duration, Instant};
 use tracing::{debug, info, warn};
-use walnutlug_core::job::End;
-use walnutlug_core::leadership::{Input, Leadership, Role};
-use walnutlug_core::registry::Scheduler;
-use walnutlug_core::time::Time;
-use walnutlug_core::tunables::Tunables;
-use walnutlug_core::watermark::{CancelLog, Watermark};
-use walnutlug_core::wire::{is_job_ref, MachineType};
-use walnutlug_duties::duty::Epoch;
-use walnutlug_duties::ledger::Ledger;
+use walnutlug_fencing::duty::Epoch;
+use walnutlug_fencing::ledger::Ledger;
+use walnutlug_scheduler::job::End;
+use walnutlug_scheduler::leadership::{Input, Leadership, Role};
+use walnutlug_scheduler::registry::Scheduler;
+use walnutlug_scheduler::time::Time;
+use walnutlug_scheduler::tunables::Tunables;
+use walnutlug_scheduler::watermark::{CancelLog, Watermark};
+use walnutlug_scheduler::wire::{is_job_ref, MachineType};
 
 use crate::cloud::Cloud;
 use crate::http::client::Client;
@@ -76,7 +76,7 @@
 pub struct Node {
     pub settings: Settings,
     pub tunables: Rc<Tunables>,
-    pub site: Rc<walnutlug_core::tunables::Site>,
+    pub site: Rc<walnutlug_scheduler::tunables::Site>,
     pub state: State,
     pub cloud: Cloud,
     pub client: Rc<Client>,
--- a/crates/walnutlug/src/node/fleet_duty.rs
+++ b/crates/controller/src/node/fleet_duty.rs
@@ -5,14 +5,14 @@
 
 use tokio::time::Instant;
 use tracing::{debug, error, info, warn};
-use walnutlug_core::registry::Scheduler;
-use walnutlug_core::wire::RentRequest;
-use walnutlug_duties::duty::{Duty, Epoch, EpochError};
-use walnutlug_duties::fence::Fence;
-use walnutlug_duties::intent::{Action, Rental, ReturnedMachine, INTENT_PREFIX};
-use walnutlug_duties::ledger::{
+use walnutlug_fencing::duty::{Duty, Epoch, EpochError};
+use walnutlug_fencing::fence::Fence;
+use walnutlug_fencing::intent::{Action, Rental, ReturnedMachine, INTENT_PREFIX};
+use walnutlug_fencing::ledger::{
     ActionAnswer, ActionId, Adopted, Ledger, LedgerCommand, WriteLimits,
 };
+use walnutlug_scheduler::registry::Scheduler;
+use walnutlug_scheduler::wire::RentRequest;
 
 use super::lead::{retry, with_scheduler};
 use super::Node;
--- a/crates/walnutlug/src/node/golden_tests.rs
+++ b/crates/controller/src/node/golden_tests.rs
@@ -3,9 +3,9 @@
 
 use serde_json::{json, Value};
 use tokio::task::LocalSet;
-use walnutlug_core::job::keys;
-use walnutlug_core::registry::DirectOutcome;
-use walnutlug_core::wire::{MachineType, WorkerCommand};
+use walnutlug_scheduler::job::keys;
+use walnutlug_scheduler::registry::DirectOutcome;
+use walnutlug_scheduler::wire::{MachineType, WorkerCommand};
 
 use super::tests::{idle_report, leader_with_a_task, report_of, JOB};
 use super::*;
--- a/crates/walnutlug/src/node/lead.rs
+++ b/crates/controller/src/node/lead.rs
@@ -5,15 +5,15 @@
 
 use tokio::time::{sleep, timeout, Duration, Instant};
 use tracing::{debug, info, warn};
-use walnutlug_core::chain::Found;
-use walnutlug_core::document::Document;
-use walnutlug_core::job::{keys, End};
-use walnutlug_core::leadership::{Input, Role};
-use walnutlug_core::registry::{Command, Outcome, Scheduler};
-use walnutlug_core::time::{Span, Time};
-use walnutlug_core::watermark;
-use walnutlug_core::wire::{Change, Guard, RentRequest, Txn, WatchEvent};
-use walnutlug_duties::lease;
+use walnutlug_fencing::lease;
+use walnutlug_scheduler::chain::Found;
+use walnutlug_scheduler::document::Document;
+use walnutlug_scheduler::job::{keys, End};
+use walnutlug_scheduler::leadership::{Input, Role};
+use walnutlug_scheduler::registry::{Command, Outcome, Scheduler};
+use walnutlug_scheduler::time::{Span, Time};
+use walnutlug_scheduler::watermark;
+use walnutlug_scheduler::wire::{Change, Guard, RentRequest, Txn, WatchEvent};
 
 use super::{fleet_duty, Node, ADDRESS_FRESH};
 use crate::cloud::CloudError;
@@ -73,7 +73,7 @@
 /// The key names this node, but not this life of it: the process ended while it led, and came back
 /// before its lease ran out. Nobody leads, so the lease is ended at once. Were the former self
 /// alive against all order, its writes would fail, and nothing worse.
-async fn end_former_lead(node: &Node, pair: &walnutlug_core::wire::Pair) {
+async fn end_former_lead(node: &Node, pair: &walnutlug_scheduler::wire::Pair) {
     if let Some(lease) = pair.value["lease"].as_u64() {
         info!(term = pair.mark, "this node led when it ended: its lease is given up");
         let _ = node.state.release(lease).await;
@@ -372,7 +372,7 @@
 pub(super) async fn retry(
     node: &Rc<Node>,
     prefix: &str,
-) -> Result<(Vec<walnutlug_core::wire::Pair>, u64), StateError> {
+) -> Result<(Vec<walnutlug_scheduler::wire::Pair>, u64), StateError> {
     let mut tries = 0;
     loop {
         match node.state.list(Class::Dispatch, prefix).await {
--- a/crates/walnutlug/src/node/machine_types.rs
+++ b/crates/controller/src/node/machine_types.rs
@@ -4,8 +4,8 @@
 
 use tokio::time::{sleep, Duration};
 use tracing::{debug, warn};
-use walnutlug_core::job::keys;
-use walnutlug_core::wire::MachineType;
+use walnutlug_scheduler::job::keys;
+use walnutlug_scheduler::wire::MachineType;
 
 use super::{type_duty, Node};
 use crate::cloud::usable_types;
--- a/crates/walnutlug/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::state::Class;
 use crate::users::stand_in::{Cluster, Fault, StandIn};
-use walnutlug_core::job::keys;
+use walnutlug_scheduler::job::keys;
 
 #[tokio::test(start_paused = true)]
 async fn a_node_alone_refused_is_not_ready_and_one_among_all_is() {
@@ -158,7 +158,7 @@
     let value = serde_json::json!({"w": "x", "t": [[2, 1, "n-1", 1, 0]]});
     s.load_runs(
         node.now(),
-        &[walnutlug_core::wire::Pair { key: keys::run(JOB, 0), value, mark: 1 }],
+        &[walnutlug_scheduler::wire::Pair { key: keys::run(JOB, 0), value, mark: 1 }],
     );
     for input in [Input::Vacant, Input::Won { term: 5 }, Input::Loaded { term: 5 }] {
         node.leadership.borrow_mut().step(node.now(), input);
@@ -270,7 +270,7 @@
                 store.fault(Fault::Down);
                 let asked = store.asked.get();
                 let window =
-                    Duration::from_micros(walnutlug_core::watermark::window(&leader.site).0);
+                    Duration::from_micros(walnutlug_scheduler::watermark::window(&leader.site).0);
                 let mut seq = 2;
                 let mut killed = false;
                 while told.elapsed() < Duration::from_secs(40) {
--- a/crates/walnutlug/src/node/type_duty.rs
+++ b/crates/controller/src/node/type_duty.rs
@@ -6,14 +6,14 @@
 
 use tokio::time::{sleep, Duration};
 use tracing::{debug, error, info, warn};
-use walnutlug_core::job::keys;
-use walnutlug_core::registry::Outcome;
-use walnutlug_core::time::{Span, Time};
-use walnutlug_core::wire::{Change, MachineType, Pair};
-use walnutlug_duties::balance::{Balance, Standing};
-use walnutlug_duties::duty::{Duty, Epoch, HolderRecord, Holding, RecordError, HOLDER_FORMAT};
-use walnutlug_duties::fence::{Fence, FencedWrite};
-use walnutlug_duties::lease::{DutyLease, LeaseInput, LeaseState};
+use walnutlug_fencing::balance::{Balance, Standing};
+use walnutlug_fencing::duty::{Duty, Epoch, HolderRecord, Holding, RecordError, HOLDER_FORMAT};
+use walnutlug_fencing::fence::{Fence, FencedWrite};
+use walnutlug_fencing::lease::{DutyLease, LeaseInput, LeaseState};
+use walnutlug_scheduler::job::keys;
+use walnutlug_scheduler::registry::Outcome;
+use walnutlug_scheduler::time::{Span, Time};
+use walnutlug_scheduler::wire::{Change, MachineType, Pair};
 
 use super::{Node, PEER_FRESH};
 use crate::state::{Class, StateError};
--- a/crates/walnutlug/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -2,7 +2,7 @@
 //! number, a version and a length. Losing or delaying any of it costs time and never a rule, so a
 //! frame that can't be read simply closes its connection. All of it is hints but cancellations, which
 //! are told only once they are stored: those are facts, acknowledged and repeated
-//! (`walnutlug_core::watermark`).
+//! (`walnutlug_scheduler::watermark`).
 
 use std::cell::Cell;
 use std::net::SocketAddrV4;
@@ -14,10 +14,10 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 use tracing::debug;
-use walnutlug_core::job::End;
-use walnutlug_core::task::MachineIx;
-use walnutlug_core::watermark::MOST_TOLD;
-use walnutlug_core::wire::is_job_ref;
+use walnutlug_scheduler::job::End;
+use walnutlug_scheduler::task::MachineIx;
+use walnutlug_scheduler::watermark::MOST_TOLD;
+use walnutlug_scheduler::wire::is_job_ref;
 use zerocopy::little_endian::{U16, U32, U64};
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
 
--- a/crates/walnutlug/src/peers/golden_tests.rs
+++ b/crates/controller/src/peers/golden_tests.rs
@@ -1,9 +1,9 @@
 //! Every kind of frame between nodes, byte by byte as it is kept in `golden/frames.txt`: written,
 //! read field by field, and written again.
 
-use walnutlug_core::serving::{Grant, NewMark};
-use walnutlug_core::time::Span;
-use walnutlug_core::unchanged::SettledReport;
+use walnutlug_scheduler::serving::{Grant, NewMark};
+use walnutlug_scheduler::time::Span;
+use walnutlug_scheduler::unchanged::SettledReport;
 
 use super::*;
 use crate::golden_file::{hexadecimal, Golden};
--- a/crates/walnutlug/src/peers/tests.rs
+++ b/crates/controller/src/peers/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
-use walnutlug_core::serving::{Grant, NewMark};
-use walnutlug_core::time::Span;
-use walnutlug_core::unchanged::SettledReport;
+use walnutlug_scheduler::serving::{Grant, NewMark};
+use walnutlug_scheduler::time::Span;
+use walnutlug_scheduler::unchanged::SettledReport;
 
 fn frames() -> Vec<Frame> {
     vec![
--- a/crates/walnutlug/src/script.rs
+++ b/crates/controller/src/script.rs
@@ -6,8 +6,8 @@
 
 use mlua::{HookTriggers, Lua, LuaOptions, StdLib, Table, Value, VmState};
 use walnutlug_admission::shares::WEIGHTS;
-use walnutlug_core::time::Span;
-use walnutlug_core::tunables::{Site, Tunables};
+use walnutlug_scheduler::time::Span;
+use walnutlug_scheduler::tunables::{Site, Tunables};
 
 /// What ships; checked by the same code as an operator's own.
 const DEFAULT: &str = include_str!("../../../deploy/walnutlug.lua");
--- a/crates/walnutlug/src/serving.rs
+++ b/crates/controller/src/serving.rs
@@ -1,5 +1,5 @@
 //! Workers' reports answered by every node: followers pass on to the leader what may be new, and answer
-//! repetitions themselves within the bound that `walnutlug_core::serving` keeps.
+//! repetitions themselves within the bound that `walnutlug_scheduler::serving` keeps.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -8,11 +8,11 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep, timeout, Duration, Instant};
 use tracing::info;
-use walnutlug_core::leadership::Role;
-use walnutlug_core::serving::{Grant, NewMark, ServedLeader};
-use walnutlug_core::task::MachineIx;
-use walnutlug_core::tunables::Site;
-use walnutlug_core::unchanged::Holder;
+use walnutlug_scheduler::leadership::Role;
+use walnutlug_scheduler::serving::{Grant, NewMark, ServedLeader};
+use walnutlug_scheduler::task::MachineIx;
+use walnutlug_scheduler::tunables::Site;
+use walnutlug_scheduler::unchanged::Holder;
 
 use crate::http::server::Answer;
 use crate::node::Node;
@@ -277,7 +277,7 @@
     let mut scheduler = node.scheduler.borrow_mut();
     let Some(scheduler) = scheduler.as_mut().filter(|s| s.term == term) else { return };
     for one in heard {
-        let settled = walnutlug_core::unchanged::SettledReport {
+        let settled = walnutlug_scheduler::unchanged::SettledReport {
             term,
             machine: one.machine,
             number: one.number,
--- a/crates/walnutlug/src/serving/tests.rs
+++ b/crates/controller/src/serving/tests.rs
@@ -3,8 +3,8 @@
 use crate::settings::Sockets;
 use crate::users;
 use crate::users::stand_in::{Cluster, Fault, StandIn};
-use walnutlug_core::job::End;
-use walnutlug_core::watermark::window;
+use walnutlug_scheduler::job::End;
+use walnutlug_scheduler::watermark::window;
 
 /// A worker's report to a node, with frames delivered meanwhile. The status, the token and the calls.
 async fn report(
--- a/crates/walnutlug/src/settings.rs
+++ b/crates/controller/src/settings.rs
@@ -4,9 +4,9 @@
 use std::path::Path;
 
 use serde_json::Value;
-use walnutlug_core::job::Team;
-use walnutlug_core::time::Span;
-use walnutlug_core::tunables::{Objective, Site};
+use walnutlug_scheduler::job::Team;
+use walnutlug_scheduler::time::Span;
+use walnutlug_scheduler::tunables::{Objective, Site};
 
 #[derive(Debug, Clone)]
 pub struct Peer {
--- a/crates/walnutlug/src/state.rs
+++ b/crates/controller/src/state.rs
@@ -9,8 +9,8 @@
 use serde::de::DeserializeOwned;
 use serde_json::{json, Value};
 use tokio::time::{sleep, Instant};
-use walnutlug_core::registry::Outcome;
-use walnutlug_core::wire::{Committed, Conflict, LeaseGrant, Page, Pair, Txn, Watched};
+use walnutlug_scheduler::registry::Outcome;
+use walnutlug_scheduler::wire::{Committed, Conflict, LeaseGrant, Page, Pair, Txn, Watched};
 
 use crate::http::client::{Client, Failure, Response};
 
@@ -300,7 +300,7 @@
     /// even where no users come.
     pub async fn probe(&self) {
         if self.last_ok.get().elapsed() > PROBE_AFTER {
-            let _ = self.get(Class::Leadership, walnutlug_core::job::keys::LEADER).await;
+            let _ = self.get(Class::Leadership, walnutlug_scheduler::job::keys::LEADER).await;
         }
     }
 
@@ -477,11 +477,14 @@
     }
 
     /// Reads the end of a job, if it has one.
-    pub async fn end(&self, name: &str) -> Result<Option<walnutlug_core::job::End>, StateError> {
-        let key = walnutlug_core::job::keys::end(name);
+    pub async fn end(
+        &self,
+        name: &str,
+    ) -> Result<Option<walnutlug_scheduler::job::End>, StateError> {
+        let key = walnutlug_scheduler::job::keys::end(name);
         match self.get(Class::Submission, &key).await? {
             None => Ok(None),
-            Some(pair) => serde_json::from_value::<walnutlug_core::job::End>(pair.value)
+            Some(pair) => serde_json::from_value::<walnutlug_scheduler::job::End>(pair.value)
                 .map(Some)
                 .map_err(|_| StateError::Bad),
         }
--- a/crates/walnutlug/src/state/golden_tests.rs
+++ b/crates/controller/src/state/golden_tests.rs
@@ -1,7 +1,7 @@
 //! Every request to the state service, as it is sent, and what is read of its answers. Kept in
 //! `golden/requests.txt`.
 
-use walnutlug_core::wire::{Change, Guard, WatchEvent};
+use walnutlug_scheduler::wire::{Change, Guard, WatchEvent};
 
 use super::*;
 use crate::golden_file::Golden;
@@ -46,7 +46,7 @@
         apply: vec![
             Change::Put {
                 put: "leader".into(),
-                value: walnutlug_core::document::Document::new(&leader),
+                value: walnutlug_scheduler::document::Document::new(&leader),
                 lease: Some(7),
             },
             Change::put("job/req-000412", json!(1)),
--- a/crates/walnutlug/src/users.rs
+++ b/crates/controller/src/users.rs
@@ -15,11 +15,11 @@
 use tokio::time::{sleep, Duration, Instant};
 use tracing::{debug, info};
 use walnutlug_admission::turns::TurnQueue;
-use walnutlug_core::document::Document;
-use walnutlug_core::job::{keys, End, JobSpec, Rank};
-use walnutlug_core::records::{chunk_size, todo_value};
-use walnutlug_core::registry::Outcome;
-use walnutlug_core::wire::{self, is_job_ref, job_answer, Change, Guard, Stage, Txn};
+use walnutlug_scheduler::document::Document;
+use walnutlug_scheduler::job::{keys, End, JobSpec, Rank};
+use walnutlug_scheduler::records::{chunk_size, todo_value};
+use walnutlug_scheduler::registry::Outcome;
+use walnutlug_scheduler::wire::{self, is_job_ref, job_answer, Change, Guard, Stage, Txn};
 
 use checks::check;
 
--- a/crates/walnutlug/src/users/checks.rs
+++ b/crates/controller/src/users/checks.rs
@@ -5,9 +5,9 @@
 
 use tokio::time::{Duration, Instant};
 use tracing::info;
-use walnutlug_core::job::{keys, End};
-use walnutlug_core::registry::Outcome;
-use walnutlug_core::wire::{Change, Guard, Txn};
+use walnutlug_scheduler::job::{keys, End};
+use walnutlug_scheduler::registry::Outcome;
+use walnutlug_scheduler::wire::{Change, Guard, Txn};
 
 use super::{Known, Status};
 use crate::node::Node;
--- a/crates/walnutlug/src/workers.rs
+++ b/crates/controller/src/workers.rs
@@ -3,11 +3,11 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use walnutlug_core::leadership::Role;
-use walnutlug_core::registry::DirectOutcome;
-use walnutlug_core::time::Span;
-use walnutlug_core::unchanged::{Holder, SettledReport, OWN_NODE};
-use walnutlug_core::wire::{Commands, Redirect, Report, ReportAnswer, WorkerCommand};
+use walnutlug_scheduler::leadership::Role;
+use walnutlug_scheduler::registry::DirectOutcome;
+use walnutlug_scheduler::time::Span;
+use walnutlug_scheduler::unchanged::{Holder, SettledReport, OWN_NODE};
+use walnutlug_scheduler::wire::{Commands, Redirect, Report, ReportAnswer, WorkerCommand};
 
 use crate::http::client::{Client, Failure};
 use crate::http::server::Answer;
--- a/crates/walnutlug/tests/fencing.rs
+++ b/crates/controller/tests/fencing.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use walnutlug_loopback::run::{run, Plan};
+use walnutlug_fault_injection::run::{run, Plan};
 
 const FREEZES: usize = 5;
 /// Far longer than that takes on a slow computer.
@@ -12,7 +12,7 @@
 
 #[test]
 fn a_frozen_leader_does_nothing_to_its_successors_fleet() {
-    let scripts = Path::new(env!("CARGO_MANIFEST_DIR")).join("../loopback/scripts");
+    let scripts = Path::new(env!("CARGO_MANIFEST_DIR")).join("../fault-injection/scripts");
     let plan = Plan {
         program: env!("CARGO_BIN_EXE_walnutlug").into(),
         script: scripts.join("fenced.lua"),
--- a/crates/walnutlug/tests/overload.rs
+++ b/crates/controller/tests/overload.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use walnutlug_loopback::overload::{run, Plan, TEAMS};
+use walnutlug_fault_injection::overload::{run, Plan, TEAMS};
 
 const LENGTH: Duration = Duration::from_secs(32);
 /// Jobs of the flood that may start before a job of another team that came later: all machines once over, and
@@ -13,7 +13,7 @@
 
 #[test]
 fn a_flood_of_one_team_holds_up_no_other() {
-    let scripts = Path::new(env!("CARGO_MANIFEST_DIR")).join("../loopback/scripts");
+    let scripts = Path::new(env!("CARGO_MANIFEST_DIR")).join("../fault-injection/scripts");
     let plan = Plan {
         program: env!("CARGO_BIN_EXE_walnutlug").into(),
         script: scripts.join("overload.lua"),
--- a/crates/walnutlug/tests/versions.rs
+++ b/crates/controller/tests/versions.rs
@@ -4,13 +4,13 @@
 use std::path::Path;
 use std::time::Duration;
 
-use walnutlug_loopback::versions::{run, Plan};
+use walnutlug_fault_injection::versions::{run, Plan};
 
 const LENGTH: Duration = Duration::from_secs(16);
 
 #[test]
 fn leaders_carry_on_what_the_other_version_recorded() {
-    let scripts = Path::new(env!("CARGO_MANIFEST_DIR")).join("../loopback/scripts");
+    let scripts = Path::new(env!("CARGO_MANIFEST_DIR")).join("../fault-injection/scripts");
     let plan = Plan {
         program: env!("CARGO_BIN_EXE_walnutlug").into(),
         previous: env!("CARGO_BIN_EXE_walnutlug").into(),
--- a/crates/loopback/src/controllers.rs
+++ b/crates/fault-injection/src/controllers.rs
@@ -74,7 +74,7 @@
     ) -> Controllers {
         let Addresses { names, users, peers } = addresses;
         let directory =
-            std::env::temp_dir().join(format!("walnutlug-loopback-{}", std::process::id()));
+            std::env::temp_dir().join(format!("walnutlug-fault-injection-{}", std::process::id()));
         std::fs::create_dir_all(&directory).expect("a directory for the settings");
         let teams: Vec<_> = setup
             .teams
--- a/crates/loopback/src/elections.rs
+++ b/crates/fault-injection/src/elections.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use walnutlug_core::job::keys;
+use walnutlug_scheduler::job::keys;
 
 use crate::store::Event;
 
--- a/crates/loopback/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use clap::{Parser, Subcommand};
-use walnutlug_loopback::{overload, run, versions};
+use walnutlug_fault_injection::{overload, run, versions};
 
 #[derive(Parser)]
 #[command(about = "Plays failures of three real controllers on loopback")]
@@ -23,7 +23,7 @@
     /// Freezes the leader many times over, and looks at what the cloud was asked
     Freezes {
         /// The operators' script that the controllers are run with
-        #[arg(long, default_value = "crates/loopback/scripts/fenced.lua")]
+        #[arg(long, default_value = "crates/fault-injection/scripts/fenced.lua")]
         script: PathBuf,
         /// How often a leader is frozen
         #[arg(long, default_value_t = 300)]
@@ -35,7 +35,7 @@
     /// Floods them with one team's jobs while they are killed, frozen and started again
     Overload {
         /// The operators' script that the controllers are run with
-        #[arg(long, default_value = "crates/loopback/scripts/overload.lua")]
+        #[arg(long, default_value = "crates/fault-injection/scripts/overload.lua")]
         script: PathBuf,
         /// For how many minutes jobs are submitted
         #[arg(long, default_value_t = 10.0)]
@@ -47,7 +47,7 @@
         #[arg(long)]
         previous: PathBuf,
         /// The operators' script that the controllers are run with; both versions have to know its names
-        #[arg(long, default_value = "crates/loopback/scripts/fenced.lua")]
+        #[arg(long, default_value = "crates/fault-injection/scripts/fenced.lua")]
         script: PathBuf,
         /// For how many minutes jobs are submitted
         #[arg(long, default_value_t = 2.0)]
--- a/crates/loopback/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -18,7 +18,7 @@
 
 const TASK_TAKES: Duration = Duration::from_millis(700);
 const SUBMIT_EVERY: Duration = Duration::from_millis(350);
-/// Longer than a leader's lease of `crates/loopback/scripts`, and than an election.
+/// Longer than a leader's lease of `crates/fault-injection/scripts`, and than an election.
 const FREEZE: Duration = Duration::from_millis(1_300);
 const AIM_FOR: Duration = Duration::from_secs(4);
 const REST: Duration = Duration::from_millis(400);
--- a/crates/loopback/src/state.rs
+++ b/crates/fault-injection/src/state.rs
@@ -12,7 +12,7 @@
 use serde::Deserialize;
 use serde_json::{json, Value};
 use tokio::sync::Notify;
-use walnutlug_core::wire::{Change, Txn};
+use walnutlug_scheduler::wire::{Change, Txn};
 
 use crate::freeze::{Freezer, Point};
 use crate::store::{Event, Store};
--- a/crates/loopback/tests/elections.rs
+++ b/crates/fault-injection/tests/elections.rs
@@ -1,8 +1,8 @@
 //! What a history tells of elections and of jobs that lived under both versions.
 
 use serde_json::{json, Value};
-use walnutlug_loopback::elections::{BothWays, Elections, Version};
-use walnutlug_loopback::store::Event;
+use walnutlug_fault_injection::elections::{BothWays, Elections, Version};
+use walnutlug_fault_injection::store::Event;
 
 fn event(key: &str, value: Option<Value>) -> Event {
     Event { mark: 0, key: key.to_owned(), value }
--- a/crates/duties/src/balance.rs
+++ b/crates/fencing/src/balance.rs
@@ -4,7 +4,7 @@
 //! seconds without a holder, so it is made only when there has been a better node for a while. Nothing but
 //! cost depends on this: whoever holds a duty, its epoch fences all others.
 
-use walnutlug_core::time::{Span, Time};
+use walnutlug_scheduler::time::{Span, Time};
 
 /// For how long another node has to be the better holder before the duty is handed over.
 const HAND_OVER_AFTER: Span = Span::secs(30);
--- a/crates/duties/src/fence.rs
+++ b/crates/fencing/src/fence.rs
@@ -1,6 +1,6 @@
 //! Writes that take effect only while the writer still holds its duty.
 
-use walnutlug_core::wire::{Change, Guard, Txn};
+use walnutlug_scheduler::wire::{Change, Guard, Txn};
 
 use crate::duty::{Duty, Epoch};
 
--- a/crates/duties/src/intent.rs
+++ b/crates/fencing/src/intent.rs
@@ -4,7 +4,7 @@
 //! them. It is dropped when all of them are settled. Whoever holds the duty next finds what is left.
 
 use serde::{Deserialize, Serialize};
-use walnutlug_core::wire::{Pair, RentRequest};
+use walnutlug_scheduler::wire::{Pair, RentRequest};
 
 use crate::duty::{check_format, Duty, Epoch, EpochError, RecordError};
 
--- a/crates/duties/src/lease.rs
+++ b/crates/fencing/src/lease.rs
@@ -4,7 +4,7 @@
 //! renewal was sent. So a holder that counts from the sending, and allows for its clock being slow, stops
 //! before the service lets anybody else in, and needs no message for that.
 
-use walnutlug_core::time::{Span, Time};
+use walnutlug_scheduler::time::{Span, Time};
 
 use crate::duty::{Epoch, EpochError};
 
--- a/crates/duties/src/ledger.rs
+++ b/crates/fencing/src/ledger.rs
@@ -6,10 +6,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use walnutlug_core::document::Document;
-use walnutlug_core::registry::Outcome;
-use walnutlug_core::time::{Span, Time};
-use walnutlug_core::wire::{Change, Pair, Txn};
+use walnutlug_scheduler::document::Document;
+use walnutlug_scheduler::registry::Outcome;
+use walnutlug_scheduler::time::{Span, Time};
+use walnutlug_scheduler::wire::{Change, Pair, Txn};
 
 use crate::duty::{EpochError, RecordError};
 use crate::fence::{Fence, FencedWrite};
--- a/crates/duties/tests/golden_bytes.rs
+++ b/crates/fencing/tests/golden_bytes.rs
@@ -1,22 +1,22 @@
 //! The stored records of duties, to the byte: holders, intents, and the writes under a fence. As they
 //! are written, read, and written again; kept in `golden/records.txt`.
 
-#[path = "../../core/tests/golden_file/mod.rs"]
+#[path = "../../scheduler/tests/golden_file/mod.rs"]
 mod golden_file;
 
 use golden_file::Golden;
 use serde::Serialize;
 use serde_json::{json, Value};
-use walnutlug_core::job::keys;
-use walnutlug_core::registry::Outcome;
-use walnutlug_core::time::{Span, Time};
-use walnutlug_core::wire::{Change, Pair, Txn};
-use walnutlug_duties::duty::{Duty, Epoch, HolderRecord, Holding, HOLDER_FORMAT};
-use walnutlug_duties::fence::{Fence, FencedWrite};
-use walnutlug_duties::intent::{
+use walnutlug_fencing::duty::{Duty, Epoch, HolderRecord, Holding, HOLDER_FORMAT};
+use walnutlug_fencing::fence::{Fence, FencedWrite};
+use walnutlug_fencing::intent::{
     intent_key, Action, IntentRecord, Rental, ReturnedMachine, StoredIntent,
 };
-use walnutlug_duties::ledger::{ActionAnswer, Ledger, LedgerCommand, WriteLimits};
+use walnutlug_fencing::ledger::{ActionAnswer, Ledger, LedgerCommand, WriteLimits};
+use walnutlug_scheduler::job::keys;
+use walnutlug_scheduler::registry::Outcome;
+use walnutlug_scheduler::time::{Span, Time};
+use walnutlug_scheduler::wire::{Change, Pair, Txn};
 
 const RECORDS: &str = "tests/golden/records.txt";
 const WRITES: &str = "tests/golden/ledger.txt";
--- a/crates/duties/tests/parts.rs
+++ b/crates/fencing/tests/parts.rs
@@ -1,12 +1,12 @@
 //! Leases, the balance and stored records, each by itself.
 
 use serde_json::json;
-use walnutlug_core::time::{Span, Time};
-use walnutlug_core::wire::Pair;
-use walnutlug_duties::balance::{Balance, Standing};
-use walnutlug_duties::duty::{Duty, Epoch, EpochError, RecordError};
-use walnutlug_duties::intent::{intent_key, StoredIntent};
-use walnutlug_duties::lease::{certain_for, DutyLease, LeaseInput, LeaseState};
+use walnutlug_fencing::balance::{Balance, Standing};
+use walnutlug_fencing::duty::{Duty, Epoch, EpochError, RecordError};
+use walnutlug_fencing::intent::{intent_key, StoredIntent};
+use walnutlug_fencing::lease::{certain_for, DutyLease, LeaseInput, LeaseState};
+use walnutlug_scheduler::time::{Span, Time};
+use walnutlug_scheduler::wire::Pair;
 
 const TTL: Span = Span::secs(10);
 const START: Time = Time(1 << 40);
--- a/crates/duties/tests/transcripts.rs
+++ b/crates/fencing/tests/transcripts.rs
@@ -5,24 +5,24 @@
 //! What the scripts reach: `ledger`, `intent` and `fence` (ledger), `lease` and `duty` (leases), `balance`
 //! (balance), and the reading of stored records (records).
 
-#[path = "../../core/tests/transcripts/golden.rs"]
+#[path = "../../scheduler/tests/transcripts/golden.rs"]
 mod golden;
 
 use std::collections::BTreeMap;
 
 use golden::{Dice, Transcript};
 use serde_json::{json, Value};
-use walnutlug_core::registry::Outcome;
-use walnutlug_core::time::{Span, Time};
-use walnutlug_core::wire::{Change, Pair, Txn};
-use walnutlug_duties::balance::{Balance, Standing};
-use walnutlug_duties::duty::{Duty, Epoch, EpochError, HolderRecord, Holding, RecordError};
-use walnutlug_duties::fence::Fence;
-use walnutlug_duties::intent::{Action, Rental, ReturnedMachine, StoredIntent, INTENT_PREFIX};
-use walnutlug_duties::lease::{DutyLease, LeaseInput, LeaseState};
-use walnutlug_duties::ledger::{
+use walnutlug_fencing::balance::{Balance, Standing};
+use walnutlug_fencing::duty::{Duty, Epoch, EpochError, HolderRecord, Holding, RecordError};
+use walnutlug_fencing::fence::Fence;
+use walnutlug_fencing::intent::{Action, Rental, ReturnedMachine, StoredIntent, INTENT_PREFIX};
+use walnutlug_fencing::lease::{DutyLease, LeaseInput, LeaseState};
+use walnutlug_fencing::ledger::{
     ActionAnswer, ActionId, Ledger, LedgerCommand, Stopped, WriteLimits,
 };
+use walnutlug_scheduler::registry::Outcome;
+use walnutlug_scheduler::time::{Span, Time};
+use walnutlug_scheduler::wire::{Change, Pair, Txn};
 
 const START: Time = Time(1 << 40);
 const SCRIPTS: [&str; 4] = ["ledger", "leases", "balance", "records"];
--- a/crates/core/tests/serving.rs
+++ b/crates/scheduler/tests/serving.rs
@@ -7,11 +7,11 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use walnutlug_core::serving::{Grant, NewMark, ServedLeader};
-use walnutlug_core::time::{Span, Time};
-use walnutlug_core::tunables::Site;
-use walnutlug_core::unchanged::SettledReport;
-use walnutlug_core::watermark;
+use walnutlug_scheduler::serving::{Grant, NewMark, ServedLeader};
+use walnutlug_scheduler::time::{Span, Time};
+use walnutlug_scheduler::tunables::Site;
+use walnutlug_scheduler::unchanged::SettledReport;
+use walnutlug_scheduler::watermark;
 
 const TERM: u64 = 7;
 const START: Time = Time(1 << 40);
--- a/crates/core/tests/sharing.rs
+++ b/crates/scheduler/tests/sharing.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use walnutlug_core::job::{JobSpec, Rank, Team};
-use walnutlug_core::tunables::{Site, Tunables};
+use walnutlug_scheduler::job::{JobSpec, Rank, Team};
+use walnutlug_scheduler::tunables::{Site, Tunables};
 use world::{site, spec, World};
 
 const MACHINES: usize = 20;
--- a/crates/core/tests/world/transcript.rs
+++ b/crates/scheduler/tests/world/transcript.rs
@@ -8,8 +8,8 @@
 
 use serde::Serialize;
 use serde_json::Value;
-use walnutlug_core::registry::{Command, Outcome};
-use walnutlug_core::wire::{Change, Txn, WorkerCommand};
+use walnutlug_scheduler::registry::{Command, Outcome};
+use walnutlug_scheduler::wire::{Change, Txn, WorkerCommand};
 
 use super::golden::Transcript;
 
