--- a/crates/controller/src/cli.rs
+++ b/crates/controller/src/cli.rs
@@ -9,7 +9,7 @@
 use walnutlug_scheduler::tunables::Tunables;
 
 use crate::settings::Settings;
-use crate::{node, script};
+use crate::{node, operator_script};
 
 #[derive(Parser)]
 #[command(
@@ -74,7 +74,7 @@
 /// Reads both kinds of settings, with one message for each fault.
 fn load(config: &Path, script: Option<&Path>) -> Option<(Settings, Tunables)> {
     let settings = Settings::read(config);
-    let tunables = script::read(script);
+    let tunables = operator_script::read(script);
     let mut faults = Vec::new();
     if let Err(f) = &settings {
         faults.extend(f.iter().cloned());
@@ -83,7 +83,7 @@
         faults.extend(f.iter().cloned());
     }
     if let (Ok(settings), Ok(tunables)) = (&settings, &tunables) {
-        faults.extend(script::unknown_teams(tunables, &settings.site));
+        faults.extend(operator_script::unknown_teams(tunables, &settings.site));
     }
     for fault in &faults {
         error!("{fault}");
--- a/crates/controller/src/cloud.rs
+++ b/crates/controller/src/cloud_client.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use tokio::time::{sleep, Instant};
-use walnutlug_scheduler::wire::{
+use walnutlug_scheduler::protocol::{
     ListedMachine, MachineList, MachineNames, MachineType, MachineTypes, RentRequest,
 };
 
--- a/crates/controller/src/cloud/golden_tests.rs
+++ b/crates/controller/src/cloud_client/golden_tests.rs
@@ -1,12 +1,12 @@
 //! Every request to the cloud, as it is sent, and what is read of its answers. Kept in
 //! `golden/requests.txt`.
 
-use walnutlug_scheduler::wire::MachineStage;
+use walnutlug_scheduler::protocol::MachineStage;
 
 use super::*;
 use crate::golden_file::Golden;
 
-const FILE: &str = "src/cloud/golden/requests.txt";
+const FILE: &str = "src/cloud_client/golden/requests.txt";
 
 /// A cloud that gives these answers, one after the other, and what it was asked.
 struct Scripted {
--- a/crates/controller/src/serving.rs
+++ b/crates/controller/src/heartbeat_delegation.rs
@@ -1,5 +1,5 @@
 //! Workers' reports answered by every node: followers pass on to the leader what may be new, and answer
-//! repetitions themselves within the bound that `walnutlug_scheduler::serving` keeps.
+//! repetitions themselves within the bound that `walnutlug_scheduler::reconciliation::delegation` keeps.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -8,18 +8,18 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep, timeout, Duration, Instant};
 use tracing::info;
-use walnutlug_scheduler::leadership::Role;
-use walnutlug_scheduler::serving::{Grant, NewMark, ServedLeader};
-use walnutlug_scheduler::task::MachineIx;
+use walnutlug_scheduler::leadership::election::Role;
+use walnutlug_scheduler::model::task::MachineIx;
+use walnutlug_scheduler::reconciliation::delegation::{Grant, NewMark, ServedLeader};
+use walnutlug_scheduler::reconciliation::repeated_heartbeats::Holder;
 use walnutlug_scheduler::tunables::Site;
-use walnutlug_scheduler::unchanged::Holder;
 
 use crate::http::server::Answer;
 use crate::node::Node;
 use crate::peers::{
     AskGrant, ForwardedAnswer, ForwardedReport, Frame, Granting, Heard, MOST_CARRIED, MOST_ENTRIES,
 };
-use crate::workers::{self, WorkerConnection};
+use crate::worker_api::{self, WorkerConnection};
 
 /// How often the leader is told which machines repeated their reports; they report every few seconds.
 const HEARD_EVERY: Duration = Duration::from_millis(500);
@@ -277,7 +277,7 @@
     let mut scheduler = node.scheduler.borrow_mut();
     let Some(scheduler) = scheduler.as_mut().filter(|s| s.term == term) else { return };
     for one in heard {
-        let settled = walnutlug_scheduler::unchanged::SettledReport {
+        let settled = walnutlug_scheduler::reconciliation::repeated_heartbeats::SettledReport {
             term,
             machine: one.machine,
             number: one.number,
@@ -294,7 +294,7 @@
 
 fn answer_forwarded(node: &Node, forwarded: &ForwardedReport) {
     let Some((place, holder)) = peer_place(node, &forwarded.node) else { return };
-    let (answer, mark) = match workers::read_forwarded(node, &forwarded.report, holder) {
+    let (answer, mark) = match worker_api::read_forwarded(node, &forwarded.report, holder) {
         Some(read) => (Some(read.body), read.mark),
         None => (None, None),
     };
--- a/crates/controller/src/serving/tests.rs
+++ b/crates/controller/src/heartbeat_delegation/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 use crate::node::tests::{idle_report, lead_with_a_task, leader_with_a_task, report_of, JOB};
 use crate::settings::Sockets;
-use crate::users;
-use crate::users::stand_in::{Cluster, Fault, StandIn};
-use walnutlug_scheduler::job::End;
-use walnutlug_scheduler::watermark::window;
+use crate::user_api;
+use crate::user_api::fake_cluster::{Cluster, Fault, StandIn};
+use walnutlug_scheduler::leadership::watermark::window;
+use walnutlug_scheduler::model::job::End;
 
 /// A worker's report to a node, with frames delivered meanwhile. The status, the token and the calls.
 async fn report(
@@ -17,7 +17,7 @@
     let (node, connection) = (c.nodes[at].clone(), connection.clone());
     let body = report_of(sequence, token);
     let answer = tokio::task::spawn_local(async move {
-        workers::report(&node, &connection, body.as_bytes()).await
+        worker_api::report(&node, &connection, body.as_bytes()).await
     });
     for _ in 0..8 {
         tokio::task::yield_now().await;
@@ -101,7 +101,7 @@
         let store = StandIn::default();
         let (c, connection, mut sequence, token) = repeating(&store).await;
         let told_before = c.nodes[1].now();
-        assert_eq!(users::withdraw(c.nodes[2].clone(), JOB).await.status, 200);
+        assert_eq!(user_api::withdraw(c.nodes[2].clone(), JOB).await.status, 200);
         store.fault(Fault::Down);
         let window = Duration::from_micros(window(&c.nodes[1].site).0);
         let began = Instant::now();
@@ -118,7 +118,7 @@
         assert!(last <= window, "told at {told_before:?}, renewed {last:?} later");
         // Then it sends the worker on.
         let body = report_of(sequence, token);
-        let answer = workers::report(&c.nodes[1], &connection, body.as_bytes()).await;
+        let answer = worker_api::report(&c.nodes[1], &connection, body.as_bytes()).await;
         assert_eq!(answer.status, 421);
     };
     tokio::task::LocalSet::new().run_until(test).await;
@@ -166,7 +166,7 @@
         let (node, connection) = (c.nodes[1].clone(), WorkerConnection::default());
         let body = report_of(1, 0);
         let began = Instant::now();
-        let answer = workers::report(&node, &connection, body.as_bytes()).await;
+        let answer = worker_api::report(&node, &connection, body.as_bytes()).await;
         assert_eq!(answer.status, 421);
         assert!(String::from_utf8_lossy(&answer.body).contains("keeper"));
         assert!(began.elapsed() <= ANSWER_WITHIN, "the worker waits for four seconds");
@@ -178,7 +178,7 @@
         // And without a grant it is told so at once.
         tokio::time::advance(Duration::from_secs(4)).await;
         let began = Instant::now();
-        assert_eq!(workers::report(&node, &connection, body.as_bytes()).await.status, 421);
+        assert_eq!(worker_api::report(&node, &connection, body.as_bytes()).await.status, 421);
         assert_eq!(began.elapsed(), Duration::ZERO);
     };
     tokio::task::LocalSet::new().run_until(test).await;
@@ -194,7 +194,7 @@
         let most = Sockets::share(node.settings.fd_limit).inbound as usize;
         let ask = |node: Rc<Node>| async move {
             let body = report_of(1, 0);
-            workers::report(&node, &WorkerConnection::default(), body.as_bytes()).await
+            worker_api::report(&node, &WorkerConnection::default(), body.as_bytes()).await
         };
         let waiting: Vec<_> =
             (0..most).map(|_| tokio::task::spawn_local(ask(node.clone()))).collect();
@@ -211,7 +211,7 @@
         assert!(node.serving.waiting.borrow().is_empty(), "what was refused can come again");
         // A report longer than a frame goes to the leader itself.
         let long = format!("{}{}", report_of(1, 0), " ".repeat(MOST_CARRIED));
-        let answer = workers::report(&node, &WorkerConnection::default(), long.as_bytes()).await;
+        let answer = worker_api::report(&node, &WorkerConnection::default(), long.as_bytes()).await;
         assert_eq!(answer.status, 421);
     };
     tokio::task::LocalSet::new().run_until(test).await;
@@ -235,7 +235,7 @@
             async move {
                 let body = idle_report(&format!("n-{machine:06}"), 1);
                 let connection = WorkerConnection::default();
-                workers::report(&node, &connection, body.as_bytes()).await.status
+                worker_api::report(&node, &connection, body.as_bytes()).await.status
             }
         };
         let waiting: Vec<_> = (0..WORKERS).map(|i| tokio::task::spawn_local(ask(i))).collect();
@@ -299,9 +299,9 @@
         balance(&c.nodes[0]);
         let (node, connection) = (c.nodes[0].clone(), WorkerConnection::default());
         let body = report_of(1, 0);
-        assert_eq!(workers::report(&node, &connection, body.as_bytes()).await.status, 200);
+        assert_eq!(worker_api::report(&node, &connection, body.as_bytes()).await.status, 200);
         let body = report_of(2, 0);
-        let answer = workers::report(&node, &connection, body.as_bytes()).await;
+        let answer = worker_api::report(&node, &connection, body.as_bytes()).await;
         let to = format!("{{\"keeper\":\"{}\"}}", c.nodes[1].settings.node_name);
         assert_eq!((answer.status, String::from_utf8_lossy(&answer.body).as_ref()), (421, &*to));
         // Within its part it keeps them, and so does everybody when no follower asks any more.
--- a/crates/controller/src/state.rs
+++ b/crates/controller/src/key_value_client.rs
@@ -9,8 +9,8 @@
 use serde::de::DeserializeOwned;
 use serde_json::{json, Value};
 use tokio::time::{sleep, Instant};
-use walnutlug_scheduler::registry::Outcome;
-use walnutlug_scheduler::wire::{Committed, Conflict, LeaseGrant, Page, Pair, Txn, Watched};
+use walnutlug_scheduler::protocol::{Committed, Conflict, LeaseGrant, Page, Pair, Txn, Watched};
+use walnutlug_scheduler::scheduler::Outcome;
 
 use crate::http::client::{Client, Failure, Response};
 
@@ -300,7 +300,8 @@
     /// even where no users come.
     pub async fn probe(&self) {
         if self.last_ok.get().elapsed() > PROBE_AFTER {
-            let _ = self.get(Class::Leadership, walnutlug_scheduler::job::keys::LEADER).await;
+            let _ =
+                self.get(Class::Leadership, walnutlug_scheduler::model::job::keys::LEADER).await;
         }
     }
 
@@ -480,13 +481,15 @@
     pub async fn end(
         &self,
         name: &str,
-    ) -> Result<Option<walnutlug_scheduler::job::End>, StateError> {
-        let key = walnutlug_scheduler::job::keys::end(name);
+    ) -> Result<Option<walnutlug_scheduler::model::job::End>, StateError> {
+        let key = walnutlug_scheduler::model::job::keys::end(name);
         match self.get(Class::Submission, &key).await? {
             None => Ok(None),
-            Some(pair) => serde_json::from_value::<walnutlug_scheduler::job::End>(pair.value)
-                .map(Some)
-                .map_err(|_| StateError::Bad),
+            Some(pair) => {
+                serde_json::from_value::<walnutlug_scheduler::model::job::End>(pair.value)
+                    .map(Some)
+                    .map_err(|_| StateError::Bad)
+            }
         }
     }
 }
--- a/crates/controller/src/state/golden_tests.rs
+++ b/crates/controller/src/key_value_client/golden_tests.rs
@@ -1,12 +1,12 @@
 //! Every request to the state service, as it is sent, and what is read of its answers. Kept in
 //! `golden/requests.txt`.
 
-use walnutlug_scheduler::wire::{Change, Guard, WatchEvent};
+use walnutlug_scheduler::protocol::{Change, Guard, WatchEvent};
 
 use super::*;
 use crate::golden_file::Golden;
 
-const FILE: &str = "src/state/golden/requests.txt";
+const FILE: &str = "src/key_value_client/golden/requests.txt";
 
 /// A state service that gives these answers, one after the other, and what it was asked.
 struct Scripted {
@@ -46,7 +46,7 @@
         apply: vec![
             Change::Put {
                 put: "leader".into(),
-                value: walnutlug_scheduler::document::Document::new(&leader),
+                value: walnutlug_scheduler::storage::document::Document::new(&leader),
                 lease: Some(7),
             },
             Change::put("job/req-000412", json!(1)),
--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -1,19 +1,19 @@
 //! walnutlug: a cluster scheduler that never starts a task twice.
 
 mod cli;
-mod cloud;
+mod cloud_client;
 #[cfg(test)]
 #[path = "../../scheduler/tests/golden_file/mod.rs"]
 mod golden_file;
+mod heartbeat_delegation;
 mod http;
+mod key_value_client;
 mod node;
+mod operator_script;
 mod peers;
-mod script;
-mod serving;
 mod settings;
-mod state;
-mod users;
-mod workers;
+mod user_api;
+mod worker_api;
 
 fn main() -> std::process::ExitCode {
     cli::main()
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -1,10 +1,10 @@
 //! One controller node: what it knows, whom it answers and what it tells the others.
 
-mod announce;
-mod fleet_duty;
-mod lead;
+mod broadcast;
+mod fleet_role;
+mod leader;
 mod machine_types;
-mod type_duty;
+mod machine_types_role;
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -17,25 +17,25 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::time::{Duration, Instant};
 use tracing::{debug, info, warn};
-use walnutlug_fencing::duty::Epoch;
-use walnutlug_fencing::ledger::Ledger;
-use walnutlug_scheduler::job::End;
-use walnutlug_scheduler::leadership::{Input, Leadership, Role};
-use walnutlug_scheduler::registry::Scheduler;
+use walnutlug_fencing::intent_log::Ledger;
+use walnutlug_fencing::leased_role::Epoch;
+use walnutlug_scheduler::leadership::election::{Input, Leadership, Role};
+use walnutlug_scheduler::leadership::watermark::{CancelLog, Watermark};
+use walnutlug_scheduler::model::job::End;
+use walnutlug_scheduler::protocol::{is_job_ref, MachineType};
+use walnutlug_scheduler::scheduler::Scheduler;
 use walnutlug_scheduler::time::Time;
 use walnutlug_scheduler::tunables::Tunables;
-use walnutlug_scheduler::watermark::{CancelLog, Watermark};
-use walnutlug_scheduler::wire::{is_job_ref, MachineType};
 
-use crate::cloud::Cloud;
+use crate::cloud_client::Cloud;
+use crate::heartbeat_delegation::{self, Serving};
 use crate::http::client::Client;
 use crate::http::server::{self, Answer, Request};
+use crate::key_value_client::State;
 use crate::peers::{self, Frame};
-use crate::serving::{self, Serving};
 use crate::settings::{Settings, Sockets};
-use crate::state::State;
-use crate::users;
-use crate::workers::{self, WorkerConnection};
+use crate::user_api;
+use crate::worker_api::{self, WorkerConnection};
 
 /// How long what another node said of itself is worth something.
 const PEER_FRESH: Duration = Duration::from_secs(4);
@@ -83,7 +83,7 @@
     pub leadership: RefCell<Leadership>,
     pub scheduler: RefCell<Option<Scheduler>>,
     pub types: RefCell<Vec<MachineType>>,
-    pub user_api: users::UserApi,
+    pub user_api: user_api::UserApi,
     /// Wakes the leader: something is to be decided.
     pub new_work: Notify,
     pub redirected: Cell<u16>,
@@ -112,7 +112,7 @@
     /// The outside actions of this node's time as the leader, if duties are fenced.
     fleet: RefCell<Option<Ledger>>,
     /// This node's part in reading and sharing the machine types, if duties are fenced.
-    type_duty: type_duty::TypeDuty,
+    machine_types_role: machine_types_role::TypeDuty,
     /// The highest term of which this node knows.
     highest_term: Cell<Option<Epoch>>,
     /// Connections from users and workers.
@@ -159,7 +159,7 @@
             leadership: RefCell::default(),
             scheduler: RefCell::new(None),
             types: RefCell::default(),
-            user_api: users::UserApi::default(),
+            user_api: user_api::UserApi::default(),
             new_work: Notify::new(),
             redirected: Cell::new(0),
             serving: Serving::new(
@@ -184,7 +184,7 @@
             stale_told: Cell::new(false),
             lease_until: Cell::new(Instant::now()),
             fleet: RefCell::default(),
-            type_duty: type_duty::TypeDuty::default(),
+            machine_types_role: machine_types_role::TypeDuty::default(),
             highest_term: Cell::new(None),
             open: Rc::default(),
             let_go: Cell::new(0),
@@ -356,7 +356,7 @@
             Frame::Status { name, term, leading, served, redirected, life, count } => {
                 if leading {
                     self.learn_leader(&name, term);
-                    serving::ask_new_leader(self, term);
+                    heartbeat_delegation::ask_new_leader(self, term);
                     let last = self.cancel_log.borrow().last();
                     let vouch = Frame::Vouch {
                         node: self.settings.node_name.clone(),
@@ -431,7 +431,7 @@
             | Frame::Heard { .. }
             | Frame::AskGrant(_)
             | Frame::Granting(_)
-            | Frame::Withdrawn { .. } => serving::frame(self, frame),
+            | Frame::Withdrawn { .. } => heartbeat_delegation::frame(self, frame),
             Frame::NewJob { .. } => self.new_work.notify_one(),
             Frame::LimitsFell => self.state.heard_of_fall(),
             Frame::Machines(list) => {
@@ -517,12 +517,12 @@
     let node = Rc::new(Node::new(settings, tunables, client, peer_queues)?);
     node.state.lead(false);
     tokio::task::spawn_local(peers::listen(node.clone(), internal));
-    tokio::task::spawn_local(lead::election(node.clone()));
+    tokio::task::spawn_local(leader::election(node.clone()));
     tokio::task::spawn_local(machine_types::keep(node.clone()));
-    tokio::task::spawn_local(type_duty::keep(node.clone()));
-    tokio::task::spawn_local(announce::keep_telling(node.clone()));
-    tokio::task::spawn_local(announce::log_times(node.clone()));
-    tokio::task::spawn_local(serving::keep(node.clone()));
+    tokio::task::spawn_local(machine_types_role::keep(node.clone()));
+    tokio::task::spawn_local(broadcast::keep_telling(node.clone()));
+    tokio::task::spawn_local(broadcast::log_times(node.clone()));
+    tokio::task::spawn_local(heartbeat_delegation::keep(node.clone()));
     let open = node.open.clone();
     let new_handler = move || {
         let (node, connection) = (node.clone(), Rc::new(WorkerConnection::default()));
@@ -543,7 +543,7 @@
         },
         "/hello" => match method {
             "POST" => {
-                let mut answer = workers::report(&node, &connection, &request.body).await;
+                let mut answer = worker_api::report(&node, &connection, &request.body).await;
                 // Workers find their way back with the next report; a user may not find a socket.
                 if node.open.get() > Sockets::share(node.settings.fd_limit).workers_kept {
                     answer.close = true;
@@ -556,7 +556,7 @@
             _ => Answer::error(405, "use POST"),
         },
         "/submissions" => match method {
-            "POST" => users::submit(node, request.body).await,
+            "POST" => user_api::submit(node, request.body).await,
             _ => Answer::error(405, "use POST"),
         },
         _ => {
@@ -565,11 +565,11 @@
             };
             match rest.split_once('/') {
                 None => match method {
-                    "GET" => users::poll(node, rest).await,
+                    "GET" => user_api::poll(node, rest).await,
                     _ => Answer::error(405, "use GET"),
                 },
                 Some((name, "withdraw")) => match method {
-                    "POST" => users::withdraw(node, name).await,
+                    "POST" => user_api::withdraw(node, name).await,
                     _ => Answer::error(405, "use POST"),
                 },
                 Some(_) => Answer::error(404, "no such path"),
--- a/crates/controller/src/node/announce.rs
+++ b/crates/controller/src/node/broadcast.rs
@@ -4,8 +4,8 @@
 
 use tokio::time::{sleep, Duration};
 use tracing::{info, warn};
-use walnutlug_scheduler::registry::MachineState;
-use walnutlug_scheduler::watermark::ask_every;
+use walnutlug_scheduler::leadership::watermark::ask_every;
+use walnutlug_scheduler::scheduler::MachineState;
 
 use super::{Node, ADDRESS_TURN};
 use crate::peers::{self, Frame};
--- a/crates/controller/src/node/fleet_duty.rs
+++ b/crates/controller/src/node/fleet_role.rs
@@ -5,19 +5,19 @@
 
 use tokio::time::Instant;
 use tracing::{debug, error, info, warn};
-use walnutlug_fencing::duty::{Duty, Epoch, EpochError};
 use walnutlug_fencing::fence::Fence;
 use walnutlug_fencing::intent::{Action, Rental, ReturnedMachine, INTENT_PREFIX};
-use walnutlug_fencing::ledger::{
+use walnutlug_fencing::intent_log::{
     ActionAnswer, ActionId, Adopted, Ledger, LedgerCommand, WriteLimits,
 };
-use walnutlug_scheduler::registry::Scheduler;
-use walnutlug_scheduler::wire::RentRequest;
+use walnutlug_fencing::leased_role::{Duty, Epoch, EpochError};
+use walnutlug_scheduler::protocol::RentRequest;
+use walnutlug_scheduler::scheduler::Scheduler;
 
-use super::lead::{retry, with_scheduler};
+use super::leader::{retry, with_scheduler};
 use super::Node;
-use crate::cloud::CloudError;
-use crate::state::{Class, StateError};
+use crate::cloud_client::CloudError;
+use crate::key_value_client::{Class, StateError};
 
 /// Lags of the cloud's list after which a machine is on it for certain; it may lag twice as long as told.
 const LISTED_AFTER_LAGS: f64 = 3.0;
--- a/crates/controller/src/node/golden_tests.rs
+++ b/crates/controller/src/node/golden_tests.rs
@@ -3,16 +3,16 @@
 
 use serde_json::{json, Value};
 use tokio::task::LocalSet;
-use walnutlug_scheduler::job::keys;
-use walnutlug_scheduler::registry::DirectOutcome;
-use walnutlug_scheduler::wire::{MachineType, WorkerCommand};
+use walnutlug_scheduler::model::job::keys;
+use walnutlug_scheduler::protocol::{MachineType, WorkerCommand};
+use walnutlug_scheduler::scheduler::DirectOutcome;
 
 use super::tests::{idle_report, leader_with_a_task, report_of, JOB};
 use super::*;
 use crate::golden_file::Golden;
 use crate::http::client::{Failure, Response};
 use crate::http::server::exchange::{exchange, exchange_unfinished};
-use crate::users::stand_in::{Fault, StandIn};
+use crate::user_api::fake_cluster::{Fault, StandIn};
 
 const USERS: &str = "src/node/golden/users.txt";
 const WORKERS: &str = "src/node/golden/workers.txt";
@@ -261,7 +261,7 @@
             Ok(Response { status, body: report_of(88, 41).into_bytes() })
         };
         let client = Client::scripted(Box::new(script));
-        let outcome = workers::direct(&client, "10.1.0.232:9000", 41, 7, &calls).await;
+        let outcome = worker_api::direct(&client, "10.1.0.232:9000", 41, 7, &calls).await;
         match outcome {
             DirectOutcome::Answered(report) => {
                 assert!(status == 200 || status == 409, "{kind}: the status was read otherwise");
@@ -358,7 +358,7 @@
         {
             let asked = Rc::default();
             let node = noting_with(&asked, descriptions);
-            let election = tokio::task::spawn_local(lead::election(node.clone()));
+            let election = tokio::task::spawn_local(leader::election(node.clone()));
             tokio::time::sleep(ELECTION).await;
             election.abort();
             assert!(node.leadership.borrow().term() == Some(432), "elected");
@@ -366,7 +366,7 @@
         }
         let asked = Rc::default();
         let node = noting(&asked);
-        let duty = tokio::task::spawn_local(type_duty::keep(node.clone()));
+        let duty = tokio::task::spawn_local(machine_types_role::keep(node.clone()));
         let types = tokio::task::spawn_local(machine_types::keep(node.clone()));
         tokio::time::sleep(DUTY).await;
         duty.abort();
@@ -418,7 +418,7 @@
         }
         let asked = Rc::default();
         let node = noting(&asked);
-        let _ = users::share_types(&node.state, &[one_type()]).await;
+        let _ = user_api::share_types(&node.state, &[one_type()]).await;
         found.push(("machine types, unfenced", steady(&node, &asked)));
         Golden::check(STATE, &found);
     };
--- a/crates/controller/src/node/lead.rs
+++ b/crates/controller/src/node/leader.rs
@@ -6,19 +6,19 @@
 use tokio::time::{sleep, timeout, Duration, Instant};
 use tracing::{debug, info, warn};
 use walnutlug_fencing::lease;
-use walnutlug_scheduler::chain::Found;
-use walnutlug_scheduler::document::Document;
-use walnutlug_scheduler::job::{keys, End};
-use walnutlug_scheduler::leadership::{Input, Role};
-use walnutlug_scheduler::registry::{Command, Outcome, Scheduler};
+use walnutlug_scheduler::leadership::election::{Input, Role};
+use walnutlug_scheduler::leadership::watermark;
+use walnutlug_scheduler::model::job::{keys, End};
+use walnutlug_scheduler::protocol::{Change, Guard, RentRequest, Txn, WatchEvent};
+use walnutlug_scheduler::queue::dependencies::Found;
+use walnutlug_scheduler::scheduler::{Command, Outcome, Scheduler};
+use walnutlug_scheduler::storage::document::Document;
 use walnutlug_scheduler::time::{Span, Time};
-use walnutlug_scheduler::watermark;
-use walnutlug_scheduler::wire::{Change, Guard, RentRequest, Txn, WatchEvent};
 
-use super::{fleet_duty, Node, ADDRESS_FRESH};
-use crate::cloud::CloudError;
-use crate::state::{leader_value, Class, State, StateError};
-use crate::{serving, workers};
+use super::{fleet_role, Node, ADDRESS_FRESH};
+use crate::cloud_client::CloudError;
+use crate::key_value_client::{leader_value, Class, State, StateError};
+use crate::{heartbeat_delegation, worker_api};
 
 /// How long a leader that gave way leaves the lead to others.
 const ASIDE: Span = Span::secs(15);
@@ -73,7 +73,7 @@
 /// The key names this node, but not this life of it: the process ended while it led, and came back
 /// before its lease ran out. Nobody leads, so the lease is ended at once. Were the former self
 /// alive against all order, its writes would fail, and nothing worse.
-async fn end_former_lead(node: &Node, pair: &walnutlug_scheduler::wire::Pair) {
+async fn end_former_lead(node: &Node, pair: &walnutlug_scheduler::protocol::Pair) {
     if let Some(lease) = pair.value["lease"].as_u64() {
         info!(term = pair.mark, "this node led when it ended: its lease is given up");
         let _ = node.state.release(lease).await;
@@ -228,7 +228,7 @@
             Err(_) => sleep(Duration::from_millis(200)).await,
         }
     }
-    fleet_duty::take_over(node, term, &mut s).await?;
+    fleet_role::take_over(node, term, &mut s).await?;
     for (name, (address, heard)) in node.addresses.borrow().iter() {
         if heard.elapsed() < ADDRESS_FRESH {
             s.hint_address(now, name, &address.to_string());
@@ -372,7 +372,7 @@
 pub(super) async fn retry(
     node: &Rc<Node>,
     prefix: &str,
-) -> Result<(Vec<walnutlug_scheduler::wire::Pair>, u64), StateError> {
+) -> Result<(Vec<walnutlug_scheduler::protocol::Pair>, u64), StateError> {
     let mut tries = 0;
     loop {
         match node.state.list(Class::Dispatch, prefix).await {
@@ -509,11 +509,11 @@
             s.look_at_fleet(now);
             let commands = s.take_commands();
             drop(guard);
-            serving::tell_withdrawn(node);
+            heartbeat_delegation::tell_withdrawn(node);
             for command in commands {
                 carry_out(node, term, command);
             }
-            fleet_duty::advance(node, term);
+            fleet_role::advance(node, term);
         }
         let pause = pause_after(began.elapsed(), node.settings.cpu_share);
         let least = pause.saturating_sub(last.elapsed());
@@ -578,7 +578,8 @@
         }
         Command::Direct { machine, address, token, session, calls } => {
             tokio::task::spawn_local(async move {
-                let outcome = workers::direct(&node.client, &address, token, session, &calls).await;
+                let outcome =
+                    worker_api::direct(&node.client, &address, token, session, &calls).await;
                 with_scheduler(&node, term, |s, now| s.direct_answer(now, machine, outcome));
             });
         }
@@ -588,12 +589,12 @@
             // Term, incarnation and counter: a name that no other node or time ever uses.
             let request = format!("{term}-{}-{n}", node.incarnation);
             let rental = RentRequest { request, kind, zone, spot, count };
-            if !fleet_duty::rent(&node, &rental) {
+            if !fleet_role::rent(&node, &rental) {
                 tokio::task::spawn_local(rent_unfenced(node, term, rental));
             }
         }
         Command::Return { machines } => {
-            if !fleet_duty::give_back(&node, &machines) {
+            if !fleet_role::give_back(&node, &machines) {
                 tokio::task::spawn_local(give_back_unfenced(node, term, machines));
             }
         }
--- a/crates/controller/src/node/lead/tests.rs
+++ b/crates/controller/src/node/leader/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::users::stand_in::{Fault, StandIn};
+use crate::user_api::fake_cluster::{Fault, StandIn};
 
 fn key_for(incarnation: &str) -> Txn {
     Txn {
--- a/crates/controller/src/node/machine_types.rs
+++ b/crates/controller/src/node/machine_types.rs
@@ -4,13 +4,13 @@
 
 use tokio::time::{sleep, Duration};
 use tracing::{debug, warn};
-use walnutlug_scheduler::job::keys;
-use walnutlug_scheduler::wire::MachineType;
+use walnutlug_scheduler::model::job::keys;
+use walnutlug_scheduler::protocol::MachineType;
 
-use super::{type_duty, Node};
-use crate::cloud::usable_types;
-use crate::state::Class;
-use crate::users;
+use super::{machine_types_role, Node};
+use crate::cloud_client::usable_types;
+use crate::key_value_client::Class;
+use crate::user_api;
 
 /// Longest time between two looks at the machine types and their prices.
 const TYPES_EVERY: Duration = Duration::from_secs(60);
@@ -27,7 +27,7 @@
         }
         let leads = node.leadership.borrow().term().is_some();
         let fenced = node.tunables.fenced_duties;
-        let shares = if fenced { node.type_duty.is_held(node.now()) } else { leads };
+        let shares = if fenced { node.machine_types_role.is_held(node.now()) } else { leads };
         if node.types.borrow().is_empty() || shares {
             ask_cloud_for_types(&node, shares || !fenced).await;
         } else if leads {
@@ -49,11 +49,11 @@
         Ok(types) if types.is_empty() => warn!("the cloud offers no usable machine type"),
         Ok(types) => {
             let changed = node.take_types(&types);
-            if share && (changed || node.type_duty.has_yet_to_share()) {
+            if share && (changed || node.machine_types_role.has_yet_to_share()) {
                 if node.tunables.fenced_duties {
-                    type_duty::share(node, &types).await;
+                    machine_types_role::share(node, &types).await;
                 } else {
-                    let _ = users::share_types(&node.state, &types).await;
+                    let _ = user_api::share_types(&node.state, &types).await;
                 }
             }
             node.ready_once.set(true);
--- a/crates/controller/src/node/type_duty.rs
+++ b/crates/controller/src/node/machine_types_role.rs
@@ -6,17 +6,19 @@
 
 use tokio::time::{sleep, Duration};
 use tracing::{debug, error, info, warn};
-use walnutlug_fencing::balance::{Balance, Standing};
-use walnutlug_fencing::duty::{Duty, Epoch, HolderRecord, Holding, RecordError, HOLDER_FORMAT};
 use walnutlug_fencing::fence::{Fence, FencedWrite};
 use walnutlug_fencing::lease::{DutyLease, LeaseInput, LeaseState};
-use walnutlug_scheduler::job::keys;
-use walnutlug_scheduler::registry::Outcome;
+use walnutlug_fencing::leased_role::{
+    Duty, Epoch, HolderRecord, Holding, RecordError, HOLDER_FORMAT,
+};
+use walnutlug_fencing::role_balancer::{Balance, Standing};
+use walnutlug_scheduler::model::job::keys;
+use walnutlug_scheduler::protocol::{Change, MachineType, Pair};
+use walnutlug_scheduler::scheduler::Outcome;
 use walnutlug_scheduler::time::{Span, Time};
-use walnutlug_scheduler::wire::{Change, MachineType, Pair};
 
 use super::{Node, PEER_FRESH};
-use crate::state::{Class, StateError};
+use crate::key_value_client::{Class, StateError};
 
 const DUTY: Duty = Duty::MachineTypes;
 const LEASE: Span = Span::secs(12);
@@ -87,7 +89,7 @@
         return;
     }
     loop {
-        let epoch = node.type_duty.lease.borrow().epoch();
+        let epoch = node.machine_types_role.lease.borrow().epoch();
         match epoch {
             Some(_) => renew(&node).await,
             None => look(&node).await,
@@ -113,7 +115,7 @@
 }
 
 async fn renew(node: &Rc<Node>) {
-    let duty = &node.type_duty;
+    let duty = &node.machine_types_role;
     let Some(id) = *duty.lease_id.borrow() else { return };
     let (now, own, others) = (node.now(), own_standing(node), other_standings(node));
     if duty.balance.borrow_mut().should_hand_over(now, own, &others) {
@@ -131,14 +133,14 @@
 }
 
 async fn give_up(node: &Node, id: u64) {
-    node.type_duty.step(LeaseInput::Ended);
-    *node.type_duty.lease_id.borrow_mut() = None;
+    node.machine_types_role.step(LeaseInput::Ended);
+    *node.machine_types_role.lease_id.borrow_mut() = None;
     let _ = node.state.release(id).await;
 }
 
 /// Looks who holds the duty, and takes it if nobody does.
 async fn look(node: &Rc<Node>) {
-    let duty = &node.type_duty;
+    let duty = &node.machine_types_role;
     match node.state.get(Class::Watch, &DUTY.key()).await {
         Ok(Some(pair)) => {
             duty.balance.borrow_mut().taken();
@@ -161,13 +163,13 @@
         Ok(holding) => holding,
         Err(fault) => {
             // Left as it is: its lease will end, or a version that can read it will see to it.
-            if node.type_duty.told.replace(Some(fault.clone())) != Some(fault.clone()) {
+            if node.machine_types_role.told.replace(Some(fault.clone())) != Some(fault.clone()) {
                 warn!("nothing is done for the duty {}: {fault}", DUTY.name());
             }
             return;
         }
     };
-    node.type_duty.lease.borrow_mut().observe(holding.epoch);
+    node.machine_types_role.lease.borrow_mut().observe(holding.epoch);
     let own_name = holding.holder.node == node.settings.node_name;
     if own_name && holding.holder.incarnation != node.incarnation {
         // This node's former life held it; nobody does now.
@@ -176,7 +178,7 @@
 }
 
 async fn acquire(node: &Rc<Node>) {
-    let duty = &node.type_duty;
+    let duty = &node.machine_types_role;
     let sent = node.now();
     let Ok(id) = node.state.lease(Duration::from_micros(LEASE.0)).await else { return };
     duty.step(LeaseInput::Granted { sent });
@@ -215,7 +217,7 @@
 
 /// Writes the types for all nodes, if this one still holds the duty when the write is carried out.
 pub(super) async fn share(node: &Node, types: &[MachineType]) {
-    let epoch: Option<Epoch> = node.type_duty.lease.borrow().epoch();
+    let epoch: Option<Epoch> = node.machine_types_role.lease.borrow().epoch();
     let Some(epoch) = epoch else { return };
     let value = serde_json::json!({"breeds": types});
     if value.to_string().len() > node.state.limits().value_bytes {
@@ -225,10 +227,10 @@
     let mut write = FencedWrite::new(&Fence::new(DUTY, epoch));
     write.change(Change::put(keys::TYPES, value));
     match node.state.commit(Class::Watch, &write.into_txn()).await {
-        Outcome::Committed { .. } => *node.type_duty.shared.borrow_mut() = Some(epoch),
+        Outcome::Committed { .. } => *node.machine_types_role.shared.borrow_mut() = Some(epoch),
         Outcome::Conflict { .. } => {
-            *node.type_duty.lease_id.borrow_mut() = None;
-            node.type_duty.step(LeaseInput::Ended);
+            *node.machine_types_role.lease_id.borrow_mut() = None;
+            node.machine_types_role.step(LeaseInput::Ended);
         }
         // The next look at the cloud is soon enough.
         Outcome::Refused | Outcome::TooLarge | Outcome::Lost => {}
--- a/crates/controller/src/node/type_duty/tests.rs
+++ b/crates/controller/src/node/machine_types_role/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
-use crate::users::stand_in::{Fault, StandIn};
+use crate::user_api::fake_cluster::{Fault, StandIn};
 
 fn epoch(node: &Node) -> Option<Epoch> {
-    node.type_duty.lease.borrow().epoch()
+    node.machine_types_role.lease.borrow().epoch()
 }
 
 /// The types in the store, if any.
@@ -22,15 +22,15 @@
         }
         look(&first).await;
         look(&second).await;
-        assert!(first.type_duty.is_held(first.now()));
+        assert!(first.machine_types_role.is_held(first.now()));
         assert_eq!(epoch(&second), None);
-        assert!(first.type_duty.has_yet_to_share());
+        assert!(first.machine_types_role.has_yet_to_share());
         let types = first.types.borrow().clone();
         share(&first, &types).await;
-        assert!(shared(&store).is_some() && !first.type_duty.has_yet_to_share());
+        assert!(shared(&store).is_some() && !first.machine_types_role.has_yet_to_share());
         // Its lease ends while it stands still, and the other takes over.
         tokio::time::advance(Duration::from_micros(LEASE.0)).await;
-        assert!(!first.type_duty.is_held(first.now()), "it stops by itself");
+        assert!(!first.machine_types_role.is_held(first.now()), "it stops by itself");
         store.remove(&DUTY.key());
         second.state.get(Class::Watch, keys::LEADER).await.expect("an answer");
         look(&second).await;
@@ -51,7 +51,7 @@
         node.state.get(Class::Watch, keys::LEADER).await.expect("an answer");
         store.fault(Fault::AppliedButLost);
         look(&node).await;
-        assert!(node.type_duty.is_held(node.now()));
+        assert!(node.machine_types_role.is_held(node.now()));
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
@@ -69,7 +69,7 @@
         store.put(&DUTY.key(), value.clone());
         look(&node).await;
         assert_eq!(epoch(&node), None);
-        assert!(node.type_duty.told.borrow().is_some(), "{value} is told");
+        assert!(node.machine_types_role.told.borrow().is_some(), "{value} is told");
         assert_eq!(store.value(&DUTY.key()), Some(value.clone()), "and stays");
     }
 }
@@ -93,7 +93,7 @@
         let held = epoch(&node);
         renew(&node).await;
         assert!(held.is_some() && epoch(&node) == held);
-        let id = node.type_duty.lease_id.borrow().expect("a lease");
+        let id = node.machine_types_role.lease_id.borrow().expect("a lease");
         give_up(&node, id).await;
         assert!(epoch(&node).is_none() && !store.holds(&DUTY.key()));
     };
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
-use crate::state::Class;
-use crate::users::stand_in::{Cluster, Fault, StandIn};
-use walnutlug_scheduler::job::keys;
+use crate::key_value_client::Class;
+use crate::user_api::fake_cluster::{Cluster, Fault, StandIn};
+use walnutlug_scheduler::model::job::keys;
 
 #[tokio::test(start_paused = true)]
 async fn a_node_alone_refused_is_not_ready_and_one_among_all_is() {
@@ -63,7 +63,7 @@
     assert!(!node.ready(), "alone with an unserved state");
     let asked = store.asked.get();
     let before = Instant::now();
-    let answer = users::poll(node.clone(), "req-000412").await;
+    let answer = user_api::poll(node.clone(), "req-000412").await;
     assert_eq!((answer.status, answer.retry_after), (503, Some(1)));
     assert_eq!(store.asked.get(), asked, "nobody is asked who does not answer");
     assert_eq!(before.elapsed(), Duration::ZERO);
@@ -158,7 +158,7 @@
     let value = serde_json::json!({"w": "x", "t": [[2, 1, "n-1", 1, 0]]});
     s.load_runs(
         node.now(),
-        &[walnutlug_scheduler::wire::Pair { key: keys::run(JOB, 0), value, mark: 1 }],
+        &[walnutlug_scheduler::protocol::Pair { key: keys::run(JOB, 0), value, mark: 1 }],
     );
     for input in [Input::Vacant, Input::Won { term: 5 }, Input::Loaded { term: 5 }] {
         node.leadership.borrow_mut().step(node.now(), input);
@@ -205,7 +205,7 @@
     seq: u64,
     token: u64,
 ) -> (u16, u64, Vec<String>) {
-    let answer = workers::answer_report(node, last, report_of(seq, token).as_bytes());
+    let answer = worker_api::answer_report(node, last, report_of(seq, token).as_bytes());
     let told: serde_json::Value = serde_json::from_slice(&answer.body).expect("json");
     let calls = told["calls"].as_array().into_iter().flatten();
     let calls = calls.map(|c| c["call"].to_string()).collect();
@@ -264,13 +264,14 @@
                 let mut c = leader_with_a_task(&store).await;
                 let leader = c.nodes[0].clone();
                 assert_eq!(report_once(&leader, 1), (200, vec![]), "{meeting}");
-                let answer = users::withdraw(c.nodes[1].clone(), JOB).await;
+                let answer = user_api::withdraw(c.nodes[1].clone(), JOB).await;
                 assert_eq!(answer.status, 200, "{meeting}: nothing was confirmed");
                 let told = Instant::now();
                 store.fault(Fault::Down);
                 let asked = store.asked.get();
-                let window =
-                    Duration::from_micros(walnutlug_scheduler::watermark::window(&leader.site).0);
+                let window = Duration::from_micros(
+                    walnutlug_scheduler::leadership::watermark::window(&leader.site).0,
+                );
                 let mut seq = 2;
                 let mut killed = false;
                 while told.elapsed() < Duration::from_secs(40) {
@@ -306,7 +307,7 @@
             let store = StandIn::default();
             let mut c = leader_with_a_task(&store).await;
             let leader = c.nodes[0].clone();
-            assert_eq!(users::withdraw(c.nodes[1].clone(), JOB).await.status, 200);
+            assert_eq!(user_api::withdraw(c.nodes[1].clone(), JOB).await.status, 200);
             // Lost with the process.
             assert!(!c.take(1, 0).await.is_empty());
             c.take(1, 2).await;
@@ -368,7 +369,7 @@
         first: 1,
         jobs: vec![JOB.into()],
     });
-    lead::install(&node, registry);
+    leader::install(&node, registry);
     let open = node.scheduler.borrow().as_ref().map(|s| s.open_jobs());
     assert_eq!(open, Some(vec![]));
 }
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -2,7 +2,7 @@
 //! number, a version and a length. Losing or delaying any of it costs time and never a rule, so a
 //! frame that can't be read simply closes its connection. All of it is hints but cancellations, which
 //! are told only once they are stored: those are facts, acknowledged and repeated
-//! (`walnutlug_scheduler::watermark`).
+//! (`walnutlug_scheduler::leadership::watermark`).
 
 use std::cell::Cell;
 use std::net::SocketAddrV4;
@@ -14,18 +14,18 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 use tracing::debug;
-use walnutlug_scheduler::job::End;
-use walnutlug_scheduler::task::MachineIx;
-use walnutlug_scheduler::watermark::MOST_TOLD;
-use walnutlug_scheduler::wire::is_job_ref;
+use walnutlug_scheduler::leadership::watermark::MOST_TOLD;
+use walnutlug_scheduler::model::job::End;
+use walnutlug_scheduler::model::task::MachineIx;
+use walnutlug_scheduler::protocol::is_job_ref;
 use zerocopy::little_endian::{U16, U32, U64};
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
 
 use crate::node::Node;
 
-mod report_frames;
-use report_frames::{decode_heard, decode_withdrawn, encode_heard, encode_withdrawn};
-pub use report_frames::{
+mod heartbeat_frames;
+use heartbeat_frames::{decode_heard, decode_withdrawn, encode_heard, encode_withdrawn};
+pub use heartbeat_frames::{
     AskGrant, ForwardedAnswer, ForwardedReport, Granting, Heard, MOST_CARRIED, MOST_ENTRIES,
 };
 
--- a/crates/controller/src/peers/golden_tests.rs
+++ b/crates/controller/src/peers/golden_tests.rs
@@ -1,9 +1,9 @@
 //! Every kind of frame between nodes, byte by byte as it is kept in `golden/frames.txt`: written,
 //! read field by field, and written again.
 
-use walnutlug_scheduler::serving::{Grant, NewMark};
+use walnutlug_scheduler::reconciliation::delegation::{Grant, NewMark};
+use walnutlug_scheduler::reconciliation::repeated_heartbeats::SettledReport;
 use walnutlug_scheduler::time::Span;
-use walnutlug_scheduler::unchanged::SettledReport;
 
 use super::*;
 use crate::golden_file::{hexadecimal, Golden};
@@ -38,7 +38,7 @@
 fn frames() -> Vec<(&'static str, Frame)> {
     let mut all = job_frames();
     all.extend(node_frames());
-    all.extend(report_frames());
+    all.extend(heartbeat_frames());
     all.extend(grant_frames());
     all
 }
@@ -110,7 +110,7 @@
     ]
 }
 
-fn report_frames() -> Vec<(&'static str, Frame)> {
+fn heartbeat_frames() -> Vec<(&'static str, Frame)> {
     let settled = SettledReport {
         term: 0x2122_2324_2526_2728,
         machine: 0x3132_3334,
--- a/crates/controller/src/peers/report_frames.rs
+++ b/crates/controller/src/peers/heartbeat_frames.rs
@@ -1,10 +1,10 @@
 //! The frames with which followers answer workers on the leader's behalf; what they mean is told in
-//! `walnutlug_scheduler::serving`. A version that doesn't know them passes them over.
+//! `walnutlug_scheduler::reconciliation::delegation`. A version that doesn't know them passes them over.
 
-use walnutlug_scheduler::serving::{Grant, NewMark};
-use walnutlug_scheduler::task::MachineIx;
+use walnutlug_scheduler::model::task::MachineIx;
+use walnutlug_scheduler::reconciliation::delegation::{Grant, NewMark};
+use walnutlug_scheduler::reconciliation::repeated_heartbeats::SettledReport;
 use walnutlug_scheduler::time::Span;
-use walnutlug_scheduler::unchanged::SettledReport;
 use zerocopy::little_endian::{U16, U32, U64};
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
 
--- a/crates/controller/src/peers/tests.rs
+++ b/crates/controller/src/peers/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
-use walnutlug_scheduler::serving::{Grant, NewMark};
+use walnutlug_scheduler::reconciliation::delegation::{Grant, NewMark};
+use walnutlug_scheduler::reconciliation::repeated_heartbeats::SettledReport;
 use walnutlug_scheduler::time::Span;
-use walnutlug_scheduler::unchanged::SettledReport;
 
 fn frames() -> Vec<Frame> {
     vec![
@@ -28,7 +28,7 @@
     ]
 }
 
-fn report_frames() -> Vec<Frame> {
+fn heartbeat_frames() -> Vec<Frame> {
     let settled = SettledReport { term: 1 << 40, machine: 700, number: 1 << 33 };
     let mark = NewMark { settled, token: 1 << 60, valid_for: Span(u64::MAX), withdrawn: 90_000 };
     let answer = ForwardedAnswer { asker_life: 3, number: 9, answer: None, mark: None };
@@ -65,7 +65,7 @@
 /// Each costs the connection, and nothing else.
 #[tokio::test(start_paused = true)]
 async fn damaged_frames_of_reports_are_refused() {
-    for frame in report_frames() {
+    for frame in heartbeat_frames() {
         let bytes = frame.encode();
         let head = size_of::<Header>();
         // Cut short, and said to be so by their header: a part of what is fixed is missing.
@@ -80,7 +80,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn frames_survive_the_wire() {
-    for frame in frames().into_iter().chain([Frame::LimitsFell]).chain(report_frames()) {
+    for frame in frames().into_iter().chain([Frame::LimitsFell]).chain(heartbeat_frames()) {
         let bytes = frame.encode();
         let read = read_frame(&mut bytes.as_slice()).await;
         assert_eq!(read, Ok(Some(frame)));
--- a/crates/controller/src/settings.rs
+++ b/crates/controller/src/settings.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use serde_json::Value;
-use walnutlug_scheduler::job::Team;
+use walnutlug_scheduler::model::job::Team;
 use walnutlug_scheduler::time::Span;
 use walnutlug_scheduler::tunables::{Objective, Site};
 
@@ -24,9 +24,9 @@
     pub cloud: SocketAddrV4,
     pub state: SocketAddrV4,
     pub site: Site,
-    pub state_limits: crate::state::Limits,
+    pub state_limits: crate::key_value_client::Limits,
     /// What the state service may come down to at any time.
-    pub state_next: Option<crate::state::Limits>,
+    pub state_next: Option<crate::key_value_client::Limits>,
     pub cloud_rps: f64,
     pub fd_limit: u32,
     /// The part of a core that the node may use, above 0 and at most 1.
@@ -119,7 +119,11 @@
     }
 
     /// The state service's limits. Where there are limits to fall back on, each may be left out.
-    fn limits(&mut self, path: &str, known: Option<crate::state::Limits>) -> crate::state::Limits {
+    fn limits(
+        &mut self,
+        path: &str,
+        known: Option<crate::key_value_client::Limits>,
+    ) -> crate::key_value_client::Limits {
         let mut one = |field: &str, least: f64, most: f64, known: Option<f64>| {
             let path = format!("{path}.{field}");
             match (self.at(&path), known) {
@@ -128,7 +132,7 @@
             }
         };
         let kb = one("value_kb", 1.0, 64.0, known.map(|k| k.value_bytes as f64 / 1024.0));
-        crate::state::Limits {
+        crate::key_value_client::Limits {
             rps: one("rps", 1.0, 1.0e6, known.map(|k| k.rps)),
             write_rps: one("write_rps", 1.0, 1.0e6, known.map(|k| k.write_rps)),
             value_bytes: (kb * 1024.0) as usize,
--- a/crates/controller/src/users.rs
+++ b/crates/controller/src/user_api.rs
@@ -3,9 +3,9 @@
 //!
 //! No answer is ever older than one that any node gave before: an end never changes, and "not ended" is said only after the state service confirmed it.
 
-mod checks;
 #[cfg(test)]
-pub mod stand_in;
+pub mod fake_cluster;
+mod job_checks;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -15,18 +15,18 @@
 use tokio::time::{sleep, Duration, Instant};
 use tracing::{debug, info};
 use walnutlug_admission::turns::TurnQueue;
-use walnutlug_scheduler::document::Document;
-use walnutlug_scheduler::job::{keys, End, JobSpec, Rank};
-use walnutlug_scheduler::records::{chunk_size, todo_value};
-use walnutlug_scheduler::registry::Outcome;
-use walnutlug_scheduler::wire::{self, is_job_ref, job_answer, Change, Guard, Stage, Txn};
+use walnutlug_scheduler::model::job::{keys, End, JobSpec, Rank};
+use walnutlug_scheduler::protocol::{self, is_job_ref, job_answer, Change, Guard, Stage, Txn};
+use walnutlug_scheduler::scheduler::Outcome;
+use walnutlug_scheduler::storage::document::Document;
+use walnutlug_scheduler::storage::records::{chunk_size, todo_value};
 
-use checks::check;
+use job_checks::check;
 
 use crate::http::server::Answer;
+use crate::key_value_client::{Class, State};
 use crate::node::Node;
 use crate::peers::Frame;
-use crate::state::{Class, State};
 
 /// What this node knows of a job for certain.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -173,7 +173,7 @@
 
 pub async fn submit(node: Rc<Node>, body: Vec<u8>) -> Answer {
     let started = Instant::now();
-    let (name, spec) = match wire::parse_submission(&body) {
+    let (name, spec) = match protocol::parse_submission(&body) {
         Ok(parsed) => parsed,
         Err(e) => return Answer::error(400, e.to_string()),
     };
@@ -557,7 +557,7 @@
 }
 
 /// Keeps the types for nodes that start while the cloud is down.
-pub async fn share_types(state: &State, types: &[wire::MachineType]) -> Outcome {
+pub async fn share_types(state: &State, types: &[protocol::MachineType]) -> Outcome {
     let value = serde_json::json!({"breeds": types});
     if value.to_string().len() > state.limits().value_bytes {
         // Sent all the same, each refusal would be taken for limits that fell once more.
@@ -569,6 +569,6 @@
 }
 
 #[cfg(test)]
-mod meetings_tests;
+mod concurrent_failures_tests;
 #[cfg(test)]
 mod tests;
--- a/crates/controller/src/users/meetings_tests.rs
+++ b/crates/controller/src/user_api/concurrent_failures_tests.rs
@@ -9,7 +9,7 @@
 use serde_json::{json, Value};
 use tokio::task::LocalSet;
 
-use super::stand_in::{Fault, StandIn};
+use super::fake_cluster::{Fault, StandIn};
 use super::*;
 
 /// What a user was told of one job, and when the answer came.
--- a/crates/controller/src/users/stand_in.rs
+++ b/crates/controller/src/user_api/fake_cluster.rs
@@ -8,9 +8,9 @@
 use serde_json::{json, Value};
 use tokio::sync::mpsc;
 use tokio::time::{sleep, Duration};
-use walnutlug_fault_injection::store::Store;
+use walnutlug_fault_injection::fake_key_value_store::Store;
+use walnutlug_scheduler::protocol::{MachineType, Txn};
 use walnutlug_scheduler::tunables::Tunables;
-use walnutlug_scheduler::wire::{MachineType, Txn};
 
 use crate::http::client::{Answering, Client, Failure, Response};
 use crate::node::{peer_queue, Node};
--- a/crates/controller/src/users/checks.rs
+++ b/crates/controller/src/user_api/job_checks.rs
@@ -5,13 +5,13 @@
 
 use tokio::time::{Duration, Instant};
 use tracing::info;
-use walnutlug_scheduler::job::{keys, End};
-use walnutlug_scheduler::registry::Outcome;
-use walnutlug_scheduler::wire::{Change, Guard, Txn};
+use walnutlug_scheduler::model::job::{keys, End};
+use walnutlug_scheduler::protocol::{Change, Guard, Txn};
+use walnutlug_scheduler::scheduler::Outcome;
 
 use super::{Known, Status};
+use crate::key_value_client::{Class, StateError};
 use crate::node::Node;
-use crate::state::{Class, StateError};
 
 /// Asks for many jobs in transactions that only compare: of one known to be accepted whether it, or
 /// anything that it needs, has ended; of any other whether it exists. What is not ended by then was
--- a/crates/controller/src/users/tests.rs
+++ b/crates/controller/src/user_api/tests.rs
@@ -1,7 +1,7 @@
 use serde_json::{json, Value};
 use tokio::task::LocalSet;
 
-use super::stand_in::{Fault, StandIn};
+use super::fake_cluster::{Fault, StandIn};
 use super::*;
 
 const JOB: &str = "req-000412";
--- a/crates/controller/src/workers.rs
+++ b/crates/controller/src/worker_api.rs
@@ -3,20 +3,20 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use walnutlug_scheduler::leadership::Role;
-use walnutlug_scheduler::registry::DirectOutcome;
+use walnutlug_scheduler::leadership::election::Role;
+use walnutlug_scheduler::protocol::{Commands, Redirect, Report, ReportAnswer, WorkerCommand};
+use walnutlug_scheduler::reconciliation::repeated_heartbeats::{Holder, SettledReport, OWN_NODE};
+use walnutlug_scheduler::scheduler::DirectOutcome;
 use walnutlug_scheduler::time::Span;
-use walnutlug_scheduler::unchanged::{Holder, SettledReport, OWN_NODE};
-use walnutlug_scheduler::wire::{Commands, Redirect, Report, ReportAnswer, WorkerCommand};
 
+use crate::heartbeat_delegation;
 use crate::http::client::{Client, Failure};
 use crate::http::server::Answer;
 use crate::node::Node;
-use crate::serving;
 
-mod repeated;
-use repeated::sequence_in;
-pub use repeated::WorkerConnection;
+mod connection;
+use connection::sequence_in;
+pub use connection::WorkerConnection;
 
 /// Reads a report; what is malformed changes nothing.
 fn parse(body: &[u8]) -> Result<Report, String> {
@@ -45,10 +45,10 @@
     if matches!(node.leadership.borrow().role(), Role::Leading { .. }) {
         return answer_report(node, connection, body);
     }
-    if let Some(token) = serving::repeated(node, connection, body) {
+    if let Some(token) = heartbeat_delegation::repeated(node, connection, body) {
         return accepted(token, Vec::new());
     }
-    match serving::forward(node, connection, body).await {
+    match heartbeat_delegation::forward(node, connection, body).await {
         Some(answer) => answer,
         None => redirect(node),
     }
--- a/crates/controller/src/workers/repeated.rs
+++ b/crates/controller/src/worker_api/connection.rs
@@ -4,8 +4,8 @@
 use std::ops::Range;
 use std::rc::Rc;
 
-use walnutlug_scheduler::unchanged::SettledReport;
-use walnutlug_scheduler::wire::sequence_digits;
+use walnutlug_scheduler::protocol::sequence_digits;
+use walnutlug_scheduler::reconciliation::repeated_heartbeats::SettledReport;
 
 /// Longer reports are read in full each time: some thousand connections remember one each.
 const MOST_REMEMBERED: usize = 4 * 1024;
--- a/crates/controller/tests/fencing.rs
+++ b/crates/controller/tests/fencing.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use walnutlug_fault_injection::run::{run, Plan};
+use walnutlug_fault_injection::freeze_scenario::{run, Plan};
 
 const FREEZES: usize = 5;
 /// Far longer than that takes on a slow computer.
--- a/crates/controller/tests/overload.rs
+++ b/crates/controller/tests/overload.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use walnutlug_fault_injection::overload::{run, Plan, TEAMS};
+use walnutlug_fault_injection::overload_scenario::{run, Plan, TEAMS};
 
 const LENGTH: Duration = Duration::from_secs(32);
 /// Jobs of the flood that may start before a job of another team that came later: all machines once over, and
--- a/crates/controller/tests/versions.rs
+++ b/crates/controller/tests/versions.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use walnutlug_fault_injection::versions::{run, Plan};
+use walnutlug_fault_injection::version_scenario::{run, Plan};
 
 const LENGTH: Duration = Duration::from_secs(16);
 
--- a/crates/fault-injection/src/check.rs
+++ b/crates/fault-injection/src/action_checker.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::cloud::{Effect, Logged};
+use crate::fake_cloud::{Effect, Logged};
 
 /// What the log shows.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
--- a/crates/fault-injection/src/controllers.rs
+++ b/crates/fault-injection/src/controllers.rs
@@ -11,10 +11,10 @@
 use tokio::net::TcpListener;
 use tokio::process::{Child, Command};
 
-use crate::cloud::{self, Cloud};
+use crate::fake_cloud::{self, Cloud};
+use crate::fake_key_value_service::{self, StateService};
+use crate::fake_workers::LEASE;
 use crate::freeze::Freezer;
-use crate::state::{self, StateService};
-use crate::worker::LEASE;
 
 pub const NODES: usize = 3;
 
@@ -85,8 +85,10 @@
             .collect();
         let mut files = Vec::new();
         for node in 0..NODES {
-            let state_address = serve(state::router(state.clone(), freezer.clone(), node)).await;
-            let cloud_address = serve(cloud::router(cloud.clone(), freezer.clone(), node)).await;
+            let state_address =
+                serve(fake_key_value_service::router(state.clone(), freezer.clone(), node)).await;
+            let cloud_address =
+                serve(fake_cloud::router(cloud.clone(), freezer.clone(), node)).await;
             let others = (0..NODES).filter(|&other| other != node).map(
                 |other| json!({"node_name": names[other], "zone": "a", "peer_addr": peers[other]}),
             );
--- a/crates/fault-injection/src/elections.rs
+++ b/crates/fault-injection/src/elections.rs
@@ -3,9 +3,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use walnutlug_scheduler::job::keys;
+use walnutlug_scheduler::model::job::keys;
 
-use crate::store::Event;
+use crate::fake_key_value_store::Event;
 
 /// Which of the two programs a node runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/fault-injection/src/cloud.rs
+++ b/crates/fault-injection/src/fake_cloud.rs
@@ -12,9 +12,9 @@
 use serde::Deserialize;
 use serde_json::{json, Value};
 
+use crate::fake_key_value_service::{Holder, StateService};
+use crate::fake_workers::{Fleet, Rented};
 use crate::freeze::{Freezer, Point};
-use crate::state::{Holder, StateService};
-use crate::worker::{Fleet, Rented};
 
 /// What a request did.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/crates/fault-injection/src/state.rs
+++ b/crates/fault-injection/src/fake_key_value_service.rs
@@ -12,10 +12,10 @@
 use serde::Deserialize;
 use serde_json::{json, Value};
 use tokio::sync::Notify;
-use walnutlug_scheduler::wire::{Change, Txn};
+use walnutlug_scheduler::protocol::{Change, Txn};
 
+use crate::fake_key_value_store::{Event, Store};
 use crate::freeze::{Freezer, Point};
-use crate::store::{Event, Store};
 
 type Answer = (StatusCode, Json<Value>);
 
--- a/crates/fault-injection/src/store.rs
+++ b/crates/fault-injection/src/fake_key_value_store.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use serde_json::{json, Value};
-use walnutlug_scheduler::wire::{Change, Txn};
+use walnutlug_scheduler::protocol::{Change, Txn};
 
 /// A key's value, the revision of its last change, and the lease that it ends with.
 #[derive(Debug, Clone, PartialEq)]
--- a/crates/fault-injection/src/freeze.rs
+++ b/crates/fault-injection/src/freeze.rs
@@ -6,7 +6,7 @@
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 
-use crate::state::StateService;
+use crate::fake_key_value_service::StateService;
 
 /// Where in an action a holder can be frozen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/freeze_scenario.rs
@@ -8,13 +8,13 @@
 use hdrhistogram::Histogram;
 use serde_json::json;
 
-use crate::check::{check, Findings};
-use crate::cloud::Cloud;
+use crate::action_checker::{check, Findings};
 use crate::controllers::{lock, Addresses, Controllers, Setup, NODES};
+use crate::fake_cloud::Cloud;
+use crate::fake_key_value_service::{Holder, StateService};
+use crate::fake_workers::Fleet;
 use crate::freeze::{Freezer, Point, POINTS};
-use crate::state::{Holder, StateService};
 use crate::user::{count_done, submission, User};
-use crate::worker::Fleet;
 
 const TASK_TAKES: Duration = Duration::from_millis(700);
 const SUBMIT_EVERY: Duration = Duration::from_millis(350);
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,16 +1,16 @@
 //! Real controllers on loopback against stand-ins for everything around them, a harness that freezes the
 //! leader, a play with two versions of the program, and a checker of what the cloud was asked.
 
-pub mod check;
-pub mod cloud;
+pub mod action_checker;
 pub mod controllers;
 pub mod elections;
+pub mod fake_cloud;
+pub mod fake_key_value_service;
+pub mod fake_key_value_store;
+pub mod fake_workers;
 pub mod freeze;
-pub mod overload;
-pub mod run;
-pub mod state;
-pub mod store;
+pub mod freeze_scenario;
+pub mod overload_scenario;
 pub mod user;
-pub mod versions;
-pub mod worker;
+pub mod version_scenario;
 pub mod workload;
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use clap::{Parser, Subcommand};
-use walnutlug_fault_injection::{overload, run, versions};
+use walnutlug_fault_injection::{freeze_scenario, overload_scenario, version_scenario};
 
 #[derive(Parser)]
 #[command(about = "Plays failures of three real controllers on loopback")]
@@ -61,21 +61,26 @@
     match play {
         Play::Freezes { script, freezes, minutes } => {
             let within = Duration::from_secs(60 * minutes);
-            tell_freezes(&run::run(&run::Plan { program, script, freezes, within }).await)
+            tell_freezes(
+                &freeze_scenario::run(&freeze_scenario::Plan { program, script, freezes, within })
+                    .await,
+            )
         }
         Play::Overload { script, minutes } => {
             let length = Duration::from_secs_f64(60.0 * minutes);
-            tell_overload(&overload::run(&overload::Plan { program, script, length }).await)
+            tell_overload(
+                &overload_scenario::run(&overload_scenario::Plan { program, script, length }).await,
+            )
         }
         Play::Versions { previous, script, minutes } => {
             let length = Duration::from_secs_f64(60.0 * minutes);
-            let plan = versions::Plan { program, previous, script, length };
-            tell_versions(&versions::run(&plan).await)
+            let plan = version_scenario::Plan { program, previous, script, length };
+            tell_versions(&version_scenario::run(&plan).await)
         }
     }
 }
 
-fn tell_overload(report: &overload::Report) -> ExitCode {
+fn tell_overload(report: &overload_scenario::Report) -> ExitCode {
     println!("controllers killed {}, frozen {}", report.killed, report.frozen);
     println!("tasks that ran twice at once {:?}", report.ran_twice);
     let mut lost = 0;
@@ -104,7 +109,7 @@
     }
 }
 
-fn tell_freezes(report: &run::Report) -> ExitCode {
+fn tell_freezes(report: &freeze_scenario::Report) -> ExitCode {
     let vacant = |quantile| report.vacant_ms.value_at_quantile(quantile);
     println!("freezes {} (aimed at each point: {:?})", report.freezes, report.aimed);
     println!("terms {}, intents stored {}", report.terms, report.intents);
@@ -124,7 +129,7 @@
     }
 }
 
-fn tell_versions(report: &versions::Report) -> ExitCode {
+fn tell_versions(report: &version_scenario::Report) -> ExitCode {
     let history = &report.history;
     let ways = [
         ("elections", history.elections),
--- a/crates/fault-injection/src/overload.rs
+++ b/crates/fault-injection/src/overload_scenario.rs
@@ -10,12 +10,12 @@
 use hdrhistogram::Histogram;
 use serde_json::json;
 
-use crate::cloud::Cloud;
 use crate::controllers::{lock, Addresses, Controllers, Setup, NODES};
+use crate::fake_cloud::Cloud;
+use crate::fake_key_value_service::StateService;
+use crate::fake_workers::Fleet;
 use crate::freeze::Freezer;
-use crate::state::StateService;
 use crate::user::{client, count_done, submission};
-use crate::worker::Fleet;
 
 /// The team that floods, and the others.
 pub const TEAMS: [&str; 3] = ["flood", "two", "three"];
--- a/crates/fault-injection/src/versions.rs
+++ b/crates/fault-injection/src/version_scenario.rs
@@ -10,13 +10,13 @@
 
 use tokio::task::JoinSet;
 
-use crate::cloud::Cloud;
 use crate::controllers::{Addresses, Controllers, Setup, NODES};
 use crate::elections::{BothWays, Elections, Version};
+use crate::fake_cloud::Cloud;
+use crate::fake_key_value_service::StateService;
+use crate::fake_workers::Fleet;
 use crate::freeze::Freezer;
-use crate::state::StateService;
 use crate::user::User;
-use crate::worker::Fleet;
 use crate::workload::{Workload, TEAM};
 
 /// The node that runs the version before.
--- a/crates/fault-injection/tests/elections.rs
+++ b/crates/fault-injection/tests/elections.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{json, Value};
 use walnutlug_fault_injection::elections::{BothWays, Elections, Version};
-use walnutlug_fault_injection::store::Event;
+use walnutlug_fault_injection::fake_key_value_store::Event;
 
 fn event(key: &str, value: Option<Value>) -> Event {
     Event { mark: 0, key: key.to_owned(), value }
--- a/crates/fencing/src/fence.rs
+++ b/crates/fencing/src/fence.rs
@@ -1,8 +1,8 @@
 //! Writes that take effect only while the writer still holds its duty.
 
-use walnutlug_scheduler::wire::{Change, Guard, Txn};
+use walnutlug_scheduler::protocol::{Change, Guard, Txn};
 
-use crate::duty::{Duty, Epoch};
+use crate::leased_role::{Duty, Epoch};
 
 /// What every write of a duty's holder is conditional on. There is none without an epoch.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/crates/fencing/src/intent.rs
+++ b/crates/fencing/src/intent.rs
@@ -4,9 +4,9 @@
 //! them. It is dropped when all of them are settled. Whoever holds the duty next finds what is left.
 
 use serde::{Deserialize, Serialize};
-use walnutlug_scheduler::wire::{Pair, RentRequest};
+use walnutlug_scheduler::protocol::{Pair, RentRequest};
 
-use crate::duty::{check_format, Duty, Epoch, EpochError, RecordError};
+use crate::leased_role::{check_format, Duty, Epoch, EpochError, RecordError};
 
 /// Prefix of the keys of all intents.
 pub const INTENT_PREFIX: &str = "intent/";
--- a/crates/fencing/src/ledger.rs
+++ b/crates/fencing/src/intent_log.rs
@@ -6,14 +6,14 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use walnutlug_scheduler::document::Document;
-use walnutlug_scheduler::registry::Outcome;
+use walnutlug_scheduler::protocol::{Change, Pair, Txn};
+use walnutlug_scheduler::scheduler::Outcome;
+use walnutlug_scheduler::storage::document::Document;
 use walnutlug_scheduler::time::{Span, Time};
-use walnutlug_scheduler::wire::{Change, Pair, Txn};
 
-use crate::duty::{EpochError, RecordError};
 use crate::fence::{Fence, FencedWrite};
 use crate::intent::{intent_key, Action, IntentRecord, Rental, ReturnedMachine, StoredIntent};
+use crate::leased_role::{EpochError, RecordError};
 
 /// How long settled records wait for a write to go along with.
 const DROP_DELAY: Span = Span::secs(2);
--- a/crates/fencing/src/lease.rs
+++ b/crates/fencing/src/lease.rs
@@ -6,7 +6,7 @@
 
 use walnutlug_scheduler::time::{Span, Time};
 
-use crate::duty::{Epoch, EpochError};
+use crate::leased_role::{Epoch, EpochError};
 
 /// How far apart the steady clocks of two machines may drift, as a part of the time that passed: 0.05%, by
 /// the protocol, on either side.
--- a/crates/fencing/src/duty.rs
+++ b/crates/fencing/src/leased_role.rs
@@ -2,9 +2,9 @@
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
-use walnutlug_scheduler::document::Document;
-use walnutlug_scheduler::job::keys;
-use walnutlug_scheduler::wire::{Change, Guard, Pair, Txn};
+use walnutlug_scheduler::model::job::keys;
+use walnutlug_scheduler::protocol::{Change, Guard, Pair, Txn};
+use walnutlug_scheduler::storage::document::Document;
 
 /// Prefix of the keys that name the holders.
 pub const DUTY_PREFIX: &str = "duty/";
--- a/crates/fencing/src/lib.rs
+++ b/crates/fencing/src/lib.rs
@@ -6,9 +6,9 @@
 
 #![warn(missing_docs)]
 
-pub mod balance;
-pub mod duty;
 pub mod fence;
 pub mod intent;
+pub mod intent_log;
 pub mod lease;
-pub mod ledger;
+pub mod leased_role;
+pub mod role_balancer;
--- a/crates/fencing/tests/parts.rs
+++ b/crates/fencing/tests/components.rs
@@ -1,12 +1,12 @@
 //! Leases, the balance and stored records, each by itself.
 
 use serde_json::json;
-use walnutlug_fencing::balance::{Balance, Standing};
-use walnutlug_fencing::duty::{Duty, Epoch, EpochError, RecordError};
 use walnutlug_fencing::intent::{intent_key, StoredIntent};
 use walnutlug_fencing::lease::{certain_for, DutyLease, LeaseInput, LeaseState};
+use walnutlug_fencing::leased_role::{Duty, Epoch, EpochError, RecordError};
+use walnutlug_fencing::role_balancer::{Balance, Standing};
+use walnutlug_scheduler::protocol::Pair;
 use walnutlug_scheduler::time::{Span, Time};
-use walnutlug_scheduler::wire::Pair;
 
 const TTL: Span = Span::secs(10);
 const START: Time = Time(1 << 40);
--- a/crates/fencing/tests/golden_bytes.rs
+++ b/crates/fencing/tests/golden_bytes.rs
@@ -7,16 +7,16 @@
 use golden_file::Golden;
 use serde::Serialize;
 use serde_json::{json, Value};
-use walnutlug_fencing::duty::{Duty, Epoch, HolderRecord, Holding, HOLDER_FORMAT};
 use walnutlug_fencing::fence::{Fence, FencedWrite};
 use walnutlug_fencing::intent::{
     intent_key, Action, IntentRecord, Rental, ReturnedMachine, StoredIntent,
 };
-use walnutlug_fencing::ledger::{ActionAnswer, Ledger, LedgerCommand, WriteLimits};
-use walnutlug_scheduler::job::keys;
-use walnutlug_scheduler::registry::Outcome;
+use walnutlug_fencing::intent_log::{ActionAnswer, Ledger, LedgerCommand, WriteLimits};
+use walnutlug_fencing::leased_role::{Duty, Epoch, HolderRecord, Holding, HOLDER_FORMAT};
+use walnutlug_scheduler::model::job::keys;
+use walnutlug_scheduler::protocol::{Change, Pair, Txn};
+use walnutlug_scheduler::scheduler::Outcome;
 use walnutlug_scheduler::time::{Span, Time};
-use walnutlug_scheduler::wire::{Change, Pair, Txn};
 
 const RECORDS: &str = "tests/golden/records.txt";
 const WRITES: &str = "tests/golden/ledger.txt";
--- a/crates/fencing/tests/transcripts.rs
+++ b/crates/fencing/tests/transcripts.rs
@@ -12,17 +12,17 @@
 
 use golden::{Dice, Transcript};
 use serde_json::{json, Value};
-use walnutlug_fencing::balance::{Balance, Standing};
-use walnutlug_fencing::duty::{Duty, Epoch, EpochError, HolderRecord, Holding, RecordError};
 use walnutlug_fencing::fence::Fence;
 use walnutlug_fencing::intent::{Action, Rental, ReturnedMachine, StoredIntent, INTENT_PREFIX};
-use walnutlug_fencing::lease::{DutyLease, LeaseInput, LeaseState};
-use walnutlug_fencing::ledger::{
+use walnutlug_fencing::intent_log::{
     ActionAnswer, ActionId, Ledger, LedgerCommand, Stopped, WriteLimits,
 };
-use walnutlug_scheduler::registry::Outcome;
+use walnutlug_fencing::lease::{DutyLease, LeaseInput, LeaseState};
+use walnutlug_fencing::leased_role::{Duty, Epoch, EpochError, HolderRecord, Holding, RecordError};
+use walnutlug_fencing::role_balancer::{Balance, Standing};
+use walnutlug_scheduler::protocol::{Change, Pair, Txn};
+use walnutlug_scheduler::scheduler::Outcome;
 use walnutlug_scheduler::time::{Span, Time};
-use walnutlug_scheduler::wire::{Change, Pair, Txn};
 
 const START: Time = Time(1 << 40);
 const SCRIPTS: [&str; 4] = ["ledger", "leases", "balance", "records"];
--- a/crates/scheduler/src/fleet.rs
+++ b/crates/scheduler/src/autoscaling.rs
@@ -1,15 +1,17 @@
 //! Machines: what to rent, what to return, what the money goes to.
 
+pub mod offers;
+
 use std::collections::{BTreeMap, HashMap};
 
 use walnutlug_admission::shares::ClassId;
 
-use crate::job::SLACK;
-use crate::market::{Market, Offer, Paper, MOST_ASKED};
-use crate::queue::Urgency;
-use crate::registry::{Command, Job, JobIx, MachineState, Scheduler};
+use crate::autoscaling::offers::{Market, Offer, Paper, MOST_ASKED};
+use crate::model::job::SLACK;
+use crate::protocol::{ListedMachine, MachineStage};
+use crate::queue::order::Urgency;
+use crate::scheduler::{Command, Job, JobIx, MachineState, Scheduler};
 use crate::time::{Span, Time};
-use crate::wire::{ListedMachine, MachineStage};
 
 #[derive(Debug, Default)]
 pub struct Fleet {
@@ -76,7 +78,7 @@
         self.judge_machines(now, &unheard);
         self.evacuate(now);
         let ours =
-            |m: &crate::registry::Machine| m.state == MachineState::Up && m.draining.is_none();
+            |m: &crate::scheduler::Machine| m.state == MachineState::Up && m.draining.is_none();
         if !unheard.is_empty()
             && self.machines.iter().all(|m| !ours(m) || unheard.contains(&m.zone))
         {
@@ -628,7 +630,7 @@
 impl Scheduler {
     /// Takes over newer machine types. The places of known ones don't change, since machines
     /// refer to them.
-    pub fn set_types(&mut self, types: Vec<crate::wire::MachineType>) {
+    pub fn set_types(&mut self, types: Vec<crate::protocol::MachineType>) {
         for new in types {
             match self.types.iter_mut().find(|t| t.name == new.name) {
                 Some(known) => *known = new,
--- a/crates/scheduler/src/market.rs
+++ b/crates/scheduler/src/autoscaling/offers.rs
@@ -1,6 +1,6 @@
 //! What the cloud offers, and trying placements on machines that aren't there yet.
 
-use crate::job::{JobSpec, SLACK};
+use crate::model::job::{JobSpec, SLACK};
 
 /// A kind of machine that can be asked for: type, zone, spot or ordinary.
 pub type Offer = (usize, String, bool);
--- a/crates/scheduler/src/job.rs
+++ b/crates/scheduler/src/model/job.rs
@@ -4,7 +4,7 @@
 
 use walnutlug_admission::resources::Resources;
 
-use crate::wire::MachineType;
+use crate::protocol::MachineType;
 
 /// Priority of a job; the greater comes first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -2,11 +2,11 @@
 
 use walnutlug_admission::resources::Resources;
 
-use crate::job::{JobSpec, Rank, SLACK};
-use crate::leadership::token;
-use crate::queue::{Lift, Urgency};
-use crate::registry::{grace_of, Job, JobIx, Machine, MachineState, Scheduler, TaskId, OVERDUE};
-use crate::task::{MachineIx, Phase};
+use crate::leadership::election::token;
+use crate::model::job::{JobSpec, Rank, SLACK};
+use crate::model::task::{MachineIx, Phase};
+use crate::queue::order::{Lift, Urgency};
+use crate::scheduler::{grace_of, Job, JobIx, Machine, MachineState, Scheduler, TaskId, OVERDUE};
 use crate::time::{Span, Time};
 
 /// Without a job of a class for this long, no room is kept for its next one.
--- a/crates/scheduler/src/wire.rs
+++ b/crates/scheduler/src/protocol.rs
@@ -3,8 +3,8 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Map, Value};
 
-use crate::document::Document;
-use crate::job::{JobSpec, Rank};
+use crate::model::job::{JobSpec, Rank};
+use crate::storage::document::Document;
 
 /// What a submission may be refused for as malformed: the field and what is wrong with it.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
--- a/crates/scheduler/src/chain.rs
+++ b/crates/scheduler/src/queue/dependencies.rs
@@ -8,9 +8,9 @@
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-use crate::job::{End, JobSpec};
-use crate::registry::{Command, Job, JobIx, Scheduler};
-use crate::task::Phase;
+use crate::model::job::{End, JobSpec};
+use crate::model::task::Phase;
+use crate::scheduler::{Command, Job, JobIx, Scheduler};
 use crate::time::{Span, Time};
 
 /// Names in one question about ends.
--- a/crates/scheduler/src/sharing.rs
+++ b/crates/scheduler/src/queue/fair_share.rs
@@ -1,6 +1,6 @@
 //! An overloaded fleet is shared: which part of it each team and class holds, and whose turn it is.
 //!
-//! Below overload the queue's own order decides alone ([`crate::queue`]). Above it, room goes out in
+//! Below overload the queue's own order decides alone ([`crate::queue::order`]). Above it, room goes out in
 //! portions by the rules of [`walnutlug_admission::deal`]; within a class the queue's order stays.
 
 use std::collections::{BTreeMap, HashMap};
@@ -10,14 +10,14 @@
 use walnutlug_admission::saturation::{Change, Saturation, Thresholds};
 use walnutlug_admission::shares::{ClassId, Entitlement, Shares, TeamId};
 
-use crate::job::SLACK;
+use crate::model::job::SLACK;
+use crate::model::task::MachineIx;
 use crate::placement::MOST_PRESSED;
-use crate::queue::{Lift, Urgency};
-use crate::registry::{Job, JobIx, Machine, MachineState, Scheduler};
-use crate::task::MachineIx;
+use crate::protocol::MachineType;
+use crate::queue::order::{Lift, Urgency};
+use crate::scheduler::{Job, JobIx, Machine, MachineState, Scheduler};
 use crate::time::{Span, Time};
 use crate::tunables::{Site, Tunables};
-use crate::wire::MachineType;
 
 /// A portion of room, as a part of the fleet: small enough that the shares of a few teams come out
 /// even, large enough that a job of usual size is one portion.
@@ -89,7 +89,7 @@
 fn entitlements(site: &Site, tun: &Tunables) -> HashMap<String, Entitlement> {
     let guaranteed: Vec<f64> = site.teams.iter().map(|t| t.cpus).filter(|&c| c > 0.0).collect();
     let mean = guaranteed.iter().sum::<f64>() / guaranteed.len().max(1) as f64;
-    let entitlement = |team: &crate::job::Team| {
+    let entitlement = |team: &crate::model::job::Team| {
         let by_guarantee = if team.cpus > 0.0 { team.cpus / mean } else { 1.0 };
         Entitlement {
             weight: tun.team_weights.get(&team.name).copied().unwrap_or(by_guarantee),
--- /dev/null
+++ b/crates/scheduler/src/queue/order.rs
@@ -0,0 +1,196 @@
+//! The order of the queue: how urgent each job is, by age, priority, guarantee and slack.
+
+use std::cmp::Ordering;
+
+use crate::model::job::{Rank, SLACK};
+use crate::scheduler::{Job, JobIx, Scheduler};
+use crate::time::{Span, Time};
+
+/// How much a job's share of the fleet counts against its slack.
+const SIZE_WEIGHT: f64 = 8.0;
+/// Seconds after which a missed aim on starting is given up, and the one on finishing counts.
+const GRACE: f64 = 1.5;
+
+/// The part of its expected run that a job has to have time for, below overload.
+const HALF_RUN: f64 = 0.5;
+/// What the slowest of its tasks takes of that in an overload, where nothing is left to chance.
+const SLOWEST_TASK: f64 = 1.2;
+
+/// Where a job stands in the queue. Smaller comes first.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct Urgency {
+    /// Has waited so long that age outweighs all else.
+    pub lift: Lift,
+    pub rank: Rank,
+    /// Within its team's guarantee.
+    pub owed: bool,
+    /// Can't meet its deadline any more: others still can.
+    pub hopeless: bool,
+    /// Seconds until the job has to start to meet its aim.
+    pub slack: f64,
+    /// Seconds that the job's own work takes of the whole fleet, weighted.
+    pub size: f64,
+    /// The same without the aim on starting: what a machine that has yet to boot can still help.
+    pub finish_slack: f64,
+    pub accepted: Time,
+}
+
+/// What age lifts a job to. Under lasting overload the order by priority and slack would starve a
+/// class, a team or the largest jobs, and an accepted job has to run.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Lift {
+    None,
+    /// Unfinished for long: first within a part of the fleet.
+    Old,
+    /// Nothing of it has run yet: its first task goes before everything.
+    Unbegun,
+}
+
+impl Urgency {
+    pub fn order(&self, other: &Urgency) -> Ordering {
+        other
+            .lift
+            .cmp(&self.lift)
+            .then(other.rank.cmp(&self.rank))
+            .then(other.owed.cmp(&self.owed))
+            .then(self.hopeless.cmp(&other.hopeless))
+            .then((self.slack + self.size).total_cmp(&(other.slack + other.size)))
+            .then(self.accepted.cmp(&other.accepted))
+    }
+}
+
+impl Scheduler {
+    /// How long a task of the job is expected to run. The owner's estimate is corrected by what
+    /// the class's tasks took so far, and by the job's own once some have completed; an estimate
+    /// of nothing, or an absurd one, is bounded so that it can't upset the order.
+    pub fn expected_run(&self, job: &Job) -> f64 {
+        if job.run_times.1 >= 2 {
+            return job.run_times.0 / f64::from(job.run_times.1);
+        }
+        let estimate = job.spec.estimate_s.clamp(0.1, 1.0e6);
+        match self.ratios.get(&job.spec.class) {
+            Some(&(sum, n)) if n >= 5.0 => estimate * (sum / n).exp(),
+            _ => estimate,
+        }
+    }
+
+    pub fn urgency(&self, now: Time, job: &Job) -> Urgency {
+        let spec = &job.spec;
+        let run = self.expected_run(job);
+        // What a job waited for others is no delay of its own.
+        let age = now.since(job.released).as_secs();
+        let mut slack = f64::INFINITY;
+        let mut hopeless = false;
+        let mut size = 0.0;
+        if let Some(due) = &job.due {
+            // Estimates err by half: only what is far beyond its time is given up, and then the
+            // class's longer deadline counts, if it has one. A step of a chain shares the deadline
+            // of the job at its end, and leaves the time for what comes between.
+            let deadline = due.deadline_s;
+            let takes = now.since(due.accepted).as_secs() + due.after_s;
+            let needs = self.least_run(job, run);
+            let least = (takes + needs) / deadline.max(0.1);
+            slack = deadline * self.site.deadline_times(&due.class, least) - takes - run;
+            hopeless = slack < needs - run;
+        }
+        let finish_aim = if self.sharing.is_on() {
+            // One that is missed for certain hurries nothing any more.
+            let needs = age + self.least_run(job, run);
+            let next = self.site.next_finish_aim(&spec.class, Span::from_secs(needs));
+            hopeless |= next.is_none() && self.site.finish_aim(&spec.class).is_some();
+            next
+        } else {
+            self.site.finish_aim(&spec.class)
+        };
+        if let Some(within) = finish_aim {
+            slack = slack.min(within.as_secs() - age - run);
+        }
+        let finish_slack = slack;
+        // Under overload not all jobs can be in time; the large ones would make many small ones late.
+        if slack.is_finite() && self.fleet_cpus > 0.0 {
+            let left = f64::from(spec.tasks - job.done) * spec.cpus * run;
+            size = (left / self.fleet_cpus * SIZE_WEIGHT).min(600.0);
+        }
+        // A start that is late already gains nothing from being hurried further: then the class's
+        // next aim on starting counts, if it has a looser one.
+        let lost = Span::from_secs(age - GRACE);
+        match self.site.next_wait_aim(&spec.class, lost) {
+            Some(within) => slack = slack.min(within.as_secs() - age),
+            None if slack == f64::INFINITY => {
+                if let Some(within) = self.site.wait_aim(&spec.class) {
+                    slack = within.as_secs() - age;
+                }
+            }
+            None => {}
+        }
+        if slack == f64::INFINITY {
+            // Without any aim, age alone counts, behind everything that is pressed for time.
+            slack = 3_600.0 - age;
+        }
+        let owed = self.site.team(&spec.team).is_some_and(|team| {
+            let (cpus, gpus) = self.team_use.get(&spec.team).copied().unwrap_or_default();
+            let within = |used: f64, takes: f64, owed: f64| {
+                takes <= 0.0 || (owed > 0.0 && used + takes <= owed + SLACK)
+            };
+            (team.cpus > 0.0 || team.gpus > 0.0)
+                && within(cpus, spec.cpus, team.cpus)
+                && within(gpus, spec.gpus, team.gpus)
+        });
+        Urgency {
+            lift: self.lift(now, job),
+            rank: job.rank,
+            owed,
+            hopeless,
+            size,
+            slack,
+            finish_slack,
+            accepted: job.released,
+        }
+    }
+
+    /// The time that the job has to have left, in seconds, to be worth trying. Estimates err by half, so
+    /// as a rule only what is far beyond its time is given up. In an overload that would make every
+    /// job late: each would wait until it can hardly be in time, and then take the room of one that
+    /// still could. There a job needs its whole run, and the time in which its class's room is free for
+    /// its tasks, unless most of it is under way already.
+    fn least_run(&self, job: &Job, run: f64) -> f64 {
+        let begun = 2 * (job.placed + job.done) >= job.spec.tasks;
+        if self.sharing.is_on() && !begun {
+            let left = f64::from(job.pending()) * job.spec.cpus * run;
+            let room = self.sharing.room_of(job.share_class()).cpus;
+            run * SLOWEST_TASK + if room > 0.0 { left / room } else { 0.0 }
+        } else {
+            run * HALF_RUN
+        }
+    }
+
+    fn lift(&self, now: Time, job: &Job) -> Lift {
+        let age = now.since(job.released);
+        if !job.begun && job.placed == 0 && age > self.tun.begin_within {
+            Lift::Unbegun
+        } else if age > self.tun.lift_after {
+            Lift::Old
+        } else {
+            Lift::None
+        }
+    }
+
+    /// Jobs with tasks to place, the most urgent first.
+    pub fn queue(&self, now: Time) -> Vec<(Urgency, JobIx)> {
+        let mut queue: Vec<(Urgency, JobIx)> = self
+            .jobs
+            .iter()
+            .filter_map(|(&ix, job)| {
+                // One that waits for others is no work yet: it takes no room and asks for none.
+                let open = !job.over
+                    && !job.held()
+                    && !job.ending
+                    && job.pending() > 0
+                    && now >= job.not_before;
+                open.then(|| (self.urgency(now, job), ix))
+            })
+            .collect();
+        queue.sort_by(|a, b| a.0.order(&b.0).then(a.1.cmp(&b.1)));
+        queue
+    }
+}
--- a/crates/scheduler/src/serving.rs
+++ b/crates/scheduler/src/reconciliation/delegation.rs
@@ -2,9 +2,9 @@
 //!
 //! A follower holds a share of the workers' connections. A report that may say something new goes to the
 //! leader, whose answer it passes on. A repetition of a report that left nothing to do
-//! ([`crate::unchanged`]) it answers itself, and tells the leader later that the machine was heard.
+//! ([`crate::reconciliation::repeated_heartbeats`]) it answers itself, and tells the leader later that the machine was heard.
 //!
-//! Such an answer renews the leases of the machine's tasks, so the bound of [`crate::watermark`] holds for
+//! Such an answer renews the leases of the machine's tasks, so the bound of [`crate::leadership::watermark`] holds for
 //! it: whoever renews knows of every cancellation that was told before the watermark. The follower knows
 //! nothing itself; it has the leader's knowledge, as of the last [`Grant`]. It asks, and the leader's
 //! grant says how old its own watermark was. Whatever the leader knew then has withdrawn its marks before
@@ -17,11 +17,11 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use crate::task::MachineIx;
+use crate::leadership::watermark;
+use crate::model::task::MachineIx;
+use crate::reconciliation::repeated_heartbeats::SettledReport;
 use crate::time::{Span, Time};
 use crate::tunables::Site;
-use crate::unchanged::SettledReport;
-use crate::watermark;
 
 /// For how long after a grant reports are passed on to the leader that gave it.
 const FRESH: Span = Span::secs(3);
--- a/crates/scheduler/src/health.rs
+++ b/crates/scheduler/src/reconciliation/health.rs
@@ -1,7 +1,7 @@
 //! Which machines are well: silent, deaf, overdue, slow or about to be taken, each alone and all together.
 
-use crate::registry::{MachineState, Scheduler, OVERDUE};
-use crate::task::Phase;
+use crate::model::task::Phase;
+use crate::scheduler::{MachineState, Scheduler, OVERDUE};
 use crate::time::{Span, Time};
 
 /// From this many machines on, what they do together says something.
@@ -75,7 +75,7 @@
         let patience = self.patience();
         // One that is heard and doesn't hear has twice the patience: it may be the answer alone
         // that was late.
-        let lost_for = |m: &crate::registry::Machine| {
+        let lost_for = |m: &crate::scheduler::Machine| {
             let deaf = m.deaf_since.map_or(Span::ZERO, |t| Span(now.since(t).0 / 2));
             now.since(m.last_report).max(deaf)
         };
@@ -164,7 +164,7 @@
                     continue;
                 }
                 room -= job.spec.cpus;
-                leave.push((id, crate::registry::grace_of(&job.spec)));
+                leave.push((id, crate::scheduler::grace_of(&job.spec)));
             }
         }
         for (id, grace) in leave {
--- a/crates/scheduler/src/reports.rs
+++ b/crates/scheduler/src/reconciliation/heartbeats.rs
@@ -1,10 +1,10 @@
 //! Workers' reports: what they prove, and the commands that answer them. (The paper's receipts.)
 
-use crate::leadership::token;
-use crate::registry::{grace_of, Command, MachineState, Scheduler, TaskId};
-use crate::task::{Input, MachineIx, Phase};
+use crate::leadership::election::token;
+use crate::model::task::{Input, MachineIx, Phase};
+use crate::protocol::{self, Cause, Report, TaskStage, WorkerCommand};
+use crate::scheduler::{grace_of, Command, MachineState, Scheduler, TaskId};
 use crate::time::{Span, Time};
-use crate::wire::{self, Cause, Report, TaskStage, WorkerCommand};
 
 /// A start counts for the job's users if it is not stopped again within half a minute.
 pub(crate) const BEGUN_AFTER: Span = Span::secs(32);
@@ -15,28 +15,28 @@
 
 /// One task of a report, and the known task that it names, if there is one.
 pub(crate) struct ReportedTask<'a> {
-    entry: &'a wire::TaskReport,
+    entry: &'a protocol::TaskReport,
     id: Option<TaskId>,
 }
 
 /// The entries of a report that name known tasks, in the order of those.
-struct EntriesByTask<'a>(Vec<(TaskId, &'a wire::TaskReport)>);
+struct EntriesByTask<'a>(Vec<(TaskId, &'a protocol::TaskReport)>);
 
 impl<'a> EntriesByTask<'a> {
     fn new(entries: &[ReportedTask<'a>]) -> EntriesByTask<'a> {
         let known = entries.iter().filter_map(|reported| Some((reported.id?, reported.entry)));
-        let mut by_task: Vec<(TaskId, &'a wire::TaskReport)> = known.collect();
+        let mut by_task: Vec<(TaskId, &'a protocol::TaskReport)> = known.collect();
         by_task.sort_by_key(|(id, _)| *id);
         EntriesByTask(by_task)
     }
 
-    fn of(&self, id: TaskId) -> impl Iterator<Item = &'a wire::TaskReport> + '_ {
+    fn of(&self, id: TaskId) -> impl Iterator<Item = &'a protocol::TaskReport> + '_ {
         let begin = self.0.partition_point(|(other, _)| *other < id);
         self.0[begin..].iter().take_while(move |(other, _)| *other == id).map(|(_, entry)| *entry)
     }
 
     /// The entry of the highest attempt.
-    fn newest(&self, id: TaskId) -> Option<&'a wire::TaskReport> {
+    fn newest(&self, id: TaskId) -> Option<&'a protocol::TaskReport> {
         self.of(id).reduce(|best, entry| if entry.attempt > best.attempt { entry } else { best })
     }
 
@@ -49,7 +49,7 @@
 impl Scheduler {
     /// A worker's report. `None`: this node is not entitled to answer it.
     pub fn report(&mut self, now: Time, report: &Report) -> Option<(u64, Vec<WorkerCommand>)> {
-        if crate::leadership::term_of(report.token) > self.term {
+        if crate::leadership::election::term_of(report.token) > self.term {
             // Most likely true: then the leader key tells. A token that came from nowhere must not
             // end a term.
             self.note_once(&report.machine, "shows a token of a newer term than this one");
@@ -140,8 +140,8 @@
 
     /// Looks up the tasks of a report, each once.
     pub(crate) fn resolve<'a>(&self, report: &'a Report) -> Vec<ReportedTask<'a>> {
-        let resolve = |entry: &'a wire::TaskReport| {
-            let id = wire::split_task(&entry.task).and_then(|(name, index)| {
+        let resolve = |entry: &'a protocol::TaskReport| {
+            let id = protocol::split_task(&entry.task).and_then(|(name, index)| {
                 let &job_index = self.by_ref.get(name)?;
                 let exists = (index as usize) < self.job(job_index)?.tasks.len();
                 exists.then_some((job_index, index))
@@ -189,7 +189,7 @@
             return m;
         }
         self.unsettle(m);
-        if crate::leadership::term_of(report.token) > self.term {
+        if crate::leadership::election::term_of(report.token) > self.term {
             return m; // Another leader's to judge.
         }
         self.adopt(now, m, report, direct);
@@ -415,7 +415,7 @@
     }
 
     /// The job failed on the machine, and not by its own fault as far as can be told.
-    fn blame(&mut self, m: MachineIx, job: crate::registry::JobIx) {
+    fn blame(&mut self, m: MachineIx, job: crate::scheduler::JobIx) {
         let machine = &mut self.machines[m as usize];
         machine.failures.insert(job);
         if machine.failures.len() as u32 >= self.tun.sick_after && machine.draining.is_none() {
--- a/crates/scheduler/src/unchanged.rs
+++ b/crates/scheduler/src/reconciliation/repeated_heartbeats.rs
@@ -7,7 +7,7 @@
 //! nothing else.
 //!
 //! The report may have come through another node, which then answers the repetitions itself (see
-//! [`crate::serving`]); it is the holder of the mark and is told when that is withdrawn.
+//! [`crate::reconciliation::delegation`]); it is the holder of the mark and is told when that is withdrawn.
 //!
 //! This is exact and no estimate: whatever could give such a report a meaning (a task of the machine
 //! changes, its fence is raised, another report of it comes, the machine types change) withdraws the
@@ -15,12 +15,12 @@
 
 use std::collections::BTreeSet;
 
-use crate::leadership::token;
-use crate::registry::{MachineState, Scheduler, TaskId};
-use crate::reports::BEGUN_AFTER;
-use crate::task::{MachineIx, Phase};
+use crate::leadership::election::token;
+use crate::model::task::{MachineIx, Phase};
+use crate::protocol::{self, Report, TaskReport, TaskStage};
+use crate::reconciliation::heartbeats::BEGUN_AFTER;
+use crate::scheduler::{MachineState, Scheduler, TaskId};
 use crate::time::{Span, Time};
-use crate::wire::{self, Report, TaskReport, TaskStage};
 
 /// Names one report that left nothing to do. Of use to the scheduler that gave it, and to no other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -107,7 +107,7 @@
 
     /// The task, if it is reported as it is known here, and until when that means nothing.
     fn settled_task(&self, machine: MachineIx, entry: &TaskReport) -> Option<(TaskId, Time)> {
-        let (name, index) = wire::split_task(&entry.task)?;
+        let (name, index) = protocol::split_task(&entry.task)?;
         let &job_index = self.by_ref.get(name)?;
         let job = self.job(job_index)?;
         let task = job.tasks.get(index as usize)?;
--- a/crates/scheduler/src/registry.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -2,22 +2,22 @@
 //!
 //! A [`Scheduler`] lives for one term. It is built from the stored records, told what happens, and
 //! asked for commands; when the term is lost it is thrown away. Rounds and their writes are in
-//! [`crate::dispatch`], what workers tell in [`crate::reports`].
+//! [`crate::storage::transactions`], what workers tell in [`crate::reconciliation::heartbeats`].
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 use roaring::RoaringBitmap;
 use walnutlug_admission::shares::ClassId;
 
-use crate::chain::{Chains, Due};
-use crate::dispatch::PendingTxn;
-use crate::job::{JobSpec, Rank};
-use crate::leadership::token;
-use crate::task::{Input, MachineIx, Phase, Task};
+use crate::leadership::election::token;
+use crate::leadership::watermark;
+use crate::model::job::{JobSpec, Rank};
+use crate::model::task::{Input, MachineIx, Phase, Task};
+use crate::protocol::{MachineType, Report, Txn, WorkerCommand};
+use crate::queue::dependencies::{Chains, Due};
+use crate::storage::transactions::PendingTxn;
 use crate::time::{Span, Time};
 use crate::tunables::{Site, Tunables};
-use crate::watermark;
-use crate::wire::{MachineType, Report, Txn, WorkerCommand};
 
 pub type JobIx = u32;
 pub type TaskId = (JobIx, u32);
@@ -168,8 +168,8 @@
     pub completed_at: Time,
     pub draining: Option<&'static str>,
     pub return_sent: Option<Time>,
-    /// Its last report, if a repetition of that would mean nothing; see [`crate::unchanged`].
-    pub(crate) settled: Option<crate::unchanged::Settled>,
+    /// Its last report, if a repetition of that would mean nothing; see [`crate::reconciliation::repeated_heartbeats`].
+    pub(crate) settled: Option<crate::reconciliation::repeated_heartbeats::Settled>,
 }
 
 impl Machine {
@@ -345,7 +345,7 @@
     pub types: Vec<MachineType>,
     pub team_use: HashMap<String, (f64, f64)>,
     /// What the teams and their classes hold of the fleet, and whether that decides the order.
-    pub sharing: crate::sharing::Sharing,
+    pub sharing: crate::queue::fair_share::Sharing,
     pub(crate) out: Vec<Command>,
     pub(crate) txns: BTreeMap<u64, PendingTxn>,
     pub(crate) next_id: u64,
@@ -360,7 +360,7 @@
     writes: Option<(f64, f64)>,
     /// Chunks with planned starts that are not on their way to the state service.
     pub(crate) planned_chunks: usize,
-    pub(crate) tally: crate::dispatch::Tally,
+    pub(crate) tally: crate::storage::transactions::Tally,
     pub dirty: bool,
     /// Whether the lease is certainly held. Without it another node may lead: this one goes on
     /// answering its workers, so that their tasks live, and starts, rents and returns nothing.
@@ -368,7 +368,7 @@
     /// to its successor.)
     pub in_office: bool,
     /// Every cancellation that any user was told of before this is in the registry; see
-    /// [`crate::watermark`].
+    /// [`crate::leadership::watermark`].
     pub known_until: Time,
     /// Tasks that a machine shows live under an attempt that is not the registry's, and where. Whatever
     /// the registry says, they are there.
@@ -384,7 +384,7 @@
     /// Numbers the reports that left nothing to do.
     pub(crate) next_settled: u64,
     /// Those whose holders have to be told that they hold no more.
-    pub(crate) withdrawn: Vec<crate::unchanged::Withdrawn>,
+    pub(crate) withdrawn: Vec<crate::reconciliation::repeated_heartbeats::Withdrawn>,
     /// Messages to workers whose outcome is open.
     pub(crate) under_way: usize,
     /// When a worker last answered a message, and how many were lost since.
@@ -397,7 +397,7 @@
     /// Machines looked at for something to send, for tests of what a report costs.
     pub looked_at_to_send: u64,
     pub started_at: Time,
-    pub fleet: crate::fleet::Fleet,
+    pub fleet: crate::autoscaling::Fleet,
     /// Learned ratio of run time to the owner's estimate, by class: sum of logs and count.
     pub ratios: HashMap<String, (f64, f64)>,
     /// Learned size of a job, in processors, by class, and when one came last.
@@ -447,7 +447,7 @@
             gone: VecDeque::new(),
             types,
             team_use: HashMap::new(),
-            sharing: crate::sharing::Sharing::new(&site, &tun),
+            sharing: crate::queue::fair_share::Sharing::new(&site, &tun),
             out: Vec::new(),
             txns: BTreeMap::new(),
             next_id: 1,
@@ -457,7 +457,7 @@
             last_round: Time(0),
             writes: None,
             planned_chunks: 0,
-            tally: crate::dispatch::Tally::default(),
+            tally: crate::storage::transactions::Tally::default(),
             dirty: true,
             in_office: true,
             known_until: now,
@@ -476,7 +476,7 @@
             looked_at_jobs: 0,
             looked_at_to_send: 0,
             started_at: now,
-            fleet: crate::fleet::Fleet::default(),
+            fleet: crate::autoscaling::Fleet::default(),
             ratios: HashMap::new(),
             sizes: HashMap::new(),
             tun,
--- /dev/null
+++ b/crates/scheduler/src/storage.rs
@@ -0,0 +1,5 @@
+//! What is kept in the key-value store: the records, and the transactions that write them.
+
+pub mod document;
+pub mod records;
+pub mod transactions;
--- a/crates/scheduler/src/records.rs
+++ b/crates/scheduler/src/storage/records.rs
@@ -8,12 +8,12 @@
 use serde::Serialize;
 use serde_json::{json, Value};
 
-use crate::document::Document;
-use crate::job::{keys, JobSpec};
-use crate::registry::{Job, JobIx, Scheduler, TaskId};
-use crate::task::{Phase, Task};
+use crate::model::job::{keys, JobSpec};
+use crate::model::task::{Phase, Task};
+use crate::protocol;
+use crate::scheduler::{Job, JobIx, Scheduler, TaskId};
+use crate::storage::document::Document;
 use crate::time::{Span, Time};
-use crate::wire;
 
 /// In what steps after the job's acceptance the time of a placing is stored.
 pub(crate) const PLACED_UNIT: Span = Span::millis(100);
@@ -82,7 +82,7 @@
             self.note_once(name, "its stored description cannot be read");
             return false;
         };
-        if spec.tasks == 0 || u64::from(spec.tasks) > wire::MOST_TASKS || chunk_size == 0 {
+        if spec.tasks == 0 || u64::from(spec.tasks) > protocol::MOST_TASKS || chunk_size == 0 {
             self.note_once(name, "its stored description is out of range");
             return false;
         }
@@ -108,8 +108,8 @@
     ///
     /// A task may stand in its chunk and in a part that was written later, or the other way round:
     /// each holds all of its tasks as they were when it was written, so the newer one counts.
-    pub fn load_runs(&mut self, now: Time, stored: &[wire::Pair]) -> Vec<String> {
-        let mut by_age: Vec<&wire::Pair> = stored.iter().collect();
+    pub fn load_runs(&mut self, now: Time, stored: &[protocol::Pair]) -> Vec<String> {
+        let mut by_age: Vec<&protocol::Pair> = stored.iter().collect();
         by_age.sort_by_key(|pair| pair.mark);
         let mut newest: BTreeMap<TaskId, &Value> = BTreeMap::new();
         let mut strange = Vec::new();
@@ -131,7 +131,7 @@
     /// Adds a stored chunk's or part's records to the newest of each task.
     fn read_run<'a>(
         &mut self,
-        pair: &'a wire::Pair,
+        pair: &'a protocol::Pair,
         newest: &mut BTreeMap<TaskId, &'a Value>,
     ) -> Option<()> {
         let (name, chunk, from) = keys::split_run(&pair.key)?;
--- /dev/null
+++ b/crates/scheduler/src/storage/transactions.rs
@@ -0,0 +1,639 @@
+//! Rounds: what was decided is written before anything is sent, and sent once it is written.
+
+use crate::model::job::{keys, End};
+use crate::model::task::{Input, MachineIx, Phase};
+use crate::protocol::{Change, Guard, Txn, WorkerCommand};
+use crate::scheduler::{Command, JobIx, MachineState, Outcome, Scheduler, TaskId};
+use crate::storage::document::Document;
+use crate::time::{Span, Time};
+use serde_json::Value;
+
+const MAX_TXN_BYTES: usize = 40 * 1024;
+/// The part of the write allowance that evidence and clean-up leave to starts and ends.
+const KEEP_FOR_STARTS: f64 = 0.4;
+/// Times its delay after which evidence waits for nothing any more.
+const OVERDUE_EVIDENCE: u64 = 5;
+
+/// How often every machine is looked at for what time alone brings: an overdue report, a deadline,
+/// the end of a pause. What events bring is looked at when they come.
+const SWEEP_EVERY: Span = Span::millis(200);
+
+/// Changes written since it was told last, by kind.
+#[derive(Debug, Default)]
+pub(crate) struct Tally {
+    pub starts: usize,
+    pub evidence: usize,
+    pub ends: usize,
+    pub drops: usize,
+    pub jobs: usize,
+    /// Tasks placed, and how many of them where their image is known to be.
+    pub placed: usize,
+    pub cached: usize,
+}
+
+/// What one transaction writes, and what its outcome decides.
+#[derive(Default)]
+struct Batch {
+    txn: Txn,
+    bytes: usize,
+    /// Chunks written, whole or in part.
+    chunks: Vec<(JobIx, usize)>,
+    /// What was written of each: its first task, if it is a part.
+    written: Vec<(JobIx, usize, Option<u32>)>,
+    /// All tasks whose records were written anew.
+    changed: Vec<TaskId>,
+    starts: Vec<TaskId>,
+    finishes: Vec<TaskId>,
+    ends: Vec<(JobIx, End)>,
+    /// Jobs whose records go.
+    cleanups: Vec<CleanUp>,
+    /// Evidence and clean-up alone: nothing waits for it.
+    lazy: bool,
+}
+
+/// What goes of a job's records.
+struct CleanUp {
+    job: JobIx,
+    /// Whether these are the last of them.
+    last: bool,
+    /// Parts of chunks, by chunk and first task.
+    parts: Vec<(usize, u32)>,
+}
+
+impl Batch {
+    fn full(&self, most: usize) -> bool {
+        self.txn.apply.len() >= most || self.bytes > MAX_TXN_BYTES
+    }
+}
+
+/// A transaction whose outcome is open.
+pub(crate) struct PendingTxn {
+    batch: Batch,
+    nonce: String,
+    retry_at: Option<Time>,
+    /// An answer was lost at least once, so that a conflict may be with its own earlier copy.
+    doubted: bool,
+    /// It is over the service's limits by now, so that none of its copies takes effect any more.
+    too_large: bool,
+}
+
+impl PendingTxn {
+    /// Whether the mark is the one that a record of it had before.
+    fn expects(&self, mark: u64) -> bool {
+        self.batch.txn.guards.iter().any(|g| g.key.starts_with(keys::RUN) && g.mark == mark)
+    }
+}
+
+/// Tasks in one part of a chunk: few enough for the longest records.
+fn part_size(value_bytes: usize) -> u32 {
+    (value_bytes.saturating_sub(96) / 64).clamp(1, 200) as u32
+}
+
+impl Scheduler {
+    /// Called often: starts a round if there is something to do, sends what is due.
+    pub fn tick(&mut self, now: Time) {
+        let due: Vec<u64> = self
+            .txns
+            .iter()
+            .filter(|(_, t)| t.retry_at.is_some_and(|at| now >= at))
+            .map(|(&id, _)| id)
+            .collect();
+        for id in due {
+            if let Some(t) = self.txns.get_mut(&id) {
+                t.retry_at = None;
+                let txn = t.batch.txn.clone();
+                self.out.push(Command::Commit { id, txn });
+            }
+        }
+        let sweep = now.since(self.last_sweep) >= SWEEP_EVERY;
+        if sweep {
+            self.last_sweep = now;
+            self.settle(now);
+        }
+        if self.in_office
+            && now >= self.stalled_until
+            && now.since(self.last_round) >= self.tun.round_every
+            && self.txns.len() < self.tun.txns_in_flight as usize
+            && self.writes_left(0.0) >= 1
+        {
+            self.last_round = now;
+            if self.dirty && !self.has_plans_to_write() {
+                self.dirty = false;
+                self.place(now);
+            }
+            self.write_round(now);
+        }
+        self.ask_for_ends(now);
+        self.flush(now, sweep);
+    }
+
+    /// Writes what the round decided, starts and ends first, as few transactions as the limits
+    /// allow. What finds no room waits for the next round, which takes more at once. (Evidence and
+    /// clean-up once went out beside the starts: at 20 changes a second they took most of it, and a
+    /// start or an acceptance waited whole seconds.)
+    fn write_round(&mut self, now: Time) {
+        let ops = self.limits.txn_ops;
+        let most = self.tun.txns_in_flight as usize;
+        let mut starts: Vec<(std::cmp::Reverse<crate::model::job::Rank>, Time, JobIx, usize)> =
+            Vec::new();
+        let mut ends: Vec<JobIx> = Vec::new();
+        let mut lazy: Vec<(Time, JobIx, usize)> = Vec::new();
+        let mut over: Vec<JobIx> = Vec::new();
+        for (&ix, job) in &self.jobs {
+            if job.over {
+                over.push(ix);
+                continue;
+            }
+            if job.doomed {
+                continue;
+            }
+            if job.done == job.spec.tasks {
+                if !job.ending && !job.chunks.iter().any(|c| c.in_flight) {
+                    ends.push(ix);
+                }
+                continue;
+            }
+            for (chunk, c) in job.chunks.iter().enumerate().filter(|(_, c)| !c.in_flight) {
+                if let Some(due) = c.start_due {
+                    starts.push((std::cmp::Reverse(job.rank), due, ix, chunk));
+                } else if let Some(since) = c.evidence {
+                    if now.since(since) >= self.tun.evidence_delay {
+                        lazy.push((since, ix, chunk));
+                    }
+                }
+            }
+        }
+        // A user was told that these are cancelled with the job before them: nothing goes first.
+        let doomed: Vec<JobIx> = self.chains.doomed.iter().copied().collect();
+        self.write_all_ends(&doomed, End::Aborted);
+        ends.sort_by_key(|&ix| std::cmp::Reverse(self.waited_for(ix)));
+        self.write_all_ends(&ends, End::Done);
+        starts.sort_unstable();
+        let mut starts = starts.into_iter().peekable();
+        self.planned_chunks = starts.len();
+        while starts.peek().is_some() {
+            let room = self.writes_left(0.0).min(ops);
+            if self.txns.len() >= most || room == 0 {
+                self.dirty = true;
+                break;
+            }
+            let mut batch = Batch::default();
+            while !batch.full(room) {
+                let Some((_, _, ix, chunk)) = starts.next() else { break };
+                self.planned_chunks -= 1;
+                self.add_chunk(&mut batch, ix, chunk, room);
+            }
+            self.commit(batch);
+        }
+        if lazy.is_empty() && over.is_empty() {
+            return;
+        }
+        lazy.sort_unstable();
+        let limit = Span(self.tun.evidence_delay.0.saturating_mul(OVERDUE_EVIDENCE));
+        let overdue = lazy.first().is_some_and(|l| now.since(l.0) > limit);
+        let keep = if overdue { 0.0 } else { KEEP_FOR_STARTS };
+        let room = self.writes_left(keep).min(ops);
+        let under_way = self.txns.values().any(|t| t.batch.lazy);
+        if room == 0 || under_way || self.txns.len() >= most {
+            return;
+        }
+        let mut batch = Batch { lazy: true, ..Batch::default() };
+        for (_, ix, chunk) in lazy {
+            if batch.full(room) {
+                break;
+            }
+            self.add_chunk(&mut batch, ix, chunk, room);
+        }
+        for ix in over {
+            if batch.full(room) {
+                break;
+            }
+            self.clean_up(&mut batch, ix, room);
+        }
+        self.commit(batch);
+    }
+
+    pub(crate) fn nonce(&self) -> String {
+        format!("{}-{}", self.term, self.next_id)
+    }
+
+    /// Adds what changed of a chunk. The chunk is written whole where it is small enough a value. One
+    /// that isn't (a former version made chunks for larger values than the service takes by now) stays
+    /// as it is, and those of its tasks that changed go into parts beside it. Each record of either
+    /// kind holds its tasks as they are at that moment and is guarded by its own mark; whoever reads
+    /// them takes, of each task, the one that was written last. So it makes no difference which
+    /// parts were written before a leader ended.
+    fn add_chunk(&mut self, batch: &mut Batch, ix: JobIx, chunk: usize, room: usize) {
+        let Some(job) = self.jobs.get(&ix) else { return };
+        let base = chunk as u32 * job.chunk_size;
+        let end = base.saturating_add(job.chunk_size).min(job.spec.tasks);
+        let value = self.records(ix, base, end);
+        if value.size() <= self.limits.value_bytes {
+            self.add_records(batch, ix, chunk, None, value, base..end);
+        } else {
+            let size = part_size(self.limits.value_bytes);
+            // By the start of their window, counted from the chunk's: the same windows each time.
+            let windows: std::collections::BTreeSet<u32> =
+                job.changed.range(base..end).map(|i| i - (i - base) % size).collect();
+            if windows.is_empty() {
+                // All of it is written: nothing to wait for an answer to.
+                let state = self.jobs.get_mut(&ix).and_then(|j| j.chunks.get_mut(chunk));
+                if let Some(state) = state {
+                    (state.start_due, state.evidence) = (None, None);
+                }
+                return;
+            }
+            for from in windows {
+                if batch.full(room) {
+                    // The rest of it waits for the next round.
+                    return self.note_chunk(batch, ix, chunk, false);
+                }
+                let to = (from + size).min(end);
+                let value = self.records(ix, from, to);
+                self.add_records(batch, ix, chunk, Some(from), value, from..to);
+            }
+        }
+        self.note_chunk(batch, ix, chunk, true);
+    }
+
+    /// The chunk has something in the batch; whether that is all that it has to write.
+    fn note_chunk(&mut self, batch: &mut Batch, ix: JobIx, chunk: usize, all: bool) {
+        if let Some(state) = self.jobs.get_mut(&ix).and_then(|j| j.chunks.get_mut(chunk)) {
+            state.in_flight = true;
+            if all {
+                state.start_due = None;
+                state.evidence = None;
+            }
+        }
+        batch.chunks.push((ix, chunk));
+    }
+
+    fn add_records(
+        &mut self,
+        batch: &mut Batch,
+        ix: JobIx,
+        chunk: usize,
+        part: Option<u32>,
+        value: Document,
+        tasks: std::ops::Range<u32>,
+    ) {
+        let Some(job) = self.jobs.get_mut(&ix) else { return };
+        for index in tasks {
+            let task = &job.tasks[index as usize];
+            if task.phase == Phase::Done && !job.recorded.contains(index) {
+                batch.finishes.push((ix, index));
+            }
+            if task.phase == Phase::Dispatching && task.token == 0 {
+                batch.starts.push((ix, index));
+            }
+            if job.changed.remove(index) {
+                batch.changed.push((ix, index));
+            }
+        }
+        let state = &job.chunks[chunk];
+        match state.start_due {
+            Some(_) => self.tally.starts += 1,
+            None => self.tally.evidence += 1,
+        }
+        let mut guard = |key: String, mark| {
+            if !batch.txn.guards.iter().any(|g| g.key == key) {
+                batch.txn.guards.push(Guard { key, mark });
+            }
+        };
+        let whole = keys::run(&job.name, chunk);
+        guard(whole.clone(), state.mark);
+        let key = match part {
+            Some(from) => {
+                let key = keys::part(&job.name, chunk, from);
+                guard(key.clone(), job.parts.get(&(chunk, from)).copied().unwrap_or(0));
+                key
+            }
+            None => whole,
+        };
+        // After an acknowledged withdrawal nothing can be dispatched: the end's absence is part
+        // of the write itself.
+        guard(keys::end(&job.name), 0);
+        batch.bytes += value.size() + key.len() * 2 + 64;
+        batch.txn.apply.push(Change::put_document(key, value));
+        batch.written.push((ix, chunk, part));
+    }
+
+    fn commit(&mut self, batch: Batch) {
+        if batch.txn.apply.is_empty() {
+            return;
+        }
+        let nonce = self.nonce();
+        let id = self.next_id;
+        self.next_id += 1;
+        let mut batch = batch;
+        self.spend_writes(batch.txn.apply.len());
+        batch.txn.guards.insert(0, Guard { key: keys::LEADER.into(), mark: self.term });
+        self.out.push(Command::Commit { id, txn: batch.txn.clone() });
+        let (retry_at, doubted, too_large) = (None, false, false);
+        self.txns.insert(id, PendingTxn { batch, nonce, retry_at, doubted, too_large });
+    }
+
+    /// Writes the jobs' ends, as many as may be written now.
+    fn write_all_ends(&mut self, jobs: &[JobIx], end: End) {
+        let open = |ix: &&JobIx| self.job(**ix).is_some_and(|j| !j.ending && !j.over);
+        let jobs: Vec<JobIx> = jobs.iter().filter(open).copied().collect();
+        for some in jobs.chunks(self.limits.txn_ops) {
+            let room = self.writes_left(0.0).min(some.len());
+            if self.txns.len() < self.tun.txns_in_flight as usize && room > 0 {
+                self.write_ends(&some[..room], end);
+            }
+        }
+    }
+
+    /// The jobs' ends, each written once by whoever comes first: all tasks are done, or a job that
+    /// they need was cancelled.
+    fn write_ends(&mut self, jobs: &[JobIx], end: End) {
+        let mut batch = Batch::default();
+        for &ix in jobs {
+            let Some(job) = self.jobs.get_mut(&ix) else { continue };
+            job.ending = true;
+            let key = keys::end(&job.name);
+            batch.txn.guards.push(Guard { key: key.clone(), mark: 0 });
+            batch.txn.apply.push(Change::put(key, end));
+            batch.ends.push((ix, end));
+        }
+        self.tally.ends += batch.ends.len();
+        self.commit(batch);
+    }
+
+    /// Drops the records of a job that is over, once nothing of it can be anywhere. The
+    /// description goes last, so that a chunk never outlives it.
+    fn clean_up(&mut self, batch: &mut Batch, ix: JobIx, most: usize) {
+        let Some(job) = self.jobs.get_mut(&ix) else { return };
+        if job.dropping || job.placed > 0 || job.chunks.iter().any(|c| c.in_flight) {
+            return;
+        }
+        job.dropping = true;
+        let before = batch.txn.apply.len();
+        for (i, chunk) in job.chunks.iter_mut().enumerate() {
+            if chunk.mark > 0 && !batch.full(most) {
+                batch.txn.apply.push(Change::drop(keys::run(&job.name, i)));
+                chunk.mark = 0;
+            }
+        }
+        let mut parts = Vec::new();
+        while !batch.full(most) {
+            let Some(((chunk, from), _)) = job.parts.pop_first() else { break };
+            batch.txn.apply.push(Change::drop(keys::part(&job.name, chunk, from)));
+            parts.push((chunk, from));
+        }
+        let left = !job.parts.is_empty() || job.chunks.iter().any(|c| c.mark > 0);
+        let last = !left && !batch.full(most);
+        if last {
+            let key = keys::description(&job.name, !job.spec.needs.is_empty());
+            batch.txn.apply.push(Change::drop(key));
+            self.tally.jobs += 1;
+        }
+        batch.cleanups.push(CleanUp { job: ix, last, parts });
+        self.tally.drops += batch.txn.apply.len() - before;
+    }
+
+    /// The answer to a [`Command::Commit`].
+    pub fn txn_answer(&mut self, now: Time, id: u64, outcome: Outcome) {
+        let Some(mut pending) = self.txns.remove(&id) else { return };
+        match outcome {
+            Outcome::Committed { mark } => self.committed(now, pending.batch, mark),
+            Outcome::Lost => {
+                // It may have been executed, or may be yet. Sending the same again with the same
+                // guards settles it: only one of the copies can ever take effect.
+                pending.doubted = true;
+                pending.retry_at = Some(now + Span::millis(250));
+                self.txns.insert(id, pending);
+            }
+            Outcome::Refused if pending.doubted => {
+                pending.retry_at = Some(now + Span::millis(500));
+                self.txns.insert(id, pending);
+            }
+            Outcome::Refused => {
+                self.stalled_until = now + Span::millis(300);
+                self.failed(now, pending.batch);
+            }
+            Outcome::TooLarge => {
+                // The limits fell. This copy was not executed, and no earlier one will be any more;
+                // but one may have been before they fell.
+                let first = pending.batch.txn.apply.iter().find_map(|change| match change {
+                    Change::Put { put, .. } if put.starts_with(keys::RUN) => Some(put.clone()),
+                    _ => None,
+                });
+                match first {
+                    Some(key) if pending.doubted => {
+                        pending.too_large = true;
+                        self.out.push(Command::Read { id, key });
+                        self.txns.insert(id, pending);
+                    }
+                    // An end or a clean-up that took effect unheard is met by its next try.
+                    _ => self.failed(now, pending.batch),
+                }
+            }
+            Outcome::Conflict { failed } => {
+                if failed.iter().any(|k| k == keys::LEADER) {
+                    self.out.push(Command::StepDown("another node holds the leader key"));
+                    self.failed(now, pending.batch);
+                    return;
+                }
+                let chunk_failed = failed.iter().find(|k| k.starts_with(keys::RUN)).cloned();
+                let ended: Vec<String> = failed
+                    .iter()
+                    .filter_map(|k| k.strip_prefix(keys::END).map(str::to_owned))
+                    .collect();
+                match chunk_failed {
+                    Some(key) => {
+                        // With a doubted transaction, most likely its own first copy: the value
+                        // tells. Until it is read the outcome stays open.
+                        for name in ended {
+                            self.ended_somehow(now, &name);
+                        }
+                        self.out.push(Command::Read { id, key });
+                        self.txns.insert(id, pending);
+                    }
+                    None => {
+                        for name in &ended {
+                            self.ended_somehow(now, name);
+                        }
+                        self.failed(now, pending.batch);
+                    }
+                }
+            }
+        }
+    }
+
+    /// The answer to a [`Command::Read`]: the value and mark (0: no such key), or nothing.
+    pub fn read_answer(&mut self, now: Time, id: u64, answer: Option<(Value, u64)>) {
+        let Some(mut pending) = self.txns.remove(&id) else { return };
+        match answer {
+            None => {
+                pending.retry_at = Some(now + Span::millis(500));
+                pending.doubted = true;
+                self.txns.insert(id, pending);
+            }
+            Some((value, mark)) if value["w"] == pending.nonce.as_str() => {
+                self.committed(now, pending.batch, mark);
+            }
+            Some((_, mark)) if pending.too_large && pending.expects(mark) => {
+                self.failed(now, pending.batch);
+            }
+            Some(_) => {
+                // Under this term only this registry writes chunks, so a strange value means that
+                // the registry is not what is stored. Reading everything again is the safe way.
+                self.out.push(Command::StepDown("a stored chunk differs from the registry"));
+                self.failed(now, pending.batch);
+            }
+        }
+    }
+
+    fn committed(&mut self, now: Time, done: Batch, mark: u64) {
+        self.stalled_until = Time(0);
+        for &(ix, chunk) in &done.chunks {
+            if let Some(job) = self.jobs.get_mut(&ix) {
+                job.chunks[chunk].in_flight = false;
+            }
+        }
+        for &(ix, chunk, part) in &done.written {
+            if let Some(job) = self.jobs.get_mut(&ix) {
+                match part {
+                    Some(from) => {
+                        job.parts.insert((chunk, from), mark);
+                    }
+                    None => job.chunks[chunk].mark = mark,
+                }
+            }
+        }
+        for &(ix, index) in &done.finishes {
+            if let Some(job) = self.jobs.get_mut(&ix) {
+                job.recorded.insert(index);
+            }
+        }
+        for &id in &done.starts {
+            self.send_start(id);
+        }
+        for (ix, end) in done.ends {
+            let Some(name) = self.job(ix).map(|j| j.name.clone()) else { continue };
+            if end == End::Aborted {
+                self.note(format!("{name} is cancelled: a job that it needs was"));
+            } else if let Some(job) = self.job(ix) {
+                let deadline = job.spec.deadline_s.map(|d| format!(" of {d:.0} s"));
+                let text = format!(
+                    "{} is done after {:.1} s{}: class {}, {} tasks, estimate {:.0} s, ran {:.0} s",
+                    job.name,
+                    now.since(job.accepted).as_secs(),
+                    deadline.unwrap_or_default(),
+                    job.spec.class,
+                    job.spec.tasks,
+                    job.spec.estimate_s,
+                    job.run_times.0 / f64::from(job.run_times.1.max(1)),
+                );
+                self.note(text);
+            }
+            // Committed, so stored: what waits for it may begin in this very turn.
+            self.job_ended(now, &name, end);
+        }
+        for CleanUp { job: ix, last, .. } in done.cleanups {
+            if last {
+                if let Some(job) = self.jobs.remove(&ix) {
+                    self.by_ref.remove(&job.name);
+                    self.sharing.shares.job_gone(job.share_class);
+                }
+            } else if let Some(job) = self.jobs.get_mut(&ix) {
+                job.dropping = false;
+            }
+        }
+        self.dirty = true;
+    }
+
+    /// A written start joins its machine's next message.
+    fn send_start(&mut self, id: TaskId) {
+        let Some(job) = self.job(id.0) else { return };
+        let task = job.tasks[id.1 as usize];
+        if task.phase == Phase::Dispatching && task.token == 0 {
+            self.machines[task.machine as usize].starting.push(id);
+            self.attend(task.machine);
+        }
+    }
+
+    /// The last look at the starts that wait for a machine's next message. Those that may still
+    /// go are marked as sent with the very token of the message; a start that is given its token
+    /// any earlier could be proven absent by a report while it still waits here.
+    pub(crate) fn last_look(
+        &mut self,
+        now: Time,
+        m: MachineIx,
+        sending: bool,
+    ) -> (Vec<(TaskId, u32)>, Vec<WorkerCommand>) {
+        let machine = &self.machines[m as usize];
+        let open = machine.state == MachineState::Up
+            && machine.notice.is_none()
+            && machine.draining.is_none();
+        if machine.starting.is_empty() || (open && !sending) {
+            return (Vec::new(), Vec::new());
+        }
+        let (token, session) = (machine.token(self.term), machine.session);
+        let (mut ids, mut calls, mut wait) = (Vec::new(), Vec::new(), Vec::new());
+        for id in std::mem::take(&mut self.machines[m as usize].starting) {
+            let Some(job) = self.job(id.0) else { continue };
+            let task = job.tasks[id.1 as usize];
+            if task.phase != Phase::Dispatching || task.token != 0 || task.machine != m {
+                continue;
+            }
+            if job.over || !open || task.session != session {
+                // Recorded, never sent and never to be sent: absent by this registry's own doing.
+                self.step(now, id, Input::Absent);
+                continue;
+            }
+            // One that a machine shows live against the registry is stopped there first.
+            if !self.may_start(now, task.since) || self.conflicting_replicas.contains_key(&id) {
+                wait.push(id);
+                continue;
+            }
+            let name = format!("{}/{}", job.name, id.1);
+            calls.push(WorkerCommand::Run { task: name, attempt: u64::from(task.attempt) });
+            ids.push((id, task.attempt));
+            self.step(now, id, Input::Send { token });
+        }
+        self.machines[m as usize].starting = wait;
+        if !ids.is_empty() {
+            let machine = &mut self.machines[m as usize];
+            machine.start_token = machine.start_token.max(token);
+        }
+        (ids, calls)
+    }
+
+    /// The transaction certainly had no effect: what it would have started is pending again.
+    fn failed(&mut self, now: Time, failed: Batch) {
+        for &(ix, chunk) in &failed.chunks {
+            if let Some(job) = self.jobs.get_mut(&ix) {
+                job.chunks[chunk].in_flight = false;
+                job.chunks[chunk].evidence.get_or_insert(now);
+            }
+        }
+        for &(ix, index) in &failed.changed {
+            if let Some(job) = self.jobs.get_mut(&ix) {
+                job.changed.insert(index);
+            }
+        }
+        for &id in &failed.starts {
+            self.step(now, id, Input::Retract);
+        }
+        for (ix, _) in failed.ends {
+            if let Some(job) = self.jobs.get_mut(&ix) {
+                job.ending = false;
+            }
+        }
+        for CleanUp { job: ix, parts, .. } in failed.cleanups {
+            if let Some(job) = self.jobs.get_mut(&ix) {
+                job.dropping = false;
+                job.parts.extend(parts.into_iter().map(|part| (part, 1)));
+                // Which chunks still exist is not known any more; dropping a key that does not
+                // exist does no harm.
+                for chunk in &mut job.chunks {
+                    chunk.mark = chunk.mark.max(1);
+                }
+            }
+        }
+        self.dirty = true;
+    }
+}
--- a/crates/scheduler/src/tunables.rs
+++ b/crates/scheduler/src/tunables.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::job::Team;
+use crate::model::job::Team;
 use crate::time::Span;
 
 /// The operators' settings. `docs/operations.md` says what each is for; the binary reads them from
@@ -56,7 +56,7 @@
     pub chain_step: Span,
     /// Most transactions of the leader under way at once.
     pub txns_in_flight: u32,
-    /// Whether an overloaded fleet is shared between teams and classes; see [`crate::sharing`].
+    /// Whether an overloaded fleet is shared between teams and classes; see [`crate::queue::fair_share`].
     pub shared_order: bool,
     /// Work that waits without room, as a part of the fleet, from which on the fleet is overloaded.
     pub overload_at: f64,
--- a/crates/scheduler/tests/fleet.rs
+++ b/crates/scheduler/tests/autoscaling.rs
@@ -3,11 +3,11 @@
 mod world;
 
 use serde_json::json;
-use walnutlug_scheduler::job::{keys, JobSpec, Rank};
-use walnutlug_scheduler::registry::{Command, DirectOutcome};
+use walnutlug_scheduler::model::job::{keys, JobSpec, Rank};
+use walnutlug_scheduler::protocol::{ListedMachine, MachineStage, MachineType};
+use walnutlug_scheduler::scheduler::{Command, DirectOutcome};
 use walnutlug_scheduler::time::Span;
 use walnutlug_scheduler::tunables::{Objective, Site};
-use walnutlug_scheduler::wire::{ListedMachine, MachineStage, MachineType};
 use world::{one_machine, site, spec, types, World};
 
 const JOB: &str = "req-000001";
@@ -134,7 +134,10 @@
     // With room for two changes, they go to the start of the more urgent job.
     w.settle();
     w.submit("req-000002", &spec(4));
-    w.submit("req-000003", &JobSpec { rank: walnutlug_scheduler::job::Rank::High, ..spec(4) });
+    w.submit(
+        "req-000003",
+        &JobSpec { rank: walnutlug_scheduler::model::job::Rank::High, ..spec(4) },
+    );
     w.wait(50);
     w.leader.allow_writes(1.0, 16.0);
     w.leader.tick(w.now);
@@ -496,7 +499,7 @@
 /// machines made the job look at fault, and no machine was blamed.
 #[test]
 fn a_job_keeps_away_from_machines_that_failed_it_and_they_are_drained() {
-    use walnutlug_scheduler::wire::{Cause, TaskStage};
+    use walnutlug_scheduler::protocol::{Cause, TaskStage};
     let names: Vec<String> = (0..8).map(|i| format!("n-{i}")).collect();
     let machines: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "a")).collect();
     let mut w = World::new(&machines);
--- a/crates/scheduler/tests/cancellations.rs
+++ b/crates/scheduler/tests/cancellations.rs
@@ -3,10 +3,10 @@
 
 mod world;
 
-use walnutlug_scheduler::job::{keys, End};
+use walnutlug_scheduler::leadership::watermark::{ask_every, window, CancelLog, Watermark};
+use walnutlug_scheduler::model::job::{keys, End};
 use walnutlug_scheduler::time::{Span, Time};
 use walnutlug_scheduler::tunables::Site;
-use walnutlug_scheduler::watermark::{ask_every, window, CancelLog, Watermark};
 use world::{spec, World};
 
 const JOB: &str = "req-000001";
@@ -413,7 +413,7 @@
     for _ in 0..20 {
         w.tick();
         for command in std::mem::take(&mut w.commands) {
-            if let walnutlug_scheduler::registry::Command::Direct { calls, .. } = command {
+            if let walnutlug_scheduler::scheduler::Command::Direct { calls, .. } = command {
                 assert!(calls.is_empty(), "{calls:?}");
             }
         }
@@ -454,7 +454,7 @@
     w.tick();
     let (m, _, _, calls) = w.take_direct();
     assert_eq!(calls.len(), 1);
-    w.leader.direct_answer(w.now, m, walnutlug_scheduler::registry::DirectOutcome::Lost);
+    w.leader.direct_answer(w.now, m, walnutlug_scheduler::scheduler::DirectOutcome::Lost);
     w.wait(3_000);
     w.settle();
     assert!(w.places_of(&format!("{JOB}/0")).is_empty(), "by direct command, without any report");
@@ -475,7 +475,7 @@
     w.leader.direct_answer(
         w.now,
         m,
-        walnutlug_scheduler::registry::DirectOutcome::Answered(Box::new(newer)),
+        walnutlug_scheduler::scheduler::DirectOutcome::Answered(Box::new(newer)),
     );
     w.withdraw(JOB);
     let (token, calls) = w.leader.report(w.now, &overtaken).expect("an answer");
--- a/crates/scheduler/tests/serving.rs
+++ b/crates/scheduler/tests/delegation.rs
@@ -7,11 +7,11 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use walnutlug_scheduler::serving::{Grant, NewMark, ServedLeader};
+use walnutlug_scheduler::leadership::watermark;
+use walnutlug_scheduler::reconciliation::delegation::{Grant, NewMark, ServedLeader};
+use walnutlug_scheduler::reconciliation::repeated_heartbeats::SettledReport;
 use walnutlug_scheduler::time::{Span, Time};
 use walnutlug_scheduler::tunables::Site;
-use walnutlug_scheduler::unchanged::SettledReport;
-use walnutlug_scheduler::watermark;
 
 const TERM: u64 = 7;
 const START: Time = Time(1 << 40);
--- a/crates/scheduler/tests/chains.rs
+++ b/crates/scheduler/tests/dependencies.rs
@@ -4,9 +4,9 @@
 mod world;
 
 use serde_json::json;
-use walnutlug_scheduler::chain::Found;
-use walnutlug_scheduler::job::{keys, End, JobSpec, Rank};
-use walnutlug_scheduler::registry::{Command, Outcome};
+use walnutlug_scheduler::model::job::{keys, End, JobSpec, Rank};
+use walnutlug_scheduler::queue::dependencies::Found;
+use walnutlug_scheduler::scheduler::{Command, Outcome};
 use world::{one_machine, spec, World};
 
 const FIRST: &str = "req-000001";
--- a/crates/scheduler/tests/sharing.rs
+++ b/crates/scheduler/tests/fair_share.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use walnutlug_scheduler::job::{JobSpec, Rank, Team};
+use walnutlug_scheduler::model::job::{JobSpec, Rank, Team};
 use walnutlug_scheduler::tunables::{Site, Tunables};
 use world::{site, spec, World};
 
--- a/crates/scheduler/tests/golden_bytes.rs
+++ b/crates/scheduler/tests/golden_bytes.rs
@@ -8,14 +8,14 @@
 use golden_file::Golden;
 use serde::Serialize;
 use serde_json::{json, Value};
-use walnutlug_scheduler::job::{keys, End, JobSpec, Rank};
-use walnutlug_scheduler::records::{chunk_size, todo_value};
-use walnutlug_scheduler::registry::Command;
-use walnutlug_scheduler::task::Phase;
-use walnutlug_scheduler::wire::{
+use walnutlug_scheduler::model::job::{keys, End, JobSpec, Rank};
+use walnutlug_scheduler::model::task::Phase;
+use walnutlug_scheduler::protocol::{
     job_answer, parse_submission, Cause, Change, Commands, Pair, Redirect, Report, ReportAnswer,
     Stage, TaskReport, TaskStage, WorkerCommand,
 };
+use walnutlug_scheduler::scheduler::Command;
+use walnutlug_scheduler::storage::records::{chunk_size, todo_value};
 use world::{spec, types, World};
 
 const RECORDS: &str = "tests/golden/records.txt";
@@ -117,7 +117,7 @@
         assert!(read == end, "{kind}: read otherwise");
     }
     let (_, value) = split(&golden.text("machine types"));
-    let read: Vec<walnutlug_scheduler::wire::MachineType> =
+    let read: Vec<walnutlug_scheduler::protocol::MachineType> =
         serde_json::from_value(value["breeds"].clone()).expect("types");
     assert!(read == types(), "machine types: read otherwise");
     assert_eq!(keys::split_run(&golden.text("chunk's key")), Some((JOB, 12, None)));
@@ -175,7 +175,7 @@
 /// Every task of a job, field by field, in words of this test.
 fn tasks_as_read(world: &World, name: &str) -> String {
     let job = world.leader.job(world.leader.by_ref[name]).expect("the job");
-    let line = |task: &walnutlug_scheduler::task::Task| {
+    let line = |task: &walnutlug_scheduler::model::task::Task| {
         let place = match task.phase.placed() {
             true => world.leader.machines[task.machine as usize].name.as_str(),
             false => "nowhere",
--- a/crates/scheduler/tests/any_order.rs
+++ b/crates/scheduler/tests/random_interleavings.rs
@@ -6,14 +6,14 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use serde_json::json;
-use walnutlug_scheduler::registry::{Command, DirectOutcome, Outcome, Scheduler};
-use walnutlug_scheduler::wire::{Report, WorkerCommand};
+use walnutlug_scheduler::protocol::{Report, WorkerCommand};
+use walnutlug_scheduler::scheduler::{Command, DirectOutcome, Outcome, Scheduler};
 use world::{spec, World};
 
 /// A message that the test holds.
 enum Held {
     /// To the state store; `None`: a copy nobody waits for.
-    Commit(u64, Option<u64>, walnutlug_scheduler::wire::Txn),
+    Commit(u64, Option<u64>, walnutlug_scheduler::protocol::Txn),
     Read(u64, u64, String),
     /// A leader's question about ends.
     Ends(u64, Vec<String>),
@@ -274,7 +274,7 @@
                 let (job, needs) = JOBS[self.accepted];
                 self.accepted += 1;
                 let needs = needs.iter().map(|n| (*n).to_owned()).collect();
-                let spec = walnutlug_scheduler::job::JobSpec { needs, ..spec(3) };
+                let spec = walnutlug_scheduler::model::job::JobSpec { needs, ..spec(3) };
                 // Of what waits a leader of the former version hears nothing.
                 if self.former_terms.contains(&self.w.leader.term) {
                     self.w.store_job(job, &spec, 2);
--- a/crates/scheduler/tests/unchanged.rs
+++ b/crates/scheduler/tests/repeated_heartbeats.rs
@@ -3,11 +3,11 @@
 
 mod world;
 
-use walnutlug_scheduler::job::JobSpec;
-use walnutlug_scheduler::registry::{Command, DirectOutcome};
+use walnutlug_scheduler::model::job::JobSpec;
+use walnutlug_scheduler::protocol::{sequence_digits, Report, TaskStage};
+use walnutlug_scheduler::reconciliation::repeated_heartbeats::{SettledReport, OWN_NODE};
+use walnutlug_scheduler::scheduler::{Command, DirectOutcome};
 use walnutlug_scheduler::time::Span;
-use walnutlug_scheduler::unchanged::{SettledReport, OWN_NODE};
-use walnutlug_scheduler::wire::{sequence_digits, Report, TaskStage};
 use world::{one_machine, spec, World};
 
 const MACHINE: &str = "n-1";
@@ -100,7 +100,7 @@
             let mut old = report.clone();
             old.seq -= 1;
             old.tasks[0].state = TaskStage::Exited;
-            old.tasks[0].cause = Some(walnutlug_scheduler::wire::Cause::Done);
+            old.tasks[0].cause = Some(walnutlug_scheduler::protocol::Cause::Done);
             w.leader.report(w.now, &old);
         }),
     ];
--- a/crates/scheduler/tests/sim/follower.rs
+++ b/crates/scheduler/tests/sim/follower.rs
@@ -1,11 +1,11 @@
 //! A node that answers workers on the leader's behalf, in the simulation: the other side of a stream of
 //! frames that are late by up to a third of a second, and lost while the nodes don't hear each other.
 
-use walnutlug_scheduler::serving::{Grant, NewMark, ServedLeader};
+use walnutlug_scheduler::protocol::{Report, WorkerCommand};
+use walnutlug_scheduler::reconciliation::delegation::{Grant, NewMark, ServedLeader};
+use walnutlug_scheduler::reconciliation::repeated_heartbeats::{SettledReport, Withdrawn};
 use walnutlug_scheduler::time::{Span, Time};
 use walnutlug_scheduler::tunables::Site;
-use walnutlug_scheduler::unchanged::{SettledReport, Withdrawn};
-use walnutlug_scheduler::wire::{Report, WorkerCommand};
 
 use super::Leader;
 use crate::world::transcript;
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -9,15 +9,15 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::{json, Value};
-use walnutlug_scheduler::job::{keys, End, JobSpec};
-use walnutlug_scheduler::records::todo_value;
-use walnutlug_scheduler::registry::{Command, DirectOutcome, Outcome, Scheduler};
-use walnutlug_scheduler::time::{Span, Time};
-use walnutlug_scheduler::tunables::{Site, Tunables};
-use walnutlug_scheduler::unchanged::{SettledReport, OWN_NODE};
-use walnutlug_scheduler::wire::{
+use walnutlug_scheduler::model::job::{keys, End, JobSpec};
+use walnutlug_scheduler::protocol::{
     Cause, Change, ListedMachine, MachineStage, Report, TaskStage, Txn, WorkerCommand,
 };
+use walnutlug_scheduler::reconciliation::repeated_heartbeats::{SettledReport, OWN_NODE};
+use walnutlug_scheduler::scheduler::{Command, DirectOutcome, Outcome, Scheduler};
+use walnutlug_scheduler::storage::records::todo_value;
+use walnutlug_scheduler::time::{Span, Time};
+use walnutlug_scheduler::tunables::{Site, Tunables};
 
 use crate::world::{self, transcript, Store, Worker};
 
@@ -419,9 +419,11 @@
             Kind::Bound(n) => JobSpec { zone: Some("a".into()), ..plain(n) },
             Kind::Together(n) => JobSpec { one_zone: true, ..plain(n) },
             Kind::Spread(n) => JobSpec { spread: true, ..plain(n) },
-            Kind::Urgent(n) => JobSpec { rank: walnutlug_scheduler::job::Rank::High, ..plain(n) },
+            Kind::Urgent(n) => {
+                JobSpec { rank: walnutlug_scheduler::model::job::Rank::High, ..plain(n) }
+            }
             Kind::Flood(n) => {
-                let rank = walnutlug_scheduler::job::Rank::High;
+                let rank = walnutlug_scheduler::model::job::Rank::High;
                 JobSpec { rank, class: "flood".into(), deadline_s: Some(20.0), ..plain(n) }
             }
             Kind::Long(n) => {
--- a/crates/scheduler/tests/limits.rs
+++ b/crates/scheduler/tests/storage_limits.rs
@@ -6,9 +6,9 @@
 use std::collections::BTreeSet;
 
 use serde_json::json;
-use walnutlug_scheduler::job::{keys, JobSpec};
-use walnutlug_scheduler::registry::{Command, Outcome};
-use walnutlug_scheduler::task::Phase;
+use walnutlug_scheduler::model::job::{keys, JobSpec};
+use walnutlug_scheduler::model::task::Phase;
+use walnutlug_scheduler::scheduler::{Command, Outcome};
 use world::{spec, World};
 
 const JOB: &str = "req-000001";
@@ -175,7 +175,7 @@
 #[test]
 fn new_jobs_fit_the_smaller_limits_from_the_start() {
     let mut w = long_named(70);
-    w.submit_in_chunks(JOB, &spec(200), walnutlug_scheduler::records::chunk_size(SMALL.0));
+    w.submit_in_chunks(JOB, &spec(200), walnutlug_scheduler::storage::records::chunk_size(SMALL.0));
     w.store.limits = Some(SMALL);
     w.leader.set_limits(8_192, SMALL.1);
     w.run_out();
--- a/crates/scheduler/tests/starts.rs
+++ b/crates/scheduler/tests/task_starts.rs
@@ -3,10 +3,10 @@
 mod world;
 
 use serde_json::json;
-use walnutlug_scheduler::job::keys;
-use walnutlug_scheduler::registry::{Command, DirectOutcome, MachineState, Outcome};
-use walnutlug_scheduler::task::Phase;
-use walnutlug_scheduler::wire::{ListedMachine, MachineStage, WorkerCommand};
+use walnutlug_scheduler::model::job::keys;
+use walnutlug_scheduler::model::task::Phase;
+use walnutlug_scheduler::protocol::{ListedMachine, MachineStage, WorkerCommand};
+use walnutlug_scheduler::scheduler::{Command, DirectOutcome, MachineState, Outcome};
 use world::{one_machine, spec, World};
 
 const JOB: &str = "req-000001";
@@ -502,10 +502,10 @@
         w.settle();
         for worker in w.workers.values_mut() {
             for state in worker.tasks.values_mut() {
-                if state.0 != walnutlug_scheduler::wire::TaskStage::Exited {
+                if state.0 != walnutlug_scheduler::protocol::TaskStage::Exited {
                     *state = (
-                        walnutlug_scheduler::wire::TaskStage::Exited,
-                        Some(walnutlug_scheduler::wire::Cause::Error),
+                        walnutlug_scheduler::protocol::TaskStage::Exited,
+                        Some(walnutlug_scheduler::protocol::Cause::Error),
                     );
                 }
             }
@@ -539,7 +539,7 @@
 /// task was started on another machine while an earlier attempt ran on.
 #[test]
 fn a_refusal_because_the_task_is_there_is_no_absence() {
-    use walnutlug_scheduler::wire::{Cause, TaskStage};
+    use walnutlug_scheduler::protocol::{Cause, TaskStage};
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
     w.submit(JOB, &spec(1));
     w.settle();
@@ -565,7 +565,7 @@
 /// A machine shows a task live that the registry takes for pending: whatever led to that, the start waits.
 #[test]
 fn a_start_waits_while_another_machine_shows_the_task_live() {
-    use walnutlug_scheduler::wire::TaskStage;
+    use walnutlug_scheduler::protocol::TaskStage;
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
     w.submit(JOB, &spec(1));
     w.tick();
--- a/crates/scheduler/tests/transcripts/scripts.rs
+++ b/crates/scheduler/tests/transcripts/scripts.rs
@@ -5,13 +5,13 @@
 use std::rc::Rc;
 
 use serde_json::json;
-use walnutlug_scheduler::job::{keys, End, JobSpec, Rank, Team};
-use walnutlug_scheduler::leadership::{Input, Leadership, Role};
-use walnutlug_scheduler::registry::{Command, DirectOutcome, Outcome};
+use walnutlug_scheduler::leadership::election::{Input, Leadership, Role};
+use walnutlug_scheduler::leadership::watermark::{CancelLog, Watermark};
+use walnutlug_scheduler::model::job::{keys, End, JobSpec, Rank, Team};
+use walnutlug_scheduler::protocol::{Cause, ListedMachine, MachineStage, Pair, TaskStage};
+use walnutlug_scheduler::scheduler::{Command, DirectOutcome, Outcome};
 use walnutlug_scheduler::time::{Span, Time};
 use walnutlug_scheduler::tunables::{Objective, Site};
-use walnutlug_scheduler::watermark::{CancelLog, Watermark};
-use walnutlug_scheduler::wire::{Cause, ListedMachine, MachineStage, Pair, TaskStage};
 
 use crate::world::golden::Dice;
 use crate::world::{site, spec, transcript, Worker, World};
--- a/crates/scheduler/tests/trust.rs
+++ b/crates/scheduler/tests/untrusted_reports.rs
@@ -3,16 +3,16 @@
 
 mod world;
 
-use walnutlug_scheduler::job::{JobSpec, Rank};
-use walnutlug_scheduler::leadership::token;
-use walnutlug_scheduler::registry::{Command, DirectOutcome, MachineState, Scheduler};
-use walnutlug_scheduler::task::Phase;
-use walnutlug_scheduler::wire::Report;
+use walnutlug_scheduler::leadership::election::token;
+use walnutlug_scheduler::model::job::{JobSpec, Rank};
+use walnutlug_scheduler::model::task::Phase;
+use walnutlug_scheduler::protocol::Report;
+use walnutlug_scheduler::scheduler::{Command, DirectOutcome, MachineState, Scheduler};
 use world::{spec, Worker, World};
 
 const JOB: &str = "req-000001";
 
-fn machine<'a>(w: &'a World, name: &str) -> &'a walnutlug_scheduler::registry::Machine {
+fn machine<'a>(w: &'a World, name: &str) -> &'a walnutlug_scheduler::scheduler::Machine {
     &w.leader.machines[w.leader.by_name[name] as usize]
 }
 
@@ -332,7 +332,7 @@
 
 #[test]
 fn a_report_of_thousands_of_tasks_gets_an_answer_that_fits_a_line() {
-    use walnutlug_scheduler::wire::{ReportAnswer, TaskReport, TaskStage};
+    use walnutlug_scheduler::protocol::{ReportAnswer, TaskReport, TaskStage};
     let mut w = World::new(&[("n-1", "a")]);
     let mut report = report_of(&mut w, "n-1");
     report.tasks = (0..3_000)
--- a/crates/scheduler/tests/versions.rs
+++ b/crates/scheduler/tests/version_compatibility.rs
@@ -6,10 +6,10 @@
 use std::collections::BTreeMap;
 
 use serde_json::{json, Value};
-use walnutlug_scheduler::job::{keys, JobSpec, Rank};
-use walnutlug_scheduler::records::{chunk_size, todo_value};
-use walnutlug_scheduler::task::Phase;
-use walnutlug_scheduler::wire::Pair;
+use walnutlug_scheduler::model::job::{keys, JobSpec, Rank};
+use walnutlug_scheduler::model::task::Phase;
+use walnutlug_scheduler::protocol::Pair;
+use walnutlug_scheduler::storage::records::{chunk_size, todo_value};
 use world::{spec, World};
 
 const RECORDS: &str = include_str!("fixtures/production-records.json");
@@ -36,7 +36,7 @@
         ("n-000001", "req-000002/1"),
     ] {
         let worker = w.workers.get_mut(machine).expect("worker");
-        let running = (walnutlug_scheduler::wire::TaskStage::Running, None);
+        let running = (walnutlug_scheduler::protocol::TaskStage::Running, None);
         worker.tasks.insert((task.to_owned(), 1), running);
     }
     w.take_over();
--- a/crates/scheduler/tests/world/mod.rs
+++ b/crates/scheduler/tests/world/mod.rs
@@ -6,16 +6,16 @@
 use std::rc::Rc;
 
 use serde_json::{json, Value};
-use walnutlug_scheduler::chain::Found;
-use walnutlug_scheduler::job::{keys, End, JobSpec, Rank, Team};
-use walnutlug_scheduler::leadership::token;
-use walnutlug_scheduler::records::{chunk_size, todo_value};
-use walnutlug_scheduler::registry::{Command, DirectOutcome, Outcome, Scheduler};
-use walnutlug_scheduler::time::{Span, Time};
-use walnutlug_scheduler::tunables::{Site, Tunables};
-use walnutlug_scheduler::wire::{
+use walnutlug_scheduler::leadership::election::token;
+use walnutlug_scheduler::model::job::{keys, End, JobSpec, Rank, Team};
+use walnutlug_scheduler::protocol::{
     Cause, Change, MachineType, Pair, Report, TaskReport, TaskStage, Txn, WorkerCommand,
 };
+use walnutlug_scheduler::queue::dependencies::Found;
+use walnutlug_scheduler::scheduler::{Command, DirectOutcome, Outcome, Scheduler};
+use walnutlug_scheduler::storage::records::{chunk_size, todo_value};
+use walnutlug_scheduler::time::{Span, Time};
+use walnutlug_scheduler::tunables::{Site, Tunables};
 
 #[path = "../transcripts/golden.rs"]
 pub mod golden;
@@ -553,7 +553,7 @@
         self.store.keys.get(&keys::end(name)).map(|v| &v.0)
     }
 
-    pub fn phase(&self, name: &str, index: usize) -> walnutlug_scheduler::task::Phase {
+    pub fn phase(&self, name: &str, index: usize) -> walnutlug_scheduler::model::task::Phase {
         let ix = self.leader.by_ref[name];
         self.leader.job(ix).expect("job").tasks[index].phase
     }
--- a/crates/scheduler/tests/world/transcript.rs
+++ b/crates/scheduler/tests/world/transcript.rs
@@ -8,8 +8,8 @@
 
 use serde::Serialize;
 use serde_json::Value;
-use walnutlug_scheduler::registry::{Command, Outcome};
-use walnutlug_scheduler::wire::{Change, Txn, WorkerCommand};
+use walnutlug_scheduler::protocol::{Change, Txn, WorkerCommand};
+use walnutlug_scheduler::scheduler::{Command, Outcome};
 
 use super::golden::Transcript;
 
