--- a/crates/admission/tests/sharing.rs
+++ b/crates/admission/tests/sharing.rs
@@ -153,9 +153,9 @@
             let left = (0..lanes.len()).filter(|at| !out.contains(at));
             left.for_each(|at| copy.push(lanes[at], at));
             copy.push(lane, usize::MAX);
-            let served = std::iter::from_fn(|| copy.pop()).position(|at| at == usize::MAX);
+            let store_reachable = std::iter::from_fn(|| copy.pop()).position(|at| at == usize::MAX);
             let told = in_turn.get(usize::from(lane)).copied().unwrap_or(ahead);
-            prop_assert!(served.is_some_and(|served| served <= told), "{lane}: {served:?} {told}");
+            prop_assert!(store_reachable.is_some_and(|store_reachable| store_reachable <= told), "{lane}: {store_reachable:?} {told}");
         }
         out.extend(std::iter::from_fn(|| queue.pop()));
         for lane in 0..4u8 {
--- a/crates/controller/src/heartbeat_delegation/tests.rs
+++ b/crates/controller/src/heartbeat_delegation/tests.rs
@@ -31,7 +31,7 @@
 }
 
 /// Node 0 leads and has a running task; node 1 was granted its share of the workers.
-async fn served(store: &StandIn) -> Cluster {
+async fn store_reachable(store: &StandIn) -> Cluster {
     let cluster = leader_with_a_task(store).await;
     grant_a_share(cluster).await
 }
@@ -47,7 +47,7 @@
 
 /// The same, and node 1 answers repetitions by itself: the next sequence number and the token.
 async fn repeating(store: &StandIn) -> (Cluster, Rc<WorkerConnection>, u64, u64) {
-    let mut c = served(store).await;
+    let mut c = store_reachable(store).await;
     let connection = Rc::new(WorkerConnection::default());
     let (status, token, calls) = report(&mut c, 1, &connection, 1, 0).await;
     assert_eq!((status, calls), (200, vec![]), "the leader's answer");
@@ -162,7 +162,7 @@
 async fn a_worker_goes_to_the_leader_when_its_answer_does_not_come() {
     let test = async {
         let store = StandIn::default();
-        let mut c = served(&store).await;
+        let mut c = store_reachable(&store).await;
         let (node, connection) = (c.nodes[1].clone(), WorkerConnection::default());
         let body = report_of(1, 0);
         let began = Instant::now();
@@ -189,7 +189,7 @@
 async fn only_so_many_reports_wait_for_the_leader() {
     let test = async {
         let store = StandIn::default();
-        let c = served(&store).await;
+        let c = store_reachable(&store).await;
         let node = c.nodes[1].clone();
         let most = Sockets::share(node.settings.fd_limit).inbound as usize;
         let ask = |node: Rc<Node>| async move {
@@ -287,7 +287,7 @@
 async fn the_leader_sends_workers_to_the_follower_with_fewest_and_not_with_their_first_report() {
     let test = async {
         let store = StandIn::default();
-        let mut c = served(&store).await;
+        let mut c = store_reachable(&store).await;
         for node in [1, 2] {
             c.nodes[node].serving.workers.set(100 * node as u32);
             ask(&c.nodes[node]);
--- a/crates/controller/src/key_value_client/golden_tests.rs
+++ b/crates/controller/src/key_value_client/golden_tests.rs
@@ -1,7 +1,7 @@
 //! Every request to the state service, as it is sent, and what is read of its answers. Kept in
 //! `golden/requests.txt`.
 
-use walnutlug_scheduler::protocol::{Change, Guard, WatchEvent};
+use walnutlug_scheduler::protocol::{Compare, Operation, WatchEvent};
 
 use super::*;
 use crate::golden_file::Golden;
@@ -10,7 +10,7 @@
 
 /// A state service that gives these answers, one after the other, and what it was asked.
 struct Scripted {
-    state: State,
+    state: KeyValueClient,
     asked: Rc<RefCell<Vec<String>>>,
 }
 
@@ -28,7 +28,7 @@
         let client = Rc::new(Client::scripted(Box::new(script)));
         let limits = Limits { rps: 100.0, write_rps: 40.0, value_bytes: 8_192, txn_ops: 32 };
         let addr = SocketAddrV4::new([127, 0, 0, 1].into(), 1);
-        Scripted { state: State::new(client, addr, limits, None), asked }
+        Scripted { state: KeyValueClient::new(client, addr, limits, None), asked }
     }
 
     fn asked(&self) -> String {
@@ -36,51 +36,59 @@
     }
 }
 
-fn transaction() -> Txn {
-    let leader = leader_value("kernel-1", "00ff00ff00ff00ff", 7);
-    Txn {
-        guards: vec![
-            Guard { key: "leader".into(), mark: 412 },
-            Guard { key: "end/req-000412".into(), mark: 0 },
+fn transaction() -> Transaction {
+    let leader = leader_record("kernel-1", "00ff00ff00ff00ff", 7);
+    Transaction {
+        compares: vec![
+            Compare { key: "leader".into(), revision: 412 },
+            Compare { key: "end/req-000412".into(), revision: 0 },
         ],
-        apply: vec![
-            Change::Put {
+        operations: vec![
+            Operation::Put {
                 put: "leader".into(),
                 value: walnutlug_scheduler::storage::document::Document::new(&leader),
                 lease: Some(7),
             },
-            Change::put("job/req-000412", json!(1)),
-            Change::drop("run/req-000412/00003"),
+            Operation::put("job/req-000412", json!(1)),
+            Operation::delete("run/req-000412/00003"),
         ],
     }
 }
 
 async fn keys_requests() -> Vec<(&'static str, String)> {
     let found = Scripted::new(&[(200, r#"{"key":"a/b","value":{"x":1.5},"mark":412,"hold":7}"#)]);
-    let pair = found.state.get(Class::Poll, "a/b").await.expect("an answer").expect("a key");
-    assert!(pair.key == "a/b" && pair.mark == 412, "get: key and mark");
-    assert!(pair.value == json!({"x": 1.5}), "get: value");
+    let key_value =
+        found.state.get(RequestClass::Poll, "a/b").await.expect("an answer").expect("a key");
+    assert!(key_value.key == "a/b" && key_value.revision == 412, "get: key and mark");
+    assert!(key_value.value == json!({"x": 1.5}), "get: value");
     let absent = Scripted::new(&[(404, r#"{"growth":431}"#)]);
-    let answer = absent.state.get(Class::Poll, "todo/req-000412").await.expect("an answer");
+    let answer = absent.state.get(RequestClass::Poll, "todo/req-000412").await.expect("an answer");
     assert!(answer.is_none(), "get: no such key");
     let listed = Scripted::new(&[
         (200, r#"{"pairs":[{"key":"c/7","value":1,"mark":3}],"hasNext":true,"growth":431}"#),
         (200, r#"{"pairs":[{"key":"c/8","value":2,"mark":4}],"hasNext":false,"growth":439}"#),
     ]);
-    let (pairs, growth) = listed.state.list(Class::Poll, "c/").await.expect("a list");
-    let marks: Vec<(&str, u64)> = pairs.iter().map(|p| (p.key.as_str(), p.mark)).collect();
-    assert!(marks == [("c/7", 3), ("c/8", 4)] && growth == 431, "list");
+    let (key_values, store_revision) =
+        listed.state.list(RequestClass::Poll, "c/").await.expect("a list");
+    let marks: Vec<(&str, u64)> = key_values.iter().map(|p| (p.key.as_str(), p.revision)).collect();
+    assert!(marks == [("c/7", 3), ("c/8", 4)] && store_revision == 431, "list");
     vec![("get", found.asked()), ("get, absent", absent.asked()), ("list", listed.asked())]
 }
 
 async fn transaction_requests() -> Vec<(&'static str, String)> {
     let committed = Scripted::new(&[(200, r#"{"growth":432}"#)]);
-    let outcome = committed.state.commit(Class::Dispatch, &transaction()).await;
-    assert!(outcome == Outcome::Committed { mark: 432 }, "transaction: committed");
+    let outcome = committed.state.commit(RequestClass::Dispatch, &transaction()).await;
+    assert!(outcome == TransactionOutcome::Committed { revision: 432 }, "transaction: committed");
     let compared = Scripted::new(&[(409, r#"{"failed":["a/b"],"growth":431}"#)]);
-    let only = Txn { guards: vec![Guard { key: "a/b".into(), mark: 0 }], apply: Vec::new() };
-    let outcome = compared.state.commit(Class::Poll, &only).await;
-    assert!(outcome == Outcome::Conflict { failed: vec!["a/b".into()] }, "comparison: failed");
+    let only = Transaction {
+        compares: vec![Compare { key: "a/b".into(), revision: 0 }],
+        operations: Vec::new(),
+    };
+    let outcome = compared.state.commit(RequestClass::Poll, &only).await;
+    assert!(
+        outcome == TransactionOutcome::Conflict { failed: vec!["a/b".into()] },
+        "comparison: failed"
+    );
     vec![("transaction", committed.asked()), ("comparison", compared.asked())]
 }
 
@@ -88,16 +96,16 @@
 #[tokio::test(start_paused = true)]
 async fn answers_to_transactions_are_read_as_before() {
     for (status, body, expected) in [
-        (200, "{}", Outcome::Lost),
-        (409, r#"{"failed":[],"growth":1}"#, Outcome::Lost),
-        (400, r#"{"error":"no such lease"}"#, Outcome::Refused),
-        (400, r#"{"error":"too large"}"#, Outcome::TooLarge),
-        (404, "{}", Outcome::Lost),
-        (500, "{}", Outcome::Lost),
-        (503, "{}", Outcome::Refused),
+        (200, "{}", TransactionOutcome::Indeterminate),
+        (409, r#"{"failed":[],"growth":1}"#, TransactionOutcome::Indeterminate),
+        (400, r#"{"error":"no such lease"}"#, TransactionOutcome::Rejected),
+        (400, r#"{"error":"too large"}"#, TransactionOutcome::TooLarge),
+        (404, "{}", TransactionOutcome::Indeterminate),
+        (500, "{}", TransactionOutcome::Indeterminate),
+        (503, "{}", TransactionOutcome::Rejected),
     ] {
         let scripted = Scripted::new(&[(status, body)]);
-        let outcome = scripted.state.commit(Class::Dispatch, &transaction()).await;
+        let outcome = scripted.state.commit(RequestClass::Dispatch, &transaction()).await;
         assert!(outcome == expected, "{status} {body}: read otherwise");
     }
 }
@@ -108,7 +116,7 @@
     let touched = Scripted::new(&[(200, "{}")]);
     assert!(touched.state.touch(7).await == Ok(()), "renewal");
     let ended = Scripted::new(&[(404, "{}")]);
-    assert!(ended.state.touch(8).await == Err(StateError::Gone), "renewal of what ended");
+    assert!(ended.state.touch(8).await == Err(KeyValueError::Expired), "renewal of what ended");
     let released = Scripted::new(&[(200, "{}")]);
     assert!(released.state.release(7).await == Ok(()), "release");
     vec![
@@ -125,15 +133,18 @@
         r#"{"growth":433,"events":[{"put":"c/9","value":{"x":1},"mark":433},{"drop":"c/d","mark":432}]}"#,
     )]);
     let hold = Duration::from_millis(10_000);
-    let watched = changed.state.watch(Class::Watch, "c/", 431, hold).await.expect("an answer");
-    assert!(watched.growth == 433 && watched.events.len() == 2, "watch");
-    let WatchEvent::Put { put, value, mark } = &watched.events[0] else { panic!("watch: a put") };
-    assert!(put == "c/9" && *mark == 433 && *value == json!({"x": 1}), "watch: the put");
-    let WatchEvent::Drop { drop, mark } = &watched.events[1] else { panic!("watch: a drop") };
-    assert!(drop == "c/d" && *mark == 432, "watch: the drop");
+    let watched =
+        changed.state.watch(RequestClass::Watch, "c/", 431, hold).await.expect("an answer");
+    assert!(watched.store_revision == 433 && watched.events.len() == 2, "watch");
+    let WatchEvent::Put { put, value, revision } = &watched.events[0] else {
+        panic!("watch: a put")
+    };
+    assert!(put == "c/9" && *revision == 433 && *value == json!({"x": 1}), "watch: the put");
+    let WatchEvent::Delete { drop, revision } = &watched.events[1] else { panic!("watch: a drop") };
+    assert!(drop == "c/d" && *revision == 432, "watch: the drop");
     let old = Scripted::new(&[(410, "{}")]);
-    let answer = old.state.watch(Class::Watch, "todo", 1, hold).await;
-    assert!(matches!(answer, Err(StateError::Gone)), "watch: too old");
+    let answer = old.state.watch(RequestClass::Watch, "todo", 1, hold).await;
+    assert!(matches!(answer, Err(KeyValueError::Expired)), "watch: too old");
     vec![("watch", changed.asked()), ("watch, too old", old.asked())]
 }
 
@@ -143,13 +154,13 @@
     found.extend(transaction_requests().await);
     found.extend(lease_requests().await);
     found.extend(watch_requests().await);
-    let leader = leader_value("kernel-1", "00ff00ff00ff00ff", 7).to_string();
+    let leader = leader_record("kernel-1", "00ff00ff00ff00ff", 7).to_string();
     found.push(("leader key's value", leader));
     let golden = Golden::check(FILE, &found);
     let whole = golden.text("transaction");
     let (request, body) = whole.split_once('\n').expect("a request and a body");
     assert!(request == "POST /multi", "transaction: the request");
-    let read: Txn = serde_json::from_str(body).expect("a transaction");
+    let read: Transaction = serde_json::from_str(body).expect("a transaction");
     assert!(read == transaction(), "transaction: a field was read otherwise");
     assert!(serde_json::to_string(&read).expect("text") == body, "transaction: written again");
 }
--- a/crates/controller/src/key_value_client/tests.rs
+++ b/crates/controller/src/key_value_client/tests.rs
@@ -4,7 +4,7 @@
 #[test]
 fn the_leader_key_is_that_of_the_production_version() {
     let then = include_str!("../../fixtures/production-leader.json").trim();
-    assert_eq!(leader_value("kernel-1", "00ff00ff00ff00ff", 7).to_string(), then);
+    assert_eq!(leader_record("kernel-1", "00ff00ff00ff00ff", 7).to_string(), then);
 }
 
 fn limits() -> (Limits, Limits) {
@@ -12,7 +12,7 @@
     (now, Limits { rps: 100.0, write_rps: 28.0, value_bytes: 2_048, txn_ops: 10 })
 }
 
-fn refusing(statuses: &'static [u16], next: Option<Limits>) -> State {
+fn refusing(statuses: &'static [u16], next: Option<Limits>) -> KeyValueClient {
     let asked = Cell::new(0);
     let script = move |_: &str, _: &str, _: &[u8]| {
         let status = statuses[asked.get().min(statuses.len() - 1)];
@@ -20,7 +20,7 @@
         Ok(Response { status, body: br#"{"growth":1}"#.to_vec() })
     };
     let client = Rc::new(Client::scripted(Box::new(script)));
-    State::new(client, "127.0.0.1:1".parse().expect("an address"), limits().0, next)
+    KeyValueClient::new(client, "127.0.0.1:1".parse().expect("an address"), limits().0, next)
 }
 
 /// A refusal for size is certain, is not asked again as it was, and holds from then on.
@@ -31,27 +31,33 @@
     // Transactions are small from the start; large values are used while they are taken.
     assert_eq!(state.limits(), Limits { txn_ops: 10, ..now });
     assert!(matches!(
-        state.commit(Class::Dispatch, &Txn::default()).await,
-        Outcome::Committed { .. }
+        state.commit(RequestClass::Dispatch, &Transaction::default()).await,
+        TransactionOutcome::Committed { .. }
     ));
-    assert_eq!(state.commit(Class::Dispatch, &Txn::default()).await, Outcome::TooLarge);
+    assert_eq!(
+        state.commit(RequestClass::Dispatch, &Transaction::default()).await,
+        TransactionOutcome::TooLarge
+    );
     assert_eq!(state.limits(), next);
     state.lead(true);
-    assert_eq!(state.pacer.borrow().wps, 28.0 * 0.8);
-    let _ = state.commit(Class::Dispatch, &Txn::default()).await;
+    assert_eq!(state.rate_limiter.borrow().wps, 28.0 * 0.8);
+    let _ = state.commit(RequestClass::Dispatch, &Transaction::default()).await;
     assert_eq!(state.limits(), next);
     // Without a word of what comes, each refusal halves what is sent, down to a least.
     let state = refusing(&[400], None);
     for _ in 0..9 {
-        assert_eq!(state.commit(Class::Dispatch, &Txn::default()).await, Outcome::TooLarge);
+        assert_eq!(
+            state.commit(RequestClass::Dispatch, &Transaction::default()).await,
+            TransactionOutcome::TooLarge
+        );
     }
     assert_eq!((state.limits().value_bytes, state.limits().txn_ops), (LEAST_VALUE, 1));
-    assert!(!state.met_fall(), "others may be served better");
+    assert!(!state.limits_lowered(), "others may be served better");
     // What another node met with is taken from it.
     let state = refusing(&[200], Some(next));
-    assert!(!state.met_fall());
-    state.heard_of_fall();
-    assert!(state.met_fall() && state.limits() == next);
+    assert!(!state.limits_lowered());
+    state.learn_limits_lowered();
+    assert!(state.limits_lowered() && state.limits() == next);
 }
 
 #[tokio::test(start_paused = true)]
@@ -59,11 +65,11 @@
     let (now, next) = limits();
     let state = refusing(&[429, 200, 429, 200, 429, 200], Some(next));
     for _ in 0..3 {
-        let _ = state.commit(Class::Dispatch, &Txn::default()).await;
+        let _ = state.commit(RequestClass::Dispatch, &Transaction::default()).await;
     }
     assert_eq!(state.limits().write_rps, now.write_rps);
     let state = refusing(&[429, 429, 429, 429, 429, 200], Some(next));
-    let _ = state.commit(Class::Dispatch, &Txn::default()).await;
+    let _ = state.commit(RequestClass::Dispatch, &Transaction::default()).await;
     assert_eq!(state.limits(), next);
 }
 
@@ -75,27 +81,31 @@
     };
     let client = Rc::new(Client::scripted(Box::new(script)));
     let addr = "127.0.0.1:1".parse().expect("an address");
-    let state = State::new(client, addr, limits().0, Some(limits().1));
-    assert_eq!(state.commit(Class::Leadership, &Txn::default()).await, Outcome::Refused);
+    let state = KeyValueClient::new(client, addr, limits().0, Some(limits().1));
+    assert_eq!(
+        state.commit(RequestClass::Leadership, &Transaction::default()).await,
+        TransactionOutcome::Rejected
+    );
     assert_eq!(state.limits().value_bytes, limits().0.value_bytes);
 }
 
 #[tokio::test(start_paused = true)]
 async fn lower_classes_leave_room_for_the_leadership() {
     let now = Instant::now();
-    let mut p = Pacer { rps: 10.0, wps: 10.0, ahead: 4.0, requests: 10.0, writes: 10.0, last: now };
+    let mut p =
+        RateLimiter { rps: 10.0, wps: 10.0, ahead: 4.0, requests: 10.0, writes: 10.0, last: now };
     let mut polls = 0;
-    while p.take(now, Class::Poll, 0.0).is_none() {
+    while p.take(now, RequestClass::Poll, 0.0).is_none() {
         polls += 1;
     }
     assert_eq!(polls, 8);
-    assert!(p.take(now, Class::Dispatch, 1.0).is_none());
-    assert!(p.take(now, Class::Dispatch, 1.0).is_some(), "leaves one for an acceptance");
-    assert!(p.take(now, Class::Submission, 40.0).is_none(), "leaves a debt of writes");
-    assert!(p.take(now, Class::Submission, 1.0).is_some(), "which has to be earned first");
+    assert!(p.take(now, RequestClass::Dispatch, 1.0).is_none());
+    assert!(p.take(now, RequestClass::Dispatch, 1.0).is_some(), "leaves one for an acceptance");
+    assert!(p.take(now, RequestClass::Submission, 40.0).is_none(), "leaves a debt of writes");
+    assert!(p.take(now, RequestClass::Submission, 1.0).is_some(), "which has to be earned first");
     for _ in 0..5 {
-        assert!(p.take(now, Class::Leadership, 0.0).is_none(), "never waits");
+        assert!(p.take(now, RequestClass::Leadership, 0.0).is_none(), "never waits");
     }
-    let wait = p.take(now, Class::Poll, 0.0).expect("must wait");
-    assert!(p.take(now + wait + Duration::from_secs(2), Class::Poll, 0.0).is_none());
+    let wait = p.take(now, RequestClass::Poll, 0.0).expect("must wait");
+    assert!(p.take(now + wait + Duration::from_secs(2), RequestClass::Poll, 0.0).is_none());
 }
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -31,7 +31,7 @@
 use crate::heartbeat_delegation::{self, Serving};
 use crate::http::client::Client;
 use crate::http::server::{self, Answer, Request};
-use crate::key_value_client::State;
+use crate::key_value_client::KeyValueClient;
 use crate::peers::{self, Frame};
 use crate::settings::{Settings, Sockets};
 use crate::user_api;
@@ -60,7 +60,7 @@
 /// What another node last said of itself.
 struct PeerState {
     heard: Instant,
-    served: bool,
+    store_reachable: bool,
     redirected: u16,
     life: u64,
     count: u64,
@@ -77,7 +77,7 @@
     pub settings: Settings,
     pub tunables: Rc<Tunables>,
     pub site: Rc<walnutlug_scheduler::tunables::Site>,
-    pub state: State,
+    pub key_value: KeyValueClient,
     pub cloud: Cloud,
     pub client: Rc<Client>,
     pub leadership: RefCell<Leadership>,
@@ -148,7 +148,7 @@
         Ok(Node {
             tunables: Rc::new(tunables),
             site: Rc::new(settings.site.clone()),
-            state: State::new(
+            key_value: KeyValueClient::new(
                 client.clone(),
                 settings.state,
                 settings.state_limits,
@@ -272,15 +272,15 @@
             name: self.settings.node_name.clone(),
             term,
             leading,
-            served: self.state.served(),
+            store_reachable: self.key_value.store_reachable(),
             redirected: self.redirected.get(),
             life: self.life,
             count: self.statuses.get(),
         });
         self.statuses.set(self.statuses.get() + 1);
-        if self.state.met_fall() {
+        if self.key_value.limits_lowered() {
             // A node that comes to lead later would find out again, with refused writes.
-            self.tell_peers(&Frame::LimitsFell);
+            self.tell_peers(&Frame::LimitsLowered);
         }
         leading
     }
@@ -353,7 +353,7 @@
 
     pub fn peer_frame(&self, frame: Frame) {
         match frame {
-            Frame::Status { name, term, leading, served, redirected, life, count } => {
+            Frame::Status { name, term, leading, store_reachable, redirected, life, count } => {
                 if leading {
                     self.learn_leader(&name, term);
                     heartbeat_delegation::ask_new_leader(self, term);
@@ -370,7 +370,7 @@
                 self.cancel_log.borrow_mut().heard(&name, life);
                 self.tell_cancelled();
                 let heard = Instant::now();
-                let state = PeerState { heard, served, redirected, life, count };
+                let state = PeerState { heard, store_reachable, redirected, life, count };
                 let mut states = self.peer_states.borrow_mut();
                 // A frame of the node's former life, or one held back, says nothing of now. (Lives
                 // are told apart by the time of day, which may wander: one that has long been
@@ -433,7 +433,7 @@
             | Frame::Granting(_)
             | Frame::Withdrawn { .. } => heartbeat_delegation::frame(self, frame),
             Frame::NewJob { .. } => self.new_work.notify_one(),
-            Frame::LimitsFell => self.state.heard_of_fall(),
+            Frame::LimitsLowered => self.key_value.learn_limits_lowered(),
             Frame::Machines(list) => {
                 let mut known = self.addresses.borrow_mut();
                 if known.len() + list.len() > MOST_ADDRESSES {
@@ -451,7 +451,7 @@
 
     fn a_peer_is_served(&self) -> bool {
         let states = self.peer_states.borrow();
-        states.values().any(|p| p.served && p.heard.elapsed() < PEER_FRESH)
+        states.values().any(|p| p.store_reachable && p.heard.elapsed() < PEER_FRESH)
     }
 
     fn workers_go_elsewhere(&self) -> bool {
@@ -475,7 +475,7 @@
         if self.types.borrow().is_empty() || !self.ready_once.get() {
             return false;
         }
-        let unserved = self.state.unserved_for() > Duration::from_millis(1_500);
+        let unserved = self.key_value.unreachable_for() > Duration::from_millis(1_500);
         !(unserved && (self.a_peer_is_served() || self.alone()))
     }
 
@@ -485,7 +485,7 @@
             info!("no longer leading: {why}");
             *self.scheduler.borrow_mut() = None;
             *self.fleet.borrow_mut() = None;
-            self.state.lead(false);
+            self.key_value.lead(false);
             self.step_down.notify_waiters();
         }
     }
@@ -515,7 +515,7 @@
         tokio::task::spawn_local(peers::talk(peer.addr, rx));
     }
     let node = Rc::new(Node::new(settings, tunables, client, peer_queues)?);
-    node.state.lead(false);
+    node.key_value.lead(false);
     tokio::task::spawn_local(peers::listen(node.clone(), internal));
     tokio::task::spawn_local(leader::election(node.clone()));
     tokio::task::spawn_local(machine_types::keep(node.clone()));
--- a/crates/controller/src/node/broadcast.rs
+++ b/crates/controller/src/node/broadcast.rs
@@ -24,7 +24,7 @@
             tell_addresses(&node);
         }
         let probe = node.clone();
-        tokio::task::spawn_local(async move { probe.state.probe().await });
+        tokio::task::spawn_local(async move { probe.key_value.probe().await });
         sleep(Duration::from_micros(ask_every(&node.site).0)).await;
     }
 }
--- a/crates/controller/src/node/fleet_role.rs
+++ b/crates/controller/src/node/fleet_role.rs
@@ -17,7 +17,7 @@
 use super::leader::{retry, with_scheduler};
 use super::Node;
 use crate::cloud_client::CloudError;
-use crate::key_value_client::{Class, StateError};
+use crate::key_value_client::{KeyValueError, RequestClass};
 
 /// Lags of the cloud's list after which a machine is on it for certain; it may lag twice as long as told.
 const LISTED_AFTER_LAGS: f64 = 3.0;
@@ -29,7 +29,7 @@
     node: &Rc<Node>,
     term: u64,
     scheduler: &mut Scheduler,
-) -> Result<(), StateError> {
+) -> Result<(), KeyValueError> {
     if !node.tunables.fenced_duties {
         return Ok(());
     }
@@ -71,7 +71,7 @@
 }
 
 fn write_limits(node: &Node) -> WriteLimits {
-    let limits = node.state.limits();
+    let limits = node.key_value.limits();
     WriteLimits { value_bytes: limits.value_bytes, txn_ops: limits.txn_ops }
 }
 
@@ -153,10 +153,10 @@
     };
     for command in commands {
         match command {
-            LedgerCommand::Write { id, txn } => {
+            LedgerCommand::Write { id, transaction } => {
                 let node = node.clone();
                 tokio::task::spawn_local(async move {
-                    let outcome = node.state.commit(Class::Dispatch, &txn).await;
+                    let outcome = node.key_value.commit(RequestClass::Dispatch, &transaction).await;
                     with_ledger(&node, term, |ledger| ledger.written(node.now(), id, &outcome));
                 });
             }
--- a/crates/controller/src/node/golden_tests.rs
+++ b/crates/controller/src/node/golden_tests.rs
@@ -418,7 +418,7 @@
         }
         let asked = Rc::default();
         let node = noting(&asked);
-        let _ = user_api::share_types(&node.state, &[one_type()]).await;
+        let _ = user_api::share_types(&node.key_value, &[one_type()]).await;
         found.push(("machine types, unfenced", steady(&node, &asked)));
         Golden::check(STATE, &found);
     };
--- a/crates/controller/src/node/leader.rs
+++ b/crates/controller/src/node/leader.rs
@@ -9,15 +9,15 @@
 use walnutlug_scheduler::leadership::election::{Input, Role};
 use walnutlug_scheduler::leadership::watermark;
 use walnutlug_scheduler::model::job::{keys, End};
-use walnutlug_scheduler::protocol::{Change, Guard, RentRequest, Txn, WatchEvent};
+use walnutlug_scheduler::protocol::{Compare, Operation, RentRequest, Transaction, WatchEvent};
 use walnutlug_scheduler::queue::dependencies::Found;
-use walnutlug_scheduler::scheduler::{Command, Outcome, Scheduler};
+use walnutlug_scheduler::scheduler::{Command, Scheduler, TransactionOutcome};
 use walnutlug_scheduler::storage::document::Document;
 use walnutlug_scheduler::time::{Span, Time};
 
 use super::{fleet_role, Node, ADDRESS_FRESH};
 use crate::cloud_client::CloudError;
-use crate::key_value_client::{leader_value, Class, State, StateError};
+use crate::key_value_client::{leader_record, KeyValueClient, KeyValueError, RequestClass};
 use crate::{heartbeat_delegation, worker_api};
 
 /// How long a leader that gave way leaves the lead to others.
@@ -28,29 +28,33 @@
 
 pub(super) async fn election(node: Rc<Node>) {
     loop {
-        match node.state.get(Class::Leadership, keys::LEADER).await {
-            Ok(Some(pair)) => {
+        match node.key_value.get(RequestClass::Leadership, keys::LEADER).await {
+            Ok(Some(key_value)) => {
                 node.ready_once.set(true);
-                let name = pair.value["node"].as_str().unwrap_or_default().to_owned();
-                let own = pair.value["inc"].as_str() == Some(node.incarnation.as_str());
+                let name = key_value.value["node"].as_str().unwrap_or_default().to_owned();
+                let own = key_value.value["inc"].as_str() == Some(node.incarnation.as_str());
                 if own {
                     // Its lease is not held any more (an answer was lost): it will run out.
                     sleep(Duration::from_millis(300)).await;
                     continue;
                 }
                 if name == node.settings.node_name {
-                    end_former_lead(&node, &pair).await;
+                    end_former_lead(&node, &key_value).await;
                 }
-                node.learn_leader(&name, pair.mark);
+                node.learn_leader(&name, key_value.revision);
                 let hold = Duration::from_secs(10);
-                match node.state.watch(Class::Leadership, keys::LEADER, pair.mark, hold).await {
+                match node
+                    .key_value
+                    .watch(RequestClass::Leadership, keys::LEADER, key_value.revision, hold)
+                    .await
+                {
                     Ok(w) => {
                         let vacant = w.events.iter().any(
-                            |e| matches!(e, WatchEvent::Drop { drop, .. } if drop == keys::LEADER),
+                            |e| matches!(e, WatchEvent::Delete { drop, .. } if drop == keys::LEADER),
                         );
                         if vacant {
                             info!("the leader key is gone");
-                            node.forget_leader(pair.mark);
+                            node.forget_leader(key_value.revision);
                         }
                     }
                     Err(_) => sleep(Duration::from_millis(300)).await,
@@ -73,10 +77,10 @@
 /// The key names this node, but not this life of it: the process ended while it led, and came back
 /// before its lease ran out. Nobody leads, so the lease is ended at once. Were the former self
 /// alive against all order, its writes would fail, and nothing worse.
-async fn end_former_lead(node: &Node, pair: &walnutlug_scheduler::protocol::Pair) {
-    if let Some(lease) = pair.value["lease"].as_u64() {
-        info!(term = pair.mark, "this node led when it ended: its lease is given up");
-        let _ = node.state.release(lease).await;
+async fn end_former_lead(node: &Node, key_value: &walnutlug_scheduler::protocol::KeyValue) {
+    if let Some(lease) = key_value.value["lease"].as_u64() {
+        info!(term = key_value.revision, "this node led when it ended: its lease is given up");
+        let _ = node.key_value.release(lease).await;
     }
 }
 
@@ -86,25 +90,25 @@
         node.leadership.borrow_mut().step(node.now(), input);
     };
     let asked = Instant::now();
-    let Ok(lease) = node.state.lease(ttl).await else {
+    let Ok(lease) = node.key_value.lease(ttl).await else {
         lost(Input::Failed);
         sleep(Duration::from_millis(rand::random_range(50..200))).await;
         return;
     };
     node.lease_until.set(asked + certain(ttl));
-    let value = leader_value(&node.settings.node_name, &node.incarnation, lease);
-    let txn = Txn {
-        guards: vec![Guard { key: keys::LEADER.into(), mark: 0 }],
-        apply: vec![Change::Put {
+    let value = leader_record(&node.settings.node_name, &node.incarnation, lease);
+    let transaction = Transaction {
+        compares: vec![Compare { key: keys::LEADER.into(), revision: 0 }],
+        operations: vec![Operation::Put {
             put: keys::LEADER.into(),
             value: Document::new(&value),
             lease: Some(lease),
         }],
     };
-    let term = create_leader_key(&node.state, &txn, &node.incarnation).await;
+    let term = create_leader_key(&node.key_value, &transaction, &node.incarnation).await;
     let Some(term) = term else {
         // Ending the lease ends whatever a late copy of the transaction might yet create.
-        let _ = node.state.release(lease).await;
+        let _ = node.key_value.release(lease).await;
         lost(Input::Failed);
         return;
     };
@@ -112,24 +116,28 @@
         return;
     }
     info!(term, "elected");
-    node.state.lead(true);
+    node.key_value.lead(true);
     node.learn_leader(&node.settings.node_name, term);
     lead(node, term, lease, asked).await;
-    let _ = timeout(Duration::from_millis(500), node.state.release(lease)).await;
+    let _ = timeout(Duration::from_millis(500), node.key_value.release(lease)).await;
 }
 
 /// Creates the key, and tells the term if this node did. If only the answer was lost, the key holds
 /// this node's own incarnation.
-async fn create_leader_key(state: &State, txn: &Txn, incarnation: &str) -> Option<u64> {
-    match state.commit(Class::Leadership, txn).await {
-        Outcome::Committed { mark } => Some(mark),
-        Outcome::Conflict { .. } | Outcome::Lost => {
-            match state.get(Class::Leadership, keys::LEADER).await {
-                Ok(Some(p)) if p.value["inc"].as_str() == Some(incarnation) => Some(p.mark),
+async fn create_leader_key(
+    state: &KeyValueClient,
+    transaction: &Transaction,
+    incarnation: &str,
+) -> Option<u64> {
+    match state.commit(RequestClass::Leadership, transaction).await {
+        TransactionOutcome::Committed { revision } => Some(revision),
+        TransactionOutcome::Conflict { .. } | TransactionOutcome::Indeterminate => {
+            match state.get(RequestClass::Leadership, keys::LEADER).await {
+                Ok(Some(p)) if p.value["inc"].as_str() == Some(incarnation) => Some(p.revision),
                 _ => None,
             }
         }
-        Outcome::Refused | Outcome::TooLarge => None,
+        TransactionOutcome::Rejected | TransactionOutcome::TooLarge => None,
     }
 }
 
@@ -168,12 +176,12 @@
     loop {
         tokio::time::sleep_until(touched + ttl.mul_f64(0.28)).await;
         let sent = Instant::now();
-        match node.state.touch(lease).await {
+        match node.key_value.touch(lease).await {
             Ok(()) => {
                 touched = sent;
                 node.lease_until.set(sent + certain(ttl));
             }
-            Err(StateError::Gone) => {
+            Err(KeyValueError::Expired) => {
                 node.give_up_lead("the lease ran out");
                 return;
             }
@@ -189,7 +197,7 @@
 }
 
 /// Reads the records of the term before, whole, before anything is decided.
-async fn load(node: &Rc<Node>, term: u64) -> Result<(), StateError> {
+async fn load(node: &Rc<Node>, term: u64) -> Result<(), KeyValueError> {
     let (began, asked) = (Instant::now(), node.now());
     node.ends_while_loading.borrow_mut().clear();
     if node.types.borrow().is_empty() {
@@ -202,12 +210,12 @@
         node.types.borrow().clone(),
         node.now(),
     );
-    let (todo, growth) = retry(node, keys::DESCRIPTIONS).await?;
+    let (todo, store_revision) = retry(node, keys::DESCRIPTIONS).await?;
     let (runs, _) = retry(node, keys::RUN).await?;
     let (now, wall) = (node.now(), node.wall_us());
-    for pair in &todo {
-        if let Some(name) = keys::described(&pair.key) {
-            s.add_job(now, name, &pair.value, wall);
+    for key_value in &todo {
+        if let Some(name) = keys::described(&key_value.key) {
+            s.add_job(now, name, &key_value.value, wall);
         }
     }
     for key in s.load_runs(now, &runs) {
@@ -224,7 +232,7 @@
                 }
                 break;
             }
-            Err(StateError::Bad) => return Err(StateError::Bad),
+            Err(KeyValueError::InvalidResponse) => return Err(KeyValueError::InvalidResponse),
             Err(_) => sleep(Duration::from_millis(200)).await,
         }
     }
@@ -245,12 +253,12 @@
     install(node, s);
     node.watermark.borrow_mut().read(asked);
     if !node.leadership.borrow_mut().step(node.now(), Input::Loaded { term }) {
-        return Err(StateError::Gone);
+        return Err(KeyValueError::Expired);
     }
     // The others hear of it at once, and go on answering workers under this term.
     node.tell_status();
     for prefix in [keys::DESCRIPTIONS, keys::END] {
-        tokio::task::spawn_local(watch(node.clone(), term, prefix, growth));
+        tokio::task::spawn_local(watch(node.clone(), term, prefix, store_revision));
     }
     tokio::task::spawn_local(list_machines(node.clone(), term));
     tokio::task::spawn_local(reconcile(node.clone(), term));
@@ -258,30 +266,32 @@
 }
 
 /// Which of the jobs have ended, by comparing: the ends of all jobs ever are never listed.
-async fn ended_of(node: &Node, mut open: Vec<String>) -> Result<Vec<String>, StateError> {
+async fn ended_of(node: &Node, mut open: Vec<String>) -> Result<Vec<String>, KeyValueError> {
     let mut found = Vec::new();
     while !open.is_empty() {
-        let most = node.state.most_guards();
+        let most = node.key_value.max_compares();
         let batch = &open[open.len().saturating_sub(most)..];
-        let txn = Txn {
-            guards: batch.iter().map(|n| Guard { key: keys::end(n), mark: 0 }).collect(),
-            apply: Vec::new(),
+        let transaction = Transaction {
+            compares: batch.iter().map(|n| Compare { key: keys::end(n), revision: 0 }).collect(),
+            operations: Vec::new(),
         };
         let keep = open.len() - batch.len();
-        match node.state.commit(Class::Dispatch, &txn).await {
-            Outcome::Committed { .. } => open.truncate(keep),
-            Outcome::Conflict { failed } => {
+        match node.key_value.commit(RequestClass::Dispatch, &transaction).await {
+            TransactionOutcome::Committed { .. } => open.truncate(keep),
+            TransactionOutcome::Conflict { failed } => {
                 let before = open.len();
                 open.retain(|n| !failed.contains(&keys::end(n)));
                 if open.len() == before {
-                    return Err(StateError::Bad);
+                    return Err(KeyValueError::InvalidResponse);
                 }
                 found.extend(
                     failed.iter().filter_map(|k| k.strip_prefix(keys::END)).map(str::to_owned),
                 );
             }
-            Outcome::Refused | Outcome::TooLarge => return Err(StateError::Refused),
-            Outcome::Lost => return Err(StateError::Lost),
+            TransactionOutcome::Rejected | TransactionOutcome::TooLarge => {
+                return Err(KeyValueError::Rejected)
+            }
+            TransactionOutcome::Indeterminate => return Err(KeyValueError::Indeterminate),
         }
     }
     Ok(found)
@@ -292,7 +302,7 @@
     let mut found = Vec::new();
     let Ok(ended) = ended_of(node, names.clone()).await else { return found };
     for name in &ended {
-        if let Ok(Some(end)) = node.state.end(name).await {
+        if let Ok(Some(end)) = node.key_value.end(name).await {
             found.push((name.clone(), Found::Ended(end)));
         }
     }
@@ -302,7 +312,9 @@
         let known = node.scheduler.borrow().as_ref().is_some_and(|s| s.by_ref.contains_key(&name));
         if known {
             found.push((name, Found::Open));
-        } else if let Ok(proof) = node.state.get(Class::Dispatch, &keys::job(&name)).await {
+        } else if let Ok(proof) =
+            node.key_value.get(RequestClass::Dispatch, &keys::job(&name)).await
+        {
             let state = if proof.is_some() { Found::Open } else { Found::Missing };
             found.push((name, state));
         }
@@ -318,7 +330,7 @@
         if !leads(&node, term) {
             return;
         }
-        if !node.state.served() {
+        if !node.key_value.store_reachable() {
             continue;
         }
         if let Err(e) = reconcile_once(&node, term).await {
@@ -327,17 +339,17 @@
     }
 }
 
-async fn reconcile_once(node: &Rc<Node>, term: u64) -> Result<(), StateError> {
-    let (todo, _) = node.state.list(Class::Poll, keys::DESCRIPTIONS).await?;
+async fn reconcile_once(node: &Rc<Node>, term: u64) -> Result<(), KeyValueError> {
+    let (todo, _) = node.key_value.list(RequestClass::Poll, keys::DESCRIPTIONS).await?;
     let (now, wall) = (node.now(), node.wall_us());
     let open = {
         let mut scheduler = node.scheduler.borrow_mut();
         let Some(s) = scheduler.as_mut().filter(|s| s.term == term) else { return Ok(()) };
-        for pair in &todo {
+        for key_value in &todo {
             // One that was cleaned up since the list was read comes back here as a job to do; the
             // guard on its end then fails, and it is cleaned up again.
-            if let Some(name) = keys::described(&pair.key) {
-                if !s.by_ref.contains_key(name) && s.add_job(now, name, &pair.value, wall) {
+            if let Some(name) = keys::described(&key_value.key) {
+                if !s.by_ref.contains_key(name) && s.add_job(now, name, &key_value.value, wall) {
                     info!(job = %name, "found by reading the records again");
                 }
             }
@@ -348,7 +360,7 @@
         [s.open_jobs(), needs].concat()
     };
     for name in ended_of(node, open).await? {
-        if let Some(end) = node.state.end(&name).await? {
+        if let Some(end) = node.key_value.end(&name).await? {
             node.learn_end(&name, end);
         }
     }
@@ -372,10 +384,10 @@
 pub(super) async fn retry(
     node: &Rc<Node>,
     prefix: &str,
-) -> Result<(Vec<walnutlug_scheduler::protocol::Pair>, u64), StateError> {
+) -> Result<(Vec<walnutlug_scheduler::protocol::KeyValue>, u64), KeyValueError> {
     let mut tries = 0;
     loop {
-        match node.state.list(Class::Dispatch, prefix).await {
+        match node.key_value.list(RequestClass::Dispatch, prefix).await {
             Ok(found) => return Ok(found),
             Err(e) if tries > 20 => return Err(e),
             Err(_) => {
@@ -407,9 +419,9 @@
     let hold = sixth.clamp(Duration::from_millis(100), Duration::from_secs(10));
     while leads(&node, term) {
         let (opened, asked) = (Instant::now(), node.now());
-        match node.state.watch(Class::Dispatch, prefix, from, hold).await {
+        match node.key_value.watch(RequestClass::Dispatch, prefix, from, hold).await {
             Ok(watched) => {
-                from = watched.growth.max(from);
+                from = watched.store_revision.max(from);
                 if !leads(&node, term) {
                     return;
                 }
@@ -432,7 +444,7 @@
                 }
                 node.pump();
             }
-            Err(StateError::Gone) => {
+            Err(KeyValueError::Expired) => {
                 node.give_up_lead("the watch lost its place: the records are read again");
                 return;
             }
@@ -498,9 +510,9 @@
                 node.give_up_lead("no worker reaches this node, but they reach others");
                 return;
             }
-            let (left, most) = node.state.writes_left();
-            s.allow_writes(left, most);
-            let limits = node.state.limits();
+            let (left, most) = node.key_value.write_allowance();
+            s.set_write_allowance(left, most);
+            let limits = node.key_value.limits();
             s.set_limits(limits.value_bytes, limits.txn_ops);
             // By this node's own clock, and from before the request was sent, so never too long.
             s.in_office = Instant::now() < node.lease_until.get();
@@ -544,8 +556,10 @@
         Command::CheckLead => {
             if !node.checking_lead.replace(true) {
                 tokio::task::spawn_local(async move {
-                    if let Ok(found) = node.state.get(Class::Leadership, keys::LEADER).await {
-                        if found.is_none_or(|pair| pair.mark != term) {
+                    if let Ok(found) =
+                        node.key_value.get(RequestClass::Leadership, keys::LEADER).await
+                    {
+                        if found.is_none_or(|key_value| key_value.revision != term) {
                             node.give_up_lead("the leader key is not this term's any more");
                         }
                     }
@@ -554,20 +568,20 @@
                 });
             }
         }
-        Command::Commit { id, txn } => {
+        Command::Commit { id, transaction } => {
             tokio::task::spawn_local(async move {
-                let outcome = node.state.commit(Class::Dispatch, &txn).await;
-                with_scheduler(&node, term, |s, now| s.txn_answer(now, id, outcome));
+                let outcome = node.key_value.commit(RequestClass::Dispatch, &transaction).await;
+                with_scheduler(&node, term, |s, now| s.transaction_answered(now, id, outcome));
             });
         }
         Command::Read { id, key } => {
             tokio::task::spawn_local(async move {
-                let answer = match node.state.get(Class::Dispatch, &key).await {
-                    Ok(Some(pair)) => Some((pair.value, pair.mark)),
+                let answer = match node.key_value.get(RequestClass::Dispatch, &key).await {
+                    Ok(Some(key_value)) => Some((key_value.value, key_value.revision)),
                     Ok(None) => Some((serde_json::Value::Null, 0)),
                     Err(_) => None,
                 };
-                with_scheduler(&node, term, |s, now| s.read_answer(now, id, answer));
+                with_scheduler(&node, term, |s, now| s.read_answered(now, id, answer));
             });
         }
         Command::FindEnds { names } => {
--- a/crates/controller/src/node/leader/tests.rs
+++ b/crates/controller/src/node/leader/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 use crate::user_api::fake_cluster::{Fault, StandIn};
 
-fn key_for(incarnation: &str) -> Txn {
-    Txn {
-        guards: vec![Guard { key: keys::LEADER.into(), mark: 0 }],
-        apply: vec![Change::put(keys::LEADER, leader_value("kernel-0", incarnation, 5))],
+fn key_for(incarnation: &str) -> Transaction {
+    Transaction {
+        compares: vec![Compare { key: keys::LEADER.into(), revision: 0 }],
+        operations: vec![Operation::put(keys::LEADER, leader_record("kernel-0", incarnation, 5))],
     }
 }
 
@@ -13,12 +13,12 @@
     let store = StandIn::default();
     let node = store.node();
     store.fault(Fault::AppliedButLost);
-    let own = create_leader_key(&node.state, &key_for("mine"), "mine").await;
+    let own = create_leader_key(&node.key_value, &key_for("mine"), "mine").await;
     assert_eq!(own, Some(1), "elected after all");
-    let other = create_leader_key(&node.state, &key_for("theirs"), "theirs").await;
+    let other = create_leader_key(&node.key_value, &key_for("theirs"), "theirs").await;
     assert_eq!(other, None, "the key is taken");
     store.fault(Fault::NotApplied);
-    assert_eq!(create_leader_key(&node.state, &key_for("third"), "third").await, None);
+    assert_eq!(create_leader_key(&node.key_value, &key_for("third"), "third").await, None);
 }
 
 #[tokio::test(start_paused = true)]
@@ -35,10 +35,11 @@
 async fn a_node_back_at_once_ends_its_former_lead_and_no_other() {
     let store = StandIn::default();
     let node = store.node();
-    store.put(keys::LEADER, leader_value("kernel-0", "former", 5));
-    store.put("other", leader_value("kernel-1", "x", 6));
-    let pair = node.state.get(Class::Leadership, keys::LEADER).await.expect("ok").expect("key");
-    end_former_lead(&node, &pair).await;
+    store.put(keys::LEADER, leader_record("kernel-0", "former", 5));
+    store.put("other", leader_record("kernel-1", "x", 6));
+    let key_value =
+        node.key_value.get(RequestClass::Leadership, keys::LEADER).await.expect("ok").expect("key");
+    end_former_lead(&node, &key_value).await;
     assert!(!store.holds(keys::LEADER));
     assert!(store.holds("other"));
 }
--- a/crates/controller/src/node/machine_types.rs
+++ b/crates/controller/src/node/machine_types.rs
@@ -9,7 +9,7 @@
 
 use super::{machine_types_role, Node};
 use crate::cloud_client::usable_types;
-use crate::key_value_client::Class;
+use crate::key_value_client::RequestClass;
 use crate::user_api;
 
 /// Longest time between two looks at the machine types and their prices.
@@ -53,7 +53,7 @@
                 if node.tunables.fenced_duties {
                     machine_types_role::share(node, &types).await;
                 } else {
-                    let _ = user_api::share_types(&node.state, &types).await;
+                    let _ = user_api::share_types(&node.key_value, &types).await;
                 }
             }
             node.ready_once.set(true);
@@ -65,9 +65,11 @@
 impl Node {
     /// Takes the types over from the common store.
     pub(super) async fn read_types(&self) {
-        if let Ok(Some(pair)) = self.state.get(Class::Submission, keys::TYPES).await {
+        if let Ok(Some(key_value)) = self.key_value.get(RequestClass::Submission, keys::TYPES).await
+        {
             self.ready_once.set(true);
-            let types = serde_json::from_value::<Vec<MachineType>>(pair.value["breeds"].clone());
+            let types =
+                serde_json::from_value::<Vec<MachineType>>(key_value.value["breeds"].clone());
             if let Ok(types) = types {
                 self.take_types(&usable_types(types));
             }
--- a/crates/controller/src/node/machine_types_role.rs
+++ b/crates/controller/src/node/machine_types_role.rs
@@ -13,12 +13,12 @@
 };
 use walnutlug_fencing::role_balancer::{Balance, Standing};
 use walnutlug_scheduler::model::job::keys;
-use walnutlug_scheduler::protocol::{Change, MachineType, Pair};
-use walnutlug_scheduler::scheduler::Outcome;
+use walnutlug_scheduler::protocol::{KeyValue, MachineType, Operation};
+use walnutlug_scheduler::scheduler::TransactionOutcome;
 use walnutlug_scheduler::time::{Span, Time};
 
 use super::{Node, PEER_FRESH};
-use crate::key_value_client::{Class, StateError};
+use crate::key_value_client::{KeyValueError, RequestClass};
 
 const DUTY: Duty = Duty::MachineTypes;
 const LEASE: Span = Span::secs(12);
@@ -100,7 +100,7 @@
 
 fn own_standing(node: &Node) -> Standing {
     let leads = node.leadership.borrow().term().is_some();
-    Standing { leads, served: node.state.served() }
+    Standing { leads, store_reachable: node.key_value.store_reachable() }
 }
 
 fn other_standings(node: &Node) -> Vec<Standing> {
@@ -109,7 +109,7 @@
     let fresh = states.iter().filter(|(_, state)| state.heard.elapsed() < PEER_FRESH);
     let standing = |(name, state): (&String, &super::PeerState)| Standing {
         leads: leader.as_ref() == Some(name),
-        served: state.served,
+        store_reachable: state.store_reachable,
     };
     fresh.map(standing).collect()
 }
@@ -122,9 +122,9 @@
         info!(duty = DUTY.name(), "given up for a node that doesn't lead");
         return give_up(node, id).await;
     }
-    match node.state.touch(id).await {
+    match node.key_value.touch(id).await {
         Ok(()) => duty.step(LeaseInput::Renewed { sent: now }),
-        Err(StateError::Gone) => {
+        Err(KeyValueError::Expired) => {
             *duty.lease_id.borrow_mut() = None;
             duty.step(LeaseInput::Ended);
         }
@@ -135,16 +135,16 @@
 async fn give_up(node: &Node, id: u64) {
     node.machine_types_role.step(LeaseInput::Ended);
     *node.machine_types_role.lease_id.borrow_mut() = None;
-    let _ = node.state.release(id).await;
+    let _ = node.key_value.release(id).await;
 }
 
 /// Looks who holds the duty, and takes it if nobody does.
 async fn look(node: &Rc<Node>) {
     let duty = &node.machine_types_role;
-    match node.state.get(Class::Watch, &DUTY.key()).await {
-        Ok(Some(pair)) => {
+    match node.key_value.get(RequestClass::Watch, &DUTY.key()).await {
+        Ok(Some(key_value)) => {
             duty.balance.borrow_mut().taken();
-            held_by(node, &pair).await;
+            held_by(node, &key_value).await;
         }
         Ok(None) => {
             let own = own_standing(node);
@@ -156,10 +156,10 @@
     }
 }
 
-async fn held_by(node: &Rc<Node>, pair: &Pair) {
+async fn held_by(node: &Rc<Node>, key_value: &KeyValue) {
     let mut names: Vec<&str> = node.settings.peers.iter().map(|peer| peer.name.as_str()).collect();
     names.push(&node.settings.node_name);
-    let holding = match Holding::read(pair, &names) {
+    let holding = match Holding::read(key_value, &names) {
         Ok(holding) => holding,
         Err(fault) => {
             // Left as it is: its lease will end, or a version that can read it will see to it.
@@ -173,14 +173,14 @@
     let own_name = holding.holder.node == node.settings.node_name;
     if own_name && holding.holder.incarnation != node.incarnation {
         // This node's former life held it; nobody does now.
-        let _ = node.state.release(holding.holder.lease).await;
+        let _ = node.key_value.release(holding.holder.lease).await;
     }
 }
 
 async fn acquire(node: &Rc<Node>) {
     let duty = &node.machine_types_role;
     let sent = node.now();
-    let Ok(id) = node.state.lease(Duration::from_micros(LEASE.0)).await else { return };
+    let Ok(id) = node.key_value.lease(Duration::from_micros(LEASE.0)).await else { return };
     duty.step(LeaseInput::Granted { sent });
     match create_key(node, id).await {
         Some(revision) => {
@@ -190,7 +190,7 @@
         None => {
             duty.step(LeaseInput::Failed);
             // Ending the lease ends whatever a late copy of the transaction might yet create.
-            let _ = node.state.release(id).await;
+            let _ = node.key_value.release(id).await;
         }
     }
 }
@@ -203,15 +203,15 @@
         incarnation: node.incarnation.clone(),
         lease,
     };
-    let txn = Holding::claim(DUTY, &holder);
-    match node.state.commit(Class::Watch, &txn).await {
-        Outcome::Committed { mark } => Some(mark),
-        Outcome::Conflict { .. } | Outcome::Lost => {
-            let pair = node.state.get(Class::Watch, &DUTY.key()).await.ok()??;
-            let holding = Holding::read(&pair, &[&node.settings.node_name]).ok()?;
-            (holding.holder == holder).then_some(pair.mark)
+    let transaction = Holding::claim(DUTY, &holder);
+    match node.key_value.commit(RequestClass::Watch, &transaction).await {
+        TransactionOutcome::Committed { revision } => Some(revision),
+        TransactionOutcome::Conflict { .. } | TransactionOutcome::Indeterminate => {
+            let key_value = node.key_value.get(RequestClass::Watch, &DUTY.key()).await.ok()??;
+            let holding = Holding::read(&key_value, &[&node.settings.node_name]).ok()?;
+            (holding.holder == holder).then_some(key_value.revision)
         }
-        Outcome::Refused | Outcome::TooLarge => None,
+        TransactionOutcome::Rejected | TransactionOutcome::TooLarge => None,
     }
 }
 
@@ -220,20 +220,24 @@
     let epoch: Option<Epoch> = node.machine_types_role.lease.borrow().epoch();
     let Some(epoch) = epoch else { return };
     let value = serde_json::json!({"breeds": types});
-    if value.to_string().len() > node.state.limits().value_bytes {
+    if value.to_string().len() > node.key_value.limits().value_bytes {
         debug!("the machine types are too long to be kept");
         return;
     }
     let mut write = FencedWrite::new(&Fence::new(DUTY, epoch));
-    write.change(Change::put(keys::TYPES, value));
-    match node.state.commit(Class::Watch, &write.into_txn()).await {
-        Outcome::Committed { .. } => *node.machine_types_role.shared.borrow_mut() = Some(epoch),
-        Outcome::Conflict { .. } => {
+    write.change(Operation::put(keys::TYPES, value));
+    match node.key_value.commit(RequestClass::Watch, &write.into_transaction()).await {
+        TransactionOutcome::Committed { .. } => {
+            *node.machine_types_role.shared.borrow_mut() = Some(epoch)
+        }
+        TransactionOutcome::Conflict { .. } => {
             *node.machine_types_role.lease_id.borrow_mut() = None;
             node.machine_types_role.step(LeaseInput::Ended);
         }
         // The next look at the cloud is soon enough.
-        Outcome::Refused | Outcome::TooLarge | Outcome::Lost => {}
+        TransactionOutcome::Rejected
+        | TransactionOutcome::TooLarge
+        | TransactionOutcome::Indeterminate => {}
     }
 }
 
--- a/crates/controller/src/node/machine_types_role/tests.rs
+++ b/crates/controller/src/node/machine_types_role/tests.rs
@@ -18,7 +18,7 @@
         let (first, second) = (c.nodes[0].clone(), c.nodes[1].clone());
         // A node that the state service has not answered lately doesn't try.
         for node in [&first, &second] {
-            node.state.get(Class::Watch, keys::LEADER).await.expect("an answer");
+            node.key_value.get(RequestClass::Watch, keys::LEADER).await.expect("an answer");
         }
         look(&first).await;
         look(&second).await;
@@ -32,7 +32,7 @@
         tokio::time::advance(Duration::from_micros(LEASE.0)).await;
         assert!(!first.machine_types_role.is_held(first.now()), "it stops by itself");
         store.remove(&DUTY.key());
-        second.state.get(Class::Watch, keys::LEADER).await.expect("an answer");
+        second.key_value.get(RequestClass::Watch, keys::LEADER).await.expect("an answer");
         look(&second).await;
         assert!(epoch(&second) > epoch(&first));
         let before = shared(&store);
@@ -48,7 +48,7 @@
     let test = async {
         let store = StandIn::default();
         let node = store.node();
-        node.state.get(Class::Watch, keys::LEADER).await.expect("an answer");
+        node.key_value.get(RequestClass::Watch, keys::LEADER).await.expect("an answer");
         store.fault(Fault::AppliedButLost);
         look(&node).await;
         assert!(node.machine_types_role.is_held(node.now()));
@@ -88,7 +88,7 @@
         store.put(&DUTY.key(), serde_json::to_value(&former).expect("a value"));
         look(&node).await;
         assert!(!store.holds(&DUTY.key()), "its lease is ended");
-        node.state.get(Class::Watch, keys::LEADER).await.expect("an answer");
+        node.key_value.get(RequestClass::Watch, keys::LEADER).await.expect("an answer");
         look(&node).await;
         let held = epoch(&node);
         renew(&node).await;
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::key_value_client::Class;
+use crate::key_value_client::RequestClass;
 use crate::user_api::fake_cluster::{Cluster, Fault, StandIn};
 use walnutlug_scheduler::model::job::keys;
 
@@ -7,22 +7,22 @@
 async fn a_node_alone_refused_is_not_ready_and_one_among_all_is() {
     let store = StandIn::default();
     let node = store.node();
-    let status = |served| Frame::Status {
+    let status = |store_reachable| Frame::Status {
         name: "kernel-1".into(),
         term: 3,
         leading: false,
-        served,
+        store_reachable,
         redirected: 0,
         life: 1,
-        count: 1 + u64::from(served),
+        count: 1 + u64::from(store_reachable),
     };
     assert!(!node.ready(), "never loaded");
     node.ready_once.set(true);
     assert!(node.ready());
     store.fault(Fault::Down);
-    let _ = node.state.get(Class::Poll, "x").await;
+    let _ = node.key_value.get(RequestClass::Poll, "x").await;
     tokio::time::advance(Duration::from_secs(2)).await;
-    let _ = node.state.get(Class::Poll, "x").await;
+    let _ = node.key_value.get(RequestClass::Poll, "x").await;
     node.peer_frame(status(false));
     assert!(node.ready(), "an outage for all");
     node.peer_frame(status(true));
@@ -58,8 +58,8 @@
     node.ready_once.set(true);
     store.fault(Fault::Down);
     tokio::time::advance(PEER_FRESH + Duration::from_secs(1)).await;
-    let _ = node.state.get(Class::Poll, "x").await;
-    assert!(node.state.down());
+    let _ = node.key_value.get(RequestClass::Poll, "x").await;
+    assert!(node.key_value.down());
     assert!(!node.ready(), "alone with an unserved state");
     let asked = store.asked.get();
     let before = Instant::now();
@@ -69,18 +69,18 @@
     assert_eq!(before.elapsed(), Duration::ZERO);
     // The leader's own probe finds the service again.
     store.fault(Fault::None);
-    let _ = node.state.get(Class::Leadership, "x").await;
-    assert!(!node.state.down() && node.ready());
+    let _ = node.key_value.get(RequestClass::Leadership, "x").await;
+    assert!(!node.key_value.down() && node.ready());
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_status_of_a_former_life_says_nothing_of_now() {
     let node = StandIn::default().node();
-    let status = |life, count, served| Frame::Status {
+    let status = |life, count, store_reachable| Frame::Status {
         name: "kernel-1".into(),
         term: 0,
         leading: false,
-        served,
+        store_reachable,
         redirected: 0,
         life,
         count,
@@ -118,7 +118,7 @@
         name: "kernel-1".into(),
         term,
         leading: true,
-        served: true,
+        store_reachable: true,
         redirected: 0,
         life: 1,
         count: term,
@@ -158,7 +158,7 @@
     let value = serde_json::json!({"w": "x", "t": [[2, 1, "n-1", 1, 0]]});
     s.load_runs(
         node.now(),
-        &[walnutlug_scheduler::protocol::Pair { key: keys::run(JOB, 0), value, mark: 1 }],
+        &[walnutlug_scheduler::protocol::KeyValue { key: keys::run(JOB, 0), value, revision: 1 }],
     );
     for input in [Input::Vacant, Input::Won { term: 5 }, Input::Loaded { term: 5 }] {
         node.leadership.borrow_mut().step(node.now(), input);
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -53,7 +53,7 @@
 const KIND_NEW_JOB: u16 = 4;
 const KIND_MACHINES: u16 = 6;
 /// New with job chains; a version that doesn't know it passes it over.
-const KIND_LIMITS_FELL: u16 = 7;
+const KIND_LIMITS_LOWERED: u16 = 7;
 /// New with the watermark of cancellations; a version that doesn't know them passes them over.
 const KIND_CANCELLED: u16 = 8;
 const KIND_CANCELLED_ACK: u16 = 9;
@@ -72,7 +72,7 @@
     term: U64,
     name: [u8; 64],
     leading: u8,
-    served: u8,
+    store_reachable: u8,
     /// Worker reports answered with a redirect in the last seconds.
     redirected: U16,
     /// Which life of the node speaks, and the how manieth time.
@@ -138,7 +138,7 @@
         name: String,
         term: u64,
         leading: bool,
-        served: bool,
+        store_reachable: bool,
         redirected: u16,
         life: u64,
         count: u64,
@@ -157,7 +157,7 @@
     },
     /// The state service has come down to its next limits, as the speaker met with. Whoever hears it
     /// only sends less.
-    LimitsFell,
+    LimitsLowered,
     /// Where machines that report to the leader can be reached.
     Machines(Vec<(String, SocketAddrV4)>),
     /// A part of the log of cancellations that this life of the node has told, from that number on.
@@ -220,12 +220,12 @@
             end,
         };
         let (kind, body) = match self {
-            Frame::Status { name, term, leading, served, redirected, life, count } => {
+            Frame::Status { name, term, leading, store_reachable, redirected, life, count } => {
                 let body = StatusBody {
                     term: (*term).into(),
                     name: name_field(name),
                     leading: u8::from(*leading),
-                    served: u8::from(*served),
+                    store_reachable: u8::from(*store_reachable),
                     redirected: (*redirected).into(),
                     life: (*life).into(),
                     count: (*count).into(),
@@ -291,7 +291,7 @@
             Frame::Withdrawn { term, first, marks } => {
                 (KIND_WITHDRAWN, encode_withdrawn(*term, *first, marks))
             }
-            Frame::LimitsFell => (KIND_LIMITS_FELL, Vec::new()),
+            Frame::LimitsLowered => (KIND_LIMITS_LOWERED, Vec::new()),
             Frame::NewJob { job } => (KIND_NEW_JOB, job_body(job, 0, 0, 0).as_bytes().to_vec()),
         };
         let header = Header {
@@ -314,7 +314,7 @@
                     name: name_of(&b.name).ok_or("bad name")?,
                     term: b.term.get(),
                     leading: b.leading != 0,
-                    served: b.served != 0,
+                    store_reachable: b.store_reachable != 0,
                     redirected: b.redirected.get(),
                     life: b.life.get(),
                     count: b.count.get(),
@@ -401,7 +401,7 @@
                 let (term, first, marks) = decode_withdrawn(body)?;
                 Ok(Some(Frame::Withdrawn { term, first, marks }))
             }
-            KIND_LIMITS_FELL => Ok(Some(Frame::LimitsFell)),
+            KIND_LIMITS_LOWERED => Ok(Some(Frame::LimitsLowered)),
             _ => Ok(None),
         }
     }
--- a/crates/controller/src/peers/golden_tests.rs
+++ b/crates/controller/src/peers/golden_tests.rs
@@ -20,7 +20,7 @@
         Frame::Ended { .. } => 3,
         Frame::NewJob { .. } => 4,
         Frame::Machines(_) => 6,
-        Frame::LimitsFell => 7,
+        Frame::LimitsLowered => 7,
         Frame::Cancelled { .. } => 8,
         Frame::CancelledAck { .. } => 9,
         Frame::Vouch { .. } => 10,
@@ -85,11 +85,11 @@
 }
 
 fn node_frames() -> Vec<(&'static str, Frame)> {
-    let status = |leading, served| Frame::Status {
+    let status = |leading, store_reachable| Frame::Status {
         name: "kernel-1".into(),
         term: 0x0102_0304_0506_0708,
         leading,
-        served,
+        store_reachable,
         redirected: 0x1112,
         life: 0x2122_2324_2526_2728,
         count: 0x3132_3334_3536_3738,
@@ -99,7 +99,7 @@
     vec![
         ("status of a leader", status(true, false)),
         ("status of a served follower", status(false, true)),
-        ("limits fell", Frame::LimitsFell),
+        ("limits fell", Frame::LimitsLowered),
         (
             "machines",
             Frame::Machines(vec![
--- a/crates/controller/src/peers/tests.rs
+++ b/crates/controller/src/peers/tests.rs
@@ -9,7 +9,7 @@
             name: "kernel-1".into(),
             term: 1 << 40,
             leading: true,
-            served: false,
+            store_reachable: false,
             redirected: 7,
             life: 1 << 50,
             count: 9,
@@ -80,7 +80,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn frames_survive_the_wire() {
-    for frame in frames().into_iter().chain([Frame::LimitsFell]).chain(heartbeat_frames()) {
+    for frame in frames().into_iter().chain([Frame::LimitsLowered]).chain(heartbeat_frames()) {
         let bytes = frame.encode();
         let read = read_frame(&mut bytes.as_slice()).await;
         assert_eq!(read, Ok(Some(frame)));
--- a/crates/controller/src/user_api.rs
+++ b/crates/controller/src/user_api.rs
@@ -16,15 +16,17 @@
 use tracing::{debug, info};
 use walnutlug_admission::turns::TurnQueue;
 use walnutlug_scheduler::model::job::{keys, End, JobSpec, Rank};
-use walnutlug_scheduler::protocol::{self, is_job_ref, job_answer, Change, Guard, Stage, Txn};
-use walnutlug_scheduler::scheduler::Outcome;
+use walnutlug_scheduler::protocol::{
+    self, is_job_ref, job_answer, Compare, Operation, Stage, Transaction,
+};
+use walnutlug_scheduler::scheduler::TransactionOutcome;
 use walnutlug_scheduler::storage::document::Document;
-use walnutlug_scheduler::storage::records::{chunk_size, todo_value};
+use walnutlug_scheduler::storage::records::{chunk_size, description_record};
 
 use job_checks::check;
 
 use crate::http::server::Answer;
-use crate::key_value_client::{Class, State};
+use crate::key_value_client::{KeyValueClient, RequestClass};
 use crate::node::Node;
 use crate::peers::Frame;
 
@@ -188,7 +190,7 @@
     if let Some(fault) = fault {
         return refuse_new(&node, &name, fault).await;
     }
-    if node.state.down() {
+    if node.key_value.down() {
         return Answer::later("the state service can't be reached");
     }
     let mut spec = spec;
@@ -205,15 +207,15 @@
         }
     }
     let chunk = chunk_size(node.settings.site.value_bytes);
-    let value = Document::new(&todo_value(&spec, node.wall_us(), chunk));
-    let most = node.state.limits().value_bytes.min(node.settings.site.value_bytes);
+    let value = Document::new(&description_record(&spec, node.wall_us(), chunk));
+    let most = node.key_value.limits().value_bytes.min(node.settings.site.value_bytes);
     if value.size() > most {
         return Answer::error(400, "breeds, waits: the description is too long to be kept");
     }
     // What can't be written in time is told so at once, and when to come again.
     let lane = node.tunables.shared_order.then(|| (spec.team.clone(), spec.rank));
     let ahead = node.user_api.submissions.borrow().ahead_of(&lane);
-    let wait = node.state.time_for(2 * ahead);
+    let wait = node.key_value.write_delay(2 * ahead);
     if wait > DECIDE_WITHIN {
         return Answer::later_by(wait.as_secs() as u32, "too many submissions at once");
     }
@@ -241,10 +243,10 @@
 /// Refuses what can never run, unless it was accepted once: then it is never refused, whatever has
 /// changed since.
 async fn refuse_new(node: &Rc<Node>, name: &str, fault: String) -> Answer {
-    if node.state.down() {
+    if node.key_value.down() {
         return Answer::later("the state service can't be reached");
     }
-    match node.state.get(Class::Submission, &keys::job(name)).await {
+    match node.key_value.get(RequestClass::Submission, &keys::job(name)).await {
         Ok(None) => {
             info!(job = %name, "refused: {fault}");
             Answer::error(422, fault)
@@ -273,7 +275,7 @@
 /// cancelled meanwhile the leader finds.
 async fn look_at_needs(node: &Rc<Node>, needs: &[String]) -> Needs {
     let known = needs.iter().all(|n| node.user_api.known(n).is_some());
-    let looked = check(node, needs.to_vec(), Class::Submission);
+    let looked = check(node, needs.to_vec(), RequestClass::Submission);
     tokio::pin!(looked);
     let found = match tokio::time::timeout(LOOK_WITHIN, &mut looked).await {
         Ok(found) => found,
@@ -347,7 +349,7 @@
                 let mut queue = node.user_api.submissions.borrow_mut();
                 // Who has stopped waiting was told to come again.
                 queue.retain(|w| !w.reply.is_closed());
-                let most = (node.state.limits().txn_ops / 2).max(1);
+                let most = (node.key_value.limits().txn_ops / 2).max(1);
                 let mut bytes = 0;
                 let mut batch = Vec::new();
                 while let Some(next) = queue.peek().filter(|_| batch.len() < most) {
@@ -371,25 +373,27 @@
 async fn accept(node: &Rc<Node>, mut batch: Vec<Waiting>) {
     let deadline = Instant::now() + DECIDE_WITHIN;
     while !batch.is_empty() {
-        let mut txn = Txn::default();
+        let mut transaction = Transaction::default();
         let mut names: Vec<&str> = Vec::new();
         for w in &batch {
             if names.contains(&w.name.as_str()) {
                 continue; // The same job twice at once: one record serves both.
             }
             names.push(&w.name);
-            txn.guards.push(Guard { key: keys::job(&w.name), mark: 0 });
-            txn.apply.push(Change::put(keys::job(&w.name), serde_json::json!(1)));
+            transaction.compares.push(Compare { key: keys::job(&w.name), revision: 0 });
+            transaction.operations.push(Operation::put(keys::job(&w.name), serde_json::json!(1)));
             if w.aborted {
                 // Accepted and over at once: there is nothing to do about it.
-                txn.apply.push(Change::put(keys::end(&w.name), serde_json::json!(End::Aborted)));
+                transaction
+                    .operations
+                    .push(Operation::put(keys::end(&w.name), serde_json::json!(End::Aborted)));
             } else {
                 let key = keys::description(&w.name, !w.needs.is_empty());
-                txn.apply.push(Change::put_document(key, w.value.clone()));
+                transaction.operations.push(Operation::put_document(key, w.value.clone()));
             }
         }
-        match commit_twice(node, &txn).await {
-            Outcome::Committed { .. } => {
+        match commit_twice(node, &transaction).await {
+            TransactionOutcome::Committed { .. } => {
                 for w in batch.drain(..) {
                     if w.aborted {
                         node.learn_end(&w.name, End::Aborted);
@@ -401,7 +405,7 @@
                 }
                 node.new_work.notify_one();
             }
-            Outcome::Conflict { failed } => {
+            TransactionOutcome::Conflict { failed } => {
                 // Known already, perhaps by a copy of this very transaction whose answer was
                 // lost. The others try again without them.
                 let (known, rest): (Vec<_>, Vec<_>) =
@@ -417,8 +421,8 @@
                     let _ = w.reply.send(Accept::Known);
                 }
             }
-            Outcome::Lost if Instant::now() < deadline => {}
-            Outcome::TooLarge if batch.len() > 1 => {
+            TransactionOutcome::Indeterminate if Instant::now() < deadline => {}
+            TransactionOutcome::TooLarge if batch.len() > 1 => {
                 // Each may go alone. What is refused even so is told to come again, and then keeps to
                 // the limits that were learned by it.
                 for w in batch {
@@ -426,7 +430,9 @@
                 }
                 return;
             }
-            Outcome::Lost | Outcome::Refused | Outcome::TooLarge => {
+            TransactionOutcome::Indeterminate
+            | TransactionOutcome::Rejected
+            | TransactionOutcome::TooLarge => {
                 reply_all(batch, Accept::Unclear);
                 return;
             }
@@ -437,15 +443,17 @@
 /// Sends an acceptance, and once more over another connection if the answer takes long: now and then
 /// the state service takes some hundred milliseconds over one request and few over the next. Both
 /// are guarded by the job's absence, so only one takes effect; the other then finds the job known.
-async fn commit_twice(node: &Rc<Node>, txn: &Txn) -> Outcome {
-    let first = node.state.commit(Class::Submission, txn);
+async fn commit_twice(node: &Rc<Node>, transaction: &Transaction) -> TransactionOutcome {
+    let first = node.key_value.commit(RequestClass::Submission, transaction);
     tokio::pin!(first);
     if let Ok(outcome) = tokio::time::timeout(SECOND_COPY_AFTER, &mut first).await {
         return outcome;
     }
-    let second = node.state.commit(Class::Submission, txn);
+    let second = node.key_value.commit(RequestClass::Submission, transaction);
     tokio::pin!(second);
-    let certain = |o: &Outcome| matches!(o, Outcome::Committed { .. } | Outcome::Conflict { .. });
+    let certain = |o: &TransactionOutcome| {
+        matches!(o, TransactionOutcome::Committed { .. } | TransactionOutcome::Conflict { .. })
+    };
     tokio::select! {
         outcome = &mut first => if certain(&outcome) { outcome } else { second.await },
         outcome = &mut second => if certain(&outcome) { outcome } else { first.await },
@@ -478,7 +486,7 @@
     if let Some(end) = node.user_api.ended(name) {
         return Status::Ended(end);
     }
-    if node.state.down() {
+    if node.key_value.down() {
         return Status::Unclear;
     }
     let (reply, answer) = oneshot::channel();
@@ -497,7 +505,7 @@
     let node = node.clone();
     tokio::task::spawn_local(async move {
         loop {
-            let most = node.state.most_guards();
+            let most = node.key_value.max_compares();
             let batch: HashMap<String, Vec<oneshot::Sender<Status>>> = {
                 let mut checks = node.user_api.checks.borrow_mut();
                 let names: Vec<String> = checks.keys().take(most).cloned().collect();
@@ -507,7 +515,7 @@
                 break;
             }
             let names: Vec<String> = batch.keys().cloned().collect();
-            let found = check(&node, names, Class::Poll).await;
+            let found = check(&node, names, RequestClass::Poll).await;
             for (name, replies) in batch {
                 let status = found.get(&name).copied().unwrap_or(Status::Unclear);
                 for reply in replies {
@@ -539,33 +547,38 @@
         // Whoever writes the end first wins, so a last finish and a withdrawal can't both be
         // told; and every start guards this key's absence.
         let key = keys::end(name);
-        let txn = Txn {
-            guards: vec![Guard { key: key.clone(), mark: 0 }],
-            apply: vec![Change::put(key, serde_json::json!("aborted"))],
+        let transaction = Transaction {
+            compares: vec![Compare { key: key.clone(), revision: 0 }],
+            operations: vec![Operation::put(key, serde_json::json!("aborted"))],
         };
-        match node.state.commit(Class::Submission, &txn).await {
-            Outcome::Committed { .. } => {
+        match node.key_value.commit(RequestClass::Submission, &transaction).await {
+            TransactionOutcome::Committed { .. } => {
                 info!(job = %name, "withdrawn");
                 node.learn_end(name, End::Aborted);
                 return Answer::json(200, &job_answer(name, Stage::Aborted, None));
             }
             // Ended meanwhile, or by a copy of this transaction: the next look tells.
-            Outcome::Conflict { .. } | Outcome::Lost if Instant::now() < give_up => {}
+            TransactionOutcome::Conflict { .. } | TransactionOutcome::Indeterminate
+                if Instant::now() < give_up => {}
             _ => return Answer::later("the withdrawal can't be recorded now"),
         }
     }
 }
 
 /// Keeps the types for nodes that start while the cloud is down.
-pub async fn share_types(state: &State, types: &[protocol::MachineType]) -> Outcome {
+pub async fn share_types(
+    state: &KeyValueClient,
+    types: &[protocol::MachineType],
+) -> TransactionOutcome {
     let value = serde_json::json!({"breeds": types});
     if value.to_string().len() > state.limits().value_bytes {
         // Sent all the same, each refusal would be taken for limits that fell once more.
         debug!("the machine types are too long to be kept");
-        return Outcome::TooLarge;
+        return TransactionOutcome::TooLarge;
     }
-    let txn = Txn { guards: Vec::new(), apply: vec![Change::put(keys::TYPES, value)] };
-    state.commit(Class::Watch, &txn).await
+    let transaction =
+        Transaction { compares: Vec::new(), operations: vec![Operation::put(keys::TYPES, value)] };
+    state.commit(RequestClass::Watch, &transaction).await
 }
 
 #[cfg(test)]
--- a/crates/controller/src/user_api/concurrent_failures_tests.rs
+++ b/crates/controller/src/user_api/concurrent_failures_tests.rs
@@ -164,15 +164,15 @@
         if rng.random_bool(0.06) {
             let node = node(&mut rng);
             let key = keys::end(&job);
-            let txn = Txn {
-                guards: vec![Guard { key: key.clone(), mark: 0 }],
-                apply: vec![Change::put(key, json!("done"))],
+            let transaction = Transaction {
+                compares: vec![Compare { key: key.clone(), revision: 0 }],
+                operations: vec![Operation::put(key, json!("done"))],
             };
             let accepted = store.holds(&keys::job(&job));
             if accepted {
                 tasks.push(tokio::task::spawn_local(async move {
-                    if let Outcome::Committed { .. } =
-                        node.state.commit(Class::Dispatch, &txn).await
+                    if let TransactionOutcome::Committed { .. } =
+                        node.key_value.commit(RequestClass::Dispatch, &transaction).await
                     {
                         node.learn_end(&job, End::Done);
                     }
@@ -187,7 +187,7 @@
         }
         if step.is_multiple_of(70) {
             for node in cluster.nodes.clone() {
-                tokio::task::spawn_local(async move { node.state.probe().await });
+                tokio::task::spawn_local(async move { node.key_value.probe().await });
             }
         }
         let lost = m.frames_lost;
@@ -205,7 +205,7 @@
     assert_eq!((lost > 0, late > 0), (m.lost > 0.0, m.late > 0.0), "{what}: no such trouble came");
     let jobs: Vec<String> = ledger.borrow().told.keys().cloned().collect();
     for node in &cluster.nodes {
-        node.state.probe().await; // As a node does each second.
+        node.key_value.probe().await; // As a node does each second.
     }
     for job in jobs {
         for node in &cluster.nodes {
--- a/crates/controller/src/user_api/fake_cluster.rs
+++ b/crates/controller/src/user_api/fake_cluster.rs
@@ -9,7 +9,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, Duration};
 use walnutlug_fault_injection::fake_key_value_store::Store;
-use walnutlug_scheduler::protocol::{MachineType, Txn};
+use walnutlug_scheduler::protocol::{MachineType, Transaction};
 use walnutlug_scheduler::tunables::Tunables;
 
 use crate::http::client::{Answering, Client, Failure, Response};
@@ -268,11 +268,14 @@
                 if fault == Fault::NotApplied {
                     return Err(Failure::Lost);
                 }
-                let txn: Txn = serde_json::from_slice(body).expect("a transaction");
+                let transaction: Transaction = serde_json::from_slice(body).expect("a transaction");
                 let mut store = self.store.borrow_mut();
-                if let Err(conflict) = store.commit(&txn) {
-                    let growth = store.revision;
-                    return answer(409, json!({"failed": conflict.failed, "growth": growth}));
+                if let Err(conflict) = store.commit(&transaction) {
+                    let store_revision = store.revision;
+                    return answer(
+                        409,
+                        json!({"failed": conflict.failed, "growth": store_revision}),
+                    );
                 }
                 if fault == Fault::AppliedButLost {
                     return Err(Failure::Lost);
--- a/crates/controller/src/user_api/job_checks.rs
+++ b/crates/controller/src/user_api/job_checks.rs
@@ -6,11 +6,11 @@
 use tokio::time::{Duration, Instant};
 use tracing::info;
 use walnutlug_scheduler::model::job::{keys, End};
-use walnutlug_scheduler::protocol::{Change, Guard, Txn};
-use walnutlug_scheduler::scheduler::Outcome;
+use walnutlug_scheduler::protocol::{Compare, Operation, Transaction};
+use walnutlug_scheduler::scheduler::TransactionOutcome;
 
 use super::{Known, Status};
-use crate::key_value_client::{Class, StateError};
+use crate::key_value_client::{KeyValueError, RequestClass};
 use crate::node::Node;
 
 /// Asks for many jobs in transactions that only compare: of one known to be accepted whether it, or
@@ -19,7 +19,7 @@
 pub(super) async fn check(
     node: &Rc<Node>,
     names: Vec<String>,
-    class: Class,
+    class: RequestClass,
 ) -> HashMap<String, Status> {
     let mut found = HashMap::new();
     let mut open = names;
@@ -97,21 +97,22 @@
 async fn compare(
     node: &Rc<Node>,
     keys: BTreeSet<String>,
-    class: Class,
+    class: RequestClass,
     absent: &mut HashSet<String>,
 ) -> bool {
     let mut left: Vec<String> = keys.into_iter().collect();
     let mut any = false;
     while !left.is_empty() {
-        let n = left.len().min(node.state.most_guards());
+        let n = left.len().min(node.key_value.max_compares());
         let batch = &left[left.len() - n..];
-        let guards = batch.iter().map(|k| Guard { key: k.clone(), mark: 0 }).collect();
-        match node.state.commit(class, &Txn { guards, apply: Vec::new() }).await {
-            Outcome::Committed { .. } => {
+        let compares = batch.iter().map(|k| Compare { key: k.clone(), revision: 0 }).collect();
+        match node.key_value.commit(class, &Transaction { compares, operations: Vec::new() }).await
+        {
+            TransactionOutcome::Committed { .. } => {
                 any = true;
                 absent.extend(left.split_off(left.len() - n));
             }
-            Outcome::Conflict { failed } => {
+            TransactionOutcome::Conflict { failed } => {
                 let before = left.len();
                 left.retain(|k| !failed.contains(k));
                 if left.len() == before {
@@ -122,14 +123,16 @@
                         node.user_api.learn(name, Known::Accepted(None));
                         any = true;
                     } else if let Some(name) = key.strip_prefix(keys::END) {
-                        if let Ok(Some(end)) = node.state.end(name).await {
+                        if let Ok(Some(end)) = node.key_value.end(name).await {
                             node.learn_end(name, end);
                             any = true;
                         }
                     }
                 }
             }
-            Outcome::Refused | Outcome::Lost | Outcome::TooLarge => return any,
+            TransactionOutcome::Rejected
+            | TransactionOutcome::Indeterminate
+            | TransactionOutcome::TooLarge => return any,
         }
     }
     any
@@ -143,9 +146,9 @@
 async fn read_needs(
     node: &Rc<Node>,
     names: BTreeSet<String>,
-    class: Class,
+    class: RequestClass,
     few: bool,
-) -> Result<(), StateError> {
+) -> Result<(), KeyValueError> {
     // A record that can't be read names nothing that could be looked for.
     let needs_of = |value: &serde_json::Value| -> Rc<[String]> {
         let needs = serde_json::from_value::<Vec<String>>(value["spec"]["needs"].clone());
@@ -153,16 +156,16 @@
     };
     if few && names.len() <= FEW {
         for name in &names {
-            let found = node.state.get(class, &keys::description(name, true)).await?;
-            let needs = found.map_or(Rc::from([]), |pair| needs_of(&pair.value));
+            let found = node.key_value.get(class, &keys::description(name, true)).await?;
+            let needs = found.map_or(Rc::from([]), |key_value| needs_of(&key_value.value));
             node.user_api.learn(name, Known::Accepted(Some(needs)));
         }
         return Ok(());
     }
-    let (pairs, _) = node.state.list(class, keys::CHAINED).await?;
-    for pair in &pairs {
-        if let Some(name) = pair.key.strip_prefix(keys::CHAINED) {
-            node.user_api.learn(name, Known::Accepted(Some(needs_of(&pair.value))));
+    let (key_values, _) = node.key_value.list(class, keys::CHAINED).await?;
+    for key_value in &key_values {
+        if let Some(name) = key_value.key.strip_prefix(keys::CHAINED) {
+            node.user_api.learn(name, Known::Accepted(Some(needs_of(&key_value.value))));
         }
     }
     for name in names {
@@ -177,31 +180,33 @@
 /// has, nobody may be told that such a job is queued.
 async fn settle_behind(node: &Rc<Node>, names: &[String]) -> bool {
     let mut any = false;
-    for some in names.chunks(node.state.limits().txn_ops.max(1)) {
-        let txn = Txn {
-            guards: some.iter().map(|n| Guard { key: keys::end(n), mark: 0 }).collect(),
-            apply: some
+    for some in names.chunks(node.key_value.limits().txn_ops.max(1)) {
+        let transaction = Transaction {
+            compares: some.iter().map(|n| Compare { key: keys::end(n), revision: 0 }).collect(),
+            operations: some
                 .iter()
-                .map(|n| Change::put(keys::end(n), serde_json::json!(End::Aborted)))
+                .map(|n| Operation::put(keys::end(n), serde_json::json!(End::Aborted)))
                 .collect(),
         };
-        match node.state.commit(Class::Submission, &txn).await {
-            Outcome::Committed { .. } => {
+        match node.key_value.commit(RequestClass::Submission, &transaction).await {
+            TransactionOutcome::Committed { .. } => {
                 for name in some {
                     info!(job = %name, "cancelled with a job that it needs");
                     node.learn_end(name, End::Aborted);
                 }
                 any = true;
             }
-            Outcome::Conflict { failed } => {
+            TransactionOutcome::Conflict { failed } => {
                 for name in failed.iter().filter_map(|k| k.strip_prefix(keys::END)) {
-                    if let Ok(Some(end)) = node.state.end(name).await {
+                    if let Ok(Some(end)) = node.key_value.end(name).await {
                         node.learn_end(name, end);
                         any = true;
                     }
                 }
             }
-            Outcome::Refused | Outcome::Lost | Outcome::TooLarge => {}
+            TransactionOutcome::Rejected
+            | TransactionOutcome::Indeterminate
+            | TransactionOutcome::TooLarge => {}
         }
     }
     any
--- a/crates/controller/src/user_api/tests.rs
+++ b/crates/controller/src/user_api/tests.rs
@@ -147,10 +147,13 @@
     let store = StandIn::default();
     let node = store.node();
     let types = node.types.borrow().clone();
-    assert!(matches!(share_types(&node.state, &types).await, Outcome::Committed { .. }));
+    assert!(matches!(
+        share_types(&node.key_value, &types).await,
+        TransactionOutcome::Committed { .. }
+    ));
     let asked = store.asked.get();
     let many: Vec<_> = (0..200).flat_map(|_| types.clone()).collect();
-    assert_eq!(share_types(&node.state, &many).await, Outcome::TooLarge);
+    assert_eq!(share_types(&node.key_value, &many).await, TransactionOutcome::TooLarge);
     assert_eq!(store.asked.get(), asked);
 }
 
--- a/crates/fault-injection/src/controllers.rs
+++ b/crates/fault-injection/src/controllers.rs
@@ -12,7 +12,7 @@
 use tokio::process::{Child, Command};
 
 use crate::fake_cloud::{self, Cloud};
-use crate::fake_key_value_service::{self, StateService};
+use crate::fake_key_value_service::{self, FakeKeyValueService};
 use crate::fake_workers::LEASE;
 use crate::freeze::Freezer;
 
@@ -68,7 +68,7 @@
     pub async fn start(
         setup: &Setup<'_>,
         addresses: Addresses,
-        state: &Arc<StateService>,
+        state: &Arc<FakeKeyValueService>,
         freezer: &Arc<Freezer>,
         cloud: &Arc<Cloud>,
     ) -> Controllers {
--- a/crates/fault-injection/src/fake_cloud.rs
+++ b/crates/fault-injection/src/fake_cloud.rs
@@ -12,7 +12,7 @@
 use serde::Deserialize;
 use serde_json::{json, Value};
 
-use crate::fake_key_value_service::{Holder, StateService};
+use crate::fake_key_value_service::{FakeKeyValueService, Holder};
 use crate::fake_workers::{Fleet, Rented};
 use crate::freeze::{Freezer, Point};
 
@@ -51,7 +51,7 @@
 /// The cloud that all sockets share.
 pub struct Cloud {
     inner: Mutex<Inner>,
-    state: Arc<StateService>,
+    state: Arc<FakeKeyValueService>,
     fleet: Fleet,
     /// Machines that it has in all.
     most: usize,
@@ -59,12 +59,12 @@
 
 impl Cloud {
     /// As many machines as anybody asks for.
-    pub fn new(state: Arc<StateService>, fleet: Fleet) -> Cloud {
+    pub fn new(state: Arc<FakeKeyValueService>, fleet: Fleet) -> Cloud {
         Cloud::with_most(usize::MAX, state, fleet)
     }
 
     /// So many machines and no more.
-    pub fn with_most(most: usize, state: Arc<StateService>, fleet: Fleet) -> Cloud {
+    pub fn with_most(most: usize, state: Arc<FakeKeyValueService>, fleet: Fleet) -> Cloud {
         Cloud { inner: Mutex::default(), state, fleet, most }
     }
 
--- a/crates/fault-injection/src/fake_key_value_service.rs
+++ b/crates/fault-injection/src/fake_key_value_service.rs
@@ -12,7 +12,7 @@
 use serde::Deserialize;
 use serde_json::{json, Value};
 use tokio::sync::Notify;
-use walnutlug_scheduler::protocol::{Change, Txn};
+use walnutlug_scheduler::protocol::{Operation, Transaction};
 
 use crate::fake_key_value_store::{Event, Store};
 use crate::freeze::{Freezer, Point};
@@ -40,7 +40,7 @@
 
 /// The store that all sockets share.
 #[derive(Default)]
-pub struct StateService {
+pub struct FakeKeyValueService {
     stored: Mutex<Stored>,
     changed: Notify,
 }
@@ -52,7 +52,7 @@
     }
 }
 
-impl StateService {
+impl FakeKeyValueService {
     fn lock(&self) -> MutexGuard<'_, Stored> {
         let mut stored = self.stored.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
@@ -67,7 +67,7 @@
         let stored = self.lock();
         let entry = stored.store.keys.get("leader")?;
         let node = entry.value["node"].as_str()?.to_owned();
-        Some(Holder { node, term: entry.mark })
+        Some(Holder { node, term: entry.revision })
     }
 
     /// Whether an intent with that text in it is stored, and how many were ever stored.
@@ -88,21 +88,21 @@
     }
 
     fn commit(&self, body: Value) -> Answer {
-        let Ok(txn) = serde_json::from_value::<Txn>(body) else {
+        let Ok(transaction) = serde_json::from_value::<Transaction>(body) else {
             return (StatusCode::BAD_REQUEST, Json(json!({"error": "malformed"})));
         };
         let mut stored = self.lock();
-        let ended = |change: &Change| matches!(change, Change::Put { lease: Some(id), .. } if !stored.leases.contains_key(id));
-        if txn.apply.iter().any(ended) {
+        let ended = |change: &Operation| matches!(change, Operation::Put { lease: Some(id), .. } if !stored.leases.contains_key(id));
+        if transaction.operations.iter().any(ended) {
             return (StatusCode::BAD_REQUEST, Json(json!({"error": "no such lease"})));
         }
-        if let Err(conflict) = stored.store.commit(&txn) {
+        if let Err(conflict) = stored.store.commit(&transaction) {
             let body = json!({"failed": conflict.failed, "growth": stored.store.revision});
             return (StatusCode::CONFLICT, Json(body));
         }
-        let puts = txn.apply.iter().filter_map(|change| match change {
-            Change::Put { put, .. } => Some(put),
-            Change::Drop { .. } => None,
+        let puts = transaction.operations.iter().filter_map(|change| match change {
+            Operation::Put { put, .. } => Some(put),
+            Operation::Delete { .. } => None,
         });
         stored.intents += puts.filter(|key| key.starts_with("intent/")).count() as u64;
         let revision = stored.store.revision;
@@ -114,7 +114,7 @@
 
 #[derive(Clone)]
 struct Socket {
-    service: Arc<StateService>,
+    service: Arc<FakeKeyValueService>,
     freezer: Arc<Freezer>,
     node: usize,
 }
@@ -138,7 +138,7 @@
 }
 
 /// The service as one controller reaches it.
-pub fn router(service: Arc<StateService>, freezer: Arc<Freezer>, node: usize) -> Router {
+pub fn router(service: Arc<FakeKeyValueService>, freezer: Arc<Freezer>, node: usize) -> Router {
     Router::new()
         .route("/keys", get(list))
         .route("/keys/{*key}", get(read))
@@ -210,12 +210,14 @@
         let (revision, events) = {
             let stored = s.service.lock();
             let history = &stored.store.history;
-            let new = history.iter().rev().take_while(|event| event.mark > asked.from);
+            let new = history.iter().rev().take_while(|event| event.revision > asked.from);
             let ours = new.filter(|event| event.key.starts_with(&asked.starts));
             let mut events: Vec<Value> = ours
                 .map(|event| match &event.value {
-                    Some(value) => json!({"put": event.key, "value": value, "mark": event.mark}),
-                    None => json!({"drop": event.key, "mark": event.mark}),
+                    Some(value) => {
+                        json!({"put": event.key, "value": value, "mark": event.revision})
+                    }
+                    None => json!({"drop": event.key, "mark": event.revision}),
                 })
                 .collect();
             events.reverse();
--- a/crates/fault-injection/src/fake_key_value_store.rs
+++ b/crates/fault-injection/src/fake_key_value_store.rs
@@ -4,20 +4,20 @@
 use std::collections::BTreeMap;
 
 use serde_json::{json, Value};
-use walnutlug_scheduler::protocol::{Change, Txn};
+use walnutlug_scheduler::protocol::{Operation, Transaction};
 
 /// A key's value, the revision of its last change, and the lease that it ends with.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Entry {
     pub value: Value,
-    pub mark: u64,
+    pub revision: u64,
     pub lease: Option<u64>,
 }
 
 /// One change, as watches tell it; without a value it was a removal.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Event {
-    pub mark: u64,
+    pub revision: u64,
     pub key: String,
     pub value: Option<Value>,
 }
@@ -43,15 +43,15 @@
     }
 
     fn set(&mut self, key: &str, value: Value, lease: Option<u64>) {
-        let mark = self.revision;
-        self.history.push(Event { mark, key: key.to_owned(), value: Some(value.clone()) });
-        self.keys.insert(key.to_owned(), Entry { value, mark, lease });
+        let revision = self.revision;
+        self.history.push(Event { revision, key: key.to_owned(), value: Some(value.clone()) });
+        self.keys.insert(key.to_owned(), Entry { value, revision, lease });
     }
 
     /// Removes a key under the present revision.
     pub fn remove(&mut self, key: &str) {
         if self.keys.remove(key).is_some() {
-            self.history.push(Event { mark: self.revision, key: key.to_owned(), value: None });
+            self.history.push(Event { revision: self.revision, key: key.to_owned(), value: None });
         }
     }
 
@@ -64,18 +64,19 @@
     }
 
     /// Carries a transaction out, all of it or nothing. Returns the revision after it.
-    pub fn commit(&mut self, txn: &Txn) -> Result<u64, Conflict> {
-        let mark = |key: &str| self.keys.get(key).map_or(0, |entry| entry.mark);
-        let wrong = txn.guards.iter().filter(|guard| mark(&guard.key) != guard.mark);
+    pub fn commit(&mut self, transaction: &Transaction) -> Result<u64, Conflict> {
+        let revision = |key: &str| self.keys.get(key).map_or(0, |entry| entry.revision);
+        let wrong =
+            transaction.compares.iter().filter(|guard| revision(&guard.key) != guard.revision);
         let failed: Vec<String> = wrong.map(|guard| guard.key.clone()).collect();
         if !failed.is_empty() {
             return Err(Conflict { failed });
         }
-        self.revision += u64::from(!txn.apply.is_empty());
-        for change in &txn.apply {
+        self.revision += u64::from(!transaction.operations.is_empty());
+        for change in &transaction.operations {
             match change {
-                Change::Put { put, value, lease } => self.set(put, value.to_value(), *lease),
-                Change::Drop { drop } => self.remove(drop),
+                Operation::Put { put, value, lease } => self.set(put, value.to_value(), *lease),
+                Operation::Delete { drop } => self.remove(drop),
             }
         }
         Ok(self.revision)
@@ -84,17 +85,17 @@
     /// The answer to a read of one key, if it is there.
     pub fn read(&self, key: &str) -> Option<Value> {
         let entry = self.keys.get(key)?;
-        Some(json!({"key": key, "value": entry.value, "mark": entry.mark}))
+        Some(json!({"key": key, "value": entry.value, "mark": entry.revision}))
     }
 
     /// The answer to a list of the keys that begin so, after `from`, `most` at most.
     pub fn list(&self, starts: &str, from: &str, most: usize) -> Value {
         let after = |key: &str| from.is_empty() || key > from;
         let found = self.keys.keys().filter(|key| key.starts_with(starts) && after(key));
-        let mut pairs: Vec<Value> =
+        let mut key_values: Vec<Value> =
             found.take(most.saturating_add(1)).filter_map(|key| self.read(key)).collect();
-        let more = pairs.len() > most;
-        pairs.truncate(most);
-        json!({"pairs": pairs, "hasNext": more, "growth": self.revision})
+        let more = key_values.len() > most;
+        key_values.truncate(most);
+        json!({"pairs": key_values, "hasNext": more, "growth": self.revision})
     }
 }
--- a/crates/fault-injection/src/fake_workers.rs
+++ b/crates/fault-injection/src/fake_workers.rs
@@ -119,11 +119,11 @@
             tasks: BTreeMap::new(),
             renewed: Instant::now(),
         }));
-        let served = (self.clone(), worker.clone());
+        let store_reachable = (self.clone(), worker.clone());
         let app = Router::new()
             .route("/commands", post(commands))
             .route("/show", get(show))
-            .with_state(served);
+            .with_state(store_reachable);
         let listens = tokio::spawn(async move { drop(axum::serve(listener, app).await) });
         let (fleet, reporting) = (self.clone(), worker.clone());
         let reports = tokio::spawn(async move { fleet.report_on(&reporting).await });
--- a/crates/fault-injection/src/freeze.rs
+++ b/crates/fault-injection/src/freeze.rs
@@ -6,7 +6,7 @@
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 
-use crate::fake_key_value_service::StateService;
+use crate::fake_key_value_service::FakeKeyValueService;
 
 /// Where in an action a holder can be frozen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -29,11 +29,11 @@
 pub struct Freezer {
     processes: Mutex<Vec<(String, Pid)>>,
     armed: Mutex<Option<(Point, Duration)>>,
-    state: Arc<StateService>,
+    state: Arc<FakeKeyValueService>,
 }
 
 impl Freezer {
-    pub fn new(state: Arc<StateService>) -> Freezer {
+    pub fn new(state: Arc<FakeKeyValueService>) -> Freezer {
         Freezer { processes: Mutex::default(), armed: Mutex::default(), state }
     }
 
--- a/crates/fault-injection/src/freeze_scenario.rs
+++ b/crates/fault-injection/src/freeze_scenario.rs
@@ -11,7 +11,7 @@
 use crate::action_checker::{check, Findings};
 use crate::controllers::{lock, Addresses, Controllers, Setup, NODES};
 use crate::fake_cloud::Cloud;
-use crate::fake_key_value_service::{Holder, StateService};
+use crate::fake_key_value_service::{FakeKeyValueService, Holder};
 use crate::fake_workers::Fleet;
 use crate::freeze::{Freezer, Point, POINTS};
 use crate::user::{count_done, submission, User};
@@ -56,7 +56,7 @@
 
 /// Runs the plan on loopback.
 pub async fn run(plan: &Plan) -> Report {
-    let state = Arc::new(StateService::default());
+    let state = Arc::new(FakeKeyValueService::default());
     let freezer = Arc::new(Freezer::new(state.clone()));
     let addresses = Addresses::free();
     let fleet = Fleet::new(addresses.for_workers(), TASK_TAKES);
@@ -68,7 +68,7 @@
 
 async fn play(
     plan: &Plan,
-    state: &Arc<StateService>,
+    state: &Arc<FakeKeyValueService>,
     freezer: &Arc<Freezer>,
     cloud: &Arc<Cloud>,
     fleet: &Fleet,
@@ -142,7 +142,7 @@
     }
 }
 
-async fn watch_terms(state: Arc<StateService>, terms: Arc<Mutex<Terms>>) {
+async fn watch_terms(state: Arc<FakeKeyValueService>, terms: Arc<Mutex<Terms>>) {
     let mut last: Option<Holder> = None;
     let mut vacant_since = None;
     loop {
--- a/crates/fault-injection/src/overload_scenario.rs
+++ b/crates/fault-injection/src/overload_scenario.rs
@@ -12,7 +12,7 @@
 
 use crate::controllers::{lock, Addresses, Controllers, Setup, NODES};
 use crate::fake_cloud::Cloud;
-use crate::fake_key_value_service::StateService;
+use crate::fake_key_value_service::FakeKeyValueService;
 use crate::fake_workers::Fleet;
 use crate::freeze::Freezer;
 use crate::user::{client, count_done, submission};
@@ -171,7 +171,7 @@
 
 /// Runs the plan on loopback.
 pub async fn run(plan: &Plan) -> Report {
-    let state = Arc::new(StateService::default());
+    let state = Arc::new(FakeKeyValueService::default());
     let freezer = Arc::new(Freezer::new(state.clone()));
     let addresses = Addresses::free();
     let fleet = Fleet::new(addresses.for_workers(), TASK_TAKES);
--- a/crates/fault-injection/src/version_scenario.rs
+++ b/crates/fault-injection/src/version_scenario.rs
@@ -13,7 +13,7 @@
 use crate::controllers::{Addresses, Controllers, Setup, NODES};
 use crate::elections::{BothWays, Elections, Version};
 use crate::fake_cloud::Cloud;
-use crate::fake_key_value_service::StateService;
+use crate::fake_key_value_service::FakeKeyValueService;
 use crate::fake_workers::Fleet;
 use crate::freeze::Freezer;
 use crate::user::User;
@@ -101,7 +101,7 @@
 
 /// Runs the plan on loopback.
 pub async fn run(plan: &Plan) -> Report {
-    let state = Arc::new(StateService::default());
+    let state = Arc::new(FakeKeyValueService::default());
     let freezer = Arc::new(Freezer::new(state.clone()));
     let addresses = Addresses::free();
     let fleet = Fleet::new(addresses.for_workers(), TASK_TAKES);
@@ -125,12 +125,16 @@
     report_on(&workload, &told, history, fleet.doubles())
 }
 
-fn history(state: &StateService, controllers: &Controllers) -> Elections {
+fn history(state: &FakeKeyValueService, controllers: &Controllers) -> Elections {
     Elections::read(&state.history(), |name| controllers.number_of(name).map(version))
 }
 
 /// Lets one version lead after the other.
-async fn change_leaders(length: Duration, controllers: &mut Controllers, state: &StateService) {
+async fn change_leaders(
+    length: Duration,
+    controllers: &mut Controllers,
+    state: &FakeKeyValueService,
+) {
     let began = Instant::now();
     loop {
         let elected = history(state, controllers).elections.least();
@@ -147,7 +151,10 @@
 
 /// Kills all nodes of the version that leads, and starts them again once the other leads. Whether it came
 /// to that.
-async fn replace_leading_version(controllers: &mut Controllers, state: &StateService) -> bool {
+async fn replace_leading_version(
+    controllers: &mut Controllers,
+    state: &FakeKeyValueService,
+) -> bool {
     let Some(leading) = wait_for_leader(controllers, state, |_| true).await else { return false };
     let nodes: Vec<usize> = (0..NODES).filter(|&node| version(node) == leading).collect();
     controllers.kill(&nodes).await;
@@ -159,7 +166,7 @@
 /// The version that leads, once it is one that is wanted.
 async fn wait_for_leader(
     controllers: &Controllers,
-    state: &StateService,
+    state: &FakeKeyValueService,
     wanted: impl Fn(Version) -> bool,
 ) -> Option<Version> {
     let until = Instant::now() + ELECTED_WITHIN;
--- a/crates/fault-injection/tests/elections.rs
+++ b/crates/fault-injection/tests/elections.rs
@@ -5,7 +5,7 @@
 use walnutlug_fault_injection::fake_key_value_store::Event;
 
 fn event(key: &str, value: Option<Value>) -> Event {
-    Event { mark: 0, key: key.to_owned(), value }
+    Event { revision: 0, key: key.to_owned(), value }
 }
 
 fn put(key: &str, value: Value) -> Event {
--- a/crates/fencing/src/fence.rs
+++ b/crates/fencing/src/fence.rs
@@ -1,6 +1,6 @@
 //! Writes that take effect only while the writer still holds its duty.
 
-use walnutlug_scheduler::protocol::{Change, Guard, Txn};
+use walnutlug_scheduler::protocol::{Compare, Operation, Transaction};
 
 use crate::leased_role::{Duty, Epoch};
 
@@ -27,8 +27,8 @@
         self.duty
     }
 
-    fn guard(&self) -> Guard {
-        Guard { key: self.duty.key(), mark: self.epoch.revision() }
+    fn compare(&self) -> Compare {
+        Compare { key: self.duty.key(), revision: self.epoch.revision() }
     }
 
     /// Whether one of these failed conditions means that the duty is another's now.
@@ -40,38 +40,40 @@
 /// A transaction in the making, under a fence. Nothing else makes a duty's writes, so none goes round it.
 #[derive(Debug)]
 pub struct FencedWrite {
-    txn: Txn,
+    transaction: Transaction,
 }
 
 impl FencedWrite {
     /// An empty write under the fence.
     pub fn new(fence: &Fence) -> FencedWrite {
-        FencedWrite { txn: Txn { guards: vec![fence.guard()], apply: Vec::new() } }
+        FencedWrite {
+            transaction: Transaction { compares: vec![fence.compare()], operations: Vec::new() },
+        }
     }
 
     /// Adds a key that must not exist yet.
-    pub fn create(&mut self, key: &str, change: Change) {
-        self.txn.guards.push(Guard { key: key.to_owned(), mark: 0 });
-        self.txn.apply.push(change);
+    pub fn create(&mut self, key: &str, change: Operation) {
+        self.transaction.compares.push(Compare { key: key.to_owned(), revision: 0 });
+        self.transaction.operations.push(change);
     }
 
     /// Adds a change to a key that nobody but the duty's holder writes.
-    pub fn change(&mut self, change: Change) {
-        self.txn.apply.push(change);
+    pub fn change(&mut self, change: Operation) {
+        self.transaction.operations.push(change);
     }
 
     /// How many changes it makes.
     pub fn len(&self) -> usize {
-        self.txn.apply.len()
+        self.transaction.operations.len()
     }
 
     /// Whether it changes nothing.
     pub fn is_empty(&self) -> bool {
-        self.txn.apply.is_empty()
+        self.transaction.operations.is_empty()
     }
 
     /// The transaction to send.
-    pub fn into_txn(self) -> Txn {
-        self.txn
+    pub fn into_transaction(self) -> Transaction {
+        self.transaction
     }
 }
--- a/crates/fencing/src/intent.rs
+++ b/crates/fencing/src/intent.rs
@@ -4,7 +4,7 @@
 //! them. It is dropped when all of them are settled. Whoever holds the duty next finds what is left.
 
 use serde::{Deserialize, Serialize};
-use walnutlug_scheduler::protocol::{Pair, RentRequest};
+use walnutlug_scheduler::protocol::{KeyValue, RentRequest};
 
 use crate::leased_role::{check_format, Duty, Epoch, EpochError, RecordError};
 
@@ -98,19 +98,19 @@
 
 impl StoredIntent {
     /// Reads a stored record.
-    pub fn read(pair: &Pair) -> Result<StoredIntent, RecordError> {
-        let key = || pair.key.clone();
+    pub fn read(key_value: &KeyValue) -> Result<StoredIntent, RecordError> {
+        let key = || key_value.key.clone();
         let unreadable = |fault: &str| RecordError::Unreadable { key: key(), fault: fault.into() };
-        let place = pair.key.strip_prefix(INTENT_PREFIX).unwrap_or_default();
+        let place = key_value.key.strip_prefix(INTENT_PREFIX).unwrap_or_default();
         let (name, place) = place.split_once('/').unwrap_or((place, ""));
         let duty = Duty::from_name(name).ok_or_else(|| RecordError::UnknownDuty { key: key() })?;
-        check_format(&pair.key, &pair.value, INTENT_FORMAT)?;
+        check_format(&key_value.key, &key_value.value, INTENT_FORMAT)?;
         let epoch = place.split_once('/').and_then(|(epoch, _)| epoch.parse().ok());
         let epoch = epoch.ok_or_else(|| unreadable("its key names no epoch"))?;
         let epoch = Epoch::from_revision(epoch)
             .map_err(|error: EpochError| RecordError::Epoch { key: key(), error })?;
-        let record: IntentRecord =
-            serde_json::from_value(pair.value.clone()).map_err(|e| unreadable(&e.to_string()))?;
+        let record: IntentRecord = serde_json::from_value(key_value.value.clone())
+            .map_err(|e| unreadable(&e.to_string()))?;
         Ok(StoredIntent { duty, epoch, record })
     }
 }
--- a/crates/fencing/src/intent_log.rs
+++ b/crates/fencing/src/intent_log.rs
@@ -6,8 +6,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use walnutlug_scheduler::protocol::{Change, Pair, Txn};
-use walnutlug_scheduler::scheduler::Outcome;
+use walnutlug_scheduler::protocol::{KeyValue, Operation, Transaction};
+use walnutlug_scheduler::scheduler::TransactionOutcome;
 use walnutlug_scheduler::storage::document::Document;
 use walnutlug_scheduler::time::{Span, Time};
 
@@ -44,7 +44,7 @@
         /// Names the write.
         id: u64,
         /// What to send.
-        txn: Txn,
+        transaction: Transaction,
     },
     /// Check the lease, send the action, and answer with [`Ledger::answered`].
     Send {
@@ -179,7 +179,7 @@
 #[derive(Debug)]
 struct PendingWrite {
     id: u64,
-    txn: Txn,
+    transaction: Transaction,
     created: Vec<u64>,
     dropped: Vec<u64>,
     retry_at: Option<Time>,
@@ -279,12 +279,12 @@
     pub fn adopt(
         &mut self,
         now: Time,
-        stored: &[Pair],
+        stored: &[KeyValue],
         has_tasks: impl Fn(&str) -> bool,
     ) -> Adopted {
         let mut adopted = Adopted::default();
-        for pair in stored {
-            let intent = match StoredIntent::read(pair) {
+        for key_value in stored {
+            let intent = match StoredIntent::read(key_value) {
                 Ok(intent) if intent.duty == self.fence.duty() => intent,
                 Ok(_) => continue,
                 Err(fault) => {
@@ -300,7 +300,7 @@
             for action in intent.record.actions {
                 actions.extend(adopted.take_over(action, &has_tasks));
             }
-            self.add_record(now, pair.key.clone(), actions, RecordState::Stored);
+            self.add_record(now, key_value.key.clone(), actions, RecordState::Stored);
         }
         adopted
     }
@@ -382,8 +382,8 @@
         match &mut self.write {
             Some(write) if write.retry_at.is_some_and(|at| now >= at) => {
                 write.retry_at = None;
-                let (id, txn) = (write.id, write.txn.clone());
-                self.commands.push(LedgerCommand::Write { id, txn });
+                let (id, transaction) = (write.id, write.transaction.clone());
+                self.commands.push(LedgerCommand::Write { id, transaction });
             }
             Some(_) => {}
             None => self.start_write(now),
@@ -423,7 +423,7 @@
                 }
                 if matches!(record.state, RecordState::Settled { .. }) {
                     record.state = RecordState::Dropping;
-                    write.change(Change::drop(&record.key));
+                    write.change(Operation::delete(&record.key));
                     dropped.push(number);
                 }
             }
@@ -431,10 +431,10 @@
         if write.is_empty() {
             return;
         }
-        let (id, txn) = (self.next_write, write.into_txn());
+        let (id, transaction) = (self.next_write, write.into_transaction());
         self.next_write += 1;
-        self.commands.push(LedgerCommand::Write { id, txn: txn.clone() });
-        self.write = Some(PendingWrite { id, txn, created, dropped, retry_at: None });
+        self.commands.push(LedgerCommand::Write { id, transaction: transaction.clone() });
+        self.write = Some(PendingWrite { id, transaction, created, dropped, retry_at: None });
     }
 
     fn create_records(&mut self, now: Time, write: &mut FencedWrite) -> Vec<u64> {
@@ -447,7 +447,7 @@
             let number = self.next_record;
             let key = intent_key(self.fence.duty(), self.fence.epoch(), number);
             let record = IntentRecord::new(actions.clone());
-            write.create(&key, Change::put_document(&key, Document::new(&record)));
+            write.create(&key, Operation::put_document(&key, Document::new(&record)));
             self.add_record(now, key, actions, RecordState::Writing);
             created.push(number);
         }
@@ -481,20 +481,20 @@
     }
 
     /// The answer to [`LedgerCommand::Write`].
-    pub fn written(&mut self, now: Time, id: u64, outcome: &Outcome) {
+    pub fn written(&mut self, now: Time, id: u64, outcome: &TransactionOutcome) {
         let Some(mut write) = self.write.take_if(|write| write.id == id) else { return };
         match outcome {
-            Outcome::Committed { .. } => self.stored(now, &write),
-            Outcome::Conflict { failed } if self.fence.is_broken_by(failed) => {
+            TransactionOutcome::Committed { .. } => self.stored(now, &write),
+            TransactionOutcome::Conflict { failed } if self.fence.is_broken_by(failed) => {
                 self.stopped = Some(Stopped::Fenced);
             }
             // Nobody else makes keys of this epoch: an earlier copy was carried out, all of it.
-            Outcome::Conflict { .. } => self.stored(now, &write),
-            Outcome::Refused | Outcome::Lost => {
+            TransactionOutcome::Conflict { .. } => self.stored(now, &write),
+            TransactionOutcome::Rejected | TransactionOutcome::Indeterminate => {
                 write.retry_at = Some(now + WRITE_RETRY);
                 self.write = Some(write);
             }
-            Outcome::TooLarge => self.plan_anew(now, &write),
+            TransactionOutcome::TooLarge => self.plan_anew(now, &write),
         }
     }
 
--- a/crates/fencing/src/leased_role.rs
+++ b/crates/fencing/src/leased_role.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use walnutlug_scheduler::model::job::keys;
-use walnutlug_scheduler::protocol::{Change, Guard, Pair, Txn};
+use walnutlug_scheduler::protocol::{Compare, KeyValue, Operation, Transaction};
 use walnutlug_scheduler::storage::document::Document;
 
 /// Prefix of the keys that name the holders.
@@ -193,30 +193,30 @@
 
 impl Holding {
     /// Reads a stored holder; `nodes` are the names in the settings.
-    pub fn read(pair: &Pair, nodes: &[&str]) -> Result<Holding, RecordError> {
-        let key = || pair.key.clone();
-        let name = pair.key.strip_prefix(DUTY_PREFIX);
+    pub fn read(key_value: &KeyValue, nodes: &[&str]) -> Result<Holding, RecordError> {
+        let key = || key_value.key.clone();
+        let name = key_value.key.strip_prefix(DUTY_PREFIX);
         let duty = name.and_then(Duty::from_name);
         let duty = duty.ok_or_else(|| RecordError::UnknownDuty { key: key() })?;
-        check_format(&pair.key, &pair.value, HOLDER_FORMAT)?;
-        let holder: HolderRecord = serde_json::from_value(pair.value.clone())
+        check_format(&key_value.key, &key_value.value, HOLDER_FORMAT)?;
+        let holder: HolderRecord = serde_json::from_value(key_value.value.clone())
             .map_err(|e| RecordError::Unreadable { key: key(), fault: e.to_string() })?;
         if !nodes.contains(&holder.node.as_str()) {
             return Err(RecordError::UnknownHolder { key: key(), node: holder.node });
         }
-        let epoch = Epoch::from_revision(pair.mark)
+        let epoch = Epoch::from_revision(key_value.revision)
             .map_err(|error| RecordError::Epoch { key: key(), error })?;
         Ok(Holding { duty, epoch, holder })
     }
 
     /// The transaction that takes the duty, if nobody holds it. Its revision becomes the epoch.
-    pub fn claim(duty: Duty, holder: &HolderRecord) -> Txn {
+    pub fn claim(duty: Duty, holder: &HolderRecord) -> Transaction {
         let key = duty.key();
-        let put = Change::Put {
+        let put = Operation::Put {
             put: key.clone(),
             value: Document::new(holder),
             lease: Some(holder.lease),
         };
-        Txn { guards: vec![Guard { key, mark: 0 }], apply: vec![put] }
+        Transaction { compares: vec![Compare { key, revision: 0 }], operations: vec![put] }
     }
 }
--- a/crates/fencing/src/role_balancer.rs
+++ b/crates/fencing/src/role_balancer.rs
@@ -17,7 +17,7 @@
     /// It leads.
     pub leads: bool,
     /// The state service answers it.
-    pub served: bool,
+    pub store_reachable: bool,
 }
 
 /// Decides at one node when to take and when to give up a duty.
@@ -33,7 +33,7 @@
         self.better_since = None;
         let since = *self.vacant_since.get_or_insert(now);
         let wait = if own.leads { LEADER_WAITS } else { Span::ZERO };
-        own.served && now.since(since) >= wait
+        own.store_reachable && now.since(since) >= wait
     }
 
     /// Somebody holds the duty.
@@ -44,7 +44,7 @@
     /// This node holds the duty. Whether it should give it up for one of the others.
     pub fn should_hand_over(&mut self, now: Time, own: Standing, others: &[Standing]) -> bool {
         self.vacant_since = None;
-        let better = own.leads && others.iter().any(|other| other.served && !other.leads);
+        let better = own.leads && others.iter().any(|other| other.store_reachable && !other.leads);
         if !better {
             self.better_since = None;
             return false;
--- a/crates/fencing/tests/components.rs
+++ b/crates/fencing/tests/components.rs
@@ -5,7 +5,7 @@
 use walnutlug_fencing::lease::{certain_for, DutyLease, LeaseInput, LeaseState};
 use walnutlug_fencing::leased_role::{Duty, Epoch, EpochError, RecordError};
 use walnutlug_fencing::role_balancer::{Balance, Standing};
-use walnutlug_scheduler::protocol::Pair;
+use walnutlug_scheduler::protocol::KeyValue;
 use walnutlug_scheduler::time::{Span, Time};
 
 const TTL: Span = Span::secs(10);
@@ -60,8 +60,8 @@
 
 #[test]
 fn a_duty_moves_away_from_the_leader_only_after_a_while() {
-    let node = |leads| Standing { leads, served: true };
-    let cut_off = Standing { leads: false, served: false };
+    let node = |leads| Standing { leads, store_reachable: true };
+    let cut_off = Standing { leads: false, store_reachable: false };
     let mut balance = Balance::default();
     assert!(balance.should_take(START, node(false)));
     let mut balance = Balance::default();
@@ -80,7 +80,7 @@
     let epoch = Epoch::from_revision(9).expect("an epoch");
     let key = intent_key(Duty::Fleet, epoch, 1);
     let read = |key: &str, value| {
-        StoredIntent::read(&Pair { key: key.to_owned(), value, mark: 1 }).map(|i| i.epoch)
+        StoredIntent::read(&KeyValue { key: key.to_owned(), value, revision: 1 }).map(|i| i.epoch)
     };
     let rent =
         json!({"rent": {"request": "r", "kind": "t8", "zone": "a", "spot": true, "count": 2}});
--- a/crates/fencing/tests/golden_bytes.rs
+++ b/crates/fencing/tests/golden_bytes.rs
@@ -14,8 +14,8 @@
 use walnutlug_fencing::intent_log::{ActionAnswer, Ledger, LedgerCommand, WriteLimits};
 use walnutlug_fencing::leased_role::{Duty, Epoch, HolderRecord, Holding, HOLDER_FORMAT};
 use walnutlug_scheduler::model::job::keys;
-use walnutlug_scheduler::protocol::{Change, Pair, Txn};
-use walnutlug_scheduler::scheduler::Outcome;
+use walnutlug_scheduler::protocol::{KeyValue, Operation, Transaction};
+use walnutlug_scheduler::scheduler::TransactionOutcome;
 use walnutlug_scheduler::time::{Span, Time};
 
 const RECORDS: &str = "tests/golden/records.txt";
@@ -69,15 +69,15 @@
     format!("{key}\n{}", text(&IntentRecord::new(actions.to_vec())))
 }
 
-fn pair(entry: &str, mark: u64) -> Pair {
+fn key_value(entry: &str, revision: u64) -> KeyValue {
     let (key, value) = entry.split_once('\n').expect("a key and a value");
-    Pair { key: key.to_owned(), value: serde_json::from_str(value).expect("a value"), mark }
+    KeyValue { key: key.to_owned(), value: serde_json::from_str(value).expect("a value"), revision }
 }
 
-fn types_write() -> Txn {
+fn types_write() -> Transaction {
     let mut write = FencedWrite::new(&Fence::new(Duty::MachineTypes, epoch()));
-    write.change(Change::put(keys::TYPES, json!({"breeds": []})));
-    write.into_txn()
+    write.change(Operation::put(keys::TYPES, json!({"breeds": []})));
+    write.into_transaction()
 }
 
 #[test]
@@ -90,14 +90,14 @@
     found.push(("fenced write of the machine types", text(&types_write())));
     found.push(("holder", format!("{}\n{}", Duty::MachineTypes.key(), text(&holder()))));
     let golden = Golden::check(RECORDS, &found);
-    let holding = Holding::read(&pair(&golden.text("holder"), 412), &["kernel-1"]);
+    let holding = Holding::read(&key_value(&golden.text("holder"), 412), &["kernel-1"]);
     let Ok(holding) = holding else { panic!("holder: can't be read") };
     assert!(holding.duty == Duty::MachineTypes, "holder: the duty");
     assert!(holding.epoch == epoch(), "holder: the epoch");
     assert!(holding.holder == holder(), "holder: a field was read otherwise");
     for (kind, actions) in intents() {
         let entry = golden.text(kind);
-        let Ok(read) = StoredIntent::read(&pair(&entry, 1)) else {
+        let Ok(read) = StoredIntent::read(&key_value(&entry, 1)) else {
             panic!("{kind}: can't be read")
         };
         assert!(read.duty == Duty::Fleet && read.epoch == epoch(), "{kind}: its key");
@@ -111,9 +111,9 @@
     ledger.tick(now, true);
     for command in ledger.take_commands() {
         match command {
-            LedgerCommand::Write { id, txn } => {
-                lines.push(text(&txn));
-                ledger.written(now, id, &Outcome::Committed { mark: 500 });
+            LedgerCommand::Write { id, transaction } => {
+                lines.push(text(&transaction));
+                ledger.written(now, id, &TransactionOutcome::Committed { revision: 500 });
             }
             LedgerCommand::Send { id, action } => {
                 lines.push(format!("send {}", sent(&action)));
@@ -151,7 +151,7 @@
     }
     let mut adopted = Vec::new();
     let mut successor = ledger();
-    let left: Vec<Pair> = vec![left_by_the_former()];
+    let left: Vec<KeyValue> = vec![left_by_the_former()];
     let taken = successor.adopt(START, &left, |_| false);
     assert!(taken.faults.is_empty(), "the record is read");
     assert_eq!((taken.rentals.len(), taken.returns.len()), (1, 1));
@@ -164,18 +164,18 @@
         let whole = golden.text(kind);
         assert!(whole.contains("\"drop\":\"intent/fleet/"), "{kind}: dropped at last");
         for line in whole.lines().filter(|line| !line.starts_with("send ")) {
-            let txn: Txn = serde_json::from_str(line).expect("a transaction");
+            let transaction: Transaction = serde_json::from_str(line).expect("a transaction");
             // Read back, the fields of a value stand in the order of their names.
             let before: Value = serde_json::from_str(line).expect("json");
-            assert!(json!(txn) == before, "{kind}: written again it differs");
+            assert!(json!(transaction) == before, "{kind}: written again it differs");
         }
     }
 }
 
-fn left_by_the_former() -> Pair {
+fn left_by_the_former() -> KeyValue {
     let former = Epoch::from_revision(300).expect("an epoch");
     let actions: Value = json!([{"rent": {"request": "w-300-1", "kind": "t8", "zone": "b",
         "spot": false, "count": 3}}, {"return": [{"name": "n-000100", "tasks": true}]}]);
     let value = json!({"format": 1, "actions": actions});
-    Pair { key: intent_key(Duty::Fleet, former, 2), value, mark: 301 }
+    KeyValue { key: intent_key(Duty::Fleet, former, 2), value, revision: 301 }
 }
--- a/crates/fencing/tests/random_interleavings.rs
+++ b/crates/fencing/tests/random_interleavings.rs
@@ -12,8 +12,8 @@
 use walnutlug_fencing::intent_log::{ActionAnswer, ActionId, Ledger, LedgerCommand, WriteLimits};
 use walnutlug_fencing::leased_role::{Duty, Epoch};
 use walnutlug_scheduler::model::job::keys;
-use walnutlug_scheduler::protocol::{Change, Pair, Txn};
-use walnutlug_scheduler::scheduler::Outcome;
+use walnutlug_scheduler::protocol::{KeyValue, Operation, Transaction};
+use walnutlug_scheduler::scheduler::TransactionOutcome;
 use walnutlug_scheduler::time::{Span, Time};
 
 const LIMITS: WriteLimits = WriteLimits { value_bytes: 400, txn_ops: 3 };
@@ -73,7 +73,7 @@
 /// Something under way, with the epoch that sent it.
 #[derive(Debug, Clone)]
 enum Message {
-    Write { epoch: u64, id: u64, txn: Txn },
+    Write { epoch: u64, id: u64, transaction: Transaction },
     Cloud { epoch: u64, id: ActionId, action: Action },
 }
 
@@ -176,7 +176,7 @@
     /// The sender holds its lease: nobody has replaced it.
     fn send(&mut self, epoch: u64, command: LedgerCommand) {
         self.messages.push(match command {
-            LedgerCommand::Write { id, txn } => Message::Write { epoch, id, txn },
+            LedgerCommand::Write { id, transaction } => Message::Write { epoch, id, transaction },
             LedgerCommand::Send { id, action } => Message::Cloud { epoch, id, action },
         });
     }
@@ -191,9 +191,9 @@
 
     fn deliver(&mut self, index: usize, heard: bool, keep: bool) {
         match self.take(index, keep) {
-            Some(Message::Write { epoch, id, txn }) => {
-                let outcome = self.commit(&txn);
-                let outcome = if heard { outcome } else { Outcome::Lost };
+            Some(Message::Write { epoch, id, transaction }) => {
+                let outcome = self.commit(&transaction);
+                let outcome = if heard { outcome } else { TransactionOutcome::Indeterminate };
                 self.tell_write(epoch, id, &outcome);
             }
             Some(Message::Cloud { epoch, id, action }) => {
@@ -207,7 +207,9 @@
 
     fn lose(&mut self, index: usize) {
         match self.take(index, false) {
-            Some(Message::Write { epoch, id, .. }) => self.tell_write(epoch, id, &Outcome::Lost),
+            Some(Message::Write { epoch, id, .. }) => {
+                self.tell_write(epoch, id, &TransactionOutcome::Indeterminate)
+            }
             Some(Message::Cloud { epoch, id, .. }) => {
                 self.tell_action(epoch, id, ActionAnswer::Unknown, &[]);
             }
@@ -215,7 +217,7 @@
         }
     }
 
-    fn tell_write(&mut self, epoch: u64, id: u64, outcome: &Outcome) {
+    fn tell_write(&mut self, epoch: u64, id: u64, outcome: &TransactionOutcome) {
         if epoch == self.holder.epoch {
             self.holder.ledger.written(self.now, id, outcome);
         }
@@ -227,28 +229,29 @@
         }
     }
 
-    fn commit(&mut self, txn: &Txn) -> Outcome {
-        let mark = |key: &str| self.keys.get(key).map_or(0, |(_, mark)| *mark);
-        let failed = txn.guards.iter().filter(|guard| mark(&guard.key) != guard.mark);
+    fn commit(&mut self, transaction: &Transaction) -> TransactionOutcome {
+        let revision = |key: &str| self.keys.get(key).map_or(0, |(_, revision)| *revision);
+        let failed =
+            transaction.compares.iter().filter(|guard| revision(&guard.key) != guard.revision);
         let failed: Vec<String> = failed.map(|guard| guard.key.clone()).collect();
         if !failed.is_empty() {
-            return Outcome::Conflict { failed };
+            return TransactionOutcome::Conflict { failed };
         }
-        assert!(txn.apply.len() <= LIMITS.txn_ops, "within the limits");
+        assert!(transaction.operations.len() <= LIMITS.txn_ops, "within the limits");
         self.revision += 1;
-        for change in &txn.apply {
+        for change in &transaction.operations {
             match change {
-                Change::Put { put, value, .. } => {
+                Operation::Put { put, value, .. } => {
                     assert!(value.size() <= LIMITS.value_bytes, "within the limits");
                     self.record(&value.to_value());
                     self.keys.insert(put.clone(), (value.to_value(), self.revision));
                 }
-                Change::Drop { drop } => {
+                Operation::Delete { drop } => {
                     self.keys.remove(drop);
                 }
             }
         }
-        Outcome::Committed { mark: self.revision }
+        TransactionOutcome::Committed { revision: self.revision }
     }
 
     fn record(&mut self, value: &Value) {
@@ -257,20 +260,20 @@
         self.ever_recorded.extend(actions);
     }
 
-    fn stored(&self) -> Vec<Pair> {
+    fn stored(&self) -> Vec<KeyValue> {
         let intents = self.keys.iter().filter(|(key, _)| key.starts_with(INTENT_PREFIX));
-        let pair = |(key, (value, mark)): (&String, &(Value, u64))| Pair {
+        let key_value = |(key, (value, revision)): (&String, &(Value, u64))| KeyValue {
             key: key.clone(),
             value: value.clone(),
-            mark: *mark,
+            revision: *revision,
         };
-        intents.map(pair).collect()
+        intents.map(key_value).collect()
     }
 
     fn is_stored(&self, action: &Action) -> bool {
-        self.stored().iter().any(|pair| {
+        self.stored().iter().any(|key_value| {
             let actions: Vec<Action> =
-                serde_json::from_value(pair.value["actions"].clone()).expect("actions");
+                serde_json::from_value(key_value.value["actions"].clone()).expect("actions");
             actions.contains(action)
         })
     }
@@ -366,7 +369,7 @@
     let first = world.holder.ledger.take_commands();
     let [LedgerCommand::Write { id, .. }] = first[..] else { panic!("{first:?}") };
     world.holder.ledger.set_limits(LIMITS);
-    world.holder.ledger.written(world.now, id, &Outcome::TooLarge);
+    world.holder.ledger.written(world.now, id, &TransactionOutcome::TooLarge);
     world.settle();
     assert_eq!(world.returned.len(), 100);
 }
--- a/crates/fencing/tests/transcripts.rs
+++ b/crates/fencing/tests/transcripts.rs
@@ -20,8 +20,8 @@
 use walnutlug_fencing::lease::{DutyLease, LeaseInput, LeaseState};
 use walnutlug_fencing::leased_role::{Duty, Epoch, EpochError, HolderRecord, Holding, RecordError};
 use walnutlug_fencing::role_balancer::{Balance, Standing};
-use walnutlug_scheduler::protocol::{Change, Pair, Txn};
-use walnutlug_scheduler::scheduler::Outcome;
+use walnutlug_scheduler::protocol::{KeyValue, Operation, Transaction};
+use walnutlug_scheduler::scheduler::TransactionOutcome;
 use walnutlug_scheduler::time::{Span, Time};
 
 const START: Time = Time(1 << 40);
@@ -65,17 +65,18 @@
     serde_json::to_string(value).expect("a value with a written form")
 }
 
-fn transaction(txn: &Txn) -> String {
-    let conditions = txn.guards.iter().map(|guard| format!("if {}={}", guard.key, guard.mark));
-    let changes = txn.apply.iter().map(|change| match change {
-        Change::Put { put, value, lease } => {
+fn transaction_text(transaction: &Transaction) -> String {
+    let conditions =
+        transaction.compares.iter().map(|guard| format!("if {}={}", guard.key, guard.revision));
+    let changes = transaction.operations.iter().map(|change| match change {
+        Operation::Put { put, value, lease } => {
             let lease = lease.map_or(String::new(), |lease| format!(" lease={lease}"));
             format!("put {put}={}{lease}", json_of(value))
         }
-        Change::Drop { drop } => format!("delete {drop}"),
+        Operation::Delete { drop } => format!("delete {drop}"),
     });
     let parts: Vec<String> = conditions.chain(changes).collect();
-    format!("{} wire={}", parts.join("; "), json_of(txn))
+    format!("{} wire={}", parts.join("; "), json_of(transaction))
 }
 
 fn epoch_error(error: EpochError) -> String {
@@ -101,7 +102,7 @@
 
 /// Something that the holder gave out and that was not answered yet.
 enum UnderWay {
-    Write { id: u64, txn: Txn },
+    Write { id: u64, transaction: Transaction },
     Action { id: ActionId, action: Action },
 }
 
@@ -196,9 +197,9 @@
         self.ledger.tick(self.now, holds_lease);
         for command in self.ledger.take_commands() {
             match command {
-                LedgerCommand::Write { id, txn } => {
-                    self.line("write", &format!("id={id} {}", transaction(&txn)));
-                    self.under_way.push(UnderWay::Write { id, txn });
+                LedgerCommand::Write { id, transaction } => {
+                    self.line("write", &format!("id={id} {}", transaction_text(&transaction)));
+                    self.under_way.push(UnderWay::Write { id, transaction });
                 }
                 LedgerCommand::Send { id, action } => {
                     self.line("send", &json_of(&action));
@@ -219,23 +220,23 @@
         }
         let at = self.dice.below(self.under_way.len());
         match self.under_way.remove(at) {
-            UnderWay::Write { id, txn } => {
+            UnderWay::Write { id, transaction } => {
                 let outcome = match self.dice.below(10) {
-                    0 => Outcome::Refused,
-                    1 => Outcome::Lost,
+                    0 => TransactionOutcome::Rejected,
+                    1 => TransactionOutcome::Indeterminate,
                     2 => {
-                        self.apply(&txn);
-                        Outcome::Lost
+                        self.apply(&transaction);
+                        TransactionOutcome::Indeterminate
                     }
-                    _ => self.apply(&txn),
+                    _ => self.apply(&transaction),
                 };
                 self.ledger.written(self.now, id, &outcome);
                 let kind = match outcome {
-                    Outcome::Committed { .. } => "written: committed",
-                    Outcome::Conflict { .. } => "written: conflict",
-                    Outcome::Refused => "written: refused",
-                    Outcome::TooLarge => "written: too large",
-                    Outcome::Lost => "written: lost",
+                    TransactionOutcome::Committed { .. } => "written: committed",
+                    TransactionOutcome::Conflict { .. } => "written: conflict",
+                    TransactionOutcome::Rejected => "written: refused",
+                    TransactionOutcome::TooLarge => "written: too large",
+                    TransactionOutcome::Indeterminate => "written: lost",
                 };
                 self.line(kind, &id.to_string());
             }
@@ -259,32 +260,33 @@
         }
     }
 
-    fn apply(&mut self, txn: &Txn) -> Outcome {
-        let too_large = txn.apply.iter().any(|change| match change {
-            Change::Put { value, .. } => value.size() > self.limits.value_bytes,
-            Change::Drop { .. } => false,
+    fn apply(&mut self, transaction: &Transaction) -> TransactionOutcome {
+        let too_large = transaction.operations.iter().any(|change| match change {
+            Operation::Put { value, .. } => value.size() > self.limits.value_bytes,
+            Operation::Delete { .. } => false,
         });
-        if too_large || txn.apply.len() > self.limits.txn_ops {
-            return Outcome::TooLarge;
+        if too_large || transaction.operations.len() > self.limits.txn_ops {
+            return TransactionOutcome::TooLarge;
         }
-        let mark = |key: &str| self.keys.get(key).map_or(0, |(_, mark)| *mark);
-        let failed = txn.guards.iter().filter(|guard| mark(&guard.key) != guard.mark);
+        let revision = |key: &str| self.keys.get(key).map_or(0, |(_, revision)| *revision);
+        let failed =
+            transaction.compares.iter().filter(|guard| revision(&guard.key) != guard.revision);
         let failed: Vec<String> = failed.map(|guard| guard.key.clone()).collect();
         if !failed.is_empty() {
-            return Outcome::Conflict { failed };
+            return TransactionOutcome::Conflict { failed };
         }
         self.revision += 1;
-        for change in &txn.apply {
+        for change in &transaction.operations {
             match change {
-                Change::Put { put, value, .. } => {
+                Operation::Put { put, value, .. } => {
                     self.keys.insert(put.clone(), (value.to_value(), self.revision));
                 }
-                Change::Drop { drop } => {
+                Operation::Delete { drop } => {
                     self.keys.remove(drop);
                 }
             }
         }
-        Outcome::Committed { mark: self.revision }
+        TransactionOutcome::Committed { revision: self.revision }
     }
 
     /// Another holds the duty from now on; at times the store tells the former one so first.
@@ -297,14 +299,14 @@
         }
         self.under_way.clear();
         self.ledger = ledger(self.revision, self.limits);
-        let stored: Vec<Pair> = self
+        let stored: Vec<KeyValue> = self
             .keys
             .iter()
             .filter(|(key, _)| key.starts_with(INTENT_PREFIX))
-            .map(|(key, (value, mark))| Pair {
+            .map(|(key, (value, revision))| KeyValue {
                 key: key.clone(),
                 value: value.clone(),
-                mark: *mark,
+                revision: *revision,
             })
             .collect();
         let adopted = self.ledger.adopt(self.now, &stored, |name| name.ends_with('7'));
@@ -394,10 +396,10 @@
         if dice.chance(4) {
             (leads, others_lead) = (dice.chance(50), dice.chance(50));
         }
-        let own = Standing { leads, served: dice.chance(90) };
+        let own = Standing { leads, store_reachable: dice.chance(90) };
         let others = [
-            Standing { leads: others_lead, served: dice.chance(97) },
-            Standing { leads: false, served: dice.chance(97) },
+            Standing { leads: others_lead, store_reachable: dice.chance(97) },
+            Standing { leads: false, store_reachable: dice.chance(97) },
         ];
         match dice.below(20) {
             0 => balance.taken(),
@@ -423,7 +425,7 @@
     let holder = HolderRecord { format: 1, node: "p".into(), incarnation, lease: 9 };
     for duty in Duty::ALL {
         transcript.next_step();
-        transcript.line("claim", &transaction(&Holding::claim(duty, &holder)));
+        transcript.line("claim", &transaction_text(&Holding::claim(duty, &holder)));
     }
     let well = json!({"format": 1, "node": "p", "inc": "x", "lease": 4});
     for value in [
@@ -435,10 +437,12 @@
         json!({"format": 1, "node": "p"}),
         json!(null),
     ] {
-        for (key, mark) in [("duty/machine-types", 7), ("duty/else", 7), ("duty/fleet", 1 << 50)] {
+        for (key, revision) in
+            [("duty/machine-types", 7), ("duty/else", 7), ("duty/fleet", 1 << 50)]
+        {
             transcript.next_step();
-            let pair = Pair { key: key.to_owned(), value: value.clone(), mark };
-            let text = match Holding::read(&pair, &["p", "q"]) {
+            let key_value = KeyValue { key: key.to_owned(), value: value.clone(), revision };
+            let text = match Holding::read(&key_value, &["p", "q"]) {
                 Ok(found) => {
                     format!("{} {} {}", found.duty.name(), found.epoch, json_of(&found.holder))
                 }
@@ -458,12 +462,13 @@
         for place in ["fleet/00000000000000000007/000001", "fleet/x/1", "fleet/0/1", "other/7/1"] {
             transcript.next_step();
             let key = format!("{INTENT_PREFIX}{place}");
-            let text = match StoredIntent::read(&Pair { key, value: value.clone(), mark: 3 }) {
-                Ok(found) => {
-                    format!("{} {} {}", found.duty.name(), found.epoch, json_of(&found.record))
-                }
-                Err(error) => record_error(&error),
-            };
+            let text =
+                match StoredIntent::read(&KeyValue { key, value: value.clone(), revision: 3 }) {
+                    Ok(found) => {
+                        format!("{} {} {}", found.duty.name(), found.epoch, json_of(&found.record))
+                    }
+                    Err(error) => record_error(&error),
+                };
             transcript.line("intent", &text);
         }
     }
--- a/crates/scheduler/src/autoscaling.rs
+++ b/crates/scheduler/src/autoscaling.rs
@@ -145,7 +145,7 @@
                 u.idle_ordinary
             ));
             u = Usage { since: Some(now), last: Some(now), ..Usage::default() };
-            let t = std::mem::take(&mut self.tally);
+            let t = std::mem::take(&mut self.write_counters);
             self.note(format!(
                 "state changes: starts {}, evidence {}, ends {}, drops {} of {} jobs",
                 t.starts, t.evidence, t.ends, t.drops, t.jobs
--- a/crates/scheduler/src/protocol.rs
+++ b/crates/scheduler/src/protocol.rs
@@ -413,47 +413,51 @@
 
 /// A condition of a transaction: the key has this version (0: it does not exist).
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Guard {
+pub struct Compare {
     pub key: String,
-    pub mark: u64,
+    #[serde(rename = "mark")]
+    pub revision: u64,
 }
 
 /// A change made by a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
-pub enum Change {
+pub enum Operation {
     Put {
         put: String,
         value: Document,
         #[serde(rename = "hold", skip_serializing_if = "Option::is_none", default)]
         lease: Option<u64>,
     },
-    Drop {
+    Delete {
         drop: String,
     },
 }
 
-impl Change {
-    pub fn put(key: impl Into<String>, value: impl Serialize) -> Change {
-        Change::put_document(key, Document::new(&value))
+impl Operation {
+    pub fn put(key: impl Into<String>, value: impl Serialize) -> Operation {
+        Operation::put_document(key, Document::new(&value))
     }
-    pub fn put_document(key: impl Into<String>, value: Document) -> Change {
-        Change::Put { put: key.into(), value, lease: None }
+    pub fn put_document(key: impl Into<String>, value: Document) -> Operation {
+        Operation::Put { put: key.into(), value, lease: None }
     }
-    pub fn drop(key: impl Into<String>) -> Change {
-        Change::Drop { drop: key.into() }
+    pub fn delete(key: impl Into<String>) -> Operation {
+        Operation::Delete { drop: key.into() }
     }
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Txn {
-    pub guards: Vec<Guard>,
-    pub apply: Vec<Change>,
+pub struct Transaction {
+    #[serde(rename = "guards")]
+    pub compares: Vec<Compare>,
+    #[serde(rename = "apply")]
+    pub operations: Vec<Operation>,
 }
 
 #[derive(Debug, Deserialize)]
 pub struct Committed {
-    pub growth: u64,
+    #[serde(rename = "growth")]
+    pub store_revision: u64,
 }
 
 #[derive(Debug, Deserialize)]
@@ -463,18 +467,21 @@
 
 /// A stored key.
 #[derive(Debug, Clone, Deserialize, Serialize)]
-pub struct Pair {
+pub struct KeyValue {
     pub key: String,
     pub value: Value,
-    pub mark: u64,
+    #[serde(rename = "mark")]
+    pub revision: u64,
 }
 
 #[derive(Debug, Deserialize, Serialize)]
 pub struct Page {
-    pub pairs: Vec<Pair>,
+    #[serde(rename = "pairs")]
+    pub key_values: Vec<KeyValue>,
     #[serde(rename = "hasNext", default)]
     pub more: bool,
-    pub growth: u64,
+    #[serde(rename = "growth")]
+    pub store_revision: u64,
 }
 
 #[derive(Debug, Deserialize)]
@@ -485,13 +492,23 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(untagged)]
 pub enum WatchEvent {
-    Put { put: String, value: Value, mark: u64 },
-    Drop { drop: String, mark: u64 },
+    Put {
+        put: String,
+        value: Value,
+        #[serde(rename = "mark")]
+        revision: u64,
+    },
+    Delete {
+        drop: String,
+        #[serde(rename = "mark")]
+        revision: u64,
+    },
 }
 
 #[derive(Debug, Deserialize)]
 pub struct Watched {
-    pub growth: u64,
+    #[serde(rename = "growth")]
+    pub store_revision: u64,
     pub events: Vec<WatchEvent>,
 }
 
--- a/crates/scheduler/src/queue/fair_share.rs
+++ b/crates/scheduler/src/queue/fair_share.rs
@@ -229,13 +229,13 @@
     /// that would wait in the order in which it was decided, and not in that of the shares. (With
     /// half of a fleet idle for want of writes, a team's few starts stood behind the flood's.)
     fn plans_enough(&self) -> bool {
-        self.writes_a_second().is_some_and(|writes| self.planned_chunks as f64 >= writes)
+        self.writes_per_second().is_some_and(|writes| self.planned_chunks as f64 >= writes)
     }
 
     /// Whether the next round had better wait for the writes of the last ones: a look at the whole queue
     /// for each few of them would cost more than it decides.
     pub(crate) fn has_plans_to_write(&self) -> bool {
-        let half = self.writes_a_second().map(|writes| writes / 2.0);
+        let half = self.writes_per_second().map(|writes| writes / 2.0);
         self.sharing.is_on() && half.is_some_and(|half| self.planned_chunks as f64 > half)
     }
 
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -13,9 +13,9 @@
 use crate::leadership::watermark;
 use crate::model::job::{JobSpec, Rank};
 use crate::model::task::{Input, MachineIx, Phase, Task};
-use crate::protocol::{MachineType, Report, Txn, WorkerCommand};
+use crate::protocol::{MachineType, Report, Transaction, WorkerCommand};
 use crate::queue::dependencies::{Chains, Due};
-use crate::storage::transactions::PendingTxn;
+use crate::storage::transactions::InFlightTransaction;
 use crate::time::{Span, Time};
 use crate::tunables::{Site, Tunables};
 
@@ -25,12 +25,12 @@
 /// Something for the sockets to do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Command {
-    /// Send the transaction and answer with [`Scheduler::txn_answer`].
+    /// Send the transaction and answer with [`Scheduler::transaction_answered`].
     Commit {
         id: u64,
-        txn: Txn,
+        transaction: Transaction,
     },
-    /// Read one key and answer with [`Scheduler::read_answer`].
+    /// Read one key and answer with [`Scheduler::read_answered`].
     Read {
         id: u64,
         key: String,
@@ -66,20 +66,20 @@
 
 /// What became of a transaction.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Outcome {
+pub enum TransactionOutcome {
     Committed {
-        mark: u64,
+        revision: u64,
     },
     Conflict {
         failed: Vec<String>,
     },
     /// Certainly not executed.
-    Refused,
+    Rejected,
     /// Certainly not executed, now or later: a value or the transaction is over the service's
     /// limits.
     TooLarge,
     /// May have been executed, or may be later.
-    Lost,
+    Indeterminate,
 }
 
 /// What became of a direct command.
@@ -193,7 +193,7 @@
 
 #[derive(Debug, Clone, Default)]
 pub struct Chunk {
-    pub mark: u64,
+    pub revision: u64,
     pub in_flight: bool,
     /// Since when a planned start waits for its write.
     pub start_due: Option<Time>,
@@ -347,10 +347,10 @@
     /// What the teams and their classes hold of the fleet, and whether that decides the order.
     pub sharing: crate::queue::fair_share::Sharing,
     pub(crate) out: Vec<Command>,
-    pub(crate) txns: BTreeMap<u64, PendingTxn>,
+    pub(crate) transactions: BTreeMap<u64, InFlightTransaction>,
     pub(crate) next_id: u64,
     /// The state service refused the last write: nothing is decided until it answers again.
-    pub stalled_until: Time,
+    pub writes_paused_until: Time,
     /// The largest value and the most changes of a transaction that the state service takes now, as
     /// far as is known.
     pub(crate) limits: Limits,
@@ -360,7 +360,7 @@
     writes: Option<(f64, f64)>,
     /// Chunks with planned starts that are not on their way to the state service.
     pub(crate) planned_chunks: usize,
-    pub(crate) tally: crate::storage::transactions::Tally,
+    pub(crate) write_counters: crate::storage::transactions::WriteCounters,
     pub dirty: bool,
     /// Whether the lease is certainly held. Without it another node may lead: this one goes on
     /// answering its workers, so that their tasks live, and starts, rents and returns nothing.
@@ -449,15 +449,15 @@
             team_use: HashMap::new(),
             sharing: crate::queue::fair_share::Sharing::new(&site, &tun),
             out: Vec::new(),
-            txns: BTreeMap::new(),
+            transactions: BTreeMap::new(),
             next_id: 1,
-            stalled_until: Time(0),
+            writes_paused_until: Time(0),
             limits: Limits { value_bytes: site.value_bytes, txn_ops: site.txn_ops },
             chains: Chains::default(),
             last_round: Time(0),
             writes: None,
             planned_chunks: 0,
-            tally: crate::storage::transactions::Tally::default(),
+            write_counters: crate::storage::transactions::WriteCounters::default(),
             dirty: true,
             in_office: true,
             known_until: now,
@@ -491,17 +491,17 @@
 
     /// Tells how many changes the write rate has room for now, of how many at most. What is decided
     /// beyond that waits here, where the most urgent goes first, and not in front of the service.
-    pub fn allow_writes(&mut self, left: f64, most: f64) {
+    pub fn set_write_allowance(&mut self, left: f64, most: f64) {
         self.writes = Some((left, most));
     }
 
     /// Changes that may be written now, keeping the given part of the most for what is more urgent.
-    pub(crate) fn writes_left(&self, keep: f64) -> usize {
+    pub(crate) fn write_allowance(&self, keep: f64) -> usize {
         self.writes.map_or(usize::MAX, |(left, most)| (left - keep * most).max(0.0) as usize)
     }
 
     /// Changes that the write rate has room for in a second; `None`: any.
-    pub(crate) fn writes_a_second(&self) -> Option<f64> {
+    pub(crate) fn writes_per_second(&self) -> Option<f64> {
         self.writes.map(|(_, most)| most.max(1.0))
     }
 
@@ -781,9 +781,9 @@
                 let due = &mut job.chunks[chunk].start_due;
                 self.planned_chunks += usize::from(due.is_none());
                 due.get_or_insert(now);
-                self.tally.placed += 1;
+                self.write_counters.placed += 1;
                 let images = &self.machines[machine as usize].images;
-                self.tally.cached += usize::from(images.contains(&job.spec.image));
+                self.write_counters.cached += usize::from(images.contains(&job.spec.image));
                 // It will be there once fetched; the next task for it need not fetch it elsewhere.
                 let image = job.spec.image.clone();
                 self.has_image(machine, image);
--- a/crates/scheduler/src/storage/records.rs
+++ b/crates/scheduler/src/storage/records.rs
@@ -24,7 +24,7 @@
 }
 
 /// The stored form of a job's description.
-pub fn todo_value(spec: &JobSpec, accepted_wall_us: u64, chunk: u32) -> Value {
+pub fn description_record(spec: &JobSpec, accepted_wall_us: u64, chunk: u32) -> Value {
     json!({"spec": spec, "at": accepted_wall_us, "chunk": chunk})
 }
 
@@ -108,14 +108,14 @@
     ///
     /// A task may stand in its chunk and in a part that was written later, or the other way round:
     /// each holds all of its tasks as they were when it was written, so the newer one counts.
-    pub fn load_runs(&mut self, now: Time, stored: &[protocol::Pair]) -> Vec<String> {
-        let mut by_age: Vec<&protocol::Pair> = stored.iter().collect();
-        by_age.sort_by_key(|pair| pair.mark);
+    pub fn load_runs(&mut self, now: Time, stored: &[protocol::KeyValue]) -> Vec<String> {
+        let mut by_age: Vec<&protocol::KeyValue> = stored.iter().collect();
+        by_age.sort_by_key(|key_value| key_value.revision);
         let mut newest: BTreeMap<TaskId, &Value> = BTreeMap::new();
         let mut strange = Vec::new();
-        for pair in by_age {
-            if self.read_run(pair, &mut newest).is_none() {
-                strange.push(pair.key.clone());
+        for key_value in by_age {
+            if self.read_run(key_value, &mut newest).is_none() {
+                strange.push(key_value.key.clone());
             }
         }
         let mut by_job: BTreeMap<JobIx, Vec<(u32, &Value)>> = BTreeMap::new();
@@ -131,12 +131,12 @@
     /// Adds a stored chunk's or part's records to the newest of each task.
     fn read_run<'a>(
         &mut self,
-        pair: &'a protocol::Pair,
+        key_value: &'a protocol::KeyValue,
         newest: &mut BTreeMap<TaskId, &'a Value>,
     ) -> Option<()> {
-        let (name, chunk, from) = keys::split_run(&pair.key)?;
+        let (name, chunk, from) = keys::split_run(&key_value.key)?;
         let ix = *self.by_ref.get(name)?;
-        let records = pair.value["t"].as_array()?;
+        let records = key_value.value["t"].as_array()?;
         let job = self.jobs.get_mut(&ix)?;
         let state = job.chunks.get_mut(chunk)?;
         let base = chunk as u32 * job.chunk_size;
@@ -145,11 +145,11 @@
                 return None
             }
             Some(from) => {
-                job.parts.insert((chunk, from), pair.mark);
+                job.parts.insert((chunk, from), key_value.revision);
                 from
             }
             None => {
-                state.mark = pair.mark;
+                state.revision = key_value.revision;
                 base
             }
         };
--- a/crates/scheduler/src/storage/transactions.rs
+++ b/crates/scheduler/src/storage/transactions.rs
@@ -2,13 +2,13 @@
 
 use crate::model::job::{keys, End};
 use crate::model::task::{Input, MachineIx, Phase};
-use crate::protocol::{Change, Guard, Txn, WorkerCommand};
-use crate::scheduler::{Command, JobIx, MachineState, Outcome, Scheduler, TaskId};
+use crate::protocol::{Compare, Operation, Transaction, WorkerCommand};
+use crate::scheduler::{Command, JobIx, MachineState, Scheduler, TaskId, TransactionOutcome};
 use crate::storage::document::Document;
 use crate::time::{Span, Time};
 use serde_json::Value;
 
-const MAX_TXN_BYTES: usize = 40 * 1024;
+const MAX_TRANSACTION_BYTES: usize = 40 * 1024;
 /// The part of the write allowance that evidence and clean-up leave to starts and ends.
 const KEEP_FOR_STARTS: f64 = 0.4;
 /// Times its delay after which evidence waits for nothing any more.
@@ -20,7 +20,7 @@
 
 /// Changes written since it was told last, by kind.
 #[derive(Debug, Default)]
-pub(crate) struct Tally {
+pub(crate) struct WriteCounters {
     pub starts: usize,
     pub evidence: usize,
     pub ends: usize,
@@ -34,7 +34,7 @@
 /// What one transaction writes, and what its outcome decides.
 #[derive(Default)]
 struct Batch {
-    txn: Txn,
+    transaction: Transaction,
     bytes: usize,
     /// Chunks written, whole or in part.
     chunks: Vec<(JobIx, usize)>,
@@ -46,13 +46,13 @@
     finishes: Vec<TaskId>,
     ends: Vec<(JobIx, End)>,
     /// Jobs whose records go.
-    cleanups: Vec<CleanUp>,
+    cleanups: Vec<RecordCleanup>,
     /// Evidence and clean-up alone: nothing waits for it.
-    lazy: bool,
+    background: bool,
 }
 
 /// What goes of a job's records.
-struct CleanUp {
+struct RecordCleanup {
     job: JobIx,
     /// Whether these are the last of them.
     last: bool,
@@ -62,25 +62,29 @@
 
 impl Batch {
     fn full(&self, most: usize) -> bool {
-        self.txn.apply.len() >= most || self.bytes > MAX_TXN_BYTES
+        self.transaction.operations.len() >= most || self.bytes > MAX_TRANSACTION_BYTES
     }
 }
 
 /// A transaction whose outcome is open.
-pub(crate) struct PendingTxn {
+pub(crate) struct InFlightTransaction {
     batch: Batch,
     nonce: String,
     retry_at: Option<Time>,
     /// An answer was lost at least once, so that a conflict may be with its own earlier copy.
-    doubted: bool,
+    indeterminate: bool,
     /// It is over the service's limits by now, so that none of its copies takes effect any more.
     too_large: bool,
 }
 
-impl PendingTxn {
+impl InFlightTransaction {
     /// Whether the mark is the one that a record of it had before.
-    fn expects(&self, mark: u64) -> bool {
-        self.batch.txn.guards.iter().any(|g| g.key.starts_with(keys::RUN) && g.mark == mark)
+    fn expects(&self, revision: u64) -> bool {
+        self.batch
+            .transaction
+            .compares
+            .iter()
+            .any(|g| g.key.starts_with(keys::RUN) && g.revision == revision)
     }
 }
 
@@ -93,16 +97,16 @@
     /// Called often: starts a round if there is something to do, sends what is due.
     pub fn tick(&mut self, now: Time) {
         let due: Vec<u64> = self
-            .txns
+            .transactions
             .iter()
             .filter(|(_, t)| t.retry_at.is_some_and(|at| now >= at))
             .map(|(&id, _)| id)
             .collect();
         for id in due {
-            if let Some(t) = self.txns.get_mut(&id) {
+            if let Some(t) = self.transactions.get_mut(&id) {
                 t.retry_at = None;
-                let txn = t.batch.txn.clone();
-                self.out.push(Command::Commit { id, txn });
+                let transaction = t.batch.transaction.clone();
+                self.out.push(Command::Commit { id, transaction });
             }
         }
         let sweep = now.since(self.last_sweep) >= SWEEP_EVERY;
@@ -111,10 +115,10 @@
             self.settle(now);
         }
         if self.in_office
-            && now >= self.stalled_until
+            && now >= self.writes_paused_until
             && now.since(self.last_round) >= self.tun.round_every
-            && self.txns.len() < self.tun.txns_in_flight as usize
-            && self.writes_left(0.0) >= 1
+            && self.transactions.len() < self.tun.txns_in_flight as usize
+            && self.write_allowance(0.0) >= 1
         {
             self.last_round = now;
             if self.dirty && !self.has_plans_to_write() {
@@ -137,7 +141,7 @@
         let mut starts: Vec<(std::cmp::Reverse<crate::model::job::Rank>, Time, JobIx, usize)> =
             Vec::new();
         let mut ends: Vec<JobIx> = Vec::new();
-        let mut lazy: Vec<(Time, JobIx, usize)> = Vec::new();
+        let mut background: Vec<(Time, JobIx, usize)> = Vec::new();
         let mut over: Vec<JobIx> = Vec::new();
         for (&ix, job) in &self.jobs {
             if job.over {
@@ -158,7 +162,7 @@
                     starts.push((std::cmp::Reverse(job.rank), due, ix, chunk));
                 } else if let Some(since) = c.evidence {
                     if now.since(since) >= self.tun.evidence_delay {
-                        lazy.push((since, ix, chunk));
+                        background.push((since, ix, chunk));
                     }
                 }
             }
@@ -172,8 +176,8 @@
         let mut starts = starts.into_iter().peekable();
         self.planned_chunks = starts.len();
         while starts.peek().is_some() {
-            let room = self.writes_left(0.0).min(ops);
-            if self.txns.len() >= most || room == 0 {
+            let room = self.write_allowance(0.0).min(ops);
+            if self.transactions.len() >= most || room == 0 {
                 self.dirty = true;
                 break;
             }
@@ -185,20 +189,20 @@
             }
             self.commit(batch);
         }
-        if lazy.is_empty() && over.is_empty() {
+        if background.is_empty() && over.is_empty() {
             return;
         }
-        lazy.sort_unstable();
+        background.sort_unstable();
         let limit = Span(self.tun.evidence_delay.0.saturating_mul(OVERDUE_EVIDENCE));
-        let overdue = lazy.first().is_some_and(|l| now.since(l.0) > limit);
+        let overdue = background.first().is_some_and(|l| now.since(l.0) > limit);
         let keep = if overdue { 0.0 } else { KEEP_FOR_STARTS };
-        let room = self.writes_left(keep).min(ops);
-        let under_way = self.txns.values().any(|t| t.batch.lazy);
-        if room == 0 || under_way || self.txns.len() >= most {
+        let room = self.write_allowance(keep).min(ops);
+        let under_way = self.transactions.values().any(|t| t.batch.background);
+        if room == 0 || under_way || self.transactions.len() >= most {
             return;
         }
-        let mut batch = Batch { lazy: true, ..Batch::default() };
-        for (_, ix, chunk) in lazy {
+        let mut batch = Batch { background: true, ..Batch::default() };
+        for (_, ix, chunk) in background {
             if batch.full(room) {
                 break;
             }
@@ -208,7 +212,7 @@
             if batch.full(room) {
                 break;
             }
-            self.clean_up(&mut batch, ix, room);
+            self.clean_up_records(&mut batch, ix, room);
         }
         self.commit(batch);
     }
@@ -246,18 +250,18 @@
             for from in windows {
                 if batch.full(room) {
                     // The rest of it waits for the next round.
-                    return self.note_chunk(batch, ix, chunk, false);
+                    return self.mark_chunk_in_flight(batch, ix, chunk, false);
                 }
                 let to = (from + size).min(end);
                 let value = self.records(ix, from, to);
                 self.add_records(batch, ix, chunk, Some(from), value, from..to);
             }
         }
-        self.note_chunk(batch, ix, chunk, true);
+        self.mark_chunk_in_flight(batch, ix, chunk, true);
     }
 
     /// The chunk has something in the batch; whether that is all that it has to write.
-    fn note_chunk(&mut self, batch: &mut Batch, ix: JobIx, chunk: usize, all: bool) {
+    fn mark_chunk_in_flight(&mut self, batch: &mut Batch, ix: JobIx, chunk: usize, all: bool) {
         if let Some(state) = self.jobs.get_mut(&ix).and_then(|j| j.chunks.get_mut(chunk)) {
             state.in_flight = true;
             if all {
@@ -292,45 +296,49 @@
         }
         let state = &job.chunks[chunk];
         match state.start_due {
-            Some(_) => self.tally.starts += 1,
-            None => self.tally.evidence += 1,
+            Some(_) => self.write_counters.starts += 1,
+            None => self.write_counters.evidence += 1,
         }
-        let mut guard = |key: String, mark| {
-            if !batch.txn.guards.iter().any(|g| g.key == key) {
-                batch.txn.guards.push(Guard { key, mark });
+        let mut compare = |key: String, revision| {
+            if !batch.transaction.compares.iter().any(|g| g.key == key) {
+                batch.transaction.compares.push(Compare { key, revision });
             }
         };
         let whole = keys::run(&job.name, chunk);
-        guard(whole.clone(), state.mark);
+        compare(whole.clone(), state.revision);
         let key = match part {
             Some(from) => {
                 let key = keys::part(&job.name, chunk, from);
-                guard(key.clone(), job.parts.get(&(chunk, from)).copied().unwrap_or(0));
+                compare(key.clone(), job.parts.get(&(chunk, from)).copied().unwrap_or(0));
                 key
             }
             None => whole,
         };
         // After an acknowledged withdrawal nothing can be dispatched: the end's absence is part
         // of the write itself.
-        guard(keys::end(&job.name), 0);
+        compare(keys::end(&job.name), 0);
         batch.bytes += value.size() + key.len() * 2 + 64;
-        batch.txn.apply.push(Change::put_document(key, value));
+        batch.transaction.operations.push(Operation::put_document(key, value));
         batch.written.push((ix, chunk, part));
     }
 
     fn commit(&mut self, batch: Batch) {
-        if batch.txn.apply.is_empty() {
+        if batch.transaction.operations.is_empty() {
             return;
         }
         let nonce = self.nonce();
         let id = self.next_id;
         self.next_id += 1;
         let mut batch = batch;
-        self.spend_writes(batch.txn.apply.len());
-        batch.txn.guards.insert(0, Guard { key: keys::LEADER.into(), mark: self.term });
-        self.out.push(Command::Commit { id, txn: batch.txn.clone() });
-        let (retry_at, doubted, too_large) = (None, false, false);
-        self.txns.insert(id, PendingTxn { batch, nonce, retry_at, doubted, too_large });
+        self.spend_writes(batch.transaction.operations.len());
+        batch
+            .transaction
+            .compares
+            .insert(0, Compare { key: keys::LEADER.into(), revision: self.term });
+        self.out.push(Command::Commit { id, transaction: batch.transaction.clone() });
+        let (retry_at, indeterminate, too_large) = (None, false, false);
+        self.transactions
+            .insert(id, InFlightTransaction { batch, nonce, retry_at, indeterminate, too_large });
     }
 
     /// Writes the jobs' ends, as many as may be written now.
@@ -338,8 +346,8 @@
         let open = |ix: &&JobIx| self.job(**ix).is_some_and(|j| !j.ending && !j.over);
         let jobs: Vec<JobIx> = jobs.iter().filter(open).copied().collect();
         for some in jobs.chunks(self.limits.txn_ops) {
-            let room = self.writes_left(0.0).min(some.len());
-            if self.txns.len() < self.tun.txns_in_flight as usize && room > 0 {
+            let room = self.write_allowance(0.0).min(some.len());
+            if self.transactions.len() < self.tun.txns_in_flight as usize && room > 0 {
                 self.write_ends(&some[..room], end);
             }
         }
@@ -353,84 +361,92 @@
             let Some(job) = self.jobs.get_mut(&ix) else { continue };
             job.ending = true;
             let key = keys::end(&job.name);
-            batch.txn.guards.push(Guard { key: key.clone(), mark: 0 });
-            batch.txn.apply.push(Change::put(key, end));
+            batch.transaction.compares.push(Compare { key: key.clone(), revision: 0 });
+            batch.transaction.operations.push(Operation::put(key, end));
             batch.ends.push((ix, end));
         }
-        self.tally.ends += batch.ends.len();
+        self.write_counters.ends += batch.ends.len();
         self.commit(batch);
     }
 
     /// Drops the records of a job that is over, once nothing of it can be anywhere. The
     /// description goes last, so that a chunk never outlives it.
-    fn clean_up(&mut self, batch: &mut Batch, ix: JobIx, most: usize) {
+    fn clean_up_records(&mut self, batch: &mut Batch, ix: JobIx, most: usize) {
         let Some(job) = self.jobs.get_mut(&ix) else { return };
         if job.dropping || job.placed > 0 || job.chunks.iter().any(|c| c.in_flight) {
             return;
         }
         job.dropping = true;
-        let before = batch.txn.apply.len();
+        let before = batch.transaction.operations.len();
         for (i, chunk) in job.chunks.iter_mut().enumerate() {
-            if chunk.mark > 0 && !batch.full(most) {
-                batch.txn.apply.push(Change::drop(keys::run(&job.name, i)));
-                chunk.mark = 0;
+            if chunk.revision > 0 && !batch.full(most) {
+                batch.transaction.operations.push(Operation::delete(keys::run(&job.name, i)));
+                chunk.revision = 0;
             }
         }
         let mut parts = Vec::new();
         while !batch.full(most) {
             let Some(((chunk, from), _)) = job.parts.pop_first() else { break };
-            batch.txn.apply.push(Change::drop(keys::part(&job.name, chunk, from)));
+            batch
+                .transaction
+                .operations
+                .push(Operation::delete(keys::part(&job.name, chunk, from)));
             parts.push((chunk, from));
         }
-        let left = !job.parts.is_empty() || job.chunks.iter().any(|c| c.mark > 0);
+        let left = !job.parts.is_empty() || job.chunks.iter().any(|c| c.revision > 0);
         let last = !left && !batch.full(most);
         if last {
             let key = keys::description(&job.name, !job.spec.needs.is_empty());
-            batch.txn.apply.push(Change::drop(key));
-            self.tally.jobs += 1;
+            batch.transaction.operations.push(Operation::delete(key));
+            self.write_counters.jobs += 1;
         }
-        batch.cleanups.push(CleanUp { job: ix, last, parts });
-        self.tally.drops += batch.txn.apply.len() - before;
+        batch.cleanups.push(RecordCleanup { job: ix, last, parts });
+        self.write_counters.drops += batch.transaction.operations.len() - before;
     }
 
     /// The answer to a [`Command::Commit`].
-    pub fn txn_answer(&mut self, now: Time, id: u64, outcome: Outcome) {
-        let Some(mut pending) = self.txns.remove(&id) else { return };
+    pub fn transaction_answered(&mut self, now: Time, id: u64, outcome: TransactionOutcome) {
+        let Some(mut pending) = self.transactions.remove(&id) else { return };
         match outcome {
-            Outcome::Committed { mark } => self.committed(now, pending.batch, mark),
-            Outcome::Lost => {
+            TransactionOutcome::Committed { revision } => {
+                self.committed(now, pending.batch, revision)
+            }
+            TransactionOutcome::Indeterminate => {
                 // It may have been executed, or may be yet. Sending the same again with the same
                 // guards settles it: only one of the copies can ever take effect.
-                pending.doubted = true;
+                pending.indeterminate = true;
                 pending.retry_at = Some(now + Span::millis(250));
-                self.txns.insert(id, pending);
+                self.transactions.insert(id, pending);
             }
-            Outcome::Refused if pending.doubted => {
+            TransactionOutcome::Rejected if pending.indeterminate => {
                 pending.retry_at = Some(now + Span::millis(500));
-                self.txns.insert(id, pending);
+                self.transactions.insert(id, pending);
             }
-            Outcome::Refused => {
-                self.stalled_until = now + Span::millis(300);
+            TransactionOutcome::Rejected => {
+                self.writes_paused_until = now + Span::millis(300);
                 self.failed(now, pending.batch);
             }
-            Outcome::TooLarge => {
+            TransactionOutcome::TooLarge => {
                 // The limits fell. This copy was not executed, and no earlier one will be any more;
                 // but one may have been before they fell.
-                let first = pending.batch.txn.apply.iter().find_map(|change| match change {
-                    Change::Put { put, .. } if put.starts_with(keys::RUN) => Some(put.clone()),
-                    _ => None,
-                });
+                let first =
+                    pending.batch.transaction.operations.iter().find_map(|change| match change {
+                        Operation::Put { put, .. } if put.starts_with(keys::RUN) => {
+                            Some(put.clone())
+                        }
+                        _ => None,
+                    });
                 match first {
-                    Some(key) if pending.doubted => {
+                    Some(key) if pending.indeterminate => {
                         pending.too_large = true;
                         self.out.push(Command::Read { id, key });
-                        self.txns.insert(id, pending);
+                        self.transactions.insert(id, pending);
                     }
                     // An end or a clean-up that took effect unheard is met by its next try.
                     _ => self.failed(now, pending.batch),
                 }
             }
-            Outcome::Conflict { failed } => {
+            TransactionOutcome::Conflict { failed } => {
                 if failed.iter().any(|k| k == keys::LEADER) {
                     self.out.push(Command::StepDown("another node holds the leader key"));
                     self.failed(now, pending.batch);
@@ -449,7 +465,7 @@
                             self.ended_somehow(now, &name);
                         }
                         self.out.push(Command::Read { id, key });
-                        self.txns.insert(id, pending);
+                        self.transactions.insert(id, pending);
                     }
                     None => {
                         for name in &ended {
@@ -463,18 +479,18 @@
     }
 
     /// The answer to a [`Command::Read`]: the value and mark (0: no such key), or nothing.
-    pub fn read_answer(&mut self, now: Time, id: u64, answer: Option<(Value, u64)>) {
-        let Some(mut pending) = self.txns.remove(&id) else { return };
+    pub fn read_answered(&mut self, now: Time, id: u64, answer: Option<(Value, u64)>) {
+        let Some(mut pending) = self.transactions.remove(&id) else { return };
         match answer {
             None => {
                 pending.retry_at = Some(now + Span::millis(500));
-                pending.doubted = true;
-                self.txns.insert(id, pending);
+                pending.indeterminate = true;
+                self.transactions.insert(id, pending);
             }
-            Some((value, mark)) if value["w"] == pending.nonce.as_str() => {
-                self.committed(now, pending.batch, mark);
+            Some((value, revision)) if value["w"] == pending.nonce.as_str() => {
+                self.committed(now, pending.batch, revision);
             }
-            Some((_, mark)) if pending.too_large && pending.expects(mark) => {
+            Some((_, revision)) if pending.too_large && pending.expects(revision) => {
                 self.failed(now, pending.batch);
             }
             Some(_) => {
@@ -486,8 +502,8 @@
         }
     }
 
-    fn committed(&mut self, now: Time, done: Batch, mark: u64) {
-        self.stalled_until = Time(0);
+    fn committed(&mut self, now: Time, done: Batch, revision: u64) {
+        self.writes_paused_until = Time(0);
         for &(ix, chunk) in &done.chunks {
             if let Some(job) = self.jobs.get_mut(&ix) {
                 job.chunks[chunk].in_flight = false;
@@ -497,9 +513,9 @@
             if let Some(job) = self.jobs.get_mut(&ix) {
                 match part {
                     Some(from) => {
-                        job.parts.insert((chunk, from), mark);
+                        job.parts.insert((chunk, from), revision);
                     }
-                    None => job.chunks[chunk].mark = mark,
+                    None => job.chunks[chunk].revision = revision,
                 }
             }
         }
@@ -532,7 +548,7 @@
             // Committed, so stored: what waits for it may begin in this very turn.
             self.job_ended(now, &name, end);
         }
-        for CleanUp { job: ix, last, .. } in done.cleanups {
+        for RecordCleanup { job: ix, last, .. } in done.cleanups {
             if last {
                 if let Some(job) = self.jobs.remove(&ix) {
                     self.by_ref.remove(&job.name);
@@ -623,14 +639,14 @@
                 job.ending = false;
             }
         }
-        for CleanUp { job: ix, parts, .. } in failed.cleanups {
+        for RecordCleanup { job: ix, parts, .. } in failed.cleanups {
             if let Some(job) = self.jobs.get_mut(&ix) {
                 job.dropping = false;
                 job.parts.extend(parts.into_iter().map(|part| (part, 1)));
                 // Which chunks still exist is not known any more; dropping a key that does not
                 // exist does no harm.
                 for chunk in &mut job.chunks {
-                    chunk.mark = chunk.mark.max(1);
+                    chunk.revision = chunk.revision.max(1);
                 }
             }
         }
--- a/crates/scheduler/tests/autoscaling.rs
+++ b/crates/scheduler/tests/autoscaling.rs
@@ -114,7 +114,7 @@
     w.settle();
     let puts = |w: &World| {
         let keys = w.store.keys.values().map(|v| v.1).collect::<std::collections::BTreeSet<_>>();
-        (w.store.growth, keys.len())
+        (w.store.store_revision, keys.len())
     };
     let before = puts(&w).0;
     // One task after the other ends, over half a minute.
@@ -139,20 +139,20 @@
         &JobSpec { rank: walnutlug_scheduler::model::job::Rank::High, ..spec(4) },
     );
     w.wait(50);
-    w.leader.allow_writes(1.0, 16.0);
+    w.leader.set_write_allowance(1.0, 16.0);
     w.leader.tick(w.now);
     let commits: Vec<_> = w
         .leader
         .take_commands()
         .into_iter()
         .filter_map(|c| match c {
-            Command::Commit { txn, .. } => Some(txn),
+            Command::Commit { transaction, .. } => Some(transaction),
             _ => None,
         })
         .collect();
     assert_eq!(commits.len(), 1);
-    assert_eq!(commits[0].apply.len(), 1);
-    assert!(commits[0].guards.iter().any(|g| g.key == keys::run("req-000003", 0)));
+    assert_eq!(commits[0].operations.len(), 1);
+    assert!(commits[0].compares.iter().any(|g| g.key == keys::run("req-000003", 0)));
 }
 
 /// A round's cost at full size, counted in machines looked at. It once was tasks times machines: each
--- a/crates/scheduler/tests/cancellations.rs
+++ b/crates/scheduler/tests/cancellations.rs
@@ -403,13 +403,13 @@
     let mut w = World::new(&[("n-1", "a")]);
     w.submit(JOB, &spec(1));
     w.tick();
-    let (id, txn) = w.take_commit();
-    let outcome = w.store.apply(&txn);
+    let (id, transaction) = w.take_commit();
+    let outcome = w.store.apply(&transaction);
     w.cut_off = true;
     // The other node's write comes right after; the leader hears nothing for a minute.
     w.store.put(&keys::end(JOB), serde_json::json!("aborted"));
     w.wait(56_000);
-    w.leader.txn_answer(w.now, id, outcome);
+    w.leader.transaction_answered(w.now, id, outcome);
     for _ in 0..20 {
         w.tick();
         for command in std::mem::take(&mut w.commands) {
@@ -429,11 +429,11 @@
     let mut w = World::new(&[("n-1", "a")]);
     w.submit(JOB, &spec(1));
     w.tick();
-    let (id, txn) = w.take_commit();
-    let outcome = w.store.apply(&txn);
+    let (id, transaction) = w.take_commit();
+    let outcome = w.store.apply(&transaction);
     w.cut_off = true;
     w.wait(56_000);
-    w.leader.txn_answer(w.now, id, outcome);
+    w.leader.transaction_answered(w.now, id, outcome);
     w.report("n-1");
     w.tick();
     assert!(w.workers["n-1"].tasks.is_empty());
--- a/crates/scheduler/tests/delegation.rs
+++ b/crates/scheduler/tests/delegation.rs
@@ -78,8 +78,8 @@
 
 #[test]
 fn withdrawn_lost_and_overtaken_marks_are_not_answered() {
-    type Change = fn(&mut ServedLeader);
-    let cases: [(&str, Change, bool); 9] = [
+    type Operation = fn(&mut ServedLeader);
+    let cases: [(&str, Operation, bool); 9] = [
         ("nothing happens", |_| {}, true),
         ("it is withdrawn", |f| f.withdraw(TERM, 1, &[(1, 1)]), false),
         ("another machine's is withdrawn", |f| f.withdraw(TERM, 1, &[(2, 1)]), true),
--- a/crates/scheduler/tests/dependencies.rs
+++ b/crates/scheduler/tests/dependencies.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 use walnutlug_scheduler::model::job::{keys, End, JobSpec, Rank};
 use walnutlug_scheduler::queue::dependencies::Found;
-use walnutlug_scheduler::scheduler::{Command, Outcome};
+use walnutlug_scheduler::scheduler::{Command, TransactionOutcome};
 use world::{one_machine, spec, World};
 
 const FIRST: &str = "req-000001";
@@ -49,10 +49,10 @@
     let mut w = before_the_end();
     // All its tasks are finished, by report; their end is not written yet.
     w.tick();
-    let (id, txn) = w.take_commit();
-    assert!(txn.apply.len() == 1 && w.leader.queue(w.now).is_empty());
-    let outcome = w.store.apply(&txn);
-    w.leader.txn_answer(w.now, id, outcome);
+    let (id, transaction) = w.take_commit();
+    assert!(transaction.operations.len() == 1 && w.leader.queue(w.now).is_empty());
+    let outcome = w.store.apply(&transaction);
+    w.leader.transaction_answered(w.now, id, outcome);
     assert_eq!(w.leader.queue(w.now).len(), 1, "released at once");
     w.run_out();
     assert_eq!(w.end(SECOND), Some(&json!("done")));
@@ -64,16 +64,16 @@
 fn a_commit_in_doubt_releases_nothing() {
     let mut w = before_the_end();
     w.tick();
-    let (id, txn) = w.take_commit();
-    w.store.apply(&txn);
-    w.leader.txn_answer(w.now, id, Outcome::Lost);
+    let (id, transaction) = w.take_commit();
+    w.store.apply(&transaction);
+    w.leader.transaction_answered(w.now, id, TransactionOutcome::Indeterminate);
     w.wait(2_000);
     w.tick();
     assert!(w.leader.queue(w.now).is_empty());
-    let (id, txn) = w.take_commit();
-    let outcome = w.store.apply(&txn);
-    assert!(matches!(outcome, Outcome::Conflict { .. }));
-    w.leader.txn_answer(w.now, id, outcome);
+    let (id, transaction) = w.take_commit();
+    let outcome = w.store.apply(&transaction);
+    assert!(matches!(outcome, TransactionOutcome::Conflict { .. }));
+    w.leader.transaction_answered(w.now, id, outcome);
     assert!(w.leader.queue(w.now).is_empty(), "that it ended doesn't tell how");
     assert_eq!(asked(&mut w), [FIRST]);
     w.leader.ends_found(w.now, &[(FIRST.to_owned(), Found::Ended(End::Done))]);
@@ -148,18 +148,18 @@
             let before = open(&w);
             // A new leader cleans up until it has read the ends; then nothing goes before them.
             w.commands.retain(|c| match c {
-                Command::Commit { txn, .. } => {
-                    txn.guards.iter().any(|g| g.key.starts_with(keys::END))
+                Command::Commit { transaction, .. } => {
+                    transaction.compares.iter().any(|g| g.key.starts_with(keys::END))
                 }
                 _ => true,
             });
             let at = w.commands.iter().position(|c| matches!(c, Command::Commit { .. }));
             if at.is_some() {
-                let (id, txn) = w.take_commit();
-                let outcome = w.store.apply(&txn);
-                assert_eq!(before - open(&w), 12.min(before), "{txn:?}");
+                let (id, transaction) = w.take_commit();
+                let outcome = w.store.apply(&transaction);
+                assert_eq!(before - open(&w), 12.min(before), "{transaction:?}");
                 if answered {
-                    w.leader.txn_answer(w.now, id, outcome);
+                    w.leader.transaction_answered(w.now, id, outcome);
                 }
             }
             w.take_over();
--- a/crates/scheduler/tests/fleet_size.rs
+++ b/crates/scheduler/tests/fleet_size.rs
@@ -9,7 +9,7 @@
 use stats_alloc::{Region, StatsAlloc, INSTRUMENTED_SYSTEM};
 use walnutlug_scheduler::model::job::JobSpec;
 use walnutlug_scheduler::model::task::Phase;
-use walnutlug_scheduler::scheduler::{Command, Outcome, Scheduler};
+use walnutlug_scheduler::scheduler::{Command, Scheduler, TransactionOutcome};
 use world::{spec, World};
 
 /// Counts what the tests of this file allocate.
@@ -111,9 +111,9 @@
                 Command::Direct { machine, token, session, calls, .. } => {
                     world.deliver(machine, token, session, &calls);
                 }
-                Command::Commit { id, txn } => {
-                    let outcome = world.store.apply(&txn);
-                    world.leader.txn_answer(world.now, id, outcome);
+                Command::Commit { id, transaction } => {
+                    let outcome = world.store.apply(&transaction);
+                    world.leader.transaction_answered(world.now, id, outcome);
                 }
                 _ => {}
             }
@@ -138,7 +138,7 @@
         }
     }
     assert_eq!(changed.len(), MACHINES);
-    let (looks, written) = (world.leader.looked_at_to_send, world.store.growth);
+    let (looks, written) = (world.leader.looked_at_to_send, world.store.store_revision);
     world.all_report();
     world.tick();
     let looked = world.leader.looked_at_to_send - looks;
@@ -148,7 +148,7 @@
         world.settle();
     }
     let chunks: usize = world.leader.jobs.values().map(|job| job.chunks.len()).sum();
-    let written = (world.store.growth - written) as usize;
+    let written = (world.store.store_revision - written) as usize;
     assert!(written <= 2 * chunks, "{written} transactions for {chunks} records");
     let recorded: usize = world.leader.jobs.values().map(|job| job.done as usize).sum::<usize>();
     assert_eq!(recorded, MACHINES);
@@ -162,7 +162,7 @@
         world.tick();
         for command in std::mem::take(&mut world.commands) {
             if let Command::Commit { id, .. } = command {
-                world.leader.txn_answer(world.now, id, Outcome::Refused);
+                world.leader.transaction_answered(world.now, id, TransactionOutcome::Rejected);
             }
         }
     };
@@ -176,7 +176,7 @@
     }
     assert_eq!(running(&world), 0);
     let chunks: usize = world.leader.jobs.values().map(|job| job.chunks.len()).sum();
-    let written = world.store.growth;
+    let written = world.store.store_revision;
     for _ in 0..60 {
         world.wait(500);
         world.all_report();
@@ -188,6 +188,6 @@
         job.tasks.iter().all(|task| task.phase == Phase::Done)
     };
     assert!(world.leader.jobs.values().all(all_done));
-    let written = (world.store.growth - written) as usize;
+    let written = (world.store.store_revision - written) as usize;
     assert!(written <= 2 * chunks + 2 * JOBS, "{written} transactions for {chunks} records");
 }
--- a/crates/scheduler/tests/golden_bytes.rs
+++ b/crates/scheduler/tests/golden_bytes.rs
@@ -11,11 +11,11 @@
 use walnutlug_scheduler::model::job::{keys, End, JobSpec, Rank};
 use walnutlug_scheduler::model::task::Phase;
 use walnutlug_scheduler::protocol::{
-    job_answer, parse_submission, Cause, Change, Commands, Pair, Redirect, Report, ReportAnswer,
-    Stage, TaskReport, TaskStage, WorkerCommand,
+    job_answer, parse_submission, Cause, Commands, KeyValue, Operation, Redirect, Report,
+    ReportAnswer, Stage, TaskReport, TaskStage, WorkerCommand,
 };
 use walnutlug_scheduler::scheduler::Command;
-use walnutlug_scheduler::storage::records::{chunk_size, todo_value};
+use walnutlug_scheduler::storage::records::{chunk_size, description_record};
 use world::{spec, types, World};
 
 const RECORDS: &str = "tests/golden/records.txt";
@@ -68,7 +68,7 @@
 
 /// A key and its value as they go to the state service.
 fn stored(key: &str, value: &Value) -> String {
-    let Change::Put { put, value, lease } = Change::put(key, value) else {
+    let Operation::Put { put, value, lease } = Operation::put(key, value) else {
         panic!("a change that puts")
     };
     assert!(lease.is_none(), "records of jobs hang on no lease");
@@ -92,7 +92,7 @@
 
 fn description(spec: &JobSpec) -> String {
     let key = keys::description(JOB, !spec.needs.is_empty());
-    stored(&key, &todo_value(spec, ACCEPTED_US, 83))
+    stored(&key, &description_record(spec, ACCEPTED_US, 83))
 }
 
 #[test]
@@ -140,19 +140,19 @@
 /// What the former version wrote, read and written again: descriptions to the byte, chunks task by task.
 #[test]
 fn records_of_the_former_version_are_read_as_before() {
-    let former: Vec<Pair> =
+    let former: Vec<KeyValue> =
         serde_json::from_str(include_str!("fixtures/production-records.json")).expect("records");
     let mut world = World::new(&[]);
-    for pair in former.iter().filter(|pair| pair.key.starts_with(keys::TODO)) {
-        let name = keys::described(&pair.key).expect("a description");
-        let wall = pair.value["at"].as_u64().expect("a time");
-        assert!(world.leader.add_job(world.now, name, &pair.value, wall), "{}", pair.key);
+    for key_value in former.iter().filter(|key_value| key_value.key.starts_with(keys::TODO)) {
+        let name = keys::described(&key_value.key).expect("a description");
+        let wall = key_value.value["at"].as_u64().expect("a time");
+        assert!(world.leader.add_job(world.now, name, &key_value.value, wall), "{}", key_value.key);
         let job = world.leader.job(world.leader.by_ref[name]).expect("the job");
-        let again = todo_value(&job.spec, wall, job.chunk_size);
-        assert_eq!(text(&again), text(&pair.value), "{}", pair.key);
+        let again = description_record(&job.spec, wall, job.chunk_size);
+        assert_eq!(text(&again), text(&key_value.value), "{}", key_value.key);
     }
-    let runs: Vec<Pair> =
-        former.into_iter().filter(|pair| pair.key.starts_with(keys::RUN)).collect();
+    let runs: Vec<KeyValue> =
+        former.into_iter().filter(|key_value| key_value.key.starts_with(keys::RUN)).collect();
     assert!(world.leader.load_runs(world.now, &runs).is_empty(), "all of them are read");
     let found: Vec<(&str, String)> = ["req-000001", "req-000002"]
         .into_iter()
@@ -199,14 +199,17 @@
     world.wait(100_000);
     let spec = JobSpec { tasks: 9, ..full_spec() };
     let accepted_before_us = 50_000_000;
-    let value = todo_value(&spec, ACCEPTED_US, 7);
+    let value = description_record(&spec, ACCEPTED_US, 7);
     let wall = ACCEPTED_US + accepted_before_us;
     assert!(world.leader.add_job(world.now, JOB, &value, wall), "the description");
-    let pair = |key, value, mark| Pair { key, value, mark };
+    let key_value = |key, value, revision| KeyValue { key, value, revision };
     let part = json!({"t": [[2, 9, "n-000003", 7, 11]], "w": "1-2"});
     let strange = world.leader.load_runs(
         world.now,
-        &[pair(keys::run(JOB, 0), chunk_of_every_phase(), 8), pair(keys::part(JOB, 1, 8), part, 9)],
+        &[
+            key_value(keys::run(JOB, 0), chunk_of_every_phase(), 8),
+            key_value(keys::part(JOB, 1, 8), part, 9),
+        ],
     );
     assert!(strange.is_empty(), "all of them are read");
     let found = [("chunk 0 and part 8 of chunk 1", tasks_as_read(&world, JOB))];
@@ -283,8 +286,8 @@
         self.world.tick();
         let lines = &mut self.steps.last_mut().expect("a step").1;
         for command in &self.world.commands {
-            if let Command::Commit { txn, .. } = command {
-                lines.push(text(txn));
+            if let Command::Commit { transaction, .. } = command {
+                lines.push(text(transaction));
             }
         }
     }
--- a/crates/scheduler/tests/random_interleavings.rs
+++ b/crates/scheduler/tests/random_interleavings.rs
@@ -7,13 +7,13 @@
 use proptest::test_runner::{Config, RngSeed};
 use serde_json::json;
 use walnutlug_scheduler::protocol::{Report, WorkerCommand};
-use walnutlug_scheduler::scheduler::{Command, DirectOutcome, Outcome, Scheduler};
+use walnutlug_scheduler::scheduler::{Command, DirectOutcome, Scheduler, TransactionOutcome};
 use world::{spec, World};
 
 /// A message that the test holds.
 enum Held {
     /// To the state store; `None`: a copy nobody waits for.
-    Commit(u64, Option<u64>, walnutlug_scheduler::protocol::Txn),
+    Commit(u64, Option<u64>, walnutlug_scheduler::protocol::Transaction),
     Read(u64, u64, String),
     /// A leader's question about ends.
     Ends(u64, Vec<String>),
@@ -88,7 +88,9 @@
     fn hold(&mut self, term: u64, commands: Vec<Command>) {
         for command in commands {
             match command {
-                Command::Commit { id, txn } => self.held.push(Held::Commit(term, Some(id), txn)),
+                Command::Commit { id, transaction } => {
+                    self.held.push(Held::Commit(term, Some(id), transaction))
+                }
                 Command::Read { id, key } => self.held.push(Held::Read(term, id, key)),
                 Command::FindEnds { names } => self.held.push(Held::Ends(term, names)),
                 Command::Direct { machine, token, session, calls, .. } => {
@@ -126,21 +128,21 @@
         let now = self.w.now;
         let at = pick % self.held.len();
         match self.held.swap_remove(at) {
-            Held::Commit(term, id, txn) => {
+            Held::Commit(term, id, transaction) => {
                 let (outcome, copy) = match fate % 6 {
-                    0 => (Outcome::Lost, true),
+                    0 => (TransactionOutcome::Indeterminate, true),
                     1 => {
-                        self.w.store.apply(&txn);
-                        (Outcome::Lost, false)
+                        self.w.store.apply(&transaction);
+                        (TransactionOutcome::Indeterminate, false)
                     }
-                    2 => (Outcome::Refused, false),
-                    _ => (self.w.store.apply(&txn), false),
+                    2 => (TransactionOutcome::Rejected, false),
+                    _ => (self.w.store.apply(&transaction), false),
                 };
                 if copy {
-                    self.held.push(Held::Commit(term, None, txn));
+                    self.held.push(Held::Commit(term, None, transaction));
                 }
                 if let (Some(id), Some(s)) = (id, self.scheduler(term)) {
-                    s.txn_answer(now, id, outcome);
+                    s.transaction_answered(now, id, outcome);
                 }
             }
             Held::Ends(term, names) => {
@@ -154,7 +156,7 @@
             Held::Read(term, id, key) => {
                 let found = self.w.store.keys.get(&key).cloned().unwrap_or_default();
                 if let Some(s) = self.scheduler(term) {
-                    s.read_answer(now, id, (!fate.is_multiple_of(4)).then_some(found));
+                    s.read_answered(now, id, (!fate.is_multiple_of(4)).then_some(found));
                 }
             }
             Held::Direct { term, waits, name, token, session, calls }
--- a/crates/scheduler/tests/repeated_heartbeats.rs
+++ b/crates/scheduler/tests/repeated_heartbeats.rs
@@ -50,8 +50,8 @@
 
 #[test]
 fn a_report_that_left_something_to_do_is_not_settled() {
-    type Change = fn(&mut World);
-    let cases: [(&str, Change); 5] = [
+    type Operation = fn(&mut World);
+    let cases: [(&str, Operation); 5] = [
         ("a task ended", |w| {
             let task = w.places().into_keys().next().expect("a task");
             w.finish(MACHINE, &task);
@@ -80,8 +80,8 @@
 /// was renewed and nothing was stopped.
 #[test]
 fn a_repetition_is_read_in_full_once_it_may_mean_something() {
-    type Change = fn(&mut World, &Report);
-    let cases: [(&str, Change); 9] = [
+    type Operation = fn(&mut World, &Report);
+    let cases: [(&str, Operation); 9] = [
         ("the job is cancelled", |w, _| w.withdraw(JOB)),
         ("the job has ended, how isn't told", |w, _| w.leader.job_over(w.now, JOB)),
         ("another report came", |w, _| w.report(MACHINE)),
