--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -11,11 +11,11 @@
 use serde_json::{json, Value};
 use walnutlug_scheduler::model::job::{keys, End, JobSpec};
 use walnutlug_scheduler::protocol::{
-    Cause, Change, ListedMachine, MachineStage, Report, TaskStage, Txn, WorkerCommand,
+    Cause, ListedMachine, MachineStage, Operation, Report, TaskStage, Transaction, WorkerCommand,
 };
 use walnutlug_scheduler::reconciliation::repeated_heartbeats::{SettledReport, OWN_NODE};
-use walnutlug_scheduler::scheduler::{Command, DirectOutcome, Outcome, Scheduler};
-use walnutlug_scheduler::storage::records::todo_value;
+use walnutlug_scheduler::scheduler::{Command, DirectOutcome, Scheduler, TransactionOutcome};
+use walnutlug_scheduler::storage::records::description_record;
 use walnutlug_scheduler::time::{Span, Time};
 use walnutlug_scheduler::tunables::{Site, Tunables};
 
@@ -161,7 +161,7 @@
     Answer {
         term: u64,
         id: u64,
-        outcome: Outcome,
+        outcome: TransactionOutcome,
     },
     Read {
         term: u64,
@@ -174,7 +174,7 @@
         outcome: DirectOutcome,
     },
     /// A transaction that nobody waits for any more.
-    Late(Txn),
+    Late(Transaction),
     Copy(Report),
     Told {
         job: String,
@@ -431,7 +431,7 @@
                 JobSpec { estimate_s: 60.0, deadline_s: Some(200.0), ..plain(n) }
             }
         };
-        let value = todo_value(&spec, world::WALL + (self.now.0 - START.0), CHUNK);
+        let value = description_record(&spec, world::WALL + (self.now.0 - START.0), CHUNK);
         self.store.put(&keys::job(&name), json!(1));
         self.store.put(&keys::todo(&name), value);
         self.jobs.insert(name, Job { spec, told: None, runs });
@@ -491,11 +491,11 @@
         let tunables = Rc::new(Tunables::default());
         let mut s = Scheduler::new(self.site.clone(), tunables, term, world::types(), self.now);
         let wall = world::WALL + (self.now.0 - START.0);
-        for pair in self.store.pairs(keys::TODO) {
-            let name = pair.key.strip_prefix(keys::TODO).expect("a description").to_owned();
-            s.add_job(self.now, &name, &pair.value, wall);
+        for key_value in self.store.key_values(keys::TODO) {
+            let name = key_value.key.strip_prefix(keys::TODO).expect("a description").to_owned();
+            s.add_job(self.now, &name, &key_value.value, wall);
         }
-        let strange = s.load_runs(self.now, &self.store.pairs(keys::RUN));
+        let strange = s.load_runs(self.now, &self.store.key_values(keys::RUN));
         assert!(strange.is_empty(), "{}: {strange:?}", self.what);
         // In one order, whatever that of the table: a transcript holds what comes of it.
         let mut names: Vec<String> = s.by_ref.keys().cloned().collect();
@@ -558,14 +558,15 @@
 
     /// Carries a transaction out. Nobody but the leader of the newest term writes records, and none of
     /// a job that has ended for its user but to drop it.
-    fn apply(&mut self, txn: &Txn) -> Outcome {
-        let outcome = self.store.apply(txn);
-        if matches!(outcome, Outcome::Committed { .. }) {
+    fn apply(&mut self, transaction: &Transaction) -> TransactionOutcome {
+        let outcome = self.store.apply(transaction);
+        if matches!(outcome, TransactionOutcome::Committed { .. }) {
             let term = self.store.keys.get(keys::LEADER).map_or(0, |k| k.1);
-            let guarded = txn.guards.iter().any(|g| g.key == keys::LEADER && g.mark == term);
-            assert!(guarded, "{}: written by a deposed leader: {txn:?}", self.what);
-            for change in &txn.apply {
-                let Change::Put { put, .. } = change else { continue };
+            let guarded =
+                transaction.compares.iter().any(|g| g.key == keys::LEADER && g.revision == term);
+            assert!(guarded, "{}: written by a deposed leader: {transaction:?}", self.what);
+            for change in &transaction.operations {
+                let Operation::Put { put, .. } = change else { continue };
                 let Some((job, ..)) = keys::split_run(put) else { continue };
                 let ended = self.store.keys.contains_key(&keys::end(job));
                 assert!(!ended, "{}: {put} written after its job's end", self.what);
@@ -583,17 +584,17 @@
         };
         match event {
             Event::Answer { term, id, outcome } => {
-                by_term(self, term, &mut |s| s.txn_answer(now, id, outcome.clone()));
+                by_term(self, term, &mut |s| s.transaction_answered(now, id, outcome.clone()));
             }
             Event::Read { term, id, answer } => {
-                by_term(self, term, &mut |s| s.read_answer(now, id, answer.clone()));
+                by_term(self, term, &mut |s| s.read_answered(now, id, answer.clone()));
             }
             Event::Direct { term, machine, outcome } => {
                 by_term(self, term, &mut |s| s.direct_answer(now, machine, outcome.clone()));
             }
-            Event::Late(txn) => {
+            Event::Late(transaction) => {
                 if self.on("outage").is_none() {
-                    let _ = self.apply(&txn);
+                    let _ = self.apply(&transaction);
                     self.saw("carried out late");
                 }
             }
@@ -725,9 +726,9 @@
                 l.hears_at = now + Span::millis(300);
                 l.known = now;
                 let wall = world::WALL + (now.0 - START.0);
-                for pair in self.store.pairs(keys::TODO) {
-                    let name = pair.key.strip_prefix(keys::TODO).expect("a description");
-                    l.s.add_job(now, name, &pair.value, wall);
+                for key_value in self.store.key_values(keys::TODO) {
+                    let name = key_value.key.strip_prefix(keys::TODO).expect("a description");
+                    l.s.add_job(now, name, &key_value.value, wall);
                 }
                 for name in l.s.open_jobs() {
                     if let Some((end, _)) = self.store.keys.get(&keys::end(&name)) {
@@ -789,22 +790,22 @@
                     }
                 }
             }
-            Command::Commit { id, txn } => {
+            Command::Commit { id, transaction } => {
                 let answer = |at, outcome| (at, Event::Answer { term, id, outcome });
                 let soon = self.in_ms(10, 150);
                 if !served {
-                    return self.events.push(answer(soon, Outcome::Refused));
+                    return self.events.push(answer(soon, TransactionOutcome::Rejected));
                 }
                 let never = self.now + Span::millis(900);
                 if self.on("late").is_some_and(|share| self.chance(share)) {
                     let at = self.in_ms(2_000, 12_000);
-                    self.events.push((at, Event::Late(txn)));
-                    return self.events.push(answer(never, Outcome::Lost));
+                    self.events.push((at, Event::Late(transaction)));
+                    return self.events.push(answer(never, TransactionOutcome::Indeterminate));
                 }
-                let outcome = self.apply(&txn);
+                let outcome = self.apply(&transaction);
                 if self.on("lost").is_some_and(|share| self.chance(share)) {
                     self.saw("carried out unheard");
-                    return self.events.push(answer(never, Outcome::Lost));
+                    return self.events.push(answer(never, TransactionOutcome::Indeterminate));
                 }
                 self.events.push(answer(soon, outcome));
             }
--- a/crates/scheduler/tests/storage_limits.rs
+++ b/crates/scheduler/tests/storage_limits.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 use walnutlug_scheduler::model::job::{keys, JobSpec};
 use walnutlug_scheduler::model::task::Phase;
-use walnutlug_scheduler::scheduler::{Command, Outcome};
+use walnutlug_scheduler::scheduler::{Command, TransactionOutcome};
 use world::{spec, World};
 
 const JOB: &str = "req-000001";
@@ -28,7 +28,7 @@
 }
 
 fn run_keys(w: &World) -> BTreeSet<String> {
-    w.store.pairs(keys::RUN).into_iter().map(|p| p.key).collect()
+    w.store.key_values(keys::RUN).into_iter().map(|p| p.key).collect()
 }
 
 /// What is stored tells of every task that is anywhere.
@@ -53,7 +53,7 @@
     w.settle();
     assert_eq!(w.places().len(), 160);
     assert_eq!(run_keys(&w).len(), 1);
-    assert!(w.store.pairs(keys::RUN)[0].value.to_string().len() > SMALL.0);
+    assert!(w.store.key_values(keys::RUN)[0].value.to_string().len() > SMALL.0);
     fall(&mut w);
     // Some finish, some are lost with their machines, each write being followed by a new leader.
     for round in 0..12 {
@@ -75,10 +75,10 @@
             if at.is_none() {
                 break;
             }
-            let (id, txn) = w.take_commit();
-            let outcome = w.store.apply(&txn);
-            assert!(matches!(outcome, Outcome::Committed { .. }), "{outcome:?}");
-            w.leader.txn_answer(w.now, id, outcome);
+            let (id, transaction) = w.take_commit();
+            let outcome = w.store.apply(&transaction);
+            assert!(matches!(outcome, TransactionOutcome::Committed { .. }), "{outcome:?}");
+            w.leader.transaction_answered(w.now, id, outcome);
             if round % 2 == 0 {
                 nothing_is_forgotten(&mut w);
             }
@@ -99,11 +99,11 @@
     let mut w = long_named(40);
     w.submit_in_chunks(JOB, &spec(160), LARGE);
     w.tick();
-    let (id, txn) = w.take_commit();
+    let (id, transaction) = w.take_commit();
     w.store.limits = Some(SMALL);
-    let outcome = w.store.apply(&txn);
-    assert_eq!(outcome, Outcome::TooLarge);
-    w.leader.txn_answer(w.now, id, outcome);
+    let outcome = w.store.apply(&transaction);
+    assert_eq!(outcome, TransactionOutcome::TooLarge);
+    w.leader.transaction_answered(w.now, id, outcome);
     fall(&mut w);
     w.settle();
     assert_eq!(w.places().len(), 160);
@@ -119,18 +119,18 @@
         let mut w = long_named(40);
         w.submit_in_chunks(JOB, &spec(160), LARGE);
         w.tick();
-        let (id, txn) = w.take_commit();
+        let (id, transaction) = w.take_commit();
         if applied {
-            w.store.apply(&txn);
+            w.store.apply(&transaction);
         }
-        w.leader.txn_answer(w.now, id, Outcome::Lost);
+        w.leader.transaction_answered(w.now, id, TransactionOutcome::Indeterminate);
         fall(&mut w);
         w.wait(1_000);
         w.tick();
-        let (id, txn) = w.take_commit();
-        let outcome = w.store.apply(&txn);
-        assert_eq!(outcome, Outcome::TooLarge);
-        w.leader.txn_answer(w.now, id, outcome);
+        let (id, transaction) = w.take_commit();
+        let outcome = w.store.apply(&transaction);
+        assert_eq!(outcome, TransactionOutcome::TooLarge);
+        w.leader.transaction_answered(w.now, id, outcome);
         w.tick();
         let sends = |c: &Command| matches!(c, Command::Direct { calls, .. } if !calls.is_empty());
         assert!(!w.commands.iter().any(sends), "the outcome is open until it is read");
@@ -164,7 +164,7 @@
     ] {
         w.store.put(key, value);
     }
-    let strange = w.leader.load_runs(w.now, &w.store.pairs(keys::RUN));
+    let strange = w.leader.load_runs(w.now, &w.store.key_values(keys::RUN));
     assert_eq!(strange.len(), 5, "{strange:?}");
     let tasks = &w.leader.job(w.leader.by_ref[JOB]).expect("job").tasks;
     let seen: Vec<(Phase, u32)> = tasks.iter().map(|t| (t.phase, t.attempt)).collect();
--- a/crates/scheduler/tests/task_starts.rs
+++ b/crates/scheduler/tests/task_starts.rs
@@ -6,7 +6,7 @@
 use walnutlug_scheduler::model::job::keys;
 use walnutlug_scheduler::model::task::Phase;
 use walnutlug_scheduler::protocol::{ListedMachine, MachineStage, WorkerCommand};
-use walnutlug_scheduler::scheduler::{Command, DirectOutcome, MachineState, Outcome};
+use walnutlug_scheduler::scheduler::{Command, DirectOutcome, MachineState, TransactionOutcome};
 use world::{one_machine, spec, World};
 
 const JOB: &str = "req-000001";
@@ -18,12 +18,15 @@
     w.tick();
     let sends = |w: &World| w.commands.iter().any(|c| matches!(c, Command::Direct { .. }));
     assert!(!sends(&w));
-    let (id, txn) = w.take_commit();
-    assert!(txn.guards.iter().any(|g| g.key == keys::LEADER && g.mark == w.leader.term));
-    assert!(txn.guards.iter().any(|g| g.key == keys::end(JOB) && g.mark == 0));
-    let outcome = w.store.apply(&txn);
+    let (id, transaction) = w.take_commit();
+    assert!(transaction
+        .compares
+        .iter()
+        .any(|g| g.key == keys::LEADER && g.revision == w.leader.term));
+    assert!(transaction.compares.iter().any(|g| g.key == keys::end(JOB) && g.revision == 0));
+    let outcome = w.store.apply(&transaction);
     assert!(w.store.keys.contains_key(&keys::run(JOB, 0)));
-    w.leader.txn_answer(w.now, id, outcome);
+    w.leader.transaction_answered(w.now, id, outcome);
     w.tick();
     let (_, _, _, calls) = w.take_direct();
     assert_eq!(calls, [WorkerCommand::Run { task: format!("{JOB}/0"), attempt: 1 }]);
@@ -94,9 +97,9 @@
     let mut w = one_machine();
     w.submit(JOB, &spec(1));
     w.tick();
-    let (id, txn) = w.take_commit();
-    let outcome = w.store.apply(&txn);
-    w.leader.txn_answer(w.now, id, outcome);
+    let (id, transaction) = w.take_commit();
+    let outcome = w.store.apply(&transaction);
+    w.leader.transaction_answered(w.now, id, outcome);
     w.leader.machines[0].fence += 1;
     w.report("n-1");
     w.report("n-1");
@@ -111,11 +114,11 @@
     let mut w = one_machine();
     w.submit(JOB, &spec(1));
     w.tick();
-    let (id, txn) = w.take_commit();
+    let (id, transaction) = w.take_commit();
     w.workers.get_mut("n-1").expect("worker").lease_ends();
     w.report("n-1");
-    let outcome = w.store.apply(&txn);
-    w.leader.txn_answer(w.now, id, outcome);
+    let outcome = w.store.apply(&transaction);
+    w.leader.transaction_answered(w.now, id, outcome);
     w.settle();
     assert_eq!(w.attempt(JOB, 0), 2);
     assert_eq!(w.places().len(), 1);
@@ -258,11 +261,11 @@
     let mut w = one_machine();
     w.submit(JOB, &spec(1));
     w.tick();
-    let (id, txn) = w.take_commit();
+    let (id, transaction) = w.take_commit();
     w.store.put(&keys::end(JOB), json!("aborted"));
-    let outcome = w.store.apply(&txn);
-    assert!(matches!(outcome, Outcome::Conflict { .. }));
-    w.leader.txn_answer(w.now, id, outcome);
+    let outcome = w.store.apply(&transaction);
+    assert!(matches!(outcome, TransactionOutcome::Conflict { .. }));
+    w.leader.transaction_answered(w.now, id, outcome);
     w.settle();
     w.all_report();
     w.settle();
@@ -275,10 +278,10 @@
     let mut w = one_machine();
     w.submit(JOB, &spec(1));
     w.tick();
-    let (id, txn) = w.take_commit();
-    let outcome = w.store.apply(&txn);
+    let (id, transaction) = w.take_commit();
+    let outcome = w.store.apply(&transaction);
     w.store.put(&keys::end(JOB), json!("aborted"));
-    w.leader.txn_answer(w.now, id, outcome);
+    w.leader.transaction_answered(w.now, id, outcome);
     w.leader.job_over(w.now, JOB);
     w.settle();
     assert!(w.places().is_empty());
@@ -317,9 +320,9 @@
     let mut w = one_machine();
     w.submit(JOB, &spec(2));
     w.tick();
-    let (id, txn) = w.take_commit();
-    assert!(matches!(w.store.apply(&txn), Outcome::Committed { .. }));
-    w.leader.txn_answer(w.now, id, Outcome::Lost);
+    let (id, transaction) = w.take_commit();
+    assert!(matches!(w.store.apply(&transaction), TransactionOutcome::Committed { .. }));
+    w.leader.transaction_answered(w.now, id, TransactionOutcome::Indeterminate);
     w.tick();
     assert!(!w.commands.iter().any(|c| matches!(c, Command::Direct { .. })));
     w.wait(300);
@@ -334,11 +337,14 @@
     w.submit(JOB, &spec(2));
     w.tick();
     let (id, late) = w.take_commit();
-    w.leader.txn_answer(w.now, id, Outcome::Lost);
+    w.leader.transaction_answered(w.now, id, TransactionOutcome::Indeterminate);
     w.wait(300);
     w.settle();
     assert_eq!(w.places().len(), 2);
-    assert!(matches!(w.store.apply(&late), Outcome::Conflict { .. }), "the late copy fails");
+    assert!(
+        matches!(w.store.apply(&late), TransactionOutcome::Conflict { .. }),
+        "the late copy fails"
+    );
 }
 
 #[test]
@@ -349,8 +355,10 @@
     let (id, late) = w.take_commit();
     let mut old = w.take_over();
     let outcome = w.store.apply(&late);
-    assert!(matches!(&outcome, Outcome::Conflict { failed } if failed[0] == keys::LEADER));
-    old.txn_answer(w.now, id, outcome);
+    assert!(
+        matches!(&outcome, TransactionOutcome::Conflict { failed } if failed[0] == keys::LEADER)
+    );
+    old.transaction_answered(w.now, id, outcome);
     assert!(old.take_commands().iter().any(|c| matches!(c, Command::StepDown(_))));
     w.all_report();
     w.all_report();
@@ -387,8 +395,8 @@
     let mut w = World::new(&[("n-1", "a"), ("n-2", "b")]);
     w.submit(JOB, &spec(8));
     w.tick();
-    let (_, txn) = w.take_commit();
-    w.store.apply(&txn);
+    let (_, transaction) = w.take_commit();
+    w.store.apply(&transaction);
     // Written, not sent: the leader dies here.
     w.take_over();
     w.all_report();
@@ -429,7 +437,7 @@
         w.tick();
         for command in std::mem::take(&mut w.commands) {
             if let Command::Commit { id, .. } = command {
-                w.leader.txn_answer(w.now, id, Outcome::Refused);
+                w.leader.transaction_answered(w.now, id, TransactionOutcome::Rejected);
             }
         }
         assert_eq!(w.phase(JOB, 0), Phase::Pending);
@@ -569,9 +577,9 @@
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
     w.submit(JOB, &spec(1));
     w.tick();
-    let (id, txn) = w.take_commit();
-    let outcome = w.store.apply(&txn);
-    w.leader.txn_answer(w.now, id, outcome);
+    let (id, transaction) = w.take_commit();
+    let outcome = w.store.apply(&transaction);
+    w.leader.transaction_answered(w.now, id, outcome);
     let task = format!("{JOB}/0");
     let ix = w.leader.by_ref[JOB];
     let planned = w.leader.job(ix).expect("job").tasks[0].machine;
--- a/crates/scheduler/tests/transcripts/scripts.rs
+++ b/crates/scheduler/tests/transcripts/scripts.rs
@@ -8,8 +8,8 @@
 use walnutlug_scheduler::leadership::election::{Input, Leadership, Role};
 use walnutlug_scheduler::leadership::watermark::{CancelLog, Watermark};
 use walnutlug_scheduler::model::job::{keys, End, JobSpec, Rank, Team};
-use walnutlug_scheduler::protocol::{Cause, ListedMachine, MachineStage, Pair, TaskStage};
-use walnutlug_scheduler::scheduler::{Command, DirectOutcome, Outcome};
+use walnutlug_scheduler::protocol::{Cause, KeyValue, ListedMachine, MachineStage, TaskStage};
+use walnutlug_scheduler::scheduler::{Command, DirectOutcome, TransactionOutcome};
 use walnutlug_scheduler::time::{Span, Time};
 use walnutlug_scheduler::tunables::{Objective, Site};
 
@@ -52,14 +52,14 @@
         match command {
             Command::Commit { id, .. } if dice.chance(percent / 2) => {
                 transcript::count("commit refused", 1);
-                world.leader.txn_answer(world.now, id, Outcome::Refused);
+                world.leader.transaction_answered(world.now, id, TransactionOutcome::Rejected);
             }
-            Command::Commit { id, txn } if dice.chance(percent) => {
+            Command::Commit { id, transaction } if dice.chance(percent) => {
                 transcript::count("commit lost", 1);
                 if dice.chance(50) {
-                    world.store.apply(&txn);
+                    world.store.apply(&transaction);
                 }
-                world.leader.txn_answer(world.now, id, Outcome::Lost);
+                world.leader.transaction_answered(world.now, id, TransactionOutcome::Indeterminate);
             }
             Command::Direct { machine, token, session, calls, .. } if dice.chance(percent) => {
                 transcript::count("direct lost", 1);
@@ -499,9 +499,9 @@
 /// between the versions.
 pub fn former_records() {
     let mut world = World::new(&[("n-000001", "a"), ("n-000002", "b")]);
-    let records: Vec<Pair> = serde_json::from_str(PRODUCTION_RECORDS).expect("the fixture");
-    for pair in records.into_iter().filter(|pair| pair.key != keys::LEADER) {
-        world.store.put(&pair.key, pair.value);
+    let records: Vec<KeyValue> = serde_json::from_str(PRODUCTION_RECORDS).expect("the fixture");
+    for key_value in records.into_iter().filter(|key_value| key_value.key != keys::LEADER) {
+        world.store.put(&key_value.key, key_value.value);
     }
     for (machine, task) in [
         ("n-000001", "req-000001/2"),
@@ -779,25 +779,26 @@
                 let worker = world.workers.get_mut(name).expect("worker");
                 worker.answered(report.session, token, &calls);
                 let holder = dice.below(3) as u16;
-                let mark = world.leader.settle_report(now, &report, holder);
-                if let Some(mark) = mark {
-                    let valid_for = world.leader.settled_for(now, mark).0;
-                    let text = format!("{name} number={} valid-for={valid_for}", mark.number);
+                let revision = world.leader.settle_report(now, &report, holder);
+                if let Some(revision) = revision {
+                    let valid_for = world.leader.settled_for(now, revision).0;
+                    let text = format!("{name} number={} valid-for={valid_for}", revision.number);
                     transcript::line("settled", &text);
-                    marks.insert(name.clone(), mark);
+                    marks.insert(name.clone(), revision);
                 }
-            } else if let Some(&mark) = marks.get(name) {
+            } else if let Some(&revision) = marks.get(name) {
                 let sequence = (report.seq + 1).saturating_sub(dice.below(3) as u64);
-                let token = world.leader.report_unchanged(now, mark, sequence);
+                let token = world.leader.report_unchanged(now, revision, sequence);
                 let token = token.map_or("-".to_owned(), |token| token.to_string());
                 transcript::line("repeated", &format!("{name} sequence={sequence} {token}"));
-                let again = world.leader.heard_unchanged(now, mark, sequence);
+                let again = world.leader.heard_unchanged(now, revision, sequence);
                 transcript::line("repeated again", &format!("{name} {again}"));
             }
         }
         for withdrawn in world.leader.take_withdrawn() {
-            let (holder, mark) = (withdrawn.holder, withdrawn.settled);
-            let text = format!("holder={holder} machine={} number={}", mark.machine, mark.number);
+            let (holder, revision) = (withdrawn.holder, withdrawn.settled);
+            let text =
+                format!("holder={holder} machine={} number={}", revision.machine, revision.number);
             transcript::line("withdrawn", &text);
         }
         world.wait([300, 900, 4_000][usize::from(dice.chance(20)) + usize::from(dice.chance(5))]);
--- a/crates/scheduler/tests/untrusted_reports.rs
+++ b/crates/scheduler/tests/untrusted_reports.rs
@@ -197,11 +197,11 @@
     w.settle();
     w.submit("req-000002", &spec(3));
     w.tick();
-    let (id, txn) = w.take_commit();
-    let outcome = w.store.apply(&txn);
+    let (id, transaction) = w.take_commit();
+    let outcome = w.store.apply(&transaction);
     w.leader.in_office = false;
     // Written before the cut, and not sent any more.
-    w.leader.txn_answer(w.now, id, outcome);
+    w.leader.transaction_answered(w.now, id, outcome);
     w.submit("req-000003", &spec(40));
     // All but one machine have gone over to the next leader, and are silent here.
     for _ in 0..60 {
--- a/crates/scheduler/tests/version_compatibility.rs
+++ b/crates/scheduler/tests/version_compatibility.rs
@@ -8,23 +8,23 @@
 use serde_json::{json, Value};
 use walnutlug_scheduler::model::job::{keys, JobSpec, Rank};
 use walnutlug_scheduler::model::task::Phase;
-use walnutlug_scheduler::protocol::Pair;
-use walnutlug_scheduler::storage::records::{chunk_size, todo_value};
+use walnutlug_scheduler::protocol::KeyValue;
+use walnutlug_scheduler::storage::records::{chunk_size, description_record};
 use world::{spec, World};
 
 const RECORDS: &str = include_str!("fixtures/production-records.json");
 
-fn production() -> Vec<Pair> {
+fn production() -> Vec<KeyValue> {
     serde_json::from_str(RECORDS).expect("the fixture")
 }
 
 #[test]
 fn what_production_wrote_is_taken_over_and_done() {
     let mut w = World::new(&[("n-000001", "a"), ("n-000002", "b")]);
-    for pair in production() {
-        if pair.key != keys::LEADER {
-            w.store.growth += 1;
-            w.store.keys.insert(pair.key, (pair.value, w.store.growth));
+    for key_value in production() {
+        if key_value.key != keys::LEADER {
+            w.store.store_revision += 1;
+            w.store.keys.insert(key_value.key, (key_value.value, w.store.store_revision));
         }
     }
     // The worker tells of what the former leader started there.
@@ -81,14 +81,14 @@
     let of = |key: &str| &written.iter().find(|p| p.key == key).expect("a record").value;
     let chunk = chunk_size(2_048);
     // A job that waits for nothing, under the same key, without a field more or less.
-    assert_eq!(shape(&todo_value(&spec(5), 1, chunk)), shape(of("todo/req-000001")));
+    assert_eq!(shape(&description_record(&spec(5), 1, chunk)), shape(of("todo/req-000001")));
     let zoned = JobSpec {
         types: Some(vec!["t8".into()]),
         zone: Some("a".into()),
         deadline_s: None,
         ..spec(2)
     };
-    assert_eq!(shape(&todo_value(&zoned, 1, chunk)), shape(of("todo/req-000002")));
+    assert_eq!(shape(&description_record(&zoned, 1, chunk)), shape(of("todo/req-000002")));
     assert_eq!(keys::description("req-000001", false), "todo/req-000001");
     // A chunk, record by record.
     let mut w = World::new(&[("n-000001", "a"), ("n-000002", "b")]);
--- a/crates/scheduler/tests/world/mod.rs
+++ b/crates/scheduler/tests/world/mod.rs
@@ -9,11 +9,12 @@
 use walnutlug_scheduler::leadership::election::token;
 use walnutlug_scheduler::model::job::{keys, End, JobSpec, Rank, Team};
 use walnutlug_scheduler::protocol::{
-    Cause, Change, MachineType, Pair, Report, TaskReport, TaskStage, Txn, WorkerCommand,
+    Cause, KeyValue, MachineType, Operation, Report, TaskReport, TaskStage, Transaction,
+    WorkerCommand,
 };
 use walnutlug_scheduler::queue::dependencies::Found;
-use walnutlug_scheduler::scheduler::{Command, DirectOutcome, Outcome, Scheduler};
-use walnutlug_scheduler::storage::records::{chunk_size, todo_value};
+use walnutlug_scheduler::scheduler::{Command, DirectOutcome, Scheduler, TransactionOutcome};
+use walnutlug_scheduler::storage::records::{chunk_size, description_record};
 use walnutlug_scheduler::time::{Span, Time};
 use walnutlug_scheduler::tunables::{Site, Tunables};
 
@@ -28,55 +29,65 @@
 #[derive(Debug, Default)]
 pub struct Store {
     pub keys: BTreeMap<String, (Value, u64)>,
-    pub growth: u64,
+    pub store_revision: u64,
     /// The largest value and the most changes that it takes.
     pub limits: Option<(usize, usize)>,
 }
 
 impl Store {
-    pub fn apply(&mut self, txn: &Txn) -> Outcome {
-        let outcome = self.decide(txn);
-        transcript::applied(txn, &outcome);
+    pub fn apply(&mut self, transaction: &Transaction) -> TransactionOutcome {
+        let outcome = self.decide(transaction);
+        transcript::applied(transaction, &outcome);
         outcome
     }
 
-    fn decide(&mut self, txn: &Txn) -> Outcome {
+    fn decide(&mut self, transaction: &Transaction) -> TransactionOutcome {
         if let Some((value_bytes, ops)) = self.limits {
-            let size = |c: &Change| match c {
-                Change::Put { value, .. } => value.size(),
-                Change::Drop { .. } => 0,
+            let size = |c: &Operation| match c {
+                Operation::Put { value, .. } => value.size(),
+                Operation::Delete { .. } => 0,
             };
-            let large = txn.apply.iter().any(|c| size(c) > value_bytes);
-            if large || txn.apply.len() > ops || txn.guards.len() > 4 * ops {
-                return Outcome::TooLarge;
+            let large = transaction.operations.iter().any(|c| size(c) > value_bytes);
+            if large || transaction.operations.len() > ops || transaction.compares.len() > 4 * ops {
+                return TransactionOutcome::TooLarge;
             }
         }
-        let mark = |k: &str| self.keys.get(k).map_or(0, |v| v.1);
-        let failed: Vec<String> =
-            txn.guards.iter().filter(|g| mark(&g.key) != g.mark).map(|g| g.key.clone()).collect();
+        let revision = |k: &str| self.keys.get(k).map_or(0, |v| v.1);
+        let failed: Vec<String> = transaction
+            .compares
+            .iter()
+            .filter(|g| revision(&g.key) != g.revision)
+            .map(|g| g.key.clone())
+            .collect();
         if !failed.is_empty() {
-            return Outcome::Conflict { failed };
+            return TransactionOutcome::Conflict { failed };
         }
-        self.growth += 1;
-        for change in &txn.apply {
+        self.store_revision += 1;
+        for change in &transaction.operations {
             match change {
-                Change::Put { put, value, .. } => {
+                Operation::Put { put, value, .. } => {
                     if put.starts_with(keys::END) {
                         assert!(!self.keys.contains_key(put), "an end is written once: {put}");
                     }
-                    self.keys.insert(put.clone(), (value.to_value(), self.growth));
+                    self.keys.insert(put.clone(), (value.to_value(), self.store_revision));
                 }
-                Change::Drop { drop } => {
+                Operation::Delete { drop } => {
                     self.keys.remove(drop);
                 }
             }
         }
-        Outcome::Committed { mark: self.growth }
+        TransactionOutcome::Committed { revision: self.store_revision }
     }
 
-    pub fn pairs(&self, prefix: &str) -> Vec<Pair> {
+    pub fn key_values(&self, prefix: &str) -> Vec<KeyValue> {
         let found = self.keys.iter().filter(|(k, _)| k.starts_with(prefix));
-        found.map(|(k, (v, mark))| Pair { key: k.clone(), value: v.clone(), mark: *mark }).collect()
+        found
+            .map(|(k, (v, revision))| KeyValue {
+                key: k.clone(),
+                value: v.clone(),
+                revision: *revision,
+            })
+            .collect()
     }
 
     /// How the jobs stand, for a leader that asks.
@@ -91,9 +102,9 @@
 
     pub fn put(&mut self, key: &str, value: Value) -> u64 {
         transcript::put(key, &value);
-        self.growth += 1;
-        self.keys.insert(key.to_owned(), (value, self.growth));
-        self.growth
+        self.store_revision += 1;
+        self.keys.insert(key.to_owned(), (value, self.store_revision));
+        self.store_revision
     }
 }
 
@@ -319,7 +330,7 @@
 
     /// Accepted, with nobody told.
     pub fn store_job(&mut self, name: &str, spec: &JobSpec, chunk: u32) -> Value {
-        let value = todo_value(spec, self.wall_us(), chunk);
+        let value = description_record(spec, self.wall_us(), chunk);
         self.store.put(&keys::job(name), json!(1));
         self.store.put(&keys::description(name, !spec.needs.is_empty()), value.clone());
         value
@@ -357,10 +368,10 @@
         self.commands.extend(commands);
     }
 
-    pub fn take_commit(&mut self) -> (u64, Txn) {
+    pub fn take_commit(&mut self) -> (u64, Transaction) {
         let at = self.commands.iter().position(|c| matches!(c, Command::Commit { .. }));
         match self.commands.remove(at.expect("a transaction")) {
-            Command::Commit { id, txn } => (id, txn),
+            Command::Commit { id, transaction } => (id, transaction),
             _ => unreachable!(),
         }
     }
@@ -380,9 +391,9 @@
     /// Lets the leader place what waits, commits its write and lets it send.
     pub fn place_and_commit(&mut self) {
         self.tick();
-        let (id, txn) = self.take_commit();
-        let outcome = self.store.apply(&txn);
-        self.leader.txn_answer(self.now, id, outcome);
+        let (id, transaction) = self.take_commit();
+        let outcome = self.store.apply(&transaction);
+        self.leader.transaction_answered(self.now, id, outcome);
         self.tick();
     }
 
@@ -434,9 +445,9 @@
     pub fn carry_out(&mut self) {
         for command in std::mem::take(&mut self.commands) {
             match command {
-                Command::Commit { id, txn } => {
-                    let outcome = self.store.apply(&txn);
-                    self.leader.txn_answer(self.now, id, outcome);
+                Command::Commit { id, transaction } => {
+                    let outcome = self.store.apply(&transaction);
+                    self.leader.transaction_answered(self.now, id, outcome);
                 }
                 Command::Direct { machine, token, session, calls, .. } => {
                     self.deliver(machine, token, session, &calls);
@@ -448,7 +459,7 @@
                 Command::Read { id, key } => {
                     let found = self.store.keys.get(&key).cloned();
                     let answer = found.unwrap_or((Value::Null, 0));
-                    self.leader.read_answer(self.now, id, Some(answer));
+                    self.leader.read_answered(self.now, id, Some(answer));
                 }
                 _ => {}
             }
@@ -504,7 +515,7 @@
                 }
             }
         }
-        let strange = s.load_runs(self.now, &self.store.pairs(keys::RUN));
+        let strange = s.load_runs(self.now, &self.store.key_values(keys::RUN));
         assert!(former || strange.is_empty(), "{strange:?}");
         if let Some((value_bytes, ops)) = self.store.limits {
             s.set_limits(value_bytes, ops);
--- a/crates/scheduler/tests/world/transcript.rs
+++ b/crates/scheduler/tests/world/transcript.rs
@@ -8,8 +8,8 @@
 
 use serde::Serialize;
 use serde_json::Value;
-use walnutlug_scheduler::protocol::{Change, Txn, WorkerCommand};
-use walnutlug_scheduler::scheduler::{Command, Outcome};
+use walnutlug_scheduler::protocol::{Operation, Transaction, WorkerCommand};
+use walnutlug_scheduler::scheduler::{Command, TransactionOutcome};
 
 use super::golden::Transcript;
 
@@ -62,9 +62,10 @@
     match command {
         // Text for the log.
         Command::Note(_) => {}
-        Command::Commit { id, txn } => {
-            transcript.line("commit", &format!("term={term} id={id} {}", transaction(txn)));
-            for change in &txn.apply {
+        Command::Commit { id, transaction } => {
+            transcript
+                .line("commit", &format!("term={term} id={id} {}", transaction_text(transaction)));
+            for change in &transaction.operations {
                 transcript.count(&change_kind(change), 1);
             }
         }
@@ -94,23 +95,24 @@
 
 /// The conditions and changes of a transaction, with the exact bytes of each value, and its whole form
 /// on the wire.
-fn transaction(txn: &Txn) -> String {
-    let conditions = txn.guards.iter().map(|guard| format!("if {}={}", guard.key, guard.mark));
-    let changes = txn.apply.iter().map(|change| match change {
-        Change::Put { put, value, lease } => {
+fn transaction_text(transaction: &Transaction) -> String {
+    let conditions =
+        transaction.compares.iter().map(|guard| format!("if {}={}", guard.key, guard.revision));
+    let changes = transaction.operations.iter().map(|change| match change {
+        Operation::Put { put, value, lease } => {
             let lease = lease.map_or(String::new(), |lease| format!(" lease={lease}"));
             format!("put {put}={}{lease}", json(value))
         }
-        Change::Drop { drop } => format!("delete {drop}"),
+        Operation::Delete { drop } => format!("delete {drop}"),
     });
     let parts: Vec<String> = conditions.chain(changes).collect();
-    format!("{} wire={}", parts.join("; "), json(txn))
+    format!("{} wire={}", parts.join("; "), json(transaction))
 }
 
-fn change_kind(change: &Change) -> String {
+fn change_kind(change: &Operation) -> String {
     match change {
-        Change::Put { put, .. } => format!("commit puts {}", family(put)),
-        Change::Drop { drop } => format!("commit deletes {}", family(drop)),
+        Operation::Put { put, .. } => format!("commit puts {}", family(put)),
+        Operation::Delete { drop } => format!("commit deletes {}", family(drop)),
     }
 }
 
@@ -141,16 +143,21 @@
 }
 
 /// What the store made of a transaction.
-pub fn applied(txn: &Txn, outcome: &Outcome) {
+pub fn applied(transaction: &Transaction, outcome: &TransactionOutcome) {
     with(|transcript| match outcome {
-        Outcome::Committed { mark } => {
-            transcript.line("stored", &format!("revision={mark} {}", transaction(txn)));
+        TransactionOutcome::Committed { revision } => {
+            transcript
+                .line("stored", &format!("revision={revision} {}", transaction_text(transaction)));
         }
-        Outcome::Conflict { failed } => {
+        TransactionOutcome::Conflict { failed } => {
             transcript.line("conflict", &format!("failed={}", json(failed)));
         }
-        Outcome::TooLarge => transcript.line("too-large", &transaction(txn)),
-        Outcome::Refused | Outcome::Lost => unreachable!("no answer of a store"),
+        TransactionOutcome::TooLarge => {
+            transcript.line("too-large", &transaction_text(transaction))
+        }
+        TransactionOutcome::Rejected | TransactionOutcome::Indeterminate => {
+            unreachable!("no answer of a store")
+        }
     });
 }
 
