--- a/crates/controller/src/heartbeat_delegation.rs
+++ b/crates/controller/src/heartbeat_delegation.rs
@@ -10,14 +10,17 @@
 use tracing::info;
 use walnutlug_scheduler::leadership::election::Role;
 use walnutlug_scheduler::model::task::MachineIx;
-use walnutlug_scheduler::reconciliation::delegation::{Grant, NewMark, ServedLeader};
-use walnutlug_scheduler::reconciliation::repeated_heartbeats::Holder;
+use walnutlug_scheduler::reconciliation::delegation::{
+    CacheGrant, DelegationGrant, FollowerDelegation,
+};
+use walnutlug_scheduler::reconciliation::repeated_heartbeats::CacheHolder;
 use walnutlug_scheduler::tunables::Site;
 
 use crate::http::server::Answer;
 use crate::node::Node;
 use crate::peers::{
-    AskGrant, ForwardedAnswer, ForwardedReport, Frame, Granting, Heard, MOST_CARRIED, MOST_ENTRIES,
+    DelegationGranted, DelegationRequest, ForwardedHeartbeat, ForwardedResponse, Frame,
+    RepeatedHeartbeat, MOST_CARRIED, MOST_ENTRIES,
 };
 use crate::worker_api::{self, WorkerConnection};
 
@@ -44,7 +47,7 @@
     asked: Option<Instant>,
     workers: u32,
     /// Marks withdrawn from it, and under which term.
-    withdrawn: (u64, u64),
+    invalidated: (u64, u64),
 }
 
 impl Follower {
@@ -52,11 +55,11 @@
         self.asked.is_some_and(|at| at.elapsed() < FOLLOWER_FRESH)
     }
 
-    fn withdrawn_under(&mut self, term: u64) -> &mut u64 {
-        if self.withdrawn.0 != term {
-            self.withdrawn = (term, 0);
+    fn invalidated_under(&mut self, term: u64) -> &mut u64 {
+        if self.invalidated.0 != term {
+            self.invalidated = (term, 0);
         }
-        &mut self.withdrawn.1
+        &mut self.invalidated.1
     }
 }
 
@@ -81,27 +84,27 @@
 }
 
 /// A node's part in answering reports, as a follower and as the leader.
-pub struct Serving {
+pub struct HeartbeatDelegation {
     /// Connections on which workers have reported.
     pub workers: Rc<Cell<u32>>,
-    leader: RefCell<ServedLeader>,
-    waiting: RefCell<HashMap<u64, oneshot::Sender<ForwardedAnswer>>>,
+    leader: RefCell<FollowerDelegation>,
+    waiting: RefCell<HashMap<u64, oneshot::Sender<ForwardedResponse>>>,
     /// Reports that may wait for the leader at once.
     most_waiting: usize,
     last_forwarded: Cell<u64>,
-    heard: RefCell<Vec<Heard>>,
+    heard: RefCell<Vec<RepeatedHeartbeat>>,
     /// By the place of the node among the peers.
     followers: RefCell<Vec<Follower>>,
     moving: Move,
 }
 
-impl Serving {
+impl HeartbeatDelegation {
     /// With nothing granted and no followers. Each connection has at most one report under way, so as
     /// many may wait as there may be connections: after an outage every report differs from the last.
-    pub fn new(site: &Site, peers: usize, most_waiting: usize) -> Serving {
-        Serving {
+    pub fn new(site: &Site, peers: usize, most_waiting: usize) -> HeartbeatDelegation {
+        HeartbeatDelegation {
             workers: Rc::default(),
-            leader: RefCell::new(ServedLeader::new(site)),
+            leader: RefCell::new(FollowerDelegation::new(site)),
             waiting: RefCell::default(),
             most_waiting,
             last_forwarded: Cell::new(0),
@@ -128,9 +131,9 @@
 
 /// The token with which a follower may answer the report, if it repeats a settled one.
 pub fn repeated(node: &Node, connection: &WorkerConnection, body: &[u8]) -> Option<u64> {
-    let (settled, sequence) = connection.repeated_by(body)?;
-    let token = node.serving.leader.borrow().may_repeat(node.now(), settled)?;
-    let heard = Heard { machine: settled.machine, number: settled.number, sequence };
+    let (cached, sequence) = connection.repeated_by(body)?;
+    let token = node.serving.leader.borrow().cached_response_token(node.now(), cached)?;
+    let heard = RepeatedHeartbeat { machine: cached.machine, number: cached.number, sequence };
     node.serving.heard.borrow_mut().push(heard);
     Some(token)
 }
@@ -138,7 +141,7 @@
 /// Passes the report on to the leader. `None`: the worker should go elsewhere.
 pub async fn forward(node: &Node, connection: &WorkerConnection, body: &[u8]) -> Option<Answer> {
     let serving = &node.serving;
-    let term = serving.leader.borrow().may_forward(node.now())?;
+    let term = serving.leader.borrow().forwarding_term(node.now())?;
     let leader = node.leader_under(term)?;
     if body.len() > MOST_CARRIED || serving.waiting.borrow().len() >= serving.most_waiting {
         return None;
@@ -149,18 +152,19 @@
     serving.waiting.borrow_mut().insert(number, answered);
     node.tell_peer(
         &leader,
-        &Frame::ForwardedReport(ForwardedReport {
+        &Frame::ForwardedHeartbeat(ForwardedHeartbeat {
             node: node.settings.node_name.clone(),
-            life: node.life,
+            incarnation: node.incarnation,
             number,
-            report: body.to_vec(),
+            heartbeat: body.to_vec(),
         }),
     );
     let answer = timeout(ANSWER_WITHIN, answer).await;
     serving.waiting.borrow_mut().remove(&number);
-    let ForwardedAnswer { answer, mark, .. } = answer.ok()?.ok()?;
-    let mark = mark.filter(|mark| serving.leader.borrow_mut().add(node.now(), mark));
-    connection.remember(body, mark.map(|mark| mark.settled));
+    let ForwardedResponse { answer, cache_entry, .. } = answer.ok()?.ok()?;
+    let cache_entry =
+        cache_entry.filter(|cache_entry| serving.leader.borrow_mut().add(node.now(), cache_entry));
+    connection.remember(body, cache_entry.map(|cache_entry| cache_entry.cached));
     Some(Answer { status: 200, body: answer?, retry_after: None, close: false, idle: None })
 }
 
@@ -171,7 +175,7 @@
     loop {
         sleep(HEARD_EVERY).await;
         turn = turn.wrapping_add(1);
-        tell_heard(&node);
+        send_repeated_heartbeats(&node);
         if !turn.is_multiple_of(ASK_EVERY) {
             continue;
         }
@@ -186,13 +190,13 @@
 pub fn ask(node: &Node) {
     let Some(leader) = node.other_leader() else { return };
     let number = node.serving.leader.borrow_mut().ask(node.now());
-    let ask = AskGrant {
+    let ask = DelegationRequest {
         node: node.settings.node_name.clone(),
-        life: node.life,
+        incarnation: node.incarnation,
         number,
         workers: node.serving.workers.get(),
     };
-    node.tell_peer(&leader, &Frame::AskGrant(ask));
+    node.tell_peer(&leader, &Frame::DelegationRequest(ask));
 }
 
 /// Asks at once if the leader of that term has not granted anything yet.
@@ -202,42 +206,42 @@
     }
 }
 
-fn tell_heard(node: &Node) {
+fn send_repeated_heartbeats(node: &Node) {
     let heard = std::mem::take(&mut *node.serving.heard.borrow_mut());
     let term = node.serving.leader.borrow().term();
     let leader = term.and_then(|term| Some((term, node.leader_under(term)?)));
     let Some((term, leader)) = leader else { return };
     for some in heard.chunks(MOST_ENTRIES) {
-        node.tell_peer(&leader, &Frame::Heard { term, heard: some.to_vec() });
+        node.tell_peer(&leader, &Frame::RepeatedHeartbeats { term, heard: some.to_vec() });
     }
 }
 
 /// Tells followers which of their marks hold no more. Before anything that says how far the leader's
 /// knowledge goes, since it is worth nothing without these.
-pub fn tell_withdrawn(node: &Node) {
-    let (term, withdrawn) = {
+pub fn send_invalidations(node: &Node) {
+    let (term, invalidated) = {
         let mut scheduler = node.scheduler.borrow_mut();
         let Some(scheduler) = scheduler.as_mut() else { return };
-        (scheduler.term, scheduler.take_withdrawn())
+        (scheduler.term, scheduler.take_invalidated())
     };
-    if withdrawn.is_empty() {
+    if invalidated.is_empty() {
         return;
     }
-    let mut by_holder: HashMap<Holder, Vec<(MachineIx, u64)>> = HashMap::new();
-    for one in withdrawn {
-        by_holder.entry(one.holder).or_default().push((one.settled.machine, one.settled.number));
+    let mut by_holder: HashMap<CacheHolder, Vec<(MachineIx, u64)>> = HashMap::new();
+    for one in invalidated {
+        by_holder.entry(one.holder).or_default().push((one.cached.machine, one.cached.number));
     }
-    for (holder, marks) in by_holder {
+    for (holder, cache_entries) in by_holder {
         let peer = usize::from(holder) - 1;
-        for some in marks.chunks(MOST_ENTRIES) {
+        for some in cache_entries.chunks(MOST_ENTRIES) {
             let first = {
                 let mut followers = node.serving.followers.borrow_mut();
-                let count = followers[peer].withdrawn_under(term);
+                let count = followers[peer].invalidated_under(term);
                 let first = *count + 1;
                 *count += some.len() as u64;
                 first
             };
-            let frame = Frame::Withdrawn { term, first, marks: some.to_vec() };
+            let frame = Frame::Invalidated { term, first, cache_entries: some.to_vec() };
             node.tell_peer(&node.settings.peers[peer].name, &frame);
         }
     }
@@ -246,15 +250,15 @@
 /// One of the frames of this module has come.
 pub fn frame(node: &Node, frame: Frame) {
     match frame {
-        Frame::ForwardedReport(report) => answer_forwarded(node, &report),
-        Frame::ForwardedAnswer(answer) if answer.asker_life == node.life => {
+        Frame::ForwardedHeartbeat(heartbeat) => answer_forwarded(node, &heartbeat),
+        Frame::ForwardedResponse(answer) if answer.asker_incarnation == node.incarnation => {
             if let Some(waiting) = node.serving.waiting.borrow_mut().remove(&answer.number) {
                 let _ = waiting.send(answer);
             }
         }
-        Frame::Heard { term, heard } => take_heard(node, term, &heard),
-        Frame::AskGrant(ask) => grant(node, &ask),
-        Frame::Granting(granting) if granting.asker_life == node.life => {
+        Frame::RepeatedHeartbeats { term, heard } => record_repeated_heartbeats(node, term, &heard),
+        Frame::DelegationRequest(ask) => grant(node, &ask),
+        Frame::DelegationGranted(granting) if granting.asker_incarnation == node.incarnation => {
             let now = node.now();
             let before = node.serving.leader.borrow().term();
             if node.serving.leader.borrow_mut().granted(now, &granting.grant) {
@@ -265,74 +269,80 @@
                 node.serving.moving.set(u32::from(granting.spare), granting.spare_to);
             }
         }
-        Frame::Withdrawn { term, first, marks } => {
-            node.serving.leader.borrow_mut().withdraw(term, first, &marks);
+        Frame::Invalidated { term, first, cache_entries } => {
+            node.serving.leader.borrow_mut().invalidate(term, first, &cache_entries);
         }
         _ => {}
     }
 }
 
-fn take_heard(node: &Node, term: u64, heard: &[Heard]) {
+fn record_repeated_heartbeats(node: &Node, term: u64, heard: &[RepeatedHeartbeat]) {
     let now = node.now();
     let mut scheduler = node.scheduler.borrow_mut();
     let Some(scheduler) = scheduler.as_mut().filter(|s| s.term == term) else { return };
     for one in heard {
-        let settled = walnutlug_scheduler::reconciliation::repeated_heartbeats::SettledReport {
+        let cached = walnutlug_scheduler::reconciliation::repeated_heartbeats::CachedHeartbeat {
             term,
             machine: one.machine,
             number: one.number,
         };
-        scheduler.heard_unchanged(now, settled, one.sequence);
+        scheduler.record_repeated_heartbeat(now, cached, one.sequence);
     }
 }
 
 /// The place of the node among the peers, from which its number as a holder of marks follows.
-fn peer_place(node: &Node, name: &str) -> Option<(usize, Holder)> {
+fn peer_place(node: &Node, name: &str) -> Option<(usize, CacheHolder)> {
     let place = node.settings.peers.iter().position(|peer| peer.name == name)?;
-    Some((place, Holder::try_from(place + 1).ok()?))
+    Some((place, CacheHolder::try_from(place + 1).ok()?))
 }
 
-fn answer_forwarded(node: &Node, forwarded: &ForwardedReport) {
+fn answer_forwarded(node: &Node, forwarded: &ForwardedHeartbeat) {
     let Some((place, holder)) = peer_place(node, &forwarded.node) else { return };
-    let (answer, mark) = match worker_api::read_forwarded(node, &forwarded.report, holder) {
-        Some(read) => (Some(read.body), read.mark),
-        None => (None, None),
-    };
-    tell_withdrawn(node);
-    let withdrawn = |term| *node.serving.followers.borrow_mut()[place].withdrawn_under(term);
-    let mark = mark.map(|(settled, token, valid_for)| NewMark {
-        settled,
+    let (answer, cache_entry) =
+        match worker_api::handle_forwarded_heartbeat(node, &forwarded.heartbeat, holder) {
+            Some(read) => (Some(read.body), read.cache_entry),
+            None => (None, None),
+        };
+    send_invalidations(node);
+    let invalidated = |term| *node.serving.followers.borrow_mut()[place].invalidated_under(term);
+    let cache_entry = cache_entry.map(|(cached, token, valid_for)| CacheGrant {
+        cached,
         token,
         valid_for,
-        withdrawn: withdrawn(settled.term),
+        invalidated: invalidated(cached.term),
     });
     let answer = answer.filter(|body| body.len() <= MOST_CARRIED);
-    let (asker_life, number) = (forwarded.life, forwarded.number);
-    let frame = Frame::ForwardedAnswer(ForwardedAnswer { asker_life, number, answer, mark });
+    let (asker_incarnation, number) = (forwarded.incarnation, forwarded.number);
+    let frame = Frame::ForwardedResponse(ForwardedResponse {
+        asker_incarnation,
+        number,
+        answer,
+        cache_entry,
+    });
     node.tell_peer(&forwarded.node, &frame);
     node.pump();
 }
 
-fn grant(node: &Node, ask: &AskGrant) {
+fn grant(node: &Node, ask: &DelegationRequest) {
     let Some((place, _)) = peer_place(node, &ask.node) else { return };
     let Role::Leading { term } = node.leadership.borrow().role() else { return };
-    tell_withdrawn(node);
+    send_invalidations(node);
     let mut followers = node.serving.followers.borrow_mut();
     let follower = &mut followers[place];
     follower.asked = Some(Instant::now());
     follower.workers = ask.workers;
-    let withdrawn = *follower.withdrawn_under(term);
+    let invalidated = *follower.invalidated_under(term);
     drop(followers);
-    let unknown_for = node.now().since(node.known_until());
+    let unknown_for = node.now().since(node.cancellations_known_until());
     let (spare, spare_to) = spare_of(node, place);
-    let granting = Granting {
+    let granting = DelegationGranted {
         node: node.settings.node_name.clone(),
-        asker_life: ask.life,
-        grant: Grant { term, asked: ask.number, unknown_for, withdrawn },
+        asker_incarnation: ask.incarnation,
+        grant: DelegationGrant { term, asked: ask.number, unknown_for, invalidated },
         spare,
         spare_to,
     };
-    node.tell_peer(&ask.node, &Frame::Granting(granting));
+    node.tell_peer(&ask.node, &Frame::DelegationGranted(granting));
 }
 
 /// How the workers should be spread: the leader's part, a follower's part, and the follower with fewest.
--- a/crates/controller/src/heartbeat_delegation/tests.rs
+++ b/crates/controller/src/heartbeat_delegation/tests.rs
@@ -7,7 +7,7 @@
 use walnutlug_scheduler::model::job::End;
 
 /// A worker's report to a node, with frames delivered meanwhile. The status, the token and the calls.
-async fn report(
+async fn heartbeat(
     c: &mut Cluster,
     at: usize,
     connection: &Rc<WorkerConnection>,
@@ -17,7 +17,7 @@
     let (node, connection) = (c.nodes[at].clone(), connection.clone());
     let body = report_of(sequence, token);
     let answer = tokio::task::spawn_local(async move {
-        worker_api::report(&node, &connection, body.as_bytes()).await
+        worker_api::heartbeat(&node, &connection, body.as_bytes()).await
     });
     for _ in 0..8 {
         tokio::task::yield_now().await;
@@ -41,7 +41,7 @@
     for _ in 0..4 {
         c.deliver(|_, _| true).await;
     }
-    assert!(c.nodes[1].serving.leader.borrow().may_forward(c.nodes[1].now()).is_some());
+    assert!(c.nodes[1].serving.leader.borrow().forwarding_term(c.nodes[1].now()).is_some());
     c
 }
 
@@ -49,9 +49,9 @@
 async fn repeating(store: &StandIn) -> (Cluster, Rc<WorkerConnection>, u64, u64) {
     let mut c = store_reachable(store).await;
     let connection = Rc::new(WorkerConnection::default());
-    let (status, token, calls) = report(&mut c, 1, &connection, 1, 0).await;
+    let (status, token, calls) = heartbeat(&mut c, 1, &connection, 1, 0).await;
     assert_eq!((status, calls), (200, vec![]), "the leader's answer");
-    assert_eq!(report(&mut c, 1, &connection, 2, token).await, (200, token, vec![]));
+    assert_eq!(heartbeat(&mut c, 1, &connection, 2, token).await, (200, token, vec![]));
     assert!(repeats(&c, &connection, 3, token), "a settled report");
     (c, connection, 3, token)
 }
@@ -67,13 +67,13 @@
         let store = StandIn::default();
         let (mut c, connection, sequence, token) = repeating(&store).await;
         tokio::time::advance(Duration::from_secs(1)).await;
-        let answer = report(&mut c, 1, &connection, sequence + 4, token).await;
+        let answer = heartbeat(&mut c, 1, &connection, sequence + 4, token).await;
         assert_eq!(answer, (200, token, vec![]));
-        tell_heard(&c.nodes[1]);
+        send_repeated_heartbeats(&c.nodes[1]);
         c.deliver(|_, _| true).await;
         let scheduler = c.nodes[0].scheduler.borrow();
         let machine = scheduler.as_ref().and_then(|s| s.machines.first()).expect("a machine");
-        assert_eq!((machine.seq, machine.last_report), (sequence + 4, c.nodes[0].now()));
+        assert_eq!((machine.sequence, machine.last_heartbeat), (sequence + 4, c.nodes[0].now()));
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
@@ -84,10 +84,10 @@
         let store = StandIn::default();
         let (mut c, connection, sequence, token) = repeating(&store).await;
         c.nodes[0].learn_end(JOB, End::Aborted);
-        tell_withdrawn(&c.nodes[0]);
+        send_invalidations(&c.nodes[0]);
         c.deliver(|_, _| true).await;
         assert!(!repeats(&c, &connection, sequence, token));
-        let (status, _, calls) = report(&mut c, 1, &connection, sequence, token).await;
+        let (status, _, calls) = heartbeat(&mut c, 1, &connection, sequence, token).await;
         assert_eq!((status, calls), (200, vec!["kill".to_owned()]));
     };
     tokio::task::LocalSet::new().run_until(test).await;
@@ -118,7 +118,7 @@
         assert!(last <= window, "told at {told_before:?}, renewed {last:?} later");
         // Then it sends the worker on.
         let body = report_of(sequence, token);
-        let answer = worker_api::report(&c.nodes[1], &connection, body.as_bytes()).await;
+        let answer = worker_api::heartbeat(&c.nodes[1], &connection, body.as_bytes()).await;
         assert_eq!(answer.status, 421);
     };
     tokio::task::LocalSet::new().run_until(test).await;
@@ -130,7 +130,7 @@
         let store = StandIn::default();
         let (mut c, connection, sequence, token) = repeating(&store).await;
         c.nodes[0].learn_end(JOB, End::Aborted);
-        tell_withdrawn(&c.nodes[0]);
+        send_invalidations(&c.nodes[0]);
         c.deliver(|_, _| false).await;
         assert!(repeats(&c, &connection, sequence, token), "it hasn't heard");
         ask(&c.nodes[1]);
@@ -166,7 +166,7 @@
         let (node, connection) = (c.nodes[1].clone(), WorkerConnection::default());
         let body = report_of(1, 0);
         let began = Instant::now();
-        let answer = worker_api::report(&node, &connection, body.as_bytes()).await;
+        let answer = worker_api::heartbeat(&node, &connection, body.as_bytes()).await;
         assert_eq!(answer.status, 421);
         assert!(String::from_utf8_lossy(&answer.body).contains("keeper"));
         assert!(began.elapsed() <= ANSWER_WITHIN, "the worker waits for four seconds");
@@ -178,7 +178,7 @@
         // And without a grant it is told so at once.
         tokio::time::advance(Duration::from_secs(4)).await;
         let began = Instant::now();
-        assert_eq!(worker_api::report(&node, &connection, body.as_bytes()).await.status, 421);
+        assert_eq!(worker_api::heartbeat(&node, &connection, body.as_bytes()).await.status, 421);
         assert_eq!(began.elapsed(), Duration::ZERO);
     };
     tokio::task::LocalSet::new().run_until(test).await;
@@ -194,7 +194,7 @@
         let most = Sockets::share(node.settings.fd_limit).inbound as usize;
         let ask = |node: Rc<Node>| async move {
             let body = report_of(1, 0);
-            worker_api::report(&node, &WorkerConnection::default(), body.as_bytes()).await
+            worker_api::heartbeat(&node, &WorkerConnection::default(), body.as_bytes()).await
         };
         let waiting: Vec<_> =
             (0..most).map(|_| tokio::task::spawn_local(ask(node.clone()))).collect();
@@ -211,7 +211,8 @@
         assert!(node.serving.waiting.borrow().is_empty(), "what was refused can come again");
         // A report longer than a frame goes to the leader itself.
         let long = format!("{}{}", report_of(1, 0), " ".repeat(MOST_CARRIED));
-        let answer = worker_api::report(&node, &WorkerConnection::default(), long.as_bytes()).await;
+        let answer =
+            worker_api::heartbeat(&node, &WorkerConnection::default(), long.as_bytes()).await;
         assert_eq!(answer.status, 421);
     };
     tokio::task::LocalSet::new().run_until(test).await;
@@ -235,7 +236,7 @@
             async move {
                 let body = idle_report(&format!("n-{machine:06}"), 1);
                 let connection = WorkerConnection::default();
-                worker_api::report(&node, &connection, body.as_bytes()).await.status
+                worker_api::heartbeat(&node, &connection, body.as_bytes()).await.status
             }
         };
         let waiting: Vec<_> = (0..WORKERS).map(|i| tokio::task::spawn_local(ask(i))).collect();
@@ -246,8 +247,9 @@
         let frames = c.take(1, 0).await;
         let bytes: usize = frames.iter().map(|frame| frame.encode().len()).sum();
         assert!(bytes <= WORKERS * MOST_FRAME_BYTES, "{bytes} bytes wait");
-        let reports = frames.iter().filter(|f| matches!(f, Frame::ForwardedReport(_))).count();
-        assert_eq!(reports, WORKERS, "each in a frame of its own");
+        let heartbeats =
+            frames.iter().filter(|f| matches!(f, Frame::ForwardedHeartbeat(_))).count();
+        assert_eq!(heartbeats, WORKERS, "each in a frame of its own");
         for frame in frames {
             c.nodes[0].peer_frame(frame);
         }
@@ -272,7 +274,7 @@
     let test = async {
         let store = StandIn::default();
         let (mut c, connection, sequence, token) = repeating(&store).await;
-        *c.nodes[1].serving.leader.borrow_mut() = ServedLeader::new(&c.nodes[1].site);
+        *c.nodes[1].serving.leader.borrow_mut() = FollowerDelegation::new(&c.nodes[1].site);
         assert!(!repeats(&c, &connection, sequence, token));
         ask(&c.nodes[1]);
         for _ in 0..3 {
@@ -299,9 +301,9 @@
         balance(&c.nodes[0]);
         let (node, connection) = (c.nodes[0].clone(), WorkerConnection::default());
         let body = report_of(1, 0);
-        assert_eq!(worker_api::report(&node, &connection, body.as_bytes()).await.status, 200);
+        assert_eq!(worker_api::heartbeat(&node, &connection, body.as_bytes()).await.status, 200);
         let body = report_of(2, 0);
-        let answer = worker_api::report(&node, &connection, body.as_bytes()).await;
+        let answer = worker_api::heartbeat(&node, &connection, body.as_bytes()).await;
         let to = format!("{{\"keeper\":\"{}\"}}", c.nodes[1].settings.node_name);
         assert_eq!((answer.status, String::from_utf8_lossy(&answer.body).as_ref()), (421, &*to));
         // Within its part it keeps them, and so does everybody when no follower asks any more.
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -20,7 +20,7 @@
 use walnutlug_fencing::intent_log::Ledger;
 use walnutlug_fencing::leased_role::Epoch;
 use walnutlug_scheduler::leadership::election::{Input, Leadership, Role};
-use walnutlug_scheduler::leadership::watermark::{CancelLog, Watermark};
+use walnutlug_scheduler::leadership::watermark::{CancellationLog, Watermark};
 use walnutlug_scheduler::model::job::End;
 use walnutlug_scheduler::protocol::{is_job_ref, MachineType};
 use walnutlug_scheduler::scheduler::Scheduler;
@@ -28,7 +28,7 @@
 use walnutlug_scheduler::tunables::Tunables;
 
 use crate::cloud_client::Cloud;
-use crate::heartbeat_delegation::{self, Serving};
+use crate::heartbeat_delegation::{self, HeartbeatDelegation};
 use crate::http::client::Client;
 use crate::http::server::{self, Answer, Request};
 use crate::key_value_client::KeyValueClient;
@@ -62,7 +62,7 @@
     heard: Instant,
     store_reachable: bool,
     redirected: u16,
-    life: u64,
+    incarnation: u64,
     count: u64,
 }
 
@@ -88,14 +88,14 @@
     pub new_work: Notify,
     pub redirected: Cell<u16>,
     /// Its part in answering the workers' reports.
-    pub serving: Serving,
+    pub serving: HeartbeatDelegation,
     pub submit_times: RefCell<Histogram<u64>>,
     wake: Notify,
     step_down: Notify,
     known_leader: RefCell<Option<KnownLeader>>,
     peer_states: RefCell<HashMap<String, PeerState>>,
     peer_queues: Vec<mpsc::Sender<Rc<Vec<u8>>>>,
-    incarnation: String,
+    election_nonce: String,
     requests: Cell<u64>,
     epoch: Instant,
     ready_once: Cell<bool>,
@@ -120,10 +120,10 @@
     /// Workers whose connection was closed to leave room for users, since it was told last.
     let_go: Cell<u32>,
     /// Tells this life of the node from its former ones.
-    pub life: u64,
+    pub incarnation: u64,
     statuses: Cell<u64>,
     /// The cancellations that this node told, and who has heard of them.
-    cancel_log: RefCell<CancelLog>,
+    cancellation_log: RefCell<CancellationLog>,
     /// Up to when this node knows every node's.
     watermark: RefCell<Watermark>,
     /// Whether leases were renewed when a worker reported last.
@@ -162,7 +162,7 @@
             user_api: user_api::UserApi::default(),
             new_work: Notify::new(),
             redirected: Cell::new(0),
-            serving: Serving::new(
+            serving: HeartbeatDelegation::new(
                 &settings.site,
                 settings.peers.len(),
                 Sockets::share(settings.fd_limit).inbound as usize,
@@ -173,7 +173,7 @@
             known_leader: RefCell::new(None),
             peer_states: RefCell::default(),
             peer_queues,
-            incarnation: format!("{:016x}", rand::random::<u64>()),
+            election_nonce: format!("{:016x}", rand::random::<u64>()),
             requests: Cell::new(0),
             epoch: Instant::now(),
             ready_once: Cell::new(false),
@@ -188,9 +188,11 @@
             highest_term: Cell::new(None),
             open: Rc::default(),
             let_go: Cell::new(0),
-            life: SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64),
+            incarnation: SystemTime::now()
+                .duration_since(UNIX_EPOCH)
+                .map_or(0, |d| d.as_micros() as u64),
             statuses: Cell::new(0),
-            cancel_log: RefCell::new(CancelLog::new(&settings.site)),
+            cancellation_log: RefCell::new(CancellationLog::new(&settings.site)),
             watermark: RefCell::new(Watermark::new(settings.peers.iter().map(|p| p.name.clone()))),
             renews: Cell::new(true),
             ends_while_loading: RefCell::default(),
@@ -274,7 +276,7 @@
             leading,
             store_reachable: self.key_value.store_reachable(),
             redirected: self.redirected.get(),
-            life: self.life,
+            incarnation: self.incarnation,
             count: self.statuses.get(),
         });
         self.statuses.set(self.statuses.get() + 1);
@@ -289,12 +291,12 @@
     fn tell_cancelled(&self) {
         let now = self.now();
         for peer in &self.settings.peers {
-            let told = self.cancel_log.borrow_mut().to_tell(now, &peer.name);
+            let told = self.cancellation_log.borrow_mut().to_tell(now, &peer.name);
             if let Some((first, jobs)) = told {
                 let node = self.settings.node_name.clone();
                 self.tell_peer(
                     &peer.name,
-                    &Frame::Cancelled { node, life: self.life, first, jobs },
+                    &Frame::Cancellations { node, incarnation: self.incarnation, first, jobs },
                 );
             }
         }
@@ -313,7 +315,7 @@
     }
 
     /// Up to when every cancellation that any node told is known here.
-    pub fn known_until(&self) -> Time {
+    pub fn cancellations_known_until(&self) -> Time {
         self.watermark.borrow().until(self.now())
     }
 
@@ -321,7 +323,7 @@
     /// user hears of it from this one.
     pub fn learn_end(&self, name: &str, end: End) {
         if end == End::Aborted && self.user_api.ended(name).is_none() {
-            self.cancel_log.borrow_mut().append(self.now(), name);
+            self.cancellation_log.borrow_mut().append(self.now(), name);
             self.tell_cancelled();
         }
         self.tell_peers(&Frame::Ended { job: name.to_owned(), end });
@@ -353,30 +355,39 @@
 
     pub fn peer_frame(&self, frame: Frame) {
         match frame {
-            Frame::Status { name, term, leading, store_reachable, redirected, life, count } => {
+            Frame::Status {
+                name,
+                term,
+                leading,
+                store_reachable,
+                redirected,
+                incarnation,
+                count,
+            } => {
                 if leading {
                     self.learn_leader(&name, term);
                     heartbeat_delegation::ask_new_leader(self, term);
-                    let last = self.cancel_log.borrow().last();
-                    let vouch = Frame::Vouch {
+                    let last = self.cancellation_log.borrow().last();
+                    let vouch = Frame::CancellationLogEnd {
                         node: self.settings.node_name.clone(),
-                        life: self.life,
+                        incarnation: self.incarnation,
                         last,
-                        asker_life: life,
+                        asker_incarnation: incarnation,
                         asked: count,
                     };
                     self.tell_peer(&name, &vouch);
                 }
-                self.cancel_log.borrow_mut().heard(&name, life);
+                self.cancellation_log.borrow_mut().heard(&name, incarnation);
                 self.tell_cancelled();
                 let heard = Instant::now();
-                let state = PeerState { heard, store_reachable, redirected, life, count };
+                let state = PeerState { heard, store_reachable, redirected, incarnation, count };
                 let mut states = self.peer_states.borrow_mut();
                 // A frame of the node's former life, or one held back, says nothing of now. (Lives
                 // are told apart by the time of day, which may wander: one that has long been
                 // silent gives way to any other.)
                 let stale = states.get(&name).is_some_and(|known| {
-                    (known.life, known.count) >= (life, count) && known.heard.elapsed() < PEER_FRESH
+                    (known.incarnation, known.count) >= (incarnation, count)
+                        && known.heard.elapsed() < PEER_FRESH
                 });
                 if stale {
                     if !self.stale_told.replace(true) {
@@ -384,7 +395,7 @@
                     }
                     return;
                 }
-                self.watermark.borrow_mut().heard(self.now(), &name, life);
+                self.watermark.borrow_mut().heard(self.now(), &name, incarnation);
                 if states.len() < 64 || states.contains_key(&name) {
                     states.insert(name, state);
                 }
@@ -400,38 +411,38 @@
                 self.user_api.ended_elsewhere(&job);
                 self.new_work.notify_one();
             }
-            Frame::Cancelled { node, life, first, jobs } => {
+            Frame::Cancellations { node, incarnation, first, jobs } => {
                 for job in &jobs {
                     self.take_end(job, End::Aborted);
                 }
                 let (now, n) = (self.now(), jobs.len() as u64);
-                let up_to = self.watermark.borrow_mut().told(now, &node, life, first, n);
+                let up_to = self.watermark.borrow_mut().told(now, &node, incarnation, first, n);
                 if let Some(up_to) = up_to {
-                    let ack = Frame::CancelledAck {
+                    let ack = Frame::CancellationsAck {
                         node: self.settings.node_name.clone(),
-                        life: self.life,
-                        log_life: life,
+                        incarnation: self.incarnation,
+                        log_incarnation: incarnation,
                         up_to,
                     };
                     self.tell_peer(&node, &ack);
                 }
             }
-            Frame::CancelledAck { node, life, log_life, up_to } => {
-                if log_life == self.life {
-                    self.cancel_log.borrow_mut().acknowledged(&node, life, up_to);
+            Frame::CancellationsAck { node, incarnation, log_incarnation, up_to } => {
+                if log_incarnation == self.incarnation {
+                    self.cancellation_log.borrow_mut().acknowledged(&node, incarnation, up_to);
                 }
             }
-            Frame::Vouch { node, life, last, asker_life, asked } => {
-                if asker_life == self.life {
-                    self.watermark.borrow_mut().vouch(self.now(), &node, life, last, asked);
+            Frame::CancellationLogEnd { node, incarnation, last, asker_incarnation, asked } => {
+                if asker_incarnation == self.incarnation {
+                    self.watermark.borrow_mut().vouch(self.now(), &node, incarnation, last, asked);
                 }
             }
-            Frame::ForwardedReport(_)
-            | Frame::ForwardedAnswer(_)
-            | Frame::Heard { .. }
-            | Frame::AskGrant(_)
-            | Frame::Granting(_)
-            | Frame::Withdrawn { .. } => heartbeat_delegation::frame(self, frame),
+            Frame::ForwardedHeartbeat(_)
+            | Frame::ForwardedResponse(_)
+            | Frame::RepeatedHeartbeats { .. }
+            | Frame::DelegationRequest(_)
+            | Frame::DelegationGranted(_)
+            | Frame::Invalidated { .. } => heartbeat_delegation::frame(self, frame),
             Frame::NewJob { .. } => self.new_work.notify_one(),
             Frame::LimitsLowered => self.key_value.learn_limits_lowered(),
             Frame::Machines(list) => {
@@ -543,14 +554,14 @@
         },
         "/hello" => match method {
             "POST" => {
-                let mut answer = worker_api::report(&node, &connection, &request.body).await;
+                let mut answer = worker_api::heartbeat(&node, &connection, &request.body).await;
                 // Workers find their way back with the next report; a user may not find a socket.
                 if node.open.get() > Sockets::share(node.settings.fd_limit).workers_kept {
                     answer.close = true;
                     node.let_go.set(node.let_go.get() + 1);
                 }
                 // Silent for longer than its lease, a worker has begun anew on another connection.
-                answer.idle = Some(Duration::from_micros(node.site.lease.0));
+                answer.idle = Some(Duration::from_micros(node.site.worker_lease.0));
                 answer
             }
             _ => Answer::error(405, "use POST"),
--- a/crates/controller/src/node/broadcast.rs
+++ b/crates/controller/src/node/broadcast.rs
@@ -77,7 +77,7 @@
         let let_go = node.let_go.replace(0);
         if let_go > 0 {
             warn!(
-                reports = let_go,
+                heartbeats = let_go,
                 open = node.open.get(),
                 "more workers than sockets: their connections are closed after each report"
             );
--- a/crates/controller/src/node/golden_tests.rs
+++ b/crates/controller/src/node/golden_tests.rs
@@ -5,7 +5,7 @@
 use tokio::task::LocalSet;
 use walnutlug_scheduler::model::job::keys;
 use walnutlug_scheduler::protocol::{MachineType, WorkerCommand};
-use walnutlug_scheduler::scheduler::DirectOutcome;
+use walnutlug_scheduler::scheduler::MessageOutcome;
 
 use super::tests::{idle_report, leader_with_a_task, report_of, JOB};
 use super::*;
@@ -196,16 +196,16 @@
     LocalSet::new().run_until(play).await;
 }
 
-async fn report(node: &Rc<Node>, body: &str) -> String {
+async fn heartbeat(node: &Rc<Node>, body: &str) -> String {
     ask(node, "POST", "/hello", body).await
 }
 
 /// The report of a worker on which the task has ended.
 fn finished_report(sequence: u64, token: u64) -> String {
-    let mut report: Value = serde_json::from_str(&report_of(sequence, token)).expect("json");
-    report["nuts"][0]["stage"] = json!("exited");
-    report["nuts"][0]["cause"] = json!("done");
-    report.to_string()
+    let mut heartbeat: Value = serde_json::from_str(&report_of(sequence, token)).expect("json");
+    heartbeat["nuts"][0]["stage"] = json!("exited");
+    heartbeat["nuts"][0]["cause"] = json!("done");
+    heartbeat.to_string()
 }
 
 #[tokio::test(start_paused = true)]
@@ -213,22 +213,24 @@
     let play = async {
         let store = StandIn::default();
         let follower = store.node();
-        let mut found = vec![("421", report(&follower, &report_of(1, 0)).await)];
+        let mut found = vec![("421", heartbeat(&follower, &report_of(1, 0)).await)];
         follower.learn_leader("kernel-1", 9);
-        found.push(("421 with a leader", report(&follower, &report_of(1, 0)).await));
+        found.push(("421 with a leader", heartbeat(&follower, &report_of(1, 0)).await));
         let cluster = leader_with_a_task(&store).await;
         let leader = cluster.nodes[0].clone();
-        found.push(("200", report(&leader, &report_of(1, 0)).await));
-        found.push(("200, idle", report(&leader, &idle_report("n-2", 1)).await));
-        found.push(("400", report(&leader, "{").await));
-        found.push(("400, machine", report(&leader, &idle_report("", 1)).await));
+        found.push(("200", heartbeat(&leader, &report_of(1, 0)).await));
+        found.push(("200, idle", heartbeat(&leader, &idle_report("n-2", 1)).await));
+        found.push(("400", heartbeat(&leader, "{").await));
+        found.push(("400, machine", heartbeat(&leader, &idle_report("", 1)).await));
         let no_address = idle_report("n-3", 1).replace("10.0.0.1:1", "here");
-        found.push(("400, address", report(&leader, &no_address).await));
+        found.push(("400, address", heartbeat(&leader, &no_address).await));
         leader.learn_end(JOB, End::Aborted);
-        found.push(("200 with kill", report(&leader, &report_of(2, 0)).await));
-        found.push(("200, finished", report(&leader, &finished_report(3, 0)).await));
-        found
-            .push(("200, finished and known", report(&leader, &finished_report(4, 5 << 20)).await));
+        found.push(("200 with kill", heartbeat(&leader, &report_of(2, 0)).await));
+        found.push(("200, finished", heartbeat(&leader, &finished_report(3, 0)).await));
+        found.push((
+            "200, finished and known",
+            heartbeat(&leader, &finished_report(4, 5 << 20)).await,
+        ));
         Golden::check(WORKERS, &found);
     };
     LocalSet::new().run_until(play).await;
@@ -261,15 +263,18 @@
             Ok(Response { status, body: report_of(88, 41).into_bytes() })
         };
         let client = Client::scripted(Box::new(script));
-        let outcome = worker_api::direct(&client, "10.1.0.232:9000", 41, 7, &calls).await;
+        let outcome = worker_api::send_commands(&client, "10.1.0.232:9000", 41, 7, &calls).await;
         match outcome {
-            DirectOutcome::Answered(report) => {
+            MessageOutcome::Answered(heartbeat) => {
                 assert!(status == 200 || status == 409, "{kind}: the status was read otherwise");
-                assert!(report.machine == "n-1" && report.seq == 88, "{kind}: the report");
-                assert!(report.token == 41 && report.tasks.len() == 1, "{kind}: the report");
+                assert!(
+                    heartbeat.machine == "n-1" && heartbeat.sequence == 88,
+                    "{kind}: the report"
+                );
+                assert!(heartbeat.token == 41 && heartbeat.tasks.len() == 1, "{kind}: the report");
             }
-            DirectOutcome::Lost => assert!(status == 400, "{kind}: taken for lost"),
-            DirectOutcome::NotSent => panic!("{kind}: not sent"),
+            MessageOutcome::Indeterminate => assert!(status == 400, "{kind}: taken for lost"),
+            MessageOutcome::NotSent => panic!("{kind}: not sent"),
         }
         let text = asked.borrow().clone();
         found.push((kind, text));
@@ -379,7 +384,7 @@
 
 /// With digits of times and this life's random name replaced.
 fn steady(node: &Node, asked: &RefCell<Vec<String>>) -> String {
-    let text = asked.borrow().join("\n").replace(&node.incarnation, "INCARNATION");
+    let text = asked.borrow().join("\n").replace(&node.election_nonce, "INCARNATION");
     let mut pieces = text.split("\"at\":");
     let mut steady = pieces.next().unwrap_or_default().to_owned();
     for piece in pieces {
--- a/crates/controller/src/node/leader.rs
+++ b/crates/controller/src/node/leader.rs
@@ -32,7 +32,7 @@
             Ok(Some(key_value)) => {
                 node.ready_once.set(true);
                 let name = key_value.value["node"].as_str().unwrap_or_default().to_owned();
-                let own = key_value.value["inc"].as_str() == Some(node.incarnation.as_str());
+                let own = key_value.value["inc"].as_str() == Some(node.election_nonce.as_str());
                 if own {
                     // Its lease is not held any more (an answer was lost): it will run out.
                     sleep(Duration::from_millis(300)).await;
@@ -96,7 +96,7 @@
         return;
     };
     node.lease_until.set(asked + certain(ttl));
-    let value = leader_record(&node.settings.node_name, &node.incarnation, lease);
+    let value = leader_record(&node.settings.node_name, &node.election_nonce, lease);
     let transaction = Transaction {
         compares: vec![Compare { key: keys::LEADER.into(), revision: 0 }],
         operations: vec![Operation::Put {
@@ -105,7 +105,7 @@
             lease: Some(lease),
         }],
     };
-    let term = create_leader_key(&node.key_value, &transaction, &node.incarnation).await;
+    let term = create_leader_key(&node.key_value, &transaction, &node.election_nonce).await;
     let Some(term) = term else {
         // Ending the lease ends whatever a late copy of the transaction might yet create.
         let _ = node.key_value.release(lease).await;
@@ -127,13 +127,13 @@
 async fn create_leader_key(
     state: &KeyValueClient,
     transaction: &Transaction,
-    incarnation: &str,
+    election_nonce: &str,
 ) -> Option<u64> {
     match state.commit(RequestClass::Leadership, transaction).await {
         TransactionOutcome::Committed { revision } => Some(revision),
         TransactionOutcome::Conflict { .. } | TransactionOutcome::Indeterminate => {
             match state.get(RequestClass::Leadership, keys::LEADER).await {
-                Ok(Some(p)) if p.value["inc"].as_str() == Some(incarnation) => Some(p.revision),
+                Ok(Some(p)) if p.value["inc"].as_str() == Some(election_nonce) => Some(p.revision),
                 _ => None,
             }
         }
@@ -515,13 +515,13 @@
             let limits = node.key_value.limits();
             s.set_limits(limits.value_bytes, limits.txn_ops);
             // By this node's own clock, and from before the request was sent, so never too long.
-            s.in_office = Instant::now() < node.lease_until.get();
-            s.known_until = node.known_until();
+            s.holds_lease = Instant::now() < node.lease_until.get();
+            s.cancellations_known_until = node.cancellations_known_until();
             s.tick(now);
             s.look_at_fleet(now);
             let commands = s.take_commands();
             drop(guard);
-            heartbeat_delegation::tell_withdrawn(node);
+            heartbeat_delegation::send_invalidations(node);
             for command in commands {
                 carry_out(node, term, command);
             }
@@ -553,7 +553,7 @@
     match command {
         Command::Note(text) => info!("{text}"),
         Command::StepDown(why) => node.give_up_lead(why),
-        Command::CheckLead => {
+        Command::VerifyLeadership => {
             if !node.checking_lead.replace(true) {
                 tokio::task::spawn_local(async move {
                     if let Ok(found) =
@@ -584,24 +584,25 @@
                 with_scheduler(&node, term, |s, now| s.read_answered(now, id, answer));
             });
         }
-        Command::FindEnds { names } => {
+        Command::FindJobEnds { names } => {
             tokio::task::spawn_local(async move {
                 let found = find_ends(&node, names).await;
-                with_scheduler(&node, term, |s, now| s.ends_found(now, &found));
+                with_scheduler(&node, term, |s, now| s.job_ends_found(now, &found));
             });
         }
-        Command::Direct { machine, address, token, session, calls } => {
+        Command::SendToWorker { machine, address, token, agent_epoch, calls } => {
             tokio::task::spawn_local(async move {
                 let outcome =
-                    worker_api::direct(&node.client, &address, token, session, &calls).await;
-                with_scheduler(&node, term, |s, now| s.direct_answer(now, machine, outcome));
+                    worker_api::send_commands(&node.client, &address, token, agent_epoch, &calls)
+                        .await;
+                with_scheduler(&node, term, |s, now| s.message_answered(now, machine, outcome));
             });
         }
         Command::Rent { kind, zone, spot, count } => {
             let n = node.requests.get() + 1;
             node.requests.set(n);
             // Term, incarnation and counter: a name that no other node or time ever uses.
-            let request = format!("{term}-{}-{n}", node.incarnation);
+            let request = format!("{term}-{}-{n}", node.election_nonce);
             let rental = RentRequest { request, kind, zone, spot, count };
             if !fleet_role::rent(&node, &rental) {
                 tokio::task::spawn_local(rent_unfenced(node, term, rental));
--- a/crates/controller/src/node/machine_types_role.rs
+++ b/crates/controller/src/node/machine_types_role.rs
@@ -171,7 +171,7 @@
     };
     node.machine_types_role.lease.borrow_mut().observe(holding.epoch);
     let own_name = holding.holder.node == node.settings.node_name;
-    if own_name && holding.holder.incarnation != node.incarnation {
+    if own_name && holding.holder.incarnation != node.election_nonce {
         // This node's former life held it; nobody does now.
         let _ = node.key_value.release(holding.holder.lease).await;
     }
@@ -200,7 +200,7 @@
     let holder = HolderRecord {
         format: HOLDER_FORMAT,
         node: node.settings.node_name.clone(),
-        incarnation: node.incarnation.clone(),
+        incarnation: node.election_nonce.clone(),
         lease,
     };
     let transaction = Holding::claim(DUTY, &holder);
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -13,7 +13,7 @@
         leading: false,
         store_reachable,
         redirected: 0,
-        life: 1,
+        incarnation: 1,
         count: 1 + u64::from(store_reachable),
     };
     assert!(!node.ready(), "never loaded");
@@ -76,13 +76,13 @@
 #[tokio::test(start_paused = true)]
 async fn a_status_of_a_former_life_says_nothing_of_now() {
     let node = StandIn::default().node();
-    let status = |life, count, store_reachable| Frame::Status {
+    let status = |incarnation, count, store_reachable| Frame::Status {
         name: "kernel-1".into(),
         term: 0,
         leading: false,
         store_reachable,
         redirected: 0,
-        life,
+        incarnation,
         count,
     };
     node.peer_frame(status(7, 2, false));
@@ -120,7 +120,7 @@
         leading: true,
         store_reachable: true,
         redirected: 0,
-        life: 1,
+        incarnation: 1,
         count: term,
     };
     node.peer_frame(status(4));
@@ -176,25 +176,25 @@
 }
 
 /// The worker reports its task. The answer's status and calls.
-fn report_once(node: &Node, seq: u64) -> (u16, Vec<String>) {
-    let (status, _, calls) = report_on(node, &WorkerConnection::default(), seq, 0);
+fn report_once(node: &Node, sequence: u64) -> (u16, Vec<String>) {
+    let (status, _, calls) = report_on(node, &WorkerConnection::default(), sequence, 0);
     (status, calls)
 }
 
 /// The report of a worker without tasks.
-pub fn idle_report(machine: &str, seq: u64) -> String {
-    let report = serde_json::json!({"tree": machine, "address": "10.0.0.1:1", "breed": "t8",
-        "grove": "east", "windfall": true, "season": 1, "ring": seq, "staff": 0, "shakeS": null,
+pub fn idle_report(machine: &str, sequence: u64) -> String {
+    let heartbeat = serde_json::json!({"tree": machine, "address": "10.0.0.1:1", "breed": "t8",
+        "grove": "east", "windfall": true, "season": 1, "ring": sequence, "staff": 0, "shakeS": null,
         "nuts": []});
-    report.to_string()
+    heartbeat.to_string()
 }
 
 /// The report of a worker that runs the task and has seen the token.
-pub fn report_of(seq: u64, token: u64) -> String {
-    let report = serde_json::json!({"tree": "n-1", "address": "10.0.0.1:1", "breed": "t8",
-        "grove": "east", "windfall": true, "season": 1, "ring": seq, "staff": token, "shakeS": null,
+pub fn report_of(sequence: u64, token: u64) -> String {
+    let heartbeat = serde_json::json!({"tree": "n-1", "address": "10.0.0.1:1", "breed": "t8",
+        "grove": "east", "windfall": true, "season": 1, "ring": sequence, "staff": token, "shakeS": null,
         "nuts": [{"nut": format!("{JOB}/0"), "try": 1, "stage": "running"}]});
-    report.to_string()
+    heartbeat.to_string()
 }
 
 /// The same on a connection that remembers, by a worker that has seen the token. The answer's status,
@@ -202,10 +202,10 @@
 fn report_on(
     node: &Node,
     last: &WorkerConnection,
-    seq: u64,
+    sequence: u64,
     token: u64,
 ) -> (u16, u64, Vec<String>) {
-    let answer = worker_api::answer_report(node, last, report_of(seq, token).as_bytes());
+    let answer = worker_api::answer_heartbeat(node, last, report_of(sequence, token).as_bytes());
     let told: serde_json::Value = serde_json::from_slice(&answer.body).expect("json");
     let calls = told["calls"].as_array().into_iter().flatten();
     let calls = calls.map(|c| c["call"].to_string()).collect();
@@ -213,8 +213,9 @@
 }
 
 /// Whether the connection takes a report for its last one again.
-fn remembers(last: &WorkerConnection, seq: u64, token: u64) -> bool {
-    last.repeated_by(report_of(seq, token).as_bytes()).is_some_and(|(_, found)| found == seq)
+fn remembers(last: &WorkerConnection, sequence: u64, token: u64) -> bool {
+    last.repeated_by(report_of(sequence, token).as_bytes())
+        .is_some_and(|(_, found)| found == sequence)
 }
 
 #[tokio::test(start_paused = true)]
@@ -227,10 +228,14 @@
             let (status, token, calls) = report_on(&leader, &last, 1, 0);
             assert_eq!((status, calls), (200, vec![]));
             assert!(!remembers(&last, 2, token), "the worker hadn't seen the token");
-            for seq in 2..40 {
+            for sequence in 2..40 {
                 tokio::time::advance(Duration::from_secs(1)).await;
                 leader.watermark.borrow_mut().read(leader.now());
-                assert_eq!(report_on(&leader, &last, seq, token), (200, token, vec![]), "{seq}");
+                assert_eq!(
+                    report_on(&leader, &last, sequence, token),
+                    (200, token, vec![]),
+                    "{sequence}"
+                );
             }
             assert!(remembers(&last, 40, token), "most of these were repetitions");
             assert!(
@@ -239,7 +244,7 @@
             );
             let scheduler = leader.scheduler.borrow();
             let machine = scheduler.as_ref().and_then(|s| s.machines.first()).expect("a machine");
-            assert_eq!((machine.seq, machine.last_report), (39, leader.now()));
+            assert_eq!((machine.sequence, machine.last_heartbeat), (39, leader.now()));
             drop(scheduler);
             leader.learn_end(JOB, End::Aborted);
             let (status, _, calls) = report_on(&leader, &last, 40, token);
@@ -272,7 +277,7 @@
                 let window = Duration::from_micros(
                     walnutlug_scheduler::leadership::watermark::window(&leader.site).0,
                 );
-                let mut seq = 2;
+                let mut sequence = 2;
                 let mut killed = false;
                 while told.elapsed() < Duration::from_secs(40) {
                     let open = told.elapsed() >= Duration::from_millis(lost_for);
@@ -280,8 +285,8 @@
                         node.tell_status();
                     }
                     c.deliver(|from, to| open || (from, to) != (1, 0)).await;
-                    let (status, calls) = report_once(&leader, seq);
-                    seq += 1;
+                    let (status, calls) = report_once(&leader, sequence);
+                    sequence += 1;
                     let knows = !calls.is_empty();
                     assert!(
                         knows || status == 421 || told.elapsed() <= window,
@@ -315,8 +320,8 @@
             let told = Instant::now();
             let mut fresh = store.cluster(3);
             let back = fresh.nodes[1].clone();
-            assert_ne!(back.life, c.nodes[1].life);
-            for seq in 2..42 {
+            assert_ne!(back.incarnation, c.nodes[1].incarnation);
+            for sequence in 2..42 {
                 leader.tell_status();
                 for frame in c.take(0, 1).await {
                     back.peer_frame(frame);
@@ -326,7 +331,7 @@
                     leader.peer_frame(frame);
                 }
                 c.deliver(|from, to| (from, to) == (2, 0) || (from, to) == (0, 2)).await;
-                let (status, calls) = report_once(&leader, seq);
+                let (status, calls) = report_once(&leader, sequence);
                 assert!(calls.is_empty());
                 let late = told.elapsed() > Duration::from_secs(20);
                 assert!(!late || status == 421, "renewed after {:?}", told.elapsed());
@@ -363,9 +368,9 @@
     for input in [Input::Vacant, Input::Won { term: 6 }] {
         node.leadership.borrow_mut().step(node.now(), input);
     }
-    node.peer_frame(Frame::Cancelled {
+    node.peer_frame(Frame::Cancellations {
         node: "kernel-1".into(),
-        life: c.nodes[1].life,
+        incarnation: c.nodes[1].incarnation,
         first: 1,
         jobs: vec![JOB.into()],
     });
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -24,9 +24,12 @@
 use crate::node::Node;
 
 mod heartbeat_frames;
-use heartbeat_frames::{decode_heard, decode_withdrawn, encode_heard, encode_withdrawn};
+use heartbeat_frames::{
+    decode_invalidated, decode_repeated_heartbeats, encode_invalidated, encode_repeated_heartbeats,
+};
 pub use heartbeat_frames::{
-    AskGrant, ForwardedAnswer, ForwardedReport, Granting, Heard, MOST_CARRIED, MOST_ENTRIES,
+    DelegationGranted, DelegationRequest, ForwardedHeartbeat, ForwardedResponse, RepeatedHeartbeat,
+    MOST_CARRIED, MOST_ENTRIES,
 };
 
 /// Bytes of a job's name; `is_job_ref` allows fewer.
@@ -55,16 +58,16 @@
 /// New with job chains; a version that doesn't know it passes it over.
 const KIND_LIMITS_LOWERED: u16 = 7;
 /// New with the watermark of cancellations; a version that doesn't know them passes them over.
-const KIND_CANCELLED: u16 = 8;
-const KIND_CANCELLED_ACK: u16 = 9;
-const KIND_VOUCH: u16 = 10;
+const KIND_CANCELLATIONS: u16 = 8;
+const KIND_CANCELLATIONS_ACK: u16 = 9;
+const KIND_CANCELLATION_LOG_END: u16 = 10;
 /// New with reports answered by followers.
-const KIND_FORWARDED_REPORT: u16 = 11;
-const KIND_FORWARDED_ANSWER: u16 = 12;
-const KIND_HEARD: u16 = 13;
-const KIND_ASK_GRANT: u16 = 14;
-const KIND_GRANTING: u16 = 15;
-const KIND_WITHDRAWN: u16 = 16;
+const KIND_FORWARDED_HEARTBEAT: u16 = 11;
+const KIND_FORWARDED_RESPONSE: u16 = 12;
+const KIND_REPEATED_HEARTBEATS: u16 = 13;
+const KIND_DELEGATION_REQUEST: u16 = 14;
+const KIND_DELEGATION_GRANTED: u16 = 15;
+const KIND_INVALIDATED: u16 = 16;
 
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned, Clone, Copy)]
 #[repr(C)]
@@ -76,7 +79,7 @@
     /// Worker reports answered with a redirect in the last seconds.
     redirected: U16,
     /// Which life of the node speaks, and the how manieth time.
-    life: U64,
+    incarnation: U64,
     count: U64,
 }
 
@@ -92,28 +95,28 @@
 /// Before the names in a part of a node's log of cancellations.
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned, Clone, Copy)]
 #[repr(C)]
-struct CancelledBody {
+struct CancellationsBody {
     node: [u8; 64],
-    life: U64,
+    incarnation: U64,
     first: U64,
 }
 
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned, Clone, Copy)]
 #[repr(C)]
-struct CancelledAckBody {
+struct CancellationsAckBody {
     node: [u8; 64],
-    life: U64,
-    log_life: U64,
+    incarnation: U64,
+    log_incarnation: U64,
     up_to: U64,
 }
 
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned, Clone, Copy)]
 #[repr(C)]
-struct VouchBody {
+struct CancellationLogEndBody {
     node: [u8; 64],
-    life: U64,
+    incarnation: U64,
     last: U64,
-    asker_life: U64,
+    asker_incarnation: U64,
     asked: U64,
 }
 
@@ -140,7 +143,7 @@
         leading: bool,
         store_reachable: bool,
         redirected: u16,
-        life: u64,
+        incarnation: u64,
         count: u64,
     },
     Progress {
@@ -161,41 +164,41 @@
     /// Where machines that report to the leader can be reached.
     Machines(Vec<(String, SocketAddrV4)>),
     /// A part of the log of cancellations that this life of the node has told, from that number on.
-    Cancelled {
+    Cancellations {
         node: String,
-        life: u64,
+        incarnation: u64,
         first: u64,
         jobs: Vec<String>,
     },
     /// All of that life's log up to the number is here; and in which life of the reader.
-    CancelledAck {
+    CancellationsAck {
         node: String,
-        life: u64,
-        log_life: u64,
+        incarnation: u64,
+        log_incarnation: u64,
         up_to: u64,
     },
     /// To a leader's status, named by its life and count: how far this node's log goes by now.
-    Vouch {
+    CancellationLogEnd {
         node: String,
-        life: u64,
+        incarnation: u64,
         last: u64,
-        asker_life: u64,
+        asker_incarnation: u64,
         asked: u64,
     },
-    ForwardedReport(ForwardedReport),
-    ForwardedAnswer(ForwardedAnswer),
+    ForwardedHeartbeat(ForwardedHeartbeat),
+    ForwardedResponse(ForwardedResponse),
     /// Machines that repeated their settled reports to a follower, under that leader's term.
-    Heard {
+    RepeatedHeartbeats {
         term: u64,
-        heard: Vec<Heard>,
+        heard: Vec<RepeatedHeartbeat>,
     },
-    AskGrant(AskGrant),
-    Granting(Granting),
+    DelegationRequest(DelegationRequest),
+    DelegationGranted(DelegationGranted),
     /// Marks of settled reports that hold no more, with the number of the first.
-    Withdrawn {
+    Invalidated {
         term: u64,
         first: u64,
-        marks: Vec<(MachineIx, u64)>,
+        cache_entries: Vec<(MachineIx, u64)>,
     },
 }
 
@@ -220,14 +223,22 @@
             end,
         };
         let (kind, body) = match self {
-            Frame::Status { name, term, leading, store_reachable, redirected, life, count } => {
+            Frame::Status {
+                name,
+                term,
+                leading,
+                store_reachable,
+                redirected,
+                incarnation,
+                count,
+            } => {
                 let body = StatusBody {
                     term: (*term).into(),
                     name: name_field(name),
                     leading: u8::from(*leading),
                     store_reachable: u8::from(*store_reachable),
                     redirected: (*redirected).into(),
-                    life: (*life).into(),
+                    incarnation: (*incarnation).into(),
                     count: (*count).into(),
                 };
                 (KIND_STATUS, body.as_bytes().to_vec())
@@ -252,44 +263,46 @@
                 }
                 (KIND_MACHINES, body)
             }
-            Frame::Cancelled { node, life, first, jobs } => {
-                let head = CancelledBody {
+            Frame::Cancellations { node, incarnation, first, jobs } => {
+                let head = CancellationsBody {
                     node: name_field(node),
-                    life: (*life).into(),
+                    incarnation: (*incarnation).into(),
                     first: (*first).into(),
                 };
                 let mut body = head.as_bytes().to_vec();
                 for job in jobs.iter().take(MOST_TOLD) {
                     body.extend_from_slice(&name_field::<JOB_BYTES>(job));
                 }
-                (KIND_CANCELLED, body)
+                (KIND_CANCELLATIONS, body)
             }
-            Frame::CancelledAck { node, life, log_life, up_to } => {
-                let body = CancelledAckBody {
+            Frame::CancellationsAck { node, incarnation, log_incarnation, up_to } => {
+                let body = CancellationsAckBody {
                     node: name_field(node),
-                    life: (*life).into(),
-                    log_life: (*log_life).into(),
+                    incarnation: (*incarnation).into(),
+                    log_incarnation: (*log_incarnation).into(),
                     up_to: (*up_to).into(),
                 };
-                (KIND_CANCELLED_ACK, body.as_bytes().to_vec())
+                (KIND_CANCELLATIONS_ACK, body.as_bytes().to_vec())
             }
-            Frame::Vouch { node, life, last, asker_life, asked } => {
-                let body = VouchBody {
+            Frame::CancellationLogEnd { node, incarnation, last, asker_incarnation, asked } => {
+                let body = CancellationLogEndBody {
                     node: name_field(node),
-                    life: (*life).into(),
+                    incarnation: (*incarnation).into(),
                     last: (*last).into(),
-                    asker_life: (*asker_life).into(),
+                    asker_incarnation: (*asker_incarnation).into(),
                     asked: (*asked).into(),
                 };
-                (KIND_VOUCH, body.as_bytes().to_vec())
+                (KIND_CANCELLATION_LOG_END, body.as_bytes().to_vec())
+            }
+            Frame::ForwardedHeartbeat(frame) => (KIND_FORWARDED_HEARTBEAT, frame.encode()),
+            Frame::ForwardedResponse(frame) => (KIND_FORWARDED_RESPONSE, frame.encode()),
+            Frame::RepeatedHeartbeats { term, heard } => {
+                (KIND_REPEATED_HEARTBEATS, encode_repeated_heartbeats(*term, heard))
             }
-            Frame::ForwardedReport(frame) => (KIND_FORWARDED_REPORT, frame.encode()),
-            Frame::ForwardedAnswer(frame) => (KIND_FORWARDED_ANSWER, frame.encode()),
-            Frame::Heard { term, heard } => (KIND_HEARD, encode_heard(*term, heard)),
-            Frame::AskGrant(frame) => (KIND_ASK_GRANT, frame.encode()),
-            Frame::Granting(frame) => (KIND_GRANTING, frame.encode()),
-            Frame::Withdrawn { term, first, marks } => {
-                (KIND_WITHDRAWN, encode_withdrawn(*term, *first, marks))
+            Frame::DelegationRequest(frame) => (KIND_DELEGATION_REQUEST, frame.encode()),
+            Frame::DelegationGranted(frame) => (KIND_DELEGATION_GRANTED, frame.encode()),
+            Frame::Invalidated { term, first, cache_entries } => {
+                (KIND_INVALIDATED, encode_invalidated(*term, *first, cache_entries))
             }
             Frame::LimitsLowered => (KIND_LIMITS_LOWERED, Vec::new()),
             Frame::NewJob { job } => (KIND_NEW_JOB, job_body(job, 0, 0, 0).as_bytes().to_vec()),
@@ -316,7 +329,7 @@
                     leading: b.leading != 0,
                     store_reachable: b.store_reachable != 0,
                     redirected: b.redirected.get(),
-                    life: b.life.get(),
+                    incarnation: b.incarnation.get(),
                     count: b.count.get(),
                 }))
             }
@@ -346,9 +359,9 @@
                     _ => return Err("bad end"),
                 }))
             }
-            KIND_CANCELLED => {
+            KIND_CANCELLATIONS => {
                 let (b, names) =
-                    CancelledBody::read_from_prefix(body).map_err(|_| "short list of jobs")?;
+                    CancellationsBody::read_from_prefix(body).map_err(|_| "short list of jobs")?;
                 if !names.len().is_multiple_of(JOB_BYTES) {
                     return Err("odd list of jobs");
                 }
@@ -358,48 +371,53 @@
                     let job = name_of(name).filter(|n| is_job_ref(n));
                     jobs.push(job.ok_or("bad job name")?);
                 }
-                Ok(Some(Frame::Cancelled {
+                Ok(Some(Frame::Cancellations {
                     node: name_of(&b.node).ok_or("bad name")?,
-                    life: b.life.get(),
+                    incarnation: b.incarnation.get(),
                     first: b.first.get(),
                     jobs,
                 }))
             }
-            KIND_CANCELLED_ACK => {
+            KIND_CANCELLATIONS_ACK => {
                 let (b, _) =
-                    CancelledAckBody::read_from_prefix(body).map_err(|_| "short receipt")?;
-                Ok(Some(Frame::CancelledAck {
+                    CancellationsAckBody::read_from_prefix(body).map_err(|_| "short receipt")?;
+                Ok(Some(Frame::CancellationsAck {
                     node: name_of(&b.node).ok_or("bad name")?,
-                    life: b.life.get(),
-                    log_life: b.log_life.get(),
+                    incarnation: b.incarnation.get(),
+                    log_incarnation: b.log_incarnation.get(),
                     up_to: b.up_to.get(),
                 }))
             }
-            KIND_VOUCH => {
-                let (b, _) = VouchBody::read_from_prefix(body).map_err(|_| "short answer")?;
-                Ok(Some(Frame::Vouch {
+            KIND_CANCELLATION_LOG_END => {
+                let (b, _) =
+                    CancellationLogEndBody::read_from_prefix(body).map_err(|_| "short answer")?;
+                Ok(Some(Frame::CancellationLogEnd {
                     node: name_of(&b.node).ok_or("bad name")?,
-                    life: b.life.get(),
+                    incarnation: b.incarnation.get(),
                     last: b.last.get(),
-                    asker_life: b.asker_life.get(),
+                    asker_incarnation: b.asker_incarnation.get(),
                     asked: b.asked.get(),
                 }))
             }
-            KIND_FORWARDED_REPORT => {
-                Ok(Some(Frame::ForwardedReport(ForwardedReport::decode(body)?)))
+            KIND_FORWARDED_HEARTBEAT => {
+                Ok(Some(Frame::ForwardedHeartbeat(ForwardedHeartbeat::decode(body)?)))
+            }
+            KIND_FORWARDED_RESPONSE => {
+                Ok(Some(Frame::ForwardedResponse(ForwardedResponse::decode(body)?)))
+            }
+            KIND_REPEATED_HEARTBEATS => {
+                let (term, heard) = decode_repeated_heartbeats(body)?;
+                Ok(Some(Frame::RepeatedHeartbeats { term, heard }))
             }
-            KIND_FORWARDED_ANSWER => {
-                Ok(Some(Frame::ForwardedAnswer(ForwardedAnswer::decode(body)?)))
+            KIND_DELEGATION_REQUEST => {
+                Ok(Some(Frame::DelegationRequest(DelegationRequest::decode(body)?)))
             }
-            KIND_HEARD => {
-                let (term, heard) = decode_heard(body)?;
-                Ok(Some(Frame::Heard { term, heard }))
+            KIND_DELEGATION_GRANTED => {
+                Ok(Some(Frame::DelegationGranted(DelegationGranted::decode(body)?)))
             }
-            KIND_ASK_GRANT => Ok(Some(Frame::AskGrant(AskGrant::decode(body)?))),
-            KIND_GRANTING => Ok(Some(Frame::Granting(Granting::decode(body)?))),
-            KIND_WITHDRAWN => {
-                let (term, first, marks) = decode_withdrawn(body)?;
-                Ok(Some(Frame::Withdrawn { term, first, marks }))
+            KIND_INVALIDATED => {
+                let (term, first, cache_entries) = decode_invalidated(body)?;
+                Ok(Some(Frame::Invalidated { term, first, cache_entries }))
             }
             KIND_LIMITS_LOWERED => Ok(Some(Frame::LimitsLowered)),
             _ => Ok(None),
--- a/crates/controller/src/peers/golden_tests.rs
+++ b/crates/controller/src/peers/golden_tests.rs
@@ -1,8 +1,8 @@
 //! Every kind of frame between nodes, byte by byte as it is kept in `golden/frames.txt`: written,
 //! read field by field, and written again.
 
-use walnutlug_scheduler::reconciliation::delegation::{Grant, NewMark};
-use walnutlug_scheduler::reconciliation::repeated_heartbeats::SettledReport;
+use walnutlug_scheduler::reconciliation::delegation::{CacheGrant, DelegationGrant};
+use walnutlug_scheduler::reconciliation::repeated_heartbeats::CachedHeartbeat;
 use walnutlug_scheduler::time::Span;
 
 use super::*;
@@ -21,15 +21,15 @@
         Frame::NewJob { .. } => 4,
         Frame::Machines(_) => 6,
         Frame::LimitsLowered => 7,
-        Frame::Cancelled { .. } => 8,
-        Frame::CancelledAck { .. } => 9,
-        Frame::Vouch { .. } => 10,
-        Frame::ForwardedReport(_) => 11,
-        Frame::ForwardedAnswer(_) => 12,
-        Frame::Heard { .. } => 13,
-        Frame::AskGrant(_) => 14,
-        Frame::Granting(_) => 15,
-        Frame::Withdrawn { .. } => 16,
+        Frame::Cancellations { .. } => 8,
+        Frame::CancellationsAck { .. } => 9,
+        Frame::CancellationLogEnd { .. } => 10,
+        Frame::ForwardedHeartbeat(_) => 11,
+        Frame::ForwardedResponse(_) => 12,
+        Frame::RepeatedHeartbeats { .. } => 13,
+        Frame::DelegationRequest(_) => 14,
+        Frame::DelegationGranted(_) => 15,
+        Frame::Invalidated { .. } => 16,
     }
 }
 
@@ -51,33 +51,38 @@
         ("new job", Frame::NewJob { job: "req-000004".into() }),
         (
             "cancelled",
-            Frame::Cancelled {
+            Frame::Cancellations {
                 node: "kernel-1".into(),
-                life: 0x0102_0304_0506_0708,
+                incarnation: 0x0102_0304_0506_0708,
                 first: 0x1112_1314_1516_1718,
                 jobs: vec!["req-000005".into(), "req-99999999999999999999".into()],
             },
         ),
         (
             "cancelled, none",
-            Frame::Cancelled { node: "kernel-1".into(), life: 21, first: 22, jobs: Vec::new() },
+            Frame::Cancellations {
+                node: "kernel-1".into(),
+                incarnation: 21,
+                first: 22,
+                jobs: Vec::new(),
+            },
         ),
         (
             "cancelled receipt",
-            Frame::CancelledAck {
+            Frame::CancellationsAck {
                 node: "kernel-2".into(),
-                life: 0x0102_0304_0506_0708,
-                log_life: 0x1112_1314_1516_1718,
+                incarnation: 0x0102_0304_0506_0708,
+                log_incarnation: 0x1112_1314_1516_1718,
                 up_to: 0x2122_2324_2526_2728,
             },
         ),
         (
             "vouch",
-            Frame::Vouch {
+            Frame::CancellationLogEnd {
                 node: "kernel-0".into(),
-                life: 0x0102_0304_0506_0708,
+                incarnation: 0x0102_0304_0506_0708,
                 last: 0x1112_1314_1516_1718,
-                asker_life: 0x2122_2324_2526_2728,
+                asker_incarnation: 0x2122_2324_2526_2728,
                 asked: 0x3132_3334_3536_3738,
             },
         ),
@@ -91,7 +96,7 @@
         leading,
         store_reachable,
         redirected: 0x1112,
-        life: 0x2122_2324_2526_2728,
+        incarnation: 0x2122_2324_2526_2728,
         count: 0x3132_3334_3536_3738,
     };
     let machine =
@@ -111,46 +116,46 @@
 }
 
 fn heartbeat_frames() -> Vec<(&'static str, Frame)> {
-    let settled = SettledReport {
+    let cached = CachedHeartbeat {
         term: 0x2122_2324_2526_2728,
         machine: 0x3132_3334,
         number: 0x4142_4344_4546_4748,
     };
-    let mark = NewMark {
-        settled,
+    let cache_entry = CacheGrant {
+        cached,
         token: 0x5152_5354_5556_5758,
         valid_for: Span(0x6162_6364_6566_6768),
-        withdrawn: 0x7172_7374_7576_7778,
+        invalidated: 0x7172_7374_7576_7778,
     };
-    let unanswered = ForwardedAnswer {
-        asker_life: 0x0102_0304_0506_0708,
+    let unanswered = ForwardedResponse {
+        asker_incarnation: 0x0102_0304_0506_0708,
         number: 0x1112_1314_1516_1718,
         answer: None,
-        mark: None,
+        cache_entry: None,
     };
-    let answered = ForwardedAnswer {
+    let answered = ForwardedResponse {
         answer: Some(br#"{"staff":41,"calls":[]}"#.to_vec()),
-        mark: Some(mark),
+        cache_entry: Some(cache_entry),
         ..unanswered.clone()
     };
-    let unsettled = ForwardedAnswer { mark: None, ..answered.clone() };
-    let heard = |machine, number, sequence| Heard { machine, number, sequence };
+    let unsettled = ForwardedResponse { cache_entry: None, ..answered.clone() };
+    let heard = |machine, number, sequence| RepeatedHeartbeat { machine, number, sequence };
     vec![
         (
             "forwarded report",
-            Frame::ForwardedReport(ForwardedReport {
+            Frame::ForwardedHeartbeat(ForwardedHeartbeat {
                 node: "kernel-1".into(),
-                life: 0x0102_0304_0506_0708,
+                incarnation: 0x0102_0304_0506_0708,
                 number: 0x1112_1314_1516_1718,
-                report: br#"{"tree":"n-000231"}"#.to_vec(),
+                heartbeat: br#"{"tree":"n-000231"}"#.to_vec(),
             }),
         ),
-        ("forwarded answer, none", Frame::ForwardedAnswer(unanswered)),
-        ("forwarded answer", Frame::ForwardedAnswer(unsettled)),
-        ("forwarded answer and mark", Frame::ForwardedAnswer(answered)),
+        ("forwarded answer, none", Frame::ForwardedResponse(unanswered)),
+        ("forwarded answer", Frame::ForwardedResponse(unsettled)),
+        ("forwarded answer and mark", Frame::ForwardedResponse(answered)),
         (
             "heard",
-            Frame::Heard {
+            Frame::RepeatedHeartbeats {
                 term: 0x0102_0304_0506_0708,
                 heard: vec![heard(1, 2, 3), heard(0x1112_1314, 1 << 40, 1 << 50)],
             },
@@ -160,14 +165,14 @@
 
 fn grant_frames() -> Vec<(&'static str, Frame)> {
     let granting = |spare, spare_to| {
-        Frame::Granting(Granting {
+        Frame::DelegationGranted(DelegationGranted {
             node: "kernel-0".into(),
-            asker_life: 0x0102_0304_0506_0708,
-            grant: Grant {
+            asker_incarnation: 0x0102_0304_0506_0708,
+            grant: DelegationGrant {
                 term: 0x1112_1314_1516_1718,
                 asked: 0x2122_2324_2526_2728,
                 unknown_for: Span(0x3132_3334_3536_3738),
-                withdrawn: 0x4142_4344_4546_4748,
+                invalidated: 0x4142_4344_4546_4748,
             },
             spare,
             spare_to,
@@ -176,9 +181,9 @@
     vec![
         (
             "ask grant",
-            Frame::AskGrant(AskGrant {
+            Frame::DelegationRequest(DelegationRequest {
                 node: "kernel-2".into(),
-                life: 0x0102_0304_0506_0708,
+                incarnation: 0x0102_0304_0506_0708,
                 number: 0x1112_1314_1516_1718,
                 workers: 0x2122_2324,
             }),
@@ -187,10 +192,10 @@
         ("granting, none to spare", granting(0, None)),
         (
             "withdrawn",
-            Frame::Withdrawn {
+            Frame::Invalidated {
                 term: 0x0102_0304_0506_0708,
                 first: 0x1112_1314_1516_1718,
-                marks: vec![(3, 4), (0x2122_2324, 1 << 40)],
+                cache_entries: vec![(3, 4), (0x2122_2324, 1 << 40)],
             },
         ),
     ]
--- a/crates/controller/src/peers/tests.rs
+++ b/crates/controller/src/peers/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use walnutlug_scheduler::reconciliation::delegation::{Grant, NewMark};
-use walnutlug_scheduler::reconciliation::repeated_heartbeats::SettledReport;
+use walnutlug_scheduler::reconciliation::delegation::{CacheGrant, DelegationGrant};
+use walnutlug_scheduler::reconciliation::repeated_heartbeats::CachedHeartbeat;
 use walnutlug_scheduler::time::Span;
 
 fn frames() -> Vec<Frame> {
@@ -11,7 +11,7 @@
             leading: true,
             store_reachable: false,
             redirected: 7,
-            life: 1 << 50,
+            incarnation: 1 << 50,
             count: 9,
         },
         Frame::Progress { job: "req-000001".into(), done: 3, running: 70_000 },
@@ -29,36 +29,51 @@
 }
 
 fn heartbeat_frames() -> Vec<Frame> {
-    let settled = SettledReport { term: 1 << 40, machine: 700, number: 1 << 33 };
-    let mark = NewMark { settled, token: 1 << 60, valid_for: Span(u64::MAX), withdrawn: 90_000 };
-    let answer = ForwardedAnswer { asker_life: 3, number: 9, answer: None, mark: None };
-    let grant = Grant { term: 1 << 40, asked: 17, unknown_for: Span::millis(900), withdrawn: 4 };
-    let granting = Granting {
+    let cached = CachedHeartbeat { term: 1 << 40, machine: 700, number: 1 << 33 };
+    let cache_entry =
+        CacheGrant { cached, token: 1 << 60, valid_for: Span(u64::MAX), invalidated: 90_000 };
+    let answer =
+        ForwardedResponse { asker_incarnation: 3, number: 9, answer: None, cache_entry: None };
+    let grant = DelegationGrant {
+        term: 1 << 40,
+        asked: 17,
+        unknown_for: Span::millis(900),
+        invalidated: 4,
+    };
+    let granting = DelegationGranted {
         node: "kernel-0".into(),
-        asker_life: 1 << 50,
+        asker_incarnation: 1 << 50,
         grant,
         spare: 20,
         spare_to: Some("kernel-2".into()),
     };
-    let heard = |machine| Heard { machine, number: 5, sequence: 1 << 34 };
+    let heard = |machine| RepeatedHeartbeat { machine, number: 5, sequence: 1 << 34 };
     vec![
-        Frame::ForwardedReport(ForwardedReport {
+        Frame::ForwardedHeartbeat(ForwardedHeartbeat {
             node: "kernel-1".into(),
-            life: 1 << 50,
+            incarnation: 1 << 50,
             number: 70_000,
-            report: vec![b'x'; MOST_CARRIED],
+            heartbeat: vec![b'x'; MOST_CARRIED],
         }),
-        Frame::ForwardedAnswer(answer.clone()),
-        Frame::ForwardedAnswer(ForwardedAnswer {
+        Frame::ForwardedResponse(answer.clone()),
+        Frame::ForwardedResponse(ForwardedResponse {
             answer: Some(vec![b'y'; MOST_CARRIED]),
-            mark: Some(mark),
+            cache_entry: Some(cache_entry),
             ..answer
         }),
-        Frame::Heard { term: 1 << 40, heard: (0..MOST_ENTRIES as u32).map(heard).collect() },
-        Frame::AskGrant(AskGrant { node: "kernel-1".into(), life: 1, number: 2, workers: 300 }),
-        Frame::Granting(granting.clone()),
-        Frame::Granting(Granting { spare_to: None, ..granting }),
-        Frame::Withdrawn { term: 1 << 40, first: 8, marks: vec![(3, 4), (5, 6)] },
+        Frame::RepeatedHeartbeats {
+            term: 1 << 40,
+            heard: (0..MOST_ENTRIES as u32).map(heard).collect(),
+        },
+        Frame::DelegationRequest(DelegationRequest {
+            node: "kernel-1".into(),
+            incarnation: 1,
+            number: 2,
+            workers: 300,
+        }),
+        Frame::DelegationGranted(granting.clone()),
+        Frame::DelegationGranted(DelegationGranted { spare_to: None, ..granting }),
+        Frame::Invalidated { term: 1 << 40, first: 8, cache_entries: vec![(3, 4), (5, 6)] },
     ]
 }
 
@@ -73,9 +88,9 @@
         assert!(short.is_err(), "{frame:?}");
         assert!(read_frame(&mut &bytes[..bytes.len() - 1]).await.is_err(), "{frame:?}");
     }
-    let list = Frame::Withdrawn { term: 1, first: 1, marks: vec![(3, 4)] }.encode();
+    let list = Frame::Invalidated { term: 1, first: 1, cache_entries: vec![(3, 4)] }.encode();
     let body = &list[size_of::<Header>()..list.len() - 1];
-    assert!(Frame::decode(KIND_WITHDRAWN, body).is_err(), "an entry that is cut");
+    assert!(Frame::decode(KIND_INVALIDATED, body).is_err(), "an entry that is cut");
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/controller/src/settings.rs
+++ b/crates/controller/src/settings.rs
@@ -304,9 +304,9 @@
             site: Site {
                 teams,
                 objectives,
-                report: Span::from_secs(report_s),
-                lease: Span::from_secs(lease_s),
-                cancel: Span::from_secs(cancel_s),
+                heartbeat_interval: Span::from_secs(report_s),
+                worker_lease: Span::from_secs(lease_s),
+                cancel_within: Span::from_secs(cancel_s),
                 // New jobs are kept in a form that fits whatever comes.
                 value_bytes: smaller.value_bytes,
                 txn_ops: smaller.txn_ops,
--- a/crates/controller/src/worker_api.rs
+++ b/crates/controller/src/worker_api.rs
@@ -4,9 +4,13 @@
 use std::time::Duration;
 
 use walnutlug_scheduler::leadership::election::Role;
-use walnutlug_scheduler::protocol::{Commands, Redirect, Report, ReportAnswer, WorkerCommand};
-use walnutlug_scheduler::reconciliation::repeated_heartbeats::{Holder, SettledReport, OWN_NODE};
-use walnutlug_scheduler::scheduler::DirectOutcome;
+use walnutlug_scheduler::protocol::{
+    CommandsRequest, Heartbeat, HeartbeatResponse, Redirect, WorkerCommand,
+};
+use walnutlug_scheduler::reconciliation::repeated_heartbeats::{
+    CacheHolder, CachedHeartbeat, OWN_NODE,
+};
+use walnutlug_scheduler::scheduler::MessageOutcome;
 use walnutlug_scheduler::time::Span;
 
 use crate::heartbeat_delegation;
@@ -19,22 +23,22 @@
 pub use connection::WorkerConnection;
 
 /// Reads a report; what is malformed changes nothing.
-fn parse(body: &[u8]) -> Result<Report, String> {
-    let report: Report = serde_json::from_slice(body).map_err(|e| e.to_string())?;
-    if report.machine.is_empty() || report.machine.len() > 64 {
+fn parse(body: &[u8]) -> Result<Heartbeat, String> {
+    let heartbeat: Heartbeat = serde_json::from_slice(body).map_err(|e| e.to_string())?;
+    if heartbeat.machine.is_empty() || heartbeat.machine.len() > 64 {
         return Err("tree: must have 1 to 64 bytes".to_owned());
     }
-    if report.address.parse::<SocketAddrV4>().is_err() {
+    if heartbeat.address.parse::<SocketAddrV4>().is_err() {
         return Err("address: must be an IPv4 address and a port".to_owned());
     }
-    if report.notice_s.is_some_and(|s| !s.is_finite()) {
+    if heartbeat.interruption_notice_s.is_some_and(|s| !s.is_finite()) {
         return Err("shakeS: must be a number".to_owned());
     }
-    Ok(report)
+    Ok(heartbeat)
 }
 
 /// Answers a worker's report, as the leader or on its behalf.
-pub async fn report(node: &Node, connection: &WorkerConnection, body: &[u8]) -> Answer {
+pub async fn heartbeat(node: &Node, connection: &WorkerConnection, body: &[u8]) -> Answer {
     let first = connection.count(&node.serving.workers);
     // Not with its first report: a worker that can't reach the other node comes back at once, and its
     // lease must not run out between two nodes that send it to each other.
@@ -43,7 +47,7 @@
         return redirect_to(Some(other));
     }
     if matches!(node.leadership.borrow().role(), Role::Leading { .. }) {
-        return answer_report(node, connection, body);
+        return answer_heartbeat(node, connection, body);
     }
     if let Some(token) = heartbeat_delegation::repeated(node, connection, body) {
         return accepted(token, Vec::new());
@@ -55,43 +59,50 @@
 }
 
 /// Answers a worker's report as the leader.
-pub fn answer_report(node: &Node, connection: &WorkerConnection, body: &[u8]) -> Answer {
-    if let Some(token) = repeated_report(node, connection, body) {
+pub fn answer_heartbeat(node: &Node, connection: &WorkerConnection, body: &[u8]) -> Answer {
+    if let Some(token) = cached_response_token(node, connection, body) {
         return accepted(token, Vec::new());
     }
-    let report = match parse(body) {
-        Ok(report) => report,
+    let heartbeat = match parse(body) {
+        Ok(heartbeat) => heartbeat,
         Err(e) => return Answer::error(400, e),
     };
-    let Some(read) = read_report(node, body, &report, OWN_NODE) else { return redirect(node) };
-    connection.remember(body, read.settled);
+    let Some(read) = handle_heartbeat(node, body, &heartbeat, OWN_NODE) else {
+        return redirect(node);
+    };
+    connection.remember(body, read.cached);
     node.pump();
     accepted(read.token, read.calls)
 }
 
 /// The token to answer with, if the report is the connection's last one again and that left nothing
 /// to do. Nothing is to be decided then either, so the leader isn't woken.
-fn repeated_report(node: &Node, connection: &WorkerConnection, body: &[u8]) -> Option<u64> {
-    let (settled, sequence) = connection.repeated_by(body)?;
+fn cached_response_token(node: &Node, connection: &WorkerConnection, body: &[u8]) -> Option<u64> {
+    let (cached, sequence) = connection.repeated_by(body)?;
     if !matches!(node.leadership.borrow().role(), Role::Leading { .. }) {
         return None;
     }
     let now = node.now();
     let mut scheduler = node.scheduler.borrow_mut();
     let scheduler = scheduler.as_mut()?;
-    scheduler.known_until = node.known_until();
-    scheduler.report_unchanged(now, settled, sequence)
+    scheduler.cancellations_known_until = node.cancellations_known_until();
+    scheduler.answer_repeated_heartbeat(now, cached, sequence)
 }
 
 /// The leader's answer to a report, and the mark if it left nothing to do.
-struct ReadReport {
+struct HandledHeartbeat {
     token: u64,
     calls: Vec<WorkerCommand>,
-    settled: Option<SettledReport>,
+    cached: Option<CachedHeartbeat>,
 }
 
 /// Reads a report that may say something new. `None`: this node may not answer it.
-fn read_report(node: &Node, body: &[u8], report: &Report, holder: Holder) -> Option<ReadReport> {
+fn handle_heartbeat(
+    node: &Node,
+    body: &[u8],
+    heartbeat: &Heartbeat,
+    holder: CacheHolder,
+) -> Option<HandledHeartbeat> {
     // While the records aren't read yet, an answer would renew the lease of tasks that were cancelled
     // while nobody could write or read, perhaps almost as long ago as they may take to go.
     if !matches!(node.leadership.borrow().role(), Role::Leading { .. }) {
@@ -100,37 +111,42 @@
     let now = node.now();
     let mut scheduler = node.scheduler.borrow_mut();
     let scheduler = scheduler.as_mut()?;
-    scheduler.known_until = node.known_until();
-    node.tell_renewing(scheduler.may_renew(now));
-    let (token, calls) = scheduler.report(now, report)?;
+    scheduler.cancellations_known_until = node.cancellations_known_until();
+    node.tell_renewing(scheduler.may_renew_leases(now));
+    let (token, calls) = scheduler.heartbeat(now, heartbeat)?;
     // The number found in the text has to be the one that was read.
-    let may_settle = calls.is_empty() && sequence_in(body) == Some(report.seq);
-    let settled = may_settle.then(|| scheduler.settle_report(now, report, holder)).flatten();
-    Some(ReadReport { token, calls, settled })
+    let may_settle = calls.is_empty() && sequence_in(body) == Some(heartbeat.sequence);
+    let cached = may_settle.then(|| scheduler.cache_heartbeat(now, heartbeat, holder)).flatten();
+    Some(HandledHeartbeat { token, calls, cached })
 }
 
 /// The leader's answer to a report that a follower passed on.
-pub struct ForwardedRead {
+pub struct HandledForwardedHeartbeat {
     /// The body for the worker.
     pub body: Vec<u8>,
     /// If repetitions mean nothing: the mark, the token to answer with, and for how long.
-    pub mark: Option<(SettledReport, u64, Span)>,
+    pub cache_entry: Option<(CachedHeartbeat, u64, Span)>,
 }
 
 /// Reads a report that a follower passed on. `None`: the worker should come itself, or go elsewhere.
-pub fn read_forwarded(node: &Node, body: &[u8], holder: Holder) -> Option<ForwardedRead> {
-    let report = parse(body).ok()?;
-    let ReadReport { token, calls, settled } = read_report(node, body, &report, holder)?;
+pub fn handle_forwarded_heartbeat(
+    node: &Node,
+    body: &[u8],
+    holder: CacheHolder,
+) -> Option<HandledForwardedHeartbeat> {
+    let heartbeat = parse(body).ok()?;
+    let HandledHeartbeat { token, calls, cached } =
+        handle_heartbeat(node, body, &heartbeat, holder)?;
     let scheduler = node.scheduler.borrow();
     let valid_for =
-        |s| scheduler.as_ref().map_or(Span::ZERO, |known| known.settled_for(node.now(), s));
-    let mark = settled.map(|settled| (settled, token, valid_for(settled)));
-    let body = serde_json::to_vec(&ReportAnswer { token, calls }).ok()?;
-    Some(ForwardedRead { body, mark })
+        |s| scheduler.as_ref().map_or(Span::ZERO, |known| known.cached_for(node.now(), s));
+    let cache_entry = cached.map(|cached| (cached, token, valid_for(cached)));
+    let body = serde_json::to_vec(&HeartbeatResponse { token, calls }).ok()?;
+    Some(HandledForwardedHeartbeat { body, cache_entry })
 }
 
 fn accepted(token: u64, calls: Vec<WorkerCommand>) -> Answer {
-    match serde_json::to_vec(&ReportAnswer { token, calls }) {
+    match serde_json::to_vec(&HeartbeatResponse { token, calls }) {
         Ok(body) => Answer { status: 200, body, retry_after: None, close: false, idle: None },
         Err(e) => Answer::error(503, e.to_string()),
     }
@@ -150,25 +166,25 @@
 }
 
 /// Sends commands once. Never again: whether they arrived is for the worker's reports to tell.
-pub async fn direct(
+pub async fn send_commands(
     client: &Client,
     address: &str,
     token: u64,
-    session: u64,
+    agent_epoch: u64,
     calls: &[WorkerCommand],
-) -> DirectOutcome {
-    let Ok(addr) = address.parse::<SocketAddrV4>() else { return DirectOutcome::NotSent };
-    let Ok(body) = serde_json::to_vec(&Commands { token, session, calls }) else {
-        return DirectOutcome::NotSent;
+) -> MessageOutcome {
+    let Ok(addr) = address.parse::<SocketAddrV4>() else { return MessageOutcome::NotSent };
+    let Ok(body) = serde_json::to_vec(&CommandsRequest { token, agent_epoch, calls }) else {
+        return MessageOutcome::NotSent;
     };
     let within = Duration::from_secs(2);
     match client.request(addr, "POST", "/commands", &body, within).await {
         Ok(r) if r.status == 200 || r.status == 409 => match parse(&r.body) {
-            Ok(report) => DirectOutcome::Answered(Box::new(report)),
-            Err(_) => DirectOutcome::Lost,
+            Ok(heartbeat) => MessageOutcome::Answered(Box::new(heartbeat)),
+            Err(_) => MessageOutcome::Indeterminate,
         },
-        Ok(_) | Err(Failure::Lost) => DirectOutcome::Lost,
-        Err(Failure::NotSent) => DirectOutcome::NotSent,
+        Ok(_) | Err(Failure::Lost) => MessageOutcome::Indeterminate,
+        Err(Failure::NotSent) => MessageOutcome::NotSent,
     }
 }
 
--- a/crates/controller/src/worker_api/connection.rs
+++ b/crates/controller/src/worker_api/connection.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use walnutlug_scheduler::protocol::sequence_digits;
-use walnutlug_scheduler::reconciliation::repeated_heartbeats::SettledReport;
+use walnutlug_scheduler::reconciliation::repeated_heartbeats::CachedHeartbeat;
 
 /// Longer reports are read in full each time: some thousand connections remember one each.
 const MOST_REMEMBERED: usize = 4 * 1024;
@@ -15,14 +15,14 @@
 struct Remembered {
     body: Vec<u8>,
     sequence: Range<usize>,
-    settled: SettledReport,
+    cached: CachedHeartbeat,
 }
 
 /// One connection from a worker, if it turns out to be from one.
 #[derive(Debug, Default)]
 pub struct WorkerConnection {
     last: RefCell<Option<Remembered>>,
-    reports: Cell<u32>,
+    heartbeats: Cell<u32>,
     counted: OnceCell<Counted>,
 }
 
@@ -43,24 +43,24 @@
             workers.set(workers.get() + 1);
             Counted(workers.clone())
         });
-        self.reports.set(self.reports.get().saturating_add(1));
-        self.reports.get() == 1
+        self.heartbeats.set(self.heartbeats.get().saturating_add(1));
+        self.heartbeats.get() == 1
     }
 
     /// If the body is the last report again, but for its sequence number: that number, and the mark.
-    pub fn repeated_by(&self, body: &[u8]) -> Option<(SettledReport, u64)> {
+    pub fn repeated_by(&self, body: &[u8]) -> Option<(CachedHeartbeat, u64)> {
         let remembered = self.last.borrow();
         let last = remembered.as_ref()?;
         let before = &last.body[..last.sequence.start];
         let after = &last.body[last.sequence.end..];
         let digits = body.strip_prefix(before)?.strip_suffix(after)?;
-        Some((last.settled, parse_digits(digits)?))
+        Some((last.cached, parse_digits(digits)?))
     }
 
     /// Remembers a report that left nothing to do, or forgets the one before.
-    pub fn remember(&self, body: &[u8], settled: Option<SettledReport>) {
-        let remembered = settled.filter(|_| body.len() <= MOST_REMEMBERED).and_then(|settled| {
-            Some(Remembered { body: body.to_vec(), sequence: sequence_digits(body)?, settled })
+    pub fn remember(&self, body: &[u8], cached: Option<CachedHeartbeat>) {
+        let remembered = cached.filter(|_| body.len() <= MOST_REMEMBERED).and_then(|cached| {
+            Some(Remembered { body: body.to_vec(), sequence: sequence_digits(body)?, cached })
         });
         *self.last.borrow_mut() = remembered;
     }
--- a/crates/controller/tests/fencing.rs
+++ b/crates/controller/tests/fencing.rs
@@ -20,14 +20,16 @@
         within: MOST_TIME,
     };
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
-    let report = runtime.expect("a runtime").block_on(run(&plan));
-    println!("{:#?}", report.findings);
-    assert_eq!(report.freezes, FREEZES);
-    assert!(report.terms > 1, "others took over");
-    assert!(report.intents > 0 && report.findings.rentals > 0 && report.findings.returns > 0);
-    assert_eq!(report.findings.uncovered(), 0, "actions of replaced holders");
-    assert_eq!(report.findings.stale_returns_under_work, 0);
-    assert_eq!(report.findings.forgotten, 0, "machines that nobody returned");
-    assert_eq!(report.done, report.accepted, "jobs that got lost");
-    assert!(report.ran_twice.is_empty(), "{:?}", report.ran_twice);
+    let heartbeat = runtime.expect("a runtime").block_on(run(&plan));
+    println!("{:#?}", heartbeat.findings);
+    assert_eq!(heartbeat.freezes, FREEZES);
+    assert!(heartbeat.terms > 1, "others took over");
+    assert!(
+        heartbeat.intents > 0 && heartbeat.findings.rentals > 0 && heartbeat.findings.returns > 0
+    );
+    assert_eq!(heartbeat.findings.uncovered(), 0, "actions of replaced holders");
+    assert_eq!(heartbeat.findings.stale_returns_under_work, 0);
+    assert_eq!(heartbeat.findings.forgotten, 0, "machines that nobody returned");
+    assert_eq!(heartbeat.done, heartbeat.accepted, "jobs that got lost");
+    assert!(heartbeat.ran_twice.is_empty(), "{:?}", heartbeat.ran_twice);
 }
--- a/crates/controller/tests/overload.rs
+++ b/crates/controller/tests/overload.rs
@@ -20,17 +20,17 @@
         length: LENGTH,
     };
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
-    let report = runtime.expect("a runtime").block_on(run(&plan));
-    println!("{report:#?}");
-    assert!(report.killed > 0, "a controller was killed");
-    assert!(report.ran_twice.is_empty(), "{:?}", report.ran_twice);
+    let heartbeat = runtime.expect("a runtime").block_on(run(&plan));
+    println!("{heartbeat:#?}");
+    assert!(heartbeat.killed > 0, "a controller was killed");
+    assert!(heartbeat.ran_twice.is_empty(), "{:?}", heartbeat.ran_twice);
     for team in TEAMS {
-        let told = &report.teams[team];
+        let told = &heartbeat.teams[team];
         assert!(told.accepted > 0, "{team}");
         assert_eq!(told.done, told.accepted, "{team}: jobs that got lost");
     }
     for team in &TEAMS[1..] {
-        let overtaken = report.teams[team].most_overtaken;
+        let overtaken = heartbeat.teams[team].most_overtaken;
         assert!(overtaken <= MOST_OVERTAKEN, "{team}: {overtaken} jobs of the flood went first");
     }
 }
--- a/crates/controller/tests/versions.rs
+++ b/crates/controller/tests/versions.rs
@@ -18,9 +18,9 @@
         length: LENGTH,
     };
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
-    let report = runtime.expect("a runtime").block_on(run(&plan));
-    println!("{report:#?}");
-    for (check, holds) in report.checks() {
+    let heartbeat = runtime.expect("a runtime").block_on(run(&plan));
+    println!("{heartbeat:#?}");
+    for (check, holds) in heartbeat.checks() {
         assert!(holds, "{check}");
     }
 }
--- a/crates/scheduler/src/autoscaling.rs
+++ b/crates/scheduler/src/autoscaling.rs
@@ -71,7 +71,7 @@
         if now.since(self.fleet.usage.last.unwrap_or_default()) >= ACCOUNT_EVERY {
             self.account(now);
         }
-        if !self.in_office {
+        if !self.holds_lease {
             return;
         }
         let unheard = self.unheard_zones(now);
@@ -133,7 +133,7 @@
         }
         let since = *u.since.get_or_insert(now);
         if now.since(since) >= Span::secs(60) {
-            self.note(format!(
+            self.log(format!(
                 "fleet: cost {:.3} (spot {:.3}, ordinary {:.3}): running {:.3}, starting {:.3}, booting {:.3}, idle spot {:.3}, idle ordinary {:.3}",
                 u.spot + u.ordinary,
                 u.spot,
@@ -146,11 +146,11 @@
             ));
             u = Usage { since: Some(now), last: Some(now), ..Usage::default() };
             let t = std::mem::take(&mut self.write_counters);
-            self.note(format!(
+            self.log(format!(
                 "state changes: starts {}, evidence {}, ends {}, drops {} of {} jobs",
-                t.starts, t.evidence, t.ends, t.drops, t.jobs
+                t.starts, t.status_writes, t.ends, t.drops, t.jobs
             ));
-            self.note(format!("placed {} tasks, {} where the image is", t.placed, t.cached));
+            self.log(format!("placed {} tasks, {} where the image is", t.placed, t.cached));
             self.note_shares();
         }
         self.fleet.usage = u;
@@ -178,7 +178,7 @@
             let coming = m.state == MachineState::Booting
                 && m.expected
                 && m.draining.is_none()
-                && m.said_up.is_none_or(|t| now.since(t) < ANSWER_WITHIN);
+                && m.hinted_up_at.is_none_or(|t| now.since(t) < ANSWER_WITHIN);
             if !coming && !self.open_for_work(now, m) {
                 continue;
             }
@@ -468,7 +468,8 @@
                 matches!(m.draining, Some("silent" | "deaf" | "never came up" | "failed"));
             let due = m.state != MachineState::Gone
                 && m.state != MachineState::Returning
-                && (hopeless || (m.draining.is_some() && m.tasks.is_empty() && m.foreign == 0));
+                && (hopeless
+                    || (m.draining.is_some() && m.tasks.is_empty() && m.unexpected_tasks == 0));
             if (due || again) && names.len() < 100 {
                 causes.push(format!("{} ({})", m.name, m.draining.unwrap_or("asked again")));
                 m.state = MachineState::Returning;
@@ -478,11 +479,11 @@
             }
         }
         for ix in returning {
-            self.unsettle(ix);
+            self.invalidate_cached_heartbeat(ix);
         }
         if !names.is_empty() {
             self.fleet.returning += 1;
-            self.note(format!("returning {}", causes.join(", ")));
+            self.log(format!("returning {}", causes.join(", ")));
             self.out.push(Command::Return { machines: names });
         }
     }
@@ -508,7 +509,7 @@
         let machine = &mut self.machines[ix as usize];
         machine.state = MachineState::Returning;
         machine.return_sent = Some(now);
-        self.unsettle(ix);
+        self.invalidate_cached_heartbeat(ix);
     }
 
     /// A former leader recorded that it rents these machines, and whether they came isn't known yet.
@@ -563,7 +564,7 @@
             self.fleet.refused.remove(&offer);
         }
         let what = if spot { "spot" } else { "ordinary" };
-        self.note(format!("rented {} of {asked} {what} {kind} in {zone}", got.len()));
+        self.log(format!("rented {} of {asked} {what} {kind} in {zone}", got.len()));
         for name in got {
             let m = self.machine_named(now, &name);
             let machine = &mut self.machines[m as usize];
@@ -610,7 +611,7 @@
                 }
             }
             if entry.stage == MachineStage::Running {
-                machine.said_up.get_or_insert(now);
+                machine.hinted_up_at.get_or_insert(now);
             }
             if entry.stage == MachineStage::Failed {
                 // A failed machine stopped by itself, so nothing is on it any more. It stays
@@ -619,7 +620,7 @@
                     machine.draining = Some("failed");
                     let text = format!("{} failed", entry.name);
                     let tasks: Vec<_> = self.machines[m as usize].tasks.iter().copied().collect();
-                    self.note(text);
+                    self.log(text);
                     self.lost_with_machine(now, &tasks);
                 }
             }
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -5,15 +5,15 @@
 use crate::model::task::{Input, MachineIx, Phase};
 use crate::protocol::WorkerCommand;
 use crate::reconciliation::heartbeats::MOST_COMMANDS;
-use crate::scheduler::{Command, DirectOutcome, MachineState, Scheduler, TaskId, OVERDUE};
+use crate::scheduler::{Command, MachineState, MessageOutcome, Scheduler, TaskId, OVERDUE};
 use crate::time::{Span, Time};
 
 /// A worker reports a higher token that an answer showed it within half a second, if the answer arrived.
 const ANSWER_SHOWS_WITHIN: Span = Span::millis(1_500);
 
 /// Ever longer, up to sixteen times the first, while messages to a machine go on being lost.
-fn pause(first: Span, losses: u32) -> Span {
-    Span(first.0 << losses.saturating_sub(1).min(4))
+fn pause(first: Span, consecutive_losses: u32) -> Span {
+    Span(first.0 << consecutive_losses.saturating_sub(1).min(4))
 }
 
 impl Scheduler {
@@ -21,28 +21,28 @@
     /// machines are looked at that something happened to.
     pub(crate) fn flush(&mut self, now: Time, sweep: bool) {
         let term = self.term;
-        let overdue = self.site.report.scale(OVERDUE);
+        let overdue = self.site.heartbeat_interval.scale(OVERDUE);
         let most_questions = self.site.most_messages / 3 + 1;
-        let noted = std::mem::take(&mut self.attention);
+        let noted = std::mem::take(&mut self.send_queue);
         for &ix in &noted {
-            self.machines[ix as usize].noted = false;
+            self.machines[ix as usize].in_send_queue = false;
         }
         let all = if sweep { 0..self.machines.len() } else { 0..0 };
         let noted = noted.into_iter().map(|ix| ix as usize).filter(|_| !sweep);
         let mut overdue_machines = Vec::new();
         for ix in all.chain(noted) {
-            self.looked_at_to_send += 1;
+            self.send_checks += 1;
             let m = &self.machines[ix];
             // A machine of the last leader's that has not reported yet is asked at the address that
             // the cloud or another node tells, so that a take-over doesn't wait for its next report.
-            let asked =
-                m.state == MachineState::Booting && (m.said_up.is_some() || !m.tasks.is_empty());
+            let asked = m.state == MachineState::Booting
+                && (m.hinted_up_at.is_some() || !m.tasks.is_empty());
             let known = m.state == MachineState::Up || asked;
             let can_send = known
-                && !m.busy
+                && !m.request_in_flight
                 && now >= m.retry_at
                 && !m.address.is_empty()
-                && self.under_way < self.site.most_messages;
+                && self.messages_in_flight < self.site.most_messages;
             // A fence that was raised for a lost send, or a new term, is shown to the worker at
             // once instead of with its next report.
             // (The first answer of a worker whose session wasn't known shows the session only; the
@@ -50,18 +50,19 @@
             // A fence that an answer to its own report has just shown it is asked about only if its
             // next report doesn't come. (Each reap raises the fence: a question after each of them was a
             // third of all messages.)
-            let just_told = now.since(m.told_token) < ANSWER_SHOWS_WITHIN;
-            let unseen = m.seen_token < token(term, 0).max(m.must_see)
-                || (m.seen_token < m.token(term) && !m.tasks.is_empty() && !just_told);
+            let just_told = now.since(m.token_sent_at) < ANSWER_SHOWS_WITHIN;
+            let unseen = m.acknowledged_token < token(term, 0).max(m.required_token)
+                || (m.acknowledged_token < m.token(term) && !m.tasks.is_empty() && !just_told);
             // One that missed a report is asked: if it answers it is not silent, and if it doesn't
             // it can be given up sooner.
-            let missed = m.state == MachineState::Up && now.since(m.last_report) > overdue;
-            let may_start = can_send && self.in_office;
+            let missed = m.state == MachineState::Up && now.since(m.last_heartbeat) > overdue;
+            let may_start = can_send && self.holds_lease;
             let (ids, starts) = self.last_look(now, ix as MachineIx, may_start);
             let m = &mut self.machines[ix];
             // Mere questions are paced: at a take-over the whole fleet is asked.
-            let ask_later =
-                m.outbox.is_empty() && starts.is_empty() && self.under_way >= most_questions;
+            let ask_later = m.outbox.is_empty()
+                && starts.is_empty()
+                && self.messages_in_flight >= most_questions;
             if ask_later
                 || !can_send
                 || (m.outbox.is_empty() && starts.is_empty() && !unseen && !missed)
@@ -81,9 +82,9 @@
     /// that were heard longest ago. (In the order of the table, the first two thousand were overdue again
     /// before the others were asked at all.)
     fn ask_overdue(&mut self, mut machines: Vec<MachineIx>, most_questions: usize) {
-        let room = most_questions.saturating_sub(self.under_way);
+        let room = most_questions.saturating_sub(self.messages_in_flight);
         if machines.len() > room {
-            machines.sort_unstable_by_key(|&ix| self.machines[ix as usize].last_report);
+            machines.sort_unstable_by_key(|&ix| self.machines[ix as usize].last_heartbeat);
             machines.truncate(room);
         }
         for ix in machines {
@@ -95,51 +96,55 @@
     fn post(&mut self, ix: MachineIx, ids: Vec<(TaskId, u32)>, starts: Vec<WorkerCommand>) {
         let term = self.term;
         let m = &mut self.machines[ix as usize];
-        m.busy = true;
-        self.under_way += 1;
+        m.request_in_flight = true;
+        self.messages_in_flight += 1;
         m.in_message = ids;
         let mut calls = std::mem::take(&mut m.outbox);
         calls.extend(starts);
-        self.out.push(Command::Direct {
+        self.out.push(Command::SendToWorker {
             machine: ix,
             address: m.address.clone(),
             token: m.token(term),
-            session: m.session,
+            agent_epoch: m.agent_epoch,
             calls,
         });
     }
 
-    /// The answer to a [`Command::Direct`].
-    pub fn direct_answer(&mut self, now: Time, m: MachineIx, outcome: DirectOutcome) {
+    /// The answer to a [`Command::SendToWorker`].
+    pub fn message_answered(&mut self, now: Time, m: MachineIx, outcome: MessageOutcome) {
         let Some(machine) = self.machines.get_mut(m as usize) else { return };
-        if std::mem::take(&mut machine.busy) {
-            self.under_way = self.under_way.saturating_sub(1);
+        if std::mem::take(&mut machine.request_in_flight) {
+            self.messages_in_flight = self.messages_in_flight.saturating_sub(1);
         }
         let starts = std::mem::take(&mut machine.in_message);
         let term = self.term;
-        self.attend(m);
-        if !matches!(outcome, DirectOutcome::Answered(_)) {
-            self.unsettle(m);
+        self.enqueue_send(m);
+        if !matches!(outcome, MessageOutcome::Answered(_)) {
+            self.invalidate_cached_heartbeat(m);
         }
         let machine = &mut self.machines[m as usize];
         match outcome {
-            DirectOutcome::Answered(_) => (self.answered_at, self.lost_since) = (now, 0),
-            DirectOutcome::NotSent | DirectOutcome::Lost => self.lost_since += 1,
+            MessageOutcome::Answered(_) => {
+                (self.last_message_answered, self.messages_lost_in_a_row) = (now, 0)
+            }
+            MessageOutcome::NotSent | MessageOutcome::Indeterminate => {
+                self.messages_lost_in_a_row += 1
+            }
         }
         match outcome {
-            DirectOutcome::Answered(report) => {
-                if report.machine == machine.name {
-                    machine.losses = 0;
-                    let entries = self.resolve(&report);
-                    self.evidence(now, &report, &entries, true);
+            MessageOutcome::Answered(heartbeat) => {
+                if heartbeat.machine == machine.name {
+                    machine.consecutive_losses = 0;
+                    let entries = self.resolve(&heartbeat);
+                    self.reconcile_heartbeat(now, &heartbeat, &entries, true);
                 } else {
                     machine.retry_at = now + Span::secs(1);
                 }
             }
-            DirectOutcome::NotSent => {
-                machine.losses += 1;
-                machine.retry_at = now + pause(Span::secs(1), machine.losses);
-                machine.doubt(now, term);
+            MessageOutcome::NotSent => {
+                machine.consecutive_losses += 1;
+                machine.retry_at = now + pause(Span::secs(1), machine.consecutive_losses);
+                machine.raise_fencing_counter(now, term);
                 self.stop_again(m);
                 // There was no connection, so nothing left this process and nothing ever will:
                 // these starts are absent by this registry's own doing.
@@ -156,12 +161,12 @@
                     }
                 }
             }
-            DirectOutcome::Lost => {
+            MessageOutcome::Indeterminate => {
                 // The message may be executed minutes later. Raising the fence makes sure that a
                 // report that has seen the new number proves that the old message never will be.
-                machine.losses += 1;
-                machine.retry_at = now + pause(Span::millis(1_500), machine.losses);
-                machine.doubt(now, term);
+                machine.consecutive_losses += 1;
+                machine.retry_at = now + pause(Span::millis(1_500), machine.consecutive_losses);
+                machine.raise_fencing_counter(now, term);
                 self.stop_again(m);
             }
         }
--- a/crates/scheduler/src/leadership/election.rs
+++ b/crates/scheduler/src/leadership/election.rs
@@ -79,16 +79,16 @@
 }
 
 /// Bits of a token below the term: the worker's fence number.
-const FENCE_BITS: u32 = 20;
+const FENCING_COUNTER_BITS: u32 = 20;
 
 /// The token for a worker: the term above, the worker's fence below. A new term or a raised fence
 /// each make a worker refuse everything sent before.
-pub fn token(term: u64, fence: u64) -> u64 {
-    (term << FENCE_BITS) | fence.min((1 << FENCE_BITS) - 1)
+pub fn token(term: u64, fencing_counter: u64) -> u64 {
+    (term << FENCING_COUNTER_BITS) | fencing_counter.min((1 << FENCING_COUNTER_BITS) - 1)
 }
 
 pub fn term_of(token: u64) -> u64 {
-    token >> FENCE_BITS
+    token >> FENCING_COUNTER_BITS
 }
 
 #[cfg(test)]
--- a/crates/scheduler/src/leadership/watermark.rs
+++ b/crates/scheduler/src/leadership/watermark.rs
@@ -2,7 +2,7 @@
 //! them all.
 //!
 //! A worker's lease is renewed by the answers to its reports, and a task of a cancelled job that is
-//! renewed unknowingly lives on. So each node keeps a [`CancelLog`] of the cancellations that it told,
+//! renewed unknowingly lives on. So each node keeps a [`CancellationLog`] of the cancellations that it told,
 //! numbered, and repeats them to every other node until that acknowledges them. A leader asks the
 //! others again and again how far their logs go; from the answers, and from what it reads itself, its
 //! [`Watermark`] works out the time up to which no cancellation can have escaped it. Both are exact
@@ -36,8 +36,8 @@
 /// For how long after its watermark a leader may go on renewing leases: a cancellation that it doesn't
 /// know of was told after the watermark, and a lease renewed now must have ended `cancel` after that.
 pub fn window(site: &Site) -> Span {
-    let drift = (site.lease + site.cancel).scale(DRIFT);
-    let window = site.cancel - site.lease - MARGIN - drift;
+    let drift = (site.worker_lease + site.cancel_within).scale(DRIFT);
+    let window = site.cancel_within - site.worker_lease - MARGIN - drift;
     window.max(LEAST_WINDOW)
 }
 
@@ -49,7 +49,7 @@
 /// How far another node has acknowledged this one's log.
 #[derive(Debug, Default, Clone, Copy)]
 struct Reader {
-    life: u64,
+    incarnation: u64,
     acked: u64,
     told: u64,
     told_at: Time,
@@ -57,7 +57,7 @@
 
 /// The cancellations that this node told in this life, numbered from 1.
 #[derive(Debug)]
-pub struct CancelLog {
+pub struct CancellationLog {
     keep: Span,
     /// The number of the first that is still kept.
     first: u64,
@@ -65,10 +65,10 @@
     readers: BTreeMap<String, Reader>,
 }
 
-impl CancelLog {
-    pub fn new(site: &Site) -> CancelLog {
-        let keep = site.cancel.scale(KEEP);
-        CancelLog { keep, first: 1, kept: VecDeque::new(), readers: BTreeMap::new() }
+impl CancellationLog {
+    pub fn new(site: &Site) -> CancellationLog {
+        let keep = site.cancel_within.scale(KEEP);
+        CancellationLog { keep, first: 1, kept: VecDeque::new(), readers: BTreeMap::new() }
     }
 
     /// Before a user is told: the end is stored, and this node is about to say so.
@@ -92,17 +92,17 @@
     }
 
     /// The other node is heard, in that life of it: a new one knows nothing of what the last was told.
-    pub fn heard(&mut self, reader: &str, life: u64) {
+    pub fn heard(&mut self, reader: &str, incarnation: u64) {
         let known = self.readers.entry(reader.to_owned()).or_default();
-        if known.life != life {
-            *known = Reader { life, ..Reader::default() };
+        if known.incarnation != incarnation {
+            *known = Reader { incarnation, ..Reader::default() };
         }
     }
 
     /// The other node has all up to that number.
-    pub fn acknowledged(&mut self, reader: &str, life: u64, up_to: u64) {
+    pub fn acknowledged(&mut self, reader: &str, incarnation: u64, up_to: u64) {
         let last = self.last();
-        if let Some(known) = self.readers.get_mut(reader).filter(|r| r.life == life) {
+        if let Some(known) = self.readers.get_mut(reader).filter(|r| r.incarnation == incarnation) {
             known.acked = known.acked.max(up_to.min(last));
         }
     }
@@ -130,7 +130,7 @@
 /// One other node's log, as far as it arrived here.
 #[derive(Debug, Default)]
 struct Stream {
-    life: u64,
+    incarnation: u64,
     received: u64,
     /// All that it told before this is known here.
     vouched: Time,
@@ -168,11 +168,11 @@
         self.asked.push_back((number, now));
     }
 
-    fn stream(&mut self, now: Time, node: &str, life: u64) -> Option<&mut Stream> {
+    fn stream(&mut self, now: Time, node: &str, incarnation: u64) -> Option<&mut Stream> {
         let stream = self.streams.get_mut(node)?;
-        if stream.life != life {
+        if stream.incarnation != incarnation {
             // What the former self told last may never have been sent.
-            *stream = Stream { life, received: 0, gap: Some(now), vouched: stream.vouched };
+            *stream = Stream { incarnation, received: 0, gap: Some(now), vouched: stream.vouched };
         }
         Some(stream)
     }
@@ -181,13 +181,20 @@
     /// others from before it reads the records. (Met first with their first vouches, after the records
     /// were read, they vouched for nothing until the next read; a leader elected just before an outage
     /// let all leases run out in it.)
-    pub fn heard(&mut self, now: Time, node: &str, life: u64) {
-        self.stream(now, node, life);
+    pub fn heard(&mut self, now: Time, node: &str, incarnation: u64) {
+        self.stream(now, node, incarnation);
     }
 
     /// A part of another node's log has come, beginning with that number. What to acknowledge.
-    pub fn told(&mut self, now: Time, node: &str, life: u64, first: u64, n: u64) -> Option<u64> {
-        let stream = self.stream(now, node, life)?;
+    pub fn told(
+        &mut self,
+        now: Time,
+        node: &str,
+        incarnation: u64,
+        first: u64,
+        n: u64,
+    ) -> Option<u64> {
+        let stream = self.stream(now, node, incarnation)?;
         if first > stream.received + 1 {
             stream.gap = Some(now);
         }
@@ -196,10 +203,10 @@
     }
 
     /// Another node answers a question: all that it has told by now has numbers up to `last`.
-    pub fn vouch(&mut self, now: Time, node: &str, life: u64, last: u64, number: u64) {
+    pub fn vouch(&mut self, now: Time, node: &str, incarnation: u64, last: u64, number: u64) {
         let read = self.read;
         let asked = self.asked.iter().find(|a| a.0 == number).map(|a| a.1);
-        let Some(stream) = self.stream(now, node, life) else { return };
+        let Some(stream) = self.stream(now, node, incarnation) else { return };
         if stream.gap.is_some_and(|gap| gap <= read) {
             stream.gap = None;
         }
--- a/crates/scheduler/src/model/task.rs
+++ b/crates/scheduler/src/model/task.rs
@@ -69,7 +69,7 @@
     pub attempt: u32,
     pub machine: MachineIx,
     /// The worker's session that the start was sent to.
-    pub session: u64,
+    pub agent_epoch: u64,
     /// The token that the start was sent with; 0 until it is sent. Proof of absence needs a
     /// report that had already seen a higher one.
     pub token: u64,
@@ -84,7 +84,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Input {
     /// Placed by a round, to be written before it is sent.
-    Dispatch { machine: MachineIx, session: u64 },
+    Dispatch { machine: MachineIx, agent_epoch: u64 },
     /// The round's write is certain to have failed: nothing was sent.
     Retract,
     /// The start goes out, once, with this token.
@@ -107,7 +107,7 @@
             phase: Phase::Pending,
             attempt: 1,
             machine: 0,
-            session: 0,
+            agent_epoch: 0,
             token: 0,
             since: now,
             placed_at: now,
@@ -120,9 +120,9 @@
         use Input as I;
         use Phase as P;
         let next = match (self.phase, input) {
-            (P::Pending, I::Dispatch { machine, session }) => {
+            (P::Pending, I::Dispatch { machine, agent_epoch }) => {
                 self.machine = machine;
-                self.session = session;
+                self.agent_epoch = agent_epoch;
                 self.token = 0;
                 self.placed_at = now;
                 P::Dispatching
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -102,12 +102,13 @@
         // last leader left on it. One that has been silent for a while is not trusted either.
         m.state == MachineState::Up
             && m.kind.is_some()
-            && m.seen_token >= token(self.term, 0).max(m.must_see)
-            && m.notice.is_none()
+            && m.acknowledged_token >= token(self.term, 0).max(m.required_token)
+            && m.interruption_at.is_none()
             && m.draining.is_none()
-            && m.foreign == 0
+            && m.unexpected_tasks == 0
             && now >= m.retry_at
-            && now.since(m.last_report) <= self.site.report.scale(OVERDUE) + Span::millis(300)
+            && now.since(m.last_heartbeat)
+                <= self.site.heartbeat_interval.scale(OVERDUE) + Span::millis(300)
     }
 
     pub fn fits(&self, job: &Job, m: &Machine) -> bool {
@@ -207,7 +208,7 @@
             self.observe_load(now, &queue);
             return;
         }
-        self.looked_at_jobs += 2 * queue.len() as u64;
+        self.jobs_examined += 2 * queue.len() as u64;
         let least = self.smallest_task(&queue);
         let mut open: Vec<MachineIx> = Vec::new();
         let mut fleet = Resources::NONE;
@@ -260,7 +261,7 @@
         least: Resources,
     ) -> Vec<(Urgency, JobIx)> {
         let mut blocked: Vec<(Urgency, JobIx)> = Vec::new();
-        self.looked_at_jobs += 2 * queue.len() as u64;
+        self.jobs_examined += 2 * queue.len() as u64;
         // What age lifts goes first, within its part; beyond that it takes its turn.
         let lifted: Vec<(Urgency, JobIx)> =
             queue.iter().filter(|q| q.0.lift > Lift::None).copied().collect();
@@ -352,8 +353,8 @@
         if most == 0 || job.pending() == 0 {
             return (0, false);
         }
-        self.looked_at += open.len() as u64;
-        self.looked_at_jobs += 1;
+        self.machines_examined += open.len() as u64;
+        self.jobs_examined += 1;
         let Some(job) = self.job(ix) else { return (0, false) };
         let zone =
             (job.spec.one_zone && job.zones.is_empty()).then(|| self.zone_for(job, open)).flatten();
@@ -542,7 +543,7 @@
         room.free.add(&other.spec);
         let grace = grace_of(&other.spec);
         let text = format!("{}/{} gives way to a more urgent job", other.name, id.1);
-        self.note(text);
+        self.log(text);
         self.stop(now, id, grace);
     }
 
--- a/crates/scheduler/src/protocol.rs
+++ b/crates/scheduler/src/protocol.rs
@@ -185,20 +185,20 @@
 
 /// One task in a worker's report.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize, Serialize)]
-pub struct TaskReport {
+pub struct TaskStatus {
     #[serde(rename = "nut")]
     pub task: String,
     #[serde(rename = "try")]
     pub attempt: u64,
     #[serde(rename = "stage")]
-    pub state: TaskStage,
+    pub state: TaskState,
     #[serde(rename = "cause", default)]
-    pub cause: Option<Cause>,
+    pub cause: Option<ExitReason>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum TaskStage {
+pub enum TaskState {
     Fetching,
     Running,
     Flushing,
@@ -210,7 +210,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Cause {
+pub enum ExitReason {
     Done,
     Stopped,
     Error,
@@ -223,7 +223,7 @@
 
 /// A worker's report, also the answer to `/commands` and `/show`.
 #[derive(Debug, Clone, Deserialize, Serialize)]
-pub struct Report {
+pub struct Heartbeat {
     #[serde(rename = "tree")]
     pub machine: String,
     pub address: String,
@@ -234,15 +234,15 @@
     #[serde(rename = "windfall")]
     pub spot: bool,
     #[serde(rename = "season")]
-    pub session: u64,
+    pub agent_epoch: u64,
     #[serde(rename = "ring")]
-    pub seq: u64,
+    pub sequence: u64,
     #[serde(rename = "staff")]
     pub token: u64,
     #[serde(rename = "shakeS", default)]
-    pub notice_s: Option<f64>,
+    pub interruption_notice_s: Option<f64>,
     #[serde(rename = "nuts", default)]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// The name of a report's sequence number, as it stands in the text.
@@ -251,8 +251,8 @@
 /// Where the digits of a report's sequence number stand in its text. `None`: nowhere, or in more than
 /// one place, or not as plain digits. (Inside of a string the key can't stand like that: its quotation
 /// marks would be escaped.)
-pub fn sequence_digits(report: &[u8]) -> Option<std::ops::Range<usize>> {
-    let mut places = report
+pub fn sequence_digits(heartbeat: &[u8]) -> Option<std::ops::Range<usize>> {
+    let mut places = heartbeat
         .windows(SEQUENCE_KEY.len())
         .enumerate()
         .filter(|(_, window)| *window == SEQUENCE_KEY);
@@ -260,8 +260,8 @@
     if places.next().is_some() {
         return None;
     }
-    let digits = report[start..].iter().take_while(|byte| byte.is_ascii_digit()).count();
-    let ends_there = matches!(report.get(start + digits), Some(b',' | b'}'));
+    let digits = heartbeat[start..].iter().take_while(|byte| byte.is_ascii_digit()).count();
+    let ends_there = matches!(heartbeat.get(start + digits), Some(b',' | b'}'));
     (digits > 0 && ends_there).then_some(start..start + digits)
 }
 
@@ -302,7 +302,7 @@
 
 /// The answer to a report.
 #[derive(Debug, Serialize)]
-pub struct ReportAnswer {
+pub struct HeartbeatResponse {
     #[serde(rename = "staff")]
     pub token: u64,
     pub calls: Vec<WorkerCommand>,
@@ -318,11 +318,11 @@
 
 /// The body of `/commands`.
 #[derive(Debug, Serialize)]
-pub struct Commands<'a> {
+pub struct CommandsRequest<'a> {
     #[serde(rename = "staff")]
     pub token: u64,
     #[serde(rename = "season")]
-    pub session: u64,
+    pub agent_epoch: u64,
     pub calls: &'a [WorkerCommand],
 }
 
--- a/crates/scheduler/src/queue/dependencies.rs
+++ b/crates/scheduler/src/queue/dependencies.rs
@@ -158,7 +158,7 @@
             job.rank,
             spec.needs.join(", ")
         );
-        self.note(text);
+        self.log(text);
         self.learn_size(&spec, now, since);
         self.dirty = true;
     }
@@ -189,7 +189,7 @@
         }
         self.chains.asking = true;
         let names = self.chains.unread.iter().take(MOST_ASKED).cloned().collect();
-        self.out.push(Command::FindEnds { names });
+        self.out.push(Command::FindJobEnds { names });
     }
 
     /// The end of a job is known to be written, but not which: a write met it.
@@ -200,8 +200,8 @@
         }
     }
 
-    /// The answer to [`Command::FindEnds`], as far as it could be had.
-    pub fn ends_found(&mut self, now: Time, found: &[(String, Found)]) {
+    /// The answer to [`Command::FindJobEnds`], as far as it could be had.
+    pub fn job_ends_found(&mut self, now: Time, found: &[(String, Found)]) {
         self.chains.asking = false;
         self.chains.ask_at = if found.is_empty() { now + ASK_AGAIN } else { now };
         for (name, found) in found {
@@ -211,7 +211,7 @@
                 // From here on its end is told by the watch, and by each reading of the records.
                 Found::Open => {}
                 Found::Missing => {
-                    self.note_once(name, "is waited for, but nobody ever submitted it");
+                    self.log_once(name, "is waited for, but nobody ever submitted it");
                 }
             }
         }
--- a/crates/scheduler/src/queue/fair_share.rs
+++ b/crates/scheduler/src/queue/fair_share.rs
@@ -140,7 +140,7 @@
     ) -> Vec<(Urgency, JobIx)> {
         let mut reserved = self.place_lifted_by_share(now, queue, &open);
         open.retain(|ix| !reserved.contains(ix));
-        self.looked_at_jobs += queue.len() as u64;
+        self.jobs_examined += queue.len() as u64;
         let waiting = queue.iter().map(|&(urgency, ix)| self.waiting(ix, urgency.rank as u8));
         let mut deal = Deal::new(&self.sharing.shares, waiting, self.rules());
         self.sharing.floors = deal.floors();
@@ -186,7 +186,7 @@
         queue: &[(Urgency, JobIx)],
         open: &[MachineIx],
     ) -> Vec<MachineIx> {
-        self.looked_at_jobs += queue.len() as u64;
+        self.jobs_examined += queue.len() as u64;
         let lifted: Vec<&(Urgency, JobIx)> =
             queue.iter().filter(|entry| entry.0.lift > Lift::None).collect();
         let mut reserved: Vec<MachineIx> = Vec::new();
@@ -258,7 +258,7 @@
                 format!("{team}/{} {share:.3}", class.unwrap_or("further classes"))
             })
             .collect();
-        self.note(format!("shares of the overloaded fleet: {}", held.join(", ")));
+        self.log(format!("shares of the overloaded fleet: {}", held.join(", ")));
     }
 
     /// Takes in how much of the queue was left without room.
@@ -271,7 +271,7 @@
             return;
         }
         self.sharing.observed_at = now;
-        self.looked_at_jobs += queue.len() as u64;
+        self.jobs_examined += queue.len() as u64;
         let fleet = self.sharing.shares.fleet();
         let boots = self.types.iter().map(|t| t.boot_s);
         let boot = boots.min_by(f64::total_cmp).unwrap_or(0.0);
@@ -285,10 +285,10 @@
             leave_after: LEAVE_AFTER,
         };
         match self.sharing.saturation.observe(now, waiting, &thresholds) {
-            Some(Change::Entered) => self.note(format!(
+            Some(Change::Entered) => self.log(format!(
                 "overloaded: work for {waiting:.2} of the fleet finds no room; it is shared by team and class"
             )),
-            Some(Change::Left) => self.note("no longer overloaded".to_owned()),
+            Some(Change::Left) => self.log("no longer overloaded".to_owned()),
             None => {}
         }
     }
--- a/crates/scheduler/src/reconciliation/delegation.rs
+++ b/crates/scheduler/src/reconciliation/delegation.rs
@@ -6,7 +6,7 @@
 //!
 //! Such an answer renews the leases of the machine's tasks, so the bound of [`crate::leadership::watermark`] holds for
 //! it: whoever renews knows of every cancellation that was told before the watermark. The follower knows
-//! nothing itself; it has the leader's knowledge, as of the last [`Grant`]. It asks, and the leader's
+//! nothing itself; it has the leader's knowledge, as of the last [`DelegationGrant`]. It asks, and the leader's
 //! grant says how old its own watermark was. Whatever the leader knew then has withdrawn its marks before
 //! the grant, on the same numbered stream. So, counted from when it *asked*, the follower's watermark is
 //! never younger than the leader's was. A lost, late or overtaken frame shows as a gap in the numbers, and
@@ -19,7 +19,7 @@
 
 use crate::leadership::watermark;
 use crate::model::task::MachineIx;
-use crate::reconciliation::repeated_heartbeats::SettledReport;
+use crate::reconciliation::repeated_heartbeats::CachedHeartbeat;
 use crate::time::{Span, Time};
 use crate::tunables::Site;
 
@@ -28,11 +28,11 @@
 /// Questions whose answers are still of use.
 const MOST_ASKED: usize = 32;
 /// Marks remembered, some fifty bytes each: several for each machine that a node may serve.
-const MOST_MARKS: usize = 20_000;
+const MAX_CACHE_ENTRIES: usize = 20_000;
 
 /// A leader's word to a follower that asked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Grant {
+pub struct DelegationGrant {
     /// The leader's term.
     pub term: u64,
     /// The question's number.
@@ -40,54 +40,54 @@
     /// For how long, as the leader answered, cancellations might have escaped it.
     pub unknown_for: Span,
     /// The number of the last mark withdrawn from the follower under the term; 0: none.
-    pub withdrawn: u64,
+    pub invalidated: u64,
 }
 
 /// A mark that came with the leader's answer to a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct NewMark {
+pub struct CacheGrant {
     /// The report that left nothing to do.
-    pub settled: SettledReport,
+    pub cached: CachedHeartbeat,
     /// The token to answer repetitions with.
     pub token: u64,
     /// For how long they mean nothing.
     pub valid_for: Span,
     /// The number of the last mark withdrawn before the leader answered.
-    pub withdrawn: u64,
+    pub invalidated: u64,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Mark {
+struct CacheEntry {
     number: u64,
     token: u64,
     until: Time,
 }
 
 #[derive(Debug)]
-struct Granted {
+struct GrantedDelegation {
     term: u64,
     at: Time,
     /// Every cancellation told before this has withdrawn its marks.
-    known_until: Time,
+    cancellations_known_until: Time,
     /// The number of the last withdrawal that arrived, with all before it.
-    withdrawn: u64,
-    marks: HashMap<MachineIx, Mark>,
+    invalidated: u64,
+    cache_entries: HashMap<MachineIx, CacheEntry>,
 }
 
 /// A follower's side of the agreement with the leader.
 #[derive(Debug)]
-pub struct ServedLeader {
+pub struct FollowerDelegation {
     window: Span,
     last_asked: u64,
     asked: VecDeque<(u64, Time)>,
-    granted: Option<Granted>,
+    granted: Option<GrantedDelegation>,
 }
 
-impl ServedLeader {
+impl FollowerDelegation {
     /// Under no leader yet.
-    pub fn new(site: &Site) -> ServedLeader {
+    pub fn new(site: &Site) -> FollowerDelegation {
         let window = watermark::window(site);
-        ServedLeader { window, last_asked: 0, asked: VecDeque::new(), granted: None }
+        FollowerDelegation { window, last_asked: 0, asked: VecDeque::new(), granted: None }
     }
 
     /// The leader is asked now. The number of the question.
@@ -101,29 +101,30 @@
     }
 
     /// A leader answered a question. Whether it was of use.
-    pub fn granted(&mut self, now: Time, grant: &Grant) -> bool {
+    pub fn granted(&mut self, now: Time, grant: &DelegationGrant) -> bool {
         let Some(&(_, asked)) = self.asked.iter().find(|(number, _)| *number == grant.asked) else {
             return false;
         };
-        let known_until = asked - grant.unknown_for;
+        let cancellations_known_until = asked - grant.unknown_for;
         match &mut self.granted {
             Some(granted) if granted.term > grant.term => false,
             Some(granted) if granted.term == grant.term => {
-                if grant.withdrawn < granted.withdrawn {
+                if grant.invalidated < granted.invalidated {
                     return false; // Overtaken by newer ones.
                 }
-                granted.catch_up(grant.withdrawn);
-                granted.known_until = granted.known_until.max(known_until);
+                granted.catch_up(grant.invalidated);
+                granted.cancellations_known_until =
+                    granted.cancellations_known_until.max(cancellations_known_until);
                 granted.at = now;
                 true
             }
             _ => {
-                self.granted = Some(Granted {
+                self.granted = Some(GrantedDelegation {
                     term: grant.term,
                     at: now,
-                    known_until,
-                    withdrawn: grant.withdrawn,
-                    marks: HashMap::new(),
+                    cancellations_known_until,
+                    invalidated: grant.invalidated,
+                    cache_entries: HashMap::new(),
                 });
                 true
             }
@@ -131,43 +132,49 @@
     }
 
     /// Marks that the leader withdraws, with the number of the first.
-    pub fn withdraw(&mut self, term: u64, first: u64, marks: &[(MachineIx, u64)]) {
+    pub fn invalidate(&mut self, term: u64, first: u64, cache_entries: &[(MachineIx, u64)]) {
         let Some(granted) = self.granted.as_mut().filter(|g| g.term == term) else { return };
         granted.catch_up(first.saturating_sub(1));
-        granted.withdrawn = granted.withdrawn.max((first + marks.len() as u64).saturating_sub(1));
-        for (machine, number) in marks {
-            if granted.marks.get(machine).is_some_and(|mark| mark.number <= *number) {
-                granted.marks.remove(machine);
+        granted.invalidated =
+            granted.invalidated.max((first + cache_entries.len() as u64).saturating_sub(1));
+        for (machine, number) in cache_entries {
+            if granted
+                .cache_entries
+                .get(machine)
+                .is_some_and(|cache_entry| cache_entry.number <= *number)
+            {
+                granted.cache_entries.remove(machine);
             }
         }
     }
 
     /// A mark that came with the leader's answer. Without everything withdrawn before it, or with what
     /// came after it, it may be void already.
-    pub fn add(&mut self, now: Time, new: &NewMark) -> bool {
+    pub fn add(&mut self, now: Time, new: &CacheGrant) -> bool {
         let Some(granted) = self.granted.as_mut() else { return false };
-        if granted.term != new.settled.term
-            || granted.withdrawn != new.withdrawn
-            || granted.marks.len() >= MOST_MARKS
+        if granted.term != new.cached.term
+            || granted.invalidated != new.invalidated
+            || granted.cache_entries.len() >= MAX_CACHE_ENTRIES
         {
             return false;
         }
         let until = Time(now.0.saturating_add(new.valid_for.0));
-        let mark = Mark { number: new.settled.number, token: new.token, until };
-        granted.marks.insert(new.settled.machine, mark);
+        let cache_entry = CacheEntry { number: new.cached.number, token: new.token, until };
+        granted.cache_entries.insert(new.cached.machine, cache_entry);
         true
     }
 
     /// The token with which a repetition of the settled report may be answered now.
-    pub fn may_repeat(&self, now: Time, settled: SettledReport) -> Option<u64> {
-        let granted = self.granted.as_ref().filter(|g| g.term == settled.term)?;
-        let mark = granted.marks.get(&settled.machine)?;
-        let in_window = now.since(granted.known_until) <= self.window;
-        (mark.number == settled.number && now < mark.until && in_window).then_some(mark.token)
+    pub fn cached_response_token(&self, now: Time, cached: CachedHeartbeat) -> Option<u64> {
+        let granted = self.granted.as_ref().filter(|g| g.term == cached.term)?;
+        let cache_entry = granted.cache_entries.get(&cached.machine)?;
+        let in_window = now.since(granted.cancellations_known_until) <= self.window;
+        (cache_entry.number == cached.number && now < cache_entry.until && in_window)
+            .then_some(cache_entry.token)
     }
 
     /// The term of the leader to which reports may be passed on now.
-    pub fn may_forward(&self, now: Time) -> Option<u64> {
+    pub fn forwarding_term(&self, now: Time) -> Option<u64> {
         self.granted.as_ref().filter(|g| now.since(g.at) <= FRESH).map(|g| g.term)
     }
 
@@ -177,12 +184,12 @@
     }
 }
 
-impl Granted {
+impl GrantedDelegation {
     /// If withdrawals up to that number have not all arrived, no mark is certain any more.
     fn catch_up(&mut self, number: u64) {
-        if self.withdrawn < number {
-            self.marks.clear();
-            self.withdrawn = number;
+        if self.invalidated < number {
+            self.cache_entries.clear();
+            self.invalidated = number;
         }
     }
 }
--- a/crates/scheduler/src/reconciliation/health.rs
+++ b/crates/scheduler/src/reconciliation/health.rs
@@ -14,7 +14,7 @@
 const MANY_LOST: u32 = 12;
 
 /// The part of a notice's time that is counted on.
-const NOTICE_TRUST: f64 = 0.75;
+const NOTICE_PERIOD_TRUSTED: f64 = 0.75;
 
 impl Scheduler {
     /// Whether all of several machines that should report have been silent for a while: more
@@ -23,13 +23,13 @@
     pub fn deaf(&self, now: Time) -> bool {
         let up = || self.machines.iter().filter(|m| m.state == MachineState::Up);
         let n = up().count();
-        let report = self.site.report;
-        let silence = if n >= MANY { report } else { report + report + Span::secs(1) };
+        let heartbeat = self.site.heartbeat_interval;
+        let silence = if n >= MANY { heartbeat } else { heartbeat + heartbeat + Span::secs(1) };
         now.since(self.started_at) > silence
             && n > 0
             && up().all(|m| {
-                let deaf = m.deaf_since.is_some_and(|t| now.since(t) > silence);
-                deaf || now.since(m.last_report) > silence
+                let deaf = m.unacknowledged_since.is_some_and(|t| now.since(t) > silence);
+                deaf || now.since(m.last_heartbeat) > silence
             })
     }
 
@@ -40,8 +40,8 @@
     /// to reach. (A leader that had returned its whole idle fleet gave way for the messages that were under
     /// way to it, and so did the next: nobody led for six seconds.)
     pub fn reaches_no_worker(&self, now: Time) -> bool {
-        self.lost_since >= MANY_LOST
-            && now.since(self.answered_at) > self.site.report
+        self.messages_lost_in_a_row >= MANY_LOST
+            && now.since(self.last_message_answered) > self.site.heartbeat_interval
             && self.machines.iter().any(|m| m.state == MachineState::Up)
     }
 
@@ -50,13 +50,13 @@
     /// reported longest ago pass any patience first, when most of the others are not even due: one by
     /// one a leader cut off from the workers gave back 500 of 800 before it gave way.)
     pub(crate) fn unheard_zones(&self, now: Time) -> Vec<String> {
-        let half = self.site.report.scale(0.5);
+        let half = self.site.heartbeat_interval.scale(0.5);
         let mut zones: std::collections::BTreeMap<&str, (usize, usize)> = Default::default();
         let up = self.machines.iter().filter(|m| m.state == MachineState::Up);
         for m in up.filter(|m| m.draining.is_none()) {
             let (all, heard) = zones.entry(&m.zone).or_default();
             *all += 1;
-            *heard += usize::from(now.since(m.last_report) <= half);
+            *heard += usize::from(now.since(m.last_heartbeat) <= half);
         }
         let unheard =
             zones.into_iter().filter(|(_, (all, heard))| *all >= MANY && heard * 5 < *all);
@@ -67,7 +67,7 @@
     /// has had the time to answer. (Counted in seconds that suited reports every three, every
     /// machine whose reports came six seconds apart was given back as soon as one was a bit late.)
     pub(crate) fn patience(&self) -> Span {
-        self.site.report.scale(OVERDUE) + self.tun.patience
+        self.site.heartbeat_interval.scale(OVERDUE) + self.tun.patience
     }
 
     /// Marks machines that have to go: silent, overdue, slow, faulty.
@@ -76,8 +76,8 @@
         // One that is heard and doesn't hear has twice the patience: it may be the answer alone
         // that was late.
         let lost_for = |m: &crate::scheduler::Machine| {
-            let deaf = m.deaf_since.map_or(Span::ZERO, |t| Span(now.since(t).0 / 2));
-            now.since(m.last_report).max(deaf)
+            let deaf = m.unacknowledged_since.map_or(Span::ZERO, |t| Span(now.since(t).0 / 2));
+            now.since(m.last_heartbeat).max(deaf)
         };
         let holding = self
             .machines
@@ -101,7 +101,7 @@
             if together && lost_for(m) < patience + patience + patience {
                 continue;
             }
-            let silent = now.since(m.last_report) > patience;
+            let silent = now.since(m.last_heartbeat) > patience;
             m.draining = Some(if silent { "silent" } else { "deaf" });
             let what = if silent {
                 "has been silent too long"
@@ -109,7 +109,7 @@
                 "reports, but nothing sent to it arrives"
             };
             let text = format!("{} {what}: given back", m.name);
-            self.note(text);
+            self.log(text);
         }
         for i in 0..self.machines.len() {
             let m = &self.machines[i];
@@ -119,14 +119,14 @@
                 // A new leader hears of machines that came up long ago, and has to give each the
                 // time to answer it. (By their age alone, each take-over gave back every machine
                 // that was idle and hadn't reported within its first second: a third of the fleet.)
-                let asked = match m.said_up {
+                let asked = match m.hinted_up_at {
                     Some(since) => now.since(since) > patience + patience + patience,
-                    None => now.since(m.last_report) > patience + patience,
+                    None => now.since(m.last_heartbeat) > patience + patience,
                 };
                 if now.since(m.rented) > limit && asked {
                     self.machines[i].draining = Some("never came up");
                     let text = format!("{} never came up: given back", self.machines[i].name);
-                    self.note(text);
+                    self.log(text);
                 }
             }
         }
@@ -140,7 +140,7 @@
     /// left alone, it would lose the rest of the notice as well, and the time until the machine is
     /// found to be gone. What has a good chance to complete, or nowhere to go, runs on.
     pub(crate) fn evacuate(&mut self, now: Time) {
-        if !self.machines.iter().any(|m| m.notice.is_some() && !m.tasks.is_empty()) {
+        if !self.machines.iter().any(|m| m.interruption_at.is_some() && !m.tasks.is_empty()) {
             return;
         }
         let mut room: f64 = self
@@ -151,9 +151,9 @@
             .sum();
         let mut leave = Vec::new();
         for m in self.machines.iter().filter(|m| m.state == MachineState::Up) {
-            let Some(notice) = m.notice else { continue };
+            let Some(interruption_at) = m.interruption_at else { continue };
             // It may come at half the time told.
-            let left = notice.since(now).as_secs() * NOTICE_TRUST;
+            let left = interruption_at.since(now).as_secs() * NOTICE_PERIOD_TRUSTED;
             for &id in &m.tasks {
                 let Some(job) = self.job(id.0) else { continue };
                 let task = &job.tasks[id.1 as usize];
@@ -199,7 +199,7 @@
         for i in slow {
             self.machines[i].draining = Some("slow");
             let text = format!("{} runs its tasks slowly: drained", self.machines[i].name);
-            self.note(text);
+            self.log(text);
         }
     }
 }
--- a/crates/scheduler/src/reconciliation/heartbeats.rs
+++ b/crates/scheduler/src/reconciliation/heartbeats.rs
@@ -2,7 +2,7 @@
 
 use crate::leadership::election::token;
 use crate::model::task::{Input, MachineIx, Phase};
-use crate::protocol::{self, Cause, Report, TaskStage, WorkerCommand};
+use crate::protocol::{self, ExitReason, Heartbeat, TaskState, WorkerCommand};
 use crate::scheduler::{grace_of, Command, MachineState, Scheduler, TaskId};
 use crate::time::{Span, Time};
 
@@ -15,63 +15,67 @@
 
 /// One task of a report, and the known task that it names, if there is one.
 pub(crate) struct ReportedTask<'a> {
-    entry: &'a protocol::TaskReport,
+    entry: &'a protocol::TaskStatus,
     id: Option<TaskId>,
 }
 
 /// The entries of a report that name known tasks, in the order of those.
-struct EntriesByTask<'a>(Vec<(TaskId, &'a protocol::TaskReport)>);
+struct EntriesByTask<'a>(Vec<(TaskId, &'a protocol::TaskStatus)>);
 
 impl<'a> EntriesByTask<'a> {
     fn new(entries: &[ReportedTask<'a>]) -> EntriesByTask<'a> {
         let known = entries.iter().filter_map(|reported| Some((reported.id?, reported.entry)));
-        let mut by_task: Vec<(TaskId, &'a protocol::TaskReport)> = known.collect();
+        let mut by_task: Vec<(TaskId, &'a protocol::TaskStatus)> = known.collect();
         by_task.sort_by_key(|(id, _)| *id);
         EntriesByTask(by_task)
     }
 
-    fn of(&self, id: TaskId) -> impl Iterator<Item = &'a protocol::TaskReport> + '_ {
+    fn of(&self, id: TaskId) -> impl Iterator<Item = &'a protocol::TaskStatus> + '_ {
         let begin = self.0.partition_point(|(other, _)| *other < id);
         self.0[begin..].iter().take_while(move |(other, _)| *other == id).map(|(_, entry)| *entry)
     }
 
     /// The entry of the highest attempt.
-    fn newest(&self, id: TaskId) -> Option<&'a protocol::TaskReport> {
+    fn newest(&self, id: TaskId) -> Option<&'a protocol::TaskStatus> {
         self.of(id).reduce(|best, entry| if entry.attempt > best.attempt { entry } else { best })
     }
 
     /// Whether the task is on the machine under whatever attempt.
     fn any_live(&self, id: TaskId) -> bool {
-        self.of(id).any(|entry| entry.state != TaskStage::Exited)
+        self.of(id).any(|entry| entry.state != TaskState::Exited)
     }
 }
 
 impl Scheduler {
     /// A worker's report. `None`: this node is not entitled to answer it.
-    pub fn report(&mut self, now: Time, report: &Report) -> Option<(u64, Vec<WorkerCommand>)> {
-        if crate::leadership::election::term_of(report.token) > self.term {
+    pub fn heartbeat(
+        &mut self,
+        now: Time,
+        heartbeat: &Heartbeat,
+    ) -> Option<(u64, Vec<WorkerCommand>)> {
+        if crate::leadership::election::term_of(heartbeat.token) > self.term {
             // Most likely true: then the leader key tells. A token that came from nowhere must not
             // end a term.
-            self.note_once(&report.machine, "shows a token of a newer term than this one");
-            self.out.push(Command::CheckLead);
+            self.log_once(&heartbeat.machine, "shows a token of a newer term than this one");
+            self.out.push(Command::VerifyLeadership);
             return None;
         }
-        let known = self.by_name.get(&report.machine).map(|&m| &self.machines[m as usize]);
-        let newest = known.map_or((0, 0), |k| (k.session, k.seq));
-        let entries = self.resolve(report);
-        let m = self.evidence(now, report, &entries, false);
+        let known = self.by_name.get(&heartbeat.machine).map(|&m| &self.machines[m as usize]);
+        let newest = known.map_or((0, 0), |k| (k.agent_epoch, k.sequence));
+        let entries = self.resolve(heartbeat);
+        let m = self.reconcile_heartbeat(now, heartbeat, &entries, false);
         // What it proves counts at any time; an answer renews its lease.
-        if !self.may_renew(now) {
+        if !self.may_renew_leases(now) {
             return None;
         }
         let machine = &self.machines[m as usize];
         if machine.state == MachineState::Gone {
             let token = machine.token(self.term);
-            self.note_once(&report.machine, "reports, though it was given back");
+            self.log_once(&heartbeat.machine, "reports, though it was given back");
             return Some((token, Vec::new()));
         }
-        if report.session < newest.0 {
-            self.note_once(&report.machine, "a report of an earlier session came late");
+        if heartbeat.agent_epoch < newest.0 {
+            self.log_once(&heartbeat.machine, "a report of an earlier session came late");
             let machine = &self.machines[m as usize];
             return Some((machine.token(self.term), Vec::new()));
         }
@@ -80,8 +84,8 @@
         let calls = self.commands_for(m, &entries);
         let machine = &mut self.machines[m as usize];
         let token = machine.token(self.term);
-        if token > report.token {
-            machine.told_token = now;
+        if token > heartbeat.token {
+            machine.token_sent_at = now;
         }
         Some((token, calls))
     }
@@ -95,7 +99,7 @@
             let entry = reported.entry;
             let job = reported.id.filter(|&id| self.is_placed(m, id, entry.attempt));
             let job = job.and_then(|id| Some((self.job(id.0)?, id.1 as usize)));
-            if entry.state == TaskStage::Exited {
+            if entry.state == TaskState::Exited {
                 let keep = job.is_some_and(|(job, index)| {
                     !job.over
                         && (job.tasks[index].phase != Phase::Done
@@ -127,8 +131,8 @@
             // After a reap the worker has forgotten the attempt, so a copy of its start that is
             // still under way somewhere would run it again. A reap therefore always travels with
             // a token above that of every start sent before.
-            if machine.token(self.term) <= machine.start_token && !machine.busy {
-                machine.fence += 1;
+            if machine.token(self.term) <= machine.start_token && !machine.request_in_flight {
+                machine.fencing_counter += 1;
             }
             if machine.token(self.term) > machine.start_token {
                 calls.extend(reaps);
@@ -139,8 +143,8 @@
     }
 
     /// Looks up the tasks of a report, each once.
-    pub(crate) fn resolve<'a>(&self, report: &'a Report) -> Vec<ReportedTask<'a>> {
-        let resolve = |entry: &'a protocol::TaskReport| {
+    pub(crate) fn resolve<'a>(&self, heartbeat: &'a Heartbeat) -> Vec<ReportedTask<'a>> {
+        let resolve = |entry: &'a protocol::TaskStatus| {
             let id = protocol::split_task(&entry.task).and_then(|(name, index)| {
                 let &job_index = self.by_ref.get(name)?;
                 let exists = (index as usize) < self.job(job_index)?.tasks.len();
@@ -148,7 +152,7 @@
             });
             ReportedTask { entry, id }
         };
-        report.tasks.iter().map(resolve).collect()
+        heartbeat.tasks.iter().map(resolve).collect()
     }
 
     /// Whether that attempt of the task is on the machine as far as is known here.
@@ -159,27 +163,27 @@
         })
     }
 
-    /// Merges a report into the registry. Older reports add evidence and take none away. An answer to a
+    /// Merges a report into the registry. Older reports add unpersisted_since and take none away. An answer to a
     /// direct command comes from the machine as it is now; a report that came by itself may be a
     /// copy from long ago.
-    pub(crate) fn evidence(
+    pub(crate) fn reconcile_heartbeat(
         &mut self,
         now: Time,
-        report: &Report,
+        heartbeat: &Heartbeat,
         entries: &[ReportedTask],
         direct: bool,
     ) -> MachineIx {
-        let m = self.machine_named(now, &report.machine);
+        let m = self.machine_named(now, &heartbeat.machine);
         let newer = {
             let known = &self.machines[m as usize];
-            (report.session, report.seq) > (known.session, known.seq)
+            (heartbeat.agent_epoch, heartbeat.sequence) > (known.agent_epoch, known.sequence)
         };
         if self.machines[m as usize].state == MachineState::Gone {
             return m;
         }
         // A finish is a finish, however late the report that tells it.
         for ReportedTask { entry, id } in entries {
-            if entry.state == TaskStage::Exited && entry.cause == Some(Cause::Done) {
+            if entry.state == TaskState::Exited && entry.cause == Some(ExitReason::Done) {
                 if let Some(id) = id {
                     self.finish(now, *id, m, entry.attempt);
                 }
@@ -188,32 +192,32 @@
         if !newer {
             return m;
         }
-        self.unsettle(m);
-        if crate::leadership::election::term_of(report.token) > self.term {
+        self.invalidate_cached_heartbeat(m);
+        if crate::leadership::election::term_of(heartbeat.token) > self.term {
             return m; // Another leader's to judge.
         }
-        self.adopt(now, m, report, direct);
-        self.attend(m);
-        let mut foreign = 0;
+        self.adopt(now, m, heartbeat, direct);
+        self.enqueue_send(m);
+        let mut unexpected_tasks = 0;
         self.conflicting_replicas.retain(|_, on| *on != m);
         for ReportedTask { entry, id } in entries {
-            if entry.state == TaskStage::Exited {
+            if entry.state == TaskState::Exited {
                 continue;
             }
             if !id.is_some_and(|id| self.is_placed(m, id, entry.attempt)) {
-                foreign += 1;
+                unexpected_tasks += 1;
                 if let Some(id) = id {
                     self.conflicting_replicas.insert(*id, m);
                 }
             }
         }
         let by_task = EntriesByTask::new(entries);
-        if foreign > 0 {
-            self.note_once(&report.machine, "runs tasks that have no business there");
+        if unexpected_tasks > 0 {
+            self.log_once(&heartbeat.machine, "runs tasks that have no business there");
         }
         let mine: Vec<TaskId> = self.machines[m as usize].tasks.iter().copied().collect();
-        let mut changed = foreign != self.machines[m as usize].foreign;
-        self.machines[m as usize].foreign = foreign;
+        let mut changed = unexpected_tasks != self.machines[m as usize].unexpected_tasks;
+        self.machines[m as usize].unexpected_tasks = unexpected_tasks;
         for id in mine {
             let Some(job) = self.job(id.0) else { continue };
             let task = job.tasks[id.1 as usize];
@@ -221,14 +225,14 @@
             match entry {
                 // An attempt that was refused since another is there says that the task is there. (Taken
                 // for absent, it was started a second time elsewhere.)
-                _ if entry.is_none_or(|e| e.state == TaskStage::Exited) && by_task.any_live(id) => {
+                _ if entry.is_none_or(|e| e.state == TaskState::Exited) && by_task.any_live(id) => {
                 }
-                Some(e) if e.state == TaskStage::Exited => {
+                Some(e) if e.state == TaskState::Exited => {
                     changed = true;
-                    self.exited(now, id, m, e.cause.unwrap_or(Cause::Other));
+                    self.exited(now, id, m, e.cause.unwrap_or(ExitReason::Other));
                 }
                 Some(e) => {
-                    if e.state == TaskStage::Running {
+                    if e.state == TaskState::Running {
                         let image = job.spec.image.clone();
                         let began = self.began(now, &task);
                         if let Some(job) = self.jobs.get_mut(&id.0) {
@@ -244,7 +248,8 @@
                     // the worker must have moved on to a later session, or have seen a token
                     // above the one that the start carries.
                     let proven = task.token != 0
-                        && (report.session > task.session || report.token > task.token);
+                        && (heartbeat.agent_epoch > task.agent_epoch
+                            || heartbeat.token > task.token);
                     if proven {
                         changed = true;
                         self.step(now, id, Input::Absent);
@@ -260,62 +265,62 @@
                 let t = &j.tasks[id.1 as usize];
                 t.token != 0
                     && t.token == machine.token(self.term)
-                    && !machine.busy
+                    && !machine.request_in_flight
                     && by_task.newest(*id).is_none()
             })
         });
         if doubt {
-            self.machines[m as usize].fence += 1;
+            self.machines[m as usize].fencing_counter += 1;
         }
         self.dirty |= changed;
         m
     }
 
     /// Takes over what a newer report says of its machine.
-    fn adopt(&mut self, now: Time, m: MachineIx, report: &Report, direct: bool) {
-        let kind = self.types.iter().position(|t| t.name == report.kind);
+    fn adopt(&mut self, now: Time, m: MachineIx, heartbeat: &Heartbeat, direct: bool) {
+        let kind = self.types.iter().position(|t| t.name == heartbeat.kind);
         let term = self.term;
         let machine = &mut self.machines[m as usize];
         // Only a worker that has heard of this term, or answers right now, shows that its machine
         // lives. Anything else may be a copy, minutes old, that reached a leader which never saw
         // the newer ones: the machine is asked, and nothing else comes of it.
-        let live = direct || report.token >= token(term, 0);
-        if report.session > machine.session {
+        let live = direct || heartbeat.token >= token(term, 0);
+        if heartbeat.agent_epoch > machine.agent_epoch {
             // A new session begins without tasks, and without messages meant for the old one.
             machine.outbox.clear();
-            if machine.session > 0 && !direct {
+            if machine.agent_epoch > 0 && !direct {
                 // Its lease ran out though its reports arrive: answers may not reach it.
-                machine.doubt(now, term);
+                machine.raise_fencing_counter(now, term);
             }
         }
-        let first = machine.seen_token < token(term, 0);
-        machine.session = report.session;
-        machine.seq = report.seq;
-        machine.seen_token = report.token;
+        let first = machine.acknowledged_token < token(term, 0);
+        machine.agent_epoch = heartbeat.agent_epoch;
+        machine.sequence = heartbeat.sequence;
+        machine.acknowledged_token = heartbeat.token;
         if live || machine.address.is_empty() {
-            machine.address.clone_from(&report.address);
+            machine.address.clone_from(&heartbeat.address);
         }
-        if machine.seen_token >= machine.must_see {
+        if machine.acknowledged_token >= machine.required_token {
             // Open again: there may be work that waited for it.
-            self.dirty |= machine.deaf_since.take().is_some();
-            if machine.losses <= 1 {
+            self.dirty |= machine.unacknowledged_since.take().is_some();
+            if machine.consecutive_losses <= 1 {
                 machine.retry_at = machine.retry_at.min(now);
             }
         }
         machine.kind = kind;
-        machine.spot = report.spot;
-        machine.said_up.get_or_insert(now);
-        if machine.zone != report.zone {
+        machine.spot = heartbeat.spot;
+        machine.hinted_up_at.get_or_insert(now);
+        if machine.zone != heartbeat.zone {
             // Tasks loaded before the machine was known were counted under no zone.
-            let old = std::mem::replace(&mut machine.zone, report.zone.clone());
+            let old = std::mem::replace(&mut machine.zone, heartbeat.zone.clone());
             let tasks: Vec<TaskId> = machine.tasks.iter().copied().collect();
-            self.rezone(&tasks, &old, &report.zone);
+            self.rezone(&tasks, &old, &heartbeat.zone);
         }
         if !live {
             return;
         }
         let machine = &mut self.machines[m as usize];
-        machine.last_report = now;
+        machine.last_heartbeat = now;
         machine.expected = true;
         if machine.state == MachineState::Booting {
             machine.state = MachineState::Up;
@@ -323,19 +328,19 @@
             self.dirty = true;
         }
         let machine = &mut self.machines[m as usize];
-        let notice = report.notice_s.map(|s| now + Span::from_secs(s));
-        let new = notice.is_some() && machine.notice.is_none();
-        machine.notice = match (notice, machine.notice) {
+        let interruption_at = heartbeat.interruption_notice_s.map(|s| now + Span::from_secs(s));
+        let new = interruption_at.is_some() && machine.interruption_at.is_none();
+        machine.interruption_at = match (interruption_at, machine.interruption_at) {
             (Some(_), Some(known)) => Some(known),
-            (notice, _) => notice,
+            (interruption_at, _) => interruption_at,
         };
         let name = machine.name.clone();
         if new {
             self.dirty = true;
-            self.note(format!("{name} will be taken by the cloud"));
+            self.log(format!("{name} will be taken by the cloud"));
         }
         let machine = &self.machines[m as usize];
-        if first && machine.seen_token >= token(term, 0) {
+        if first && machine.acknowledged_token >= token(term, 0) {
             self.dirty = true;
         }
     }
@@ -421,19 +426,19 @@
         if machine.failures.len() as u32 >= self.tun.sick_after && machine.draining.is_none() {
             machine.draining = Some("fails the tasks of several jobs");
             let name = machine.name.clone();
-            self.note(format!("{name} is drained: it fails the tasks of several jobs"));
+            self.log(format!("{name} is drained: it fails the tasks of several jobs"));
         }
     }
 
     /// A task's attempt ended on its machine for another reason than completion.
-    fn exited(&mut self, now: Time, id: TaskId, m: MachineIx, cause: Cause) {
-        if cause == Cause::Done {
+    fn exited(&mut self, now: Time, id: TaskId, m: MachineIx, cause: ExitReason) {
+        if cause == ExitReason::Done {
             return;
         }
         self.step(now, id, Input::Absent);
         let Some(job) = self.jobs.get_mut(&id.0) else { return };
         match cause {
-            Cause::Error | Cause::Unknown | Cause::Other => {
+            ExitReason::Error | ExitReason::Unknown | ExitReason::Other => {
                 job.error_machines.insert(m, now);
                 // A job that fails on machine after machine, and nowhere comes off, is at fault
                 // itself: it is tried at ever longer intervals and no machine is blamed for it.
@@ -450,25 +455,25 @@
                 for other in cleared {
                     self.machines[other as usize].failures.remove(&id.0);
                 }
-                self.note(format!("{name}/{} failed on {}", id.1, self.machines[m as usize].name));
+                self.log(format!("{name}/{} failed on {}", id.1, self.machines[m as usize].name));
                 if !suspect {
                     self.blame(m, id.0);
                 }
             }
-            Cause::NoRoom | Cause::InUse => {
+            ExitReason::NoRoom | ExitReason::InUse => {
                 job.not_before = now + Span::millis(500);
             }
-            Cause::Stopped | Cause::Done => {}
+            ExitReason::Stopped | ExitReason::Done => {}
         }
     }
 
     /// Settles starts that no receipt confirmed by their deadline, and gives machines up that
     /// stay silent. Neither makes a task free: only proof does.
     pub(crate) fn settle(&mut self, now: Time) {
-        let limit = self.site.lease + self.tun.settle_margin;
+        let limit = self.site.worker_lease + self.tun.settle_margin;
         let mut late = Vec::new();
         for m in &self.machines {
-            if m.tasks.is_empty() || now.since(m.last_report) < self.site.report {
+            if m.tasks.is_empty() || now.since(m.last_heartbeat) < self.site.heartbeat_interval {
                 continue;
             }
             for &id in &m.tasks {
@@ -485,7 +490,7 @@
             if self.step(now, id, Input::Settle) {
                 let Some(job) = self.job(id.0) else { continue };
                 let text = format!("start of {}/{} is unconfirmed: unknown", job.name, id.1);
-                self.note(text);
+                self.log(text);
             }
         }
     }
@@ -499,7 +504,7 @@
         }
         machine.state = MachineState::Gone;
         machine.outbox.clear();
-        self.unsettle(m);
+        self.invalidate_cached_heartbeat(m);
         self.conflicting_replicas.retain(|_, on| *on != m);
         self.gone.push_back((now, m));
         // Starts that waited for the next message to it are never sent.
--- a/crates/scheduler/src/reconciliation/repeated_heartbeats.rs
+++ b/crates/scheduler/src/reconciliation/repeated_heartbeats.rs
@@ -1,9 +1,9 @@
 //! Reports that say nothing new.
 //!
 //! Most reports repeat the one before them: the same tasks, in the same states, under the same token.
-//! [`Scheduler::settle_report`] finds out whether a report has left nothing to do, so that the same
+//! [`Scheduler::cache_heartbeat`] finds out whether a report has left nothing to do, so that the same
 //! report under a later sequence number could not either. The node keeps the answer beside the text of
-//! the report, and hands a repetition to [`Scheduler::report_unchanged`], which looks at one machine and
+//! the report, and hands a repetition to [`Scheduler::answer_repeated_heartbeat`], which looks at one machine and
 //! nothing else.
 //!
 //! The report may have come through another node, which then answers the repetitions itself (see
@@ -17,14 +17,14 @@
 
 use crate::leadership::election::token;
 use crate::model::task::{MachineIx, Phase};
-use crate::protocol::{self, Report, TaskReport, TaskStage};
+use crate::protocol::{self, Heartbeat, TaskState, TaskStatus};
 use crate::reconciliation::heartbeats::BEGUN_AFTER;
 use crate::scheduler::{MachineState, Scheduler, TaskId};
 use crate::time::{Span, Time};
 
 /// Names one report that left nothing to do. Of use to the scheduler that gave it, and to no other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct SettledReport {
+pub struct CachedHeartbeat {
     /// The term of the scheduler.
     pub term: u64,
     /// The machine's place in that scheduler's table.
@@ -35,25 +35,25 @@
 
 /// Who answers repetitions of a settled report: 0 is the leader's own node, and what other numbers
 /// mean is the caller's.
-pub type Holder = u16;
+pub type CacheHolder = u16;
 
 /// The holder that is the leader's own node.
-pub const OWN_NODE: Holder = 0;
+pub const OWN_NODE: CacheHolder = 0;
 
 /// A mark that holds no more, and who has to be told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Withdrawn {
+pub struct Invalidated {
     /// The node that answered repetitions so far.
-    pub holder: Holder,
+    pub holder: CacheHolder,
     /// What it may not answer any more.
-    pub settled: SettledReport,
+    pub cached: CachedHeartbeat,
 }
 
 /// What a machine keeps of its last settled report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Settled {
+pub(crate) struct CacheRecord {
     number: u64,
-    holder: Holder,
+    holder: CacheHolder,
     /// From then on time alone gives the report a meaning: a task has run for long enough to count
     /// as begun.
     until: Time,
@@ -62,51 +62,52 @@
 impl Scheduler {
     /// To be asked right after the report was answered without commands. `None`: a repetition of it
     /// would have to be read in full.
-    pub fn settle_report(
+    pub fn cache_heartbeat(
         &mut self,
         now: Time,
-        report: &Report,
-        holder: Holder,
-    ) -> Option<SettledReport> {
-        let &machine = self.by_name.get(&report.machine)?;
+        heartbeat: &Heartbeat,
+        holder: CacheHolder,
+    ) -> Option<CachedHeartbeat> {
+        let &machine = self.by_name.get(&heartbeat.machine)?;
         let known = &self.machines[machine as usize];
-        let is_newest = (report.session, report.seq) == (known.session, known.seq);
+        let is_newest =
+            (heartbeat.agent_epoch, heartbeat.sequence) == (known.agent_epoch, known.sequence);
         // The answer raises no token, and the machine owes none.
-        let token_agrees = report.token == known.seen_token
-            && report.token == known.token(self.term)
-            && report.token >= token(self.term, 0).max(known.must_see);
+        let token_agrees = heartbeat.token == known.acknowledged_token
+            && heartbeat.token == known.token(self.term)
+            && heartbeat.token >= token(self.term, 0).max(known.required_token);
         let machine_is_well = known.state == MachineState::Up
             && known.kind.is_some()
-            && known.notice.is_none()
-            && report.notice_s.is_none()
-            && known.deaf_since.is_none()
-            && known.foreign == 0
+            && known.interruption_at.is_none()
+            && heartbeat.interruption_notice_s.is_none()
+            && known.unacknowledged_since.is_none()
+            && known.unexpected_tasks == 0
             && known.retry_at <= now;
         if !is_newest || !token_agrees || !machine_is_well {
             return None;
         }
-        if known.tasks.len() != report.tasks.len() {
+        if known.tasks.len() != heartbeat.tasks.len() {
             return None;
         }
         let mut until = Time(u64::MAX);
         let mut reported: BTreeSet<TaskId> = BTreeSet::new();
-        for entry in &report.tasks {
-            let (task, meaningless_until) = self.settled_task(machine, entry)?;
+        for entry in &heartbeat.tasks {
+            let (task, meaningless_until) = self.cacheable_task(machine, entry)?;
             until = until.min(meaningless_until);
             reported.insert(task);
         }
         if reported != known.tasks || until <= now {
             return None;
         }
-        self.unsettle(machine);
-        self.next_settled += 1;
-        let number = self.next_settled;
-        self.machines[machine as usize].settled = Some(Settled { number, holder, until });
-        Some(SettledReport { term: self.term, machine, number })
+        self.invalidate_cached_heartbeat(machine);
+        self.last_cached_number += 1;
+        let number = self.last_cached_number;
+        self.machines[machine as usize].cached = Some(CacheRecord { number, holder, until });
+        Some(CachedHeartbeat { term: self.term, machine, number })
     }
 
     /// The task, if it is reported as it is known here, and until when that means nothing.
-    fn settled_task(&self, machine: MachineIx, entry: &TaskReport) -> Option<(TaskId, Time)> {
+    fn cacheable_task(&self, machine: MachineIx, entry: &TaskStatus) -> Option<(TaskId, Time)> {
         let (name, index) = protocol::split_task(&entry.task)?;
         let &job_index = self.by_ref.get(name)?;
         let job = self.job(job_index)?;
@@ -119,66 +120,71 @@
             return None;
         }
         let until = match entry.state {
-            TaskStage::Fetching => Time(u64::MAX),
-            TaskStage::Running if job.begun => Time(u64::MAX),
-            TaskStage::Running => *job.started.get(&index)? + BEGUN_AFTER,
-            TaskStage::Flushing | TaskStage::Exited | TaskStage::Other => return None,
+            TaskState::Fetching => Time(u64::MAX),
+            TaskState::Running if job.begun => Time(u64::MAX),
+            TaskState::Running => *job.started.get(&index)? + BEGUN_AFTER,
+            TaskState::Flushing | TaskState::Exited | TaskState::Other => return None,
         };
         Some(((job_index, index), until))
     }
 
     /// For how long repetitions of the settled report mean nothing, if nothing happens.
-    pub fn settled_for(&self, now: Time, settled: SettledReport) -> Span {
-        let machine = self.machines.get(settled.machine as usize);
-        let known = machine.and_then(|m| m.settled).filter(|s| s.number == settled.number);
+    pub fn cached_for(&self, now: Time, cached: CachedHeartbeat) -> Span {
+        let machine = self.machines.get(cached.machine as usize);
+        let known = machine.and_then(|m| m.cached).filter(|s| s.number == cached.number);
         known.map_or(Span::ZERO, |s| s.until.since(now))
     }
 
     /// The settled report came again, the same but for its sequence number. The token to answer with,
     /// and no commands; `None`: the report has to be read in full.
-    pub fn report_unchanged(
+    pub fn answer_repeated_heartbeat(
         &mut self,
         now: Time,
-        settled: SettledReport,
+        cached: CachedHeartbeat,
         sequence: u64,
     ) -> Option<u64> {
-        if !self.may_renew(now) || !self.heard_unchanged(now, settled, sequence) {
+        if !self.may_renew_leases(now) || !self.record_repeated_heartbeat(now, cached, sequence) {
             return None;
         }
-        let machine = self.machines.get(settled.machine as usize)?;
+        let machine = self.machines.get(cached.machine as usize)?;
         Some(machine.token(self.term))
     }
 
     /// The settled report came again, here or at its holder, who answered it. Whether it was of use.
-    pub fn heard_unchanged(&mut self, now: Time, settled: SettledReport, sequence: u64) -> bool {
-        if settled.term != self.term {
+    pub fn record_repeated_heartbeat(
+        &mut self,
+        now: Time,
+        cached: CachedHeartbeat,
+        sequence: u64,
+    ) -> bool {
+        if cached.term != self.term {
             return false;
         }
-        let Some(machine) = self.machines.get_mut(settled.machine as usize) else { return false };
-        let holds = machine.settled.is_some_and(|s| s.number == settled.number && now < s.until);
-        if !holds || sequence <= machine.seq {
+        let Some(machine) = self.machines.get_mut(cached.machine as usize) else { return false };
+        let holds = machine.cached.is_some_and(|s| s.number == cached.number && now < s.until);
+        if !holds || sequence <= machine.sequence {
             return false;
         }
-        machine.seq = sequence;
-        machine.last_report = now;
+        machine.sequence = sequence;
+        machine.last_heartbeat = now;
         true
     }
 
     /// A repetition of the machine's last report may mean something from now on. The only place where
     /// a mark ends, so that its holder is always told.
-    pub(crate) fn unsettle(&mut self, machine: MachineIx) {
+    pub(crate) fn invalidate_cached_heartbeat(&mut self, machine: MachineIx) {
         let known = self.machines.get_mut(machine as usize);
-        let Some(Settled { number, holder, .. }) = known.and_then(|m| m.settled.take()) else {
+        let Some(CacheRecord { number, holder, .. }) = known.and_then(|m| m.cached.take()) else {
             return;
         };
         if holder != OWN_NODE {
-            let settled = SettledReport { term: self.term, machine, number };
-            self.withdrawn.push(Withdrawn { holder, settled });
+            let cached = CachedHeartbeat { term: self.term, machine, number };
+            self.invalidated.push(Invalidated { holder, cached });
         }
     }
 
     /// The marks of other holders that ended since this was asked last, in their order.
-    pub fn take_withdrawn(&mut self) -> Vec<Withdrawn> {
-        std::mem::take(&mut self.withdrawn)
+    pub fn take_invalidated(&mut self) -> Vec<Invalidated> {
+        std::mem::take(&mut self.invalidated)
     }
 }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -13,7 +13,7 @@
 use crate::leadership::watermark;
 use crate::model::job::{JobSpec, Rank};
 use crate::model::task::{Input, MachineIx, Phase, Task};
-use crate::protocol::{MachineType, Report, Transaction, WorkerCommand};
+use crate::protocol::{Heartbeat, MachineType, Transaction, WorkerCommand};
 use crate::queue::dependencies::{Chains, Due};
 use crate::storage::transactions::InFlightTransaction;
 use crate::time::{Span, Time};
@@ -35,16 +35,16 @@
         id: u64,
         key: String,
     },
-    /// Find out which of the jobs have ended, and answer with [`Scheduler::ends_found`].
-    FindEnds {
+    /// Find out which of the jobs have ended, and answer with [`Scheduler::job_ends_found`].
+    FindJobEnds {
         names: Vec<String>,
     },
-    /// Post the calls once, never again, and answer with [`Scheduler::direct_answer`].
-    Direct {
+    /// Post the calls once, never again, and answer with [`Scheduler::message_answered`].
+    SendToWorker {
         machine: MachineIx,
         address: String,
         token: u64,
-        session: u64,
+        agent_epoch: u64,
         calls: Vec<WorkerCommand>,
     },
     Rent {
@@ -59,7 +59,7 @@
     /// Worth a line in the log.
     Note(String),
     /// A worker claims a newer term: worth a look at the leader key, and no more.
-    CheckLead,
+    VerifyLeadership,
     /// The term is over.
     StepDown(&'static str),
 }
@@ -84,13 +84,13 @@
 
 /// What became of a direct command.
 #[derive(Debug, Clone)]
-pub enum DirectOutcome {
+pub enum MessageOutcome {
     /// 200 or 409: the worker's report after it.
-    Answered(Box<Report>),
+    Answered(Box<Heartbeat>),
     /// The connection was refused, so nothing was sent.
     NotSent,
     /// Anything else: it may be executed, even minutes later.
-    Lost,
+    Indeterminate,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -113,32 +113,32 @@
     pub zone: String,
     pub spot: bool,
     pub state: MachineState,
-    pub session: u64,
-    pub seq: u64,
+    pub agent_epoch: u64,
+    pub sequence: u64,
     /// The token that the worker knew by its newest report.
-    pub seen_token: u64,
+    pub acknowledged_token: u64,
     /// When an answer to its report last carried a token that it had not seen.
-    pub told_token: Time,
+    pub token_sent_at: Time,
     /// The token that it has to show before anything more is started there: raised when a message
     /// to it was lost, or when its lease ran out though its reports arrive.
-    pub must_see: u64,
+    pub required_token: u64,
     /// Since when it has owed that. A machine that is heard and doesn't hear looks alive by its
     /// reports; this is what gives it away.
-    pub deaf_since: Option<Time>,
+    pub unacknowledged_since: Option<Time>,
     /// Messages to it that were lost in a row.
-    pub losses: u32,
+    pub consecutive_losses: u32,
     /// Rented by this leader or listed by the cloud, so that it can be counted on to come. What a
     /// late report alone tells of may be long gone.
     pub expected: bool,
-    pub fence: u64,
+    pub fencing_counter: u64,
     /// Highest token with which a start was sent; a reap needs a higher one.
     pub start_token: u64,
     /// Since when it is said to be running, by the cloud, another node or a report that may be a
     /// late copy: worth asking directly.
-    pub said_up: Option<Time>,
-    pub last_report: Time,
+    pub hinted_up_at: Option<Time>,
+    pub last_heartbeat: Time,
     pub rented: Time,
-    pub notice: Option<Time>,
+    pub interruption_at: Option<Time>,
     /// Tasks that are on it as far as anybody knows.
     pub tasks: BTreeSet<TaskId>,
     /// How many of them the jobs gave each priority to, the lowest first. A job may count with a higher
@@ -147,7 +147,7 @@
     /// How many of them are told to stop.
     pub(crate) stopping: u32,
     /// Tasks that it reports and the registry doesn't place there: room that can't be counted on.
-    pub foreign: u32,
+    pub unexpected_tasks: u32,
     pub cpus: f64,
     pub gpus: f64,
     pub memory: f64,
@@ -155,9 +155,9 @@
     pub outbox: Vec<WorkerCommand>,
     /// The tasks whose starts are in the outbox.
     pub starting: Vec<TaskId>,
-    pub busy: bool,
+    pub request_in_flight: bool,
     /// Is on the list of those that something may have to be sent to.
-    pub noted: bool,
+    pub in_send_queue: bool,
     /// Starts in the message under way, with their attempts.
     pub in_message: Vec<(TaskId, u32)>,
     pub retry_at: Time,
@@ -169,12 +169,12 @@
     pub draining: Option<&'static str>,
     pub return_sent: Option<Time>,
     /// Its last report, if a repetition of that would mean nothing; see [`crate::reconciliation::repeated_heartbeats`].
-    pub(crate) settled: Option<crate::reconciliation::repeated_heartbeats::Settled>,
+    pub(crate) cached: Option<crate::reconciliation::repeated_heartbeats::CacheRecord>,
 }
 
 impl Machine {
     pub fn token(&self, term: u64) -> u64 {
-        token(term, self.fence)
+        token(term, self.fencing_counter)
     }
 
     /// The lowest priority that a job gave to one of its tasks.
@@ -184,10 +184,10 @@
     }
 
     /// Nothing more is started there until it shows that it heard of this.
-    pub(crate) fn doubt(&mut self, now: Time, term: u64) {
-        self.fence += 1;
-        self.must_see = token(term, self.fence);
-        self.deaf_since.get_or_insert(now);
+    pub(crate) fn raise_fencing_counter(&mut self, now: Time, term: u64) {
+        self.fencing_counter += 1;
+        self.required_token = token(term, self.fencing_counter);
+        self.unacknowledged_since.get_or_insert(now);
     }
 }
 
@@ -197,9 +197,9 @@
     pub in_flight: bool,
     /// Since when a planned start waits for its write.
     pub start_due: Option<Time>,
-    /// Since when evidence waits that is not written yet. It may wait longer, or go along with a
+    /// Since when unpersisted_since waits that is not written yet. It may wait longer, or go along with a
     /// start: until it is written the worker keeps it.
-    pub evidence: Option<Time>,
+    pub unpersisted_since: Option<Time>,
 }
 
 #[derive(Debug, Clone)]
@@ -366,36 +366,36 @@
     /// answering its workers, so that their tasks live, and starts, rents and returns nothing.
     /// (A leader cut off from the state service once gave back machines that had merely gone over
     /// to its successor.)
-    pub in_office: bool,
+    pub holds_lease: bool,
     /// Every cancellation that any user was told of before this is in the registry; see
     /// [`crate::leadership::watermark`].
-    pub known_until: Time,
+    pub cancellations_known_until: Time,
     /// Tasks that a machine shows live under an attempt that is not the registry's, and where. Whatever
     /// the registry says, they are there.
     pub(crate) conflicting_replicas: BTreeMap<TaskId, MachineIx>,
     /// What was logged of odd reports, each once.
-    pub(crate) odd: BTreeSet<(String, &'static str)>,
+    pub(crate) anomalies: BTreeSet<(String, &'static str)>,
     /// Processors of the machines that are up, as of the last round.
     pub(crate) fleet_cpus: f64,
     pub(crate) last_preempt: Time,
     /// Machines to be looked at for something to send, each once.
-    pub(crate) attention: Vec<MachineIx>,
+    pub(crate) send_queue: Vec<MachineIx>,
     pub(crate) last_sweep: Time,
     /// Numbers the reports that left nothing to do.
-    pub(crate) next_settled: u64,
+    pub(crate) last_cached_number: u64,
     /// Those whose holders have to be told that they hold no more.
-    pub(crate) withdrawn: Vec<crate::reconciliation::repeated_heartbeats::Withdrawn>,
+    pub(crate) invalidated: Vec<crate::reconciliation::repeated_heartbeats::Invalidated>,
     /// Messages to workers whose outcome is open.
-    pub(crate) under_way: usize,
+    pub(crate) messages_in_flight: usize,
     /// When a worker last answered a message, and how many were lost since.
-    pub(crate) answered_at: Time,
-    pub(crate) lost_since: u32,
+    pub(crate) last_message_answered: Time,
+    pub(crate) messages_lost_in_a_row: u32,
     /// Machines looked at for placing, for tests of what a round costs.
-    pub looked_at: u64,
+    pub machines_examined: u64,
     /// Jobs looked at for placing, once for each pass over them, for tests of what a round costs.
-    pub looked_at_jobs: u64,
+    pub jobs_examined: u64,
     /// Machines looked at for something to send, for tests of what a report costs.
-    pub looked_at_to_send: u64,
+    pub send_checks: u64,
     pub started_at: Time,
     pub fleet: crate::autoscaling::Fleet,
     /// Learned ratio of run time to the owner's estimate, by class: sum of logs and count.
@@ -424,7 +424,7 @@
 /// How long a machine that is gone is remembered, against late reports of it.
 const FORGET_AFTER: Span = Span::secs(600);
 /// Odd things to remember as logged: several for each machine of any fleet.
-const MOST_ODD: usize = 20_000;
+const MAX_ANOMALIES: usize = 20_000;
 /// Classes to learn about; more than any deployment has, fewer than would hurt.
 const MOST_CLASSES: usize = 1_000;
 
@@ -459,22 +459,22 @@
             planned_chunks: 0,
             write_counters: crate::storage::transactions::WriteCounters::default(),
             dirty: true,
-            in_office: true,
-            known_until: now,
+            holds_lease: true,
+            cancellations_known_until: now,
             conflicting_replicas: BTreeMap::new(),
-            odd: BTreeSet::new(),
+            anomalies: BTreeSet::new(),
             fleet_cpus: 0.0,
             last_preempt: Time(0),
-            attention: Vec::new(),
+            send_queue: Vec::new(),
             last_sweep: Time(0),
-            next_settled: 0,
-            withdrawn: Vec::new(),
-            under_way: 0,
-            answered_at: now,
-            lost_since: 0,
-            looked_at: 0,
-            looked_at_jobs: 0,
-            looked_at_to_send: 0,
+            last_cached_number: 0,
+            invalidated: Vec::new(),
+            messages_in_flight: 0,
+            last_message_answered: now,
+            messages_lost_in_a_row: 0,
+            machines_examined: 0,
+            jobs_examined: 0,
+            send_checks: 0,
             started_at: now,
             fleet: crate::autoscaling::Fleet::default(),
             ratios: HashMap::new(),
@@ -515,22 +515,23 @@
         std::mem::take(&mut self.out)
     }
 
-    pub(crate) fn note(&mut self, text: String) {
+    pub(crate) fn log(&mut self, text: String) {
         self.out.push(Command::Note(text));
     }
 
     /// Logs something odd about a worker's report, once for each machine and kind.
-    pub(crate) fn note_once(&mut self, machine: &str, what: &'static str) {
-        if self.odd.len() < MOST_ODD && self.odd.insert((machine.to_owned(), what)) {
-            self.note(format!("{machine}: {what}"));
+    pub(crate) fn log_once(&mut self, machine: &str, what: &'static str) {
+        if self.anomalies.len() < MAX_ANOMALIES && self.anomalies.insert((machine.to_owned(), what))
+        {
+            self.log(format!("{machine}: {what}"));
         }
     }
 
     /// Whether a lease renewed now ends in time for whatever cancellation isn't known here. (A leader
     /// that the state service alone refused went on renewing through the outage that followed: tasks
     /// of jobs that others had cancelled meanwhile ran for as long as it lasted.)
-    pub fn may_renew(&self, now: Time) -> bool {
-        now.since(self.known_until) <= watermark::window(&self.site)
+    pub fn may_renew_leases(&self, now: Time) -> bool {
+        now.since(self.cancellations_known_until) <= watermark::window(&self.site)
     }
 
     /// Whether a start that was placed then may still be sent. Its write was guarded by the absence of
@@ -538,7 +539,8 @@
     /// waited through it, or whose write was only then found to be committed, would come long after a
     /// user was told that the job is cancelled.
     pub(crate) fn may_start(&self, now: Time, placed: Time) -> bool {
-        now.since(placed.max(self.known_until)) <= watermark::window(&self.site).scale(0.5)
+        now.since(placed.max(self.cancellations_known_until))
+            <= watermark::window(&self.site).scale(0.5)
     }
 
     pub fn job(&self, ix: JobIx) -> Option<&Job> {
@@ -569,32 +571,32 @@
             zone: String::new(),
             spot: false,
             state: MachineState::Booting,
-            session: 0,
-            seq: 0,
-            seen_token: 0,
-            told_token: Time(0),
-            must_see: 0,
-            deaf_since: None,
-            losses: 0,
+            agent_epoch: 0,
+            sequence: 0,
+            acknowledged_token: 0,
+            token_sent_at: Time(0),
+            required_token: 0,
+            unacknowledged_since: None,
+            consecutive_losses: 0,
             expected: false,
-            fence: 0,
+            fencing_counter: 0,
             start_token: 0,
-            said_up: None,
-            last_report: now,
+            hinted_up_at: None,
+            last_heartbeat: now,
             rented: now,
-            notice: None,
+            interruption_at: None,
             tasks: BTreeSet::new(),
             ranks: [0; Rank::COUNT],
             stopping: 0,
-            foreign: 0,
+            unexpected_tasks: 0,
             cpus: 0.0,
             gpus: 0.0,
             memory: 0.0,
             images: Vec::new(),
             outbox: Vec::new(),
             starting: Vec::new(),
-            busy: false,
-            noted: false,
+            request_in_flight: false,
+            in_send_queue: false,
             in_message: Vec::new(),
             retry_at: Time(0),
             idle_since: now,
@@ -602,7 +604,7 @@
             completed_at: Time(0),
             draining: None,
             return_sent: None,
-            settled: None,
+            cached: None,
         };
         let ix = match self.free_place(now) {
             Some(ix) => {
@@ -629,7 +631,7 @@
         }
         self.gone.pop_front();
         let m = &self.machines[ix as usize];
-        if m.state == MachineState::Gone && m.tasks.is_empty() && !m.busy {
+        if m.state == MachineState::Gone && m.tasks.is_empty() && !m.request_in_flight {
             return Some(ix);
         }
         self.gone.push_back((now, ix));
@@ -642,7 +644,7 @@
         let machine = &mut self.machines[m as usize];
         if machine.state == MachineState::Booting && machine.address.is_empty() {
             machine.address = address.to_owned();
-            machine.said_up.get_or_insert(now);
+            machine.hinted_up_at.get_or_insert(now);
         }
     }
 
@@ -738,7 +740,7 @@
         match input {
             Input::Finish | Input::Absent | Input::Settle => {
                 let chunk = job.chunk_of(id.1);
-                job.chunks[chunk].evidence.get_or_insert(now);
+                job.chunks[chunk].unpersisted_since.get_or_insert(now);
                 job.changed.insert(id.1);
             }
             Input::Dispatch { .. } | Input::Retract => {
@@ -762,7 +764,7 @@
             machine.stopping -= u32::from(before == Phase::Stopping && after != Phase::Stopping);
         }
         if before.placed() || after.placed() {
-            self.unsettle(machine);
+            self.invalidate_cached_heartbeat(machine);
         }
         if before.placed() && !after.placed() {
             self.detach(now, id);
@@ -774,8 +776,8 @@
 
     /// Plans a start: written with the next transactions, sent after they are committed.
     pub(crate) fn dispatch(&mut self, now: Time, id: TaskId, machine: MachineIx) {
-        let session = self.machines[machine as usize].session;
-        if self.step(now, id, Input::Dispatch { machine, session }) {
+        let agent_epoch = self.machines[machine as usize].agent_epoch;
+        if self.step(now, id, Input::Dispatch { machine, agent_epoch }) {
             if let Some(job) = self.jobs.get_mut(&id.0) {
                 let chunk = job.chunk_of(id.1);
                 let due = &mut job.chunks[chunk].start_due;
@@ -824,17 +826,17 @@
             let machine = &mut self.machines[task.machine as usize];
             if machine.state == MachineState::Up {
                 machine.outbox.push(call);
-                self.attend(task.machine);
+                self.enqueue_send(task.machine);
             }
         }
     }
 
     /// Something may have to be sent to the machine.
-    pub(crate) fn attend(&mut self, m: MachineIx) {
+    pub(crate) fn enqueue_send(&mut self, m: MachineIx) {
         let machine = &mut self.machines[m as usize];
-        if !machine.noted {
-            machine.noted = true;
-            self.attention.push(m);
+        if !machine.in_send_queue {
+            machine.in_send_queue = true;
+            self.send_queue.push(m);
         }
     }
 
