--- a/crates/scheduler/src/storage/records.rs
+++ b/crates/scheduler/src/storage/records.rs
@@ -79,11 +79,11 @@
         let (Ok(spec), Some(at), Some(chunk_size)) =
             (spec, value["at"].as_u64(), value["chunk"].as_u64())
         else {
-            self.note_once(name, "its stored description cannot be read");
+            self.log_once(name, "its stored description cannot be read");
             return false;
         };
         if spec.tasks == 0 || u64::from(spec.tasks) > protocol::MOST_TASKS || chunk_size == 0 {
-            self.note_once(name, "its stored description is out of range");
+            self.log_once(name, "its stored description is out of range");
             return false;
         }
         let chunk_size = chunk_size.min(u64::from(u32::MAX)) as u32;
@@ -163,7 +163,7 @@
         let mut placed = Vec::new();
         for &(index, record) in records {
             let Some(task) = job.tasks.get_mut(index as usize) else { break };
-            let Some((phase, attempt, machine, session, steps)) = read_record(record) else {
+            let Some((phase, attempt, machine, agent_epoch, steps)) = read_record(record) else {
                 continue;
             };
             task.attempt = attempt;
@@ -180,7 +180,7 @@
             } else if phase.placed() {
                 // Whatever it was, all that is certain now is that it may be there.
                 task.phase = Phase::Dispatching;
-                task.session = session;
+                task.agent_epoch = agent_epoch;
                 // Sent under an older term, so with a token below all of this one's. Only a worker
                 // that has seen this term refuses it for certain; a lower bar would take a report
                 // from before the old start's arrival for proof.
@@ -206,7 +206,7 @@
             phase => {
                 let name = &self.machines[task.machine as usize].name;
                 let placed = task.placed_at.since(job.accepted).0 / PLACED_UNIT.0;
-                TaskRecord::Placed(phase.code(), task.attempt, name, task.session, placed)
+                TaskRecord::Placed(phase.code(), task.attempt, name, task.agent_epoch, placed)
             }
         };
         let tasks = job.tasks[from as usize..to as usize].iter().map(record).collect();
--- a/crates/scheduler/src/storage/transactions.rs
+++ b/crates/scheduler/src/storage/transactions.rs
@@ -9,10 +9,10 @@
 use serde_json::Value;
 
 const MAX_TRANSACTION_BYTES: usize = 40 * 1024;
-/// The part of the write allowance that evidence and clean-up leave to starts and ends.
+/// The part of the write allowance that unpersisted_since and clean-up leave to starts and ends.
 const KEEP_FOR_STARTS: f64 = 0.4;
-/// Times its delay after which evidence waits for nothing any more.
-const OVERDUE_EVIDENCE: u64 = 5;
+/// Times its delay after which unpersisted_since waits for nothing any more.
+const OVERDUE_STATUS_WRITE: u64 = 5;
 
 /// How often every machine is looked at for what time alone brings: an overdue report, a deadline,
 /// the end of a pause. What events bring is looked at when they come.
@@ -22,7 +22,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct WriteCounters {
     pub starts: usize,
-    pub evidence: usize,
+    pub status_writes: usize,
     pub ends: usize,
     pub drops: usize,
     pub jobs: usize,
@@ -114,7 +114,7 @@
             self.last_sweep = now;
             self.settle(now);
         }
-        if self.in_office
+        if self.holds_lease
             && now >= self.writes_paused_until
             && now.since(self.last_round) >= self.tun.round_every
             && self.transactions.len() < self.tun.txns_in_flight as usize
@@ -160,7 +160,7 @@
             for (chunk, c) in job.chunks.iter().enumerate().filter(|(_, c)| !c.in_flight) {
                 if let Some(due) = c.start_due {
                     starts.push((std::cmp::Reverse(job.rank), due, ix, chunk));
-                } else if let Some(since) = c.evidence {
+                } else if let Some(since) = c.unpersisted_since {
                     if now.since(since) >= self.tun.evidence_delay {
                         background.push((since, ix, chunk));
                     }
@@ -193,12 +193,12 @@
             return;
         }
         background.sort_unstable();
-        let limit = Span(self.tun.evidence_delay.0.saturating_mul(OVERDUE_EVIDENCE));
+        let limit = Span(self.tun.evidence_delay.0.saturating_mul(OVERDUE_STATUS_WRITE));
         let overdue = background.first().is_some_and(|l| now.since(l.0) > limit);
         let keep = if overdue { 0.0 } else { KEEP_FOR_STARTS };
         let room = self.write_allowance(keep).min(ops);
-        let under_way = self.transactions.values().any(|t| t.batch.background);
-        if room == 0 || under_way || self.transactions.len() >= most {
+        let background_in_flight = self.transactions.values().any(|t| t.batch.background);
+        if room == 0 || background_in_flight || self.transactions.len() >= most {
             return;
         }
         let mut batch = Batch { background: true, ..Batch::default() };
@@ -243,7 +243,7 @@
                 // All of it is written: nothing to wait for an answer to.
                 let state = self.jobs.get_mut(&ix).and_then(|j| j.chunks.get_mut(chunk));
                 if let Some(state) = state {
-                    (state.start_due, state.evidence) = (None, None);
+                    (state.start_due, state.unpersisted_since) = (None, None);
                 }
                 return;
             }
@@ -266,7 +266,7 @@
             state.in_flight = true;
             if all {
                 state.start_due = None;
-                state.evidence = None;
+                state.unpersisted_since = None;
             }
         }
         batch.chunks.push((ix, chunk));
@@ -297,7 +297,7 @@
         let state = &job.chunks[chunk];
         match state.start_due {
             Some(_) => self.write_counters.starts += 1,
-            None => self.write_counters.evidence += 1,
+            None => self.write_counters.status_writes += 1,
         }
         let mut compare = |key: String, revision| {
             if !batch.transaction.compares.iter().any(|g| g.key == key) {
@@ -530,7 +530,7 @@
         for (ix, end) in done.ends {
             let Some(name) = self.job(ix).map(|j| j.name.clone()) else { continue };
             if end == End::Aborted {
-                self.note(format!("{name} is cancelled: a job that it needs was"));
+                self.log(format!("{name} is cancelled: a job that it needs was"));
             } else if let Some(job) = self.job(ix) {
                 let deadline = job.spec.deadline_s.map(|d| format!(" of {d:.0} s"));
                 let text = format!(
@@ -543,7 +543,7 @@
                     job.spec.estimate_s,
                     job.run_times.0 / f64::from(job.run_times.1.max(1)),
                 );
-                self.note(text);
+                self.log(text);
             }
             // Committed, so stored: what waits for it may begin in this very turn.
             self.job_ended(now, &name, end);
@@ -567,7 +567,7 @@
         let task = job.tasks[id.1 as usize];
         if task.phase == Phase::Dispatching && task.token == 0 {
             self.machines[task.machine as usize].starting.push(id);
-            self.attend(task.machine);
+            self.enqueue_send(task.machine);
         }
     }
 
@@ -582,12 +582,12 @@
     ) -> (Vec<(TaskId, u32)>, Vec<WorkerCommand>) {
         let machine = &self.machines[m as usize];
         let open = machine.state == MachineState::Up
-            && machine.notice.is_none()
+            && machine.interruption_at.is_none()
             && machine.draining.is_none();
         if machine.starting.is_empty() || (open && !sending) {
             return (Vec::new(), Vec::new());
         }
-        let (token, session) = (machine.token(self.term), machine.session);
+        let (token, agent_epoch) = (machine.token(self.term), machine.agent_epoch);
         let (mut ids, mut calls, mut wait) = (Vec::new(), Vec::new(), Vec::new());
         for id in std::mem::take(&mut self.machines[m as usize].starting) {
             let Some(job) = self.job(id.0) else { continue };
@@ -595,7 +595,7 @@
             if task.phase != Phase::Dispatching || task.token != 0 || task.machine != m {
                 continue;
             }
-            if job.over || !open || task.session != session {
+            if job.over || !open || task.agent_epoch != agent_epoch {
                 // Recorded, never sent and never to be sent: absent by this registry's own doing.
                 self.step(now, id, Input::Absent);
                 continue;
@@ -623,7 +623,7 @@
         for &(ix, chunk) in &failed.chunks {
             if let Some(job) = self.jobs.get_mut(&ix) {
                 job.chunks[chunk].in_flight = false;
-                job.chunks[chunk].evidence.get_or_insert(now);
+                job.chunks[chunk].unpersisted_since.get_or_insert(now);
             }
         }
         for &(ix, index) in &failed.changed {
--- a/crates/scheduler/src/tunables.rs
+++ b/crates/scheduler/src/tunables.rs
@@ -127,10 +127,10 @@
 pub struct Site {
     pub teams: Vec<Team>,
     pub objectives: Vec<Objective>,
-    pub report: Span,
-    pub lease: Span,
+    pub heartbeat_interval: Span,
+    pub worker_lease: Span,
     /// Within what time of its confirmation a cancelled job's tasks must be gone.
-    pub cancel: Span,
+    pub cancel_within: Span,
     pub value_bytes: usize,
     pub txn_ops: usize,
     pub list_lag: Span,
--- a/crates/scheduler/src/tunables/tests.rs
+++ b/crates/scheduler/src/tunables/tests.rs
@@ -7,9 +7,9 @@
     let mut site = Site {
         teams: Vec::new(),
         objectives: vec![wait(15), deadline(1.5), wait(3), deadline(1.0), wait(3)],
-        report: Span::secs(3),
-        lease: Span::secs(20),
-        cancel: Span::secs(40),
+        heartbeat_interval: Span::secs(3),
+        worker_lease: Span::secs(20),
+        cancel_within: Span::secs(40),
         value_bytes: 4096,
         txn_ops: 12,
         list_lag: Span::secs(4),
--- a/crates/scheduler/tests/autoscaling.rs
+++ b/crates/scheduler/tests/autoscaling.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 use walnutlug_scheduler::model::job::{keys, JobSpec, Rank};
 use walnutlug_scheduler::protocol::{ListedMachine, MachineStage, MachineType};
-use walnutlug_scheduler::scheduler::{Command, DirectOutcome};
+use walnutlug_scheduler::scheduler::{Command, MessageOutcome};
 use walnutlug_scheduler::time::Span;
 use walnutlug_scheduler::tunables::{Objective, Site};
 use world::{one_machine, site, spec, types, World};
@@ -34,7 +34,7 @@
     let mut rented_after = None;
     for second in 0..90 {
         w.wait(1_000);
-        w.report("n-1");
+        w.heartbeat("n-1");
         w.leader.machine_list(w.now, &[]);
         w.leader.look_at_fleet(w.now);
         let rents = |c: &Command| matches!(c, Command::Rent { .. });
@@ -65,7 +65,7 @@
     assert!(!w.leader.deaf(w.now));
     w.wait(20_000);
     assert!(w.leader.deaf(w.now));
-    w.report("n-2");
+    w.heartbeat("n-2");
     assert!(!w.leader.deaf(w.now), "one worker is heard");
 }
 
@@ -122,7 +122,7 @@
         let task = format!("{JOB}/{index}");
         let machine = w.places()[&task][0].clone();
         w.finish(&machine, &task);
-        w.report(&machine);
+        w.heartbeat(&machine);
         w.wait(50);
         w.settle();
     }
@@ -165,7 +165,7 @@
     let mut w = World::new(&machines);
     w.submit("req-000001", &JobSpec { cpus: 8.0, ..spec(300) });
     w.tick();
-    assert_eq!(w.leader.looked_at, 2_060, "one look for 300 tasks");
+    assert_eq!(w.leader.machines_examined, 2_060, "one look for 300 tasks");
     w.settle();
     assert_eq!(w.places().len(), 300);
     w.submit("req-000002", &JobSpec { cpus: 8.0, ..spec(1_760) });
@@ -174,16 +174,16 @@
     for i in 10..70 {
         w.submit(&format!("req-0000{i}"), &spec(300));
     }
-    let before = w.leader.looked_at;
+    let before = w.leader.machines_examined;
     w.leader.dirty = true;
     w.tick();
-    assert_eq!(w.leader.looked_at - before, 0, "60 jobs wait and no machine has room");
+    assert_eq!(w.leader.machines_examined - before, 0, "60 jobs wait and no machine has room");
     // One machine has room: it alone is looked at, until it is full.
     w.finish("n-0007", &w.places().into_iter().find(|p| p.1[0] == "n-0007").expect("task").0);
-    w.report("n-0007");
-    let before = w.leader.looked_at;
+    w.heartbeat("n-0007");
+    let before = w.leader.machines_examined;
     w.tick();
-    assert_eq!(w.leader.looked_at - before, 1);
+    assert_eq!(w.leader.machines_examined - before, 1);
 }
 
 /// A take-over asks the whole fleet, a part at a time: sockets and processor are for starts and for
@@ -198,7 +198,7 @@
         w.leader.hint_address(w.now, name, "10.0.0.1:1");
     }
     let mut rounds = 0;
-    let seen = |w: &World| w.leader.machines.iter().filter(|m| m.seen_token > 0).count();
+    let seen = |w: &World| w.leader.machines.iter().filter(|m| m.acknowledged_token > 0).count();
     while seen(&w) < 2_060 {
         rounds += 1;
         assert!(rounds < 90, "{} of 2,060 asked after 90 rounds", seen(&w));
@@ -207,8 +207,8 @@
         let sent = std::mem::take(&mut w.commands);
         assert!(sent.len() <= 101, "{} at once", sent.len());
         for command in sent {
-            if let Command::Direct { machine, token, session, calls, .. } = command {
-                w.deliver(machine, token, session, &calls);
+            if let Command::SendToWorker { machine, token, agent_epoch, calls, .. } = command {
+                w.deliver(machine, token, agent_epoch, &calls);
             }
         }
     }
@@ -265,15 +265,15 @@
     let name = w.places()["req-000001/0"][0].clone();
     assert_eq!(w.places()["req-000002/0"][0], name, "the fullest");
     w.all_report();
-    let notice = |w: &mut World| {
-        w.workers.get_mut(&name).expect("worker").notice = Some(12.0);
-        w.report(&name);
+    let interruption_at = |w: &mut World| {
+        w.workers.get_mut(&name).expect("worker").interruption_at = Some(12.0);
+        w.heartbeat(&name);
         w.leader.look_at_fleet(w.now);
         w.settle();
         w.all_report();
         w.settle();
     };
-    notice(&mut w);
+    interruption_at(&mut w);
     let places = w.places();
     assert_ne!(places["req-000001/0"][0], name, "moved");
     assert_eq!(places["req-000002/0"][0], name, "will be done in time");
@@ -282,7 +282,7 @@
     w.submit("req-000001", &JobSpec { estimate_s: 60.0, ..spec(1) });
     w.settle();
     w.all_report();
-    notice(&mut w);
+    interruption_at(&mut w);
     assert_eq!(w.places().len(), 1);
 }
 
@@ -290,8 +290,12 @@
 /// was given back with its work: patience was six and a half seconds, whatever the interval.
 #[test]
 fn patience_counts_from_when_a_report_is_overdue() {
-    for report in [3, 6, 20] {
-        let site = Site { report: Span::secs(report), lease: Span::secs(5 * report), ..site() };
+    for heartbeat in [3, 6, 20] {
+        let site = Site {
+            heartbeat_interval: Span::secs(heartbeat),
+            worker_lease: Span::secs(5 * heartbeat),
+            ..site()
+        };
         let mut w = World::of(site, &[("n-1", "a"), ("n-2", "a"), ("n-3", "b")]);
         w.submit("req-000001", &JobSpec { estimate_s: 900.0, deadline_s: None, ..spec(3) });
         w.settle();
@@ -305,7 +309,7 @@
             w.leader.look_at_fleet(w.now);
             // Nobody is asked successfully; the others report.
             for name in ["n-1", "n-2", "n-3"].into_iter().filter(|n| *n != holder) {
-                w.report(name);
+                w.heartbeat(name);
             }
             w.commands.extend(w.leader.take_commands());
             let returned: Vec<Vec<String>> = std::mem::take(&mut w.commands)
@@ -324,10 +328,13 @@
             assert!(silent_ms < 60_000);
         };
         // Late by a quarter and asked, with the two seconds that a question may take.
-        assert!(given_back as f64 > report as f64 * 1_250.0 + 2_000.0, "{report}: {given_back} ms");
         assert!(
-            given_back as f64 <= report as f64 * 1_400.0 + 3_000.0,
-            "{report}: {given_back} ms"
+            given_back as f64 > heartbeat as f64 * 1_250.0 + 2_000.0,
+            "{heartbeat}: {given_back} ms"
+        );
+        assert!(
+            given_back as f64 <= heartbeat as f64 * 1_400.0 + 3_000.0,
+            "{heartbeat}: {given_back} ms"
         );
     }
 }
@@ -358,8 +365,10 @@
         let names: Vec<(String, &str)> =
             (0..40).map(|i| (format!("n-{i:03}"), if i % 2 == 0 { "a" } else { "b" })).collect();
         let machines: Vec<(&str, &str)> = names.iter().map(|(n, z)| (n.as_str(), *z)).collect();
-        let mut w =
-            World::of(Site { report: Span::secs(5), lease: Span::secs(24), ..site() }, &machines);
+        let mut w = World::of(
+            Site { heartbeat_interval: Span::secs(5), worker_lease: Span::secs(24), ..site() },
+            &machines,
+        );
         // Work on every machine, and more of it than fits.
         w.submit(JOB, &JobSpec { cpus: 8.0, estimate_s: 900.0, deadline_s: Some(1.0), ..spec(60) });
         w.settle();
@@ -369,7 +378,7 @@
             let (name, zone) = machines[step % 40];
             let at_ms = step as u64 * 125;
             if at_ms < 5_000 || !cut.contains(&zone) {
-                w.report(name);
+                w.heartbeat(name);
             }
             w.wait(75);
             w.tick();
@@ -499,7 +508,7 @@
 /// machines made the job look at fault, and no machine was blamed.
 #[test]
 fn a_job_keeps_away_from_machines_that_failed_it_and_they_are_drained() {
-    use walnutlug_scheduler::protocol::{Cause, TaskStage};
+    use walnutlug_scheduler::protocol::{ExitReason, TaskState};
     let names: Vec<String> = (0..8).map(|i| format!("n-{i}")).collect();
     let machines: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "a")).collect();
     let mut w = World::new(&machines);
@@ -512,9 +521,12 @@
         // The first three are sick, the others complete.
         for worker in w.workers.values_mut() {
             let sick = ["n-0", "n-1", "n-2"].contains(&worker.name.as_str());
-            for state in worker.tasks.values_mut().filter(|s| s.0 != TaskStage::Exited) {
+            for state in worker.tasks.values_mut().filter(|s| s.0 != TaskState::Exited) {
                 failures += u32::from(sick);
-                *state = (TaskStage::Exited, Some(if sick { Cause::Error } else { Cause::Done }));
+                *state = (
+                    TaskState::Exited,
+                    Some(if sick { ExitReason::Error } else { ExitReason::Done }),
+                );
             }
         }
         w.all_report();
@@ -638,8 +650,8 @@
     w.place_and_commit();
     let lost = |w: &mut World| {
         for command in std::mem::take(&mut w.commands) {
-            if let Command::Direct { machine, .. } = command {
-                w.leader.direct_answer(w.now, machine, DirectOutcome::Lost);
+            if let Command::SendToWorker { machine, .. } = command {
+                w.leader.message_answered(w.now, machine, MessageOutcome::Indeterminate);
             }
         }
     };
@@ -654,7 +666,7 @@
     assert!(!w.leader.deaf(w.now), "reports come");
     assert!(w.leader.reaches_no_worker(w.now));
     // One answer, and it does.
-    let direct = |c: &Command| matches!(c, Command::Direct { .. });
+    let direct = |c: &Command| matches!(c, Command::SendToWorker { .. });
     for _ in 0..20 {
         w.wait(500);
         w.leader.tick(w.now);
@@ -665,8 +677,9 @@
     }
     assert!(w.leader.reaches_no_worker(w.now));
     let at = w.commands.iter().position(direct).expect("a message");
-    if let Command::Direct { machine, token, session, calls, .. } = w.commands.remove(at) {
-        w.deliver(machine, token, session, &calls);
+    if let Command::SendToWorker { machine, token, agent_epoch, calls, .. } = w.commands.remove(at)
+    {
+        w.deliver(machine, token, agent_epoch, &calls);
     }
     assert!(!w.leader.reaches_no_worker(w.now));
 }
@@ -680,8 +693,8 @@
     w.submit("req-000001", &JobSpec { cpus: 8.0, ..spec(20) });
     w.place_and_commit();
     for command in std::mem::take(&mut w.commands) {
-        if let Command::Direct { machine, .. } = command {
-            w.leader.direct_answer(w.now, machine, DirectOutcome::Lost);
+        if let Command::SendToWorker { machine, .. } = command {
+            w.leader.message_answered(w.now, machine, MessageOutcome::Indeterminate);
         }
     }
     w.wait(4_000);
--- a/crates/scheduler/tests/cancellations.rs
+++ b/crates/scheduler/tests/cancellations.rs
@@ -3,7 +3,7 @@
 
 mod world;
 
-use walnutlug_scheduler::leadership::watermark::{ask_every, window, CancelLog, Watermark};
+use walnutlug_scheduler::leadership::watermark::{ask_every, window, CancellationLog, Watermark};
 use walnutlug_scheduler::model::job::{keys, End};
 use walnutlug_scheduler::time::{Span, Time};
 use walnutlug_scheduler::tunables::Site;
@@ -42,9 +42,9 @@
 
 struct Peer {
     name: &'static str,
-    life: u64,
+    incarnation: u64,
     up: bool,
-    log: CancelLog,
+    log: CancellationLog,
 }
 
 struct Play {
@@ -53,24 +53,24 @@
     asked: u64,
     peers: Vec<Peer>,
     /// Frames under way to the leader, by when they arrive.
-    under_way: Vec<(Time, Frame)>,
+    messages_in_flight: Vec<(Time, Frame)>,
     renewed: Time,
 }
 
 #[derive(Debug, Clone)]
 enum Frame {
-    Told { node: usize, life: u64, first: u64, jobs: Vec<String> },
-    Vouch { node: usize, life: u64, last: u64, number: u64 },
+    Told { node: usize, incarnation: u64, first: u64, jobs: Vec<String> },
+    Vouch { node: usize, incarnation: u64, last: u64, number: u64 },
 }
 
 fn site(lease: u64, cancel: u64) -> Site {
-    Site { lease: Span::millis(lease), cancel: Span::millis(cancel), ..world::site() }
+    Site { worker_lease: Span::millis(lease), cancel_within: Span::millis(cancel), ..world::site() }
 }
 
-fn new_peer(name: &'static str, life: u64, site: &Site) -> Peer {
-    let mut log = CancelLog::new(site);
+fn new_peer(name: &'static str, incarnation: u64, site: &Site) -> Peer {
+    let mut log = CancellationLog::new(site);
     log.heard("leader", 1);
-    Peer { name, life, up: true, log }
+    Peer { name, incarnation, up: true, log }
 }
 
 impl Play {
@@ -79,7 +79,7 @@
         let mut w = World::of(site.clone(), &[("n-1", "a")]);
         w.submit(JOB, &spec(1));
         w.settle();
-        w.report("n-1");
+        w.heartbeat("n-1");
         w.cut_off = true;
         let mut watermark = Watermark::new(["p".to_owned(), "q".to_owned()]);
         // Both are known, and the state service was read since.
@@ -89,7 +89,7 @@
         watermark.read(w.now);
         let renewed = w.now;
         let peers = vec![new_peer("p", 7, site), new_peer("q", 7, site)];
-        Play { w, watermark, asked: 0, peers, under_way: Vec::new(), renewed }
+        Play { w, watermark, asked: 0, peers, messages_in_flight: Vec::new(), renewed }
     }
 
     fn live(&self) -> bool {
@@ -99,18 +99,18 @@
     fn frame(&mut self, frame: Frame) {
         let now = self.w.now;
         match frame {
-            Frame::Told { node, life, first, jobs } => {
+            Frame::Told { node, incarnation, first, jobs } => {
                 for job in &jobs {
                     self.w.leader.job_ended(now, job, End::Aborted);
                 }
                 let name = self.peers[node].name;
-                let up_to = self.watermark.told(now, name, life, first, jobs.len() as u64);
-                if let Some(up_to) = up_to.filter(|_| self.peers[node].life == life) {
+                let up_to = self.watermark.told(now, name, incarnation, first, jobs.len() as u64);
+                if let Some(up_to) = up_to.filter(|_| self.peers[node].incarnation == incarnation) {
                     self.peers[node].log.acknowledged("leader", 1, up_to);
                 }
             }
-            Frame::Vouch { node, life, last, number } => {
-                self.watermark.vouch(now, self.peers[node].name, life, last, number);
+            Frame::Vouch { node, incarnation, last, number } => {
+                self.watermark.vouch(now, self.peers[node].name, incarnation, last, number);
             }
         }
     }
@@ -145,8 +145,8 @@
                 self.exchange(now, told, m);
             }
             let (due, rest): (Vec<_>, Vec<_>) =
-                self.under_way.drain(..).partition(|(at, _)| *at <= now);
-            self.under_way = rest;
+                self.messages_in_flight.drain(..).partition(|(at, _)| *at <= now);
+            self.messages_in_flight = rest;
             for (_, frame) in due {
                 self.frame(frame);
             }
@@ -171,21 +171,21 @@
             }
             let mut sent = vec![Frame::Vouch {
                 node,
-                life: peer.life,
+                incarnation: peer.incarnation,
                 last: peer.log.last(),
                 number: self.asked,
             }];
             if let Some((first, jobs)) = peer.log.to_tell(now, "leader") {
-                sent.push(Frame::Told { node, life: peer.life, first, jobs });
+                sent.push(Frame::Told { node, incarnation: peer.incarnation, first, jobs });
             }
             for frame in sent {
                 match m.frames {
                     Frames::Late(ms) if lossy => {
                         let late = now + Span::millis(ms);
-                        self.under_way.push((late, frame.clone()));
-                        self.under_way.push((late + Span::millis(ms), frame));
+                        self.messages_in_flight.push((late, frame.clone()));
+                        self.messages_in_flight.push((late + Span::millis(ms), frame));
                     }
-                    _ => self.under_way.push((now, frame)),
+                    _ => self.messages_in_flight.push((now, frame)),
                 }
             }
         }
@@ -193,18 +193,18 @@
 
     /// The worker reports every three seconds and drops all when its lease ends.
     fn work(&mut self, now: Time, at: u64) {
-        self.w.leader.known_until = self.watermark.until(now);
-        let lease = self.w.leader.site.lease.scale(SLOW);
+        self.w.leader.cancellations_known_until = self.watermark.until(now);
+        let lease = self.w.leader.site.worker_lease.scale(SLOW);
         if now.since(self.renewed) > lease {
             self.w.workers.get_mut("n-1").expect("worker").lease_ends();
             self.renewed = now;
         }
         if at.is_multiple_of(3_000) {
             let worker = self.w.workers.get_mut("n-1").expect("worker");
-            let report = worker.report();
-            if let Some((token, calls)) = self.w.leader.report(now, &report) {
+            let heartbeat = worker.heartbeat();
+            if let Some((token, calls)) = self.w.leader.heartbeat(now, &heartbeat) {
                 let worker = self.w.workers.get_mut("n-1").expect("worker");
-                worker.answered(report.session, token, &calls);
+                worker.answered(heartbeat.agent_epoch, token, &calls);
                 self.renewed = now;
             }
         }
@@ -297,7 +297,7 @@
         let began = p.w.now;
         p.play(began, 5 * cancel, &quiet);
         assert!(p.live(), "lease {lease}, cancel {cancel}");
-        assert_eq!(p.w.workers["n-1"].session, 1, "lease {lease}, cancel {cancel}");
+        assert_eq!(p.w.workers["n-1"].agent_epoch, 1, "lease {lease}, cancel {cancel}");
     }
 }
 
@@ -310,7 +310,7 @@
     let mut p = Play::new(&site);
     let began = p.w.now;
     p.play(began, window(&site).0 / 1_000 - 2 * STEP, &far);
-    assert!(p.w.leader.may_renew(p.w.now));
+    assert!(p.w.leader.may_renew_leases(p.w.now));
     // The last report within the window came at 18 s.
     p.play(began, 18_000 + 24_000 - STEP, &far);
     assert!(p.live());
@@ -318,14 +318,14 @@
     assert!(!p.live());
     // Heard of again, the machine is open for work as before.
     p.watermark.read(p.w.now);
-    p.w.leader.known_until = p.w.now;
-    assert!(p.w.leader.may_renew(p.w.now));
+    p.w.leader.cancellations_known_until = p.w.now;
+    assert!(p.w.leader.may_renew_leases(p.w.now));
 }
 
 #[test]
 fn a_log_is_told_until_it_is_acknowledged_by_that_life_of_its_reader() {
     let site = site(24_000, 44_000);
-    let mut log = CancelLog::new(&site);
+    let mut log = CancellationLog::new(&site);
     let now = Time(1 << 40);
     let at = |ms: u64| now + Span::millis(ms);
     log.append(now, "req-1");
@@ -413,7 +413,7 @@
     for _ in 0..20 {
         w.tick();
         for command in std::mem::take(&mut w.commands) {
-            if let walnutlug_scheduler::scheduler::Command::Direct { calls, .. } = command {
+            if let walnutlug_scheduler::scheduler::Command::SendToWorker { calls, .. } = command {
                 assert!(calls.is_empty(), "{calls:?}");
             }
         }
@@ -422,7 +422,7 @@
     w.leader.job_ended(w.now, JOB, End::Aborted);
     w.cut_off = false;
     w.settle();
-    w.report("n-1");
+    w.heartbeat("n-1");
     w.settle();
     assert!(w.workers["n-1"].tasks.is_empty());
     // Had it not been cancelled, it would have gone then.
@@ -434,7 +434,7 @@
     w.cut_off = true;
     w.wait(56_000);
     w.leader.transaction_answered(w.now, id, outcome);
-    w.report("n-1");
+    w.heartbeat("n-1");
     w.tick();
     assert!(w.workers["n-1"].tasks.is_empty());
     w.cut_off = false;
@@ -448,13 +448,17 @@
     let mut w = World::new(&[("n-1", "a")]);
     w.submit(JOB, &spec(1));
     w.settle();
-    w.report("n-1");
+    w.heartbeat("n-1");
     w.settle();
     w.withdraw(JOB);
     w.tick();
     let (m, _, _, calls) = w.take_direct();
     assert_eq!(calls.len(), 1);
-    w.leader.direct_answer(w.now, m, walnutlug_scheduler::scheduler::DirectOutcome::Lost);
+    w.leader.message_answered(
+        w.now,
+        m,
+        walnutlug_scheduler::scheduler::MessageOutcome::Indeterminate,
+    );
     w.wait(3_000);
     w.settle();
     assert!(w.places_of(&format!("{JOB}/0")).is_empty(), "by direct command, without any report");
@@ -467,18 +471,18 @@
     let mut w = World::new(&[("n-1", "a")]);
     w.submit(JOB, &spec(1));
     w.settle();
-    w.report("n-1");
+    w.heartbeat("n-1");
     let worker = w.workers.get_mut("n-1").expect("worker");
-    let overtaken = worker.report();
-    let newer = worker.report();
+    let overtaken = worker.heartbeat();
+    let newer = worker.heartbeat();
     let m = w.leader.by_name["n-1"];
-    w.leader.direct_answer(
+    w.leader.message_answered(
         w.now,
         m,
-        walnutlug_scheduler::scheduler::DirectOutcome::Answered(Box::new(newer)),
+        walnutlug_scheduler::scheduler::MessageOutcome::Answered(Box::new(newer)),
     );
     w.withdraw(JOB);
-    let (token, calls) = w.leader.report(w.now, &overtaken).expect("an answer");
+    let (token, calls) = w.leader.heartbeat(w.now, &overtaken).expect("an answer");
     w.workers.get_mut("n-1").expect("worker").answered(1, token, &calls);
     assert!(w.places_of(&format!("{JOB}/0")).is_empty(), "renewed without a kill");
 }
--- a/crates/scheduler/tests/dependencies.rs
+++ b/crates/scheduler/tests/dependencies.rs
@@ -35,7 +35,7 @@
     w.tick();
     let mut names = Vec::new();
     w.commands.retain(|c| match c {
-        Command::FindEnds { names: found } => {
+        Command::FindJobEnds { names: found } => {
             names.clone_from(found);
             false
         }
@@ -76,7 +76,7 @@
     w.leader.transaction_answered(w.now, id, outcome);
     assert!(w.leader.queue(w.now).is_empty(), "that it ended doesn't tell how");
     assert_eq!(asked(&mut w), [FIRST]);
-    w.leader.ends_found(w.now, &[(FIRST.to_owned(), Found::Ended(End::Done))]);
+    w.leader.job_ends_found(w.now, &[(FIRST.to_owned(), Found::Ended(End::Done))]);
     assert_eq!(w.leader.queue(w.now).len(), 1);
 }
 
@@ -115,10 +115,10 @@
     w.all_report();
     w.all_report();
     assert_eq!(asked(&mut w), [FIRST]);
-    w.leader.ends_found(w.now, &[]);
+    w.leader.job_ends_found(w.now, &[]);
     w.wait(1_000);
     assert_eq!(asked(&mut w), [FIRST], "what was not answered is asked again");
-    w.leader.ends_found(w.now, &[(FIRST.to_owned(), Found::Open)]);
+    w.leader.job_ends_found(w.now, &[(FIRST.to_owned(), Found::Open)]);
     w.run_out();
     assert!(w.places().is_empty() && w.end(SECOND).is_none());
     // Not in the registry, so no commit of this leader's tells; the watch or the next reading does.
@@ -166,7 +166,7 @@
             w.all_report();
             let names = asked(&mut w);
             let found = w.store.ends(&names);
-            w.leader.ends_found(w.now, &found);
+            w.leader.job_ends_found(w.now, &found);
             turns += 1;
             assert!(turns < 10, "{} are still open", open(&w));
         }
@@ -303,7 +303,7 @@
     for _ in 0..5 {
         let names = asked(&mut w);
         let found = w.store.ends(&names);
-        w.leader.ends_found(w.now, &found);
+        w.leader.job_ends_found(w.now, &found);
         let commands = w.leader.take_commands();
         let told = |c: &&Command| matches!(c, Command::Note(n) if n.contains("nobody ever"));
         notes += commands.iter().filter(told).count();
--- a/crates/scheduler/tests/fair_share.rs
+++ b/crates/scheduler/tests/fair_share.rs
@@ -312,7 +312,7 @@
 /// What a round looks at with 10,000 jobs of four teams that wait, shared and not.
 #[test]
 fn a_round_over_ten_thousand_jobs_looks_at_no_more_than_before() {
-    let looked_at = |shared_order: bool| {
+    let machines_examined = |shared_order: bool| {
         let teams = ["one", "two", "three", "four"];
         let mut world = fleet(teams.iter().map(|name| team(name, 0.0, 0.0)).collect());
         set(&mut world, |t| t.shared_order = shared_order);
@@ -328,12 +328,12 @@
                 world.finish("n-007", &task);
             }
         }
-        world.report("n-007");
-        let entries = |world: &World| world.leader.looked_at + world.leader.looked_at_jobs;
+        world.heartbeat("n-007");
+        let entries = |world: &World| world.leader.machines_examined + world.leader.jobs_examined;
         let before = entries(&world);
         world.tick();
         entries(&world) - before
     };
-    let (before, shared) = (looked_at(false), looked_at(true));
+    let (before, shared) = (machines_examined(false), machines_examined(true));
     assert!(before > 0 && shared * 10 <= before * 11, "{shared} instead of {before}");
 }
--- a/crates/scheduler/tests/fleet_size.rs
+++ b/crates/scheduler/tests/fleet_size.rs
@@ -61,13 +61,16 @@
     let names = machine_names();
     let machines: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "a")).collect();
     let mut world = World::new(&machines);
-    let before_jobs = world.leader.looked_at;
+    let before_jobs = world.leader.machines_examined;
     for index in 0..JOBS {
         world.submit(&job_name(index), &JobSpec { cpus: 2.0, ..spec(TASKS_OF_A_JOB) });
     }
     world.tick();
-    let looked_at = world.leader.looked_at - before_jobs;
-    assert!(looked_at <= (JOBS * MACHINES) as u64, "a job looks at each machine once: {looked_at}");
+    let machines_examined = world.leader.machines_examined - before_jobs;
+    assert!(
+        machines_examined <= (JOBS * MACHINES) as u64,
+        "a job looks at each machine once: {machines_examined}"
+    );
     for _ in 0..40 {
         world.settle();
     }
@@ -98,18 +101,18 @@
     let token = world.token_now();
     let mut messages = 0;
     for round in 0.. {
-        let heard = world.leader.machines.iter().filter(|m| m.seen_token >= token).count();
+        let heard = world.leader.machines.iter().filter(|m| m.acknowledged_token >= token).count();
         assert!(round < 120, "{heard} are heard after {round} rounds, {messages} messages");
         world.wait(150);
         world.tick();
         let commands = std::mem::take(&mut world.commands);
-        let direct = commands.iter().filter(|c| matches!(c, Command::Direct { .. })).count();
+        let direct = commands.iter().filter(|c| matches!(c, Command::SendToWorker { .. })).count();
         assert!(direct <= most_under_way, "{direct} messages at once");
         messages += direct;
         for command in commands {
             match command {
-                Command::Direct { machine, token, session, calls, .. } => {
-                    world.deliver(machine, token, session, &calls);
+                Command::SendToWorker { machine, token, agent_epoch, calls, .. } => {
+                    world.deliver(machine, token, agent_epoch, &calls);
                 }
                 Command::Commit { id, transaction } => {
                     let outcome = world.store.apply(&transaction);
@@ -118,7 +121,7 @@
                 _ => {}
             }
         }
-        if world.leader.machines.iter().all(|machine| machine.seen_token >= token) {
+        if world.leader.machines.iter().all(|machine| machine.acknowledged_token >= token) {
             break;
         }
     }
@@ -138,10 +141,10 @@
         }
     }
     assert_eq!(changed.len(), MACHINES);
-    let (looks, written) = (world.leader.looked_at_to_send, world.store.store_revision);
+    let (looks, written) = (world.leader.send_checks, world.store.store_revision);
     world.all_report();
     world.tick();
-    let looked = world.leader.looked_at_to_send - looks;
+    let looked = world.leader.send_checks - looks;
     assert!(looked <= 3 * MACHINES as u64, "{looked} looks for {MACHINES} reports");
     for _ in 0..10 {
         world.wait(1_000);
--- a/crates/scheduler/tests/golden_bytes.rs
+++ b/crates/scheduler/tests/golden_bytes.rs
@@ -11,8 +11,8 @@
 use walnutlug_scheduler::model::job::{keys, End, JobSpec, Rank};
 use walnutlug_scheduler::model::task::Phase;
 use walnutlug_scheduler::protocol::{
-    job_answer, parse_submission, Cause, Commands, KeyValue, Operation, Redirect, Report,
-    ReportAnswer, Stage, TaskReport, TaskStage, WorkerCommand,
+    job_answer, parse_submission, CommandsRequest, ExitReason, Heartbeat, HeartbeatResponse,
+    KeyValue, Operation, Redirect, Stage, TaskState, TaskStatus, WorkerCommand,
 };
 use walnutlug_scheduler::scheduler::Command;
 use walnutlug_scheduler::storage::records::{chunk_size, description_record};
@@ -181,8 +181,9 @@
             false => "nowhere",
         };
         let after = task.placed_at.since(job.accepted).0;
-        let (phase, attempt, session) = (phase_name(task.phase), task.attempt, task.session);
-        format!("{phase}, attempt {attempt}, at {place}, session {session}, after {after} us")
+        let (phase, attempt, agent_epoch) =
+            (phase_name(task.phase), task.attempt, task.agent_epoch);
+        format!("{phase}, attempt {attempt}, at {place}, session {agent_epoch}, after {after} us")
     };
     job.tasks.iter().map(line).collect::<Vec<_>>().join("\n")
 }
@@ -277,7 +278,7 @@
     fn go_on_unheard(&mut self, rounds: usize) {
         for _ in 0..rounds {
             self.decide();
-            self.world.commands.retain(|c| !matches!(c, Command::Direct { .. }));
+            self.world.commands.retain(|c| !matches!(c, Command::SendToWorker { .. }));
             self.world.carry_out();
         }
     }
@@ -305,8 +306,8 @@
         self.go_on(4);
         self.world.all_report();
         self.go_on(1);
-        self.world.workers.get_mut("n-000001").expect("a worker").notice = Some(30.0);
-        self.world.report("n-000001");
+        self.world.workers.get_mut("n-000001").expect("a worker").interruption_at = Some(30.0);
+        self.world.heartbeat("n-000001");
         self.world.leader.look_at_fleet(self.world.now);
         self.go_on_unheard(2);
         self.finish_all_of("n-000002");
@@ -339,7 +340,7 @@
             }
         }
         self.world.wait(3_000);
-        self.world.report(machine);
+        self.world.heartbeat(machine);
     }
 
     fn start_and_confirm(&mut self) {
@@ -360,7 +361,7 @@
         for _ in 0..20 {
             self.world.wait(3_000);
             for name in ["n-000001", "n-000002"] {
-                self.world.report(name);
+                self.world.heartbeat(name);
             }
             self.go_on(1);
         }
@@ -416,34 +417,34 @@
 const PROTOCOL: &str = "tests/golden/protocol.txt";
 
 /// A report with every state and every cause.
-fn full_report() -> Report {
-    let task = |index: u64, state, cause| TaskReport {
+fn full_report() -> Heartbeat {
+    let task = |index: u64, state, cause| TaskStatus {
         task: format!("req-000412/{index}"),
         attempt: 10 + index,
         state,
         cause,
     };
-    let exited = |index, cause| task(index, TaskStage::Exited, Some(cause));
-    Report {
+    let exited = |index, cause| task(index, TaskState::Exited, Some(cause));
+    Heartbeat {
         machine: "n-000231".into(),
         address: "10.1.0.232:9000".into(),
         kind: "g8".into(),
         zone: "a".into(),
         spot: true,
-        session: 3,
-        seq: 88,
+        agent_epoch: 3,
+        sequence: 88,
         token: 41,
-        notice_s: Some(27.5),
+        interruption_notice_s: Some(27.5),
         tasks: vec![
-            task(0, TaskStage::Fetching, None),
-            task(1, TaskStage::Running, None),
-            task(2, TaskStage::Flushing, None),
-            exited(3, Cause::Done),
-            exited(4, Cause::Stopped),
-            exited(5, Cause::Error),
-            exited(6, Cause::NoRoom),
-            exited(7, Cause::InUse),
-            exited(8, Cause::Unknown),
+            task(0, TaskState::Fetching, None),
+            task(1, TaskState::Running, None),
+            task(2, TaskState::Flushing, None),
+            exited(3, ExitReason::Done),
+            exited(4, ExitReason::Stopped),
+            exited(5, ExitReason::Error),
+            exited(6, ExitReason::NoRoom),
+            exited(7, ExitReason::InUse),
+            exited(8, ExitReason::Unknown),
         ],
     }
 }
@@ -462,24 +463,24 @@
     let answers = stages.map(|stage| job_answer(JOB, stage, None).to_string()).join("\n");
     let found = [
         ("report", text(&full_report())),
-        ("answer to a report", text(&ReportAnswer { token: 41, calls: calls() })),
-        ("answer without calls", text(&ReportAnswer { token: 41, calls: Vec::new() })),
-        ("commands", text(&Commands { token: 41, session: 7, calls: &calls() })),
+        ("answer to a report", text(&HeartbeatResponse { token: 41, calls: calls() })),
+        ("answer without calls", text(&HeartbeatResponse { token: 41, calls: Vec::new() })),
+        ("commands", text(&CommandsRequest { token: 41, agent_epoch: 7, calls: &calls() })),
         ("redirect", text(&Redirect { node: Some("kernel-2".into()) })),
         ("redirect to none", text(&Redirect { node: None })),
         ("job", answers),
         ("job with counts", job_answer(JOB, Stage::Running, Some((3, 13))).to_string()),
     ];
     let golden = Golden::check(PROTOCOL, &found);
-    let report = golden.text("report");
-    let read: Report = serde_json::from_str(&report).expect("a report");
+    let heartbeat = golden.text("report");
+    let read: Heartbeat = serde_json::from_str(&heartbeat).expect("a report");
     let full = full_report();
     assert!(read.machine == full.machine && read.address == full.address, "report: names");
     assert!(read.kind == full.kind && read.zone == full.zone, "report: type and zone");
-    assert!(read.spot && read.notice_s == Some(27.5), "report: spot and notice");
-    assert!((read.session, read.seq, read.token) == (3, 88, 41), "report: numbers");
+    assert!(read.spot && read.interruption_notice_s == Some(27.5), "report: spot and notice");
+    assert!((read.agent_epoch, read.sequence, read.token) == (3, 88, 41), "report: numbers");
     assert!(read.tasks == full.tasks, "report: tasks");
-    assert!(text(&read) == report, "report: written again it differs");
+    assert!(text(&read) == heartbeat, "report: written again it differs");
     let commands: Value = serde_json::from_str(&golden.text("commands")).expect("commands");
     let read: Vec<WorkerCommand> =
         serde_json::from_value(commands["calls"].clone()).expect("calls");
@@ -490,11 +491,11 @@
 #[test]
 fn odd_reports_are_read_as_before() {
     let least = r#"{"tree":"n-1","address":"10.0.0.1:1","breed":"g8","grove":"a","windfall":false,"season":1,"ring":2,"staff":3,"new":true}"#;
-    let read: Report = serde_json::from_str(least).expect("a report");
-    assert!(read.notice_s.is_none() && read.tasks.is_empty(), "what is left out");
+    let read: Heartbeat = serde_json::from_str(least).expect("a report");
+    assert!(read.interruption_notice_s.is_none() && read.tasks.is_empty(), "what is left out");
     let later = r#"{"nut":"req-1/0","try":1,"stage":"dreaming","cause":"weather"}"#;
-    let read: TaskReport = serde_json::from_str(later).expect("a task");
-    assert!(read.state == TaskStage::Other && read.cause == Some(Cause::Other), "later words");
+    let read: TaskStatus = serde_json::from_str(later).expect("a task");
+    assert!(read.state == TaskState::Other && read.cause == Some(ExitReason::Other), "later words");
 }
 
 /// A submission with a value of its own in every field, as the protocol spells it.
--- a/crates/scheduler/tests/random_interleavings.rs
+++ b/crates/scheduler/tests/random_interleavings.rs
@@ -6,8 +6,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use serde_json::json;
-use walnutlug_scheduler::protocol::{Report, WorkerCommand};
-use walnutlug_scheduler::scheduler::{Command, DirectOutcome, Scheduler, TransactionOutcome};
+use walnutlug_scheduler::protocol::{Heartbeat, WorkerCommand};
+use walnutlug_scheduler::scheduler::{Command, MessageOutcome, Scheduler, TransactionOutcome};
 use world::{spec, World};
 
 /// A message that the test holds.
@@ -23,10 +23,10 @@
         waits: bool,
         name: String,
         token: u64,
-        session: u64,
+        agent_epoch: u64,
         calls: Vec<WorkerCommand>,
     },
-    Report(Report),
+    Heartbeat(Heartbeat),
 }
 
 /// What the state service takes once its limits have fallen: less than a chunk of the former version
@@ -92,13 +92,14 @@
                     self.held.push(Held::Commit(term, Some(id), transaction))
                 }
                 Command::Read { id, key } => self.held.push(Held::Read(term, id, key)),
-                Command::FindEnds { names } => self.held.push(Held::Ends(term, names)),
-                Command::Direct { machine, token, session, calls, .. } => {
+                Command::FindJobEnds { names } => self.held.push(Held::Ends(term, names)),
+                Command::SendToWorker { machine, token, agent_epoch, calls, .. } => {
                     let name = self
                         .scheduler(term)
                         .map(|s| s.machines[machine as usize].name.clone())
                         .expect("the sender");
-                    let direct = Held::Direct { term, waits: true, name, token, session, calls };
+                    let direct =
+                        Held::Direct { term, waits: true, name, token, agent_epoch, calls };
                     self.held.push(direct);
                 }
                 _ => {}
@@ -150,7 +151,7 @@
                 let mut found = self.w.store.ends(&names);
                 found.truncate(fate);
                 if let Some(s) = self.scheduler(term) {
-                    s.ends_found(now, &found);
+                    s.job_ends_found(now, &found);
                 }
             }
             Held::Read(term, id, key) => {
@@ -159,52 +160,58 @@
                     s.read_answered(now, id, (!fate.is_multiple_of(4)).then_some(found));
                 }
             }
-            Held::Direct { term, waits, name, token, session, calls }
+            Held::Direct { term, waits, name, token, agent_epoch, calls }
                 if self.deaf.contains(&name) =>
             {
                 // Held on the way: it may arrive once the machine hears again.
-                let copy =
-                    Held::Direct { term, waits: false, name: name.clone(), token, session, calls };
+                let copy = Held::Direct {
+                    term,
+                    waits: false,
+                    name: name.clone(),
+                    token,
+                    agent_epoch,
+                    calls,
+                };
                 self.held.push(copy);
                 if waits {
                     if let Some(s) = self.scheduler(term) {
                         let machine = s.by_name[&name];
-                        s.direct_answer(now, machine, DirectOutcome::Lost);
+                        s.message_answered(now, machine, MessageOutcome::Indeterminate);
                     }
                 }
             }
-            Held::Direct { term, waits, name, token, session, calls } => {
+            Held::Direct { term, waits, name, token, agent_epoch, calls } => {
                 let worker = self.w.workers.get_mut(&name).expect("worker");
                 let (outcome, copy) = match fate % 6 {
-                    0 => (DirectOutcome::Lost, true),
-                    2 => (DirectOutcome::NotSent, false),
+                    0 => (MessageOutcome::Indeterminate, true),
+                    2 => (MessageOutcome::NotSent, false),
                     1 if worker.alive => {
-                        worker.direct(token, session, &calls);
-                        (DirectOutcome::Lost, fate % 12 == 1)
+                        worker.direct(token, agent_epoch, &calls);
+                        (MessageOutcome::Indeterminate, fate % 12 == 1)
                     }
                     _ if worker.alive => {
-                        let report = worker.direct(token, session, &calls);
+                        let heartbeat = worker.direct(token, agent_epoch, &calls);
                         // A repeat of a request that was carried out may follow.
-                        (DirectOutcome::Answered(Box::new(report)), fate % 12 == 3)
+                        (MessageOutcome::Answered(Box::new(heartbeat)), fate % 12 == 3)
                     }
-                    _ => (DirectOutcome::Lost, false),
+                    _ => (MessageOutcome::Indeterminate, false),
                 };
                 if copy {
                     let name = name.clone();
-                    let copy = Held::Direct { term, waits: false, name, token, session, calls };
+                    let copy = Held::Direct { term, waits: false, name, token, agent_epoch, calls };
                     self.held.push(copy);
                 }
                 if waits {
                     if let Some(s) = self.scheduler(term) {
                         let machine = s.by_name[&name];
-                        s.direct_answer(now, machine, outcome);
+                        s.message_answered(now, machine, outcome);
                     }
                 }
             }
-            Held::Report(report) => {
+            Held::Heartbeat(heartbeat) => {
                 if fate % 12 == 7 {
                     // A copy comes later still, perhaps to the next leader.
-                    self.held.push(Held::Report(report.clone()));
+                    self.held.push(Held::Heartbeat(heartbeat.clone()));
                 }
                 // Late or not, to the leader or to an old one, answered or not.
                 let n = self.old.len();
@@ -212,12 +219,12 @@
                     0 if n > 0 => &mut self.old[fate / 5 % n],
                     _ => &mut self.w.leader,
                 };
-                let answer = s.report(now, &report);
-                let deaf = self.deaf.contains(&report.machine);
+                let answer = s.heartbeat(now, &heartbeat);
+                let deaf = self.deaf.contains(&heartbeat.machine);
                 if let (Some((token, calls)), true) = (answer, !fate.is_multiple_of(3) && !deaf) {
-                    let worker = self.w.workers.get_mut(&report.machine).expect("worker");
+                    let worker = self.w.workers.get_mut(&heartbeat.machine).expect("worker");
                     if worker.alive {
-                        worker.answered(report.session, token, &calls);
+                        worker.answered(heartbeat.agent_epoch, token, &calls);
                     }
                 }
             }
@@ -234,8 +241,8 @@
             17..=21 => {
                 let worker = self.w.workers.get_mut(name).expect("worker");
                 if worker.alive {
-                    let report = worker.report();
-                    self.held.push(Held::Report(report));
+                    let heartbeat = worker.heartbeat();
+                    self.held.push(Held::Heartbeat(heartbeat));
                 }
             }
             22..=24 => {
@@ -305,8 +312,8 @@
                 let worker = self.w.workers.get_mut(name).expect("worker");
                 worker.tasks.clear();
                 if pick.is_multiple_of(8) {
-                    worker.session += 1;
-                    worker.seq = 0;
+                    worker.agent_epoch += 1;
+                    worker.sequence = 0;
                     worker.token = 0;
                 }
             }
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -11,10 +11,11 @@
 use serde_json::{json, Value};
 use walnutlug_scheduler::model::job::{keys, End, JobSpec};
 use walnutlug_scheduler::protocol::{
-    Cause, ListedMachine, MachineStage, Operation, Report, TaskStage, Transaction, WorkerCommand,
+    ExitReason, Heartbeat, ListedMachine, MachineStage, Operation, TaskState, Transaction,
+    WorkerCommand,
 };
-use walnutlug_scheduler::reconciliation::repeated_heartbeats::{SettledReport, OWN_NODE};
-use walnutlug_scheduler::scheduler::{Command, DirectOutcome, Scheduler, TransactionOutcome};
+use walnutlug_scheduler::reconciliation::repeated_heartbeats::{CachedHeartbeat, OWN_NODE};
+use walnutlug_scheduler::scheduler::{Command, MessageOutcome, Scheduler, TransactionOutcome};
 use walnutlug_scheduler::storage::records::description_record;
 use walnutlug_scheduler::time::{Span, Time};
 use walnutlug_scheduler::tunables::{Site, Tunables};
@@ -118,36 +119,41 @@
     ran: BTreeMap<(String, u64), Span>,
     gone: bool,
     /// Its last report, if that left nothing to do.
-    settled: Option<(Report, SettledReport)>,
+    cached: Option<(Heartbeat, CachedHeartbeat)>,
 }
 
 /// The mark of the machine's last report, if this one is that again.
-fn repeats(settled: &Option<(Report, SettledReport)>, report: &Report) -> Option<SettledReport> {
-    let (last, mark) = settled.as_ref()?;
-    let last = Report { seq: report.seq, ..last.clone() };
-    (format!("{last:?}") == format!("{report:?}")).then_some(*mark)
+fn repeats(
+    cached: &Option<(Heartbeat, CachedHeartbeat)>,
+    heartbeat: &Heartbeat,
+) -> Option<CachedHeartbeat> {
+    let (last, cache_entry) = cached.as_ref()?;
+    let last = Heartbeat { sequence: heartbeat.sequence, ..last.clone() };
+    (format!("{last:?}") == format!("{heartbeat:?}")).then_some(*cache_entry)
 }
 
 /// Answers as a node does: a repetition of a report that left nothing to do is not read in full.
 fn answer(
     leader: &mut Leader,
     now: Time,
-    settled: &mut Option<(Report, SettledReport)>,
-    report: &Report,
+    cached: &mut Option<(Heartbeat, CachedHeartbeat)>,
+    heartbeat: &Heartbeat,
 ) -> Option<(u64, Vec<WorkerCommand>)> {
-    leader.s.known_until = leader.known;
-    if let Some(mark) = repeats(settled, report) {
-        if let Some(token) = leader.s.report_unchanged(now, mark, report.seq) {
+    leader.s.cancellations_known_until = leader.known;
+    if let Some(cache_entry) = repeats(cached, heartbeat) {
+        if let Some(token) =
+            leader.s.answer_repeated_heartbeat(now, cache_entry, heartbeat.sequence)
+        {
             let answer = Some((token, Vec::new()));
-            transcript::answer("repeated", &report.machine, answer.as_ref());
+            transcript::answer("repeated", &heartbeat.machine, answer.as_ref());
             return answer;
         }
     }
-    let answer = leader.s.report(now, report);
-    transcript::answer("whole", &report.machine, answer.as_ref());
+    let answer = leader.s.heartbeat(now, heartbeat);
+    transcript::answer("whole", &heartbeat.machine, answer.as_ref());
     let quiet = answer.as_ref().is_some_and(|(_, calls)| calls.is_empty());
-    let mark = quiet.then(|| leader.s.settle_report(now, report, OWN_NODE)).flatten();
-    *settled = mark.map(|mark| (report.clone(), mark));
+    let cache_entry = quiet.then(|| leader.s.cache_heartbeat(now, heartbeat, OWN_NODE)).flatten();
+    *cached = cache_entry.map(|cache_entry| (heartbeat.clone(), cache_entry));
     answer
 }
 
@@ -171,11 +177,11 @@
     Direct {
         term: u64,
         machine: u32,
-        outcome: DirectOutcome,
+        outcome: MessageOutcome,
     },
     /// A transaction that nobody waits for any more.
     Late(Transaction),
-    Copy(Report),
+    Copy(Heartbeat),
     Told {
         job: String,
     },
@@ -194,7 +200,7 @@
     events: Vec<(Time, Event)>,
     until: BTreeMap<&'static str, (u64, Time)>,
     boots: Time,
-    kept: Vec<Report>,
+    kept: Vec<Heartbeat>,
     next_machine: u32,
     next_job: u32,
     /// Answers half of the workers.
@@ -271,7 +277,7 @@
             held: Vec::new(),
             ran: BTreeMap::new(),
             gone: false,
-            settled: None,
+            cached: None,
         };
         self.machines.insert(name.clone(), machine);
         name
@@ -473,7 +479,7 @@
         let mut live: BTreeMap<(String, u64), Vec<String>> = BTreeMap::new();
         for (name, m) in self.machines.iter().filter(|(_, m)| !m.gone) {
             for (key, state) in &m.worker.tasks {
-                if state.0 != TaskStage::Exited {
+                if state.0 != TaskState::Exited {
                     live.entry(key.clone()).or_default().push(name.clone());
                 }
             }
@@ -513,10 +519,10 @@
             hears_at: now,
         });
         // What was kept for it arrives first of all.
-        for report in std::mem::take(&mut self.kept) {
+        for heartbeat in std::mem::take(&mut self.kept) {
             self.saw("old reports at a new leader");
-            let answer = self.leaders.last_mut().expect("leader").s.report(now, &report);
-            transcript::answer("late", &report.machine, answer.as_ref());
+            let answer = self.leaders.last_mut().expect("leader").s.heartbeat(now, &heartbeat);
+            transcript::answer("late", &heartbeat.machine, answer.as_ref());
         }
     }
 
@@ -590,7 +596,7 @@
                 by_term(self, term, &mut |s| s.read_answered(now, id, answer.clone()));
             }
             Event::Direct { term, machine, outcome } => {
-                by_term(self, term, &mut |s| s.direct_answer(now, machine, outcome.clone()));
+                by_term(self, term, &mut |s| s.message_answered(now, machine, outcome.clone()));
             }
             Event::Late(transaction) => {
                 if self.on("outage").is_none() {
@@ -598,10 +604,10 @@
                     self.saw("carried out late");
                 }
             }
-            Event::Copy(report) => {
+            Event::Copy(heartbeat) => {
                 if let Some(l) = self.leaders.last_mut() {
-                    let answer = l.s.report(now, &report);
-                    transcript::answer("late", &report.machine, answer.as_ref());
+                    let answer = l.s.heartbeat(now, &heartbeat);
+                    transcript::answer("late", &heartbeat.machine, answer.as_ref());
                     self.saw("copies of reports");
                 }
             }
@@ -625,7 +631,7 @@
         if m.gone || now < m.up_at {
             return;
         }
-        if now.since(m.renewed) > self.site.lease {
+        if now.since(m.renewed) > self.site.worker_lease {
             m.worker.lease_ends();
             m.renewed = now;
             m.report_at = now;
@@ -637,19 +643,19 @@
             std::mem::take(&mut m.held).into_iter().partition(|h| h.0 <= now);
         m.held = rest;
         let late = due.len();
-        for (_, token, session, calls) in due {
-            m.worker.direct(token, session, &calls);
+        for (_, token, agent_epoch, calls) in due {
+            m.worker.direct(token, agent_epoch, &calls);
         }
         let mut ended = Vec::new();
         for (key, state) in &mut m.worker.tasks {
-            if state.0 == TaskStage::Exited {
+            if state.0 == TaskState::Exited {
                 continue;
             }
             let ran = m.ran.entry(key.clone()).or_default();
             *ran = *ran + STEP;
             let job = key.0.split('/').next().unwrap_or_default();
             if self.jobs.get(job).is_some_and(|j| *ran >= j.runs) {
-                *state = (TaskStage::Exited, Some(Cause::Done));
+                *state = (TaskState::Exited, Some(ExitReason::Done));
                 m.report_at = now;
                 ended.push(job.to_owned());
             }
@@ -667,23 +673,23 @@
         if now < m.report_at || now < m.mute {
             return;
         }
-        let report = m.worker.report();
-        m.report_at = now + self.site.report;
+        let heartbeat = m.worker.heartbeat();
+        m.report_at = now + self.site.heartbeat_interval;
         // To the newest leader, but to one that was cut off while it still answers.
         let cut = self.leaders.len().saturating_sub(2);
         let stays = self.leaders.len() > 1 && name.as_bytes()[4].is_multiple_of(2);
         let at = if stays { cut } else { self.leaders.len().saturating_sub(1) };
-        let mut settled = m.settled.take();
+        let mut cached = m.cached.take();
         let linked = self.on("peers").is_none();
         let by_follower = (name.as_bytes()[4] / 2).is_multiple_of(2);
         let at_follower = by_follower.then(|| {
             let leader = self.leaders.last_mut();
             let linked = linked && leader.as_ref().is_some_and(|l| now >= l.no_peers);
-            self.follower.answer(now, leader, linked, &mut settled, &report)
+            self.follower.answer(now, leader, linked, &mut cached, &heartbeat)
         });
         let answer = at_follower.flatten().or_else(|| {
             let leader = self.leaders.get_mut(at)?;
-            answer(leader, now, &mut settled, &report)
+            answer(leader, now, &mut cached, &heartbeat)
         });
         if stays {
             self.saw("a report to the former leader");
@@ -692,24 +698,24 @@
             (None, true) => {
                 // 421: it goes over.
                 let l = self.leaders.last_mut().expect("leader");
-                self::answer(l, now, &mut settled, &report)
+                self::answer(l, now, &mut cached, &heartbeat)
             }
             (answer, _) => answer,
         };
         if self.on("copies").is_some_and(|share| self.chance(share)) {
-            let at = self.in_ms(2_000, 2 * self.site.lease.0 / 1_000);
-            self.events.push((at, Event::Copy(report.clone())));
+            let at = self.in_ms(2_000, 2 * self.site.worker_lease.0 / 1_000);
+            self.events.push((at, Event::Copy(heartbeat.clone())));
         }
         if self.on("next").is_some() {
-            self.kept.push(report.clone());
+            self.kept.push(heartbeat.clone());
         }
         let m = self.machines.get_mut(name).expect("machine");
-        m.settled = settled;
+        m.cached = cached;
         if let Some((token, calls)) = answer.filter(|_| now >= m.deaf) {
-            if token >= m.worker.token && report.session == m.worker.session {
+            if token >= m.worker.token && heartbeat.agent_epoch == m.worker.agent_epoch {
                 m.renewed = now;
             }
-            m.worker.answered(report.session, token, &calls);
+            m.worker.answered(heartbeat.agent_epoch, token, &calls);
         }
     }
 
@@ -740,8 +746,8 @@
         } else if peers && now >= l.no_peers {
             l.known = l.known.max(now - Span::secs(1));
         }
-        l.s.known_until = l.known;
-        l.s.in_office = now.since(l.served) < Span::millis(2_400);
+        l.s.cancellations_known_until = l.known;
+        l.s.holds_lease = now.since(l.served) < Span::millis(2_400);
         l.s.tick(now);
         l.s.look_at_fleet(now);
         let shared = l.s.sharing.is_on();
@@ -779,13 +785,13 @@
 
     fn carry_out(&mut self, i: usize, term: u64, served: bool, command: Command) {
         match command {
-            Command::Note(_) | Command::FindEnds { .. } => {}
-            Command::CheckLead | Command::StepDown(_) => {
-                let mark = self.store.keys.get(keys::LEADER).map_or(0, |k| k.1);
+            Command::Note(_) | Command::FindJobEnds { .. } => {}
+            Command::VerifyLeadership | Command::StepDown(_) => {
+                let cache_entry = self.store.keys.get(keys::LEADER).map_or(0, |k| k.1);
                 let down = matches!(command, Command::StepDown(_));
-                if served && (down || mark != term) {
+                if served && (down || cache_entry != term) {
                     self.leaders[i].served = Time(0);
-                    if mark == term {
+                    if cache_entry == term {
                         self.elect_at.get_or_insert(self.now + Span::millis(500));
                     }
                 }
@@ -815,7 +821,7 @@
                 let at = self.in_ms(10, 150);
                 self.events.push((at, Event::Read { term, id, answer }));
             }
-            Command::Direct { machine, token, session, calls, .. } => {
+            Command::SendToWorker { machine, token, agent_epoch, calls, .. } => {
                 let name = self.leaders[i].s.machines[machine as usize].name.clone();
                 let answer = |at, outcome| (at, Event::Direct { term, machine, outcome });
                 let late = self.now + Span::secs(2);
@@ -824,22 +830,22 @@
                 let held_until = self.in_ms(2_500, 9_000);
                 let soon = self.in_ms(10, 150);
                 let Some(m) = self.machines.get_mut(&name) else {
-                    return self.events.push(answer(soon, DirectOutcome::NotSent));
+                    return self.events.push(answer(soon, MessageOutcome::NotSent));
                 };
                 if m.gone || now < m.up_at || now < m.deaf {
-                    return self.events.push(answer(late, DirectOutcome::Lost));
+                    return self.events.push(answer(late, MessageOutcome::Indeterminate));
                 }
                 if now < m.hung || held {
                     let at = if held { held_until.max(m.hung) } else { m.hung };
-                    m.held.push((at, token, session, calls));
-                    return self.events.push(answer(late, DirectOutcome::Lost));
+                    m.held.push((at, token, agent_epoch, calls));
+                    return self.events.push(answer(late, MessageOutcome::Indeterminate));
                 }
-                let report = m.worker.direct(token, session, &calls);
+                let heartbeat = m.worker.direct(token, agent_epoch, &calls);
                 if !calls.is_empty() {
                     // A change of its tasks is reported, within half a second.
                     m.report_at = m.report_at.min(now + Span::millis(500));
                 }
-                let outcome = DirectOutcome::Answered(Box::new(report));
+                let outcome = MessageOutcome::Answered(Box::new(heartbeat));
                 self.events.push(answer(soon, outcome));
             }
             Command::Rent { kind, zone, spot, count } => {
@@ -903,7 +909,7 @@
             assert!(bound, "wrong_place, {what}: {job} {zones:?}");
             if let Some(told) = self.jobs[*job].told {
                 let ago = self.now.since(told);
-                assert!(ago <= self.site.cancel, "ran_cancelled, {what}: {job}, {zones:?}");
+                assert!(ago <= self.site.cancel_within, "ran_cancelled, {what}: {job}, {zones:?}");
             }
         }
         if capped >= 4.0 {
--- a/crates/scheduler/tests/storage_limits.rs
+++ b/crates/scheduler/tests/storage_limits.rs
@@ -132,7 +132,8 @@
         assert_eq!(outcome, TransactionOutcome::TooLarge);
         w.leader.transaction_answered(w.now, id, outcome);
         w.tick();
-        let sends = |c: &Command| matches!(c, Command::Direct { calls, .. } if !calls.is_empty());
+        let sends =
+            |c: &Command| matches!(c, Command::SendToWorker { calls, .. } if !calls.is_empty());
         assert!(!w.commands.iter().any(sends), "the outcome is open until it is read");
         w.settle();
         assert_eq!(w.places().len(), 160, "applied: {applied}");
--- a/crates/scheduler/tests/task_starts.rs
+++ b/crates/scheduler/tests/task_starts.rs
@@ -6,7 +6,7 @@
 use walnutlug_scheduler::model::job::keys;
 use walnutlug_scheduler::model::task::Phase;
 use walnutlug_scheduler::protocol::{ListedMachine, MachineStage, WorkerCommand};
-use walnutlug_scheduler::scheduler::{Command, DirectOutcome, MachineState, TransactionOutcome};
+use walnutlug_scheduler::scheduler::{Command, MachineState, MessageOutcome, TransactionOutcome};
 use world::{one_machine, spec, World};
 
 const JOB: &str = "req-000001";
@@ -16,7 +16,7 @@
     let mut w = one_machine();
     w.submit(JOB, &spec(1));
     w.tick();
-    let sends = |w: &World| w.commands.iter().any(|c| matches!(c, Command::Direct { .. }));
+    let sends = |w: &World| w.commands.iter().any(|c| matches!(c, Command::SendToWorker { .. }));
     assert!(!sends(&w));
     let (id, transaction) = w.take_commit();
     assert!(transaction
@@ -58,13 +58,13 @@
 #[test]
 fn an_absent_report_under_the_same_token_proves_nothing() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
-    let (name, (machine, token, session, calls)) = w.start_under_way(JOB);
-    w.report(&name);
+    let (name, (machine, token, agent_epoch, calls)) = w.start_under_way(JOB);
+    w.heartbeat(&name);
     w.settle();
     assert_eq!(w.phase(JOB, 0), Phase::Dispatching);
     assert!(w.places().is_empty());
     // It arrives late after all: still the only copy.
-    w.deliver(machine, token, session, &calls);
+    w.deliver(machine, token, agent_epoch, &calls);
     w.settle();
     assert_eq!(w.places().len(), 1);
     assert_eq!(w.phase(JOB, 0), Phase::Running);
@@ -75,18 +75,18 @@
 #[test]
 fn a_lost_start_moves_only_behind_a_raised_fence() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
-    let (name, (machine, token, session, calls)) = w.start_under_way(JOB);
-    w.leader.direct_answer(w.now, machine, DirectOutcome::Lost);
+    let (name, (machine, token, agent_epoch, calls)) = w.start_under_way(JOB);
+    w.leader.message_answered(w.now, machine, MessageOutcome::Indeterminate);
     // This report's sender has not seen the new fence yet.
-    let old = w.workers.get_mut(&name).expect("worker").report();
-    w.leader.report(w.now, &old);
+    let old = w.workers.get_mut(&name).expect("worker").heartbeat();
+    w.leader.heartbeat(w.now, &old);
     assert_eq!(w.attempt(JOB, 0), 1);
     w.wait(2_000);
     w.settle();
     assert_eq!(w.attempt(JOB, 0), 2);
     assert_eq!(w.places().len(), 1);
     // The old message comes through at last, and is refused.
-    w.workers.get_mut(&name).expect("worker").direct(token, session, &calls);
+    w.workers.get_mut(&name).expect("worker").direct(token, agent_epoch, &calls);
     assert!(w.places().values().all(|m| m.len() == 1));
 }
 
@@ -100,9 +100,9 @@
     let (id, transaction) = w.take_commit();
     let outcome = w.store.apply(&transaction);
     w.leader.transaction_answered(w.now, id, outcome);
-    w.leader.machines[0].fence += 1;
-    w.report("n-1");
-    w.report("n-1");
+    w.leader.machines[0].fencing_counter += 1;
+    w.heartbeat("n-1");
+    w.heartbeat("n-1");
     assert_eq!((w.phase(JOB, 0), w.attempt(JOB, 0)), (Phase::Dispatching, 1));
     w.settle();
     assert_eq!(w.places().len(), 1);
@@ -116,7 +116,7 @@
     w.tick();
     let (id, transaction) = w.take_commit();
     w.workers.get_mut("n-1").expect("worker").lease_ends();
-    w.report("n-1");
+    w.heartbeat("n-1");
     let outcome = w.store.apply(&transaction);
     w.leader.transaction_answered(w.now, id, outcome);
     w.settle();
@@ -128,7 +128,7 @@
 fn a_refused_connection_takes_the_start_back_at_once() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
     let (_, (machine, ..)) = w.start_under_way(JOB);
-    w.leader.direct_answer(w.now, machine, DirectOutcome::NotSent);
+    w.leader.message_answered(w.now, machine, MessageOutcome::NotSent);
     assert_eq!((w.phase(JOB, 0), w.attempt(JOB, 0)), (Phase::Pending, 2));
     w.settle();
     assert_eq!(w.places().len(), 1);
@@ -144,7 +144,7 @@
     w.leader.machine_gone(w.now, &name);
     w.settle();
     assert_eq!((w.phase(JOB, 0), w.attempt(JOB, 0)), (Phase::Running, 2));
-    w.leader.direct_answer(w.now, machine, DirectOutcome::NotSent);
+    w.leader.message_answered(w.now, machine, MessageOutcome::NotSent);
     assert_eq!((w.phase(JOB, 0), w.attempt(JOB, 0)), (Phase::Running, 2));
 }
 
@@ -152,7 +152,7 @@
 fn an_unconfirmed_start_settles_as_unknown_and_is_not_resent() {
     let mut w = one_machine();
     let (_, (machine, ..)) = w.start_under_way(JOB);
-    w.leader.direct_answer(w.now, machine, DirectOutcome::Lost);
+    w.leader.message_answered(w.now, machine, MessageOutcome::Indeterminate);
     w.workers.get_mut("n-1").expect("worker").alive = false;
     for _ in 0..30 {
         w.wait(1_000);
@@ -171,7 +171,7 @@
     w.workers.get_mut(&machine).expect("worker").alive = false;
     for _ in 0..60 {
         w.wait(2_000);
-        w.report(other);
+        w.heartbeat(other);
         w.settle();
         w.leader.look_at_fleet(w.now);
     }
@@ -211,13 +211,13 @@
     w.submit(JOB, &spec(2));
     w.settle();
     w.finish("n-1", &format!("{JOB}/0"));
-    w.report("n-1");
-    w.report("n-1");
+    w.heartbeat("n-1");
+    w.heartbeat("n-1");
     let kept = |w: &World| w.workers["n-1"].tasks.keys().any(|k| k.0.ends_with("/0"));
     assert!(kept(&w), "not written yet");
     w.wait(4_500);
     w.settle();
-    w.report("n-1");
+    w.heartbeat("n-1");
     assert!(!kept(&w));
     let before = w.workers["n-1"].token;
     assert!(before > w.token_now(), "a reap travels with a raised fence");
@@ -230,15 +230,15 @@
     let mut w = one_machine();
     w.submit(JOB, &spec(2));
     w.place_and_commit();
-    let (machine, token, session, calls) = w.take_direct();
-    w.deliver(machine, token, session, &calls);
+    let (machine, token, agent_epoch, calls) = w.take_direct();
+    w.deliver(machine, token, agent_epoch, &calls);
     w.finish("n-1", &format!("{JOB}/0"));
-    w.report("n-1");
+    w.heartbeat("n-1");
     w.wait(4_500);
     w.settle();
-    w.report("n-1");
+    w.heartbeat("n-1");
     assert!(!w.workers["n-1"].tasks.keys().any(|k| k.0.ends_with("/0")));
-    w.workers.get_mut("n-1").expect("worker").direct(token, session, &calls);
+    w.workers.get_mut("n-1").expect("worker").direct(token, agent_epoch, &calls);
     assert!(!w.workers["n-1"].live().contains(&format!("{JOB}/0")), "done, and run again");
 }
 
@@ -247,11 +247,11 @@
     let mut w = one_machine();
     w.submit(JOB, &spec(2));
     w.settle();
-    let old = w.workers.get_mut("n-1").expect("worker").report();
+    let old = w.workers.get_mut("n-1").expect("worker").heartbeat();
     w.finish("n-1", &format!("{JOB}/0"));
-    w.report("n-1");
+    w.heartbeat("n-1");
     assert_eq!(w.phase(JOB, 0), Phase::Done);
-    w.leader.report(w.now, &old);
+    w.leader.heartbeat(w.now, &old);
     assert_eq!(w.phase(JOB, 0), Phase::Done);
     assert_eq!(w.phase(JOB, 1), Phase::Running);
 }
@@ -293,7 +293,7 @@
     w.submit(JOB, &spec(1));
     w.settle();
     w.finish("n-1", &format!("{JOB}/0"));
-    w.report("n-1");
+    w.heartbeat("n-1");
     w.tick();
     w.store.put(&keys::end(JOB), json!("aborted"));
     w.settle();
@@ -324,7 +324,7 @@
     assert!(matches!(w.store.apply(&transaction), TransactionOutcome::Committed { .. }));
     w.leader.transaction_answered(w.now, id, TransactionOutcome::Indeterminate);
     w.tick();
-    assert!(!w.commands.iter().any(|c| matches!(c, Command::Direct { .. })));
+    assert!(!w.commands.iter().any(|c| matches!(c, Command::SendToWorker { .. })));
     w.wait(300);
     w.settle();
     assert_eq!(w.places().len(), 2);
@@ -371,20 +371,20 @@
 #[test]
 fn a_take_over_asks_for_its_own_term_before_it_believes_an_absence() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
-    let (name, (_, token, session, calls)) = w.start_under_way(JOB);
+    let (name, (_, token, agent_epoch, calls)) = w.start_under_way(JOB);
     let other = if name == "n-1" { "n-2" } else { "n-1" };
     w.take_over();
-    let before = w.workers.get_mut(&name).expect("worker").report();
-    w.leader.report(w.now, &before);
+    let before = w.workers.get_mut(&name).expect("worker").heartbeat();
+    w.leader.heartbeat(w.now, &before);
     assert_eq!(w.attempt(JOB, 0), 1);
-    w.report(other);
-    w.report(other);
+    w.heartbeat(other);
+    w.heartbeat(other);
     w.tick();
     assert!(w.places().is_empty());
     // The old start arrives before the new token does.
-    w.workers.get_mut(&name).expect("worker").direct(token, session, &calls);
-    w.report(&name);
-    w.report(&name);
+    w.workers.get_mut(&name).expect("worker").direct(token, agent_epoch, &calls);
+    w.heartbeat(&name);
+    w.heartbeat(&name);
     w.settle();
     assert_eq!(w.places().len(), 1);
     assert_eq!(w.attempt(JOB, 0), 1);
@@ -416,14 +416,14 @@
     old.job_over(w.now, "req-999999");
     // The old leader still answers a worker that has not seen the new term: its tasks live on.
     let worker = w.workers.get_mut("n-1").expect("worker");
-    let report = worker.report();
-    let (token, calls) = old.report(w.now, &report).expect("an answer");
-    worker.answered(report.session, token, &calls);
+    let heartbeat = worker.heartbeat();
+    let (token, calls) = old.heartbeat(w.now, &heartbeat).expect("an answer");
+    worker.answered(heartbeat.agent_epoch, token, &calls);
     assert!(calls.is_empty());
     w.all_report();
     // One that has seen it is not the old leader's any more.
-    let report = w.workers.get_mut("n-1").expect("worker").report();
-    assert!(old.report(w.now, &report).is_none());
+    let heartbeat = w.workers.get_mut("n-1").expect("worker").heartbeat();
+    assert!(old.heartbeat(w.now, &heartbeat).is_none());
     w.settle();
     assert_eq!(w.places().len(), 4);
 }
@@ -441,7 +441,7 @@
             }
         }
         assert_eq!(w.phase(JOB, 0), Phase::Pending);
-        w.report("n-1");
+        w.heartbeat("n-1");
     }
     w.wait(500);
     w.settle();
@@ -510,10 +510,10 @@
         w.settle();
         for worker in w.workers.values_mut() {
             for state in worker.tasks.values_mut() {
-                if state.0 != walnutlug_scheduler::protocol::TaskStage::Exited {
+                if state.0 != walnutlug_scheduler::protocol::TaskState::Exited {
                     *state = (
-                        walnutlug_scheduler::protocol::TaskStage::Exited,
-                        Some(walnutlug_scheduler::protocol::Cause::Error),
+                        walnutlug_scheduler::protocol::TaskState::Exited,
+                        Some(walnutlug_scheduler::protocol::ExitReason::Error),
                     );
                 }
             }
@@ -547,7 +547,7 @@
 /// task was started on another machine while an earlier attempt ran on.
 #[test]
 fn a_refusal_because_the_task_is_there_is_no_absence() {
-    use walnutlug_scheduler::protocol::{Cause, TaskStage};
+    use walnutlug_scheduler::protocol::{ExitReason, TaskState};
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
     w.submit(JOB, &spec(1));
     w.settle();
@@ -556,10 +556,10 @@
     // Against the registry, an earlier attempt is there, and the registry's own was refused for it.
     let task = format!("{JOB}/0");
     let worker = w.workers.get_mut(&place).expect("worker");
-    worker.tasks.insert((task.clone(), 1), (TaskStage::Exited, Some(Cause::InUse)));
-    worker.tasks.insert((task.clone(), 0), (TaskStage::Running, None));
-    let report = worker.report();
-    w.leader.report(w.now, &report);
+    worker.tasks.insert((task.clone(), 1), (TaskState::Exited, Some(ExitReason::InUse)));
+    worker.tasks.insert((task.clone(), 0), (TaskState::Running, None));
+    let heartbeat = worker.heartbeat();
+    w.leader.heartbeat(w.now, &heartbeat);
     assert_eq!(w.attempt(JOB, 0), 1, "it is there");
     // Once that attempt was stopped, it goes on elsewhere or there, once.
     for _ in 0..6 {
@@ -573,7 +573,7 @@
 /// A machine shows a task live that the registry takes for pending: whatever led to that, the start waits.
 #[test]
 fn a_start_waits_while_another_machine_shows_the_task_live() {
-    use walnutlug_scheduler::protocol::TaskStage;
+    use walnutlug_scheduler::protocol::TaskState;
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
     w.submit(JOB, &spec(1));
     w.tick();
@@ -586,9 +586,9 @@
     let planned = w.leader.machines[planned as usize].name.clone();
     let other = if planned == "n-1" { "n-2" } else { "n-1" };
     let worker = w.workers.get_mut(other).expect("worker");
-    worker.tasks.insert((task.clone(), 7), (TaskStage::Running, None));
-    let report = worker.report();
-    let (token, calls) = w.leader.report(w.now, &report).expect("an answer");
+    worker.tasks.insert((task.clone(), 7), (TaskState::Running, None));
+    let heartbeat = worker.heartbeat();
+    let (token, calls) = w.leader.heartbeat(w.now, &heartbeat).expect("an answer");
     w.settle();
     assert_eq!(w.places_of(&task), [other], "not started beside it");
     w.workers.get_mut(other).expect("worker").answered(1, token, &calls);
--- a/crates/scheduler/tests/transcripts.rs
+++ b/crates/scheduler/tests/transcripts.rs
@@ -9,7 +9,7 @@
 //!
 //! | module | reached by |
 //! | --- | --- |
-//! | `registry`, `commands`, `dispatch`, `reports`, `task`, `job`, `records`, `document`, `wire` (commands, transactions) | all but leadership and watermark |
+//! | `registry`, `commands`, `dispatch`, `heartbeats`, `task`, `job`, `records`, `document`, `wire` (commands, transactions) | all but leadership and watermark |
 //! | `placement`, `queue` | starts, objectives, preemption, large fleet, the meetings (zones, gangs, spread) |
 //! | `chain` | chains, pressed chains, former records |
 //! | `sharing`, with the package `admission` | floods, the meetings with a flood |
--- a/crates/scheduler/tests/transcripts/scripts.rs
+++ b/crates/scheduler/tests/transcripts/scripts.rs
@@ -6,10 +6,10 @@
 
 use serde_json::json;
 use walnutlug_scheduler::leadership::election::{Input, Leadership, Role};
-use walnutlug_scheduler::leadership::watermark::{CancelLog, Watermark};
+use walnutlug_scheduler::leadership::watermark::{CancellationLog, Watermark};
 use walnutlug_scheduler::model::job::{keys, End, JobSpec, Rank, Team};
-use walnutlug_scheduler::protocol::{Cause, KeyValue, ListedMachine, MachineStage, TaskStage};
-use walnutlug_scheduler::scheduler::{Command, DirectOutcome, TransactionOutcome};
+use walnutlug_scheduler::protocol::{ExitReason, KeyValue, ListedMachine, MachineStage, TaskState};
+use walnutlug_scheduler::scheduler::{Command, MessageOutcome, TransactionOutcome};
 use walnutlug_scheduler::time::{Span, Time};
 use walnutlug_scheduler::tunables::{Objective, Site};
 
@@ -35,11 +35,11 @@
 }
 
 /// Every live task comes to an end of that kind with that chance.
-fn some_tasks_end(world: &mut World, dice: &mut Dice, percent: usize, causes: &[Cause]) {
+fn some_tasks_end(world: &mut World, dice: &mut Dice, percent: usize, causes: &[ExitReason]) {
     for worker in world.workers.values_mut().filter(|worker| worker.alive) {
-        for state in worker.tasks.values_mut().filter(|state| state.0 != TaskStage::Exited) {
+        for state in worker.tasks.values_mut().filter(|state| state.0 != TaskState::Exited) {
             if dice.chance(percent) {
-                *state = (TaskStage::Exited, Some(causes[dice.below(causes.len())]));
+                *state = (TaskState::Exited, Some(causes[dice.below(causes.len())]));
             }
         }
     }
@@ -61,24 +61,29 @@
                 }
                 world.leader.transaction_answered(world.now, id, TransactionOutcome::Indeterminate);
             }
-            Command::Direct { machine, token, session, calls, .. } if dice.chance(percent) => {
+            Command::SendToWorker { machine, token, agent_epoch, calls, .. }
+                if dice.chance(percent) =>
+            {
                 transcript::count("direct lost", 1);
                 let name = world.leader.machines[machine as usize].name.clone();
                 if dice.chance(50) {
                     if let Some(worker) = world.workers.get_mut(&name) {
-                        worker.direct(token, session, &calls);
+                        worker.direct(token, agent_epoch, &calls);
                     }
                 }
-                let outcome =
-                    if dice.chance(80) { DirectOutcome::Lost } else { DirectOutcome::NotSent };
-                world.leader.direct_answer(world.now, machine, outcome);
+                let outcome = if dice.chance(80) {
+                    MessageOutcome::Indeterminate
+                } else {
+                    MessageOutcome::NotSent
+                };
+                world.leader.message_answered(world.now, machine, outcome);
             }
             // What isn't answered, or not in whole, is asked again.
-            Command::FindEnds { names } if dice.chance(70) => {
+            Command::FindJobEnds { names } if dice.chance(70) => {
                 transcript::count("find-ends answered in part", 1);
                 let known = dice.below(2) * names.len() / 2;
                 let found = world.store.ends(&names[..known]);
-                world.leader.ends_found(world.now, &found);
+                world.leader.job_ends_found(world.now, &found);
             }
             command => {
                 world.commands.push(command);
@@ -106,7 +111,7 @@
             world.tick();
             carry_out_with_losses(&mut world, &mut dice, 12);
         }
-        some_tasks_end(&mut world, &mut dice, 25, &[Cause::Done]);
+        some_tasks_end(&mut world, &mut dice, 25, &[ExitReason::Done]);
         world.all_report();
         world.wait(600);
     }
@@ -138,7 +143,7 @@
             world.tick();
             carry_out_with_losses(&mut world, &mut dice, 10);
         }
-        some_tasks_end(&mut world, &mut dice, 30, &[Cause::Done]);
+        some_tasks_end(&mut world, &mut dice, 30, &[ExitReason::Done]);
         if round % 15 == 14 {
             world.withdraw_if_open(&job_name(8 * (round / 15)));
         }
@@ -170,7 +175,12 @@
             world.withdraw_if_open(&job_name(2 * dice.below(30)));
         }
         carry_out_with_losses(&mut world, &mut dice, 15);
-        some_tasks_end(&mut world, &mut dice, 8, &[Cause::Done, Cause::Done, Cause::Error]);
+        some_tasks_end(
+            &mut world,
+            &mut dice,
+            8,
+            &[ExitReason::Done, ExitReason::Done, ExitReason::Error],
+        );
         match round {
             20 => world.workers.get_mut("n-002").expect("worker").lease_ends(),
             30 => world.cut_off = true,
@@ -209,7 +219,7 @@
             worker.tasks.clear();
             world.leader.machine_gone(world.now, &name);
         }
-        some_tasks_end(&mut world, &mut dice, 15, &[Cause::Done]);
+        some_tasks_end(&mut world, &mut dice, 15, &[ExitReason::Done]);
         world.all_report();
         world.wait(500);
     }
@@ -240,7 +250,7 @@
             };
             world.submit(&job_name(step), &job);
         }
-        some_tasks_end(&mut world, &mut dice, 6, &[Cause::Done]);
+        some_tasks_end(&mut world, &mut dice, 6, &[ExitReason::Done]);
         world.all_report();
         world.tick();
         world.look_at_fleet();
@@ -285,7 +295,7 @@
             world.leader.fleet.listed = true;
             world.all_report();
         }
-        some_tasks_end(&mut world, &mut dice, 25, &[Cause::Done]);
+        some_tasks_end(&mut world, &mut dice, 25, &[ExitReason::Done]);
         world.all_report();
         for _ in 0..3 {
             world.wait(250);
@@ -365,11 +375,11 @@
             world.workers.insert(worker.name.clone(), worker);
         }
         for worker in world.workers.values_mut().filter(|worker| worker.alive) {
-            match worker.notice {
-                None if worker.spot && dice.chance(2) => worker.notice = Some(6.0),
+            match worker.interruption_at {
+                None if worker.spot && dice.chance(2) => worker.interruption_at = Some(6.0),
                 None if dice.below(1_000) < 4 => worker.stop(&mut self.listed),
                 Some(left) if left <= 1.0 => worker.stop(&mut self.listed),
-                Some(left) => worker.notice = Some(left - 1.0),
+                Some(left) => worker.interruption_at = Some(left - 1.0),
                 None => {}
             }
         }
@@ -427,7 +437,7 @@
             world.take_over();
         }
         cloud.pass(&mut world, &mut dice);
-        some_tasks_end(&mut world, &mut dice, 12, &[Cause::Done]);
+        some_tasks_end(&mut world, &mut dice, 12, &[ExitReason::Done]);
         world.all_report();
         for _ in 0..2 {
             world.wait(400);
@@ -442,7 +452,13 @@
 pub fn failing_machines() {
     let mut world = fleet_of(site(), 8);
     let mut dice = Dice::new(8);
-    let causes = [Cause::Done, Cause::Error, Cause::NoRoom, Cause::InUse, Cause::Unknown];
+    let causes = [
+        ExitReason::Done,
+        ExitReason::Error,
+        ExitReason::NoRoom,
+        ExitReason::InUse,
+        ExitReason::Unknown,
+    ];
     for round in 0..50 {
         if round < 30 && round % 2 == 0 {
             world.submit(&job_name(round), &spec(4 + dice.below(8) as u32));
@@ -453,8 +469,8 @@
             carry_out_with_losses(&mut world, &mut dice, 4);
         }
         for worker in world.workers.values_mut().take(3) {
-            let live = worker.tasks.values_mut().filter(|state| state.0 != TaskStage::Exited);
-            live.for_each(|state| *state = (TaskStage::Exited, Some(Cause::Error)));
+            let live = worker.tasks.values_mut().filter(|state| state.0 != TaskState::Exited);
+            live.for_each(|state| *state = (TaskState::Exited, Some(ExitReason::Error)));
         }
         some_tasks_end(&mut world, &mut dice, 20, &causes);
         world.all_report();
@@ -475,7 +491,7 @@
     };
     fall(&mut world, 2_048, 4);
     for round in 0..10 {
-        some_tasks_end(&mut world, &mut dice, 8, &[Cause::Done]);
+        some_tasks_end(&mut world, &mut dice, 8, &[ExitReason::Done]);
         if round % 3 == 1 {
             world.take_over();
         }
@@ -511,7 +527,7 @@
         ("n-000001", "req-000002/1"),
     ] {
         let worker = world.workers.get_mut(machine).expect("worker");
-        worker.tasks.insert((task.to_owned(), 1), (TaskStage::Running, None));
+        worker.tasks.insert((task.to_owned(), 1), (TaskState::Running, None));
     }
     world.take_over();
     world.all_report();
@@ -550,7 +566,7 @@
         }
     };
     play(&mut world, 30);
-    some_tasks_end(&mut world, &mut dice, 5, &[Cause::Done]);
+    some_tasks_end(&mut world, &mut dice, 5, &[ExitReason::Done]);
     for name in names.iter().step_by(600) {
         let worker = world.workers.get_mut(name).expect("worker");
         worker.alive = false;
@@ -574,7 +590,7 @@
 pub fn leadership_and_watermark() {
     let mut dice = Dice::new(11);
     let mut leadership = Leadership::default();
-    let mut log = CancelLog::new(&site());
+    let mut log = CancellationLog::new(&site());
     let mut watermark = Watermark::new(["p".to_owned(), "q".to_owned()]);
     let mut now = Time(1 << 40);
     for step in 0..1_500u64 {
@@ -600,18 +616,24 @@
         };
         transcript::line("role", &format!("{role} changed={changed}"));
         let node = ["p", "q"][dice.below(2)];
-        let life = 1 + step / 400 + u64::from(dice.chance(10));
+        let incarnation = 1 + step / 400 + u64::from(dice.chance(10));
         match dice.below(8) {
             0 => log.append(now, &job_name(step as usize)),
-            1 => log.heard(node, life),
-            2 => log.acknowledged(node, life, dice.below(60) as u64),
+            1 => log.heard(node, incarnation),
+            2 => log.acknowledged(node, incarnation, dice.below(60) as u64),
             3 => watermark.ask(now, step),
-            4 => watermark.vouch(now, node, life, dice.below(40) as u64, step.saturating_sub(2)),
+            4 => watermark.vouch(
+                now,
+                node,
+                incarnation,
+                dice.below(40) as u64,
+                step.saturating_sub(2),
+            ),
             5 => watermark.read(now),
-            6 => watermark.heard(now, node, life),
+            6 => watermark.heard(now, node, incarnation),
             _ => {
                 let first = dice.below(40) as u64;
-                let up_to = watermark.told(now, node, life, first, 3);
+                let up_to = watermark.told(now, node, incarnation, first, 3);
                 transcript::line("acknowledge", &up_to.map_or("-".into(), |n| n.to_string()));
             }
         }
@@ -637,7 +659,7 @@
             let job = JobSpec { team: team.into(), deadline_s: Some(9.0), ..spec(6) };
             world.submit(&job_name(10 * second + index), &job);
         }
-        some_tasks_end(&mut world, &mut dice, 25, &[Cause::Done]);
+        some_tasks_end(&mut world, &mut dice, 25, &[ExitReason::Done]);
         world.all_report();
         world.tick();
         world.look_at_fleet();
@@ -670,7 +692,7 @@
         world.tick();
         world.look_at_fleet();
         carry_out_with_losses(&mut world, &mut dice, 5);
-        some_tasks_end(&mut world, &mut dice, 30, &[Cause::Done]);
+        some_tasks_end(&mut world, &mut dice, 30, &[ExitReason::Done]);
         if round == 45 {
             world.take_over();
         }
@@ -702,7 +724,7 @@
                 JobSpec { class, deadline_s, rank, estimate_s, ..spec(1 + dice.below(6) as u32) };
             world.submit(&job_name(round), &job);
         }
-        some_tasks_end(&mut world, &mut dice, 22, &[Cause::Done]);
+        some_tasks_end(&mut world, &mut dice, 22, &[ExitReason::Done]);
         world.all_report();
         world.tick();
         world.look_at_fleet();
@@ -727,22 +749,22 @@
             world.submit(&job_name(second), &job);
         }
         for worker in world.workers.values_mut().filter(|worker| worker.spot) {
-            match worker.notice {
+            match worker.interruption_at {
                 None if worker.alive && dice.chance(3) => {
-                    worker.notice = Some(3.0 + dice.below(40) as f64);
+                    worker.interruption_at = Some(3.0 + dice.below(40) as f64);
                 }
                 // It is gone, and another stands in its place some time later.
                 Some(left) if left <= 1.0 => {
                     worker.alive = left < -9.0;
-                    worker.notice = (!worker.alive).then_some(left - 1.0);
+                    worker.interruption_at = (!worker.alive).then_some(left - 1.0);
                     worker.tasks.clear();
-                    worker.session += u64::from(worker.alive);
+                    worker.agent_epoch += u64::from(worker.alive);
                 }
-                Some(left) => worker.notice = Some(left - 1.0),
+                Some(left) => worker.interruption_at = Some(left - 1.0),
                 None => {}
             }
         }
-        some_tasks_end(&mut world, &mut dice, 4, &[Cause::Done]);
+        some_tasks_end(&mut world, &mut dice, 4, &[ExitReason::Done]);
         world.all_report();
         for _ in 0..2 {
             world.wait(400);
@@ -758,7 +780,7 @@
     let mut world = fleet_of(site(), 4);
     let mut dice = Dice::new(16);
     let names: Vec<String> = world.workers.keys().cloned().collect();
-    let mut marks = BTreeMap::new();
+    let mut cache_entries = BTreeMap::new();
     for round in 0..300usize {
         if round % 20 == 0 {
             world.submit(&job_name(round), &spec(1 + dice.below(6) as u32));
@@ -768,35 +790,35 @@
         }
         world.tick();
         carry_out_with_losses(&mut world, &mut dice, 5);
-        some_tasks_end(&mut world, &mut dice, 2, &[Cause::Done]);
+        some_tasks_end(&mut world, &mut dice, 2, &[ExitReason::Done]);
         let now = world.now;
         for name in &names {
-            let report = world.workers.get_mut(name).expect("worker").report();
+            let heartbeat = world.workers.get_mut(name).expect("worker").heartbeat();
             if dice.chance(50) {
-                let answer = world.leader.report(now, &report);
+                let answer = world.leader.heartbeat(now, &heartbeat);
                 transcript::answer("whole", name, answer.as_ref());
                 let Some((token, calls)) = answer else { continue };
                 let worker = world.workers.get_mut(name).expect("worker");
-                worker.answered(report.session, token, &calls);
+                worker.answered(heartbeat.agent_epoch, token, &calls);
                 let holder = dice.below(3) as u16;
-                let revision = world.leader.settle_report(now, &report, holder);
+                let revision = world.leader.cache_heartbeat(now, &heartbeat, holder);
                 if let Some(revision) = revision {
-                    let valid_for = world.leader.settled_for(now, revision).0;
+                    let valid_for = world.leader.cached_for(now, revision).0;
                     let text = format!("{name} number={} valid-for={valid_for}", revision.number);
                     transcript::line("settled", &text);
-                    marks.insert(name.clone(), revision);
+                    cache_entries.insert(name.clone(), revision);
                 }
-            } else if let Some(&revision) = marks.get(name) {
-                let sequence = (report.seq + 1).saturating_sub(dice.below(3) as u64);
-                let token = world.leader.report_unchanged(now, revision, sequence);
+            } else if let Some(&revision) = cache_entries.get(name) {
+                let sequence = (heartbeat.sequence + 1).saturating_sub(dice.below(3) as u64);
+                let token = world.leader.answer_repeated_heartbeat(now, revision, sequence);
                 let token = token.map_or("-".to_owned(), |token| token.to_string());
                 transcript::line("repeated", &format!("{name} sequence={sequence} {token}"));
-                let again = world.leader.heard_unchanged(now, revision, sequence);
+                let again = world.leader.record_repeated_heartbeat(now, revision, sequence);
                 transcript::line("repeated again", &format!("{name} {again}"));
             }
         }
-        for withdrawn in world.leader.take_withdrawn() {
-            let (holder, revision) = (withdrawn.holder, withdrawn.settled);
+        for invalidated in world.leader.take_invalidated() {
+            let (holder, revision) = (invalidated.holder, invalidated.cached);
             let text =
                 format!("holder={holder} machine={} number={}", revision.machine, revision.number);
             transcript::line("withdrawn", &text);
--- a/crates/scheduler/tests/untrusted_reports.rs
+++ b/crates/scheduler/tests/untrusted_reports.rs
@@ -6,8 +6,8 @@
 use walnutlug_scheduler::leadership::election::token;
 use walnutlug_scheduler::model::job::{JobSpec, Rank};
 use walnutlug_scheduler::model::task::Phase;
-use walnutlug_scheduler::protocol::Report;
-use walnutlug_scheduler::scheduler::{Command, DirectOutcome, MachineState, Scheduler};
+use walnutlug_scheduler::protocol::Heartbeat;
+use walnutlug_scheduler::scheduler::{Command, MachineState, MessageOutcome, Scheduler};
 use world::{spec, Worker, World};
 
 const JOB: &str = "req-000001";
@@ -16,21 +16,21 @@
     &w.leader.machines[w.leader.by_name[name] as usize]
 }
 
-fn report_of(w: &mut World, name: &str) -> Report {
-    w.workers.get_mut(name).expect("worker").report()
+fn report_of(w: &mut World, name: &str) -> Heartbeat {
+    w.workers.get_mut(name).expect("worker").heartbeat()
 }
 
 /// Plays a second in which the machine's reports arrive and nothing reaches it.
 fn deaf_second(w: &mut World, name: &str) -> Vec<Command> {
     w.wait(1_000);
-    let report = report_of(w, name);
-    w.leader.report(w.now, &report);
+    let heartbeat = report_of(w, name);
+    w.leader.heartbeat(w.now, &heartbeat);
     w.tick();
     w.leader.look_at_fleet(w.now);
     let commands = std::mem::take(&mut w.commands);
     for command in &commands {
-        if let Command::Direct { machine, .. } = command {
-            w.leader.direct_answer(w.now, *machine, DirectOutcome::Lost);
+        if let Command::SendToWorker { machine, .. } = command {
+            w.leader.message_answered(w.now, *machine, MessageOutcome::Indeterminate);
         }
     }
     commands.into_iter().chain(w.leader.take_commands()).collect()
@@ -40,7 +40,7 @@
 fn a_machine_that_does_not_hear_gets_no_more_work_and_is_given_back() {
     let mut w = World::new(&[("n-1", "a")]);
     let (_, (m, ..)) = w.start_under_way(JOB);
-    w.leader.direct_answer(w.now, m, DirectOutcome::Lost);
+    w.leader.message_answered(w.now, m, MessageOutcome::Indeterminate);
     w.submit("req-000002", &spec(2));
     let mut given_back = None;
     for second in 0..40 {
@@ -68,8 +68,8 @@
     assert_eq!(w.phase(JOB, 0), Phase::Running);
     // Its lease runs out although its reports arrive: it hears no answer.
     w.workers.get_mut("n-1").expect("worker").lease_ends();
-    let report = report_of(&mut w, "n-1");
-    w.leader.report(w.now, &report);
+    let heartbeat = report_of(&mut w, "n-1");
+    w.leader.heartbeat(w.now, &heartbeat);
     assert_eq!(w.attempt(JOB, 0), 2, "a later session is proof");
     w.tick();
     let starts = |w: &World| w.commands.iter().any(|c| matches!(c, Command::Commit { .. }));
@@ -83,13 +83,13 @@
 fn a_lost_message_closes_a_machine_until_it_shows_the_raised_token() {
     let mut w = World::new(&[("n-1", "a")]);
     let (_, (m, ..)) = w.start_under_way(JOB);
-    w.leader.direct_answer(w.now, m, DirectOutcome::Lost);
+    w.leader.message_answered(w.now, m, MessageOutcome::Indeterminate);
     w.wait(5_000);
     let stale = report_of(&mut w, "n-1");
-    w.leader.report(w.now, &stale);
+    w.leader.heartbeat(w.now, &stale);
     assert!(!w.leader.open_for_work(w.now, machine(&w, "n-1")), "nothing shows that it hears");
-    w.report("n-1");
-    w.report("n-1");
+    w.heartbeat("n-1");
+    w.heartbeat("n-1");
     assert!(w.leader.open_for_work(w.now, machine(&w, "n-1")));
 }
 
@@ -97,21 +97,33 @@
 fn an_older_copy_changes_nothing_that_is_trusted() {
     let mut w = World::new(&[("n-1", "a")]);
     let mut old = report_of(&mut w, "n-1");
-    old.notice_s = Some(5.0);
+    old.interruption_notice_s = Some(5.0);
     old.address = "10.9.9.9:9".into();
     w.workers.get_mut("n-1").expect("worker").lease_ends();
-    w.report("n-1");
+    w.heartbeat("n-1");
     w.settle();
     let before = machine(&w, "n-1").clone();
     w.wait(30_000);
     for _ in 0..3 {
-        let answer = w.leader.report(w.now, &old);
+        let answer = w.leader.heartbeat(w.now, &old);
         assert!(answer.is_some_and(|(_, calls)| calls.is_empty()));
     }
     let after = machine(&w, "n-1").clone();
     assert_eq!(
-        (after.session, after.seq, after.seen_token, after.last_report, after.notice),
-        (before.session, before.seq, before.seen_token, before.last_report, None)
+        (
+            after.agent_epoch,
+            after.sequence,
+            after.acknowledged_token,
+            after.last_heartbeat,
+            after.interruption_at
+        ),
+        (
+            before.agent_epoch,
+            before.sequence,
+            before.acknowledged_token,
+            before.last_heartbeat,
+            None
+        )
     );
     assert_eq!(after.address, before.address);
     let notes = |w: &mut World| {
@@ -130,20 +142,23 @@
     w.settle();
     let name = w.places()[&format!("{JOB}/0")][0].clone();
     let mut copy = report_of(&mut w, &name);
-    copy.notice_s = Some(9.0);
+    copy.interruption_notice_s = Some(9.0);
     w.workers.get_mut(&name).expect("worker").alive = false;
     w.take_over();
-    let heard = machine(&w, &name).last_report;
+    let heard = machine(&w, &name).last_heartbeat;
     for _ in 0..5 {
         w.wait(1_000);
-        copy.seq += 1;
-        w.leader.report(w.now, &copy);
+        copy.sequence += 1;
+        w.leader.heartbeat(w.now, &copy);
         let m = machine(&w, &name);
-        assert_eq!((m.state, m.last_report, m.notice), (MachineState::Booting, heard, None));
+        assert_eq!(
+            (m.state, m.last_heartbeat, m.interruption_at),
+            (MachineState::Booting, heard, None)
+        );
         assert!(!w.leader.open_for_work(w.now, m));
     }
     w.tick();
-    let asks = |c: &Command| matches!(c, Command::Direct { calls, .. } if calls.is_empty());
+    let asks = |c: &Command| matches!(c, Command::SendToWorker { calls, .. } if calls.is_empty());
     assert!(w.commands.iter().any(asks), "it is asked");
     // What is not heard of otherwise is not counted on to come, nor kept for ever.
     w.submit("req-000002", &spec(8));
@@ -167,7 +182,7 @@
     let copy = report_of(&mut w, "n-1");
     w.leader.machine_gone(w.now, "n-1");
     w.wait(1_000);
-    w.leader.report(w.now, &copy);
+    w.leader.heartbeat(w.now, &copy);
     assert_eq!(machine(&w, "n-1").state, MachineState::Gone);
     assert_eq!(w.leader.machines.len(), 1);
 }
@@ -179,14 +194,14 @@
     odd.token = token(w.leader.term + 1_000, 0);
     let before = machine(&w, "n-1").clone();
     for _ in 0..3 {
-        assert!(w.leader.report(w.now, &odd).is_none(), "the worker goes elsewhere");
+        assert!(w.leader.heartbeat(w.now, &odd).is_none(), "the worker goes elsewhere");
     }
     let commands = w.leader.take_commands();
     assert!(!commands.iter().any(|c| matches!(c, Command::StepDown(_))));
-    assert!(commands.contains(&Command::CheckLead));
+    assert!(commands.contains(&Command::VerifyLeadership));
     let notes = commands.iter().filter(|c| matches!(c, Command::Note(_))).count();
     assert_eq!(notes, 1, "logged once");
-    assert_eq!(machine(&w, "n-1").seen_token, before.seen_token);
+    assert_eq!(machine(&w, "n-1").acknowledged_token, before.acknowledged_token);
 }
 
 /// Cut off from the state service and the other nodes, but not from its workers.
@@ -199,27 +214,28 @@
     w.tick();
     let (id, transaction) = w.take_commit();
     let outcome = w.store.apply(&transaction);
-    w.leader.in_office = false;
+    w.leader.holds_lease = false;
     // Written before the cut, and not sent any more.
     w.leader.transaction_answered(w.now, id, outcome);
     w.submit("req-000003", &spec(40));
     // All but one machine have gone over to the next leader, and are silent here.
     for _ in 0..60 {
         w.wait(1_000);
-        w.report("n-1");
+        w.heartbeat("n-1");
         w.tick();
         w.leader.look_at_fleet(w.now);
         for command in w.leader.take_commands().into_iter().chain(std::mem::take(&mut w.commands)) {
             match command {
-                Command::Direct { calls, .. } => assert!(calls.is_empty(), "{calls:?}"),
+                Command::SendToWorker { calls, .. } => assert!(calls.is_empty(), "{calls:?}"),
                 Command::Note(_) => {}
                 other => panic!("{other:?}"),
             }
         }
     }
-    let report = report_of(&mut w, "n-1");
-    let (token, _) = w.leader.report(w.now, &report).expect("an answer that renews its lease");
-    assert!(token >= report.token);
+    let heartbeat = report_of(&mut w, "n-1");
+    let (token, _) =
+        w.leader.heartbeat(w.now, &heartbeat).expect("an answer that renews its lease");
+    assert!(token >= heartbeat.token);
 }
 
 #[test]
@@ -236,7 +252,7 @@
     assert_eq!(w.places().len(), 3);
     assert_eq!(w.attempt(JOB, 0), 2);
     // With a new session, and having forgotten every token.
-    let fresh = Worker { session: 2, seq: 0, ..Worker::new("n-1", "a") };
+    let fresh = Worker { agent_epoch: 2, sequence: 0, ..Worker::new("n-1", "a") };
     w.workers.insert("n-1".into(), fresh);
     w.all_report();
     w.settle();
@@ -332,19 +348,19 @@
 
 #[test]
 fn a_report_of_thousands_of_tasks_gets_an_answer_that_fits_a_line() {
-    use walnutlug_scheduler::protocol::{ReportAnswer, TaskReport, TaskStage};
+    use walnutlug_scheduler::protocol::{HeartbeatResponse, TaskState, TaskStatus};
     let mut w = World::new(&[("n-1", "a")]);
-    let mut report = report_of(&mut w, "n-1");
-    report.tasks = (0..3_000)
-        .map(|i| TaskReport {
+    let mut heartbeat = report_of(&mut w, "n-1");
+    heartbeat.tasks = (0..3_000)
+        .map(|i| TaskStatus {
             task: format!("req-999999/{i}"),
             attempt: 4_000_000,
-            state: TaskStage::Running,
+            state: TaskState::Running,
             cause: None,
         })
         .collect();
-    let (token, calls) = w.leader.report(w.now, &report).expect("answered");
+    let (token, calls) = w.leader.heartbeat(w.now, &heartbeat).expect("answered");
     assert!(calls.len() >= 400, "{} of what it runs is stopped at once", calls.len());
-    let answer = serde_json::to_vec(&ReportAnswer { token, calls }).expect("json");
+    let answer = serde_json::to_vec(&HeartbeatResponse { token, calls }).expect("json");
     assert!(answer.len() < 64 * 1024, "{} bytes", answer.len());
 }
--- a/crates/scheduler/tests/version_compatibility.rs
+++ b/crates/scheduler/tests/version_compatibility.rs
@@ -36,7 +36,7 @@
         ("n-000001", "req-000002/1"),
     ] {
         let worker = w.workers.get_mut(machine).expect("worker");
-        let running = (walnutlug_scheduler::protocol::TaskStage::Running, None);
+        let running = (walnutlug_scheduler::protocol::TaskState::Running, None);
         worker.tasks.insert((task.to_owned(), 1), running);
     }
     w.take_over();
--- a/crates/scheduler/tests/world/mod.rs
+++ b/crates/scheduler/tests/world/mod.rs
@@ -9,11 +9,11 @@
 use walnutlug_scheduler::leadership::election::token;
 use walnutlug_scheduler::model::job::{keys, End, JobSpec, Rank, Team};
 use walnutlug_scheduler::protocol::{
-    Cause, KeyValue, MachineType, Operation, Report, TaskReport, TaskStage, Transaction,
+    ExitReason, Heartbeat, KeyValue, MachineType, Operation, TaskState, TaskStatus, Transaction,
     WorkerCommand,
 };
 use walnutlug_scheduler::queue::dependencies::Found;
-use walnutlug_scheduler::scheduler::{Command, DirectOutcome, Scheduler, TransactionOutcome};
+use walnutlug_scheduler::scheduler::{Command, MessageOutcome, Scheduler, TransactionOutcome};
 use walnutlug_scheduler::storage::records::{chunk_size, description_record};
 use walnutlug_scheduler::time::{Span, Time};
 use walnutlug_scheduler::tunables::{Site, Tunables};
@@ -113,12 +113,12 @@
 pub struct Worker {
     pub name: String,
     pub zone: String,
-    pub session: u64,
-    pub seq: u64,
+    pub agent_epoch: u64,
+    pub sequence: u64,
     pub token: u64,
-    pub tasks: BTreeMap<(String, u64), (TaskStage, Option<Cause>)>,
+    pub tasks: BTreeMap<(String, u64), (TaskState, Option<ExitReason>)>,
     pub alive: bool,
-    pub notice: Option<f64>,
+    pub interruption_at: Option<f64>,
     pub spot: bool,
 }
 
@@ -127,32 +127,32 @@
         Worker {
             name: name.to_owned(),
             zone: zone.to_owned(),
-            session: 1,
-            seq: 0,
+            agent_epoch: 1,
+            sequence: 0,
             token: 0,
             tasks: BTreeMap::new(),
             alive: true,
-            notice: None,
+            interruption_at: None,
             spot: false,
         }
     }
 
-    pub fn report(&mut self) -> Report {
-        self.seq += 1;
-        Report {
+    pub fn heartbeat(&mut self) -> Heartbeat {
+        self.sequence += 1;
+        Heartbeat {
             machine: self.name.clone(),
             address: "10.0.0.1:1".into(),
             kind: "t8".into(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: self.session,
-            seq: self.seq,
+            agent_epoch: self.agent_epoch,
+            sequence: self.sequence,
             token: self.token,
-            notice_s: self.notice,
+            interruption_notice_s: self.interruption_at,
             tasks: self
                 .tasks
                 .iter()
-                .map(|((task, attempt), (state, cause))| TaskReport {
+                .map(|((task, attempt), (state, cause))| TaskStatus {
                     task: task.clone(),
                     attempt: *attempt,
                     state: *state,
@@ -166,30 +166,30 @@
         for call in calls {
             match call {
                 WorkerCommand::Run { task, attempt } => {
-                    let here = |(t, (s, _)): (&(String, u64), &(TaskStage, Option<Cause>))| {
-                        t.0 == *task && *s != TaskStage::Exited
+                    let here = |(t, (s, _)): (&(String, u64), &(TaskState, Option<ExitReason>))| {
+                        t.0 == *task && *s != TaskState::Exited
                     };
                     let key = (task.clone(), *attempt);
                     if self.tasks.contains_key(&key) {
                         continue;
                     }
                     let state = if self.tasks.iter().any(here) {
-                        (TaskStage::Exited, Some(Cause::InUse))
+                        (TaskState::Exited, Some(ExitReason::InUse))
                     } else {
-                        (TaskStage::Running, None)
+                        (TaskState::Running, None)
                     };
                     self.tasks.insert(key, state);
                 }
                 WorkerCommand::Kill { task, attempt, .. } => {
                     if let Some(t) = self.tasks.get_mut(&(task.clone(), *attempt)) {
-                        if t.0 != TaskStage::Exited {
-                            *t = (TaskStage::Exited, Some(Cause::Stopped));
+                        if t.0 != TaskState::Exited {
+                            *t = (TaskState::Exited, Some(ExitReason::Stopped));
                         }
                     }
                 }
                 WorkerCommand::Reap { task, attempt } => {
                     let key = (task.clone(), *attempt);
-                    if self.tasks.get(&key).is_some_and(|t| t.0 == TaskStage::Exited) {
+                    if self.tasks.get(&key).is_some_and(|t| t.0 == TaskState::Exited) {
                         self.tasks.remove(&key);
                     }
                 }
@@ -198,17 +198,17 @@
     }
 
     /// `/commands`: the report after them, executed or not.
-    pub fn direct(&mut self, token: u64, session: u64, calls: &[WorkerCommand]) -> Report {
-        if token >= self.token && session == self.session {
+    pub fn direct(&mut self, token: u64, agent_epoch: u64, calls: &[WorkerCommand]) -> Heartbeat {
+        if token >= self.token && agent_epoch == self.agent_epoch {
             self.token = token;
             self.execute(calls);
         }
-        self.report()
+        self.heartbeat()
     }
 
     /// The answer to a report of the given session.
-    pub fn answered(&mut self, session: u64, token: u64, calls: &[WorkerCommand]) {
-        if token >= self.token && session == self.session {
+    pub fn answered(&mut self, agent_epoch: u64, token: u64, calls: &[WorkerCommand]) {
+        if token >= self.token && agent_epoch == self.agent_epoch {
             self.token = token;
             self.execute(calls);
         }
@@ -216,14 +216,14 @@
 
     pub fn lease_ends(&mut self) {
         self.tasks.clear();
-        self.session += 1;
+        self.agent_epoch += 1;
     }
 
     pub fn live(&self) -> BTreeSet<String> {
         if !self.alive {
             return BTreeSet::new();
         }
-        let live = self.tasks.iter().filter(|(_, s)| s.0 != TaskStage::Exited);
+        let live = self.tasks.iter().filter(|(_, s)| s.0 != TaskState::Exited);
         live.map(|(t, _)| t.0.clone()).collect()
     }
 }
@@ -263,9 +263,9 @@
             Team { name: "capped".into(), cpus: 0.0, cpus_max: 4.0, gpus: 0.0, gpus_max: 0.0 },
         ],
         objectives: Vec::new(),
-        report: Span::secs(3),
-        lease: Span::secs(20),
-        cancel: Span::secs(40),
+        heartbeat_interval: Span::secs(3),
+        worker_lease: Span::secs(20),
+        cancel_within: Span::secs(40),
         value_bytes: 4096,
         txn_ops: 12,
         list_lag: Span::secs(4),
@@ -344,7 +344,7 @@
     pub fn wait(&mut self, ms: u64) {
         self.now = self.now + Span::millis(ms);
         if !self.cut_off {
-            self.leader.known_until = self.now;
+            self.leader.cancellations_known_until = self.now;
         }
     }
 
@@ -378,11 +378,11 @@
 
     pub fn take_direct(&mut self) -> (u32, u64, u64, Vec<WorkerCommand>) {
         let with_calls =
-            |c: &Command| matches!(c, Command::Direct { calls, .. } if !calls.is_empty());
+            |c: &Command| matches!(c, Command::SendToWorker { calls, .. } if !calls.is_empty());
         let at = self.commands.iter().position(with_calls);
         match self.commands.remove(at.expect("a direct command")) {
-            Command::Direct { machine, token, session, calls, .. } => {
-                (machine, token, session, calls)
+            Command::SendToWorker { machine, token, agent_epoch, calls, .. } => {
+                (machine, token, agent_epoch, calls)
             }
             _ => unreachable!(),
         }
@@ -449,12 +449,12 @@
                     let outcome = self.store.apply(&transaction);
                     self.leader.transaction_answered(self.now, id, outcome);
                 }
-                Command::Direct { machine, token, session, calls, .. } => {
-                    self.deliver(machine, token, session, &calls);
+                Command::SendToWorker { machine, token, agent_epoch, calls, .. } => {
+                    self.deliver(machine, token, agent_epoch, &calls);
                 }
-                Command::FindEnds { names } => {
+                Command::FindJobEnds { names } => {
                     let found = self.store.ends(&names);
-                    self.leader.ends_found(self.now, &found);
+                    self.leader.job_ends_found(self.now, &found);
                 }
                 Command::Read { id, key } => {
                     let found = self.store.keys.get(&key).cloned();
@@ -466,25 +466,25 @@
         }
     }
 
-    pub fn deliver(&mut self, machine: u32, token: u64, session: u64, calls: &[WorkerCommand]) {
+    pub fn deliver(&mut self, machine: u32, token: u64, agent_epoch: u64, calls: &[WorkerCommand]) {
         let name = self.leader.machines[machine as usize].name.clone();
         let outcome = match self.workers.get_mut(&name) {
             Some(worker) if worker.alive => {
-                DirectOutcome::Answered(Box::new(worker.direct(token, session, calls)))
+                MessageOutcome::Answered(Box::new(worker.direct(token, agent_epoch, calls)))
             }
-            Some(_) => DirectOutcome::Lost,
-            None => DirectOutcome::NotSent,
+            Some(_) => MessageOutcome::Indeterminate,
+            None => MessageOutcome::NotSent,
         };
-        self.leader.direct_answer(self.now, machine, outcome);
+        self.leader.message_answered(self.now, machine, outcome);
     }
 
-    pub fn report(&mut self, name: &str) {
+    pub fn heartbeat(&mut self, name: &str) {
         let worker = self.workers.get_mut(name).expect("worker");
-        let report = worker.report();
-        let answer = self.leader.report(self.now, &report);
+        let heartbeat = worker.heartbeat();
+        let answer = self.leader.heartbeat(self.now, &heartbeat);
         transcript::answer("whole", name, answer.as_ref());
         if let Some((token, calls)) = answer {
-            worker.answered(report.session, token, &calls);
+            worker.answered(heartbeat.agent_epoch, token, &calls);
         }
     }
 
@@ -492,7 +492,7 @@
         let names: Vec<String> = self.workers.keys().cloned().collect();
         for name in names {
             if self.workers[&name].alive {
-                self.report(&name);
+                self.heartbeat(&name);
             }
         }
     }
@@ -535,8 +535,8 @@
     pub fn finish(&mut self, machine: &str, task: &str) {
         let worker = self.workers.get_mut(machine).expect("worker");
         for (key, state) in &mut worker.tasks {
-            if key.0 == task && state.0 != TaskStage::Exited {
-                *state = (TaskStage::Exited, Some(Cause::Done));
+            if key.0 == task && state.0 != TaskState::Exited {
+                *state = (TaskState::Exited, Some(ExitReason::Done));
             }
         }
     }
@@ -555,7 +555,7 @@
     /// Where the task is live.
     pub fn places_of(&self, task: &str) -> Vec<&str> {
         let here = |w: &&Worker| {
-            w.alive && w.tasks.iter().any(|(t, s)| t.0 == task && s.0 != TaskStage::Exited)
+            w.alive && w.tasks.iter().any(|(t, s)| t.0 == task && s.0 != TaskState::Exited)
         };
         self.workers.values().filter(here).map(|w| w.name.as_str()).collect()
     }
--- a/crates/scheduler/tests/world/transcript.rs
+++ b/crates/scheduler/tests/world/transcript.rs
@@ -72,12 +72,12 @@
         Command::Read { id, key } => {
             transcript.line("read", &format!("term={term} id={id} key={key}"));
         }
-        Command::FindEnds { names } => {
+        Command::FindJobEnds { names } => {
             transcript.line("find-ends", &format!("term={term} jobs={}", json(names)));
         }
-        Command::Direct { machine, address, token, session, calls } => {
+        Command::SendToWorker { machine, address, token, agent_epoch, calls } => {
             let to = format!("term={term} machine={machine} address={address}");
-            let body = format!("token={token} session={session} calls={}", json(calls));
+            let body = format!("token={token} session={agent_epoch} calls={}", json(calls));
             transcript.line("direct", &format!("{to} {body}"));
             count_calls(transcript, calls);
         }
@@ -88,7 +88,7 @@
         Command::Return { machines } => {
             transcript.line("return", &format!("term={term} machines={}", json(machines)));
         }
-        Command::CheckLead => transcript.line("check-lead", &format!("term={term}")),
+        Command::VerifyLeadership => transcript.line("check-lead", &format!("term={term}")),
         Command::StepDown(_) => transcript.line("step-down", &format!("term={term}")),
     }
 }
