--- a/crates/controller/src/cloud_client.rs
+++ b/crates/controller/src/cloud_client.rs
@@ -7,7 +7,7 @@
 
 use tokio::time::{sleep, Instant};
 use walnutlug_scheduler::protocol::{
-    ListedMachine, MachineList, MachineNames, MachineType, MachineTypes, RentRequest,
+    ListedMachine, MachineIds, MachineList, MachineType, MachineTypes, ScaleOutRequest,
 };
 
 use crate::http::client::{Client, Failure, Response};
@@ -35,16 +35,16 @@
 /// Machines in a list, many times those of any fleet.
 const MOST_LISTED: usize = 50_000;
 
-pub struct Cloud {
+pub struct CloudClient {
     client: Rc<Client>,
     addr: SocketAddrV4,
     rps: f64,
     next: RefCell<Instant>,
 }
 
-impl Cloud {
-    pub fn new(client: Rc<Client>, addr: SocketAddrV4, rps: f64) -> Cloud {
-        Cloud { client, addr, rps, next: RefCell::new(Instant::now()) }
+impl CloudClient {
+    pub fn new(client: Rc<Client>, addr: SocketAddrV4, rps: f64) -> CloudClient {
+        CloudClient { client, addr, rps, next: RefCell::new(Instant::now()) }
     }
 
     async fn ask(
@@ -90,13 +90,13 @@
 
     /// Rents machines. If no answer comes the request is sent once more: under the same name it gets the
     /// same answer and rents nothing twice.
-    pub async fn rent(
+    pub async fn scale_out(
         &self,
-        request: &RentRequest,
+        request: &ScaleOutRequest,
         may_send: MaySend<'_>,
     ) -> Result<Vec<String>, CloudError> {
-        match self.rent_once(request, may_send).await {
-            Err(CloudError::Unknown) => match self.rent_once(request, may_send).await {
+        match self.scale_out_once(request, may_send).await {
+            Err(CloudError::Unknown) => match self.scale_out_once(request, may_send).await {
                 Err(CloudError::Refused | CloudError::NotSent) => Err(CloudError::Unknown),
                 second => second,
             },
@@ -104,15 +104,15 @@
         }
     }
 
-    async fn rent_once(
+    async fn scale_out_once(
         &self,
-        request: &RentRequest,
+        request: &ScaleOutRequest,
         may_send: MaySend<'_>,
     ) -> Result<Vec<String>, CloudError> {
         let body = serde_json::to_vec(request).map_err(|_| CloudError::NotSent)?;
         let r = self.ask("POST", "/machines", &body, may_send).await?;
         match r.status {
-            200 => serde_json::from_slice::<MachineNames>(&r.body)
+            200 => serde_json::from_slice::<MachineIds>(&r.body)
                 .map(|n| n.machines)
                 .map_err(|_| CloudError::Unknown),
             503 if String::from_utf8_lossy(&r.body).contains("no capacity") => {
@@ -123,12 +123,12 @@
     }
 
     /// Returns machines. Once this is `Ok` they are gone.
-    pub async fn give_back(
+    pub async fn terminate(
         &self,
         machines: &[String],
         may_send: MaySend<'_>,
     ) -> Result<(), CloudError> {
-        let names = MachineNames { machines: machines.to_vec() };
+        let names = MachineIds { machines: machines.to_vec() };
         let body = serde_json::to_vec(&names).map_err(|_| CloudError::NotSent)?;
         let r = self.ask("POST", "/machines/return", &body, may_send).await?;
         if r.status == 200 {
--- a/crates/controller/src/cloud_client/golden_tests.rs
+++ b/crates/controller/src/cloud_client/golden_tests.rs
@@ -1,7 +1,7 @@
 //! Every request to the cloud, as it is sent, and what is read of its answers. Kept in
 //! `golden/requests.txt`.
 
-use walnutlug_scheduler::protocol::MachineStage;
+use walnutlug_scheduler::protocol::CloudMachineState;
 
 use super::*;
 use crate::golden_file::Golden;
@@ -10,7 +10,7 @@
 
 /// A cloud that gives these answers, one after the other, and what it was asked.
 struct Scripted {
-    cloud: Cloud,
+    cloud: CloudClient,
     asked: Rc<RefCell<Vec<String>>>,
 }
 
@@ -27,7 +27,7 @@
         };
         let addr = SocketAddrV4::new([127, 0, 0, 1].into(), 1);
         let client = Rc::new(Client::scripted(Box::new(script)));
-        Scripted { cloud: Cloud::new(client, addr, 1_000.0), asked }
+        Scripted { cloud: CloudClient::new(client, addr, 1_000.0), asked }
     }
 
     fn asked(&self) -> String {
@@ -35,8 +35,8 @@
     }
 }
 
-fn rental() -> RentRequest {
-    RentRequest {
+fn scale_out() -> ScaleOutRequest {
+    ScaleOutRequest {
         request: "r-17".into(),
         kind: "g8".into(),
         zone: "a".into(),
@@ -69,14 +69,14 @@
 
 async fn rent_requests() -> Vec<(&'static str, String)> {
     let rented = Scripted::new(&[(200, r#"{"trees":["n-000231","n-000232"]}"#)]);
-    let names = rented.cloud.rent(&rental(), &always).await;
+    let names = rented.cloud.scale_out(&scale_out(), &always).await;
     assert!(names == Ok(vec!["n-000231".into(), "n-000232".into()]), "rent: the names");
     // An answer that can't be read: asked once more under the same name.
     let again = Scripted::new(&[(200, "?"), (503, r#"{"error":"no capacity"}"#)]);
-    let answer = again.cloud.rent(&rental(), &always).await;
+    let answer = again.cloud.scale_out(&scale_out(), &always).await;
     assert!(answer == Err(CloudError::NoCapacity), "rent: no capacity");
     let refused = Scripted::new(&[(503, r#"{"error":"trouble"}"#)]);
-    let answer = refused.cloud.rent(&rental(), &always).await;
+    let answer = refused.cloud.scale_out(&scale_out(), &always).await;
     assert!(answer == Err(CloudError::Refused), "rent: refused");
     vec![("rent", rented.asked()), ("rent, twice", again.asked())]
 }
@@ -84,7 +84,7 @@
 async fn return_request() -> (&'static str, String) {
     let scripted = Scripted::new(&[(200, "{}")]);
     let names = ["n-000231".to_owned(), "n-000232".to_owned()];
-    assert!(scripted.cloud.give_back(&names, &always).await == Ok(()), "return");
+    assert!(scripted.cloud.terminate(&names, &always).await == Ok(()), "return");
     ("return", scripted.asked())
 }
 
@@ -105,9 +105,13 @@
     assert!(first.address.as_deref() == Some("10.1.0.232:9000"), "list: address");
     assert!(first.spot && first.age_s == 61.5, "list: spot and age");
     assert!(machines[1].address.is_none() && !machines[1].spot, "list: a booting machine");
-    let stages: Vec<MachineStage> = machines.iter().map(|machine| machine.stage).collect();
-    let expected =
-        [MachineStage::Running, MachineStage::Booting, MachineStage::Failed, MachineStage::Other];
+    let stages: Vec<CloudMachineState> = machines.iter().map(|machine| machine.stage).collect();
+    let expected = [
+        CloudMachineState::Running,
+        CloudMachineState::Booting,
+        CloudMachineState::Failed,
+        CloudMachineState::Other,
+    ];
     assert!(stages == expected, "list: stages");
     ("list", scripted.asked())
 }
--- a/crates/controller/src/cloud_client/tests.rs
+++ b/crates/controller/src/cloud_client/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn listing(page: impl Fn(usize) -> serde_json::Value + 'static) -> Cloud {
+fn listing(page: impl Fn(usize) -> serde_json::Value + 'static) -> CloudClient {
     let asked = std::cell::Cell::new(0);
     let script = move |_: &str, path: &str, _: &[u8]| {
         assert!(path.starts_with("/machines?"));
@@ -9,7 +9,7 @@
         Ok(Response { status: 200, body: page(asked.get()).to_string().into_bytes() })
     };
     let addr = SocketAddrV4::new([127, 0, 0, 1].into(), 1);
-    Cloud::new(Rc::new(Client::scripted(Box::new(script))), addr, 1_000.0)
+    CloudClient::new(Rc::new(Client::scripted(Box::new(script))), addr, 1_000.0)
 }
 
 fn entry(n: usize) -> serde_json::Value {
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -27,7 +27,7 @@
 use walnutlug_scheduler::time::Time;
 use walnutlug_scheduler::tunables::Tunables;
 
-use crate::cloud_client::Cloud;
+use crate::cloud_client::CloudClient;
 use crate::heartbeat_delegation::{self, HeartbeatDelegation};
 use crate::http::client::Client;
 use crate::http::server::{self, Answer, Request};
@@ -78,7 +78,7 @@
     pub tunables: Rc<Tunables>,
     pub site: Rc<walnutlug_scheduler::tunables::Site>,
     pub key_value: KeyValueClient,
-    pub cloud: Cloud,
+    pub cloud: CloudClient,
     pub client: Rc<Client>,
     pub leadership: RefCell<Leadership>,
     pub scheduler: RefCell<Option<Scheduler>>,
@@ -154,7 +154,7 @@
                 settings.state_limits,
                 settings.state_next,
             ),
-            cloud: Cloud::new(client.clone(), settings.cloud, settings.cloud_rps),
+            cloud: CloudClient::new(client.clone(), settings.cloud, settings.cloud_rps),
             client,
             leadership: RefCell::default(),
             scheduler: RefCell::new(None),
--- a/crates/controller/src/node/fleet_role.rs
+++ b/crates/controller/src/node/fleet_role.rs
@@ -6,12 +6,12 @@
 use tokio::time::Instant;
 use tracing::{debug, error, info, warn};
 use walnutlug_fencing::fence::Fence;
-use walnutlug_fencing::intent::{Action, Rental, ReturnedMachine, INTENT_PREFIX};
+use walnutlug_fencing::intent::{Action, ScaleOut, TerminatedMachine, INTENT_PREFIX};
 use walnutlug_fencing::intent_log::{
     ActionAnswer, ActionId, Adopted, Ledger, LedgerCommand, WriteLimits,
 };
 use walnutlug_fencing::leased_role::{Duty, Epoch, EpochError};
-use walnutlug_scheduler::protocol::RentRequest;
+use walnutlug_scheduler::protocol::ScaleOutRequest;
 use walnutlug_scheduler::scheduler::Scheduler;
 
 use super::leader::{retry, with_scheduler};
@@ -54,10 +54,15 @@
     let adopted = ledger.adopt(now, &stored, has_tasks);
     tell_adopted(term, &adopted);
     for machine in &adopted.returns {
-        scheduler.adopt_return(now, &machine.machine);
+        scheduler.adopt_scale_in(now, &machine.machine);
     }
-    for rental in &adopted.rentals {
-        scheduler.adopt_rental(&rental.kind, &rental.zone, rental.spot, rental.count);
+    for scale_out in &adopted.scale_outs {
+        scheduler.adopt_scale_out(
+            &scale_out.kind,
+            &scale_out.zone,
+            scale_out.spot,
+            scale_out.count,
+        );
     }
     *node.fleet.borrow_mut() = Some(ledger);
     Ok(())
@@ -76,9 +81,9 @@
 }
 
 fn tell_adopted(term: u64, adopted: &Adopted) {
-    if !adopted.rentals.is_empty() || !adopted.returns.is_empty() {
-        let (rentals, returns) = (adopted.rentals.len(), adopted.returns.len());
-        info!(term, rentals, returns, "settling what former holders of the fleet duty recorded");
+    if !adopted.scale_outs.is_empty() || !adopted.returns.is_empty() {
+        let (scale_outs, returns) = (adopted.scale_outs.len(), adopted.returns.len());
+        info!(term, scale_outs, returns, "settling what former holders of the fleet duty recorded");
     }
     for machine in &adopted.overruled {
         warn!(machine, "its recorded return is dropped: work was recorded there after it");
@@ -92,32 +97,39 @@
 }
 
 /// Rents machines under the fence. False where duties aren't fenced.
-pub(super) fn rent(node: &Rc<Node>, request: &RentRequest) -> bool {
+pub(super) fn scale_out(node: &Rc<Node>, request: &ScaleOutRequest) -> bool {
     if !node.tunables.fenced_duties {
         return false;
     }
-    let rental = Rental {
+    let scale_out = ScaleOut {
         request: request.request.clone(),
         kind: request.kind.clone(),
         zone: request.zone.clone(),
         spot: request.spot,
         count: request.count,
     };
-    let taken = node.fleet.borrow_mut().as_mut().is_some_and(|ledger| ledger.rent(rental));
+    let taken = node.fleet.borrow_mut().as_mut().is_some_and(|ledger| ledger.scale_out(scale_out));
     if !taken {
-        rental_failed(node, request);
+        scale_out_failed(node, request);
     }
     true
 }
 
-fn rental_failed(node: &Node, request: &RentRequest) {
+fn scale_out_failed(node: &Node, request: &ScaleOutRequest) {
     if let Some(s) = node.scheduler.borrow_mut().as_mut() {
-        s.rented(node.now(), &request.kind, &request.zone, request.spot, request.count, Err(()));
+        s.scale_out_answered(
+            node.now(),
+            &request.kind,
+            &request.zone,
+            request.spot,
+            request.count,
+            Err(()),
+        );
     }
 }
 
 /// Returns machines under the fence. False where duties aren't fenced.
-pub(super) fn give_back(node: &Rc<Node>, machines: &[String]) -> bool {
+pub(super) fn terminate(node: &Rc<Node>, machines: &[String]) -> bool {
     if !node.tunables.fenced_duties {
         return false;
     }
@@ -127,14 +139,14 @@
     let with_tasks = |name: &String| {
         let known = scheduler.by_name.get(name).map(|&ix| &scheduler.machines[ix as usize]);
         let holds_tasks = known.is_some_and(|machine| !machine.tasks.is_empty());
-        ReturnedMachine { machine: name.clone(), holds_tasks }
+        TerminatedMachine { machine: name.clone(), holds_tasks }
     };
     let machines = machines.iter().map(with_tasks).collect();
     let mut fleet = node.fleet.borrow_mut();
-    let requests = fleet.as_mut().map_or(0, |ledger| ledger.give_back(now, machines));
+    let requests = fleet.as_mut().map_or(0, |ledger| ledger.scale_in(now, machines));
     if requests == 0 {
         // Nothing new comes of it, so no answer will either.
-        scheduler.returned(now, &[], false);
+        scheduler.scale_in_answered(now, &[], false);
     }
     true
 }
@@ -160,11 +172,11 @@
                     with_ledger(&node, term, |ledger| ledger.written(node.now(), id, &outcome));
                 });
             }
-            LedgerCommand::Send { id, action: Action::Rent(rental) } => {
-                tokio::task::spawn_local(send_rental(node.clone(), term, id, rental));
+            LedgerCommand::Send { id, action: Action::ScaleOut(scale_out) } => {
+                tokio::task::spawn_local(send_scale_out(node.clone(), term, id, scale_out));
             }
-            LedgerCommand::Send { id, action: Action::Return(machines) } => {
-                tokio::task::spawn_local(send_return(node.clone(), term, id, machines));
+            LedgerCommand::Send { id, action: Action::ScaleIn(machines) } => {
+                tokio::task::spawn_local(send_scale_in(node.clone(), term, id, machines));
             }
         }
     }
@@ -190,8 +202,8 @@
     node.leadership.borrow().term() == Some(term) && Instant::now() < node.lease_until.get()
 }
 
-async fn send_rental(node: Rc<Node>, term: u64, id: ActionId, rental: Rental) {
-    let answer = node.cloud.rent(&rental.request(), &|| holds(&node, term)).await;
+async fn send_scale_out(node: Rc<Node>, term: u64, id: ActionId, scale_out: ScaleOut) {
+    let answer = node.cloud.scale_out(&scale_out.request(), &|| holds(&node, term)).await;
     let outcome = match &answer {
         Ok(_) => ActionAnswer::Done,
         Err(CloudError::NoCapacity | CloudError::Refused) => ActionAnswer::Refused,
@@ -201,20 +213,24 @@
     let rented = answer.as_deref().unwrap_or_default();
     with_ledger(&node, term, |ledger| ledger.answered(node.now(), id, outcome, rented));
     with_scheduler(&node, term, |s, now| {
-        let Rental { kind, zone, spot, count, .. } = &rental;
+        let ScaleOut { kind, zone, spot, count, .. } = &scale_out;
         match answer {
-            Ok(names) => s.rented(now, kind, zone, *spot, *count, Ok(names)),
-            Err(CloudError::NoCapacity) => s.rented(now, kind, zone, *spot, *count, Ok(Vec::new())),
-            Err(CloudError::Refused) => s.rented(now, kind, zone, *spot, *count, Err(())),
+            Ok(names) => s.scale_out_answered(now, kind, zone, *spot, *count, Ok(names)),
+            Err(CloudError::NoCapacity) => {
+                s.scale_out_answered(now, kind, zone, *spot, *count, Ok(Vec::new()))
+            }
+            Err(CloudError::Refused) => {
+                s.scale_out_answered(now, kind, zone, *spot, *count, Err(()))
+            }
             // It is sent again, and the machines may come.
             Err(CloudError::NotSent | CloudError::Unknown) => s.cloud_in_trouble(now),
         }
     });
 }
 
-async fn send_return(node: Rc<Node>, term: u64, id: ActionId, machines: Vec<ReturnedMachine>) {
+async fn send_scale_in(node: Rc<Node>, term: u64, id: ActionId, machines: Vec<TerminatedMachine>) {
     let names: Vec<String> = machines.into_iter().map(|machine| machine.machine).collect();
-    let answer = node.cloud.give_back(&names, &|| holds(&node, term)).await;
+    let answer = node.cloud.terminate(&names, &|| holds(&node, term)).await;
     let outcome = match answer {
         Ok(()) => ActionAnswer::Done,
         Err(CloudError::NoCapacity | CloudError::Refused) => ActionAnswer::Refused,
@@ -226,6 +242,6 @@
     }
     with_ledger(&node, term, |ledger| ledger.answered(node.now(), id, outcome, &[]));
     with_scheduler(&node, term, |s, now| {
-        s.returned(now, &names, outcome == ActionAnswer::Done);
+        s.scale_in_answered(now, &names, outcome == ActionAnswer::Done);
     });
 }
--- a/crates/controller/src/node/leader.rs
+++ b/crates/controller/src/node/leader.rs
@@ -9,7 +9,7 @@
 use walnutlug_scheduler::leadership::election::{Input, Role};
 use walnutlug_scheduler::leadership::watermark;
 use walnutlug_scheduler::model::job::{keys, End};
-use walnutlug_scheduler::protocol::{Compare, Operation, RentRequest, Transaction, WatchEvent};
+use walnutlug_scheduler::protocol::{Compare, Operation, ScaleOutRequest, Transaction, WatchEvent};
 use walnutlug_scheduler::queue::dependencies::Found;
 use walnutlug_scheduler::scheduler::{Command, Scheduler, TransactionOutcome};
 use walnutlug_scheduler::storage::document::Document;
@@ -518,7 +518,7 @@
             s.holds_lease = Instant::now() < node.lease_until.get();
             s.cancellations_known_until = node.cancellations_known_until();
             s.tick(now);
-            s.look_at_fleet(now);
+            s.autoscale(now);
             let commands = s.take_commands();
             drop(guard);
             heartbeat_delegation::send_invalidations(node);
@@ -598,39 +598,46 @@
                 with_scheduler(&node, term, |s, now| s.message_answered(now, machine, outcome));
             });
         }
-        Command::Rent { kind, zone, spot, count } => {
+        Command::ScaleOut { kind, zone, spot, count } => {
             let n = node.requests.get() + 1;
             node.requests.set(n);
             // Term, incarnation and counter: a name that no other node or time ever uses.
             let request = format!("{term}-{}-{n}", node.election_nonce);
-            let rental = RentRequest { request, kind, zone, spot, count };
-            if !fleet_role::rent(&node, &rental) {
-                tokio::task::spawn_local(rent_unfenced(node, term, rental));
+            let scale_out = ScaleOutRequest { request, kind, zone, spot, count };
+            if !fleet_role::scale_out(&node, &scale_out) {
+                tokio::task::spawn_local(scale_out_unfenced(node, term, scale_out));
             }
         }
-        Command::Return { machines } => {
-            if !fleet_role::give_back(&node, &machines) {
-                tokio::task::spawn_local(give_back_unfenced(node, term, machines));
+        Command::ScaleIn { machines } => {
+            if !fleet_role::terminate(&node, &machines) {
+                tokio::task::spawn_local(scale_in_unfenced(node, term, machines));
             }
         }
     }
 }
 
 /// Rents without a record, as all versions did before there were fenced duties.
-async fn rent_unfenced(node: Rc<Node>, term: u64, rental: RentRequest) {
-    let answer = match node.cloud.rent(&rental, &|| true).await {
+async fn scale_out_unfenced(node: Rc<Node>, term: u64, scale_out: ScaleOutRequest) {
+    let answer = match node.cloud.scale_out(&scale_out, &|| true).await {
         Ok(names) => Ok(names),
         Err(CloudError::NoCapacity) => Ok(Vec::new()),
         Err(CloudError::Refused | CloudError::NotSent | CloudError::Unknown) => Err(()),
     };
     with_scheduler(&node, term, |s, now| {
-        s.rented(now, &rental.kind, &rental.zone, rental.spot, rental.count, answer);
+        s.scale_out_answered(
+            now,
+            &scale_out.kind,
+            &scale_out.zone,
+            scale_out.spot,
+            scale_out.count,
+            answer,
+        );
     });
 }
 
-async fn give_back_unfenced(node: Rc<Node>, term: u64, machines: Vec<String>) {
-    let gone = node.cloud.give_back(&machines, &|| true).await.is_ok();
-    with_scheduler(&node, term, |s, now| s.returned(now, &machines, gone));
+async fn scale_in_unfenced(node: Rc<Node>, term: u64, machines: Vec<String>) {
+    let gone = node.cloud.terminate(&machines, &|| true).await.is_ok();
+    with_scheduler(&node, term, |s, now| s.scale_in_answered(now, &machines, gone));
 }
 
 #[cfg(test)]
--- a/crates/fencing/src/intent.rs
+++ b/crates/fencing/src/intent.rs
@@ -4,7 +4,7 @@
 //! them. It is dropped when all of them are settled. Whoever holds the duty next finds what is left.
 
 use serde::{Deserialize, Serialize};
-use walnutlug_scheduler::protocol::{KeyValue, RentRequest};
+use walnutlug_scheduler::protocol::{KeyValue, ScaleOutRequest};
 
 use crate::leased_role::{check_format, Duty, Epoch, EpochError, RecordError};
 
@@ -16,7 +16,7 @@
 
 /// A request for machines, under a name that is never used for another.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Rental {
+pub struct ScaleOut {
     /// The request's name.
     pub request: String,
     /// The machine type.
@@ -29,10 +29,10 @@
     pub count: u32,
 }
 
-impl Rental {
+impl ScaleOut {
     /// As the cloud wants it asked.
-    pub fn request(&self) -> RentRequest {
-        RentRequest {
+    pub fn request(&self) -> ScaleOutRequest {
+        ScaleOutRequest {
             request: self.request.clone(),
             kind: self.kind.clone(),
             zone: self.zone.clone(),
@@ -44,7 +44,7 @@
 
 /// A machine to be given back.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct ReturnedMachine {
+pub struct TerminatedMachine {
     /// Its name.
     #[serde(rename = "name")]
     pub machine: String,
@@ -59,9 +59,11 @@
 #[serde(rename_all = "lowercase")]
 pub enum Action {
     /// Rent machines.
-    Rent(Rental),
+    #[serde(rename = "rent")]
+    ScaleOut(ScaleOut),
     /// Return machines.
-    Return(Vec<ReturnedMachine>),
+    #[serde(rename = "return")]
+    ScaleIn(Vec<TerminatedMachine>),
 }
 
 /// The stored form of some actions.
--- a/crates/fencing/src/intent_log.rs
+++ b/crates/fencing/src/intent_log.rs
@@ -12,7 +12,7 @@
 use walnutlug_scheduler::time::{Span, Time};
 
 use crate::fence::{Fence, FencedWrite};
-use crate::intent::{intent_key, Action, IntentRecord, Rental, ReturnedMachine, StoredIntent};
+use crate::intent::{intent_key, Action, IntentRecord, ScaleOut, StoredIntent, TerminatedMachine};
 use crate::leased_role::{EpochError, RecordError};
 
 /// How long settled records wait for a write to go along with.
@@ -198,9 +198,9 @@
 #[derive(Debug, Default)]
 pub struct Adopted {
     /// Rentals that will be asked for again under their names.
-    pub rentals: Vec<Rental>,
+    pub scale_outs: Vec<ScaleOut>,
     /// Machines whose recorded return is carried out.
-    pub returns: Vec<ReturnedMachine>,
+    pub returns: Vec<TerminatedMachine>,
     /// Machines whose recorded return is not carried out, since work was recorded on them after it, which
     /// only a version without fences does.
     pub overruled: Vec<String>,
@@ -215,7 +215,7 @@
     limits: WriteLimits,
     /// How long after a rental its machines are on the cloud's list for certain.
     listed_within: Span,
-    wishes: Vec<Action>,
+    requested: Vec<Action>,
     records: BTreeMap<u64, Record>,
     /// Machines named by a return that is not settled, with the action.
     returning: BTreeMap<String, ActionId>,
@@ -235,7 +235,7 @@
             fence,
             limits,
             listed_within,
-            wishes: Vec::new(),
+            requested: Vec::new(),
             records: BTreeMap::new(),
             returning: BTreeMap::new(),
             unlisted: BTreeMap::new(),
@@ -272,7 +272,7 @@
         let open = |t: &&Tracked| t.state != ActionState::Settled;
         let recorded: usize =
             self.records.values().map(|record| record.actions.iter().filter(open).count()).sum();
-        recorded + self.wishes.len()
+        recorded + self.requested.len()
     }
 
     /// Takes over what earlier epochs left. `has_tasks` tells on which machines work is recorded.
@@ -309,7 +309,7 @@
         let number = self.next_record;
         self.next_record += 1;
         for (index, action) in actions.iter().enumerate() {
-            if let Action::Return(machines) = action {
+            if let Action::ScaleIn(machines) = action {
                 let id = ActionId { record: number, index };
                 self.returning.extend(machines.iter().map(|m| (m.machine.clone(), id)));
             }
@@ -324,17 +324,17 @@
     }
 
     /// Wants machines rented. Whether it will see to it.
-    pub fn rent(&mut self, rental: Rental) -> bool {
+    pub fn scale_out(&mut self, scale_out: ScaleOut) -> bool {
         let taken = self.stopped.is_none() && self.open_actions() < MOST_OPEN;
         if taken {
-            self.wishes.push(Action::Rent(rental));
+            self.requested.push(Action::ScaleOut(scale_out));
         }
         taken
     }
 
     /// Wants machines returned. What is recorded already is sent again, if its outcome isn't known. How
     /// many requests come of it.
-    pub fn give_back(&mut self, now: Time, machines: Vec<ReturnedMachine>) -> usize {
+    pub fn scale_in(&mut self, now: Time, machines: Vec<TerminatedMachine>) -> usize {
         if self.stopped.is_some() || self.open_actions() >= MOST_OPEN {
             return 0;
         }
@@ -345,7 +345,7 @@
                 Some(&id) => {
                     again.insert(id);
                 }
-                None if self.wishes_return(&machine.machine) => {}
+                None if self.is_scale_in_requested(&machine.machine) => {}
                 None => new.push(machine),
             }
         }
@@ -355,21 +355,21 @@
         let resent = resent.count();
         let more = usize::from(!new.is_empty());
         if !new.is_empty() {
-            self.wishes.push(Action::Return(new));
+            self.requested.push(Action::ScaleIn(new));
         }
         resent + more
     }
 
-    fn wishes_return(&self, machine: &str) -> bool {
-        self.wishes.iter().any(|wish| match wish {
-            Action::Return(machines) => machines.iter().any(|m| m.machine == machine),
-            Action::Rent(_) => false,
+    fn is_scale_in_requested(&self, machine: &str) -> bool {
+        self.requested.iter().any(|wish| match wish {
+            Action::ScaleIn(machines) => machines.iter().any(|m| m.machine == machine),
+            Action::ScaleOut(_) => false,
         })
     }
 
     /// Whether a return of the machine is wanted or recorded and not settled.
-    pub fn is_returning(&self, machine: &str) -> bool {
-        self.returning.contains_key(machine) || self.wishes_return(machine)
+    pub fn is_scaling_in(&self, machine: &str) -> bool {
+        self.returning.contains_key(machine) || self.is_scale_in_requested(machine)
     }
 
     /// Writes what is to be recorded or dropped, and, while the lease is certainly held, gives out what may
@@ -440,7 +440,7 @@
     fn create_records(&mut self, now: Time, write: &mut FencedWrite) -> Vec<u64> {
         let mut created = Vec::new();
         while write.len() < self.limits.txn_ops {
-            let actions = self.take_wishes();
+            let actions = self.take_requested();
             if actions.is_empty() {
                 break;
             }
@@ -455,28 +455,28 @@
     }
 
     /// As many wishes of one kind as fit into a record.
-    fn take_wishes(&mut self) -> Vec<Action> {
+    fn take_requested(&mut self) -> Vec<Action> {
         let room = self.limits.value_bytes.saturating_sub(RECORD_OVERHEAD);
-        self.split_first_wish(room);
-        let Some(first) = self.wishes.first() else { return Vec::new() };
+        self.split_first_request(room);
+        let Some(first) = self.requested.first() else { return Vec::new() };
         let kind = std::mem::discriminant(first);
         let mut bytes = 0;
         let fits = |wish: &&Action| {
             bytes += Document::new(wish).size() + 1;
             std::mem::discriminant(*wish) == kind && bytes <= room
         };
-        let count = self.wishes.iter().take_while(fits).count().max(1);
-        self.wishes.drain(..count).collect()
+        let count = self.requested.iter().take_while(fits).count().max(1);
+        self.requested.drain(..count).collect()
     }
 
     /// A return of more machines than a record has room for is made two.
-    fn split_first_wish(&mut self, room: usize) {
-        while let Some(Action::Return(machines)) = self.wishes.first_mut() {
+    fn split_first_request(&mut self, room: usize) {
+        while let Some(Action::ScaleIn(machines)) = self.requested.first_mut() {
             if machines.len() < 2 || Document::new(machines).size() + RECORD_OVERHEAD <= room {
                 return;
             }
             let rest = machines.split_off(machines.len() / 2);
-            self.wishes.insert(1, Action::Return(rest));
+            self.requested.insert(1, Action::ScaleIn(rest));
         }
     }
 
@@ -516,7 +516,7 @@
         for number in &write.created {
             let Some(record) = self.records.remove(number) else { continue };
             self.returning.retain(|_, id| id.record != *number);
-            self.wishes.extend(record.actions.into_iter().map(|tracked| tracked.action));
+            self.requested.extend(record.actions.into_iter().map(|tracked| tracked.action));
         }
         for number in &write.dropped {
             if let Some(record) = self.records.get_mut(number) {
@@ -528,7 +528,7 @@
     /// The answer to [`LedgerCommand::Send`]; of a rental, with the machines that were rented.
     pub fn answered(&mut self, now: Time, id: ActionId, answer: ActionAnswer, rented: &[String]) {
         let Some(action) = self.action(id).map(|tracked| &tracked.action) else { return };
-        let rents = matches!(action, Action::Rent(_));
+        let rents = matches!(action, Action::ScaleOut(_));
         let input = match answer {
             ActionAnswer::Done if rents && !rented.is_empty() => {
                 ActionInput::Carried { keep_until: Some(now + self.listed_within) }
@@ -553,27 +553,27 @@
 
     /// Machines that are gone: a successor that asked for their rental again would count on them.
     fn forget_returned(&mut self, now: Time, id: ActionId) {
-        let Some(Action::Return(machines)) = self.action(id).map(|t| t.action.clone()) else {
+        let Some(Action::ScaleIn(machines)) = self.action(id).map(|t| t.action.clone()) else {
             return;
         };
-        for ReturnedMachine { machine, .. } in machines {
+        for TerminatedMachine { machine, .. } in machines {
             self.returning.remove(&machine);
-            if let Some(rental) = self.unlisted.remove(&machine) {
-                self.listed(now, rental);
+            if let Some(scale_out) = self.unlisted.remove(&machine) {
+                self.listed(now, scale_out);
             }
         }
     }
 
-    fn listed(&mut self, now: Time, rental: ActionId) {
-        if self.step(rental, ActionInput::Listed) {
-            self.unlisted.retain(|_, id| *id != rental);
-            self.settle_record(now, rental.record);
+    fn listed(&mut self, now: Time, scale_out: ActionId) {
+        if self.step(scale_out, ActionInput::Listed) {
+            self.unlisted.retain(|_, id| *id != scale_out);
+            self.settle_record(now, scale_out.record);
         }
     }
 
     fn expire_unlisted(&mut self, now: Time) {
-        let rentals: BTreeSet<ActionId> = self.unlisted.values().copied().collect();
-        for id in rentals {
+        let scale_outs: BTreeSet<ActionId> = self.unlisted.values().copied().collect();
+        for id in scale_outs {
             let state = self.action(id).map(|tracked| tracked.state);
             if matches!(state, Some(ActionState::Unlisted { until }) if now >= until) {
                 self.listed(now, id);
@@ -608,18 +608,18 @@
     /// What is left to do of an action that another epoch recorded.
     fn take_over(&mut self, action: Action, has_tasks: &impl Fn(&str) -> bool) -> Option<Action> {
         match action {
-            Action::Rent(rental) => {
-                self.rentals.push(rental.clone());
-                Some(Action::Rent(rental))
+            Action::ScaleOut(scale_out) => {
+                self.scale_outs.push(scale_out.clone());
+                Some(Action::ScaleOut(scale_out))
             }
-            Action::Return(machines) => {
+            Action::ScaleIn(machines) => {
                 // No holder puts work on a machine whose return is recorded. Work that is there now and
                 // was not when the return was recorded was put there by a version that reads no intents.
-                let in_use = |m: &ReturnedMachine| !m.holds_tasks && has_tasks(&m.machine);
+                let in_use = |m: &TerminatedMachine| !m.holds_tasks && has_tasks(&m.machine);
                 let (used, gone): (Vec<_>, Vec<_>) = machines.into_iter().partition(in_use);
                 self.overruled.extend(used.into_iter().map(|m| m.machine));
                 self.returns.extend(gone.iter().cloned());
-                (!gone.is_empty()).then_some(Action::Return(gone))
+                (!gone.is_empty()).then_some(Action::ScaleIn(gone))
             }
         }
     }
--- a/crates/fencing/tests/components.rs
+++ b/crates/fencing/tests/components.rs
@@ -82,10 +82,10 @@
     let read = |key: &str, value| {
         StoredIntent::read(&KeyValue { key: key.to_owned(), value, revision: 1 }).map(|i| i.epoch)
     };
-    let rent =
+    let scale_out =
         json!({"rent": {"request": "r", "kind": "t8", "zone": "a", "spot": true, "count": 2}});
     let good =
-        json!({"format": 1, "actions": [rent, {"return": [{"name": "n-1", "tasks": false}]}]});
+        json!({"format": 1, "actions": [scale_out, {"return": [{"name": "n-1", "tasks": false}]}]});
     assert_eq!(read(&key, good.clone()), Ok(epoch));
     let newer = read(&key, json!({"format": 2, "plans": []}));
     assert!(matches!(newer, Err(RecordError::NewerFormat { found: 2, .. })), "{newer:?}");
--- a/crates/fencing/tests/golden_bytes.rs
+++ b/crates/fencing/tests/golden_bytes.rs
@@ -9,7 +9,7 @@
 use serde_json::{json, Value};
 use walnutlug_fencing::fence::{Fence, FencedWrite};
 use walnutlug_fencing::intent::{
-    intent_key, Action, IntentRecord, Rental, ReturnedMachine, StoredIntent,
+    intent_key, Action, IntentRecord, ScaleOut, StoredIntent, TerminatedMachine,
 };
 use walnutlug_fencing::intent_log::{ActionAnswer, Ledger, LedgerCommand, WriteLimits};
 use walnutlug_fencing::leased_role::{Duty, Epoch, HolderRecord, Holding, HOLDER_FORMAT};
@@ -40,8 +40,8 @@
     }
 }
 
-fn rental(number: u32) -> Rental {
-    Rental {
+fn scale_out(number: u32) -> ScaleOut {
+    ScaleOut {
         request: format!("w-412-{number}"),
         kind: "g8".into(),
         zone: "a".into(),
@@ -50,16 +50,16 @@
     }
 }
 
-fn returned(name: &str, holds_tasks: bool) -> ReturnedMachine {
-    ReturnedMachine { machine: name.into(), holds_tasks }
+fn returned(name: &str, holds_tasks: bool) -> TerminatedMachine {
+    TerminatedMachine { machine: name.into(), holds_tasks }
 }
 
 fn intents() -> Vec<(&'static str, Vec<Action>)> {
     let back = vec![returned("n-000231", true), returned("n-000232", false)];
     vec![
-        ("intent to rent", vec![Action::Rent(rental(1))]),
-        ("intent to return", vec![Action::Return(back.clone())]),
-        ("intent to rent and return", vec![Action::Return(back), Action::Rent(rental(2))]),
+        ("intent to rent", vec![Action::ScaleOut(scale_out(1))]),
+        ("intent to return", vec![Action::ScaleIn(back.clone())]),
+        ("intent to rent and return", vec![Action::ScaleIn(back), Action::ScaleOut(scale_out(2))]),
     ]
 }
 
@@ -126,9 +126,9 @@
 
 fn sent(action: &Action) -> String {
     match action {
-        Action::Rent(rental) => text(&rental.request()),
-        Action::Return(machines) => {
-            let name = |machine: &ReturnedMachine| machine.machine.clone();
+        Action::ScaleOut(scale_out) => text(&scale_out.request()),
+        Action::ScaleIn(machines) => {
+            let name = |machine: &TerminatedMachine| machine.machine.clone();
             machines.iter().map(name).collect::<Vec<_>>().join(" ")
         }
     }
@@ -143,9 +143,9 @@
 fn the_ledgers_transactions_are_written_as_before() {
     let mut own = Vec::new();
     let mut kept = ledger();
-    assert!(kept.rent(rental(3)), "taken on");
+    assert!(kept.scale_out(scale_out(3)), "taken on");
     let machines = vec![returned("n-000233", false), returned("n-000234", true)];
-    assert_eq!(kept.give_back(START, machines), 1);
+    assert_eq!(kept.scale_in(START, machines), 1);
     for step in 0..40 {
         noted(&mut kept, START + Span::secs(step), &mut own);
     }
@@ -154,7 +154,7 @@
     let left: Vec<KeyValue> = vec![left_by_the_former()];
     let taken = successor.adopt(START, &left, |_| false);
     assert!(taken.faults.is_empty(), "the record is read");
-    assert_eq!((taken.rentals.len(), taken.returns.len()), (1, 1));
+    assert_eq!((taken.scale_outs.len(), taken.returns.len()), (1, 1));
     for step in 0..40 {
         noted(&mut successor, START + Span::secs(step), &mut adopted);
     }
--- a/crates/fencing/tests/model.rs
+++ b/crates/fencing/tests/model.rs
@@ -169,12 +169,12 @@
     /// What a holder may decide in its registry.
     fn decisions(&self, n: usize, all: &mut Vec<World>) {
         let node = &self.nodes[n];
-        let rental = Action::Rent(node.epoch);
+        let scale_out = Action::Rent(node.epoch);
         let first = if self.parts.record_first { Step::Writing } else { Step::Recorded };
-        let decided = node.has(rental) || node.knows.contains(&node.epoch);
+        let decided = node.has(scale_out) || node.knows.contains(&node.epoch);
         if node.epoch <= RENTING_EPOCHS && !decided {
             all.push(self.with(|w| {
-                w.nodes[n].open.insert((rental, first));
+                w.nodes[n].open.insert((scale_out, first));
             }));
         }
         let returning = node.has(Action::Return);
--- a/crates/fencing/tests/random_interleavings.rs
+++ b/crates/fencing/tests/random_interleavings.rs
@@ -8,7 +8,7 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use serde_json::Value;
 use walnutlug_fencing::fence::Fence;
-use walnutlug_fencing::intent::{Action, Rental, ReturnedMachine, INTENT_PREFIX};
+use walnutlug_fencing::intent::{Action, ScaleOut, TerminatedMachine, INTENT_PREFIX};
 use walnutlug_fencing::intent_log::{ActionAnswer, ActionId, Ledger, LedgerCommand, WriteLimits};
 use walnutlug_fencing::leased_role::{Duty, Epoch};
 use walnutlug_scheduler::model::job::keys;
@@ -130,10 +130,10 @@
     fn play(&mut self, step: &Step) {
         match step {
             Step::Wait(ms) => self.now = self.now + Span::millis(*ms),
-            Step::Rent => self.rent(),
+            Step::Rent => self.scale_out(),
             Step::Use(index) => {
                 let name = machine(*index);
-                if !self.returned.contains(&name) && !self.holder.ledger.is_returning(&name) {
+                if !self.returned.contains(&name) && !self.holder.ledger.is_scaling_in(&name) {
                     self.in_use.insert(name);
                 }
             }
@@ -141,8 +141,8 @@
             Step::Return(index) => {
                 let name = machine(*index);
                 if !self.in_use.contains(&name) {
-                    let wish = ReturnedMachine { machine: name, holds_tasks: false };
-                    self.holder.ledger.give_back(self.now, vec![wish]);
+                    let wish = TerminatedMachine { machine: name, holds_tasks: false };
+                    self.holder.ledger.scale_in(self.now, vec![wish]);
                 }
             }
             Step::Deliver(index) => self.deliver(*index, true, false),
@@ -155,9 +155,9 @@
         }
     }
 
-    fn rent(&mut self) {
+    fn scale_out(&mut self) {
         self.requests += 1;
-        self.holder.ledger.rent(Rental {
+        self.holder.ledger.scale_out(ScaleOut {
             request: format!("{}-{}", self.holder.epoch, self.requests),
             kind: "t8".into(),
             zone: "a".into(),
@@ -282,16 +282,16 @@
         assert!(self.ever_recorded.contains(action), "sent without a record: {action:?}");
         let stale = epoch != self.holder.epoch;
         match action {
-            Action::Rent(rental) => {
-                if !self.rented.contains_key(&rental.request) {
+            Action::ScaleOut(scale_out) => {
+                if !self.rented.contains_key(&scale_out.request) {
                     assert!(!stale || self.is_stored(action), "nobody adopted {action:?}");
-                    let names = (0..rental.count).map(|n| format!("{}/{n}", rental.request));
-                    self.rented.insert(rental.request.clone(), names.collect());
+                    let names = (0..scale_out.count).map(|n| format!("{}/{n}", scale_out.request));
+                    self.rented.insert(scale_out.request.clone(), names.collect());
                 }
-                self.rented[&rental.request].clone()
+                self.rented[&scale_out.request].clone()
             }
-            Action::Return(machines) => {
-                for ReturnedMachine { machine, .. } in machines {
+            Action::ScaleIn(machines) => {
+                for TerminatedMachine { machine, .. } in machines {
                     if self.returned.insert(machine.clone()) {
                         assert!(!stale || self.is_stored(action), "nobody adopted {action:?}");
                         assert!(!self.in_use.contains(machine), "{machine} is in use");
@@ -359,11 +359,11 @@
 #[test]
 fn a_large_return_is_recorded_in_parts_and_in_smaller_ones_when_the_limits_fall() {
     let mut world = World::new();
-    let wishes: Vec<_> = (0..100)
-        .map(|n| ReturnedMachine { machine: format!("n-{n:06}"), holds_tasks: n % 2 == 0 })
+    let requested: Vec<_> = (0..100)
+        .map(|n| TerminatedMachine { machine: format!("n-{n:06}"), holds_tasks: n % 2 == 0 })
         .collect();
-    assert_eq!(world.holder.ledger.give_back(world.now, wishes.clone()), 1);
-    assert_eq!(world.holder.ledger.give_back(world.now, wishes), 0, "wanted already");
+    assert_eq!(world.holder.ledger.scale_in(world.now, requested.clone()), 1);
+    assert_eq!(world.holder.ledger.scale_in(world.now, requested), 0, "wanted already");
     world.holder.ledger.set_limits(WriteLimits { value_bytes: 8_000, txn_ops: 32 });
     world.holder.ledger.tick(world.now, true);
     let first = world.holder.ledger.take_commands();
@@ -378,7 +378,7 @@
 #[test]
 fn a_holder_whose_epoch_went_back_does_nothing() {
     let mut world = World::new();
-    world.rent();
+    world.scale_out();
     world.tick();
     world.deliver(0, true, false);
     let mut same = holder(1);
@@ -393,13 +393,13 @@
 fn a_recorded_return_is_dropped_where_a_former_version_put_work_since() {
     let mut world = World::new();
     for (name, holds_tasks) in [("n-1", false), ("n-2", true)] {
-        let wish = ReturnedMachine { machine: name.into(), holds_tasks };
-        world.holder.ledger.give_back(world.now, vec![wish]);
+        let wish = TerminatedMachine { machine: name.into(), holds_tasks };
+        world.holder.ledger.scale_in(world.now, vec![wish]);
     }
     world.tick();
     world.deliver(0, true, false);
     let mut next = holder(9);
     let adopted = next.ledger.adopt(world.now, &world.stored(), |_| true);
     assert_eq!(adopted.overruled, ["n-1"]);
-    assert!(!next.ledger.is_returning("n-1") && next.ledger.is_returning("n-2"));
+    assert!(!next.ledger.is_scaling_in("n-1") && next.ledger.is_scaling_in("n-2"));
 }
--- a/crates/fencing/tests/transcripts.rs
+++ b/crates/fencing/tests/transcripts.rs
@@ -13,7 +13,7 @@
 use golden::{Dice, Transcript};
 use serde_json::{json, Value};
 use walnutlug_fencing::fence::Fence;
-use walnutlug_fencing::intent::{Action, Rental, ReturnedMachine, StoredIntent, INTENT_PREFIX};
+use walnutlug_fencing::intent::{Action, ScaleOut, StoredIntent, TerminatedMachine, INTENT_PREFIX};
 use walnutlug_fencing::intent_log::{
     ActionAnswer, ActionId, Ledger, LedgerCommand, Stopped, WriteLimits,
 };
@@ -149,8 +149,8 @@
     fn step(&mut self) {
         self.transcript.next_step();
         match self.dice.below(20) {
-            0 => self.rent(),
-            1 | 2 => self.give_back(),
+            0 => self.scale_out(),
+            1 | 2 => self.scale_in(),
             3..6 => self.now = self.now + Span::millis(100 + self.dice.below(3_000) as u64),
             6..10 => self.tick(),
             10..19 => (0..3).for_each(|_| self.deliver()),
@@ -166,29 +166,29 @@
         self.line("state", &format!("open={open} stopped={stopped}"));
     }
 
-    fn rent(&mut self) {
+    fn scale_out(&mut self) {
         self.requests += 1;
-        let rental = Rental {
+        let scale_out = ScaleOut {
             request: format!("ask-{}", self.requests),
             kind: "t8".into(),
             zone: ["a", "b"][self.dice.below(2)].into(),
             spot: self.dice.chance(50),
             count: 1 + self.dice.below(4) as u32,
         };
-        let taken = self.ledger.rent(rental);
+        let taken = self.ledger.scale_out(scale_out);
         self.line("wants to rent", &format!("taken={taken}"));
     }
 
-    fn give_back(&mut self) {
-        let machines: Vec<ReturnedMachine> = (0..1 + self.dice.below(12))
-            .map(|_| ReturnedMachine {
+    fn scale_in(&mut self) {
+        let machines: Vec<TerminatedMachine> = (0..1 + self.dice.below(12))
+            .map(|_| TerminatedMachine {
                 machine: format!("n-{:03}", self.dice.below(60)),
                 holds_tasks: self.dice.chance(30),
             })
             .collect();
         let first = machines[0].machine.clone();
-        let requests = self.ledger.give_back(self.now, machines);
-        let returning = self.ledger.is_returning(&first);
+        let requests = self.ledger.scale_in(self.now, machines);
+        let returning = self.ledger.is_scaling_in(&first);
         self.line("wants to return", &format!("requests={requests} {first} returning={returning}"));
     }
 
@@ -204,8 +204,10 @@
                 LedgerCommand::Send { id, action } => {
                     self.line("send", &json_of(&action));
                     match &action {
-                        Action::Rent(rental) => self.line("rent", &json_of(&rental.request())),
-                        Action::Return(machines) => self.line("return", &json_of(machines)),
+                        Action::ScaleOut(scale_out) => {
+                            self.line("rent", &json_of(&scale_out.request()))
+                        }
+                        Action::ScaleIn(machines) => self.line("return", &json_of(machines)),
                     }
                     self.under_way.push(UnderWay::Action { id, action });
                 }
@@ -249,9 +251,9 @@
                     (ActionAnswer::Unknown, "answered: unknown"),
                 ][self.dice.below(5)];
                 let rented: Vec<String> = match (&action, answer) {
-                    (Action::Rent(rental), ActionAnswer::Done) => {
-                        (0..rental.count).map(|_| format!("n-{:03}", self.dice.below(60))).collect()
-                    }
+                    (Action::ScaleOut(scale_out), ActionAnswer::Done) => (0..scale_out.count)
+                        .map(|_| format!("n-{:03}", self.dice.below(60)))
+                        .collect(),
                     _ => Vec::new(),
                 };
                 self.ledger.answered(self.now, id, answer, &rented);
@@ -313,7 +315,7 @@
         let faults: Vec<String> = adopted.faults.iter().map(record_error).collect();
         let text = format!(
             "rentals={} returns={} overruled={} faults={}",
-            json_of(&adopted.rentals),
+            json_of(&adopted.scale_outs),
             json_of(&adopted.returns),
             json_of(&adopted.overruled),
             json_of(&faults)
@@ -451,9 +453,10 @@
             transcript.line("holder", &text);
         }
     }
-    let rental = json!({"request": "ask-1", "kind": "t8", "zone": "a", "spot": true, "count": 2});
+    let scale_out =
+        json!({"request": "ask-1", "kind": "t8", "zone": "a", "spot": true, "count": 2});
     for value in [
-        json!({"format": 1, "actions": [{"rent": rental}]}),
+        json!({"format": 1, "actions": [{"rent": scale_out}]}),
         json!({"format": 1, "actions": [{"return": [{"name": "n-1", "tasks": true}]}]}),
         json!({"format": 1, "actions": [{"paint": []}]}),
         json!({"format": 3, "actions": []}),
--- a/crates/scheduler/src/autoscaling.rs
+++ b/crates/scheduler/src/autoscaling.rs
@@ -6,19 +6,21 @@
 
 use walnutlug_admission::shares::ClassId;
 
-use crate::autoscaling::offers::{Market, Offer, Paper, MOST_ASKED};
+use crate::autoscaling::offers::{
+    InstanceOffer, InstanceOffers, WhatIfMachine, MAX_MACHINES_PER_REQUEST,
+};
 use crate::model::job::SLACK;
-use crate::protocol::{ListedMachine, MachineStage};
+use crate::protocol::{CloudMachineState, ListedMachine};
 use crate::queue::order::Urgency;
 use crate::scheduler::{Command, Job, JobIx, MachineState, Scheduler};
 use crate::time::{Span, Time};
 
 #[derive(Debug, Default)]
-pub struct Fleet {
+pub struct Autoscaler {
     /// Offers refused lately, until when they are not asked again and how often in a row.
-    pub refused: HashMap<Offer, (Time, u32)>,
+    pub refused: HashMap<InstanceOffer, (Time, u32)>,
     /// Requests under way.
-    pub asking: HashMap<Offer, u32>,
+    pub asking: HashMap<InstanceOffer, u32>,
     /// The cloud answers nothing at present.
     pub down_until: Time,
     last_look: Time,
@@ -51,7 +53,7 @@
 const LOOK_EVERY: Span = Span::millis(500);
 /// How often needs are compared with the fleet while no machines are asked for: a boot takes many times
 /// that. While some are, of which one request gets only so many, at every look.
-const RENT_EVERY: Span = Span::millis(1_000);
+const SCALE_OUT_EVERY: Span = Span::millis(1_000);
 /// How often the cost of every machine and task is added up: only the log tells it.
 const ACCOUNT_EVERY: Span = Span::secs(5);
 /// Refusals in a row that lengthen the pause before an offer is tried again: 16 s at most, since the
@@ -59,17 +61,17 @@
 const MOST_REFUSALS: u32 = 2;
 /// How long nothing is rented after the cloud gave no usable answer.
 const CLOUD_PAUSE: Span = Span::secs(2);
-const RETURN_RETRY: Span = Span::secs(6);
+const TERMINATION_RETRY: Span = Span::secs(6);
 
 impl Scheduler {
     /// Looks at the fleet as a whole, now and then.
-    pub fn look_at_fleet(&mut self, now: Time) {
-        if now.since(self.fleet.last_look) < LOOK_EVERY {
+    pub fn autoscale(&mut self, now: Time) {
+        if now.since(self.autoscaler.last_look) < LOOK_EVERY {
             return;
         }
-        self.fleet.last_look = now;
-        if now.since(self.fleet.usage.last.unwrap_or_default()) >= ACCOUNT_EVERY {
-            self.account(now);
+        self.autoscaler.last_look = now;
+        if now.since(self.autoscaler.usage.last.unwrap_or_default()) >= ACCOUNT_EVERY {
+            self.account_costs(now);
         }
         if !self.holds_lease {
             return;
@@ -86,29 +88,29 @@
             return;
         }
         // A new leader first hears what machines there are.
-        let knows_fleet = self.fleet.listed || now.since(self.started_at) > Span::secs(10);
-        let pause = if self.fleet.asking.is_empty() { RENT_EVERY } else { LOOK_EVERY };
-        if knows_fleet && now.since(self.fleet.last_rent) >= pause {
-            self.fleet.last_rent = now;
+        let knows_fleet = self.autoscaler.listed || now.since(self.started_at) > Span::secs(10);
+        let pause = if self.autoscaler.asking.is_empty() { SCALE_OUT_EVERY } else { LOOK_EVERY };
+        if knows_fleet && now.since(self.autoscaler.last_rent) >= pause {
+            self.autoscaler.last_rent = now;
             let queue = self.queue(now);
             let none_may_run = !queue.iter().any(|&(_, ix)| self.room_in_team(ix) > 0);
-            self.rent(now, queue);
+            self.scale_out(now, queue);
             // While a job waits that may run, the next thing to get free may be of use to it.
             if none_may_run {
-                self.return_idle(now);
+                self.drain_idle(now);
             }
         }
-        self.return_machines(now);
+        self.scale_in(now);
     }
 
     /// Tells once a minute what the fleet's money went to.
-    fn account(&mut self, now: Time) {
-        let mut u = std::mem::take(&mut self.fleet.usage);
+    fn account_costs(&mut self, now: Time) {
+        let mut u = std::mem::take(&mut self.autoscaler.usage);
         let hours = u.last.map_or(0.0, |t| now.since(t).as_secs() / 3_600.0);
         u.last = Some(now);
         for m in &self.machines {
             let Some(kind) = m.kind.and_then(|k| self.types.get(k)) else { continue };
-            if m.state == MachineState::Gone {
+            if m.state == MachineState::Terminated {
                 continue;
             }
             let money = hours * if m.spot { kind.spot_price } else { kind.price };
@@ -153,12 +155,12 @@
             self.log(format!("placed {} tasks, {} where the image is", t.placed, t.cached));
             self.note_shares();
         }
-        self.fleet.usage = u;
+        self.autoscaler.usage = u;
     }
 
     /// Rents for work that finds no place, and for the headroom.
-    fn rent(&mut self, now: Time, queue: Vec<(Urgency, JobIx)>) {
-        if now < self.fleet.down_until || self.types.is_empty() {
+    fn scale_out(&mut self, now: Time, queue: Vec<(Urgency, JobIx)>) {
+        if now < self.autoscaler.down_until || self.types.is_empty() {
             return;
         }
         // A machine without room for the smallest task that waits is of no use to any.
@@ -167,8 +169,8 @@
             least_cpus = least_cpus.min(job.spec.cpus);
             least_memory = least_memory.min(job.spec.memory_gb);
         }
-        let mut market = self.market(now);
-        let mut paper: Vec<Paper> = Vec::new();
+        let mut offers = self.offers(now);
+        let mut what_if_machines: Vec<WhatIfMachine> = Vec::new();
         let mut free = 0.0;
         // Processors of ordinary machines that are on their way.
         let mut ordered = 0.0;
@@ -183,31 +185,31 @@
                 continue;
             }
             let t = &self.types[kind];
-            let p = Paper {
-                offer: market.index(kind, &m.zone, m.spot),
+            let p = WhatIfMachine {
+                offer: offers.index(kind, &m.zone, m.spot),
                 cpus: t.cpus - m.cpus,
                 gpus: t.gpus - m.gpus,
                 memory: t.memory_gb - m.memory,
             };
-            market.there[p.offer] += 1;
+            offers.there[p.offer] += 1;
             free += p.cpus.max(0.0);
             if coming && !m.spot {
                 ordered += p.cpus.max(0.0);
             }
             if p.cpus + SLACK >= least_cpus && p.memory + SLACK >= least_memory {
-                paper.push(p);
+                what_if_machines.push(p);
             }
         }
-        for (offer, &n) in &self.fleet.asking {
-            let index = market.index(offer.0, &offer.1, offer.2);
-            market.there[index] += n;
+        for (offer, &n) in &self.autoscaler.asking {
+            let index = offers.index(offer.0, &offer.1, offer.2);
+            offers.there[index] += n;
             for _ in 0..n {
-                let p = self.paper_of(index, offer.0);
+                let p = self.empty_machine(index, offer.0);
                 free += p.cpus;
                 if !offer.2 {
                     ordered += p.cpus;
                 }
-                paper.push(p);
+                what_if_machines.push(p);
             }
         }
         let dear = !self.ordinary_is_cheap();
@@ -218,9 +220,9 @@
                 continue; // No machine is rented for a job that fails everywhere.
             }
             let allowed: Vec<bool> =
-                market.offers.iter().map(|o| self.offer_allowed(job, o)).collect();
+                offers.offers.iter().map(|o| self.offer_allowed(job, o)).collect();
             let mut todo = job.pending().min(self.room_in_team(ix));
-            for p in paper.iter_mut().filter(|p| allowed[p.offer]) {
+            for p in what_if_machines.iter_mut().filter(|p| allowed[p.offer]) {
                 if todo == 0 {
                     break;
                 }
@@ -244,11 +246,11 @@
                 || (!self.others_can_give_way(ix, f64::from(todo) * job.spec.cpus)
                     && urgency.finish_slack < self.tun.ordinary_slack.as_secs()
                     && urgency.finish_slack > 0.5 * boot);
-            while todo > 0 && market.has_room() {
+            while todo > 0 && offers.has_room() {
                 let spot_job = job.spec.spot;
-                let open = |i: usize| allowed[i] && (market.offers[i].2 || !spot_job || ordinary);
-                let Some(index) = market.cheapest(open) else { break };
-                let (kind, _, spot) = market.offers[index];
+                let open = |i: usize| allowed[i] && (offers.offers[i].2 || !spot_job || ordinary);
+                let Some(index) = offers.cheapest(open) else { break };
+                let (kind, _, spot) = offers.offers[index];
                 if !spot && dear && soon_free >= job.spec.cpus {
                     // Room that running work frees before a machine could boot.
                     soon_free -= job.spec.cpus;
@@ -264,32 +266,32 @@
                     todo -= 1;
                     continue;
                 }
-                let mut p = self.paper_of(index, kind);
+                let mut p = self.empty_machine(index, kind);
                 let n = p.take(&job.spec, todo);
                 if n == 0 {
                     break;
                 }
                 todo -= n;
                 free += p.cpus;
-                market.want(index);
-                paper.push(p);
+                offers.add_desired(index);
+                what_if_machines.push(p);
             }
         }
         let cheap = self.ordinary_is_cheap();
         let mut lacking = self.headroom_cpus(now) - free;
-        while lacking > SLACK && market.has_room() {
+        while lacking > SLACK && offers.has_room() {
             // The cheapest machine to stand by, an ordinary one only where those are cheap.
-            let Some(index) = market.cheapest(|i| market.offers[i].2 || cheap) else { break };
-            lacking -= self.types[market.offers[index].0].cpus;
-            market.want(index);
+            let Some(index) = offers.cheapest(|i| offers.offers[i].2 || cheap) else { break };
+            lacking -= self.types[offers.offers[index].0].cpus;
+            offers.add_desired(index);
         }
-        for (offer, count) in market.offers.into_iter().zip(market.wanted) {
-            if count == 0 || self.fleet.asking.get(&offer).copied().unwrap_or(0) > 0 {
+        for (offer, count) in offers.offers.into_iter().zip(offers.desired) {
+            if count == 0 || self.autoscaler.asking.get(&offer).copied().unwrap_or(0) > 0 {
                 continue;
             }
-            let count = count.min(MOST_ASKED);
-            self.fleet.asking.insert(offer.clone(), count);
-            self.out.push(Command::Rent {
+            let count = count.min(MAX_MACHINES_PER_REQUEST);
+            self.autoscaler.asking.insert(offer.clone(), count);
+            self.out.push(Command::ScaleOut {
                 kind: self.types[offer.0].name.clone(),
                 zone: offer.1,
                 spot: offer.2,
@@ -299,23 +301,23 @@
     }
 
     /// All that the cloud offers at present.
-    fn market(&self, now: Time) -> Market {
-        let mut market = Market::default();
+    fn offers(&self, now: Time) -> InstanceOffers {
+        let mut offers = InstanceOffers::default();
         for (k, kind) in self.types.iter().enumerate() {
             for zone in &kind.zones {
                 for spot in [true, false] {
                     let price = if spot { kind.spot_price } else { kind.price };
                     let offer = (k, zone.clone(), spot);
                     let open = kind.cpus > 0.0 && self.open_offer(now, &offer);
-                    market.add(offer, price.max(0.0) / kind.cpus.max(SLACK), open);
+                    offers.add(offer, price.max(0.0) / kind.cpus.max(SLACK), open);
                 }
             }
         }
-        market
+        offers
     }
 
     /// Whether the job's tasks may be on a machine of the offer, were it empty.
-    fn offer_allowed(&self, job: &Job, offer: &Offer) -> bool {
+    fn offer_allowed(&self, job: &Job, offer: &InstanceOffer) -> bool {
         let spec = &job.spec;
         (spec.spot || !offer.2)
             && spec.fits_type(&self.types[offer.0])
@@ -323,9 +325,9 @@
             && (!spec.one_zone || job.zones.is_empty() || job.zones.contains_key(&offer.1))
     }
 
-    fn paper_of(&self, offer: usize, kind: usize) -> Paper {
+    fn empty_machine(&self, offer: usize, kind: usize) -> WhatIfMachine {
         let kind = &self.types[kind];
-        Paper { offer, cpus: kind.cpus, gpus: kind.gpus, memory: kind.memory_gb }
+        WhatIfMachine { offer, cpus: kind.cpus, gpus: kind.gpus, memory: kind.memory_gb }
     }
 
     /// Processors that running tasks should free within a boot's time. Those of quick classes don't
@@ -414,12 +416,12 @@
         by(team.cpus_max, cpus, job.spec.cpus).min(by(team.gpus_max, gpus, job.spec.gpus))
     }
 
-    fn open_offer(&self, now: Time, offer: &Offer) -> bool {
-        self.fleet.refused.get(offer).is_none_or(|&(until, _)| now >= until)
+    fn open_offer(&self, now: Time, offer: &InstanceOffer) -> bool {
+        self.autoscaler.refused.get(offer).is_none_or(|&(until, _)| now >= until)
     }
 
     /// Drains machines that have had nothing to do for a while, ordinary ones sooner.
-    fn return_idle(&mut self, now: Time) {
+    fn drain_idle(&mut self, now: Time) {
         let mut free: f64 = self
             .machines
             .iter()
@@ -452,29 +454,29 @@
     }
 
     /// Gives back what is marked and either empty or beyond help.
-    fn return_machines(&mut self, now: Time) {
-        if now < self.fleet.down_until || self.fleet.returning > 1 {
+    fn scale_in(&mut self, now: Time) {
+        if now < self.autoscaler.down_until || self.autoscaler.returning > 1 {
             return;
         }
         let mut names = Vec::new();
         let mut causes = Vec::new();
         let mut returning = Vec::new();
         for (m, ix) in self.machines.iter_mut().zip(0..) {
-            let again = m.state == MachineState::Returning
-                && m.return_sent.is_some_and(|t| now.since(t) > RETURN_RETRY);
+            let again = m.state == MachineState::Terminating
+                && m.termination_sent_at.is_some_and(|t| now.since(t) > TERMINATION_RETRY);
             // A drained machine is returned when empty; a silent one is returned because it holds
             // tasks that nothing else can prove off it. One that never came up is just returned.
             let hopeless =
                 matches!(m.draining, Some("silent" | "deaf" | "never came up" | "failed"));
-            let due = m.state != MachineState::Gone
-                && m.state != MachineState::Returning
+            let due = m.state != MachineState::Terminated
+                && m.state != MachineState::Terminating
                 && (hopeless
                     || (m.draining.is_some() && m.tasks.is_empty() && m.unexpected_tasks == 0));
             if (due || again) && names.len() < 100 {
                 causes.push(format!("{} ({})", m.name, m.draining.unwrap_or("asked again")));
-                m.state = MachineState::Returning;
+                m.state = MachineState::Terminating;
                 returning.push(ix);
-                m.return_sent = Some(now);
+                m.termination_sent_at = Some(now);
                 names.push(m.name.clone());
             }
         }
@@ -482,46 +484,46 @@
             self.invalidate_cached_heartbeat(ix);
         }
         if !names.is_empty() {
-            self.fleet.returning += 1;
+            self.autoscaler.returning += 1;
             self.log(format!("returning {}", causes.join(", ")));
-            self.out.push(Command::Return { machines: names });
+            self.out.push(Command::ScaleIn { machines: names });
         }
     }
 
-    /// The answer to [`Command::Return`]: whether it was 200, which proves the machines gone.
-    pub fn returned(&mut self, now: Time, names: &[String], ok: bool) {
-        self.fleet.returning = self.fleet.returning.saturating_sub(1);
+    /// The answer to [`Command::ScaleIn`]: whether it was 200, which proves the machines gone.
+    pub fn scale_in_answered(&mut self, now: Time, names: &[String], ok: bool) {
+        self.autoscaler.returning = self.autoscaler.returning.saturating_sub(1);
         for name in names {
             if ok {
                 self.reopen_offer(name);
                 self.machine_gone(now, name);
             } else if let Some(&m) = self.by_name.get(name) {
-                self.machines[m as usize].return_sent =
-                    Some(now - RETURN_RETRY + Span::millis(1_500));
+                self.machines[m as usize].termination_sent_at =
+                    Some(now - TERMINATION_RETRY + Span::millis(1_500));
             }
         }
     }
 
     /// A former leader recorded that the machine is returned. Nothing is placed there, and what is on it
     /// is there until the return is answered.
-    pub fn adopt_return(&mut self, now: Time, name: &str) {
+    pub fn adopt_scale_in(&mut self, now: Time, name: &str) {
         let ix = self.machine_named(now, name);
         let machine = &mut self.machines[ix as usize];
-        machine.state = MachineState::Returning;
-        machine.return_sent = Some(now);
+        machine.state = MachineState::Terminating;
+        machine.termination_sent_at = Some(now);
         self.invalidate_cached_heartbeat(ix);
     }
 
     /// A former leader recorded that it rents these machines, and whether they came isn't known yet.
-    pub fn adopt_rental(&mut self, kind: &str, zone: &str, spot: bool, count: u32) {
+    pub fn adopt_scale_out(&mut self, kind: &str, zone: &str, spot: bool, count: u32) {
         if let Some(kind) = self.types.iter().position(|t| t.name == kind) {
-            *self.fleet.asking.entry((kind, zone.to_owned(), spot)).or_default() += count;
+            *self.autoscaler.asking.entry((kind, zone.to_owned(), spot)).or_default() += count;
         }
     }
 
     /// The cloud gives no usable answers: nothing more is asked for during a moment.
     pub fn cloud_in_trouble(&mut self, now: Time) {
-        self.fleet.down_until = now + CLOUD_PAUSE;
+        self.autoscaler.down_until = now + CLOUD_PAUSE;
     }
 
     /// What was given back is to be had again, whatever was refused before. (After a cut of a zone
@@ -531,13 +533,13 @@
         let machine = &self.machines[m as usize];
         if let Some(kind) = machine.kind {
             let offer = (kind, machine.zone.clone(), machine.spot);
-            self.fleet.refused.remove(&offer);
+            self.autoscaler.refused.remove(&offer);
         }
     }
 
-    /// The answer to [`Command::Rent`]: the names, or nothing if there was no capacity, or
+    /// The answer to [`Command::ScaleOut`]: the names, or nothing if there was no capacity, or
     /// `Err` if the cloud gave no usable answer.
-    pub fn rented(
+    pub fn scale_out_answered(
         &mut self,
         now: Time,
         kind: &str,
@@ -548,7 +550,7 @@
     ) {
         let Some(k) = self.types.iter().position(|t| t.name == kind) else { return };
         let offer = (k, zone.to_owned(), spot);
-        self.fleet.asking.remove(&offer);
+        self.autoscaler.asking.remove(&offer);
         let got = match answer {
             Ok(names) => names,
             Err(()) => {
@@ -557,11 +559,11 @@
             }
         };
         if (got.len() as u32) < asked {
-            let entry = self.fleet.refused.entry(offer.clone()).or_insert((now, 0));
+            let entry = self.autoscaler.refused.entry(offer.clone()).or_insert((now, 0));
             entry.1 = (entry.1 + 1).min(MOST_REFUSALS);
             entry.0 = now + Span::secs(4 << entry.1);
         } else {
-            self.fleet.refused.remove(&offer);
+            self.autoscaler.refused.remove(&offer);
         }
         let what = if spot { "spot" } else { "ordinary" };
         self.log(format!("rented {} of {asked} {what} {kind} in {zone}", got.len()));
@@ -585,12 +587,12 @@
     /// A whole machine list. It lags, so what is missing from it proves nothing; what it calls
     /// failed has stopped by itself.
     pub fn machine_list(&mut self, now: Time, list: &[ListedMachine]) {
-        self.fleet.listed = true;
+        self.autoscaler.listed = true;
         for entry in list {
             let m = self.machine_named(now, &entry.name);
             let kind = self.types.iter().position(|t| t.name == entry.kind);
             let machine = &mut self.machines[m as usize];
-            if machine.state == MachineState::Gone {
+            if machine.state == MachineState::Terminated {
                 continue;
             }
             machine.expected = true;
@@ -599,7 +601,7 @@
             }
             if machine.zone.is_empty() {
                 machine.spot = entry.spot;
-                machine.rented = now - Span::from_secs(entry.age_s);
+                machine.requested_at = now - Span::from_secs(entry.age_s);
                 machine.zone.clone_from(&entry.zone);
                 let tasks: Vec<_> = machine.tasks.iter().copied().collect();
                 self.rezone(&tasks, "", &entry.zone);
@@ -610,13 +612,14 @@
                     machine.address.clone_from(address);
                 }
             }
-            if entry.stage == MachineStage::Running {
+            if entry.stage == CloudMachineState::Running {
                 machine.hinted_up_at.get_or_insert(now);
             }
-            if entry.stage == MachineStage::Failed {
+            if entry.stage == CloudMachineState::Failed {
                 // A failed machine stopped by itself, so nothing is on it any more. It stays
                 // listed until it is returned.
-                if machine.draining != Some("failed") && machine.state != MachineState::Returning {
+                if machine.draining != Some("failed") && machine.state != MachineState::Terminating
+                {
                     machine.draining = Some("failed");
                     let text = format!("{} failed", entry.name);
                     let tasks: Vec<_> = self.machines[m as usize].tasks.iter().copied().collect();
--- a/crates/scheduler/src/autoscaling/offers.rs
+++ b/crates/scheduler/src/autoscaling/offers.rs
@@ -3,20 +3,20 @@
 use crate::model::job::{JobSpec, SLACK};
 
 /// A kind of machine that can be asked for: type, zone, spot or ordinary.
-pub type Offer = (usize, String, bool);
+pub type InstanceOffer = (usize, String, bool);
 
 /// Machines in one request, by the protocol.
-pub(crate) const MOST_ASKED: u32 = 50;
+pub(crate) const MAX_MACHINES_PER_REQUEST: u32 = 50;
 
 /// Room on a machine that is there, coming or wanted, for trying placements on paper.
-pub(crate) struct Paper {
+pub(crate) struct WhatIfMachine {
     pub offer: usize,
     pub cpus: f64,
     pub gpus: f64,
     pub memory: f64,
 }
 
-impl Paper {
+impl WhatIfMachine {
     /// Puts as many of `todo` tasks on it as there is room for.
     pub fn take(&mut self, spec: &JobSpec, todo: u32) -> u32 {
         let by =
@@ -36,21 +36,21 @@
 /// look: at several hundred machines, counting them anew for each one wanted took whole seconds of
 /// a node's share, and was cut off at 400, where the fleet then stopped growing.
 #[derive(Default)]
-pub(crate) struct Market {
-    pub offers: Vec<Offer>,
+pub(crate) struct InstanceOffers {
+    pub offers: Vec<InstanceOffer>,
     price: Vec<f64>,
     open: Vec<bool>,
     pub there: Vec<u32>,
-    pub wanted: Vec<u32>,
+    pub desired: Vec<u32>,
 }
 
-impl Market {
-    pub fn add(&mut self, offer: Offer, price: f64, open: bool) -> usize {
+impl InstanceOffers {
+    pub fn add(&mut self, offer: InstanceOffer, price: f64, open: bool) -> usize {
         self.offers.push(offer);
         self.price.push(price);
         self.open.push(open);
         self.there.push(0);
-        self.wanted.push(0);
+        self.desired.push(0);
         self.offers.len() - 1
     }
 
@@ -70,13 +70,13 @@
         })
     }
 
-    pub fn want(&mut self, offer: usize) {
+    pub fn add_desired(&mut self, offer: usize) {
         self.there[offer] += 1;
-        self.wanted[offer] += 1;
+        self.desired[offer] += 1;
     }
 
     /// Whether any more can be asked for in this look.
     pub fn has_room(&self) -> bool {
-        self.wanted.iter().any(|&n| n < MOST_ASKED)
+        self.desired.iter().any(|&n| n < MAX_MACHINES_PER_REQUEST)
     }
 }
--- a/crates/scheduler/src/protocol.rs
+++ b/crates/scheduler/src/protocol.rs
@@ -358,7 +358,7 @@
 }
 
 #[derive(Debug, Clone, Serialize)]
-pub struct RentRequest {
+pub struct ScaleOutRequest {
     #[serde(rename = "ask")]
     pub request: String,
     #[serde(rename = "breed")]
@@ -371,14 +371,14 @@
 }
 
 #[derive(Debug, Deserialize, Serialize)]
-pub struct MachineNames {
+pub struct MachineIds {
     #[serde(rename = "trees")]
     pub machines: Vec<String>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum MachineStage {
+pub enum CloudMachineState {
     Booting,
     Running,
     Failed,
@@ -398,7 +398,7 @@
     pub zone: String,
     #[serde(rename = "windfall")]
     pub spot: bool,
-    pub stage: MachineStage,
+    pub stage: CloudMachineState,
     #[serde(rename = "ageS", default)]
     pub age_s: f64,
 }
--- a/crates/scheduler/src/queue/fair_share.rs
+++ b/crates/scheduler/src/queue/fair_share.rs
@@ -266,7 +266,7 @@
         if !self.tun.shared_order {
             return;
         }
-        let knows_fleet = self.fleet.listed || now.since(self.started_at) > KNOWS_FLEET_AFTER;
+        let knows_fleet = self.autoscaler.listed || now.since(self.started_at) > KNOWS_FLEET_AFTER;
         if !knows_fleet || now.since(self.sharing.observed_at) < OBSERVE_EVERY {
             return;
         }
@@ -345,7 +345,7 @@
             |m: &&Machine| m.state == MachineState::Booting && m.expected && m.draining.is_none();
         let kinds = self.machines.iter().filter(boots).filter_map(|m| m.kind);
         let rented = kinds.map(|kind| self.types[kind].room());
-        let asked = self.fleet.asking.iter();
+        let asked = self.autoscaler.asking.iter();
         let asked = asked.map(|(offer, &count)| self.types[offer.0].room().times(f64::from(count)));
         rented.chain(asked).fold(Resources::NONE, |sum, room| sum + room)
     }
--- a/crates/scheduler/src/reconciliation/health.rs
+++ b/crates/scheduler/src/reconciliation/health.rs
@@ -123,15 +123,15 @@
                     Some(since) => now.since(since) > patience + patience + patience,
                     None => now.since(m.last_heartbeat) > patience + patience,
                 };
-                if now.since(m.rented) > limit && asked {
+                if now.since(m.requested_at) > limit && asked {
                     self.machines[i].draining = Some("never came up");
                     let text = format!("{} never came up: given back", self.machines[i].name);
                     self.log(text);
                 }
             }
         }
-        if now.since(self.fleet.slow_looked_for) >= SLOW_EVERY {
-            self.fleet.slow_looked_for = now;
+        if now.since(self.autoscaler.slow_looked_for) >= SLOW_EVERY {
+            self.autoscaler.slow_looked_for = now;
             self.mark_slow(now);
         }
     }
--- a/crates/scheduler/src/reconciliation/heartbeats.rs
+++ b/crates/scheduler/src/reconciliation/heartbeats.rs
@@ -69,7 +69,7 @@
             return None;
         }
         let machine = &self.machines[m as usize];
-        if machine.state == MachineState::Gone {
+        if machine.state == MachineState::Terminated {
             let token = machine.token(self.term);
             self.log_once(&heartbeat.machine, "reports, though it was given back");
             return Some((token, Vec::new()));
@@ -178,7 +178,7 @@
             let known = &self.machines[m as usize];
             (heartbeat.agent_epoch, heartbeat.sequence) > (known.agent_epoch, known.sequence)
         };
-        if self.machines[m as usize].state == MachineState::Gone {
+        if self.machines[m as usize].state == MachineState::Terminated {
             return m;
         }
         // A finish is a finish, however late the report that tells it.
@@ -499,10 +499,10 @@
     pub fn machine_gone(&mut self, now: Time, name: &str) {
         let Some(&m) = self.by_name.get(name) else { return };
         let machine = &mut self.machines[m as usize];
-        if machine.state == MachineState::Gone {
+        if machine.state == MachineState::Terminated {
             return;
         }
-        machine.state = MachineState::Gone;
+        machine.state = MachineState::Terminated;
         machine.outbox.clear();
         self.invalidate_cached_heartbeat(m);
         self.conflicting_replicas.retain(|_, on| *on != m);
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -47,13 +47,13 @@
         agent_epoch: u64,
         calls: Vec<WorkerCommand>,
     },
-    Rent {
+    ScaleOut {
         kind: String,
         zone: String,
         spot: bool,
         count: u32,
     },
-    Return {
+    ScaleIn {
         machines: Vec<String>,
     },
     /// Worth a line in the log.
@@ -100,9 +100,9 @@
     /// Its worker reports.
     Up,
     /// Being given back; whatever was on it is still on it.
-    Returning,
+    Terminating,
     /// Certainly gone, and everything on it.
-    Gone,
+    Terminated,
 }
 
 #[derive(Debug, Clone)]
@@ -137,7 +137,7 @@
     /// late copy: worth asking directly.
     pub hinted_up_at: Option<Time>,
     pub last_heartbeat: Time,
-    pub rented: Time,
+    pub requested_at: Time,
     pub interruption_at: Option<Time>,
     /// Tasks that are on it as far as anybody knows.
     pub tasks: BTreeSet<TaskId>,
@@ -167,7 +167,7 @@
     /// When a task completed here last.
     pub completed_at: Time,
     pub draining: Option<&'static str>,
-    pub return_sent: Option<Time>,
+    pub termination_sent_at: Option<Time>,
     /// Its last report, if a repetition of that would mean nothing; see [`crate::reconciliation::repeated_heartbeats`].
     pub(crate) cached: Option<crate::reconciliation::repeated_heartbeats::CacheRecord>,
 }
@@ -397,7 +397,7 @@
     /// Machines looked at for something to send, for tests of what a report costs.
     pub send_checks: u64,
     pub started_at: Time,
-    pub fleet: crate::autoscaling::Fleet,
+    pub autoscaler: crate::autoscaling::Autoscaler,
     /// Learned ratio of run time to the owner's estimate, by class: sum of logs and count.
     pub ratios: HashMap<String, (f64, f64)>,
     /// Learned size of a job, in processors, by class, and when one came last.
@@ -476,7 +476,7 @@
             jobs_examined: 0,
             send_checks: 0,
             started_at: now,
-            fleet: crate::autoscaling::Fleet::default(),
+            autoscaler: crate::autoscaling::Autoscaler::default(),
             ratios: HashMap::new(),
             sizes: HashMap::new(),
             tun,
@@ -583,7 +583,7 @@
             start_token: 0,
             hinted_up_at: None,
             last_heartbeat: now,
-            rented: now,
+            requested_at: now,
             interruption_at: None,
             tasks: BTreeSet::new(),
             ranks: [0; Rank::COUNT],
@@ -603,7 +603,7 @@
             failures: BTreeSet::new(),
             completed_at: Time(0),
             draining: None,
-            return_sent: None,
+            termination_sent_at: None,
             cached: None,
         };
         let ix = match self.free_place(now) {
@@ -631,7 +631,7 @@
         }
         self.gone.pop_front();
         let m = &self.machines[ix as usize];
-        if m.state == MachineState::Gone && m.tasks.is_empty() && !m.request_in_flight {
+        if m.state == MachineState::Terminated && m.tasks.is_empty() && !m.request_in_flight {
             return Some(ix);
         }
         self.gone.push_back((now, ix));
--- a/crates/scheduler/tests/autoscaling.rs
+++ b/crates/scheduler/tests/autoscaling.rs
@@ -4,7 +4,7 @@
 
 use serde_json::json;
 use walnutlug_scheduler::model::job::{keys, JobSpec, Rank};
-use walnutlug_scheduler::protocol::{ListedMachine, MachineStage, MachineType};
+use walnutlug_scheduler::protocol::{CloudMachineState, ListedMachine, MachineType};
 use walnutlug_scheduler::scheduler::{Command, MessageOutcome};
 use walnutlug_scheduler::time::Span;
 use walnutlug_scheduler::tunables::{Objective, Site};
@@ -19,9 +19,9 @@
     w.submit(JOB, &JobSpec { deadline_s: None, ..spec(6) });
     w.leader.machine_list(w.now, &[]);
     w.wait(1_000);
-    w.leader.look_at_fleet(w.now);
+    w.leader.autoscale(w.now);
     let asked = w.leader.take_commands();
-    assert!(asked.iter().any(|c| matches!(c, Command::Rent { .. })), "{asked:?}");
+    assert!(asked.iter().any(|c| matches!(c, Command::ScaleOut { .. })), "{asked:?}");
 }
 
 /// And it doesn't wait for ever for work that never ends.
@@ -36,8 +36,8 @@
         w.wait(1_000);
         w.heartbeat("n-1");
         w.leader.machine_list(w.now, &[]);
-        w.leader.look_at_fleet(w.now);
-        let rents = |c: &Command| matches!(c, Command::Rent { .. });
+        w.leader.autoscale(w.now);
+        let rents = |c: &Command| matches!(c, Command::ScaleOut { .. });
         if w.leader.take_commands().iter().any(rents) {
             rented_after.get_or_insert(second);
         }
@@ -85,13 +85,13 @@
         w.wait(600);
         w.all_report();
         w.settle();
-        w.leader.look_at_fleet(w.now);
+        w.leader.autoscale(w.now);
         for command in w.leader.take_commands() {
-            if let Command::Rent { kind, zone, spot, count } = command {
+            if let Command::ScaleOut { kind, zone, spot, count } = command {
                 assert!(count <= 50, "by the protocol");
                 let names: Vec<String> = (0..count).map(|i| format!("r-{:04}", got + i)).collect();
                 got += count;
-                w.leader.rented(w.now, &kind, &zone, spot, count, Ok(names));
+                w.leader.scale_out_answered(w.now, &kind, &zone, spot, count, Ok(names));
             }
         }
     }
@@ -227,7 +227,7 @@
         kind: "t8".into(),
         zone: "a".into(),
         spot: true,
-        stage: MachineStage::Running,
+        stage: CloudMachineState::Running,
         age_s: 500.0,
     };
     w.leader.machine_list(w.now, &[listed("n-1"), listed("n-2"), listed("n-dead")]);
@@ -237,7 +237,7 @@
     awake(&mut w, false);
     for second in 0..20 {
         w.wait(1_000);
-        w.leader.look_at_fleet(w.now);
+        w.leader.autoscale(w.now);
         for command in w.leader.take_commands() {
             if let Command::Note(text) = command {
                 if text.contains("never came up:") {
@@ -268,7 +268,7 @@
     let interruption_at = |w: &mut World| {
         w.workers.get_mut(&name).expect("worker").interruption_at = Some(12.0);
         w.heartbeat(&name);
-        w.leader.look_at_fleet(w.now);
+        w.leader.autoscale(w.now);
         w.settle();
         w.all_report();
         w.settle();
@@ -306,7 +306,7 @@
             w.wait(100);
             silent_ms += 150;
             w.tick();
-            w.leader.look_at_fleet(w.now);
+            w.leader.autoscale(w.now);
             // Nobody is asked successfully; the others report.
             for name in ["n-1", "n-2", "n-3"].into_iter().filter(|n| *n != holder) {
                 w.heartbeat(name);
@@ -315,7 +315,7 @@
             let returned: Vec<Vec<String>> = std::mem::take(&mut w.commands)
                 .into_iter()
                 .filter_map(|c| match c {
-                    Command::Return { machines } => Some(machines),
+                    Command::ScaleIn { machines } => Some(machines),
                     _ => None,
                 })
                 .collect();
@@ -323,7 +323,7 @@
                 break silent_ms;
             }
             for names in returned {
-                w.leader.returned(w.now, &names, true);
+                w.leader.scale_in_answered(w.now, &names, true);
             }
             assert!(silent_ms < 60_000);
         };
@@ -344,7 +344,7 @@
     let mut w = World::new(&[("n-1", "a")]);
     for i in 0..3_000 {
         let name = format!("x-{i:06}");
-        w.leader.rented(w.now, "t8", "a", true, 1, Ok(vec![name.clone()]));
+        w.leader.scale_out_answered(w.now, "t8", "a", true, 1, Ok(vec![name.clone()]));
         w.leader.machine_gone(w.now, &name);
         w.wait(1_000);
     }
@@ -382,7 +382,7 @@
             }
             w.wait(75);
             w.tick();
-            w.leader.look_at_fleet(w.now);
+            w.leader.autoscale(w.now);
             if deaf_at.is_none() && w.leader.deaf(w.now) {
                 deaf_at = Some(at_ms);
             }
@@ -390,8 +390,8 @@
             for command in std::mem::take(&mut w.commands) {
                 let cut_for = at_ms.saturating_sub(5_000);
                 match command {
-                    Command::Return { machines } => given_back += machines.len(),
-                    Command::Rent { count, .. } if cut_for > 3_000 => rented += count,
+                    Command::ScaleIn { machines } => given_back += machines.len(),
+                    Command::ScaleOut { count, .. } if cut_for > 3_000 => rented += count,
                     _ => {}
                 }
             }
@@ -421,7 +421,7 @@
             w.wait(950);
             w.settle();
             w.all_report();
-            w.leader.look_at_fleet(w.now);
+            w.leader.autoscale(w.now);
             w.commands.extend(w.leader.take_commands());
         }
     };
@@ -490,14 +490,14 @@
     for _ in 0..12 {
         w.wait(500);
         w.tick();
-        w.leader.look_at_fleet(w.now);
+        w.leader.autoscale(w.now);
         w.commands.extend(w.leader.take_commands());
         for command in std::mem::take(&mut w.commands) {
-            let Command::Rent { kind, zone, spot, count } = command else { continue };
+            let Command::ScaleOut { kind, zone, spot, count } = command else { continue };
             let names = (rented..rented + count).map(|i| format!("x-{i:03}")).collect();
             let got = if spot { Vec::new() } else { names };
             rented += got.len() as u32;
-            w.leader.rented(w.now, &kind, &zone, spot, count, Ok(got));
+            w.leader.scale_out_answered(w.now, &kind, &zone, spot, count, Ok(got));
         }
     }
     // Sixteen tasks of two processors, eight on a machine.
@@ -558,16 +558,16 @@
     let look = |w: &mut World, asked_at: &mut Vec<u64>, fill: usize| {
         w.wait(450);
         w.tick();
-        w.leader.look_at_fleet(w.now);
+        w.leader.autoscale(w.now);
         w.commands.extend(w.leader.take_commands());
         for command in std::mem::take(&mut w.commands) {
-            let Command::Rent { kind, zone, spot, count } = command else { continue };
+            let Command::ScaleOut { kind, zone, spot, count } = command else { continue };
             let fill = if spot { fill } else { 0 };
             let names = (0..fill).map(|i| format!("x-{i}")).collect();
             if spot {
                 asked_at.push(w.now.0 / 1_000_000);
             }
-            w.leader.rented(w.now, &kind, &zone, spot, count, Ok(names));
+            w.leader.scale_out_answered(w.now, &kind, &zone, spot, count, Ok(names));
         }
     };
     look(&mut w, &mut asked_at, 2);
@@ -584,7 +584,7 @@
     let before = asked_at.len();
     look(&mut w, &mut asked_at, 0);
     assert_eq!(asked_at.len(), before, "refused a moment ago");
-    w.leader.returned(w.now, &["x-0".to_owned()], true);
+    w.leader.scale_in_answered(w.now, &["x-0".to_owned()], true);
     look(&mut w, &mut asked_at, 0);
     assert_eq!(asked_at.len(), before + 1, "what was given back is to be had");
 }
@@ -699,6 +699,6 @@
     }
     w.wait(4_000);
     assert!(w.leader.reaches_no_worker(w.now), "twenty messages were lost");
-    w.leader.returned(w.now, &names, true);
+    w.leader.scale_in_answered(w.now, &names, true);
     assert!(!w.leader.reaches_no_worker(w.now), "there is nothing to reach");
 }
--- a/crates/scheduler/tests/dependencies.rs
+++ b/crates/scheduler/tests/dependencies.rs
@@ -280,10 +280,10 @@
     w.submit(SECOND, &large);
     w.settle();
     w.wait(60_000);
-    w.leader.look_at_fleet(w.now);
+    w.leader.autoscale(w.now);
     let rents = |w: &mut World| {
         let commands = w.leader.take_commands();
-        commands.iter().any(|c| matches!(c, Command::Rent { .. }))
+        commands.iter().any(|c| matches!(c, Command::ScaleOut { .. }))
     };
     assert!(!rents(&mut w) && w.leader.queue(w.now).is_empty());
     w.leader.job_ended(w.now, FIRST, End::Done);
@@ -291,7 +291,7 @@
     assert_eq!(queue.len(), 1);
     assert_eq!(queue[0].0.accepted, w.now, "its times count from here");
     w.wait(1_000);
-    w.leader.look_at_fleet(w.now);
+    w.leader.autoscale(w.now);
     assert!(rents(&mut w));
 }
 
--- a/crates/scheduler/tests/fair_share.rs
+++ b/crates/scheduler/tests/fair_share.rs
@@ -24,7 +24,7 @@
     let names: Vec<String> = (0..MACHINES).map(|i| format!("n-{i:03}")).collect();
     let machines: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "a")).collect();
     let mut world = World::of(Site { teams, ..site() }, &machines);
-    world.leader.fleet.listed = true;
+    world.leader.autoscaler.listed = true;
     world
 }
 
@@ -119,7 +119,7 @@
 
     fn take_over(&mut self) {
         self.world.take_over();
-        self.world.leader.fleet.listed = true;
+        self.world.leader.autoscaler.listed = true;
         self.world.all_report();
         self.world.all_report();
     }
@@ -240,7 +240,7 @@
             }
             world.all_report();
             world.tick();
-            world.leader.look_at_fleet(world.now);
+            world.leader.autoscale(world.now);
             overloaded |= world.leader.sharing.is_on();
             said.extend(world.commands.iter().map(|command| format!("{command:?}")));
             world.carry_out();
--- a/crates/scheduler/tests/golden_bytes.rs
+++ b/crates/scheduler/tests/golden_bytes.rs
@@ -308,7 +308,7 @@
         self.go_on(1);
         self.world.workers.get_mut("n-000001").expect("a worker").interruption_at = Some(30.0);
         self.world.heartbeat("n-000001");
-        self.world.leader.look_at_fleet(self.world.now);
+        self.world.leader.autoscale(self.world.now);
         self.go_on_unheard(2);
         self.finish_all_of("n-000002");
         for _ in 0..6 {
--- a/crates/scheduler/tests/random_interleavings.rs
+++ b/crates/scheduler/tests/random_interleavings.rs
@@ -379,10 +379,10 @@
     for _ in 0..80 {
         w.all_report();
         // What died with its absence unwritten is silent for the new leader, which gives it back.
-        w.leader.look_at_fleet(w.now);
+        w.leader.autoscale(w.now);
         for command in w.leader.take_commands() {
-            if let Command::Return { machines } = command {
-                w.leader.returned(w.now, &machines, true);
+            if let Command::ScaleIn { machines } = command {
+                w.leader.scale_in_answered(w.now, &machines, true);
             }
         }
         w.settle();
--- a/crates/scheduler/tests/repeated_heartbeats.rs
+++ b/crates/scheduler/tests/repeated_heartbeats.rs
@@ -153,12 +153,12 @@
         if gone {
             w.leader.machine_gone(w.now, MACHINE);
         } else {
-            w.leader.fleet.listed = true;
-            let returned = |c: &Command| matches!(c, Command::Return { .. });
+            w.leader.autoscaler.listed = true;
+            let returned = |c: &Command| matches!(c, Command::ScaleIn { .. });
             while !w.commands.iter().any(returned) {
                 w.wait(1_000);
                 w.leader.record_repeated_heartbeat(w.now, cached, first.sequence + w.now.0);
-                w.leader.look_at_fleet(w.now);
+                w.leader.autoscale(w.now);
                 w.commands.extend(w.leader.take_commands());
             }
         }
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -11,7 +11,7 @@
 use serde_json::{json, Value};
 use walnutlug_scheduler::model::job::{keys, End, JobSpec};
 use walnutlug_scheduler::protocol::{
-    ExitReason, Heartbeat, ListedMachine, MachineStage, Operation, TaskState, Transaction,
+    CloudMachineState, ExitReason, Heartbeat, ListedMachine, Operation, TaskState, Transaction,
     WorkerCommand,
 };
 use walnutlug_scheduler::reconciliation::repeated_heartbeats::{CachedHeartbeat, OWN_NODE};
@@ -749,7 +749,7 @@
         l.s.cancellations_known_until = l.known;
         l.s.holds_lease = now.since(l.served) < Span::millis(2_400);
         l.s.tick(now);
-        l.s.look_at_fleet(now);
+        l.s.autoscale(now);
         let shared = l.s.sharing.is_on();
         if shared {
             *self.seen.entry("an overload shared").or_default() += 1;
@@ -766,9 +766,9 @@
                     zone: m.worker.zone.clone(),
                     spot: false,
                     stage: if now >= m.up_at {
-                        MachineStage::Running
+                        CloudMachineState::Running
                     } else {
-                        MachineStage::Booting
+                        CloudMachineState::Booting
                     },
                     age_s: now.since(m.up_at).as_secs(),
                 })
@@ -848,7 +848,7 @@
                 let outcome = MessageOutcome::Answered(Box::new(heartbeat));
                 self.events.push(answer(soon, outcome));
             }
-            Command::Rent { kind, zone, spot, count } => {
+            Command::ScaleOut { kind, zone, spot, count } => {
                 let now = self.now;
                 let most =
                     14usize.saturating_sub(self.machines.values().filter(|m| !m.gone).count());
@@ -860,9 +860,9 @@
                     }
                     names.push(self.boot(&zone, now + Span::millis(ms)));
                 }
-                self.leaders[i].s.rented(now, &kind, &zone, spot, count, Ok(names));
+                self.leaders[i].s.scale_out_answered(now, &kind, &zone, spot, count, Ok(names));
             }
-            Command::Return { machines } => {
+            Command::ScaleIn { machines } => {
                 for name in &machines {
                     if let Some(m) = self.machines.get_mut(name) {
                         m.gone = true;
@@ -870,7 +870,7 @@
                     }
                 }
                 let now = self.now;
-                self.leaders[i].s.returned(now, &machines, true);
+                self.leaders[i].s.scale_in_answered(now, &machines, true);
             }
         }
     }
--- a/crates/scheduler/tests/task_starts.rs
+++ b/crates/scheduler/tests/task_starts.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 use walnutlug_scheduler::model::job::keys;
 use walnutlug_scheduler::model::task::Phase;
-use walnutlug_scheduler::protocol::{ListedMachine, MachineStage, WorkerCommand};
+use walnutlug_scheduler::protocol::{CloudMachineState, ListedMachine, WorkerCommand};
 use walnutlug_scheduler::scheduler::{Command, MachineState, MessageOutcome, TransactionOutcome};
 use world::{one_machine, spec, World};
 
@@ -173,14 +173,14 @@
         w.wait(2_000);
         w.heartbeat(other);
         w.settle();
-        w.leader.look_at_fleet(w.now);
+        w.leader.autoscale(w.now);
     }
     assert_eq!(w.attempt(JOB, 0), 1, "silent for two minutes, and still there");
     let state = |w: &World| w.leader.machines[w.leader.by_name[&machine] as usize].state;
-    assert_eq!(state(&w), MachineState::Returning, "given back, since nothing else settles it");
-    w.leader.returned(w.now, std::slice::from_ref(&machine), false);
+    assert_eq!(state(&w), MachineState::Terminating, "given back, since nothing else settles it");
+    w.leader.scale_in_answered(w.now, std::slice::from_ref(&machine), false);
     assert_eq!(w.attempt(JOB, 0), 1, "an unanswered return is no proof");
-    w.leader.returned(w.now, std::slice::from_ref(&machine), true);
+    w.leader.scale_in_answered(w.now, std::slice::from_ref(&machine), true);
     assert_eq!((w.phase(JOB, 0), w.attempt(JOB, 0)), (Phase::Pending, 2));
 }
 
@@ -198,7 +198,7 @@
         kind: "t8".into(),
         zone: "a".into(),
         spot: false,
-        stage: MachineStage::Failed,
+        stage: CloudMachineState::Failed,
         age_s: 9.0,
     };
     w.leader.machine_list(w.now, &[failed]);
--- a/crates/scheduler/tests/transcripts.rs
+++ b/crates/scheduler/tests/transcripts.rs
@@ -13,7 +13,7 @@
 //! | `placement`, `queue` | starts, objectives, preemption, large fleet, the meetings (zones, gangs, spread) |
 //! | `chain` | chains, pressed chains, former records |
 //! | `sharing`, with the package `admission` | floods, the meetings with a flood |
-//! | `fleet`, `market`, `tunables` (objectives) | scale out and in, preemption, the meetings |
+//! | `fleet`, `offers`, `tunables` (objectives) | scale out and in, preemption, the meetings |
 //! | `health` | failing machines, notices |
 //! | `unchanged`, `serving` | repeated reports (`unchanged`), the meetings: half of the workers are answered by a follower |
 //! | `leadership`, `watermark` | leadership and watermark |
--- a/crates/scheduler/tests/transcripts/scripts.rs
+++ b/crates/scheduler/tests/transcripts/scripts.rs
@@ -8,7 +8,9 @@
 use walnutlug_scheduler::leadership::election::{Input, Leadership, Role};
 use walnutlug_scheduler::leadership::watermark::{CancellationLog, Watermark};
 use walnutlug_scheduler::model::job::{keys, End, JobSpec, Rank, Team};
-use walnutlug_scheduler::protocol::{ExitReason, KeyValue, ListedMachine, MachineStage, TaskState};
+use walnutlug_scheduler::protocol::{
+    CloudMachineState, ExitReason, KeyValue, ListedMachine, TaskState,
+};
 use walnutlug_scheduler::scheduler::{Command, MessageOutcome, TransactionOutcome};
 use walnutlug_scheduler::time::{Span, Time};
 use walnutlug_scheduler::tunables::{Objective, Site};
@@ -230,7 +232,7 @@
 pub fn preemption() {
     let teams = vec![team("one", 8.0, 0.0), team("two", 0.0, 60.0)];
     let mut world = fleet_of(Site { teams, ..site() }, 10);
-    world.leader.fleet.listed = true;
+    world.leader.autoscaler.listed = true;
     let mut dice = Dice::new(5);
     for step in 0..160usize {
         if step % 2 == 0 && step < 120 {
@@ -253,7 +255,7 @@
         some_tasks_end(&mut world, &mut dice, 6, &[ExitReason::Done]);
         world.all_report();
         world.tick();
-        world.look_at_fleet();
+        world.autoscale();
         world.carry_out();
         world.wait(250);
     }
@@ -268,7 +270,7 @@
         team("free", 0.0, 0.0),
     ];
     let mut world = fleet_of(Site { teams, ..site() }, 16);
-    world.leader.fleet.listed = true;
+    world.leader.autoscaler.listed = true;
     let mut dice = Dice::new(6);
     let mut shared = 0;
     for second in 0..70usize {
@@ -292,7 +294,7 @@
         }
         if second == 40 {
             world.take_over();
-            world.leader.fleet.listed = true;
+            world.leader.autoscaler.listed = true;
             world.all_report();
         }
         some_tasks_end(&mut world, &mut dice, 25, &[ExitReason::Done]);
@@ -300,7 +302,7 @@
         for _ in 0..3 {
             world.wait(250);
             world.tick();
-            world.look_at_fleet();
+            world.autoscale();
             world.carry_out();
         }
         shared += u64::from(world.leader.sharing.is_on());
@@ -313,13 +315,13 @@
 struct Cloud {
     next: usize,
     coming: Vec<(Time, Worker)>,
-    listed: BTreeMap<String, (bool, String, MachineStage)>,
+    listed: BTreeMap<String, (bool, String, CloudMachineState)>,
 }
 
 impl Cloud {
     fn new(world: &World) -> Cloud {
         let listed = world.workers.values().map(|worker| {
-            (worker.name.clone(), (false, worker.zone.clone(), MachineStage::Running))
+            (worker.name.clone(), (false, worker.zone.clone(), CloudMachineState::Running))
         });
         Cloud { next: 0, coming: Vec::new(), listed: listed.collect() }
     }
@@ -329,23 +331,23 @@
         let mut others = Vec::new();
         for command in std::mem::take(&mut world.commands) {
             match command {
-                Command::Rent { kind, zone, spot, count } => {
+                Command::ScaleOut { kind, zone, spot, count } => {
                     let answer = match dice.below(10) {
                         0 => Err(()),
                         1 => Ok(Vec::new()),
-                        2 => Ok(self.rent(world.now, &zone, spot, count / 2)),
-                        _ => Ok(self.rent(world.now, &zone, spot, count)),
+                        2 => Ok(self.scale_out(world.now, &zone, spot, count / 2)),
+                        _ => Ok(self.scale_out(world.now, &zone, spot, count)),
                     };
-                    world.leader.rented(world.now, &kind, &zone, spot, count, answer);
+                    world.leader.scale_out_answered(world.now, &kind, &zone, spot, count, answer);
                 }
-                Command::Return { machines } => {
+                Command::ScaleIn { machines } => {
                     let done = dice.chance(80);
                     for name in machines.iter().filter(|_| done) {
                         world.workers.remove(name);
                         self.coming.retain(|(_, worker)| worker.name != *name);
                         self.listed.remove(name);
                     }
-                    world.leader.returned(world.now, &machines, done);
+                    world.leader.scale_in_answered(world.now, &machines, done);
                 }
                 command => others.push(command),
             }
@@ -354,14 +356,14 @@
         world.carry_out();
     }
 
-    fn rent(&mut self, now: Time, zone: &str, spot: bool, count: u32) -> Vec<String> {
+    fn scale_out(&mut self, now: Time, zone: &str, spot: bool, count: u32) -> Vec<String> {
         let mut names = Vec::new();
         for _ in 0..count {
             self.next += 1;
             let name = format!("x-{:03}", self.next);
             let worker = Worker { spot, ..Worker::new(&name, zone) };
             self.coming.push((now + Span::secs(5), worker));
-            self.listed.insert(name.clone(), (spot, zone.to_owned(), MachineStage::Booting));
+            self.listed.insert(name.clone(), (spot, zone.to_owned(), CloudMachineState::Booting));
             names.push(name);
         }
         names
@@ -371,7 +373,8 @@
     fn pass(&mut self, world: &mut World, dice: &mut Dice) {
         let now = world.now;
         for (_, worker) in self.coming.extract_if(.., |(at, _)| *at <= now) {
-            self.listed.get_mut(&worker.name).expect("a listed machine").2 = MachineStage::Running;
+            self.listed.get_mut(&worker.name).expect("a listed machine").2 =
+                CloudMachineState::Running;
             world.workers.insert(worker.name.clone(), worker);
         }
         for worker in world.workers.values_mut().filter(|worker| worker.alive) {
@@ -383,8 +386,8 @@
                 None => {}
             }
         }
-        let entry =
-            |(name, (spot, zone, stage)): (&String, &(bool, String, MachineStage))| ListedMachine {
+        let entry = |(name, (spot, zone, stage)): (&String, &(bool, String, CloudMachineState))| {
+            ListedMachine {
                 name: name.clone(),
                 address: Some("10.0.0.1:1".into()),
                 kind: "t8".into(),
@@ -392,7 +395,8 @@
                 spot: *spot,
                 stage: *stage,
                 age_s: 9.0,
-            };
+            }
+        };
         let list: Vec<ListedMachine> = self.listed.iter().map(entry).collect();
         world.leader.machine_list(now, &list);
     }
@@ -400,12 +404,12 @@
 
 impl Worker {
     /// It ends by itself; the list tells so.
-    fn stop(&mut self, listed: &mut BTreeMap<String, (bool, String, MachineStage)>) {
+    fn stop(&mut self, listed: &mut BTreeMap<String, (bool, String, CloudMachineState)>) {
         transcript::count("machines that ended by themselves", 1);
         self.alive = false;
         self.tasks.clear();
         if let Some(entry) = listed.get_mut(&self.name) {
-            entry.2 = MachineStage::Failed;
+            entry.2 = CloudMachineState::Failed;
         }
     }
 }
@@ -442,7 +446,7 @@
         for _ in 0..2 {
             world.wait(400);
             world.tick();
-            world.look_at_fleet();
+            world.autoscale();
             cloud.carry_out(&mut world, &mut dice);
         }
     }
@@ -465,7 +469,7 @@
         }
         for _ in 0..2 {
             world.tick();
-            world.look_at_fleet();
+            world.autoscale();
             carry_out_with_losses(&mut world, &mut dice, 4);
         }
         for worker in world.workers.values_mut().take(3) {
@@ -652,7 +656,7 @@
     let mut tunables = (*world.leader.tun).clone();
     tunables.shared_order = false;
     world.leader.tun = Rc::new(tunables);
-    world.leader.fleet.listed = true;
+    world.leader.autoscaler.listed = true;
     let mut dice = Dice::new(12);
     for second in 0..40usize {
         for (index, team) in ["one", "one", "one", "two"].into_iter().enumerate() {
@@ -662,7 +666,7 @@
         some_tasks_end(&mut world, &mut dice, 25, &[ExitReason::Done]);
         world.all_report();
         world.tick();
-        world.look_at_fleet();
+        world.autoscale();
         world.carry_out();
         world.wait(900);
     }
@@ -690,7 +694,7 @@
             }
         }
         world.tick();
-        world.look_at_fleet();
+        world.autoscale();
         carry_out_with_losses(&mut world, &mut dice, 5);
         some_tasks_end(&mut world, &mut dice, 30, &[ExitReason::Done]);
         if round == 45 {
@@ -727,7 +731,7 @@
         some_tasks_end(&mut world, &mut dice, 22, &[ExitReason::Done]);
         world.all_report();
         world.tick();
-        world.look_at_fleet();
+        world.autoscale();
         world.carry_out();
         world.wait(500);
     }
@@ -769,7 +773,7 @@
         for _ in 0..2 {
             world.wait(400);
             world.tick();
-            world.look_at_fleet();
+            world.autoscale();
             world.carry_out();
         }
     }
--- a/crates/scheduler/tests/untrusted_reports.rs
+++ b/crates/scheduler/tests/untrusted_reports.rs
@@ -26,7 +26,7 @@
     let heartbeat = report_of(w, name);
     w.leader.heartbeat(w.now, &heartbeat);
     w.tick();
-    w.leader.look_at_fleet(w.now);
+    w.leader.autoscale(w.now);
     let commands = std::mem::take(&mut w.commands);
     for command in &commands {
         if let Command::SendToWorker { machine, .. } = command {
@@ -47,7 +47,7 @@
         for command in deaf_second(&mut w, "n-1") {
             match command {
                 Command::Commit { .. } => panic!("something was placed on it at {second}"),
-                Command::Return { .. } => {
+                Command::ScaleIn { .. } => {
                     given_back.get_or_insert(second);
                 }
                 _ => {}
@@ -56,7 +56,7 @@
         assert_eq!(w.attempt(JOB, 0), 1, "its reports prove nothing");
     }
     assert!(given_back.is_some_and(|s| (5..20).contains(&s)), "{given_back:?}");
-    w.leader.returned(w.now, &["n-1".to_owned()], true);
+    w.leader.scale_in_answered(w.now, &["n-1".to_owned()], true);
     assert_eq!(w.attempt(JOB, 0), 2);
 }
 
@@ -166,12 +166,12 @@
     let mut returned = false;
     for _ in 0..20 {
         w.wait(1_000);
-        w.leader.look_at_fleet(w.now);
+        w.leader.autoscale(w.now);
         returned |= w
             .leader
             .take_commands()
             .iter()
-            .any(|c| matches!(c, Command::Return { machines } if machines.contains(&name)));
+            .any(|c| matches!(c, Command::ScaleIn { machines } if machines.contains(&name)));
     }
     assert!(returned);
 }
@@ -183,7 +183,7 @@
     w.leader.machine_gone(w.now, "n-1");
     w.wait(1_000);
     w.leader.heartbeat(w.now, &copy);
-    assert_eq!(machine(&w, "n-1").state, MachineState::Gone);
+    assert_eq!(machine(&w, "n-1").state, MachineState::Terminated);
     assert_eq!(w.leader.machines.len(), 1);
 }
 
@@ -223,7 +223,7 @@
         w.wait(1_000);
         w.heartbeat("n-1");
         w.tick();
-        w.leader.look_at_fleet(w.now);
+        w.leader.autoscale(w.now);
         for command in w.leader.take_commands().into_iter().chain(std::mem::take(&mut w.commands)) {
             match command {
                 Command::SendToWorker { calls, .. } => assert!(calls.is_empty(), "{calls:?}"),
--- a/crates/scheduler/tests/world/mod.rs
+++ b/crates/scheduler/tests/world/mod.rs
@@ -357,8 +357,8 @@
     }
 
     /// Lets the leader look at what to rent and to give back.
-    pub fn look_at_fleet(&mut self) {
-        self.leader.look_at_fleet(self.now);
+    pub fn autoscale(&mut self) {
+        self.leader.autoscale(self.now);
         self.take_commands();
     }
 
--- a/crates/scheduler/tests/world/transcript.rs
+++ b/crates/scheduler/tests/world/transcript.rs
@@ -81,11 +81,11 @@
             transcript.line("direct", &format!("{to} {body}"));
             count_calls(transcript, calls);
         }
-        Command::Rent { kind, zone, spot, count } => {
+        Command::ScaleOut { kind, zone, spot, count } => {
             let what = format!("kind={kind} zone={zone} spot={spot} count={count}");
             transcript.line("rent", &format!("term={term} {what}"));
         }
-        Command::Return { machines } => {
+        Command::ScaleIn { machines } => {
             transcript.line("return", &format!("term={term} machines={}", json(machines)));
         }
         Command::VerifyLeadership => transcript.line("check-lead", &format!("term={term}")),
