--- a/crates/admission/src/deal.rs
+++ b/crates/admission/src/deal.rs
@@ -18,7 +18,7 @@
 use crate::shares::{ClassId, Entitlement, Shares, TeamId};
 
 /// Sums of decimals drift: this much of the fleet is no difference.
-const SLACK: f64 = 1e-9;
+const EPSILON: f64 = 1e-9;
 
 /// A job that waits for room, in the order of the queue.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -271,7 +271,7 @@
                 // Its classes come with the smallest share first.
                 let (class, job) = self.next_of_team(tier, key.team)?;
                 let missing = self.team_states[&key.team].floor - self.class_share(class).0;
-                (missing > SLACK).then_some((tier, class, job, missing))
+                (missing > EPSILON).then_some((tier, class, job, missing))
             })
         })
     }
--- a/crates/admission/src/saturation.rs
+++ b/crates/admission/src/saturation.rs
@@ -1,6 +1,6 @@
 //! Whether the fleet is overloaded, with hysteresis.
 
-use walnutlug_time::{Span, Time};
+use walnutlug_time::{TimeDelta, Timestamp};
 
 /// When the fleet counts as saturated, and when no more.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -13,9 +13,9 @@
     pub at_once: f64,
     /// For how long work has to wait. Machines that are on their way are taken off the waiting
     /// work, so this is the time of a boot that could have been asked for.
-    pub enter_after: Span,
+    pub enter_after: TimeDelta,
     /// For how long there has to be room.
-    pub leave_after: Span,
+    pub leave_after: TimeDelta,
 }
 
 /// What the last observations amount to.
@@ -24,10 +24,10 @@
     /// There is room.
     Room,
     /// Work has waited since then, which may be a passing lack of machines.
-    Filling(Time),
+    Filling(Timestamp),
     Saturated,
     /// Saturated, but there has been room since then.
-    Clearing(Time),
+    Clearing(Timestamp),
 }
 
 /// A change that is worth telling.
@@ -55,7 +55,7 @@
     }
 
     /// Takes in how much work finds no room: a part of the fleet, less what is on its way.
-    pub fn observe(&mut self, now: Time, waiting: f64, at: &Thresholds) -> Option<Change> {
+    pub fn observe(&mut self, now: Timestamp, waiting: f64, at: &Thresholds) -> Option<Change> {
         let before = self.is_saturated();
         self.phase = match self.phase {
             Phase::Room | Phase::Filling(_) if waiting >= at.at_once => Phase::Saturated,
--- a/crates/admission/src/shares.rs
+++ b/crates/admission/src/shares.rs
@@ -8,9 +8,9 @@
 /// Classes that are told apart, over all teams. Class names are the users' own and without bound;
 /// beyond this many with open jobs at once, the further classes of a team share one entry, so that
 /// they get one class's share between them.
-pub const MOST_CLASSES: usize = 1_000;
+pub const MAX_CLASSES: usize = 1_000;
 /// Teams that are told apart; the platform's file names far fewer. Further ones share the last entry.
-pub const MOST_TEAMS: usize = 1_000;
+pub const MAX_TEAMS: usize = 1_000;
 /// Weights outside of these would leave a team all of the fleet, or nothing of it.
 pub const WEIGHTS: std::ops::RangeInclusive<f64> = 0.01..=100.0;
 
@@ -91,8 +91,8 @@
         if let Some(&id) = self.team_ids.get(name) {
             return id;
         }
-        if self.teams.len() >= MOST_TEAMS {
-            return TeamId(MOST_TEAMS as u32 - 1);
+        if self.teams.len() >= MAX_TEAMS {
+            return TeamId(MAX_TEAMS as u32 - 1);
         }
         let mut entitlement = self.entitlements.get(name).copied().unwrap_or_default();
         if !WEIGHTS.contains(&entitlement.weight) {
@@ -113,7 +113,7 @@
         let key = (team, class.to_owned());
         let id = match self.class_ids.get(&key) {
             Some(&id) => id,
-            None if self.class_ids.len() < MOST_CLASSES => {
+            None if self.class_ids.len() < MAX_CLASSES => {
                 let id = self.new_class(team, Some(key.1.clone()));
                 self.class_ids.insert(key, id);
                 id
--- a/crates/admission/tests/sharing.rs
+++ b/crates/admission/tests/sharing.rs
@@ -8,9 +8,9 @@
 use walnutlug_admission::deal::{Deal, Rules, Waiting};
 use walnutlug_admission::resources::Resources;
 use walnutlug_admission::saturation::{Change, Saturation, Thresholds};
-use walnutlug_admission::shares::{Entitlement, Shares, MOST_CLASSES};
+use walnutlug_admission::shares::{Entitlement, Shares, MAX_CLASSES};
 use walnutlug_admission::turns::TurnQueue;
-use walnutlug_time::{Span, Time};
+use walnutlug_time::{TimeDelta, Timestamp};
 
 const RULES: Rules = Rules { portion: 1.0 / 64.0, floor: 0.1, all_floors: 0.5 };
 
@@ -180,7 +180,7 @@
             shares.task_stopping(id, cpus(size));
             open.push((id, size));
         }
-        prop_assert!(shares.classes_kept() <= MOST_CLASSES + 4);
+        prop_assert!(shares.classes_kept() <= MAX_CLASSES + 4);
         for (id, size) in open {
             prop_assert!(shares.class_share(id) >= size / 100.0 - 1e-9);
             shares.task_stopped(id, cpus(size));
@@ -256,11 +256,12 @@
         enter: 0.25,
         leave: 0.05,
         at_once: 1.5,
-        enter_after: Span::secs(20),
-        leave_after: Span::secs(20),
+        enter_after: TimeDelta::from_secs(20),
+        leave_after: TimeDelta::from_secs(20),
     };
     let mut saturation = Saturation::default();
-    let mut observe = |s: u64, waiting: f64| saturation.observe(Time(s * 1_000_000), waiting, &at);
+    let mut observe =
+        |s: u64, waiting: f64| saturation.observe(Timestamp(s * 1_000_000), waiting, &at);
     assert_eq!(observe(0, 0.3), None);
     assert_eq!(observe(19, 0.3), None, "a boot may mend it");
     assert_eq!(observe(20, 0.2), None, "and did");
--- a/crates/admission/tests/transcripts.rs
+++ b/crates/admission/tests/transcripts.rs
@@ -16,7 +16,7 @@
 use walnutlug_admission::saturation::{Change, Saturation, Thresholds};
 use walnutlug_admission::shares::{ClassId, Entitlement, Shares};
 use walnutlug_admission::turns::TurnQueue;
-use walnutlug_time::{Span, Time};
+use walnutlug_time::{TimeDelta, Timestamp};
 
 const RULES: Rules = Rules { portion: 1.0 / 64.0, floor: 0.1, all_floors: 0.5 };
 const SCRIPTS: [&str; 3] = ["deal", "turns", "saturation"];
@@ -206,15 +206,15 @@
         enter: 0.25,
         leave: 0.05,
         at_once: 1.5,
-        enter_after: Span::secs(20),
-        leave_after: Span::secs(20),
+        enter_after: TimeDelta::from_secs(20),
+        leave_after: TimeDelta::from_secs(20),
     };
     let mut saturation = Saturation::default();
-    let mut now = Time(1 << 40);
+    let mut now = Timestamp(1 << 40);
     let mut level = 0;
     for _ in 0..4_000 {
         transcript.next_step();
-        now = now + Span::millis(dice.below(4_000) as u64);
+        now = now + TimeDelta::from_millis(dice.below(4_000) as u64);
         if dice.chance(8) {
             level = dice.below(4);
         }
--- a/crates/controller/src/cloud_client.rs
+++ b/crates/controller/src/cloud_client.rs
@@ -33,7 +33,7 @@
 }
 
 /// Machines in a list, many times those of any fleet.
-const MOST_LISTED: usize = 50_000;
+const MAX_LISTED: usize = 50_000;
 
 pub struct CloudClient {
     client: Rc<Client>,
@@ -157,7 +157,7 @@
             let before = all.len();
             all.extend(page.machines.into_iter().filter(|m| m.name > last));
             all.dedup_by(|a, b| a.name == b.name);
-            if !page.more || all.len() == before || all.len() > MOST_LISTED {
+            if !page.more || all.len() == before || all.len() > MAX_LISTED {
                 return Ok(all);
             }
         }
--- a/crates/controller/src/cloud_client/tests.rs
+++ b/crates/controller/src/cloud_client/tests.rs
@@ -30,7 +30,7 @@
     let stuck = listing(move |_| page(0, 500, true));
     assert_eq!(stuck.list().await.expect("a list").len(), 500, "the same page for ever");
     let endless = listing(move |n| page(n * 500, n * 500 + 500, true));
-    assert!(endless.list().await.expect("a list").len() <= MOST_LISTED + 500);
+    assert!(endless.list().await.expect("a list").len() <= MAX_LISTED + 500);
 }
 
 #[test]
--- a/crates/controller/src/heartbeat_delegation.rs
+++ b/crates/controller/src/heartbeat_delegation.rs
@@ -9,7 +9,7 @@
 use tokio::time::{sleep, timeout, Duration, Instant};
 use tracing::info;
 use walnutlug_scheduler::leadership::election::Role;
-use walnutlug_scheduler::model::task::MachineIx;
+use walnutlug_scheduler::model::task::MachineIndex;
 use walnutlug_scheduler::reconciliation::delegation::{
     CacheGrant, DelegationGrant, FollowerDelegation,
 };
@@ -20,7 +20,7 @@
 use crate::node::Node;
 use crate::peers::{
     DelegationGranted, DelegationRequest, ForwardedHeartbeat, ForwardedResponse, Frame,
-    RepeatedHeartbeat, MOST_CARRIED, MOST_ENTRIES,
+    RepeatedHeartbeat, MAX_CARRIED, MAX_ENTRIES,
 };
 use crate::worker_api::{self, WorkerConnection};
 
@@ -122,7 +122,7 @@
     /// The node to which the worker should report instead, if this one has more than its part.
     pub fn another_node_for(&self, report_bytes: usize) -> Option<String> {
         // A longer report would come back: followers don't pass it on.
-        if report_bytes > MOST_CARRIED / 2 {
+        if report_bytes > MAX_CARRIED / 2 {
             return None;
         }
         self.moving.take()
@@ -143,14 +143,14 @@
     let serving = &node.serving;
     let term = serving.leader.borrow().forwarding_term(node.now())?;
     let leader = node.leader_under(term)?;
-    if body.len() > MOST_CARRIED || serving.waiting.borrow().len() >= serving.most_waiting {
+    if body.len() > MAX_CARRIED || serving.waiting.borrow().len() >= serving.most_waiting {
         return None;
     }
     let number = serving.last_forwarded.get() + 1;
     serving.last_forwarded.set(number);
     let (answered, answer) = oneshot::channel();
     serving.waiting.borrow_mut().insert(number, answered);
-    node.tell_peer(
+    node.send_to_peer(
         &leader,
         &Frame::ForwardedHeartbeat(ForwardedHeartbeat {
             node: node.settings.node_name.clone(),
@@ -180,8 +180,8 @@
             continue;
         }
         match node.leadership.borrow().role() {
-            Role::Leading { .. } => balance(&node),
-            Role::Loading { .. } | Role::Standing | Role::Following => ask(&node),
+            Role::Leader { .. } => balance(&node),
+            Role::Loading { .. } | Role::Candidate | Role::Follower => ask(&node),
         }
     }
 }
@@ -196,7 +196,7 @@
         number,
         workers: node.serving.workers.get(),
     };
-    node.tell_peer(&leader, &Frame::DelegationRequest(ask));
+    node.send_to_peer(&leader, &Frame::DelegationRequest(ask));
 }
 
 /// Asks at once if the leader of that term has not granted anything yet.
@@ -211,8 +211,8 @@
     let term = node.serving.leader.borrow().term();
     let leader = term.and_then(|term| Some((term, node.leader_under(term)?)));
     let Some((term, leader)) = leader else { return };
-    for some in heard.chunks(MOST_ENTRIES) {
-        node.tell_peer(&leader, &Frame::RepeatedHeartbeats { term, heard: some.to_vec() });
+    for some in heard.chunks(MAX_ENTRIES) {
+        node.send_to_peer(&leader, &Frame::RepeatedHeartbeats { term, heard: some.to_vec() });
     }
 }
 
@@ -227,13 +227,13 @@
     if invalidated.is_empty() {
         return;
     }
-    let mut by_holder: HashMap<CacheHolder, Vec<(MachineIx, u64)>> = HashMap::new();
+    let mut by_holder: HashMap<CacheHolder, Vec<(MachineIndex, u64)>> = HashMap::new();
     for one in invalidated {
         by_holder.entry(one.holder).or_default().push((one.cached.machine, one.cached.number));
     }
     for (holder, cache_entries) in by_holder {
         let peer = usize::from(holder) - 1;
-        for some in cache_entries.chunks(MOST_ENTRIES) {
+        for some in cache_entries.chunks(MAX_ENTRIES) {
             let first = {
                 let mut followers = node.serving.followers.borrow_mut();
                 let count = followers[peer].invalidated_under(term);
@@ -242,7 +242,7 @@
                 first
             };
             let frame = Frame::Invalidated { term, first, cache_entries: some.to_vec() };
-            node.tell_peer(&node.settings.peers[peer].name, &frame);
+            node.send_to_peer(&node.settings.peers[peer].name, &frame);
         }
     }
 }
@@ -311,7 +311,7 @@
         valid_for,
         invalidated: invalidated(cached.term),
     });
-    let answer = answer.filter(|body| body.len() <= MOST_CARRIED);
+    let answer = answer.filter(|body| body.len() <= MAX_CARRIED);
     let (asker_incarnation, number) = (forwarded.incarnation, forwarded.number);
     let frame = Frame::ForwardedResponse(ForwardedResponse {
         asker_incarnation,
@@ -319,13 +319,13 @@
         answer,
         cache_entry,
     });
-    node.tell_peer(&forwarded.node, &frame);
-    node.pump();
+    node.send_to_peer(&forwarded.node, &frame);
+    node.wake_leader();
 }
 
 fn grant(node: &Node, ask: &DelegationRequest) {
     let Some((place, _)) = peer_place(node, &ask.node) else { return };
-    let Role::Leading { term } = node.leadership.borrow().role() else { return };
+    let Role::Leader { term } = node.leadership.borrow().role() else { return };
     send_invalidations(node);
     let mut followers = node.serving.followers.borrow_mut();
     let follower = &mut followers[place];
@@ -342,7 +342,7 @@
         spare,
         spare_to,
     };
-    node.tell_peer(&ask.node, &Frame::DelegationGranted(granting));
+    node.send_to_peer(&ask.node, &Frame::DelegationGranted(granting));
 }
 
 /// How the workers should be spread: the leader's part, a follower's part, and the follower with fewest.
--- a/crates/controller/src/heartbeat_delegation/tests.rs
+++ b/crates/controller/src/heartbeat_delegation/tests.rs
@@ -4,7 +4,7 @@
 use crate::user_api;
 use crate::user_api::fake_cluster::{Cluster, Fault, StandIn};
 use walnutlug_scheduler::leadership::watermark::window;
-use walnutlug_scheduler::model::job::End;
+use walnutlug_scheduler::model::job::JobEnd;
 
 /// A worker's report to a node, with frames delivered meanwhile. The status, the token and the calls.
 async fn heartbeat(
@@ -83,7 +83,7 @@
     let test = async {
         let store = StandIn::default();
         let (mut c, connection, sequence, token) = repeating(&store).await;
-        c.nodes[0].learn_end(JOB, End::Aborted);
+        c.nodes[0].learn_end(JOB, JobEnd::Cancelled);
         send_invalidations(&c.nodes[0]);
         c.deliver(|_, _| true).await;
         assert!(!repeats(&c, &connection, sequence, token));
@@ -129,7 +129,7 @@
     let test = async {
         let store = StandIn::default();
         let (mut c, connection, sequence, token) = repeating(&store).await;
-        c.nodes[0].learn_end(JOB, End::Aborted);
+        c.nodes[0].learn_end(JOB, JobEnd::Cancelled);
         send_invalidations(&c.nodes[0]);
         c.deliver(|_, _| false).await;
         assert!(repeats(&c, &connection, sequence, token), "it hasn't heard");
@@ -148,7 +148,7 @@
     let test = async {
         let store = StandIn::default();
         let (mut c, connection, sequence, token) = repeating(&store).await;
-        c.nodes[0].learn_end(JOB, End::Aborted);
+        c.nodes[0].learn_end(JOB, JobEnd::Cancelled);
         ask(&c.nodes[1]);
         for _ in 0..3 {
             c.deliver(|_, _| true).await;
@@ -210,7 +210,7 @@
         }
         assert!(node.serving.waiting.borrow().is_empty(), "what was refused can come again");
         // A report longer than a frame goes to the leader itself.
-        let long = format!("{}{}", report_of(1, 0), " ".repeat(MOST_CARRIED));
+        let long = format!("{}{}", report_of(1, 0), " ".repeat(MAX_CARRIED));
         let answer =
             worker_api::heartbeat(&node, &WorkerConnection::default(), long.as_bytes()).await;
         assert_eq!(answer.status, 421);
@@ -223,7 +223,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_burst_of_reports_from_4_200_workers_waits_for_the_leader() {
     const WORKERS: usize = 4_200;
-    const MOST_FRAME_BYTES: usize = 600;
+    const MAX_FRAME_BYTES: usize = 600;
     let test = async {
         let store = StandIn::default();
         let mut settings = crate::settings::tests::sample();
@@ -246,7 +246,7 @@
         assert_eq!(node.serving.waiting.borrow().len(), WORKERS);
         let frames = c.take(1, 0).await;
         let bytes: usize = frames.iter().map(|frame| frame.encode().len()).sum();
-        assert!(bytes <= WORKERS * MOST_FRAME_BYTES, "{bytes} bytes wait");
+        assert!(bytes <= WORKERS * MAX_FRAME_BYTES, "{bytes} bytes wait");
         let heartbeats =
             frames.iter().filter(|f| matches!(f, Frame::ForwardedHeartbeat(_))).count();
         assert_eq!(heartbeats, WORKERS, "each in a frame of its own");
--- a/crates/controller/src/http/client.rs
+++ b/crates/controller/src/http/client.rs
@@ -26,11 +26,11 @@
     pub body: Vec<u8>,
 }
 
-const MOST_BODY: usize = 16 * 1024 * 1024;
-const MOST_HEAD: usize = 16 * 1024;
+const MAX_BODY: usize = 16 * 1024 * 1024;
+const MAX_HEAD: usize = 16 * 1024;
 const IDLE_KEPT: usize = 4;
 /// Connections kept open where nothing else is said.
-const MOST_OPEN: usize = 200;
+const MAX_OPEN: usize = 200;
 const IDLE_FOR: Duration = Duration::from_secs(20);
 
 /// Connections that wait for their next use, the longest idle first for each address.
@@ -99,7 +99,7 @@
 
 impl Default for Client {
     fn default() -> Client {
-        Client::with_most(MOST_OPEN)
+        Client::with_most(MAX_OPEN)
     }
 }
 
@@ -232,14 +232,14 @@
         if let Some(head) = parse_head(&buf)? {
             break head;
         }
-        if buf.len() > MOST_HEAD {
+        if buf.len() > MAX_HEAD {
             return Err(Failure::Lost);
         }
         if stream.read_buf(&mut buf).await.map_err(|_| Failure::Lost)? == 0 {
             return Err(Failure::Lost);
         }
     };
-    if length > MOST_BODY {
+    if length > MAX_BODY {
         return Err(Failure::Lost);
     }
     let mut body = buf.split_off(head);
--- a/crates/controller/src/http/server.rs
+++ b/crates/controller/src/http/server.rs
@@ -11,8 +11,8 @@
 use tokio::time::timeout;
 use tracing::{debug, warn};
 
-pub const MOST_BODY: usize = 64 * 1024;
-const MOST_HEAD: usize = 8 * 1024;
+pub const MAX_BODY: usize = 64 * 1024;
+const MAX_HEAD: usize = 8 * 1024;
 /// How long a connection may stand idle between requests.
 const IDLE: Duration = Duration::from_secs(75);
 /// How long one request may take to arrive once it has begun.
@@ -166,7 +166,7 @@
     let mut request = httparse::Request::new(&mut headers);
     let head = match request.parse(buf) {
         Ok(httparse::Status::Complete(head)) => head,
-        Ok(httparse::Status::Partial) if buf.len() > MOST_HEAD => {
+        Ok(httparse::Status::Partial) if buf.len() > MAX_HEAD => {
             return Step::Bad(Answer::error(431, "the head is too long"));
         }
         Ok(httparse::Status::Partial) => return Step::More,
@@ -197,7 +197,7 @@
             expect = h.value.eq_ignore_ascii_case(b"100-continue");
         }
     }
-    if length > MOST_BODY {
+    if length > MAX_BODY {
         return Step::Bad(Answer::error(413, "a body may have at most 64 KiB"));
     }
     let method = request.method.unwrap_or_default().to_owned();
--- a/crates/controller/src/http/server/tests.rs
+++ b/crates/controller/src/http/server/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-async fn talk(input: &[u8]) -> String {
+async fn run_sender(input: &[u8]) -> String {
     let (mut near, far) = tokio::io::duplex(256 * 1024);
     near.write_all(input).await.expect("write");
     near.shutdown().await.expect("shutdown");
@@ -16,7 +16,8 @@
 #[tokio::test(start_paused = true)]
 async fn requests_follow_each_other_on_a_connection() {
     let out =
-        talk(b"GET /a HTTP/1.1\r\n\r\nPOST /b HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc").await;
+        run_sender(b"GET /a HTTP/1.1\r\n\r\nPOST /b HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc")
+            .await;
     assert_eq!(out.matches("200 OK").count(), 2);
     assert!(out.contains("{\"bytes\":3,\"path\":\"/b\"}"), "{out}");
 }
@@ -49,7 +50,7 @@
         (long.as_bytes(), "431"),
     ];
     for (input, status) in cases {
-        let out = talk(input).await;
+        let out = run_sender(input).await;
         assert!(out.starts_with(&format!("HTTP/1.1 {status}")), "{status}: {out}");
         assert!(out.contains("Connection: close"));
     }
@@ -57,7 +58,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_request_cut_short_is_dropped_and_a_slow_one_refused() {
-    assert_eq!(talk(b"POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nab").await, "");
+    assert_eq!(run_sender(b"POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nab").await, "");
     let (mut near, far) = tokio::io::duplex(1024);
     near.write_all(b"GET / HT").await.expect("write");
     connection(far, |_| async { Answer::error(200, "") }).await;
--- a/crates/controller/src/key_value_client.rs
+++ b/crates/controller/src/key_value_client.rs
@@ -503,12 +503,12 @@
     pub async fn end(
         &self,
         name: &str,
-    ) -> Result<Option<walnutlug_scheduler::model::job::End>, KeyValueError> {
+    ) -> Result<Option<walnutlug_scheduler::model::job::JobEnd>, KeyValueError> {
         let key = walnutlug_scheduler::model::job::keys::end(name);
         match self.get(RequestClass::Submission, &key).await? {
             None => Ok(None),
             Some(key_value) => {
-                serde_json::from_value::<walnutlug_scheduler::model::job::End>(key_value.value)
+                serde_json::from_value::<walnutlug_scheduler::model::job::JobEnd>(key_value.value)
                     .map(Some)
                     .map_err(|_| KeyValueError::InvalidResponse)
             }
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -19,12 +19,12 @@
 use tracing::{debug, info, warn};
 use walnutlug_fencing::intent_log::Ledger;
 use walnutlug_fencing::leased_role::Epoch;
-use walnutlug_scheduler::leadership::election::{Input, Leadership, Role};
+use walnutlug_scheduler::leadership::election::{ElectionEvent, Leadership, Role};
 use walnutlug_scheduler::leadership::watermark::{CancellationLog, Watermark};
-use walnutlug_scheduler::model::job::End;
-use walnutlug_scheduler::protocol::{is_job_ref, MachineType};
+use walnutlug_scheduler::model::job::JobEnd;
+use walnutlug_scheduler::protocol::{is_job_id, MachineType};
 use walnutlug_scheduler::scheduler::Scheduler;
-use walnutlug_scheduler::time::Time;
+use walnutlug_scheduler::time::Timestamp;
 use walnutlug_scheduler::tunables::Tunables;
 
 use crate::cloud_client::CloudClient;
@@ -46,7 +46,7 @@
 /// which an address counts as fresh, at any size.
 const ADDRESS_TURN: usize = 6;
 /// Addresses remembered: many times those of any fleet, at some forty bytes each.
-const MOST_ADDRESSES: usize = 50_000;
+const MAX_ADDRESSES: usize = 50_000;
 /// Messages that wait for another node beside its workers' reports: a status, some addresses and the
 /// progress of every open job each second. What finds no place is only a hint lost.
 const PEER_HINTS: usize = 2_048;
@@ -91,7 +91,7 @@
     pub serving: HeartbeatDelegation,
     pub submit_times: RefCell<Histogram<u64>>,
     wake: Notify,
-    step_down: Notify,
+    step_down_signal: Notify,
     known_leader: RefCell<Option<KnownLeader>>,
     peer_states: RefCell<HashMap<String, PeerState>>,
     peer_queues: Vec<mpsc::Sender<Rc<Vec<u8>>>>,
@@ -129,7 +129,7 @@
     /// Whether leases were renewed when a worker reported last.
     renews: Cell<bool>,
     /// Ends heard of while the records are read, when there is no registry to tell them to.
-    ends_while_loading: RefCell<Vec<(String, End)>>,
+    ends_while_loading: RefCell<Vec<(String, JobEnd)>>,
 }
 
 /// Where the node's steady clock begins. Not at nothing, so that times before the start of this
@@ -169,7 +169,7 @@
             ),
             submit_times: RefCell::new(histogram),
             wake: Notify::new(),
-            step_down: Notify::new(),
+            step_down_signal: Notify::new(),
             known_leader: RefCell::new(None),
             peer_states: RefCell::default(),
             peer_queues,
@@ -200,8 +200,8 @@
         })
     }
 
-    pub fn now(&self) -> Time {
-        Time(CLOCK_BASE_US + self.epoch.elapsed().as_micros() as u64)
+    pub fn now(&self) -> Timestamp {
+        Timestamp(CLOCK_BASE_US + self.epoch.elapsed().as_micros() as u64)
     }
 
     pub fn wall_us(&self) -> u64 {
@@ -233,7 +233,7 @@
         drop(leader);
         let own = self.leadership.borrow().term();
         if name != self.settings.node_name && own.is_some_and(|own| own < term) {
-            self.give_up_lead("another node leads under a newer term");
+            self.step_down("another node leads under a newer term");
         }
     }
 
@@ -246,14 +246,14 @@
         }
     }
 
-    pub fn tell_peers(&self, frame: &Frame) {
+    pub fn broadcast(&self, frame: &Frame) {
         let bytes = Rc::new(frame.encode());
         for queue in &self.peer_queues {
             let _ = queue.try_send(bytes.clone());
         }
     }
 
-    pub fn tell_peer(&self, name: &str, frame: &Frame) {
+    pub fn send_to_peer(&self, name: &str, frame: &Frame) {
         let at = self.settings.peers.iter().position(|p| p.name == name);
         if let Some(queue) = at.and_then(|i| self.peer_queues.get(i)) {
             let _ = queue.try_send(Rc::new(frame.encode()));
@@ -261,16 +261,16 @@
     }
 
     /// Tells the others how this node stands. To a leader's they answer how far their logs go.
-    pub fn tell_status(&self) -> bool {
+    pub fn broadcast_status(&self) -> bool {
         let role = self.leadership.borrow().role();
         let (term, leading) = match role {
-            Role::Leading { term } | Role::Loading { term } => (term, true),
-            Role::Following | Role::Standing => (0, false),
+            Role::Leader { term } | Role::Loading { term } => (term, true),
+            Role::Follower | Role::Candidate => (0, false),
         };
         if leading {
             self.watermark.borrow_mut().ask(self.now(), self.statuses.get());
         }
-        self.tell_peers(&Frame::Status {
+        self.broadcast(&Frame::Status {
             name: self.settings.node_name.clone(),
             term,
             leading,
@@ -282,19 +282,19 @@
         self.statuses.set(self.statuses.get() + 1);
         if self.key_value.limits_lowered() {
             // A node that comes to lead later would find out again, with refused writes.
-            self.tell_peers(&Frame::LimitsLowered);
+            self.broadcast(&Frame::LimitsLowered);
         }
         leading
     }
 
     /// Tells the other nodes which of this one's cancellations they have not acknowledged yet.
-    fn tell_cancelled(&self) {
+    fn send_cancellations(&self) {
         let now = self.now();
         for peer in &self.settings.peers {
             let told = self.cancellation_log.borrow_mut().to_tell(now, &peer.name);
             if let Some((first, jobs)) = told {
                 let node = self.settings.node_name.clone();
-                self.tell_peer(
+                self.send_to_peer(
                     &peer.name,
                     &Frame::Cancellations { node, incarnation: self.incarnation, first, jobs },
                 );
@@ -303,7 +303,7 @@
     }
 
     /// Logs when leases cease to be renewed, and when they are again.
-    pub fn tell_renewing(&self, renews: bool) {
+    pub fn log_lease_renewal(&self, renews: bool) {
         if self.renews.replace(renews) != renews {
             match renews {
                 true => info!("leases are renewed again"),
@@ -315,27 +315,28 @@
     }
 
     /// Up to when every cancellation that any node told is known here.
-    pub fn cancellations_known_until(&self) -> Time {
+    pub fn cancellations_known_until(&self) -> Timestamp {
         self.watermark.borrow().until(self.now())
     }
 
     /// The job has ended, for certain: from the state service. Told to the other nodes before any
     /// user hears of it from this one.
-    pub fn learn_end(&self, name: &str, end: End) {
-        if end == End::Aborted && self.user_api.ended(name).is_none() {
+    pub fn learn_end(&self, name: &str, end: JobEnd) {
+        if end == JobEnd::Cancelled && self.user_api.ended(name).is_none() {
             self.cancellation_log.borrow_mut().append(self.now(), name);
-            self.tell_cancelled();
+            self.send_cancellations();
         }
-        self.tell_peers(&Frame::Ended { job: name.to_owned(), end });
+        self.broadcast(&Frame::Ended { job: name.to_owned(), end });
         self.take_end(name, end);
     }
 
     /// The job has ended, for certain: from the state service, or cancelled by another node's word,
     /// which tells only what is stored.
-    fn take_end(&self, name: &str, end: End) {
+    fn take_end(&self, name: &str, end: JobEnd) {
         let known = self.user_api.ended(name).is_some();
-        let open =
-            |s: &Scheduler| s.by_ref.get(name).and_then(|ix| s.job(*ix)).is_some_and(|j| !j.over);
+        let open = |s: &Scheduler| {
+            s.jobs_by_name.get(name).and_then(|ix| s.job(*ix)).is_some_and(|j| !j.over)
+        };
         if known && !self.scheduler.borrow().as_ref().is_some_and(open) {
             return;
         }
@@ -350,7 +351,7 @@
         }
         drop(scheduler);
         self.new_work.notify_one();
-        self.pump();
+        self.wake_leader();
     }
 
     pub fn peer_frame(&self, frame: Frame) {
@@ -375,10 +376,10 @@
                         asker_incarnation: incarnation,
                         asked: count,
                     };
-                    self.tell_peer(&name, &vouch);
+                    self.send_to_peer(&name, &vouch);
                 }
                 self.cancellation_log.borrow_mut().heard(&name, incarnation);
-                self.tell_cancelled();
+                self.send_cancellations();
                 let heard = Instant::now();
                 let state = PeerState { heard, store_reachable, redirected, incarnation, count };
                 let mut states = self.peer_states.borrow_mut();
@@ -403,8 +404,8 @@
             Frame::Progress { job, done, running } => self.user_api.progress(&job, done, running),
             // Told only once it is stored, so a fact: what it cancels is stopped, also while the state
             // service refuses this node.
-            Frame::Ended { job, end: End::Aborted } if is_job_ref(&job) => {
-                self.take_end(&job, End::Aborted);
+            Frame::Ended { job, end: JobEnd::Cancelled } if is_job_id(&job) => {
+                self.take_end(&job, JobEnd::Cancelled);
             }
             // Only a hint to look: a job is released by what the state service tells.
             Frame::Ended { job, .. } => {
@@ -413,7 +414,7 @@
             }
             Frame::Cancellations { node, incarnation, first, jobs } => {
                 for job in &jobs {
-                    self.take_end(job, End::Aborted);
+                    self.take_end(job, JobEnd::Cancelled);
                 }
                 let (now, n) = (self.now(), jobs.len() as u64);
                 let up_to = self.watermark.borrow_mut().told(now, &node, incarnation, first, n);
@@ -424,7 +425,7 @@
                         log_incarnation: incarnation,
                         up_to,
                     };
-                    self.tell_peer(&node, &ack);
+                    self.send_to_peer(&node, &ack);
                 }
             }
             Frame::CancellationsAck { node, incarnation, log_incarnation, up_to } => {
@@ -447,12 +448,12 @@
             Frame::LimitsLowered => self.key_value.learn_limits_lowered(),
             Frame::Machines(list) => {
                 let mut known = self.addresses.borrow_mut();
-                if known.len() + list.len() > MOST_ADDRESSES {
+                if known.len() + list.len() > MAX_ADDRESSES {
                     known.retain(|_, (_, heard)| heard.elapsed() < ADDRESS_FRESH);
                 }
                 let heard = Instant::now();
                 for (name, addr) in list {
-                    if known.len() < MOST_ADDRESSES || known.contains_key(&name) {
+                    if known.len() < MAX_ADDRESSES || known.contains_key(&name) {
                         known.insert(name, (addr, heard));
                     }
                 }
@@ -460,18 +461,18 @@
         }
     }
 
-    fn a_peer_is_served(&self) -> bool {
+    fn some_peer_reaches_store(&self) -> bool {
         let states = self.peer_states.borrow();
         states.values().any(|p| p.store_reachable && p.heard.elapsed() < PEER_FRESH)
     }
 
-    fn workers_go_elsewhere(&self) -> bool {
+    fn workers_reach_other_nodes(&self) -> bool {
         let states = self.peer_states.borrow();
         states.values().any(|p| p.redirected > 0 && p.heard.elapsed() < PEER_FRESH)
     }
 
     /// Whether other nodes exist and none of them is heard.
-    fn alone(&self) -> bool {
+    fn is_isolated(&self) -> bool {
         let states = self.peer_states.borrow();
         !self.settings.peers.is_empty()
             && self.epoch.elapsed() > PEER_FRESH
@@ -487,22 +488,22 @@
             return false;
         }
         let unserved = self.key_value.unreachable_for() > Duration::from_millis(1_500);
-        !(unserved && (self.a_peer_is_served() || self.alone()))
+        !(unserved && (self.some_peer_reaches_store() || self.is_isolated()))
     }
 
-    fn give_up_lead(&self, why: &str) {
+    fn step_down(&self, why: &str) {
         let now = self.now();
-        if self.leadership.borrow_mut().step(now, Input::Lost) {
+        if self.leadership.borrow_mut().step(now, ElectionEvent::Lost) {
             info!("no longer leading: {why}");
             *self.scheduler.borrow_mut() = None;
             *self.fleet.borrow_mut() = None;
             self.key_value.lead(false);
-            self.step_down.notify_waiters();
+            self.step_down_signal.notify_waiters();
         }
     }
 
     /// Lets the core decide and carries its commands out.
-    pub fn pump(&self) {
+    pub fn wake_leader(&self) {
         self.wake.notify_one();
     }
 }
@@ -523,7 +524,7 @@
         debug!(peer = %peer.name, "peer");
         let (queue, rx) = mpsc::channel(peer_queue(sockets));
         peer_queues.push(queue);
-        tokio::task::spawn_local(peers::talk(peer.addr, rx));
+        tokio::task::spawn_local(peers::run_sender(peer.addr, rx));
     }
     let node = Rc::new(Node::new(settings, tunables, client, peer_queues)?);
     node.key_value.lead(false);
@@ -531,7 +532,7 @@
     tokio::task::spawn_local(leader::election(node.clone()));
     tokio::task::spawn_local(machine_types::keep(node.clone()));
     tokio::task::spawn_local(machine_types_role::keep(node.clone()));
-    tokio::task::spawn_local(broadcast::keep_telling(node.clone()));
+    tokio::task::spawn_local(broadcast::run_broadcasts(node.clone()));
     tokio::task::spawn_local(broadcast::log_times(node.clone()));
     tokio::task::spawn_local(heartbeat_delegation::keep(node.clone()));
     let open = node.open.clone();
--- a/crates/controller/src/node/broadcast.rs
+++ b/crates/controller/src/node/broadcast.rs
@@ -11,17 +11,17 @@
 use crate::peers::{self, Frame};
 
 /// Tells the others how this node stands, and as the leader what they need for a quick take-over.
-pub(super) async fn keep_telling(node: Rc<Node>) {
+pub(super) async fn run_broadcasts(node: Rc<Node>) {
     let mut count = 0u32;
     loop {
-        let leading = node.tell_status();
+        let leading = node.broadcast_status();
         count += 1;
         if count.is_multiple_of(6) {
             node.redirected.set(0);
         }
         if leading {
-            tell_progress(&node);
-            tell_addresses(&node);
+            broadcast_progress(&node);
+            broadcast_addresses(&node);
         }
         let probe = node.clone();
         tokio::task::spawn_local(async move { probe.key_value.probe().await });
@@ -29,23 +29,23 @@
     }
 }
 
-fn tell_progress(node: &Node) {
+fn broadcast_progress(node: &Node) {
     let scheduler = node.scheduler.borrow();
     let Some(s) = scheduler.as_ref() else { return };
     let mut told = node.told.borrow_mut();
-    told.retain(|name, _| s.by_ref.contains_key(name));
-    for (name, &ix) in &s.by_ref {
+    told.retain(|name, _| s.jobs_by_name.contains_key(name));
+    for (name, &ix) in &s.jobs_by_name {
         let Some(counts) = s.counts(ix) else { continue };
         if told.get(name) != Some(&counts) {
             told.insert(name.clone(), counts);
             let (done, running) = counts;
-            node.tell_peers(&Frame::Progress { job: name.clone(), done, running });
+            node.broadcast(&Frame::Progress { job: name.clone(), done, running });
         }
     }
 }
 
 /// Tells the next few of the machines, by name, beginning anew after the last.
-fn tell_addresses(node: &Node) {
+fn broadcast_addresses(node: &Node) {
     let scheduler = node.scheduler.borrow();
     let Some(s) = scheduler.as_ref() else { return };
     let mut told = node.addresses_told.borrow_mut();
@@ -55,18 +55,18 @@
         .filter(|(n, &ix)| **n > *told && s.machines[ix as usize].state == MachineState::Up)
         .collect();
     names.sort_unstable();
-    let most = s.by_name.len().div_ceil(ADDRESS_TURN).max(peers::MOST_MACHINES);
+    let most = s.by_name.len().div_ceil(ADDRESS_TURN).max(peers::MAX_MACHINES);
     *told = match names.get(most) {
         Some(_) => names[most - 1].0.clone(),
         None => String::new(),
     };
     names.truncate(most);
-    for some in names.chunks(peers::MOST_MACHINES) {
+    for some in names.chunks(peers::MAX_MACHINES) {
         let list = some.iter().filter_map(|(name, &ix)| {
             let addr = s.machines[ix as usize].address.parse().ok()?;
             Some(((*name).clone(), addr))
         });
-        node.tell_peers(&Frame::Machines(list.collect()));
+        node.broadcast(&Frame::Machines(list.collect()));
     }
 }
 
--- a/crates/controller/src/node/fleet_role.rs
+++ b/crates/controller/src/node/fleet_role.rs
@@ -22,7 +22,7 @@
 /// Lags of the cloud's list after which a machine is on it for certain; it may lag twice as long as told.
 const LISTED_AFTER_LAGS: f64 = 3.0;
 /// Faulty records that are named in the log at a take-over.
-const MOST_FAULTS_LOGGED: usize = 5;
+const MAX_FAULTS_LOGGED: usize = 5;
 
 /// Takes the duty over with the lead: reads what former holders recorded and were not seen to settle.
 pub(super) async fn take_over(
@@ -43,7 +43,7 @@
     };
     // The term guards every write, so no record of an earlier one can come after this.
     let (stored, _) = retry(node, INTENT_PREFIX).await?;
-    let listed_within = node.site.list_lag.scale(LISTED_AFTER_LAGS);
+    let listed_within = node.site.list_lag.mul_f64(LISTED_AFTER_LAGS);
     let fence = Fence::new(Duty::Fleet, epoch);
     let mut ledger = Ledger::new(fence, write_limits(node), listed_within);
     let now = node.now();
@@ -88,10 +88,10 @@
     for machine in &adopted.overruled {
         warn!(machine, "its recorded return is dropped: work was recorded there after it");
     }
-    for fault in adopted.faults.iter().take(MOST_FAULTS_LOGGED) {
+    for fault in adopted.faults.iter().take(MAX_FAULTS_LOGGED) {
         error!("left as it is: {fault}");
     }
-    if let Some(more) = adopted.faults.len().checked_sub(MOST_FAULTS_LOGGED).filter(|n| *n > 0) {
+    if let Some(more) = adopted.faults.len().checked_sub(MAX_FAULTS_LOGGED).filter(|n| *n > 0) {
         error!("and {more} more records that this version can't act on");
     }
 }
@@ -192,7 +192,7 @@
         ledger.stopped().map(ToString::to_string)
     };
     match stopped {
-        Some(why) => node.give_up_lead(&format!("the fleet duty is over: {why}")),
+        Some(why) => node.step_down(&format!("the fleet duty is over: {why}")),
         None => advance(node, term),
     }
 }
--- a/crates/controller/src/node/golden_tests.rs
+++ b/crates/controller/src/node/golden_tests.rs
@@ -25,7 +25,7 @@
 /// Long enough to take the duty of the machine types and to share them.
 const DUTY: Duration = Duration::from_secs(150);
 
-type Found = Vec<(&'static str, String)>;
+type JobEndLookup = Vec<(&'static str, String)>;
 
 fn submission() -> Value {
     json!({"ref": "req-000501", "shell": "c", "crew": "one", "husk": "batch", "rank": "high",
@@ -67,7 +67,7 @@
     ask(node, "POST", "/submissions", body).await
 }
 
-async fn accepted_answers(store: &StandIn) -> Found {
+async fn accepted_answers(store: &StandIn) -> JobEndLookup {
     let node = store.node();
     let ready = |node: Rc<Node>| async move { ask(&node, "GET", "/ready", "").await };
     let mut found = vec![("not ready", ready(node.clone()).await)];
@@ -86,7 +86,7 @@
     found
 }
 
-async fn ended_answers(store: &StandIn) -> Found {
+async fn ended_answers(store: &StandIn) -> JobEndLookup {
     let node = store.node();
     let withdraw = "/submissions/req-000501/withdraw";
     let mut found = vec![("withdrawn", ask(&node, "POST", withdraw, "").await)];
@@ -105,7 +105,7 @@
     found
 }
 
-async fn refusals(store: &StandIn) -> Found {
+async fn refusals(store: &StandIn) -> JobEndLookup {
     let node = store.node();
     let of = |field: &'static str, value: Value| {
         let node = node.clone();
@@ -150,7 +150,7 @@
     ]
 }
 
-async fn server_refusals(store: &StandIn) -> Found {
+async fn server_refusals(store: &StandIn) -> JobEndLookup {
     let node = store.node();
     let long = format!("GET /{} HTTP/1.1\r\n", "x".repeat(9_000));
     let close = b"GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n";
@@ -166,7 +166,7 @@
     ]
 }
 
-async fn outage_answers(store: &StandIn) -> Found {
+async fn outage_answers(store: &StandIn) -> JobEndLookup {
     let node = store.node();
     let untyped = store.node();
     untyped.types.borrow_mut().clear();
@@ -224,7 +224,7 @@
         found.push(("400, machine", heartbeat(&leader, &idle_report("", 1)).await));
         let no_address = idle_report("n-3", 1).replace("10.0.0.1:1", "here");
         found.push(("400, address", heartbeat(&leader, &no_address).await));
-        leader.learn_end(JOB, End::Aborted);
+        leader.learn_end(JOB, JobEnd::Cancelled);
         found.push(("200 with kill", heartbeat(&leader, &report_of(2, 0)).await));
         found.push(("200, finished", heartbeat(&leader, &finished_report(3, 0)).await));
         found.push((
--- a/crates/controller/src/node/leader.rs
+++ b/crates/controller/src/node/leader.rs
@@ -6,14 +6,14 @@
 use tokio::time::{sleep, timeout, Duration, Instant};
 use tracing::{debug, info, warn};
 use walnutlug_fencing::lease;
-use walnutlug_scheduler::leadership::election::{Input, Role};
+use walnutlug_scheduler::leadership::election::{ElectionEvent, Role};
 use walnutlug_scheduler::leadership::watermark;
-use walnutlug_scheduler::model::job::{keys, End};
+use walnutlug_scheduler::model::job::{keys, JobEnd};
 use walnutlug_scheduler::protocol::{Compare, Operation, ScaleOutRequest, Transaction, WatchEvent};
-use walnutlug_scheduler::queue::dependencies::Found;
+use walnutlug_scheduler::queue::dependencies::JobEndLookup;
 use walnutlug_scheduler::scheduler::{Command, Scheduler, TransactionOutcome};
 use walnutlug_scheduler::storage::document::Document;
-use walnutlug_scheduler::time::{Span, Time};
+use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 
 use super::{fleet_role, Node, ADDRESS_FRESH};
 use crate::cloud_client::CloudError;
@@ -21,7 +21,7 @@
 use crate::{heartbeat_delegation, worker_api};
 
 /// How long a leader that gave way leaves the lead to others.
-const ASIDE: Span = Span::secs(15);
+const STEP_DOWN_BACKOFF: TimeDelta = TimeDelta::from_secs(15);
 
 /// How often a leader reads again what there is to do.
 const RECONCILE_EVERY: Duration = Duration::from_secs(20);
@@ -39,7 +39,7 @@
                     continue;
                 }
                 if name == node.settings.node_name {
-                    end_former_lead(&node, &key_value).await;
+                    release_former_lease(&node, &key_value).await;
                 }
                 node.learn_leader(&name, key_value.revision);
                 let hold = Duration::from_secs(10);
@@ -63,8 +63,8 @@
             Ok(None) => {
                 node.ready_once.set(true);
                 let now = node.now();
-                if node.leadership.borrow_mut().step(now, Input::Vacant) {
-                    stand(&node).await;
+                if node.leadership.borrow_mut().step(now, ElectionEvent::Vacant) {
+                    campaign(&node).await;
                 } else {
                     sleep(Duration::from_millis(200)).await;
                 }
@@ -77,25 +77,25 @@
 /// The key names this node, but not this life of it: the process ended while it led, and came back
 /// before its lease ran out. Nobody leads, so the lease is ended at once. Were the former self
 /// alive against all order, its writes would fail, and nothing worse.
-async fn end_former_lead(node: &Node, key_value: &walnutlug_scheduler::protocol::KeyValue) {
+async fn release_former_lease(node: &Node, key_value: &walnutlug_scheduler::protocol::KeyValue) {
     if let Some(lease) = key_value.value["lease"].as_u64() {
         info!(term = key_value.revision, "this node led when it ended: its lease is given up");
         let _ = node.key_value.release(lease).await;
     }
 }
 
-async fn stand(node: &Rc<Node>) {
+async fn campaign(node: &Rc<Node>) {
     let ttl = Duration::from_micros(node.tunables.leader_lease.0);
     let lost = |input| {
         node.leadership.borrow_mut().step(node.now(), input);
     };
     let asked = Instant::now();
     let Ok(lease) = node.key_value.lease(ttl).await else {
-        lost(Input::Failed);
+        lost(ElectionEvent::Failed);
         sleep(Duration::from_millis(rand::random_range(50..200))).await;
         return;
     };
-    node.lease_until.set(asked + certain(ttl));
+    node.lease_until.set(asked + safe_lease_duration(ttl));
     let value = leader_record(&node.settings.node_name, &node.election_nonce, lease);
     let transaction = Transaction {
         compares: vec![Compare { key: keys::LEADER.into(), revision: 0 }],
@@ -109,10 +109,10 @@
     let Some(term) = term else {
         // Ending the lease ends whatever a late copy of the transaction might yet create.
         let _ = node.key_value.release(lease).await;
-        lost(Input::Failed);
+        lost(ElectionEvent::Failed);
         return;
     };
-    if !node.leadership.borrow_mut().step(node.now(), Input::Won { term }) {
+    if !node.leadership.borrow_mut().step(node.now(), ElectionEvent::Won { term }) {
         return;
     }
     info!(term, "elected");
@@ -148,27 +148,27 @@
     children.push(tokio::task::spawn_local(async move {
         keep_lease(&lease_node, lease, touched).await;
     }));
-    let over = node.step_down.notified();
+    let over = node.step_down_signal.notified();
     let work = async {
         if let Err(e) = load(node, term).await {
-            node.give_up_lead(&format!("the records can't be read: {e}"));
+            node.step_down(&format!("the records can't be read: {e}"));
             return;
         }
-        decide(node, term).await;
+        run_scheduler(node, term).await;
     };
     tokio::select! {
         _ = over => {}
         _ = work => {}
     }
-    node.give_up_lead("the term is over");
+    node.step_down("the term is over");
     for child in children {
         child.abort();
     }
 }
 
 /// For how long after it was asked for the lease is certainly held, whatever the clocks do.
-fn certain(ttl: Duration) -> Duration {
-    Duration::from_micros(lease::certain_for(Span(ttl.as_micros() as u64)).0)
+fn safe_lease_duration(ttl: Duration) -> Duration {
+    Duration::from_micros(lease::safe_lease_time(TimeDelta(ttl.as_micros() as u64)).0)
 }
 
 async fn keep_lease(node: &Rc<Node>, lease: u64, mut touched: Instant) {
@@ -179,10 +179,10 @@
         match node.key_value.touch(lease).await {
             Ok(()) => {
                 touched = sent;
-                node.lease_until.set(sent + certain(ttl));
+                node.lease_until.set(sent + safe_lease_duration(ttl));
             }
             Err(KeyValueError::Expired) => {
-                node.give_up_lead("the lease ran out");
+                node.step_down("the lease ran out");
                 return;
             }
             Err(e) => {
@@ -223,9 +223,9 @@
         // strange to the registry and will be stopped where it reports.
         warn!("stored {key} belongs to no job and is passed over");
     }
-    let open: Vec<String> = s.by_ref.keys().cloned().collect();
+    let open: Vec<String> = s.jobs_by_name.keys().cloned().collect();
     loop {
-        match ended_of(node, open.clone()).await {
+        match find_ended_jobs(node, open.clone()).await {
             Ok(ended) => {
                 for name in &ended {
                     s.job_over(now, name);
@@ -245,18 +245,18 @@
     let placed: usize = s.machines.iter().map(|m| m.tasks.len()).sum();
     info!(
         term,
-        jobs = s.by_ref.len(),
+        jobs = s.jobs_by_name.len(),
         placed,
         ms = began.elapsed().as_millis() as u64,
         "records read: leading"
     );
     install(node, s);
     node.watermark.borrow_mut().read(asked);
-    if !node.leadership.borrow_mut().step(node.now(), Input::Loaded { term }) {
+    if !node.leadership.borrow_mut().step(node.now(), ElectionEvent::Loaded { term }) {
         return Err(KeyValueError::Expired);
     }
     // The others hear of it at once, and go on answering workers under this term.
-    node.tell_status();
+    node.broadcast_status();
     for prefix in [keys::DESCRIPTIONS, keys::END] {
         tokio::task::spawn_local(watch(node.clone(), term, prefix, store_revision));
     }
@@ -266,7 +266,7 @@
 }
 
 /// Which of the jobs have ended, by comparing: the ends of all jobs ever are never listed.
-async fn ended_of(node: &Node, mut open: Vec<String>) -> Result<Vec<String>, KeyValueError> {
+async fn find_ended_jobs(node: &Node, mut open: Vec<String>) -> Result<Vec<String>, KeyValueError> {
     let mut found = Vec::new();
     while !open.is_empty() {
         let most = node.key_value.max_compares();
@@ -298,24 +298,25 @@
 }
 
 /// How the jobs stand by what is stored, as far as it can be read.
-async fn find_ends(node: &Node, names: Vec<String>) -> Vec<(String, Found)> {
+async fn look_up_job_ends(node: &Node, names: Vec<String>) -> Vec<(String, JobEndLookup)> {
     let mut found = Vec::new();
-    let Ok(ended) = ended_of(node, names.clone()).await else { return found };
+    let Ok(ended) = find_ended_jobs(node, names.clone()).await else { return found };
     for name in &ended {
         if let Ok(Some(end)) = node.key_value.end(name).await {
-            found.push((name.clone(), Found::Ended(end)));
+            found.push((name.clone(), JobEndLookup::Ended(end)));
         }
     }
     let open: Vec<String> = names.into_iter().filter(|n| !ended.contains(n)).collect();
     for name in open {
         // What is in the registry was accepted; of anything else, the proof is looked for once.
-        let known = node.scheduler.borrow().as_ref().is_some_and(|s| s.by_ref.contains_key(&name));
+        let known =
+            node.scheduler.borrow().as_ref().is_some_and(|s| s.jobs_by_name.contains_key(&name));
         if known {
-            found.push((name, Found::Open));
+            found.push((name, JobEndLookup::Open));
         } else if let Ok(proof) =
             node.key_value.get(RequestClass::Dispatch, &keys::job(&name)).await
         {
-            let state = if proof.is_some() { Found::Open } else { Found::Missing };
+            let state = if proof.is_some() { JobEndLookup::Open } else { JobEndLookup::Missing };
             found.push((name, state));
         }
     }
@@ -327,7 +328,7 @@
 async fn reconcile(node: Rc<Node>, term: u64) {
     loop {
         sleep(RECONCILE_EVERY).await;
-        if !leads(&node, term) {
+        if !is_leading_under(&node, term) {
             return;
         }
         if !node.key_value.store_reachable() {
@@ -349,22 +350,25 @@
             // One that was cleaned up since the list was read comes back here as a job to do; the
             // guard on its end then fails, and it is cleaned up again.
             if let Some(name) = keys::described(&key_value.key) {
-                if !s.by_ref.contains_key(name) && s.add_job(now, name, &key_value.value, wall) {
+                if !s.jobs_by_name.contains_key(name)
+                    && s.add_job(now, name, &key_value.value, wall)
+                {
                     info!(job = %name, "found by reading the records again");
                 }
             }
         }
         // What others wait for may not be in the registry: its end has to be heard of all the same.
-        let needs = s.open_needs().into_iter().filter(|n| !s.by_ref.contains_key(n));
-        let needs: Vec<String> = needs.collect();
-        [s.open_jobs(), needs].concat()
+        let dependencies =
+            s.open_dependencies().into_iter().filter(|n| !s.jobs_by_name.contains_key(n));
+        let dependencies: Vec<String> = dependencies.collect();
+        [s.open_jobs(), dependencies].concat()
     };
-    for name in ended_of(node, open).await? {
+    for name in find_ended_jobs(node, open).await? {
         if let Some(end) = node.key_value.end(&name).await? {
             node.learn_end(&name, end);
         }
     }
-    node.pump();
+    node.wake_leader();
     Ok(())
 }
 
@@ -398,8 +402,8 @@
     }
 }
 
-fn leads(node: &Node, term: u64) -> bool {
-    node.leadership.borrow().role() == Role::Leading { term }
+fn is_leading_under(node: &Node, term: u64) -> bool {
+    node.leadership.borrow().role() == Role::Leader { term }
 }
 
 /// Shortest time between two openings of a watch.
@@ -417,12 +421,12 @@
     // The watch on ends moves the watermark each time it returns, so it returns often.
     let sixth = Duration::from_micros(watermark::window(&node.site).0 / 6);
     let hold = sixth.clamp(Duration::from_millis(100), Duration::from_secs(10));
-    while leads(&node, term) {
+    while is_leading_under(&node, term) {
         let (opened, asked) = (Instant::now(), node.now());
         match node.key_value.watch(RequestClass::Dispatch, prefix, from, hold).await {
             Ok(watched) => {
                 from = watched.store_revision.max(from);
-                if !leads(&node, term) {
+                if !is_leading_under(&node, term) {
                     return;
                 }
                 let (now, wall) = (node.now(), node.wall_us());
@@ -433,7 +437,7 @@
                             s.add_job(now, name, value, wall);
                         }
                     } else if let Some(name) = put.strip_prefix(keys::END) {
-                        if let Ok(end) = serde_json::from_value::<End>(value.clone()) {
+                        if let Ok(end) = serde_json::from_value::<JobEnd>(value.clone()) {
                             node.learn_end(name, end);
                         }
                     }
@@ -442,10 +446,10 @@
                     // All that was stored when it was opened is in this answer or an earlier one.
                     node.watermark.borrow_mut().read(asked);
                 }
-                node.pump();
+                node.wake_leader();
             }
             Err(KeyValueError::Expired) => {
-                node.give_up_lead("the watch lost its place: the records are read again");
+                node.step_down("the watch lost its place: the records are read again");
                 return;
             }
             Err(_) => sleep(Duration::from_millis(300)).await,
@@ -461,7 +465,7 @@
 async fn list_machines(node: Rc<Node>, term: u64) {
     let every = Duration::from_micros(node.site.list_lag.0 / 2)
         .clamp(Duration::from_secs(3), Duration::from_secs(10));
-    while leads(&node, term) {
+    while is_leading_under(&node, term) {
         let asked = Instant::now();
         let pause = match node.cloud.list().await {
             Ok(list) => {
@@ -469,7 +473,7 @@
                 if let Some(s) = node.scheduler.borrow_mut().as_mut() {
                     s.machine_list(now, &list);
                 }
-                node.pump();
+                node.wake_leader();
                 // The pages of a large fleet's list leave half of the cloud's rate to rentals and returns.
                 every.max(asked.elapsed())
             }
@@ -481,33 +485,33 @@
 
 /// Shortest and longest pause between two turns of the leader's loop.
 const LEAST_PAUSE: Duration = Duration::from_millis(10);
-const MOST_PAUSE: Duration = Duration::from_millis(500);
+const MAX_PAUSE: Duration = Duration::from_millis(500);
 
 /// What the leader leaves to everything else after a turn that took so long: as much of the node's part
 /// of a core as the turn used. Under load the next turn then decides more at once. (Without a pause,
 /// rounds of 2 ms each took all of a fiftieth of a core for ten seconds, and reports and submissions
 /// waited behind them.)
 fn pause_after(turn: Duration, cpu_share: f64) -> Duration {
-    turn.div_f64(cpu_share).clamp(LEAST_PAUSE, MOST_PAUSE)
+    turn.div_f64(cpu_share).clamp(LEAST_PAUSE, MAX_PAUSE)
 }
 
 /// The leader's loop: whenever something happened, and now and then, the core decides.
-async fn decide(node: &Rc<Node>, term: u64) {
+async fn run_scheduler(node: &Rc<Node>, term: u64) {
     let mut last = Instant::now();
-    while leads(node, term) {
+    while is_leading_under(node, term) {
         let began = Instant::now();
         {
             let now = node.now();
             let mut guard = node.scheduler.borrow_mut();
             let Some(s) = guard.as_mut() else { return };
-            let cut_off = (node.workers_go_elsewhere() && s.deaf(now))
+            let cut_off = (node.workers_reach_other_nodes() && s.hears_no_worker(now))
                 || (node.serving.has_followers() && s.reaches_no_worker(now));
             if cut_off {
                 drop(guard);
                 // Cut off from the workers while they reach another node: leading from here
                 // serves nobody. Another may, and this one holds back for a while.
-                node.leadership.borrow_mut().stand_aside(now, ASIDE);
-                node.give_up_lead("no worker reaches this node, but they reach others");
+                node.leadership.borrow_mut().back_off(now, STEP_DOWN_BACKOFF);
+                node.step_down("no worker reaches this node, but they reach others");
                 return;
             }
             let (left, most) = node.key_value.write_allowance();
@@ -523,7 +527,7 @@
             drop(guard);
             heartbeat_delegation::send_invalidations(node);
             for command in commands {
-                carry_out(node, term, command);
+                execute(node, term, command);
             }
             fleet_role::advance(node, term);
         }
@@ -537,7 +541,11 @@
     }
 }
 
-pub(super) fn with_scheduler(node: &Rc<Node>, term: u64, f: impl FnOnce(&mut Scheduler, Time)) {
+pub(super) fn with_scheduler(
+    node: &Rc<Node>,
+    term: u64,
+    f: impl FnOnce(&mut Scheduler, Timestamp),
+) {
     let now = node.now();
     if let Some(s) = node.scheduler.borrow_mut().as_mut() {
         // Answers to a former term's requests mean nothing to this one's registry.
@@ -545,14 +553,14 @@
             f(s, now);
         }
     }
-    node.pump();
+    node.wake_leader();
 }
 
-fn carry_out(node: &Rc<Node>, term: u64, command: Command) {
+fn execute(node: &Rc<Node>, term: u64, command: Command) {
     let node = node.clone();
     match command {
         Command::Note(text) => info!("{text}"),
-        Command::StepDown(why) => node.give_up_lead(why),
+        Command::StepDown(why) => node.step_down(why),
         Command::VerifyLeadership => {
             if !node.checking_lead.replace(true) {
                 tokio::task::spawn_local(async move {
@@ -560,7 +568,7 @@
                         node.key_value.get(RequestClass::Leadership, keys::LEADER).await
                     {
                         if found.is_none_or(|key_value| key_value.revision != term) {
-                            node.give_up_lead("the leader key is not this term's any more");
+                            node.step_down("the leader key is not this term's any more");
                         }
                     }
                     sleep(Duration::from_millis(500)).await;
@@ -586,7 +594,7 @@
         }
         Command::FindJobEnds { names } => {
             tokio::task::spawn_local(async move {
-                let found = find_ends(&node, names).await;
+                let found = look_up_job_ends(&node, names).await;
                 with_scheduler(&node, term, |s, now| s.job_ends_found(now, &found));
             });
         }
--- a/crates/controller/src/node/leader/tests.rs
+++ b/crates/controller/src/node/leader/tests.rs
@@ -39,7 +39,7 @@
     store.put("other", leader_record("kernel-1", "x", 6));
     let key_value =
         node.key_value.get(RequestClass::Leadership, keys::LEADER).await.expect("ok").expect("key");
-    end_former_lead(&node, &key_value).await;
+    release_former_lease(&node, &key_value).await;
     assert!(!store.holds(keys::LEADER));
     assert!(store.holds("other"));
 }
--- a/crates/controller/src/node/machine_types_role.rs
+++ b/crates/controller/src/node/machine_types_role.rs
@@ -15,13 +15,13 @@
 use walnutlug_scheduler::model::job::keys;
 use walnutlug_scheduler::protocol::{KeyValue, MachineType, Operation};
 use walnutlug_scheduler::scheduler::TransactionOutcome;
-use walnutlug_scheduler::time::{Span, Time};
+use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 
 use super::{Node, PEER_FRESH};
 use crate::key_value_client::{KeyValueError, RequestClass};
 
 const DUTY: Duty = Duty::MachineTypes;
-const LEASE: Span = Span::secs(12);
+const LEASE: TimeDelta = TimeDelta::from_secs(12);
 /// How often the holder renews its lease and the others look who holds the duty.
 const LOOK_EVERY: Duration = Duration::from_secs(4);
 
@@ -51,7 +51,7 @@
 
 impl TypeDuty {
     /// Whether this node certainly holds the duty now.
-    pub(super) fn is_held(&self, now: Time) -> bool {
+    pub(super) fn is_held(&self, now: Timestamp) -> bool {
         self.lease.borrow().permit(now).is_some()
     }
 
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -88,15 +88,15 @@
     node.peer_frame(status(7, 2, false));
     node.peer_frame(status(6, 90, true));
     node.peer_frame(status(7, 1, true));
-    assert!(!node.a_peer_is_served());
+    assert!(!node.some_peer_reaches_store());
     node.peer_frame(status(7, 3, true));
-    assert!(node.a_peer_is_served());
+    assert!(node.some_peer_reaches_store());
     // Its clock wandered back over a quick restart: it is heard again after a while.
     node.peer_frame(status(5, 1, false));
-    assert!(node.a_peer_is_served());
+    assert!(node.some_peer_reaches_store());
     tokio::time::advance(PEER_FRESH).await;
     node.peer_frame(status(5, 2, true));
-    assert!(node.a_peer_is_served());
+    assert!(node.some_peer_reaches_store());
 }
 
 #[tokio::test(start_paused = true)]
@@ -112,8 +112,8 @@
 #[tokio::test(start_paused = true)]
 async fn a_newer_term_ends_the_lead_and_an_older_one_does_not() {
     let node = StandIn::default().node();
-    node.leadership.borrow_mut().step(node.now(), Input::Vacant);
-    node.leadership.borrow_mut().step(node.now(), Input::Won { term: 5 });
+    node.leadership.borrow_mut().step(node.now(), ElectionEvent::Vacant);
+    node.leadership.borrow_mut().step(node.now(), ElectionEvent::Won { term: 5 });
     let status = |term| Frame::Status {
         name: "kernel-1".into(),
         term,
@@ -160,13 +160,15 @@
         node.now(),
         &[walnutlug_scheduler::protocol::KeyValue { key: keys::run(JOB, 0), value, revision: 1 }],
     );
-    for input in [Input::Vacant, Input::Won { term: 5 }, Input::Loaded { term: 5 }] {
+    for input in
+        [ElectionEvent::Vacant, ElectionEvent::Won { term: 5 }, ElectionEvent::Loaded { term: 5 }]
+    {
         node.leadership.borrow_mut().step(node.now(), input);
     }
     *node.scheduler.borrow_mut() = Some(s);
     for _ in 0..2 {
         for node in &c.nodes {
-            node.tell_status();
+            node.broadcast_status();
         }
         c.deliver(|_, _| true).await;
         node.watermark.borrow_mut().read(node.now());
@@ -246,11 +248,11 @@
             let machine = scheduler.as_ref().and_then(|s| s.machines.first()).expect("a machine");
             assert_eq!((machine.sequence, machine.last_heartbeat), (39, leader.now()));
             drop(scheduler);
-            leader.learn_end(JOB, End::Aborted);
+            leader.learn_end(JOB, JobEnd::Cancelled);
             let (status, _, calls) = report_on(&leader, &last, 40, token);
             assert_eq!((status, calls), (200, vec!["\"kill\"".to_owned()]));
             // One that no longer leads renews nothing, whatever it remembers.
-            leader.give_up_lead("for the test");
+            leader.step_down("for the test");
             assert_eq!(report_on(&leader, &last, 41, token).0, 421);
         })
         .await;
@@ -282,7 +284,7 @@
                 while told.elapsed() < Duration::from_secs(40) {
                     let open = told.elapsed() >= Duration::from_millis(lost_for);
                     for node in &c.nodes {
-                        node.tell_status();
+                        node.broadcast_status();
                     }
                     c.deliver(|from, to| open || (from, to) != (1, 0)).await;
                     let (status, calls) = report_once(&leader, sequence);
@@ -322,11 +324,11 @@
             let back = fresh.nodes[1].clone();
             assert_ne!(back.incarnation, c.nodes[1].incarnation);
             for sequence in 2..42 {
-                leader.tell_status();
+                leader.broadcast_status();
                 for frame in c.take(0, 1).await {
                     back.peer_frame(frame);
                 }
-                back.tell_status();
+                back.broadcast_status();
                 for frame in fresh.take(1, 0).await {
                     leader.peer_frame(frame);
                 }
@@ -339,7 +341,7 @@
             }
             // The service is back, and its watch tells the end: killed, and renewed again.
             store.fault(Fault::None);
-            leader.learn_end(JOB, End::Aborted);
+            leader.learn_end(JOB, JobEnd::Cancelled);
             leader.watermark.borrow_mut().read(leader.now());
             let (status, calls) = report_once(&leader, 50);
             assert_eq!((status, calls.len()), (200, 1));
@@ -351,7 +353,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_leader_that_reads_its_records_renews_no_lease() {
     let node = StandIn::default().node();
-    for input in [Input::Vacant, Input::Won { term: 5 }] {
+    for input in [ElectionEvent::Vacant, ElectionEvent::Won { term: 5 }] {
         node.leadership.borrow_mut().step(node.now(), input);
     }
     assert_eq!(report_once(&node, 1).0, 421);
@@ -364,8 +366,8 @@
     let c = leader_with_a_task(&store).await;
     let node = c.nodes[0].clone();
     let registry = node.scheduler.borrow_mut().take().expect("a registry");
-    node.leadership.borrow_mut().step(node.now(), Input::Lost);
-    for input in [Input::Vacant, Input::Won { term: 6 }] {
+    node.leadership.borrow_mut().step(node.now(), ElectionEvent::Lost);
+    for input in [ElectionEvent::Vacant, ElectionEvent::Won { term: 6 }] {
         node.leadership.borrow_mut().step(node.now(), input);
     }
     node.peer_frame(Frame::Cancellations {
--- a/crates/controller/src/operator_script.rs
+++ b/crates/controller/src/operator_script.rs
@@ -6,7 +6,7 @@
 
 use mlua::{HookTriggers, Lua, LuaOptions, StdLib, Table, Value, VmState};
 use walnutlug_admission::shares::WEIGHTS;
-use walnutlug_scheduler::time::Span;
+use walnutlug_scheduler::time::TimeDelta;
 use walnutlug_scheduler::tunables::{Site, Tunables};
 
 /// What ships; checked by the same code as an operator's own.
@@ -129,10 +129,10 @@
         }
     }
 
-    fn span(&mut self, name: &'static str, slot: &mut Span, least: f64, most: f64) {
-        let mut seconds = slot.as_secs();
+    fn span(&mut self, name: &'static str, slot: &mut TimeDelta, least: f64, most: f64) {
+        let mut seconds = slot.as_secs_f64();
         self.number(name, &mut seconds, least, most);
-        *slot = Span::from_secs(seconds);
+        *slot = TimeDelta::from_secs_f64(seconds);
     }
 
     fn count(&mut self, name: &'static str, slot: &mut u32, least: u32, most: u32) {
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -14,10 +14,10 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 use tracing::debug;
-use walnutlug_scheduler::leadership::watermark::MOST_TOLD;
-use walnutlug_scheduler::model::job::End;
-use walnutlug_scheduler::model::task::MachineIx;
-use walnutlug_scheduler::protocol::is_job_ref;
+use walnutlug_scheduler::leadership::watermark::MAX_TOLD;
+use walnutlug_scheduler::model::job::JobEnd;
+use walnutlug_scheduler::model::task::MachineIndex;
+use walnutlug_scheduler::protocol::is_job_id;
 use zerocopy::little_endian::{U16, U32, U64};
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
 
@@ -29,17 +29,17 @@
 };
 pub use heartbeat_frames::{
     DelegationGranted, DelegationRequest, ForwardedHeartbeat, ForwardedResponse, RepeatedHeartbeat,
-    MOST_CARRIED, MOST_ENTRIES,
+    MAX_CARRIED, MAX_ENTRIES,
 };
 
-/// Bytes of a job's name; `is_job_ref` allows fewer.
+/// Bytes of a job's name; `is_job_id` allows fewer.
 const JOB_BYTES: usize = 32;
 const MAGIC: u32 = 0x4755_4c57;
 const VERSION: u16 = 2;
 const MOST: usize = 4096;
-const MOST_WRITE: usize = 32 * 1024;
+const MAX_WRITE: usize = 32 * 1024;
 /// Connections from peers at once, with room for stale ones.
-pub const MOST_OPEN: u32 = 64;
+pub const MAX_OPEN: u32 = 64;
 
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned, Clone, Copy)]
 #[repr(C)]
@@ -131,7 +131,7 @@
 
 /// Machines in one frame. One frame each, the hints of a large fleet overran the queue, and a
 /// take-over asked only a part of it.
-pub const MOST_MACHINES: usize = 120;
+pub const MAX_MACHINES: usize = 120;
 
 /// One message between nodes.
 #[derive(Debug, Clone, PartialEq)]
@@ -153,7 +153,7 @@
     },
     Ended {
         job: String,
-        end: End,
+        end: JobEnd,
     },
     NewJob {
         job: String,
@@ -198,7 +198,7 @@
     Invalidated {
         term: u64,
         first: u64,
-        cache_entries: Vec<(MachineIx, u64)>,
+        cache_entries: Vec<(MachineIndex, u64)>,
     },
 }
 
@@ -247,13 +247,13 @@
                 (KIND_PROGRESS, job_body(job, *done, *running, 0).as_bytes().to_vec())
             }
             Frame::Ended { job, end } => {
-                let code = if *end == End::Done { 1 } else { 2 };
+                let code = if *end == JobEnd::Done { 1 } else { 2 };
                 (KIND_ENDED, job_body(job, 0, 0, code).as_bytes().to_vec())
             }
             Frame::Machines(list) => {
                 let mut body = Vec::with_capacity(list.len() * size_of::<MachineBody>());
                 // A longer name than any cloud gave so far has no place here and is asked later.
-                for (name, addr) in list.iter().take(MOST_MACHINES).filter(|m| m.0.len() <= 26) {
+                for (name, addr) in list.iter().take(MAX_MACHINES).filter(|m| m.0.len() <= 26) {
                     let entry = MachineBody {
                         name: name_field(name),
                         ip: u32::from(*addr.ip()).into(),
@@ -270,7 +270,7 @@
                     first: (*first).into(),
                 };
                 let mut body = head.as_bytes().to_vec();
-                for job in jobs.iter().take(MOST_TOLD) {
+                for job in jobs.iter().take(MAX_TOLD) {
                     body.extend_from_slice(&name_field::<JOB_BYTES>(job));
                 }
                 (KIND_CANCELLATIONS, body)
@@ -335,7 +335,7 @@
             }
             KIND_MACHINES => {
                 let size = size_of::<MachineBody>();
-                if !body.len().is_multiple_of(size) || body.len() > MOST_MACHINES * size {
+                if !body.len().is_multiple_of(size) || body.len() > MAX_MACHINES * size {
                     return Err("odd list of machines");
                 }
                 let mut list = Vec::with_capacity(body.len() / size);
@@ -354,8 +354,8 @@
                         Frame::Progress { job, done: b.done.get(), running: b.running.get() }
                     }
                     (KIND_NEW_JOB, _) => Frame::NewJob { job },
-                    (_, 1) => Frame::Ended { job, end: End::Done },
-                    (_, 2) => Frame::Ended { job, end: End::Aborted },
+                    (_, 1) => Frame::Ended { job, end: JobEnd::Done },
+                    (_, 2) => Frame::Ended { job, end: JobEnd::Cancelled },
                     _ => return Err("bad end"),
                 }))
             }
@@ -368,7 +368,7 @@
                 let mut jobs = Vec::with_capacity(names.len() / JOB_BYTES);
                 for name in names.chunks_exact(JOB_BYTES) {
                     // These are acted on: a name that no job has is no cancellation.
-                    let job = name_of(name).filter(|n| is_job_ref(n));
+                    let job = name_of(name).filter(|n| is_job_id(n));
                     jobs.push(job.ok_or("bad job name")?);
                 }
                 Ok(Some(Frame::Cancellations {
@@ -464,7 +464,7 @@
             tokio::time::sleep(Duration::from_millis(100)).await;
             continue;
         };
-        if open.get() >= MOST_OPEN {
+        if open.get() >= MAX_OPEN {
             continue;
         }
         open.set(open.get() + 1);
@@ -491,13 +491,13 @@
 
 /// Sends what is queued for one peer over a connection that is made anew when it breaks. What
 /// can't be sent is dropped: it was only a hint.
-pub async fn talk(addr: std::net::SocketAddrV4, mut queue: mpsc::Receiver<Rc<Vec<u8>>>) {
+pub async fn run_sender(addr: std::net::SocketAddrV4, mut queue: mpsc::Receiver<Rc<Vec<u8>>>) {
     let mut stream: Option<TcpStream> = None;
     let patience = Duration::from_secs(1);
     while let Some(first) = queue.recv().await {
         // What has queued up goes out in one piece.
         let mut message = first.to_vec();
-        while message.len() < MOST_WRITE {
+        while message.len() < MAX_WRITE {
             let Ok(more) = queue.try_recv() else { break };
             message.extend_from_slice(&more);
         }
--- a/crates/controller/src/peers/golden_tests.rs
+++ b/crates/controller/src/peers/golden_tests.rs
@@ -3,7 +3,7 @@
 
 use walnutlug_scheduler::reconciliation::delegation::{CacheGrant, DelegationGrant};
 use walnutlug_scheduler::reconciliation::repeated_heartbeats::CachedHeartbeat;
-use walnutlug_scheduler::time::Span;
+use walnutlug_scheduler::time::TimeDelta;
 
 use super::*;
 use crate::golden_file::{hexadecimal, Golden};
@@ -46,8 +46,8 @@
 fn job_frames() -> Vec<(&'static str, Frame)> {
     vec![
         ("progress", Frame::Progress { job: "req-000001".into(), done: 3, running: 70_001 }),
-        ("ended done", Frame::Ended { job: "req-000002".into(), end: End::Done }),
-        ("ended aborted", Frame::Ended { job: "req-000003".into(), end: End::Aborted }),
+        ("ended done", Frame::Ended { job: "req-000002".into(), end: JobEnd::Done }),
+        ("ended aborted", Frame::Ended { job: "req-000003".into(), end: JobEnd::Cancelled }),
         ("new job", Frame::NewJob { job: "req-000004".into() }),
         (
             "cancelled",
@@ -124,7 +124,7 @@
     let cache_entry = CacheGrant {
         cached,
         token: 0x5152_5354_5556_5758,
-        valid_for: Span(0x6162_6364_6566_6768),
+        valid_for: TimeDelta(0x6162_6364_6566_6768),
         invalidated: 0x7172_7374_7576_7778,
     };
     let unanswered = ForwardedResponse {
@@ -171,7 +171,7 @@
             grant: DelegationGrant {
                 term: 0x1112_1314_1516_1718,
                 asked: 0x2122_2324_2526_2728,
-                unknown_for: Span(0x3132_3334_3536_3738),
+                unknown_for: TimeDelta(0x3132_3334_3536_3738),
                 invalidated: 0x4142_4344_4546_4748,
             },
             spare,
--- a/crates/controller/src/peers/heartbeat_frames.rs
+++ b/crates/controller/src/peers/heartbeat_frames.rs
@@ -1,23 +1,23 @@
 //! The frames with which followers answer workers on the leader's behalf; what they mean is told in
 //! `walnutlug_scheduler::reconciliation::delegation`. A version that doesn't know them passes them over.
 
-use walnutlug_scheduler::model::task::MachineIx;
+use walnutlug_scheduler::model::task::MachineIndex;
 use walnutlug_scheduler::reconciliation::delegation::{CacheGrant, DelegationGrant};
 use walnutlug_scheduler::reconciliation::repeated_heartbeats::CachedHeartbeat;
-use walnutlug_scheduler::time::Span;
+use walnutlug_scheduler::time::TimeDelta;
 use zerocopy::little_endian::{U16, U32, U64};
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
 
 use super::{name_field, name_of, MOST};
 
 /// Bytes of a report or an answer that one frame takes; a worker with more to say goes to the leader.
-pub const MOST_CARRIED: usize = 3_500;
+pub const MAX_CARRIED: usize = 3_500;
 /// Machines in one frame.
-pub const MOST_ENTRIES: usize = 150;
+pub const MAX_ENTRIES: usize = 150;
 
-const _: () = assert!(size_of::<AnswerBody>() + MOST_CARRIED < MOST);
+const _: () = assert!(size_of::<AnswerBody>() + MAX_CARRIED < MOST);
 const _: () = assert!(
-    size_of::<RepeatedHeartbeatsBody>() + MOST_ENTRIES * size_of::<RepeatedHeartbeatEntry>() < MOST
+    size_of::<RepeatedHeartbeatsBody>() + MAX_ENTRIES * size_of::<RepeatedHeartbeatEntry>() < MOST
 );
 
 /// A worker's report on its way to the leader.
@@ -46,7 +46,7 @@
 /// A machine that repeated its settled report to a follower.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RepeatedHeartbeat {
-    pub machine: MachineIx,
+    pub machine: MachineIndex,
     pub number: u64,
     pub sequence: u64,
 }
@@ -193,7 +193,7 @@
                 number: head.settled_number.get(),
             },
             token: head.token.get(),
-            valid_for: Span(head.valid_for_us.get()),
+            valid_for: TimeDelta(head.valid_for_us.get()),
             invalidated: head.invalidated.get(),
         };
         Ok(ForwardedResponse {
@@ -208,7 +208,7 @@
 /// The body of a frame of machines that were heard under the term.
 pub(super) fn encode_repeated_heartbeats(term: u64, heard: &[RepeatedHeartbeat]) -> Vec<u8> {
     let mut body = RepeatedHeartbeatsBody { term: term.into() }.as_bytes().to_vec();
-    for one in heard.iter().take(MOST_ENTRIES) {
+    for one in heard.iter().take(MAX_ENTRIES) {
         let entry = RepeatedHeartbeatEntry {
             machine: one.machine.into(),
             number: one.number.into(),
@@ -237,11 +237,11 @@
 pub(super) fn encode_invalidated(
     term: u64,
     first: u64,
-    cache_entries: &[(MachineIx, u64)],
+    cache_entries: &[(MachineIndex, u64)],
 ) -> Vec<u8> {
     let head = InvalidatedBody { term: term.into(), first: first.into() };
     let mut body = head.as_bytes().to_vec();
-    for &(machine, number) in cache_entries.iter().take(MOST_ENTRIES) {
+    for &(machine, number) in cache_entries.iter().take(MAX_ENTRIES) {
         let entry = InvalidatedEntry { machine: machine.into(), number: number.into() };
         body.extend_from_slice(entry.as_bytes());
     }
@@ -249,7 +249,7 @@
 }
 
 /// The term, the number of the first, and the marks.
-type InvalidatedEntries = (u64, u64, Vec<(MachineIx, u64)>);
+type InvalidatedEntries = (u64, u64, Vec<(MachineIndex, u64)>);
 
 pub(super) fn decode_invalidated(body: &[u8]) -> Result<InvalidatedEntries, &'static str> {
     let (head, rest) =
@@ -305,7 +305,7 @@
             grant: DelegationGrant {
                 term: body.term.get(),
                 asked: body.asked.get(),
-                unknown_for: Span(body.unknown_for_us.get()),
+                unknown_for: TimeDelta(body.unknown_for_us.get()),
                 invalidated: body.invalidated.get(),
             },
             spare: body.spare.get(),
--- a/crates/controller/src/peers/tests.rs
+++ b/crates/controller/src/peers/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use walnutlug_scheduler::reconciliation::delegation::{CacheGrant, DelegationGrant};
 use walnutlug_scheduler::reconciliation::repeated_heartbeats::CachedHeartbeat;
-use walnutlug_scheduler::time::Span;
+use walnutlug_scheduler::time::TimeDelta;
 
 fn frames() -> Vec<Frame> {
     vec![
@@ -15,7 +15,7 @@
             count: 9,
         },
         Frame::Progress { job: "req-000001".into(), done: 3, running: 70_000 },
-        Frame::Ended { job: "req-000002".into(), end: End::Aborted },
+        Frame::Ended { job: "req-000002".into(), end: JobEnd::Cancelled },
         Frame::NewJob { job: "req-000003".into() },
         Frame::Machines(
             (0..3)
@@ -31,13 +31,13 @@
 fn heartbeat_frames() -> Vec<Frame> {
     let cached = CachedHeartbeat { term: 1 << 40, machine: 700, number: 1 << 33 };
     let cache_entry =
-        CacheGrant { cached, token: 1 << 60, valid_for: Span(u64::MAX), invalidated: 90_000 };
+        CacheGrant { cached, token: 1 << 60, valid_for: TimeDelta(u64::MAX), invalidated: 90_000 };
     let answer =
         ForwardedResponse { asker_incarnation: 3, number: 9, answer: None, cache_entry: None };
     let grant = DelegationGrant {
         term: 1 << 40,
         asked: 17,
-        unknown_for: Span::millis(900),
+        unknown_for: TimeDelta::from_millis(900),
         invalidated: 4,
     };
     let granting = DelegationGranted {
@@ -53,17 +53,17 @@
             node: "kernel-1".into(),
             incarnation: 1 << 50,
             number: 70_000,
-            heartbeat: vec![b'x'; MOST_CARRIED],
+            heartbeat: vec![b'x'; MAX_CARRIED],
         }),
         Frame::ForwardedResponse(answer.clone()),
         Frame::ForwardedResponse(ForwardedResponse {
-            answer: Some(vec![b'y'; MOST_CARRIED]),
+            answer: Some(vec![b'y'; MAX_CARRIED]),
             cache_entry: Some(cache_entry),
             ..answer
         }),
         Frame::RepeatedHeartbeats {
             term: 1 << 40,
-            heard: (0..MOST_ENTRIES as u32).map(heard).collect(),
+            heard: (0..MAX_ENTRIES as u32).map(heard).collect(),
         },
         Frame::DelegationRequest(DelegationRequest {
             node: "kernel-1".into(),
@@ -124,7 +124,7 @@
     let name = |i: usize| (format!("n-{i:06}"), SocketAddrV4::new([10, 0, 0, 1].into(), 9000));
     let all: Vec<_> = (0..2_060).map(name).collect();
     let frames: Vec<Vec<u8>> =
-        all.chunks(MOST_MACHINES).map(|c| Frame::Machines(c.to_vec()).encode()).collect();
+        all.chunks(MAX_MACHINES).map(|c| Frame::Machines(c.to_vec()).encode()).collect();
     assert!(frames.len() <= 18, "{} frames", frames.len());
     assert!(frames.iter().all(|f| f.len() <= MOST));
 }
--- a/crates/controller/src/settings.rs
+++ b/crates/controller/src/settings.rs
@@ -5,7 +5,7 @@
 
 use serde_json::Value;
 use walnutlug_scheduler::model::job::Team;
-use walnutlug_scheduler::time::Span;
+use walnutlug_scheduler::time::TimeDelta;
 use walnutlug_scheduler::tunables::{Objective, Site};
 
 #[derive(Debug, Clone)]
@@ -248,12 +248,16 @@
                             }
                         }
                         Some("wait") => {
-                            if let Some(within) = amount("within_s", None).map(Span::from_secs) {
+                            if let Some(within) =
+                                amount("within_s", None).map(TimeDelta::from_secs_f64)
+                            {
                                 objectives.push(Objective::Wait { class, within });
                             }
                         }
                         Some("finished") => {
-                            if let Some(within) = amount("within_s", None).map(Span::from_secs) {
+                            if let Some(within) =
+                                amount("within_s", None).map(TimeDelta::from_secs_f64)
+                            {
                                 objectives.push(Objective::Finished { class, within });
                             }
                         }
@@ -304,13 +308,13 @@
             site: Site {
                 teams,
                 objectives,
-                heartbeat_interval: Span::from_secs(report_s),
-                worker_lease: Span::from_secs(lease_s),
-                cancel_within: Span::from_secs(cancel_s),
+                heartbeat_interval: TimeDelta::from_secs_f64(report_s),
+                worker_lease: TimeDelta::from_secs_f64(lease_s),
+                cancel_within: TimeDelta::from_secs_f64(cancel_s),
                 // New jobs are kept in a form that fits whatever comes.
                 value_bytes: smaller.value_bytes,
                 txn_ops: smaller.txn_ops,
-                list_lag: Span::from_secs(list_lag_s),
+                list_lag: TimeDelta::from_secs_f64(list_lag_s),
                 most_messages: Sockets::share(fd_limit as u32).messages as usize,
             },
             state_limits,
--- a/crates/controller/src/settings/tests.rs
+++ b/crates/controller/src/settings/tests.rs
@@ -24,7 +24,7 @@
 fn good_settings_are_read_and_unknown_fields_ignored() {
     let s = Settings::parse(&sample().to_string()).expect("valid");
     assert_eq!(s.peers.len(), 1);
-    assert_eq!(s.site.wait_aim("quick"), Some(Span::secs(2)));
+    assert_eq!(s.site.start_objective("quick"), Some(TimeDelta::from_secs(2)));
     assert_eq!(s.site.value_bytes, 8192);
     assert_eq!(s.cpu_share, 0.04);
 }
@@ -58,7 +58,7 @@
         let s = Sockets::share(limit);
         assert!(s.workers_kept > machines, "{limit}: {s:?}");
         assert!(s.inbound - s.workers_kept > limit / 10, "{limit}: {s:?}");
-        assert!(s.inbound + s.outbound + crate::peers::MOST_OPEN < limit, "{limit}: {s:?}");
+        assert!(s.inbound + s.outbound + crate::peers::MAX_OPEN < limit, "{limit}: {s:?}");
     }
 }
 
@@ -130,7 +130,7 @@
     ]);
     let good = Settings::parse(&s.to_string()).expect("valid");
     assert_eq!(good.site.objectives.len(), 5);
-    assert_eq!(good.site.wait_aim("quick"), Some(Span::secs(3)));
+    assert_eq!(good.site.start_objective("quick"), Some(TimeDelta::from_secs(3)));
     s["facts"]["objectives"] = json!([
         {"kind": "wait", "class": "quick", "within_s": 0},
         {"kind": "wait", "class": "quick"},
--- a/crates/controller/src/user_api.rs
+++ b/crates/controller/src/user_api.rs
@@ -15,9 +15,9 @@
 use tokio::time::{sleep, Duration, Instant};
 use tracing::{debug, info};
 use walnutlug_admission::turns::TurnQueue;
-use walnutlug_scheduler::model::job::{keys, End, JobSpec, Rank};
+use walnutlug_scheduler::model::job::{keys, JobEnd, JobSpec, Priority};
 use walnutlug_scheduler::protocol::{
-    self, is_job_ref, job_answer, Compare, Operation, Stage, Transaction,
+    self, is_job_id, job_response, Compare, JobStage, Operation, Transaction,
 };
 use walnutlug_scheduler::scheduler::TransactionOutcome;
 use walnutlug_scheduler::storage::document::Document;
@@ -35,7 +35,7 @@
 enum Known {
     /// With the jobs that it needs, once they are read: they never change.
     Accepted(Option<Rc<[String]>>),
-    Ended(End),
+    Ended(JobEnd),
 }
 
 /// What a poll found.
@@ -43,7 +43,7 @@
 pub enum Status {
     NeverAccepted,
     Open,
-    Ended(End),
+    Ended(JobEnd),
     /// Can't be told now.
     Unclear,
 }
@@ -58,7 +58,7 @@
 struct Waiting {
     name: String,
     value: Document,
-    needs: Rc<[String]>,
+    dependencies: Rc<[String]>,
     /// A job that it needs is cancelled: it is accepted, and ends with that.
     aborted: bool,
     reply: oneshot::Sender<Accept>,
@@ -66,7 +66,7 @@
 
 /// Submissions of a team and priority take turns with the others'; all are one lane if the order isn't
 /// shared.
-type Lane = Option<(String, Rank)>;
+type Lane = Option<(String, Priority)>;
 
 #[derive(Default)]
 pub struct UserApi {
@@ -79,7 +79,7 @@
 }
 
 /// Jobs remembered at a node, at some hundred bytes each.
-const MOST_KNOWN: usize = 50_000;
+const MAX_KNOWN: usize = 50_000;
 /// Time between two rounds of checks, so that many polls share a request.
 const CHECK_EVERY: Duration = Duration::from_millis(120);
 /// An acceptance whose answer takes longer is sent once more.
@@ -95,7 +95,7 @@
     /// Remembers what is certain. An end never changes, so it is never replaced.
     fn learn(&self, name: &str, known: Known) {
         let mut map = self.known.borrow_mut();
-        if map.len() > MOST_KNOWN {
+        if map.len() > MAX_KNOWN {
             // Only a memory of what the state service keeps for ever: it is asked again.
             map.clear();
         }
@@ -112,7 +112,7 @@
     }
 
     /// The job has ended, for certain.
-    pub fn learn_end(&self, name: &str, end: End) {
+    pub fn learn_end(&self, name: &str, end: JobEnd) {
         self.learn(name, Known::Ended(end));
     }
 
@@ -120,7 +120,7 @@
         self.known.borrow().get(name).cloned()
     }
 
-    pub fn ended(&self, name: &str) -> Option<End> {
+    pub fn ended(&self, name: &str) -> Option<JobEnd> {
         match self.known.borrow().get(name) {
             Some(Known::Ended(end)) => Some(*end),
             _ => None,
@@ -135,9 +135,11 @@
         let mut seen: HashSet<&str> = HashSet::from([name]);
         let mut next = 0;
         while next < found.len() {
-            if let Some((_, Known::Accepted(Some(needs)))) = known.get_key_value(&found[next]) {
-                for need in needs.iter() {
-                    let done = matches!(known.get(need), Some(Known::Ended(End::Done)));
+            if let Some((_, Known::Accepted(Some(dependencies)))) =
+                known.get_key_value(&found[next])
+            {
+                for need in dependencies.iter() {
+                    let done = matches!(known.get(need), Some(Known::Ended(JobEnd::Done)));
                     if !done && seen.insert(need) {
                         found.push(need.clone());
                     }
@@ -150,11 +152,11 @@
 
     /// A job's counts, as the leader tells them; for display.
     pub fn progress(&self, name: &str, done: u32, running: u32) {
-        if !is_job_ref(name) || self.ended(name).is_some() {
+        if !is_job_id(name) || self.ended(name).is_some() {
             return;
         }
         let mut progress = self.progress.borrow_mut();
-        if progress.len() > MOST_KNOWN {
+        if progress.len() > MAX_KNOWN {
             progress.clear();
         }
         progress.insert(name.to_owned(), (done, running));
@@ -166,10 +168,10 @@
     }
 }
 
-fn ended_stage(end: End) -> Stage {
+fn stage_of_end(end: JobEnd) -> JobStage {
     match end {
-        End::Done => Stage::Done,
-        End::Aborted => Stage::Aborted,
+        JobEnd::Done => JobStage::Done,
+        JobEnd::Cancelled => JobStage::Cancelled,
     }
 }
 
@@ -186,7 +188,7 @@
         return Answer::later("the machine types are not known yet");
     };
     let own = || format!("waits: {name} can't wait for itself");
-    let fault = fault.or_else(|| spec.needs.contains(&name).then(own));
+    let fault = fault.or_else(|| spec.dependencies.contains(&name).then(own));
     if let Some(fault) = fault {
         return refuse_new(&node, &name, fault).await;
     }
@@ -195,15 +197,17 @@
     }
     let mut spec = spec;
     let mut aborted = false;
-    if !spec.needs.is_empty() {
-        match look_at_needs(&node, &spec.needs).await {
-            Needs::Open(needs) => spec.needs = needs,
-            Needs::Aborted => aborted = true,
-            Needs::Missing(need) => {
+    if !spec.dependencies.is_empty() {
+        match look_up_dependencies(&node, &spec.dependencies).await {
+            Dependencies::Open(dependencies) => spec.dependencies = dependencies,
+            Dependencies::Cancelled => aborted = true,
+            Dependencies::Missing(need) => {
                 let fault = format!("waits: nobody submitted {need}");
                 return refuse_new(&node, &name, fault).await;
             }
-            Needs::Unclear => return Answer::later("the jobs it waits for can't be read now"),
+            Dependencies::Unclear => {
+                return Answer::later("the jobs it waits for can't be read now")
+            }
         }
     }
     let chunk = chunk_size(node.settings.site.value_bytes);
@@ -213,15 +217,15 @@
         return Answer::error(400, "breeds, waits: the description is too long to be kept");
     }
     // What can't be written in time is told so at once, and when to come again.
-    let lane = node.tunables.shared_order.then(|| (spec.team.clone(), spec.rank));
+    let lane = node.tunables.shared_order.then(|| (spec.team.clone(), spec.priority));
     let ahead = node.user_api.submissions.borrow().ahead_of(&lane);
     let wait = node.key_value.write_delay(2 * ahead);
     if wait > DECIDE_WITHIN {
         return Answer::later_by(wait.as_secs() as u32, "too many submissions at once");
     }
     let (reply, answer) = oneshot::channel();
-    let needs: Rc<[String]> = spec.needs.into();
-    let waiting = Waiting { name: name.clone(), value, needs, aborted, reply };
+    let dependencies: Rc<[String]> = spec.dependencies.into();
+    let waiting = Waiting { name: name.clone(), value, dependencies, aborted, reply };
     node.user_api.submissions.borrow_mut().push(lane, waiting);
     start_submitting(&node);
     let accepted = tokio::time::timeout(DECIDE_WITHIN, answer).await;
@@ -232,8 +236,8 @@
     }
     match accepted {
         Ok(Ok(Accept::New)) => {
-            let stage = node.user_api.ended(&name).map_or(Stage::Queued, ended_stage);
-            Answer::json(201, &job_answer(&name, stage, None))
+            let stage = node.user_api.ended(&name).map_or(JobStage::Queued, stage_of_end);
+            Answer::json(201, &job_response(&name, stage, None))
         }
         Ok(Ok(Accept::Known)) => known_answer(&node, &name).await,
         _ => Answer::later("the submission can't be recorded now"),
@@ -260,11 +264,11 @@
 }
 
 /// What a new job has to wait for.
-enum Needs {
+enum Dependencies {
     /// These, which may end at any time; none, if all are done.
     Open(Vec<String>),
     /// One that is cancelled, or stands behind one.
-    Aborted,
+    Cancelled,
     /// One that was certainly never accepted.
     Missing(String),
     Unclear,
@@ -273,9 +277,9 @@
 /// Reads how the jobs stand that a new one names. Those whose stored end is `done` are left out: an
 /// end never changes. Where all are known to be accepted a slow answer isn't waited for: whatever was
 /// cancelled meanwhile the leader finds.
-async fn look_at_needs(node: &Rc<Node>, needs: &[String]) -> Needs {
-    let known = needs.iter().all(|n| node.user_api.known(n).is_some());
-    let looked = check(node, needs.to_vec(), RequestClass::Submission);
+async fn look_up_dependencies(node: &Rc<Node>, dependencies: &[String]) -> Dependencies {
+    let known = dependencies.iter().all(|n| node.user_api.known(n).is_some());
+    let looked = check(node, dependencies.to_vec(), RequestClass::Submission);
     tokio::pin!(looked);
     let found = match tokio::time::timeout(LOOK_WITHIN, &mut looked).await {
         Ok(found) => found,
@@ -283,11 +287,11 @@
         Err(_) => looked.await,
     };
     let (mut open, mut unclear, mut aborted) = (Vec::new(), false, false);
-    for need in needs {
+    for need in dependencies {
         match found.get(need).copied().unwrap_or(Status::Unclear) {
-            Status::NeverAccepted => return Needs::Missing(need.clone()),
-            Status::Ended(End::Aborted) => aborted = true,
-            Status::Ended(End::Done) => {}
+            Status::NeverAccepted => return Dependencies::Missing(need.clone()),
+            Status::Ended(JobEnd::Cancelled) => aborted = true,
+            Status::Ended(JobEnd::Done) => {}
             Status::Open => open.push(need.clone()),
             Status::Unclear if known => open.push(need.clone()),
             Status::Unclear => unclear = true,
@@ -296,9 +300,9 @@
     // All of them have to be looked at: a cancelled one told first once hid that another was never
     // submitted by anybody.
     match (unclear, aborted) {
-        (true, _) => Needs::Unclear,
-        (false, true) => Needs::Aborted,
-        (false, false) => Needs::Open(open),
+        (true, _) => Dependencies::Unclear,
+        (false, true) => Dependencies::Cancelled,
+        (false, false) => Dependencies::Open(open),
     }
 }
 
@@ -315,24 +319,24 @@
 /// the user meanwhile that the job has ended.
 async fn known_answer(node: &Rc<Node>, name: &str) -> Answer {
     let stage = match status(node, name).await {
-        Status::Ended(end) => ended_stage(end),
+        Status::Ended(end) => stage_of_end(end),
         Status::Open => open_stage(node, name).0,
         // Accepted for certain, so never "not found", whatever the check could not tell.
         Status::NeverAccepted | Status::Unclear => {
             return Answer::later("the job's state can't be read now");
         }
     };
-    Answer::json(200, &job_answer(name, stage, None))
+    Answer::json(200, &job_response(name, stage, None))
 }
 
-fn open_stage(node: &Node, name: &str) -> (Stage, u32, u32) {
+fn open_stage(node: &Node, name: &str) -> (JobStage, u32, u32) {
     let own = node.scheduler.borrow().as_ref().and_then(|s| {
-        let ix = *s.by_ref.get(name)?;
+        let ix = *s.jobs_by_name.get(name)?;
         s.counts(ix)
     });
     let heard = || node.user_api.progress.borrow().get(name).copied();
     let (done, running) = own.or_else(heard).unwrap_or((0, 0));
-    let stage = if running > 0 { Stage::Running } else { Stage::Queued };
+    let stage = if running > 0 { JobStage::Running } else { JobStage::Queued };
     (stage, done, running)
 }
 
@@ -386,9 +390,9 @@
                 // Accepted and over at once: there is nothing to do about it.
                 transaction
                     .operations
-                    .push(Operation::put(keys::end(&w.name), serde_json::json!(End::Aborted)));
+                    .push(Operation::put(keys::end(&w.name), serde_json::json!(JobEnd::Cancelled)));
             } else {
-                let key = keys::description(&w.name, !w.needs.is_empty());
+                let key = keys::description(&w.name, !w.dependencies.is_empty());
                 transaction.operations.push(Operation::put_document(key, w.value.clone()));
             }
         }
@@ -396,11 +400,11 @@
             TransactionOutcome::Committed { .. } => {
                 for w in batch.drain(..) {
                     if w.aborted {
-                        node.learn_end(&w.name, End::Aborted);
+                        node.learn_end(&w.name, JobEnd::Cancelled);
                     } else {
-                        node.user_api.learn(&w.name, Known::Accepted(Some(w.needs.clone())));
+                        node.user_api.learn(&w.name, Known::Accepted(Some(w.dependencies.clone())));
                     }
-                    node.tell_peers(&Frame::NewJob { job: w.name.clone() });
+                    node.broadcast(&Frame::NewJob { job: w.name.clone() });
                     let _ = w.reply.send(Accept::New);
                 }
                 node.new_work.notify_one();
@@ -467,15 +471,15 @@
 }
 
 pub async fn poll(node: Rc<Node>, name: &str) -> Answer {
-    if !is_job_ref(name) {
+    if !is_job_id(name) {
         return Answer::error(404, "no such job");
     }
     match status(&node, name).await {
         Status::NeverAccepted => Answer::error(404, "no such job"),
-        Status::Ended(end) => Answer::json(200, &job_answer(name, ended_stage(end), None)),
+        Status::Ended(end) => Answer::json(200, &job_response(name, stage_of_end(end), None)),
         Status::Open => {
             let (stage, done, running) = open_stage(&node, name);
-            Answer::json(200, &job_answer(name, stage, Some((done, running))))
+            Answer::json(200, &job_response(name, stage, Some((done, running))))
         }
         Status::Unclear => Answer::later("the job's state can't be read now"),
     }
@@ -531,7 +535,7 @@
 }
 
 pub async fn withdraw(node: Rc<Node>, name: &str) -> Answer {
-    if !is_job_ref(name) {
+    if !is_job_id(name) {
         return Answer::error(404, "no such job");
     }
     let give_up = Instant::now() + DECIDE_WITHIN;
@@ -539,7 +543,7 @@
         match status(&node, name).await {
             Status::NeverAccepted => return Answer::error(404, "no such job"),
             Status::Ended(end) => {
-                return Answer::json(200, &job_answer(name, ended_stage(end), None));
+                return Answer::json(200, &job_response(name, stage_of_end(end), None));
             }
             Status::Unclear => return Answer::later("the job's state can't be read now"),
             Status::Open => {}
@@ -554,8 +558,8 @@
         match node.key_value.commit(RequestClass::Submission, &transaction).await {
             TransactionOutcome::Committed { .. } => {
                 info!(job = %name, "withdrawn");
-                node.learn_end(name, End::Aborted);
-                return Answer::json(200, &job_answer(name, Stage::Aborted, None));
+                node.learn_end(name, JobEnd::Cancelled);
+                return Answer::json(200, &job_response(name, JobStage::Cancelled, None));
             }
             // Ended meanwhile, or by a copy of this transaction: the next look tells.
             TransactionOutcome::Conflict { .. } | TransactionOutcome::Indeterminate
--- a/crates/controller/src/user_api/concurrent_failures_tests.rs
+++ b/crates/controller/src/user_api/concurrent_failures_tests.rs
@@ -17,7 +17,7 @@
 enum Told {
     Unknown,
     Accepted,
-    Ended(End),
+    Ended(JobEnd),
 }
 
 /// What all users were told, in the order of the answers' arrival.
@@ -73,8 +73,8 @@
     };
     let body: Value = serde_json::from_slice(&answer.body).expect("json");
     let told = match (answer.status, body["stage"].as_str()) {
-        (200 | 201, Some("done")) => Told::Ended(End::Done),
-        (200 | 201, Some("aborted")) => Told::Ended(End::Aborted),
+        (200 | 201, Some("done")) => Told::Ended(JobEnd::Done),
+        (200 | 201, Some("aborted")) => Told::Ended(JobEnd::Cancelled),
         (200 | 201, Some(_)) => Told::Accepted,
         (404, _) => Told::Unknown,
         (503, _) => {
@@ -174,7 +174,7 @@
                     if let TransactionOutcome::Committed { .. } =
                         node.key_value.commit(RequestClass::Dispatch, &transaction).await
                     {
-                        node.learn_end(&job, End::Done);
+                        node.learn_end(&job, JobEnd::Done);
                     }
                 }));
             }
--- a/crates/controller/src/user_api/job_checks.rs
+++ b/crates/controller/src/user_api/job_checks.rs
@@ -5,7 +5,7 @@
 
 use tokio::time::{Duration, Instant};
 use tracing::info;
-use walnutlug_scheduler::model::job::{keys, End};
+use walnutlug_scheduler::model::job::{keys, JobEnd};
 use walnutlug_scheduler::protocol::{Compare, Operation, Transaction};
 use walnutlug_scheduler::scheduler::TransactionOutcome;
 
@@ -42,11 +42,11 @@
                         }
                         sure = false;
                     }
-                    Some(Known::Accepted(needs)) => {
+                    Some(Known::Accepted(dependencies)) => {
                         let key = keys::end(&link);
                         let asked = absent.contains(&key);
-                        sure &= asked && needs.is_some();
-                        if needs.is_none() && asked {
+                        sure &= asked && dependencies.is_some();
+                        if dependencies.is_none() && asked {
                             unread.insert(link);
                         } else if !asked {
                             ask.insert(key);
@@ -76,14 +76,15 @@
             .iter()
             .filter(|n| {
                 let chain = node.user_api.chain(n);
-                chain.iter().any(|link| node.user_api.ended(link) == Some(End::Aborted))
+                chain.iter().any(|link| node.user_api.ended(link) == Some(JobEnd::Cancelled))
             })
             .cloned()
             .collect();
         let settled = !behind.is_empty() && settle_behind(node, &behind).await;
         let compared = !ask.is_empty() && compare(node, ask, class, &mut absent).await;
         // A chain that goes on is read as a whole, not step by step.
-        let read = !unread.is_empty() && read_needs(node, unread, class, first).await.is_ok();
+        let read =
+            !unread.is_empty() && read_dependencies(node, unread, class, first).await.is_ok();
         first &= !read;
         if !settled && !compared && !read {
             break;
@@ -143,7 +144,7 @@
 
 /// Reads what the jobs need, which were not ended when they were compared. One without a description
 /// among those that need others needs none (or its records went meanwhile, and its end is met).
-async fn read_needs(
+async fn read_dependencies(
     node: &Rc<Node>,
     names: BTreeSet<String>,
     class: RequestClass,
@@ -151,14 +152,14 @@
 ) -> Result<(), KeyValueError> {
     // A record that can't be read names nothing that could be looked for.
     let needs_of = |value: &serde_json::Value| -> Rc<[String]> {
-        let needs = serde_json::from_value::<Vec<String>>(value["spec"]["needs"].clone());
-        needs.unwrap_or_default().into()
+        let dependencies = serde_json::from_value::<Vec<String>>(value["spec"]["needs"].clone());
+        dependencies.unwrap_or_default().into()
     };
     if few && names.len() <= FEW {
         for name in &names {
             let found = node.key_value.get(class, &keys::description(name, true)).await?;
-            let needs = found.map_or(Rc::from([]), |key_value| needs_of(&key_value.value));
-            node.user_api.learn(name, Known::Accepted(Some(needs)));
+            let dependencies = found.map_or(Rc::from([]), |key_value| needs_of(&key_value.value));
+            node.user_api.learn(name, Known::Accepted(Some(dependencies)));
         }
         return Ok(());
     }
@@ -185,14 +186,14 @@
             compares: some.iter().map(|n| Compare { key: keys::end(n), revision: 0 }).collect(),
             operations: some
                 .iter()
-                .map(|n| Operation::put(keys::end(n), serde_json::json!(End::Aborted)))
+                .map(|n| Operation::put(keys::end(n), serde_json::json!(JobEnd::Cancelled)))
                 .collect(),
         };
         match node.key_value.commit(RequestClass::Submission, &transaction).await {
             TransactionOutcome::Committed { .. } => {
                 for name in some {
                     info!(job = %name, "cancelled with a job that it needs");
-                    node.learn_end(name, End::Aborted);
+                    node.learn_end(name, JobEnd::Cancelled);
                 }
                 any = true;
             }
--- a/crates/controller/src/user_api/tests.rs
+++ b/crates/controller/src/user_api/tests.rs
@@ -119,10 +119,10 @@
     let store = StandIn::default();
     let node = store.node();
     let play = async {
-        let send = |i: usize, rank: &str| {
+        let send = |i: usize, priority: &str| {
             let mut body = submission();
             body["ref"] = json!(format!("req-{i}"));
-            body["rank"] = json!(rank);
+            body["rank"] = json!(priority);
             let answer = submit(node.clone(), body.to_string().into_bytes());
             tokio::task::spawn_local(async move { (answer.await.status, Instant::now()) })
         };
@@ -178,10 +178,10 @@
     LocalSet::new().run_until(play).await;
 }
 
-fn chained(name: &str, needs: &[&str]) -> Value {
+fn chained(name: &str, dependencies: &[&str]) -> Value {
     let mut body = submission();
     body["ref"] = json!(name);
-    body["waits"] = json!(needs);
+    body["waits"] = json!(dependencies);
     body
 }
 
@@ -194,9 +194,9 @@
         assert_eq!(send(&a, &submission()).await.0, 201);
         store.put(&keys::job("req-7"), json!(1));
         store.put(&keys::end("req-7"), json!("aborted"));
-        for needs in [vec!["req-9"], vec![JOB, "req-9"], vec!["req-7", "req-9"]] {
-            let (status, answer) = send(&b, &chained("req-1", &needs)).await;
-            assert_eq!(status, 422, "{needs:?}");
+        for dependencies in [vec!["req-9"], vec![JOB, "req-9"], vec!["req-7", "req-9"]] {
+            let (status, answer) = send(&b, &chained("req-1", &dependencies)).await;
+            assert_eq!(status, 422, "{dependencies:?}");
             assert!(answer.to_string().contains("req-9"), "{answer}");
         }
         let (status, answer) = send(&b, &chained("req-1", &["req-1"])).await;
--- a/crates/controller/src/worker_api.rs
+++ b/crates/controller/src/worker_api.rs
@@ -11,7 +11,7 @@
     CacheHolder, CachedHeartbeat, OWN_NODE,
 };
 use walnutlug_scheduler::scheduler::MessageOutcome;
-use walnutlug_scheduler::time::Span;
+use walnutlug_scheduler::time::TimeDelta;
 
 use crate::heartbeat_delegation;
 use crate::http::client::{Client, Failure};
@@ -46,7 +46,7 @@
     if let Some(other) = other {
         return redirect_to(Some(other));
     }
-    if matches!(node.leadership.borrow().role(), Role::Leading { .. }) {
+    if matches!(node.leadership.borrow().role(), Role::Leader { .. }) {
         return answer_heartbeat(node, connection, body);
     }
     if let Some(token) = heartbeat_delegation::repeated(node, connection, body) {
@@ -71,7 +71,7 @@
         return redirect(node);
     };
     connection.remember(body, read.cached);
-    node.pump();
+    node.wake_leader();
     accepted(read.token, read.calls)
 }
 
@@ -79,7 +79,7 @@
 /// to do. Nothing is to be decided then either, so the leader isn't woken.
 fn cached_response_token(node: &Node, connection: &WorkerConnection, body: &[u8]) -> Option<u64> {
     let (cached, sequence) = connection.repeated_by(body)?;
-    if !matches!(node.leadership.borrow().role(), Role::Leading { .. }) {
+    if !matches!(node.leadership.borrow().role(), Role::Leader { .. }) {
         return None;
     }
     let now = node.now();
@@ -105,14 +105,14 @@
 ) -> Option<HandledHeartbeat> {
     // While the records aren't read yet, an answer would renew the lease of tasks that were cancelled
     // while nobody could write or read, perhaps almost as long ago as they may take to go.
-    if !matches!(node.leadership.borrow().role(), Role::Leading { .. }) {
+    if !matches!(node.leadership.borrow().role(), Role::Leader { .. }) {
         return None;
     }
     let now = node.now();
     let mut scheduler = node.scheduler.borrow_mut();
     let scheduler = scheduler.as_mut()?;
     scheduler.cancellations_known_until = node.cancellations_known_until();
-    node.tell_renewing(scheduler.may_renew_leases(now));
+    node.log_lease_renewal(scheduler.may_renew_leases(now));
     let (token, calls) = scheduler.heartbeat(now, heartbeat)?;
     // The number found in the text has to be the one that was read.
     let may_settle = calls.is_empty() && sequence_in(body) == Some(heartbeat.sequence);
@@ -125,7 +125,7 @@
     /// The body for the worker.
     pub body: Vec<u8>,
     /// If repetitions mean nothing: the mark, the token to answer with, and for how long.
-    pub cache_entry: Option<(CachedHeartbeat, u64, Span)>,
+    pub cache_entry: Option<(CachedHeartbeat, u64, TimeDelta)>,
 }
 
 /// Reads a report that a follower passed on. `None`: the worker should come itself, or go elsewhere.
@@ -139,7 +139,7 @@
         handle_heartbeat(node, body, &heartbeat, holder)?;
     let scheduler = node.scheduler.borrow();
     let valid_for =
-        |s| scheduler.as_ref().map_or(Span::ZERO, |known| known.cached_for(node.now(), s));
+        |s| scheduler.as_ref().map_or(TimeDelta::ZERO, |known| known.cached_for(node.now(), s));
     let cache_entry = cached.map(|cached| (cached, token, valid_for(cached)));
     let body = serde_json::to_vec(&HeartbeatResponse { token, calls }).ok()?;
     Some(HandledForwardedHeartbeat { body, cache_entry })
--- a/crates/controller/src/worker_api/connection.rs
+++ b/crates/controller/src/worker_api/connection.rs
@@ -8,7 +8,7 @@
 use walnutlug_scheduler::reconciliation::repeated_heartbeats::CachedHeartbeat;
 
 /// Longer reports are read in full each time: some thousand connections remember one each.
-const MOST_REMEMBERED: usize = 4 * 1024;
+const MAX_REMEMBERED: usize = 4 * 1024;
 
 /// A report as it came, and the mark that it left nothing to do.
 #[derive(Debug)]
@@ -59,7 +59,7 @@
 
     /// Remembers a report that left nothing to do, or forgets the one before.
     pub fn remember(&self, body: &[u8], cached: Option<CachedHeartbeat>) {
-        let remembered = cached.filter(|_| body.len() <= MOST_REMEMBERED).and_then(|cached| {
+        let remembered = cached.filter(|_| body.len() <= MAX_REMEMBERED).and_then(|cached| {
             Some(Remembered { body: body.to_vec(), sequence: sequence_digits(body)?, cached })
         });
         *self.last.borrow_mut() = remembered;
--- a/crates/controller/tests/fencing.rs
+++ b/crates/controller/tests/fencing.rs
@@ -8,7 +8,7 @@
 
 const FREEZES: usize = 5;
 /// Far longer than that takes on a slow computer.
-const MOST_TIME: Duration = Duration::from_secs(300);
+const MAX_TIME: Duration = Duration::from_secs(300);
 
 #[test]
 fn a_frozen_leader_does_nothing_to_its_successors_fleet() {
@@ -17,7 +17,7 @@
         program: env!("CARGO_BIN_EXE_walnutlug").into(),
         script: scripts.join("fenced.lua"),
         freezes: FREEZES,
-        within: MOST_TIME,
+        within: MAX_TIME,
     };
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
     let heartbeat = runtime.expect("a runtime").block_on(run(&plan));
--- a/crates/controller/tests/overload.rs
+++ b/crates/controller/tests/overload.rs
@@ -9,7 +9,7 @@
 const LENGTH: Duration = Duration::from_secs(32);
 /// Jobs of the flood that may start before a job of another team that came later: all machines once over, and
 /// again for what a change of the leader loses. Without a shared order all that wait go first.
-const MOST_OVERTAKEN: usize = 24;
+const MAX_OVERTAKEN: usize = 24;
 
 #[test]
 fn a_flood_of_one_team_holds_up_no_other() {
@@ -31,6 +31,6 @@
     }
     for team in &TEAMS[1..] {
         let overtaken = heartbeat.teams[team].most_overtaken;
-        assert!(overtaken <= MOST_OVERTAKEN, "{team}: {overtaken} jobs of the flood went first");
+        assert!(overtaken <= MAX_OVERTAKEN, "{team}: {overtaken} jobs of the flood went first");
     }
 }
--- a/crates/fault-injection/src/freeze_scenario.rs
+++ b/crates/fault-injection/src/freeze_scenario.rs
@@ -27,7 +27,7 @@
 const BURST: u64 = 6;
 const BETWEEN_BURSTS: Duration = Duration::from_millis(2_500);
 /// Once the work is done, idle machines are returned within a few seconds; a busy computer takes longer.
-const MOST_WIND_DOWN: Duration = Duration::from_secs(90);
+const MAX_WIND_DOWN: Duration = Duration::from_secs(90);
 
 /// What to run, and how often to freeze.
 pub struct Plan {
@@ -183,7 +183,7 @@
 
 /// Waits until all jobs are done and all machines returned. How many jobs are done.
 async fn wind_down(users: &[String], accepted: &[String], cloud: &Cloud) -> usize {
-    let until = Instant::now() + MOST_WIND_DOWN;
+    let until = Instant::now() + MAX_WIND_DOWN;
     loop {
         tokio::time::sleep(Duration::from_secs(1)).await;
         let done = count_done(users, accepted).await;
--- a/crates/fault-injection/src/overload_scenario.rs
+++ b/crates/fault-injection/src/overload_scenario.rs
@@ -27,7 +27,7 @@
 const FLOOD_EVERY: Duration = Duration::from_millis(500);
 const FLOOD_TASKS: u32 = 8;
 /// The flood pauses while so many of its jobs have not started, so that the run can end.
-const MOST_WAITING: usize = 300;
+const MAX_WAITING: usize = 300;
 const TRICKLE_EVERY: Duration = Duration::from_millis(1_500);
 const TRICKLE_TASKS: u32 = 4;
 /// By its own reckoning each job of the flood is more urgent.
@@ -134,7 +134,7 @@
         let accepted = self.tally.accepted(self.team);
         let started = self.fleet.first_starts();
         let waiting = accepted.iter().filter(|name| !started.contains_key(*name)).count();
-        waiting < MOST_WAITING
+        waiting < MAX_WAITING
     }
 
     async fn submit(&self, http: &reqwest::Client, name: &str) {
--- a/crates/fencing/src/intent_log.rs
+++ b/crates/fencing/src/intent_log.rs
@@ -9,25 +9,25 @@
 use walnutlug_scheduler::protocol::{KeyValue, Operation, Transaction};
 use walnutlug_scheduler::scheduler::TransactionOutcome;
 use walnutlug_scheduler::storage::document::Document;
-use walnutlug_scheduler::time::{Span, Time};
+use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 
 use crate::fence::{Fence, FencedWrite};
 use crate::intent::{intent_key, Action, IntentRecord, ScaleOut, StoredIntent, TerminatedMachine};
 use crate::leased_role::{EpochError, RecordError};
 
 /// How long settled records wait for a write to go along with.
-const DROP_DELAY: Span = Span::secs(2);
+const DROP_DELAY: TimeDelta = TimeDelta::from_secs(2);
 /// Pause before a write that was refused or whose answer was lost is sent again.
-const WRITE_RETRY: Span = Span::millis(300);
+const WRITE_RETRY: TimeDelta = TimeDelta::from_millis(300);
 /// Pause before an action whose outcome isn't known is sent again; it doubles up to four times.
-const ACTION_RETRY: Span = Span::secs(2);
+const ACTION_RETRY: TimeDelta = TimeDelta::from_secs(2);
 /// Doublings of [`ACTION_RETRY`].
-const MOST_DOUBLINGS: u32 = 3;
+const MAX_DOUBLINGS: u32 = 3;
 /// Bytes of a stored record beside its actions.
 const RECORD_OVERHEAD: usize = 64;
 /// Actions that may wait or be open at once; beyond this many nothing more is taken on. A fleet of some
 /// thousands has a few dozen.
-const MOST_OPEN: usize = 4_096;
+const MAX_OPEN: usize = 4_096;
 
 /// Names an action for as long as the ledger lives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -87,7 +87,7 @@
     /// Recorded, and to be sent from then on.
     Due {
         /// When it may be sent.
-        at: Time,
+        at: Timestamp,
         /// Sends whose outcome isn't known.
         unknown: u32,
     },
@@ -100,7 +100,7 @@
     /// until then the request's name is how a successor learns of them.
     Unlisted {
         /// When they are listed.
-        until: Time,
+        until: Timestamp,
     },
     /// Nothing is left to do.
     Settled,
@@ -109,13 +109,13 @@
 /// What happens to an action.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ActionInput {
-    Recorded { now: Time },
+    Recorded { now: Timestamp },
     GivenOut,
-    Carried { keep_until: Option<Time> },
-    Refused { retry_at: Option<Time> },
-    NotSent { now: Time },
-    Unknown { now: Time },
-    AskedAgain { now: Time },
+    Carried { keep_until: Option<Timestamp> },
+    Refused { retry_at: Option<Timestamp> },
+    NotSent { now: Timestamp },
+    Unknown { now: Timestamp },
+    AskedAgain { now: Timestamp },
     Listed,
 }
 
@@ -142,7 +142,7 @@
                 Some(ActionState::Due { at: now + WRITE_RETRY, unknown })
             }
             (ActionState::Sent { unknown }, ActionInput::Unknown { now }) => {
-                let pause = Span(ACTION_RETRY.0 << unknown.min(MOST_DOUBLINGS));
+                let pause = TimeDelta(ACTION_RETRY.0 << unknown.min(MAX_DOUBLINGS));
                 Some(ActionState::Due { at: now + pause, unknown: unknown + 1 })
             }
             (ActionState::Unlisted { .. }, ActionInput::Listed) => Some(ActionState::Settled),
@@ -164,7 +164,7 @@
     Stored,
     /// All of its actions are settled; since then it waits to be dropped.
     Settled {
-        since: Time,
+        since: Timestamp,
     },
     Dropping,
 }
@@ -182,7 +182,7 @@
     transaction: Transaction,
     created: Vec<u64>,
     dropped: Vec<u64>,
-    retry_at: Option<Time>,
+    retry_at: Option<Timestamp>,
 }
 
 /// What the state service takes at once.
@@ -214,7 +214,7 @@
     fence: Fence,
     limits: WriteLimits,
     /// How long after a rental its machines are on the cloud's list for certain.
-    listed_within: Span,
+    listed_within: TimeDelta,
     requested: Vec<Action>,
     records: BTreeMap<u64, Record>,
     /// Machines named by a return that is not settled, with the action.
@@ -230,7 +230,7 @@
 
 impl Ledger {
     /// With nothing to do. What former holders left has to be adopted before anything else.
-    pub fn new(fence: Fence, limits: WriteLimits, listed_within: Span) -> Ledger {
+    pub fn new(fence: Fence, limits: WriteLimits, listed_within: TimeDelta) -> Ledger {
         Ledger {
             fence,
             limits,
@@ -278,7 +278,7 @@
     /// Takes over what earlier epochs left. `has_tasks` tells on which machines work is recorded.
     pub fn adopt(
         &mut self,
-        now: Time,
+        now: Timestamp,
         stored: &[KeyValue],
         has_tasks: impl Fn(&str) -> bool,
     ) -> Adopted {
@@ -305,7 +305,13 @@
         adopted
     }
 
-    fn add_record(&mut self, now: Time, key: String, actions: Vec<Action>, state: RecordState) {
+    fn add_record(
+        &mut self,
+        now: Timestamp,
+        key: String,
+        actions: Vec<Action>,
+        state: RecordState,
+    ) {
         let number = self.next_record;
         self.next_record += 1;
         for (index, action) in actions.iter().enumerate() {
@@ -325,7 +331,7 @@
 
     /// Wants machines rented. Whether it will see to it.
     pub fn scale_out(&mut self, scale_out: ScaleOut) -> bool {
-        let taken = self.stopped.is_none() && self.open_actions() < MOST_OPEN;
+        let taken = self.stopped.is_none() && self.open_actions() < MAX_OPEN;
         if taken {
             self.requested.push(Action::ScaleOut(scale_out));
         }
@@ -334,8 +340,8 @@
 
     /// Wants machines returned. What is recorded already is sent again, if its outcome isn't known. How
     /// many requests come of it.
-    pub fn scale_in(&mut self, now: Time, machines: Vec<TerminatedMachine>) -> usize {
-        if self.stopped.is_some() || self.open_actions() >= MOST_OPEN {
+    pub fn scale_in(&mut self, now: Timestamp, machines: Vec<TerminatedMachine>) -> usize {
+        if self.stopped.is_some() || self.open_actions() >= MAX_OPEN {
             return 0;
         }
         let mut again = BTreeSet::new();
@@ -374,7 +380,7 @@
 
     /// Writes what is to be recorded or dropped, and, while the lease is certainly held, gives out what may
     /// be sent. (It is looked at again directly before sending.)
-    pub fn tick(&mut self, now: Time, holds_lease: bool) {
+    pub fn tick(&mut self, now: Timestamp, holds_lease: bool) {
         if self.stopped.is_some() {
             return;
         }
@@ -393,7 +399,7 @@
         }
     }
 
-    fn give_out(&mut self, now: Time) {
+    fn give_out(&mut self, now: Timestamp) {
         let mut due = Vec::new();
         for (&record, kept) in &self.records {
             for (index, tracked) in kept.actions.iter().enumerate() {
@@ -410,7 +416,7 @@
     }
 
     /// One transaction with all that waits, as far as the limits allow.
-    fn start_write(&mut self, now: Time) {
+    fn start_write(&mut self, now: Timestamp) {
         let mut write = FencedWrite::new(&self.fence);
         let created = self.create_records(now, &mut write);
         let overdue = |record: &Record| matches!(record.state, RecordState::Settled { since } if now.since(since) >= DROP_DELAY);
@@ -437,7 +443,7 @@
         self.write = Some(PendingWrite { id, transaction, created, dropped, retry_at: None });
     }
 
-    fn create_records(&mut self, now: Time, write: &mut FencedWrite) -> Vec<u64> {
+    fn create_records(&mut self, now: Timestamp, write: &mut FencedWrite) -> Vec<u64> {
         let mut created = Vec::new();
         while write.len() < self.limits.txn_ops {
             let actions = self.take_requested();
@@ -481,7 +487,7 @@
     }
 
     /// The answer to [`LedgerCommand::Write`].
-    pub fn written(&mut self, now: Time, id: u64, outcome: &TransactionOutcome) {
+    pub fn written(&mut self, now: Timestamp, id: u64, outcome: &TransactionOutcome) {
         let Some(mut write) = self.write.take_if(|write| write.id == id) else { return };
         match outcome {
             TransactionOutcome::Committed { .. } => self.stored(now, &write),
@@ -498,7 +504,7 @@
         }
     }
 
-    fn stored(&mut self, now: Time, write: &PendingWrite) {
+    fn stored(&mut self, now: Timestamp, write: &PendingWrite) {
         for number in &write.dropped {
             self.records.remove(number);
         }
@@ -512,7 +518,7 @@
     }
 
     /// The transaction is over the limits and certainly not carried out: its actions are wishes again.
-    fn plan_anew(&mut self, now: Time, write: &PendingWrite) {
+    fn plan_anew(&mut self, now: Timestamp, write: &PendingWrite) {
         for number in &write.created {
             let Some(record) = self.records.remove(number) else { continue };
             self.returning.retain(|_, id| id.record != *number);
@@ -526,7 +532,13 @@
     }
 
     /// The answer to [`LedgerCommand::Send`]; of a rental, with the machines that were rented.
-    pub fn answered(&mut self, now: Time, id: ActionId, answer: ActionAnswer, rented: &[String]) {
+    pub fn answered(
+        &mut self,
+        now: Timestamp,
+        id: ActionId,
+        answer: ActionAnswer,
+        rented: &[String],
+    ) {
         let Some(action) = self.action(id).map(|tracked| &tracked.action) else { return };
         let rents = matches!(action, Action::ScaleOut(_));
         let input = match answer {
@@ -552,7 +564,7 @@
     }
 
     /// Machines that are gone: a successor that asked for their rental again would count on them.
-    fn forget_returned(&mut self, now: Time, id: ActionId) {
+    fn forget_returned(&mut self, now: Timestamp, id: ActionId) {
         let Some(Action::ScaleIn(machines)) = self.action(id).map(|t| t.action.clone()) else {
             return;
         };
@@ -564,14 +576,14 @@
         }
     }
 
-    fn listed(&mut self, now: Time, scale_out: ActionId) {
+    fn listed(&mut self, now: Timestamp, scale_out: ActionId) {
         if self.step(scale_out, ActionInput::Listed) {
             self.unlisted.retain(|_, id| *id != scale_out);
             self.settle_record(now, scale_out.record);
         }
     }
 
-    fn expire_unlisted(&mut self, now: Time) {
+    fn expire_unlisted(&mut self, now: Timestamp) {
         let scale_outs: BTreeSet<ActionId> = self.unlisted.values().copied().collect();
         for id in scale_outs {
             let state = self.action(id).map(|tracked| tracked.state);
@@ -595,7 +607,7 @@
         next.is_some()
     }
 
-    fn settle_record(&mut self, now: Time, number: u64) {
+    fn settle_record(&mut self, now: Timestamp, number: u64) {
         let Some(record) = self.records.get_mut(&number) else { return };
         let settled = record.actions.iter().all(|tracked| tracked.state == ActionState::Settled);
         if settled && record.state == RecordState::Stored {
--- a/crates/fencing/src/lease.rs
+++ b/crates/fencing/src/lease.rs
@@ -4,7 +4,7 @@
 //! renewal was sent. So a holder that counts from the sending, and allows for its clock being slow, stops
 //! before the service lets anybody else in, and needs no message for that.
 
-use walnutlug_scheduler::time::{Span, Time};
+use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 
 use crate::leased_role::{Epoch, EpochError};
 
@@ -12,11 +12,11 @@
 /// the protocol, on either side.
 const DRIFT: f64 = 0.001;
 /// What a timer's step may add on either side.
-const CLOCK_STEP: Span = Span::millis(2);
+const CLOCK_STEP: TimeDelta = TimeDelta::from_millis(2);
 
 /// For how long after a renewal was sent the lease is certainly held.
-pub fn certain_for(ttl: Span) -> Span {
-    ttl - ttl.scale(DRIFT) - CLOCK_STEP
+pub fn safe_lease_time(ttl: TimeDelta) -> TimeDelta {
+    ttl - ttl.mul_f64(DRIFT) - CLOCK_STEP
 }
 
 /// How a duty stands at this node.
@@ -27,7 +27,7 @@
     /// A lease was granted on a request sent then; the duty's key is being created.
     Acquiring {
         /// When the lease was asked for.
-        sent: Time,
+        sent: Timestamp,
     },
     /// Held under the epoch; certainly so until then. After that it may be: nothing is done meanwhile, and
     /// a renewal that the service still takes shows that nobody else came in.
@@ -35,7 +35,7 @@
         /// The epoch.
         epoch: Epoch,
         /// Up to when the lease can't have ended.
-        until: Time,
+        until: Timestamp,
     },
     /// Something is wrong with the epochs: this node doesn't hold the duty again in this life.
     Stopped {
@@ -50,7 +50,7 @@
     /// The service granted a lease on a request sent then.
     Granted {
         /// When it was asked for.
-        sent: Time,
+        sent: Timestamp,
     },
     /// The duty's key was created, or read back as this node's own, with this revision.
     Won {
@@ -62,7 +62,7 @@
     /// A renewal sent then was answered.
     Renewed {
         /// When it was sent.
-        sent: Time,
+        sent: Timestamp,
     },
     /// The lease ended, the key is another's, or the duty is given up.
     Ended,
@@ -84,7 +84,7 @@
 /// One duty's lease at one node.
 #[derive(Debug)]
 pub struct DutyLease {
-    ttl: Span,
+    ttl: TimeDelta,
     state: LeaseState,
     /// The highest epoch that is known to have been in use.
     highest: Option<Epoch>,
@@ -92,7 +92,7 @@
 
 impl DutyLease {
     /// Not held; leases are asked for with that time to live.
-    pub fn new(ttl: Span) -> DutyLease {
+    pub fn new(ttl: TimeDelta) -> DutyLease {
         DutyLease { ttl, state: LeaseState::Idle, highest: None }
     }
 
@@ -102,7 +102,7 @@
     }
 
     /// How long each renewal is good for.
-    pub fn ttl(&self) -> Span {
+    pub fn ttl(&self) -> TimeDelta {
         self.ttl
     }
 
@@ -120,7 +120,7 @@
             }
             (LeaseState::Acquiring { .. }, LeaseInput::Failed) => LeaseState::Idle,
             (LeaseState::Held { epoch, until }, LeaseInput::Renewed { sent }) => {
-                LeaseState::Held { epoch, until: until.max(sent + certain_for(self.ttl)) }
+                LeaseState::Held { epoch, until: until.max(sent + safe_lease_time(self.ttl)) }
             }
             (LeaseState::Acquiring { .. } | LeaseState::Held { .. }, LeaseInput::Ended) => {
                 LeaseState::Idle
@@ -131,12 +131,12 @@
         true
     }
 
-    fn won(&mut self, sent: Time, revision: u64) -> LeaseState {
+    fn won(&mut self, sent: Timestamp, revision: u64) -> LeaseState {
         let epoch = Epoch::from_revision(revision).and_then(|e| e.must_follow(self.highest));
         match epoch {
             Ok(epoch) => {
                 self.highest = Some(epoch);
-                LeaseState::Held { epoch, until: sent + certain_for(self.ttl) }
+                LeaseState::Held { epoch, until: sent + safe_lease_time(self.ttl) }
             }
             Err(error) => LeaseState::Stopped { error },
         }
@@ -151,7 +151,7 @@
     }
 
     /// Up to when the lease is certainly held.
-    pub fn held_until(&self) -> Option<Time> {
+    pub fn held_until(&self) -> Option<Timestamp> {
         match self.state {
             LeaseState::Held { until, .. } => Some(until),
             LeaseState::Idle | LeaseState::Acquiring { .. } | LeaseState::Stopped { .. } => None,
@@ -159,7 +159,7 @@
     }
 
     /// Whether the holder may act right now. To be asked as late before acting as can be.
-    pub fn permit(&self, now: Time) -> Option<Permit> {
+    pub fn permit(&self, now: Timestamp) -> Option<Permit> {
         match self.state {
             LeaseState::Held { epoch, until } if now < until => Some(Permit { epoch }),
             _ => None,
--- a/crates/fencing/src/role_balancer.rs
+++ b/crates/fencing/src/role_balancer.rs
@@ -4,12 +4,12 @@
 //! seconds without a holder, so it is made only when there has been a better node for a while. Nothing but
 //! cost depends on this: whoever holds a duty, its epoch fences all others.
 
-use walnutlug_scheduler::time::{Span, Time};
+use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 
 /// For how long another node has to be the better holder before the duty is handed over.
-const HAND_OVER_AFTER: Span = Span::secs(30);
+const HAND_OVER_AFTER: TimeDelta = TimeDelta::from_secs(30);
 /// How much later than others the leader tries to take a duty that nobody holds.
-const LEADER_WAITS: Span = Span::secs(3);
+const LEADER_WAITS: TimeDelta = TimeDelta::from_secs(3);
 
 /// How a node stands, as far as the balance looks at it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -23,16 +23,16 @@
 /// Decides at one node when to take and when to give up a duty.
 #[derive(Debug, Default)]
 pub struct Balance {
-    vacant_since: Option<Time>,
-    better_since: Option<Time>,
+    vacant_since: Option<Timestamp>,
+    better_since: Option<Timestamp>,
 }
 
 impl Balance {
     /// Nobody holds the duty. Whether this node should try to take it now.
-    pub fn should_take(&mut self, now: Time, own: Standing) -> bool {
+    pub fn should_take(&mut self, now: Timestamp, own: Standing) -> bool {
         self.better_since = None;
         let since = *self.vacant_since.get_or_insert(now);
-        let wait = if own.leads { LEADER_WAITS } else { Span::ZERO };
+        let wait = if own.leads { LEADER_WAITS } else { TimeDelta::ZERO };
         own.store_reachable && now.since(since) >= wait
     }
 
@@ -42,7 +42,7 @@
     }
 
     /// This node holds the duty. Whether it should give it up for one of the others.
-    pub fn should_hand_over(&mut self, now: Time, own: Standing, others: &[Standing]) -> bool {
+    pub fn should_hand_over(&mut self, now: Timestamp, own: Standing, others: &[Standing]) -> bool {
         self.vacant_since = None;
         let better = own.leads && others.iter().any(|other| other.store_reachable && !other.leads);
         if !better {
--- a/crates/fencing/tests/components.rs
+++ b/crates/fencing/tests/components.rs
@@ -2,14 +2,14 @@
 
 use serde_json::json;
 use walnutlug_fencing::intent::{intent_key, StoredIntent};
-use walnutlug_fencing::lease::{certain_for, DutyLease, LeaseInput, LeaseState};
+use walnutlug_fencing::lease::{safe_lease_time, DutyLease, LeaseInput, LeaseState};
 use walnutlug_fencing::leased_role::{Duty, Epoch, EpochError, RecordError};
 use walnutlug_fencing::role_balancer::{Balance, Standing};
 use walnutlug_scheduler::protocol::KeyValue;
-use walnutlug_scheduler::time::{Span, Time};
+use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 
-const TTL: Span = Span::secs(10);
-const START: Time = Time(1 << 40);
+const TTL: TimeDelta = TimeDelta::from_secs(10);
+const START: Timestamp = Timestamp(1 << 40);
 
 fn held() -> DutyLease {
     let mut lease = DutyLease::new(TTL);
@@ -21,20 +21,20 @@
 #[test]
 fn time_left_counts_from_the_sending_and_less_drift() {
     let mut lease = held();
-    let late = START + Span::secs(4);
+    let late = START + TimeDelta::from_secs(4);
     assert!(lease.permit(late).is_some());
     // Renewed at 3 s, answered at 9 s.
-    assert!(lease.step(LeaseInput::Renewed { sent: START + Span::secs(3) }));
-    let end = START + Span::secs(3) + certain_for(TTL);
-    assert!(end < START + Span::secs(13), "clocks drift");
-    assert!(lease.permit(end - Span::millis(1)).is_some());
+    assert!(lease.step(LeaseInput::Renewed { sent: START + TimeDelta::from_secs(3) }));
+    let end = START + TimeDelta::from_secs(3) + safe_lease_time(TTL);
+    assert!(end < START + TimeDelta::from_secs(13), "clocks drift");
+    assert!(lease.permit(end - TimeDelta::from_millis(1)).is_some());
     assert!(lease.permit(end).is_none(), "it stops by itself");
     // A renewal that was overtaken by a newer one takes nothing back.
-    assert!(lease.step(LeaseInput::Renewed { sent: START + Span::secs(1) }));
+    assert!(lease.step(LeaseInput::Renewed { sent: START + TimeDelta::from_secs(1) }));
     assert_eq!(lease.held_until(), Some(end));
     // Past its end it may still be held: a renewal that is taken shows it.
-    assert!(lease.step(LeaseInput::Renewed { sent: end + Span::secs(2) }));
-    assert!(lease.permit(end + Span::secs(3)).is_some());
+    assert!(lease.step(LeaseInput::Renewed { sent: end + TimeDelta::from_secs(2) }));
+    assert!(lease.permit(end + TimeDelta::from_secs(3)).is_some());
     assert!(lease.step(LeaseInput::Ended));
     assert!(lease.permit(START).is_none());
     assert!(!lease.step(LeaseInput::Renewed { sent: end }), "what ended can't be renewed");
@@ -66,8 +66,8 @@
     assert!(balance.should_take(START, node(false)));
     let mut balance = Balance::default();
     assert!(!balance.should_take(START, node(true)), "others first");
-    assert!(balance.should_take(START + Span::secs(4), node(true)), "somebody has to");
-    let at = |s| START + Span::secs(s);
+    assert!(balance.should_take(START + TimeDelta::from_secs(4), node(true)), "somebody has to");
+    let at = |s| START + TimeDelta::from_secs(s);
     assert!(!balance.should_hand_over(at(10), node(true), &[node(false)]));
     assert!(!balance.should_hand_over(at(20), node(true), &[cut_off]), "nobody better there");
     assert!(!balance.should_hand_over(at(45), node(true), &[node(false)]), "counted anew");
--- a/crates/fencing/tests/golden_bytes.rs
+++ b/crates/fencing/tests/golden_bytes.rs
@@ -16,11 +16,11 @@
 use walnutlug_scheduler::model::job::keys;
 use walnutlug_scheduler::protocol::{KeyValue, Operation, Transaction};
 use walnutlug_scheduler::scheduler::TransactionOutcome;
-use walnutlug_scheduler::time::{Span, Time};
+use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 
 const RECORDS: &str = "tests/golden/records.txt";
 const WRITES: &str = "tests/golden/ledger.txt";
-const START: Time = Time(1 << 40);
+const START: Timestamp = Timestamp(1 << 40);
 const LIMITS: WriteLimits = WriteLimits { value_bytes: 2_048, txn_ops: 10 };
 
 fn text(value: &impl Serialize) -> String {
@@ -107,7 +107,7 @@
 }
 
 /// What the ledger writes and sends, as it goes out.
-fn noted(ledger: &mut Ledger, now: Time, lines: &mut Vec<String>) {
+fn noted(ledger: &mut Ledger, now: Timestamp, lines: &mut Vec<String>) {
     ledger.tick(now, true);
     for command in ledger.take_commands() {
         match command {
@@ -135,7 +135,7 @@
 }
 
 fn ledger() -> Ledger {
-    Ledger::new(Fence::new(Duty::Fleet, epoch()), LIMITS, Span::secs(20))
+    Ledger::new(Fence::new(Duty::Fleet, epoch()), LIMITS, TimeDelta::from_secs(20))
 }
 
 /// Intents are stored, sent and dropped; then what an earlier holder left is adopted and dropped.
@@ -147,7 +147,7 @@
     let machines = vec![returned("n-000233", false), returned("n-000234", true)];
     assert_eq!(kept.scale_in(START, machines), 1);
     for step in 0..40 {
-        noted(&mut kept, START + Span::secs(step), &mut own);
+        noted(&mut kept, START + TimeDelta::from_secs(step), &mut own);
     }
     let mut adopted = Vec::new();
     let mut successor = ledger();
@@ -156,7 +156,7 @@
     assert!(taken.faults.is_empty(), "the record is read");
     assert_eq!((taken.scale_outs.len(), taken.returns.len()), (1, 1));
     for step in 0..40 {
-        noted(&mut successor, START + Span::secs(step), &mut adopted);
+        noted(&mut successor, START + TimeDelta::from_secs(step), &mut adopted);
     }
     let found = [("own intents", own.join("\n")), ("adopted intents", adopted.join("\n"))];
     let golden = Golden::check(WRITES, &found);
--- a/crates/fencing/tests/model.rs
+++ b/crates/fencing/tests/model.rs
@@ -9,7 +9,7 @@
 use pathfinding::prelude::{bfs, bfs_reach};
 
 const NODES: usize = 2;
-const MOST_EPOCHS: u8 = 3;
+const MAX_EPOCHS: u8 = 3;
 /// Rentals are decided up to that epoch.
 const RENTING_EPOCHS: u8 = 1;
 
@@ -134,7 +134,7 @@
 
     fn node_steps(&self, n: usize, trouble: bool, all: &mut Vec<World>) {
         let node = &self.nodes[n];
-        if !self.held && self.epoch < MOST_EPOCHS {
+        if !self.held && self.epoch < MAX_EPOCHS {
             all.push(self.with(|w| w.acquire(n)));
         }
         if node.epoch == 0 {
@@ -313,7 +313,7 @@
     let stuck = states
         .iter()
         .zip(0..)
-        .find(|(world, at)| (world.held || world.epoch < MOST_EPOCHS) && !settling.contains(at));
+        .find(|(world, at)| (world.held || world.epoch < MAX_EPOCHS) && !settling.contains(at));
     assert!(stuck.is_none(), "{stuck:?}");
 }
 
--- a/crates/fencing/tests/random_interleavings.rs
+++ b/crates/fencing/tests/random_interleavings.rs
@@ -14,13 +14,13 @@
 use walnutlug_scheduler::model::job::keys;
 use walnutlug_scheduler::protocol::{KeyValue, Operation, Transaction};
 use walnutlug_scheduler::scheduler::TransactionOutcome;
-use walnutlug_scheduler::time::{Span, Time};
+use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 
 const LIMITS: WriteLimits = WriteLimits { value_bytes: 400, txn_ops: 3 };
 const SEED: [u8; 32] = [27; 32];
 const CASES: u32 = 400;
 const MACHINES: usize = 5;
-const MOST_ROUNDS: usize = 300;
+const MAX_ROUNDS: usize = 300;
 
 /// One step of a script.
 #[derive(Debug, Clone)]
@@ -85,7 +85,7 @@
 }
 
 struct World {
-    now: Time,
+    now: Timestamp,
     revision: u64,
     keys: BTreeMap<String, (Value, u64)>,
     ever_recorded: BTreeSet<Action>,
@@ -104,14 +104,14 @@
 
 fn holder(epoch: u64) -> Holder {
     let fence = Fence::new(Duty::Fleet, Epoch::from_revision(epoch).expect("an epoch"));
-    let ledger = Ledger::new(fence, LIMITS, Span::secs(12));
+    let ledger = Ledger::new(fence, LIMITS, TimeDelta::from_secs(12));
     Holder { epoch, ledger, about_to: Vec::new() }
 }
 
 impl World {
     fn new() -> World {
         let mut world = World {
-            now: Time(1 << 40),
+            now: Timestamp(1 << 40),
             revision: 1,
             keys: BTreeMap::new(),
             ever_recorded: BTreeSet::new(),
@@ -129,7 +129,7 @@
 
     fn play(&mut self, step: &Step) {
         match step {
-            Step::Wait(ms) => self.now = self.now + Span::millis(*ms),
+            Step::Wait(ms) => self.now = self.now + TimeDelta::from_millis(*ms),
             Step::Rent => self.scale_out(),
             Step::Use(index) => {
                 let name = machine(*index);
@@ -326,8 +326,8 @@
 
     /// Trouble ends: everything arrives and is heard.
     fn settle(&mut self) {
-        for _ in 0..MOST_ROUNDS {
-            self.now = self.now + Span::secs(1);
+        for _ in 0..MAX_ROUNDS {
+            self.now = self.now + TimeDelta::from_secs(1);
             self.tick();
             while !self.messages.is_empty() {
                 self.deliver(0, true, false);
--- a/crates/fencing/tests/transcripts.rs
+++ b/crates/fencing/tests/transcripts.rs
@@ -22,9 +22,9 @@
 use walnutlug_fencing::role_balancer::{Balance, Standing};
 use walnutlug_scheduler::protocol::{KeyValue, Operation, Transaction};
 use walnutlug_scheduler::scheduler::TransactionOutcome;
-use walnutlug_scheduler::time::{Span, Time};
+use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 
-const START: Time = Time(1 << 40);
+const START: Timestamp = Timestamp(1 << 40);
 const SCRIPTS: [&str; 4] = ["ledger", "leases", "balance", "records"];
 
 /// What has to be in the transcripts, all together, at least so often: nine tenths of what was in them when
@@ -110,7 +110,7 @@
 struct Play {
     transcript: Transcript,
     dice: Dice,
-    now: Time,
+    now: Timestamp,
     revision: u64,
     keys: BTreeMap<String, (Value, u64)>,
     ledger: Ledger,
@@ -121,7 +121,7 @@
 
 fn ledger(epoch: u64, limits: WriteLimits) -> Ledger {
     let fence = Fence::new(Duty::Fleet, Epoch::from_revision(epoch).expect("an epoch"));
-    Ledger::new(fence, limits, Span::secs(12))
+    Ledger::new(fence, limits, TimeDelta::from_secs(12))
 }
 
 impl Play {
@@ -151,7 +151,9 @@
         match self.dice.below(20) {
             0 => self.scale_out(),
             1 | 2 => self.scale_in(),
-            3..6 => self.now = self.now + Span::millis(100 + self.dice.below(3_000) as u64),
+            3..6 => {
+                self.now = self.now + TimeDelta::from_millis(100 + self.dice.below(3_000) as u64)
+            }
             6..10 => self.tick(),
             10..19 => (0..3).for_each(|_| self.deliver()),
             _ if self.dice.chance(20) => self.replace(),
@@ -349,11 +351,11 @@
     let mut dice = Dice::new(22);
     let mut now = START;
     for (life, ttl) in [10, 4, 30].into_iter().cycle().take(60).enumerate() {
-        let mut lease = DutyLease::new(Span::secs(ttl));
+        let mut lease = DutyLease::new(TimeDelta::from_secs(ttl));
         for _ in 0..40 {
             transcript.next_step();
-            now = now + Span::millis(dice.below(4_000) as u64);
-            let sent = now - Span::millis(dice.below(900) as u64);
+            now = now + TimeDelta::from_millis(dice.below(4_000) as u64);
+            let sent = now - TimeDelta::from_millis(dice.below(900) as u64);
             let rising = 40 + life as u64 + dice.below(30) as u64;
             let revision = [rising, rising, 0, 5, Epoch::LIMIT + 1][dice.below(5)];
             let (input, name) = match dice.below(10) {
@@ -394,7 +396,7 @@
     let (mut leads, mut others_lead) = (false, false);
     for _ in 0..2_000 {
         transcript.next_step();
-        now = now + Span::millis(dice.below(3_000) as u64);
+        now = now + TimeDelta::from_millis(dice.below(3_000) as u64);
         if dice.chance(4) {
             (leads, others_lead) = (dice.chance(50), dice.chance(50));
         }
--- a/crates/scheduler/src/autoscaling.rs
+++ b/crates/scheduler/src/autoscaling.rs
@@ -9,24 +9,24 @@
 use crate::autoscaling::offers::{
     InstanceOffer, InstanceOffers, WhatIfMachine, MAX_MACHINES_PER_REQUEST,
 };
-use crate::model::job::SLACK;
+use crate::model::job::EPSILON;
 use crate::protocol::{CloudMachineState, ListedMachine};
-use crate::queue::order::Urgency;
-use crate::scheduler::{Command, Job, JobIx, MachineState, Scheduler};
-use crate::time::{Span, Time};
+use crate::queue::order::QueueKey;
+use crate::scheduler::{Command, Job, JobIndex, MachineState, Scheduler};
+use crate::time::{TimeDelta, Timestamp};
 
 #[derive(Debug, Default)]
 pub struct Autoscaler {
     /// Offers refused lately, until when they are not asked again and how often in a row.
-    pub refused: HashMap<InstanceOffer, (Time, u32)>,
+    pub refused: HashMap<InstanceOffer, (Timestamp, u32)>,
     /// Requests under way.
     pub asking: HashMap<InstanceOffer, u32>,
     /// The cloud answers nothing at present.
-    pub down_until: Time,
-    last_look: Time,
-    last_rent: Time,
+    pub down_until: Timestamp,
+    last_assessed: Timestamp,
+    last_rent: Timestamp,
     /// When slow machines were looked for last.
-    pub(crate) slow_looked_for: Time,
+    pub(crate) slow_looked_for: Timestamp,
     pub returning: u32,
     usage: Usage,
     /// Whether a whole machine list was read under this term.
@@ -36,8 +36,8 @@
 /// What the money of the last minute went to, in hours of each kind's price.
 #[derive(Debug, Default)]
 struct Usage {
-    since: Option<Time>,
-    last: Option<Time>,
+    since: Option<Timestamp>,
+    last: Option<Timestamp>,
     spot: f64,
     ordinary: f64,
     booting: f64,
@@ -48,37 +48,37 @@
 }
 
 /// How long a machine that is said to be up is counted on without having answered.
-const ANSWER_WITHIN: Span = Span::secs(5);
+const ANSWER_WITHIN: TimeDelta = TimeDelta::from_secs(5);
 
-const LOOK_EVERY: Span = Span::millis(500);
+const LOOK_EVERY: TimeDelta = TimeDelta::from_millis(500);
 /// How often needs are compared with the fleet while no machines are asked for: a boot takes many times
 /// that. While some are, of which one request gets only so many, at every look.
-const SCALE_OUT_EVERY: Span = Span::millis(1_000);
+const SCALE_OUT_EVERY: TimeDelta = TimeDelta::from_millis(1_000);
 /// How often the cost of every machine and task is added up: only the log tells it.
-const ACCOUNT_EVERY: Span = Span::secs(5);
+const ACCOUNT_EVERY: TimeDelta = TimeDelta::from_secs(5);
 /// Refusals in a row that lengthen the pause before an offer is tried again: 16 s at most, since the
 /// cloud takes machines back all the time and then has them to give.
-const MOST_REFUSALS: u32 = 2;
+const MAX_REFUSALS: u32 = 2;
 /// How long nothing is rented after the cloud gave no usable answer.
-const CLOUD_PAUSE: Span = Span::secs(2);
-const TERMINATION_RETRY: Span = Span::secs(6);
+const CLOUD_PAUSE: TimeDelta = TimeDelta::from_secs(2);
+const TERMINATION_RETRY: TimeDelta = TimeDelta::from_secs(6);
 
 impl Scheduler {
     /// Looks at the fleet as a whole, now and then.
-    pub fn autoscale(&mut self, now: Time) {
-        if now.since(self.autoscaler.last_look) < LOOK_EVERY {
+    pub fn autoscale(&mut self, now: Timestamp) {
+        if now.since(self.autoscaler.last_assessed) < LOOK_EVERY {
             return;
         }
-        self.autoscaler.last_look = now;
+        self.autoscaler.last_assessed = now;
         if now.since(self.autoscaler.usage.last.unwrap_or_default()) >= ACCOUNT_EVERY {
             self.account_costs(now);
         }
         if !self.holds_lease {
             return;
         }
-        let unheard = self.unheard_zones(now);
-        self.judge_machines(now, &unheard);
-        self.evacuate(now);
+        let unheard = self.silent_zones(now);
+        self.assess_health(now, &unheard);
+        self.evict_before_interruption(now);
         let ours =
             |m: &crate::scheduler::Machine| m.state == MachineState::Up && m.draining.is_none();
         if !unheard.is_empty()
@@ -88,7 +88,8 @@
             return;
         }
         // A new leader first hears what machines there are.
-        let knows_fleet = self.autoscaler.listed || now.since(self.started_at) > Span::secs(10);
+        let knows_fleet =
+            self.autoscaler.listed || now.since(self.started_at) > TimeDelta::from_secs(10);
         let pause = if self.autoscaler.asking.is_empty() { SCALE_OUT_EVERY } else { LOOK_EVERY };
         if knows_fleet && now.since(self.autoscaler.last_rent) >= pause {
             self.autoscaler.last_rent = now;
@@ -104,9 +105,9 @@
     }
 
     /// Tells once a minute what the fleet's money went to.
-    fn account_costs(&mut self, now: Time) {
+    fn account_costs(&mut self, now: Timestamp) {
         let mut u = std::mem::take(&mut self.autoscaler.usage);
-        let hours = u.last.map_or(0.0, |t| now.since(t).as_secs() / 3_600.0);
+        let hours = u.last.map_or(0.0, |t| now.since(t).as_secs_f64() / 3_600.0);
         u.last = Some(now);
         for m in &self.machines {
             let Some(kind) = m.kind.and_then(|k| self.types.get(k)) else { continue };
@@ -134,7 +135,7 @@
             }
         }
         let since = *u.since.get_or_insert(now);
-        if now.since(since) >= Span::secs(60) {
+        if now.since(since) >= TimeDelta::from_secs(60) {
             self.log(format!(
                 "fleet: cost {:.3} (spot {:.3}, ordinary {:.3}): running {:.3}, starting {:.3}, booting {:.3}, idle spot {:.3}, idle ordinary {:.3}",
                 u.spot + u.ordinary,
@@ -153,13 +154,13 @@
                 t.starts, t.status_writes, t.ends, t.drops, t.jobs
             ));
             self.log(format!("placed {} tasks, {} where the image is", t.placed, t.cached));
-            self.note_shares();
+            self.log_shares();
         }
         self.autoscaler.usage = u;
     }
 
     /// Rents for work that finds no place, and for the headroom.
-    fn scale_out(&mut self, now: Time, queue: Vec<(Urgency, JobIx)>) {
+    fn scale_out(&mut self, now: Timestamp, queue: Vec<(QueueKey, JobIndex)>) {
         if now < self.autoscaler.down_until || self.types.is_empty() {
             return;
         }
@@ -196,7 +197,7 @@
             if coming && !m.spot {
                 ordered += p.cpus.max(0.0);
             }
-            if p.cpus + SLACK >= least_cpus && p.memory + SLACK >= least_memory {
+            if p.cpus + EPSILON >= least_cpus && p.memory + EPSILON >= least_memory {
                 what_if_machines.push(p);
             }
         }
@@ -214,7 +215,7 @@
         }
         let dear = !self.ordinary_is_cheap();
         let mut soon_free = self.cpus_free_soon(now);
-        for (urgency, ix) in queue {
+        for (queue_key, ix) in queue {
             let Some(job) = self.job(ix) else { continue };
             if job.errors > 0 && job.suspect() {
                 continue; // No machine is rented for a job that fails everywhere.
@@ -234,8 +235,8 @@
                 continue;
             }
             let boot = self.quickest_boot(ix);
-            if urgency.slack > self.tun.rent_slack.as_secs() + boot
-                && now.since(job.released) < self.tun.rent_slack
+            if queue_key.slack > self.tunables.rent_slack.as_secs_f64() + boot
+                && now.since(job.ready_at) < self.tunables.rent_slack
                 && self.makes_room_for(now, ix)
             {
                 continue; // Time enough for running work to make room.
@@ -244,8 +245,8 @@
             // that it can still bring home in time, and that nothing else will.
             let ordinary = self.ordinary_is_cheap()
                 || (!self.others_can_give_way(ix, f64::from(todo) * job.spec.cpus)
-                    && urgency.finish_slack < self.tun.ordinary_slack.as_secs()
-                    && urgency.finish_slack > 0.5 * boot);
+                    && queue_key.finish_slack < self.tunables.ordinary_slack.as_secs_f64()
+                    && queue_key.finish_slack > 0.5 * boot);
             while todo > 0 && offers.has_room() {
                 let spot_job = job.spec.spot;
                 let open = |i: usize| allowed[i] && (offers.offers[i].2 || !spot_job || ordinary);
@@ -279,7 +280,7 @@
         }
         let cheap = self.ordinary_is_cheap();
         let mut lacking = self.headroom_cpus(now) - free;
-        while lacking > SLACK && offers.has_room() {
+        while lacking > EPSILON && offers.has_room() {
             // The cheapest machine to stand by, an ordinary one only where those are cheap.
             let Some(index) = offers.cheapest(|i| offers.offers[i].2 || cheap) else { break };
             lacking -= self.types[offers.offers[index].0].cpus;
@@ -301,7 +302,7 @@
     }
 
     /// All that the cloud offers at present.
-    fn offers(&self, now: Time) -> InstanceOffers {
+    fn offers(&self, now: Timestamp) -> InstanceOffers {
         let mut offers = InstanceOffers::default();
         for (k, kind) in self.types.iter().enumerate() {
             for zone in &kind.zones {
@@ -309,7 +310,7 @@
                     let price = if spot { kind.spot_price } else { kind.price };
                     let offer = (k, zone.clone(), spot);
                     let open = kind.cpus > 0.0 && self.open_offer(now, &offer);
-                    offers.add(offer, price.max(0.0) / kind.cpus.max(SLACK), open);
+                    offers.add(offer, price.max(0.0) / kind.cpus.max(EPSILON), open);
                 }
             }
         }
@@ -332,11 +333,11 @@
 
     /// Processors that running tasks should free within a boot's time. Those of quick classes don't
     /// count: the next of their kind take their place.
-    fn cpus_free_soon(&self, now: Time) -> f64 {
+    fn cpus_free_soon(&self, now: Timestamp) -> f64 {
         let boots = self.types.iter().map(|t| t.boot_s);
         let boot = boots.min_by(f64::total_cmp).unwrap_or(0.0) * 1.2;
         let mut free = 0.0;
-        for job in self.jobs.values().filter(|j| !self.is_quick(&j.spec.class)) {
+        for job in self.jobs.values().filter(|j| !self.has_short_start_objective(&j.spec.class)) {
             let run = self.expected_run(job);
             let soon = job.tasks.iter().zip(0..).filter(|(t, index)| {
                 let since = match job.started.get(index) {
@@ -346,7 +347,7 @@
                     None if self.placed_before(t) => self.began(now, t),
                     None => return false,
                 };
-                t.phase.placed() && run - now.since(since).as_secs() < boot
+                t.phase.placed() && run - now.since(since).as_secs_f64() < boot
             });
             free += soon.count() as f64 * job.spec.cpus;
         }
@@ -356,7 +357,7 @@
     /// Whether there is running work on machines that the job could use, so that waiting makes
     /// sense. (Without this a job with time to spare waited on an empty fleet for machines that
     /// nobody rented.)
-    fn makes_room_for(&self, now: Time, ix: JobIx) -> bool {
+    fn makes_room_for(&self, now: Timestamp, ix: JobIndex) -> bool {
         let Some(job) = self.job(ix) else { return false };
         self.machines.iter().any(|m| {
             let kind = m.kind.and_then(|k| self.types.get(k));
@@ -370,9 +371,10 @@
 
     /// Whether work of lower priority holds the room that the job needs, so that stopping it serves
     /// the job sooner than any machine that has yet to boot.
-    fn others_can_give_way(&self, ix: JobIx, cpus: f64) -> bool {
+    fn others_can_give_way(&self, ix: JobIndex, cpus: f64) -> bool {
         let Some(job) = self.job(ix) else { return false };
-        let lower = self.jobs.values().filter(|j| j.rank < job.rank && !j.over && j.placed > 0);
+        let lower =
+            self.jobs.values().filter(|j| j.priority < job.priority && !j.over && j.placed > 0);
         let mut by_class: BTreeMap<ClassId, f64> = BTreeMap::new();
         for other in lower {
             let held = f64::from(other.placed) * other.spec.cpus;
@@ -380,8 +382,9 @@
         }
         // What a class keeps in an overload makes room for nobody. (Counted as if it did, it kept the
         // leader from renting for a flood of urgent work until the flood was nearly over.)
-        let kept = |class: ClassId| self.sharing.kept(class) * self.fleet_cpus;
-        let beyond = by_class.iter().map(|(&class, held)| (held - kept(class)).max(0.0));
+        let retained_share =
+            |class: ClassId| self.fair_share.retained_share(class) * self.fleet_cpus;
+        let beyond = by_class.iter().map(|(&class, held)| (held - retained_share(class)).max(0.0));
         beyond.sum::<f64>() >= cpus
     }
 
@@ -391,18 +394,18 @@
             .types
             .iter()
             .fold((0.0, 0.0), |(o, s), t| (o + t.price / t.cpus, s + t.spot_price / t.cpus));
-        ordinary <= self.tun.premium * spot
+        ordinary <= self.tunables.premium * spot
     }
 
     /// The shortest boot among the types that the job allows, in seconds.
-    fn quickest_boot(&self, ix: JobIx) -> f64 {
+    fn quickest_boot(&self, ix: JobIndex) -> f64 {
         let Some(job) = self.job(ix) else { return 0.0 };
         let fits = self.types.iter().filter(|t| job.spec.fits_type(t));
         fits.map(|t| t.boot_s).min_by(f64::total_cmp).unwrap_or(0.0)
     }
 
     /// How many more tasks of the job its team's limit allows.
-    pub(crate) fn room_in_team(&self, ix: JobIx) -> u32 {
+    pub(crate) fn room_in_team(&self, ix: JobIndex) -> u32 {
         let Some(job) = self.job(ix) else { return 0 };
         let Some(team) = self.site.team(&job.spec.team) else { return 0 };
         let (cpus, gpus) = self.team_use.get(&job.spec.team).copied().unwrap_or_default();
@@ -410,18 +413,18 @@
             if max <= 0.0 || takes <= 0.0 {
                 u32::MAX
             } else {
-                ((max - used + SLACK) / takes).clamp(0.0, 1.0e6) as u32
+                ((max - used + EPSILON) / takes).clamp(0.0, 1.0e6) as u32
             }
         };
         by(team.cpus_max, cpus, job.spec.cpus).min(by(team.gpus_max, gpus, job.spec.gpus))
     }
 
-    fn open_offer(&self, now: Time, offer: &InstanceOffer) -> bool {
+    fn open_offer(&self, now: Timestamp, offer: &InstanceOffer) -> bool {
         self.autoscaler.refused.get(offer).is_none_or(|&(until, _)| now >= until)
     }
 
     /// Drains machines that have had nothing to do for a while, ordinary ones sooner.
-    fn drain_idle(&mut self, now: Time) {
+    fn drain_idle(&mut self, now: Timestamp) {
         let mut free: f64 = self
             .machines
             .iter()
@@ -434,9 +437,9 @@
             .filter(|&i| {
                 let m = &self.machines[i];
                 let limit = match (cheap, m.spot) {
-                    (true, _) => self.tun.idle_cheap,
-                    (false, true) => self.tun.idle_spot,
-                    (false, false) => self.tun.idle_ordinary,
+                    (true, _) => self.tunables.idle_cheap,
+                    (false, true) => self.tunables.idle_spot,
+                    (false, false) => self.tunables.idle_ordinary,
                 };
                 self.open_for_work(now, m) && m.tasks.is_empty() && now.since(m.idle_since) > limit
             })
@@ -454,7 +457,7 @@
     }
 
     /// Gives back what is marked and either empty or beyond help.
-    fn scale_in(&mut self, now: Time) {
+    fn scale_in(&mut self, now: Timestamp) {
         if now < self.autoscaler.down_until || self.autoscaler.returning > 1 {
             return;
         }
@@ -491,7 +494,7 @@
     }
 
     /// The answer to [`Command::ScaleIn`]: whether it was 200, which proves the machines gone.
-    pub fn scale_in_answered(&mut self, now: Time, names: &[String], ok: bool) {
+    pub fn scale_in_answered(&mut self, now: Timestamp, names: &[String], ok: bool) {
         self.autoscaler.returning = self.autoscaler.returning.saturating_sub(1);
         for name in names {
             if ok {
@@ -499,14 +502,14 @@
                 self.machine_gone(now, name);
             } else if let Some(&m) = self.by_name.get(name) {
                 self.machines[m as usize].termination_sent_at =
-                    Some(now - TERMINATION_RETRY + Span::millis(1_500));
+                    Some(now - TERMINATION_RETRY + TimeDelta::from_millis(1_500));
             }
         }
     }
 
     /// A former leader recorded that the machine is returned. Nothing is placed there, and what is on it
     /// is there until the return is answered.
-    pub fn adopt_scale_in(&mut self, now: Time, name: &str) {
+    pub fn adopt_scale_in(&mut self, now: Timestamp, name: &str) {
         let ix = self.machine_named(now, name);
         let machine = &mut self.machines[ix as usize];
         machine.state = MachineState::Terminating;
@@ -522,7 +525,7 @@
     }
 
     /// The cloud gives no usable answers: nothing more is asked for during a moment.
-    pub fn cloud_in_trouble(&mut self, now: Time) {
+    pub fn cloud_in_trouble(&mut self, now: Timestamp) {
         self.autoscaler.down_until = now + CLOUD_PAUSE;
     }
 
@@ -541,7 +544,7 @@
     /// `Err` if the cloud gave no usable answer.
     pub fn scale_out_answered(
         &mut self,
-        now: Time,
+        now: Timestamp,
         kind: &str,
         zone: &str,
         spot: bool,
@@ -560,8 +563,8 @@
         };
         if (got.len() as u32) < asked {
             let entry = self.autoscaler.refused.entry(offer.clone()).or_insert((now, 0));
-            entry.1 = (entry.1 + 1).min(MOST_REFUSALS);
-            entry.0 = now + Span::secs(4 << entry.1);
+            entry.1 = (entry.1 + 1).min(MAX_REFUSALS);
+            entry.0 = now + TimeDelta::from_secs(4 << entry.1);
         } else {
             self.autoscaler.refused.remove(&offer);
         }
@@ -586,7 +589,7 @@
 
     /// A whole machine list. It lags, so what is missing from it proves nothing; what it calls
     /// failed has stopped by itself.
-    pub fn machine_list(&mut self, now: Time, list: &[ListedMachine]) {
+    pub fn machine_list(&mut self, now: Timestamp, list: &[ListedMachine]) {
         self.autoscaler.listed = true;
         for entry in list {
             let m = self.machine_named(now, &entry.name);
@@ -601,7 +604,7 @@
             }
             if machine.zone.is_empty() {
                 machine.spot = entry.spot;
-                machine.requested_at = now - Span::from_secs(entry.age_s);
+                machine.requested_at = now - TimeDelta::from_secs_f64(entry.age_s);
                 machine.zone.clone_from(&entry.zone);
                 let tasks: Vec<_> = machine.tasks.iter().copied().collect();
                 self.rezone(&tasks, "", &entry.zone);
--- a/crates/scheduler/src/autoscaling/offers.rs
+++ b/crates/scheduler/src/autoscaling/offers.rs
@@ -1,6 +1,6 @@
 //! What the cloud offers, and trying placements on machines that aren't there yet.
 
-use crate::model::job::{JobSpec, SLACK};
+use crate::model::job::{JobSpec, EPSILON};
 
 /// A kind of machine that can be asked for: type, zone, spot or ordinary.
 pub type InstanceOffer = (usize, String, bool);
@@ -20,7 +20,7 @@
     /// Puts as many of `todo` tasks on it as there is room for.
     pub fn take(&mut self, spec: &JobSpec, todo: u32) -> u32 {
         let by =
-            |free: f64, takes: f64| if takes > 0.0 { (free + SLACK) / takes } else { f64::MAX };
+            |free: f64, takes: f64| if takes > 0.0 { (free + EPSILON) / takes } else { f64::MAX };
         let fit = by(self.cpus, spec.cpus)
             .min(by(self.gpus, spec.gpus))
             .min(by(self.memory, spec.memory_gb));
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -2,26 +2,26 @@
 //! is for the worker's reports to tell.
 
 use crate::leadership::election::token;
-use crate::model::task::{Input, MachineIx, Phase};
+use crate::model::task::{MachineIndex, TaskEvent, TaskPhase};
 use crate::protocol::WorkerCommand;
-use crate::reconciliation::heartbeats::MOST_COMMANDS;
+use crate::reconciliation::heartbeats::MAX_COMMANDS;
 use crate::scheduler::{Command, MachineState, MessageOutcome, Scheduler, TaskId, OVERDUE};
-use crate::time::{Span, Time};
+use crate::time::{TimeDelta, Timestamp};
 
 /// A worker reports a higher token that an answer showed it within half a second, if the answer arrived.
-const ANSWER_SHOWS_WITHIN: Span = Span::millis(1_500);
+const ANSWER_SHOWS_WITHIN: TimeDelta = TimeDelta::from_millis(1_500);
 
 /// Ever longer, up to sixteen times the first, while messages to a machine go on being lost.
-fn pause(first: Span, consecutive_losses: u32) -> Span {
-    Span(first.0 << consecutive_losses.saturating_sub(1).min(4))
+fn pause(first: TimeDelta, consecutive_losses: u32) -> TimeDelta {
+    TimeDelta(first.0 << consecutive_losses.saturating_sub(1).min(4))
 }
 
 impl Scheduler {
     /// Sends what waits for workers: one message under way per worker. Without a sweep only those
     /// machines are looked at that something happened to.
-    pub(crate) fn flush(&mut self, now: Time, sweep: bool) {
+    pub(crate) fn send_messages(&mut self, now: Timestamp, sweep: bool) {
         let term = self.term;
-        let overdue = self.site.heartbeat_interval.scale(OVERDUE);
+        let overdue = self.site.heartbeat_interval.mul_f64(OVERDUE);
         let most_questions = self.site.most_messages / 3 + 1;
         let noted = std::mem::take(&mut self.send_queue);
         for &ix in &noted {
@@ -57,7 +57,7 @@
             // it can be given up sooner.
             let missed = m.state == MachineState::Up && now.since(m.last_heartbeat) > overdue;
             let may_start = can_send && self.holds_lease;
-            let (ids, starts) = self.last_look(now, ix as MachineIx, may_start);
+            let (ids, starts) = self.release_starts(now, ix as MachineIndex, may_start);
             let m = &mut self.machines[ix];
             // Mere questions are paced: at a take-over the whole fleet is asked.
             let ask_later = m.outbox.is_empty()
@@ -70,10 +70,10 @@
                 continue;
             }
             if m.outbox.is_empty() && starts.is_empty() && !unseen {
-                overdue_machines.push(ix as MachineIx);
+                overdue_machines.push(ix as MachineIndex);
                 continue;
             }
-            self.post(ix as MachineIx, ids, starts);
+            self.send_message(ix as MachineIndex, ids, starts);
         }
         self.ask_overdue(overdue_machines, most_questions);
     }
@@ -81,19 +81,24 @@
     /// Asks machines of which a report is missing, after all that a message is more urgent for, and those first
     /// that were heard longest ago. (In the order of the table, the first two thousand were overdue again
     /// before the others were asked at all.)
-    fn ask_overdue(&mut self, mut machines: Vec<MachineIx>, most_questions: usize) {
+    fn ask_overdue(&mut self, mut machines: Vec<MachineIndex>, most_questions: usize) {
         let room = most_questions.saturating_sub(self.messages_in_flight);
         if machines.len() > room {
             machines.sort_unstable_by_key(|&ix| self.machines[ix as usize].last_heartbeat);
             machines.truncate(room);
         }
         for ix in machines {
-            self.post(ix, Vec::new(), Vec::new());
+            self.send_message(ix, Vec::new(), Vec::new());
         }
     }
 
     /// Sends the machine what waits for it, with these starts.
-    fn post(&mut self, ix: MachineIx, ids: Vec<(TaskId, u32)>, starts: Vec<WorkerCommand>) {
+    fn send_message(
+        &mut self,
+        ix: MachineIndex,
+        ids: Vec<(TaskId, u32)>,
+        starts: Vec<WorkerCommand>,
+    ) {
         let term = self.term;
         let m = &mut self.machines[ix as usize];
         m.request_in_flight = true;
@@ -111,7 +116,7 @@
     }
 
     /// The answer to a [`Command::SendToWorker`].
-    pub fn message_answered(&mut self, now: Time, m: MachineIx, outcome: MessageOutcome) {
+    pub fn message_answered(&mut self, now: Timestamp, m: MachineIndex, outcome: MessageOutcome) {
         let Some(machine) = self.machines.get_mut(m as usize) else { return };
         if std::mem::take(&mut machine.request_in_flight) {
             self.messages_in_flight = self.messages_in_flight.saturating_sub(1);
@@ -138,14 +143,14 @@
                     let entries = self.resolve(&heartbeat);
                     self.reconcile_heartbeat(now, &heartbeat, &entries, true);
                 } else {
-                    machine.retry_at = now + Span::secs(1);
+                    machine.retry_at = now + TimeDelta::from_secs(1);
                 }
             }
             MessageOutcome::NotSent => {
                 machine.consecutive_losses += 1;
-                machine.retry_at = now + pause(Span::secs(1), machine.consecutive_losses);
+                machine.retry_at = now + pause(TimeDelta::from_secs(1), machine.consecutive_losses);
                 machine.raise_fencing_counter(now, term);
-                self.stop_again(m);
+                self.repeat_stops(m);
                 // There was no connection, so nothing left this process and nothing ever will:
                 // these starts are absent by this registry's own doing.
                 // Only the attempt that the message held, though: the machine may have been returned
@@ -157,7 +162,7 @@
                         t.attempt == attempt && t.machine == m
                     });
                     if same {
-                        self.step(now, id, Input::Absent);
+                        self.step(now, id, TaskEvent::ProvenAbsent);
                     }
                 }
             }
@@ -165,28 +170,29 @@
                 // The message may be executed minutes later. Raising the fence makes sure that a
                 // report that has seen the new number proves that the old message never will be.
                 machine.consecutive_losses += 1;
-                machine.retry_at = now + pause(Span::millis(1_500), machine.consecutive_losses);
+                machine.retry_at =
+                    now + pause(TimeDelta::from_millis(1_500), machine.consecutive_losses);
                 machine.raise_fencing_counter(now, term);
-                self.stop_again(m);
+                self.repeat_stops(m);
             }
         }
     }
 
     /// The message may have held the command to stop a cancelled job's tasks: the next one holds it
     /// again. The answers to the worker's reports do so too, where there are any.
-    fn stop_again(&mut self, m: MachineIx) {
+    fn repeat_stops(&mut self, m: MachineIndex) {
         let machine = &self.machines[m as usize];
         let mut calls = Vec::new();
         for id in &machine.tasks {
             let Some(job) = self.job(id.0).filter(|j| j.over) else { continue };
             let task = &job.tasks[id.1 as usize];
-            if task.phase == Phase::Stopping {
+            if task.phase == TaskPhase::Stopping {
                 let name = format!("{}/{}", job.name, id.1);
                 let attempt = u64::from(task.attempt);
                 calls.push(WorkerCommand::Kill { task: name, attempt, grace_s: 0.0 });
             }
         }
-        calls.truncate(MOST_COMMANDS);
+        calls.truncate(MAX_COMMANDS);
         let machine = &mut self.machines[m as usize];
         if machine.state == MachineState::Up {
             calls.retain(|call| !machine.outbox.contains(call));
--- a/crates/scheduler/src/leadership/election.rs
+++ b/crates/scheduler/src/leadership/election.rs
@@ -4,22 +4,22 @@
 //! the rules: every write of a leader guards its term, so a leader that doesn't know it is deposed
 //! can write nothing. Leadership only keeps two nodes from doing the same work.
 
-use crate::time::{Span, Time};
+use crate::time::{TimeDelta, Timestamp};
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
     /// Somebody else leads, or nobody: waiting to see the key gone.
-    Following,
+    Follower,
     /// Getting a lease and creating the key.
-    Standing,
+    Candidate,
     /// Holds the key; reads the records before it decides anything.
     Loading { term: u64 },
     /// Decides.
-    Leading { term: u64 },
+    Leader { term: u64 },
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Input {
+pub enum ElectionEvent {
     /// The leader key is gone.
     Vacant,
     /// This node created the key.
@@ -36,12 +36,12 @@
 pub struct Leadership {
     role: Role,
     /// Until when this node leaves the lead to others, having just given way.
-    aside_until: Time,
+    backing_off_until: Timestamp,
 }
 
 impl Default for Leadership {
     fn default() -> Self {
-        Leadership { role: Role::Following, aside_until: Time(0) }
+        Leadership { role: Role::Follower, backing_off_until: Timestamp(0) }
     }
 }
 
@@ -52,25 +52,27 @@
 
     pub fn term(&self) -> Option<u64> {
         match self.role {
-            Role::Loading { term } | Role::Leading { term } => Some(term),
-            Role::Following | Role::Standing => None,
+            Role::Loading { term } | Role::Leader { term } => Some(term),
+            Role::Follower | Role::Candidate => None,
         }
     }
 
     /// Lets others lead for a while.
-    pub fn stand_aside(&mut self, now: Time, span: Span) {
-        self.aside_until = now + span;
+    pub fn back_off(&mut self, now: Timestamp, span: TimeDelta) {
+        self.backing_off_until = now + span;
     }
 
-    pub fn step(&mut self, now: Time, input: Input) -> bool {
+    pub fn step(&mut self, now: Timestamp, input: ElectionEvent) -> bool {
         let next = match (self.role, input) {
-            (Role::Following, Input::Vacant) if now >= self.aside_until => Role::Standing,
-            (Role::Standing, Input::Won { term }) => Role::Loading { term },
-            (Role::Standing, Input::Failed) => Role::Following,
-            (Role::Loading { term }, Input::Loaded { term: loaded }) if term == loaded => {
-                Role::Leading { term }
+            (Role::Follower, ElectionEvent::Vacant) if now >= self.backing_off_until => {
+                Role::Candidate
             }
-            (Role::Loading { .. } | Role::Leading { .. }, Input::Lost) => Role::Following,
+            (Role::Candidate, ElectionEvent::Won { term }) => Role::Loading { term },
+            (Role::Candidate, ElectionEvent::Failed) => Role::Follower,
+            (Role::Loading { term }, ElectionEvent::Loaded { term: loaded }) if term == loaded => {
+                Role::Leader { term }
+            }
+            (Role::Loading { .. } | Role::Leader { .. }, ElectionEvent::Lost) => Role::Follower,
             _ => return false,
         };
         self.role = next;
--- a/crates/scheduler/src/leadership/election/tests.rs
+++ b/crates/scheduler/src/leadership/election/tests.rs
@@ -3,14 +3,14 @@
 #[test]
 fn a_node_that_gave_way_leaves_the_lead_to_others() {
     let mut l = Leadership::default();
-    assert!(l.step(Time(0), Input::Vacant));
-    assert!(l.step(Time(1), Input::Won { term: 7 }));
-    assert!(!l.step(Time(2), Input::Loaded { term: 6 }), "records of an older term");
-    assert!(l.step(Time(2), Input::Loaded { term: 7 }));
-    assert!(l.step(Time(3), Input::Lost));
-    l.stand_aside(Time(3), Span::secs(5));
-    assert!(!l.step(Time(4), Input::Vacant));
-    assert!(l.step(Time(5_000_003), Input::Vacant));
+    assert!(l.step(Timestamp(0), ElectionEvent::Vacant));
+    assert!(l.step(Timestamp(1), ElectionEvent::Won { term: 7 }));
+    assert!(!l.step(Timestamp(2), ElectionEvent::Loaded { term: 6 }), "records of an older term");
+    assert!(l.step(Timestamp(2), ElectionEvent::Loaded { term: 7 }));
+    assert!(l.step(Timestamp(3), ElectionEvent::Lost));
+    l.back_off(Timestamp(3), TimeDelta::from_secs(5));
+    assert!(!l.step(Timestamp(4), ElectionEvent::Vacant));
+    assert!(l.step(Timestamp(5_000_003), ElectionEvent::Vacant));
 }
 
 #[test]
--- a/crates/scheduler/src/leadership/watermark.rs
+++ b/crates/scheduler/src/leadership/watermark.rs
@@ -10,40 +10,40 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::time::{Span, Time};
+use crate::time::{TimeDelta, Timestamp};
 use crate::tunables::Site;
 
 /// A cancellation is worth telling until its tasks must be gone, and half that again.
 const KEEP: f64 = 1.5;
 /// Cancellations kept at most, at some hundred bytes each. What a node drops unacknowledged it can't
 /// vouch for any more, which the reader sees by the gap.
-const MOST_KEPT: usize = 4_096;
+const MAX_KEPT: usize = 4_096;
 /// Cancellations in one message.
-pub const MOST_TOLD: usize = 100;
+pub const MAX_TOLD: usize = 100;
 /// How long an acknowledgement may take before the rest is told again.
-const TELL_AGAIN: Span = Span::secs(1);
+const TELL_AGAIN: TimeDelta = TimeDelta::from_secs(1);
 /// Questions whose answers are still of use.
-const MOST_ASKED: usize = 64;
+const MAX_ASKED: usize = 64;
 
 /// Beyond the drift of two clocks, what an answer takes to be written after the time was looked at.
-const MARGIN: Span = Span::millis(250);
+const MARGIN: TimeDelta = TimeDelta::from_millis(250);
 /// Drift of two steady clocks against each other, doubled.
 const DRIFT: f64 = 0.002;
 /// The least window, for sites whose leases outlast the time that a cancellation may take. There the
 /// lease can't be the last resort, whoever renews it.
-const LEAST_WINDOW: Span = Span::millis(300);
+const LEAST_WINDOW: TimeDelta = TimeDelta::from_millis(300);
 
 /// For how long after its watermark a leader may go on renewing leases: a cancellation that it doesn't
 /// know of was told after the watermark, and a lease renewed now must have ended `cancel` after that.
-pub fn window(site: &Site) -> Span {
-    let drift = (site.worker_lease + site.cancel_within).scale(DRIFT);
+pub fn window(site: &Site) -> TimeDelta {
+    let drift = (site.worker_lease + site.cancel_within).mul_f64(DRIFT);
     let window = site.cancel_within - site.worker_lease - MARGIN - drift;
     window.max(LEAST_WINDOW)
 }
 
 /// How often a leader asks the others, so that the watermark stays well inside the window.
-pub fn ask_every(site: &Site) -> Span {
-    window(site).scale(1.0 / 6.0).min(Span::secs(1)).max(Span::millis(50))
+pub fn ask_every(site: &Site) -> TimeDelta {
+    window(site).mul_f64(1.0 / 6.0).min(TimeDelta::from_secs(1)).max(TimeDelta::from_millis(50))
 }
 
 /// How far another node has acknowledged this one's log.
@@ -52,27 +52,27 @@
     incarnation: u64,
     acked: u64,
     told: u64,
-    told_at: Time,
+    told_at: Timestamp,
 }
 
 /// The cancellations that this node told in this life, numbered from 1.
 #[derive(Debug)]
 pub struct CancellationLog {
-    keep: Span,
+    keep: TimeDelta,
     /// The number of the first that is still kept.
     first: u64,
-    kept: VecDeque<(Time, String)>,
+    kept: VecDeque<(Timestamp, String)>,
     readers: BTreeMap<String, Reader>,
 }
 
 impl CancellationLog {
     pub fn new(site: &Site) -> CancellationLog {
-        let keep = site.cancel_within.scale(KEEP);
+        let keep = site.cancel_within.mul_f64(KEEP);
         CancellationLog { keep, first: 1, kept: VecDeque::new(), readers: BTreeMap::new() }
     }
 
     /// Before a user is told: the end is stored, and this node is about to say so.
-    pub fn append(&mut self, now: Time, job: &str) {
+    pub fn append(&mut self, now: Timestamp, job: &str) {
         self.trim(now);
         self.kept.push_back((now, job.to_owned()));
     }
@@ -82,8 +82,8 @@
         self.first + self.kept.len() as u64 - 1
     }
 
-    fn trim(&mut self, now: Time) {
-        while self.kept.len() >= MOST_KEPT
+    fn trim(&mut self, now: Timestamp) {
+        while self.kept.len() >= MAX_KEPT
             || self.kept.front().is_some_and(|(told, _)| now.since(*told) > self.keep)
         {
             self.kept.pop_front();
@@ -108,7 +108,7 @@
     }
 
     /// What is to be told to the other node now, with the number of its first.
-    pub fn to_tell(&mut self, now: Time, reader: &str) -> Option<(u64, Vec<String>)> {
+    pub fn to_tell(&mut self, now: Timestamp, reader: &str) -> Option<(u64, Vec<String>)> {
         self.trim(now);
         let (first, last) = (self.first, self.last());
         let known = self.readers.get_mut(reader)?;
@@ -120,7 +120,7 @@
         }
         let skip = (from - first) as usize;
         let jobs: Vec<String> =
-            self.kept.iter().skip(skip).take(MOST_TOLD).map(|(_, job)| job.clone()).collect();
+            self.kept.iter().skip(skip).take(MAX_TOLD).map(|(_, job)| job.clone()).collect();
         known.told = from + jobs.len() as u64 - 1;
         known.told_at = now;
         Some((from, jobs))
@@ -133,42 +133,42 @@
     incarnation: u64,
     received: u64,
     /// All that it told before this is known here.
-    vouched: Time,
+    vouched: Timestamp,
     /// Something that it, or its former self, told before this may have been missed: it vouches for
     /// nothing until the state service was read later than that.
-    gap: Option<Time>,
+    gap: Option<Timestamp>,
 }
 
 /// Up to when every cancellation that any node told is known here.
 #[derive(Debug)]
 pub struct Watermark {
     /// All ends that were stored before this have been read.
-    read: Time,
+    read: Timestamp,
     streams: BTreeMap<String, Stream>,
     /// When which question was asked.
-    asked: VecDeque<(u64, Time)>,
+    asked: VecDeque<(u64, Timestamp)>,
 }
 
 impl Watermark {
     pub fn new(others: impl IntoIterator<Item = String>) -> Watermark {
         let streams = others.into_iter().map(|name| (name, Stream::default())).collect();
-        Watermark { read: Time(0), streams, asked: VecDeque::new() }
+        Watermark { read: Timestamp(0), streams, asked: VecDeque::new() }
     }
 
     /// All ends that were stored by then have been read from the state service.
-    pub fn read(&mut self, by: Time) {
+    pub fn read(&mut self, by: Timestamp) {
         self.read = self.read.max(by);
     }
 
     /// The others are asked how far their logs go.
-    pub fn ask(&mut self, now: Time, number: u64) {
-        if self.asked.len() >= MOST_ASKED {
+    pub fn ask(&mut self, now: Timestamp, number: u64) {
+        if self.asked.len() >= MAX_ASKED {
             self.asked.pop_front();
         }
         self.asked.push_back((number, now));
     }
 
-    fn stream(&mut self, now: Time, node: &str, incarnation: u64) -> Option<&mut Stream> {
+    fn stream(&mut self, now: Timestamp, node: &str, incarnation: u64) -> Option<&mut Stream> {
         let stream = self.streams.get_mut(node)?;
         if stream.incarnation != incarnation {
             // What the former self told last may never have been sent.
@@ -181,14 +181,14 @@
     /// others from before it reads the records. (Met first with their first vouches, after the records
     /// were read, they vouched for nothing until the next read; a leader elected just before an outage
     /// let all leases run out in it.)
-    pub fn heard(&mut self, now: Time, node: &str, incarnation: u64) {
+    pub fn heard(&mut self, now: Timestamp, node: &str, incarnation: u64) {
         self.stream(now, node, incarnation);
     }
 
     /// A part of another node's log has come, beginning with that number. What to acknowledge.
     pub fn told(
         &mut self,
-        now: Time,
+        now: Timestamp,
         node: &str,
         incarnation: u64,
         first: u64,
@@ -203,7 +203,7 @@
     }
 
     /// Another node answers a question: all that it has told by now has numbers up to `last`.
-    pub fn vouch(&mut self, now: Time, node: &str, incarnation: u64, last: u64, number: u64) {
+    pub fn vouch(&mut self, now: Timestamp, node: &str, incarnation: u64, last: u64, number: u64) {
         let read = self.read;
         let asked = self.asked.iter().find(|a| a.0 == number).map(|a| a.1);
         let Some(stream) = self.stream(now, node, incarnation) else { return };
@@ -217,7 +217,7 @@
     }
 
     /// Every cancellation told before this is known. Its own are, at any time.
-    pub fn until(&self, now: Time) -> Time {
+    pub fn until(&self, now: Timestamp) -> Timestamp {
         let others = self.streams.values().map(|s| s.vouched).min().unwrap_or(now);
         others.max(self.read)
     }
--- a/crates/scheduler/src/model/job.rs
+++ b/crates/scheduler/src/model/job.rs
@@ -8,17 +8,18 @@
 
 /// Priority of a job; the greater comes first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Rank {
+pub enum Priority {
     Low,
     Normal,
     High,
     Prod,
 }
 
-impl Rank {
-    pub const COUNT: usize = Rank::ALL.len();
+impl Priority {
+    pub const COUNT: usize = Priority::ALL.len();
     /// All of them, the lowest first, each at the place of its number.
-    pub const ALL: [Rank; 4] = [Rank::Low, Rank::Normal, Rank::High, Rank::Prod];
+    pub const ALL: [Priority; 4] =
+        [Priority::Low, Priority::Normal, Priority::High, Priority::Prod];
 }
 
 /// What the owner asked for. Stored in the state service as it is.
@@ -26,7 +27,8 @@
 pub struct JobSpec {
     pub class: String,
     pub team: String,
-    pub rank: Rank,
+    #[serde(rename = "rank")]
+    pub priority: Priority,
     pub tasks: u32,
     pub cpus: f64,
     pub gpus: f64,
@@ -44,16 +46,17 @@
     pub deadline_s: Option<f64>,
     /// Jobs that have to be done before any task of this one starts, each once. Left out when there
     /// are none, so that such a record is the one that versions without chains wrote.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub needs: Vec<String>,
+    #[serde(default, rename = "needs", skip_serializing_if = "Vec::is_empty")]
+    pub dependencies: Vec<String>,
 }
 
 /// How a job ended. Written once to `end/{ref}`; whoever writes first wins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum End {
+pub enum JobEnd {
     Done,
-    Aborted,
+    #[serde(rename = "aborted")]
+    Cancelled,
 }
 
 /// A team's guarantee and limit. A limit of 0 means none.
@@ -67,13 +70,13 @@
 }
 
 /// Room for sums of decimal amounts: a tenth added ten times must still count as one.
-pub const SLACK: f64 = 1e-6;
+pub const EPSILON: f64 = 1e-6;
 
 impl Team {
     /// Whether the team may use this much at once.
     pub fn allows(&self, cpus: f64, gpus: f64) -> bool {
-        (self.cpus_max <= 0.0 || cpus <= self.cpus_max + SLACK)
-            && (self.gpus_max <= 0.0 || gpus <= self.gpus_max + SLACK)
+        (self.cpus_max <= 0.0 || cpus <= self.cpus_max + EPSILON)
+            && (self.gpus_max <= 0.0 || gpus <= self.gpus_max + EPSILON)
     }
 }
 
@@ -89,9 +92,9 @@
 
     pub fn fits_type(&self, kind: &MachineType) -> bool {
         self.allows_type(&kind.name)
-            && self.cpus <= kind.cpus + SLACK
-            && self.gpus <= kind.gpus + SLACK
-            && self.memory_gb <= kind.memory_gb + SLACK
+            && self.cpus <= kind.cpus + EPSILON
+            && self.gpus <= kind.gpus + EPSILON
+            && self.memory_gb <= kind.memory_gb + EPSILON
     }
 
     /// Why the job can never run, if so. Only called once teams and types are known.
--- a/crates/scheduler/src/model/task.rs
+++ b/crates/scheduler/src/model/task.rs
@@ -8,16 +8,16 @@
 //!                +-------+--(absent)--+--> pending, next attempt
 //! ```
 //!
-//! A task leaves its machine only on proof ([`Input::Absent`]); no state knows a time-out that
+//! A task leaves its machine only on proof ([`TaskEvent::ProvenAbsent`]); no state knows a time-out that
 //! frees it. `unknown` is the paper's: it may have started, and is never resent under its attempt.
 
-use crate::time::Time;
+use crate::time::Timestamp;
 
 /// Index of a machine in the scheduler's table.
-pub type MachineIx = u32;
+pub type MachineIndex = u32;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Phase {
+pub enum TaskPhase {
     /// To be placed, under the attempt given.
     Pending,
     /// Recorded, or being recorded, as given to a machine; the start may be under way.
@@ -32,79 +32,79 @@
     Done,
 }
 
-impl Phase {
+impl TaskPhase {
     /// The number under which the phase is stored.
     pub fn code(self) -> u8 {
         match self {
-            Phase::Pending => 0,
-            Phase::Dispatching => 1,
-            Phase::Running => 2,
-            Phase::Stopping => 3,
-            Phase::Unknown => 4,
-            Phase::Done => 5,
+            TaskPhase::Pending => 0,
+            TaskPhase::Dispatching => 1,
+            TaskPhase::Running => 2,
+            TaskPhase::Stopping => 3,
+            TaskPhase::Unknown => 4,
+            TaskPhase::Done => 5,
         }
     }
 
-    pub fn from_code(code: u64) -> Option<Phase> {
+    pub fn from_code(code: u64) -> Option<TaskPhase> {
         Some(match code {
-            0 => Phase::Pending,
-            1 => Phase::Dispatching,
-            2 => Phase::Running,
-            3 => Phase::Stopping,
-            4 => Phase::Unknown,
-            5 => Phase::Done,
+            0 => TaskPhase::Pending,
+            1 => TaskPhase::Dispatching,
+            2 => TaskPhase::Running,
+            3 => TaskPhase::Stopping,
+            4 => TaskPhase::Unknown,
+            5 => TaskPhase::Done,
             _ => return None,
         })
     }
 
     /// Whether the task counts as on its machine: everything not proven absent does.
     pub fn placed(self) -> bool {
-        !matches!(self, Phase::Pending | Phase::Done)
+        !matches!(self, TaskPhase::Pending | TaskPhase::Done)
     }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Task {
-    pub phase: Phase,
+    pub phase: TaskPhase,
     pub attempt: u32,
-    pub machine: MachineIx,
+    pub machine: MachineIndex,
     /// The worker's session that the start was sent to.
     pub agent_epoch: u64,
     /// The token that the start was sent with; 0 until it is sent. Proof of absence needs a
     /// report that had already seen a higher one.
     pub token: u64,
     /// When the phase was entered.
-    pub since: Time,
+    pub since: Timestamp,
     /// When it was placed where it is, by whichever leader did. Stored, so that a new leader knows
     /// about how long a task has run that it first sees running.
-    pub placed_at: Time,
+    pub placed_at: Timestamp,
 }
 
 /// What can happen to a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Input {
+pub enum TaskEvent {
     /// Placed by a round, to be written before it is sent.
-    Dispatch { machine: MachineIx, agent_epoch: u64 },
+    Dispatch { machine: MachineIndex, agent_epoch: u64 },
     /// The round's write is certain to have failed: nothing was sent.
     Retract,
     /// The start goes out, once, with this token.
-    Send { token: u64 },
+    Sent { token: u64 },
     /// A report shows the attempt on the machine, with its image.
-    Seen,
+    Observed,
     /// A command to stop it goes out.
     Stop,
     /// Its deadline passed without a receipt.
-    Settle,
+    ConfirmationExpired,
     /// Proven off its machine without having completed.
-    Absent,
+    ProvenAbsent,
     /// A report shows that it completed.
-    Finish,
+    Completed,
 }
 
 impl Task {
-    pub fn new(now: Time) -> Task {
+    pub fn new(now: Timestamp) -> Task {
         Task {
-            phase: Phase::Pending,
+            phase: TaskPhase::Pending,
             attempt: 1,
             machine: 0,
             agent_epoch: 0,
@@ -116,9 +116,9 @@
 
     /// Makes the change that `input` asks for, if the state allows it. A finish is final, and
     /// evidence never moves a task backwards without proof.
-    pub fn step(&mut self, now: Time, input: Input) -> bool {
-        use Input as I;
-        use Phase as P;
+    pub fn step(&mut self, now: Timestamp, input: TaskEvent) -> bool {
+        use TaskEvent as I;
+        use TaskPhase as P;
         let next = match (self.phase, input) {
             (P::Pending, I::Dispatch { machine, agent_epoch }) => {
                 self.machine = machine;
@@ -129,18 +129,18 @@
             }
             // Only a start that was never sent may go back under the same attempt.
             (P::Dispatching, I::Retract) if self.token == 0 => P::Pending,
-            (P::Dispatching, I::Send { token }) if self.token == 0 => {
+            (P::Dispatching, I::Sent { token }) if self.token == 0 => {
                 self.token = token;
                 P::Dispatching
             }
-            (P::Dispatching | P::Unknown, I::Seen) => P::Running,
+            (P::Dispatching | P::Unknown, I::Observed) => P::Running,
             (P::Dispatching | P::Running | P::Unknown, I::Stop) => P::Stopping,
-            (P::Dispatching, I::Settle) => P::Unknown,
-            (P::Dispatching | P::Running | P::Stopping | P::Unknown, I::Absent) => {
+            (P::Dispatching, I::ConfirmationExpired) => P::Unknown,
+            (P::Dispatching | P::Running | P::Stopping | P::Unknown, I::ProvenAbsent) => {
                 self.attempt += 1;
                 P::Pending
             }
-            (P::Pending | P::Dispatching | P::Running | P::Stopping | P::Unknown, I::Finish) => {
+            (P::Pending | P::Dispatching | P::Running | P::Stopping | P::Unknown, I::Completed) => {
                 P::Done
             }
             _ => return false,
