--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -3,20 +3,22 @@
 use walnutlug_admission::resources::Resources;
 
 use crate::leadership::election::token;
-use crate::model::job::{JobSpec, Rank, SLACK};
-use crate::model::task::{MachineIx, Phase};
-use crate::queue::order::{Lift, Urgency};
-use crate::scheduler::{grace_of, Job, JobIx, Machine, MachineState, Scheduler, TaskId, OVERDUE};
-use crate::time::{Span, Time};
+use crate::model::job::{JobSpec, Priority, EPSILON};
+use crate::model::task::{MachineIndex, TaskPhase};
+use crate::queue::order::{Aging, QueueKey};
+use crate::scheduler::{
+    grace_of, Job, JobIndex, Machine, MachineState, Scheduler, TaskId, OVERDUE,
+};
+use crate::time::{TimeDelta, Timestamp};
 
 /// Without a job of a class for this long, no room is kept for its next one.
-const LULL: Span = Span::secs(120);
+const LULL: TimeDelta = TimeDelta::from_secs(120);
 /// Seconds of lost work that a job's missed deadline counts for when choosing what to stop.
 const SPOILT: f64 = 300.0;
 /// Shortest time between two looks for work to stop: what was stopped needs a moment to go.
-const PREEMPT_EVERY: Span = Span::millis(300);
+const PREEMPT_EVERY: TimeDelta = TimeDelta::from_millis(300);
 /// Jobs for which work is stopped in one look; the next look takes the next.
-pub(crate) const MOST_PRESSED: usize = 16;
+pub(crate) const MAX_PREEMPTING_JOBS: usize = 16;
 /// Seconds that it takes to place a stopped task again.
 const RESTART: f64 = 10.0;
 
@@ -49,9 +51,9 @@
 
     /// Takes the room of one task, if it is there.
     fn take(&mut self, spec: &JobSpec) -> bool {
-        let fits = spec.cpus <= self.cpus + SLACK
-            && spec.gpus <= self.gpus + SLACK
-            && spec.memory_gb <= self.memory + SLACK;
+        let fits = spec.cpus <= self.cpus + EPSILON
+            && spec.gpus <= self.gpus + EPSILON
+            && spec.memory_gb <= self.memory + EPSILON;
         if fits {
             self.cpus -= spec.cpus;
             self.gpus -= spec.gpus;
@@ -63,7 +65,7 @@
 
 /// Work that could be stopped for a more urgent job.
 #[derive(Debug)]
-struct Victim {
+struct PreemptionCandidate {
     /// Seconds of work that would be lost.
     cost: f64,
     id: TaskId,
@@ -72,16 +74,16 @@
 
 /// A machine with such work, the least lost first.
 #[derive(Debug)]
-struct Room {
-    machine: MachineIx,
+struct PreemptableMachine {
+    machine: MachineIndex,
     /// What is free, or is being freed.
     free: Amount,
-    victims: Vec<Victim>,
+    candidates: Vec<PreemptionCandidate>,
 }
 
 impl Scheduler {
     /// Processors of open machines that old jobs may still be given ahead of others.
-    pub(crate) fn room_for_old(&self, now: Time) -> f64 {
+    pub(crate) fn room_for_aged(&self, now: Timestamp) -> f64 {
         let all: f64 = self
             .machines
             .iter()
@@ -90,14 +92,14 @@
             .sum();
         let old = self.jobs.values().filter(|j| j.placed > 0 && !j.over);
         let used: f64 = old
-            .filter(|j| now.since(j.released) > self.tun.lift_after)
+            .filter(|j| now.since(j.ready_at) > self.tunables.lift_after)
             .map(|j| f64::from(j.placed) * j.spec.cpus)
             .sum();
-        all * self.tun.lift_share - used
+        all * self.tunables.lift_share - used
     }
 
     /// Whether anything may be started on the machine now.
-    pub fn open_for_work(&self, now: Time, m: &Machine) -> bool {
+    pub fn open_for_work(&self, now: Timestamp, m: &Machine) -> bool {
         // A report under this term is what opens a machine: until then nobody can tell what the
         // last leader left on it. One that has been silent for a while is not trusted either.
         m.state == MachineState::Up
@@ -108,7 +110,7 @@
             && m.unexpected_tasks == 0
             && now >= m.retry_at
             && now.since(m.last_heartbeat)
-                <= self.site.heartbeat_interval.scale(OVERDUE) + Span::millis(300)
+                <= self.site.heartbeat_interval.mul_f64(OVERDUE) + TimeDelta::from_millis(300)
     }
 
     pub fn fits(&self, job: &Job, m: &Machine) -> bool {
@@ -117,9 +119,9 @@
         (spec.spot || !m.spot)
             && spec.allows_type(&kind.name)
             && spec.zone.as_ref().is_none_or(|z| *z == m.zone)
-            && m.cpus + spec.cpus <= kind.cpus + SLACK
-            && m.gpus + spec.gpus <= kind.gpus + SLACK
-            && m.memory + spec.memory_gb <= kind.memory_gb + SLACK
+            && m.cpus + spec.cpus <= kind.cpus + EPSILON
+            && m.gpus + spec.gpus <= kind.gpus + EPSILON
+            && m.memory + spec.memory_gb <= kind.memory_gb + EPSILON
     }
 
     /// Whether the job's other tasks allow one more in the zone. Every task that is not proven
@@ -150,23 +152,23 @@
     /// fullness counts in quarters of a machine, so that ties are common; they go to a machine with
     /// the image, then to the cheapest. A task makes its machine fuller, so the best stays the best
     /// until it is full: one look serves all tasks of the job.
-    fn candidates(&self, now: Time, job: &Job, open: &[MachineIx]) -> Vec<MachineIx> {
+    fn candidates(&self, now: Timestamp, job: &Job, open: &[MachineIndex]) -> Vec<MachineIndex> {
         // Where the aim on starting leaves no time for a fetch, the image comes before fullness.
-        let waits = self.site.wait_aim(&job.spec.class).is_some();
+        let waits = self.site.start_objective(&job.spec.class).is_some();
         // Where ordinary machines cost little more than spot ones they are there anyway, and what is
         // pressed for time goes to them: of a job of many tasks nearly always one is on a spot machine
         // that the cloud takes, and the job is late by all that this task had run. What has more time
         // leaves them free.
         let lean = self.ordinary_is_cheap();
-        let quick = self.is_quick(&job.spec.class);
-        let mut found: Vec<(Fitness, f64, MachineIx)> = Vec::new();
+        let quick = self.has_short_start_objective(&job.spec.class);
+        let mut found: Vec<(Fitness, f64, MachineIndex)> = Vec::new();
         for &ix in open {
             let m = &self.machines[ix as usize];
             if !self.fits(job, m) || job.avoids(now, ix) {
                 continue;
             }
             let Some(kind) = m.kind.and_then(|k| self.types.get(k)) else { continue };
-            let left = (kind.cpus - m.cpus).max(0.0) / kind.cpus.max(SLACK);
+            let left = (kind.cpus - m.cpus).max(0.0) / kind.cpus.max(EPSILON);
             let image = m.images.contains(&job.spec.image);
             let fitness = Fitness {
                 safe: lean && m.spot != quick,
@@ -174,7 +176,7 @@
                 fullness: -((left * 4.0).ceil() as i64),
                 image,
             };
-            let price = if m.spot { kind.spot_price } else { kind.price } / kind.cpus.max(SLACK);
+            let price = if m.spot { kind.spot_price } else { kind.price } / kind.cpus.max(EPSILON);
             found.push((fitness, price, ix));
         }
         found.sort_by(|a, b| b.0.cmp(&a.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2)));
@@ -183,7 +185,7 @@
 
     /// For a job whose tasks must share a zone: the zone with most room for it, while none of it
     /// is placed.
-    fn zone_for(&self, job: &Job, open: &[MachineIx]) -> Option<String> {
+    fn zone_for(&self, job: &Job, open: &[MachineIndex]) -> Option<String> {
         let mut room: std::collections::BTreeMap<&str, u32> = Default::default();
         for m in open.iter().map(|&ix| &self.machines[ix as usize]) {
             if !self.fits(job, m) {
@@ -191,9 +193,9 @@
             }
             let Some(kind) = m.kind.and_then(|k| self.types.get(k)) else { continue };
             let by = |free: f64, takes: f64| if takes > 0.0 { free / takes } else { f64::MAX };
-            let n = by(kind.cpus - m.cpus + SLACK, job.spec.cpus)
-                .min(by(kind.gpus - m.gpus + SLACK, job.spec.gpus))
-                .min(by(kind.memory_gb - m.memory + SLACK, job.spec.memory_gb));
+            let n = by(kind.cpus - m.cpus + EPSILON, job.spec.cpus)
+                .min(by(kind.gpus - m.gpus + EPSILON, job.spec.gpus))
+                .min(by(kind.memory_gb - m.memory + EPSILON, job.spec.memory_gb));
             *room.entry(&m.zone).or_default() += n as u32;
         }
         room.into_iter().max_by_key(|&(_, n)| n).map(|(z, _)| z.to_owned())
@@ -202,15 +204,15 @@
     /// One round of decisions over everything that waits. Which machines have any room is looked up
     /// once; a job then looks at those alone, so that a round costs about what it changes and not
     /// tasks times machines.
-    pub fn place(&mut self, now: Time) {
+    pub fn place(&mut self, now: Timestamp) {
         let queue = self.queue(now);
         if queue.is_empty() {
-            self.observe_load(now, &queue);
+            self.observe_saturation(now, &queue);
             return;
         }
         self.jobs_examined += 2 * queue.len() as u64;
         let least = self.smallest_task(&queue);
-        let mut open: Vec<MachineIx> = Vec::new();
+        let mut open: Vec<MachineIndex> = Vec::new();
         let mut fleet = Resources::NONE;
         for (m, ix) in self.machines.iter().zip(0..) {
             if m.state != MachineState::Up {
@@ -222,19 +224,19 @@
             }
         }
         self.fleet_cpus = fleet.cpus;
-        self.sharing.shares.set_fleet(fleet);
-        let shared = self.sharing.is_on();
+        self.fair_share.shares.set_fleet(fleet);
+        let shared = self.fair_share.is_active();
         let blocked = if shared {
             self.place_by_share(now, &queue, open, least)
         } else {
             self.place_in_order(now, queue.clone(), open, least)
         };
-        self.observe_load(now, &queue);
+        self.observe_saturation(now, &queue);
         self.preempt(now, &blocked);
     }
 
     /// The least of each resource that any task of the queue takes.
-    fn smallest_task(&self, queue: &[(Urgency, JobIx)]) -> Resources {
+    fn smallest_task(&self, queue: &[(QueueKey, JobIndex)]) -> Resources {
         let most = f64::INFINITY;
         let mut least = Resources { cpus: most, gpus: 0.0, memory_gb: most };
         for job in queue.iter().filter_map(|&(_, ix)| self.job(ix)) {
@@ -247,48 +249,48 @@
     /// Whether the machine has room for that much.
     pub(crate) fn has_room(&self, m: &Machine, task: Resources) -> bool {
         m.kind.and_then(|k| self.types.get(k)).is_some_and(|kind| {
-            kind.cpus - m.cpus + SLACK >= task.cpus
-                && kind.memory_gb - m.memory + SLACK >= task.memory_gb
+            kind.cpus - m.cpus + EPSILON >= task.cpus
+                && kind.memory_gb - m.memory + EPSILON >= task.memory_gb
         })
     }
 
     /// Places what it can in the order of the queue. Returns the jobs that found no machine.
     fn place_in_order(
         &mut self,
-        now: Time,
-        mut queue: Vec<(Urgency, JobIx)>,
-        mut open: Vec<MachineIx>,
+        now: Timestamp,
+        mut queue: Vec<(QueueKey, JobIndex)>,
+        mut open: Vec<MachineIndex>,
         least: Resources,
-    ) -> Vec<(Urgency, JobIx)> {
-        let mut blocked: Vec<(Urgency, JobIx)> = Vec::new();
+    ) -> Vec<(QueueKey, JobIndex)> {
+        let mut blocked: Vec<(QueueKey, JobIndex)> = Vec::new();
         self.jobs_examined += 2 * queue.len() as u64;
         // What age lifts goes first, within its part; beyond that it takes its turn.
-        let lifted: Vec<(Urgency, JobIx)> =
-            queue.iter().filter(|q| q.0.lift > Lift::None).copied().collect();
-        let mut room = if lifted.is_empty() { 0.0 } else { self.room_for_old(now) };
-        let mut reserved: Vec<MachineIx> = Vec::new();
-        let most_reserved = self.most_reserved();
-        for (urgency, ix) in lifted {
+        let aged: Vec<(QueueKey, JobIndex)> =
+            queue.iter().filter(|q| q.0.aging > Aging::None).copied().collect();
+        let mut room = if aged.is_empty() { 0.0 } else { self.room_for_aged(now) };
+        let mut reserved: Vec<MachineIndex> = Vec::new();
+        let max_reserved = self.max_reserved();
+        for (queue_key, ix) in aged {
             let Some(job) = self.job(ix) else { continue };
             let cpus = job.spec.cpus.max(0.1);
-            let most = match urgency.lift {
-                Lift::Unbegun => 1,
+            let most = match queue_key.aging {
+                Aging::Unbegun => 1,
                 _ => (room / cpus).max(0.0) as u32,
             };
             let (placed, stuck) = self.place_job(now, ix, &open, most);
             room -= f64::from(placed) * cpus;
-            if stuck && reserved.len() < most_reserved {
-                reserved.extend(self.clearing(now, ix, &reserved, 1));
+            if stuck && reserved.len() < max_reserved {
+                reserved.extend(self.machines_to_reserve(now, ix, &reserved, 1));
             }
         }
         open.retain(|ix| !reserved.contains(ix));
         for entry in &mut queue {
-            entry.0.lift = Lift::None;
+            entry.0.aging = Aging::None;
         }
         queue.sort_by(|a, b| a.0.order(&b.0).then(a.1.cmp(&b.1)));
-        for (urgency, ix) in queue {
+        for (queue_key, ix) in queue {
             if self.place_job(now, ix, &open, u32::MAX).1 {
-                blocked.push((urgency, ix));
+                blocked.push((queue_key, ix));
             }
             open.retain(|&ix| self.has_room(&self.machines[ix as usize], least));
         }
@@ -296,20 +298,20 @@
     }
 
     /// How many machines at most are kept for lifted jobs that found no room.
-    pub(crate) fn most_reserved(&self) -> usize {
-        ((self.machines.len() as f64 * self.tun.lift_share / 2.0) as usize).max(1)
+    pub(crate) fn max_reserved(&self) -> usize {
+        ((self.machines.len() as f64 * self.tunables.lift_share / 2.0) as usize).max(1)
     }
 
     /// The machines on which room for a task of the job is nearest, `count` at most: they get no other
     /// work until there is. Without this, a large task never finds its room on machines where small ones take every
     /// bit that gets free. (Seen on a recorded day: a route sheet began after 500 s among alarms.)
-    pub(crate) fn clearing(
+    pub(crate) fn machines_to_reserve(
         &self,
-        now: Time,
-        ix: JobIx,
-        taken: &[MachineIx],
+        now: Timestamp,
+        ix: JobIndex,
+        taken: &[MachineIndex],
         count: usize,
-    ) -> Vec<MachineIx> {
+    ) -> Vec<MachineIndex> {
         let Some(job) = self.job(ix) else { return Vec::new() };
         let free = |m: &Machine| {
             let kind = &self.types[m.kind.unwrap_or_default()];
@@ -325,14 +327,15 @@
                 && self.zone_allows(job, &m.zone)
                 && self.open_for_work(now, m)
         };
-        let mut nearest: Vec<(f64, MachineIx)> = (0..self.machines.len() as MachineIx)
+        let mut nearest: Vec<(f64, MachineIndex)> = (0..self.machines.len() as MachineIndex)
             .filter(|m| !taken.contains(m) && !job.avoids(now, *m))
             .map(|ix| (ix, &self.machines[ix as usize]))
             .filter(|(_, m)| usable(m))
             .map(|(ix, m)| (free(m), ix))
             .collect();
-        let order =
-            |a: &(f64, MachineIx), b: &(f64, MachineIx)| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1));
+        let order = |a: &(f64, MachineIndex), b: &(f64, MachineIndex)| {
+            b.0.total_cmp(&a.0).then(a.1.cmp(&b.1))
+        };
         if count < nearest.len() {
             nearest.select_nth_unstable_by(count, order);
             nearest.truncate(count);
@@ -344,9 +347,9 @@
     /// machine.
     pub(crate) fn place_job(
         &mut self,
-        now: Time,
-        ix: JobIx,
-        open: &[MachineIx],
+        now: Timestamp,
+        ix: JobIndex,
+        open: &[MachineIndex],
         most: u32,
     ) -> (u32, bool) {
         let Some(job) = self.job(ix) else { return (0, false) };
@@ -366,7 +369,7 @@
         let mut placed = 0;
         while index < total && placed < most {
             let Some(job) = self.job(ix) else { break };
-            if job.tasks[index as usize].phase != Phase::Pending {
+            if job.tasks[index as usize].phase != TaskPhase::Pending {
                 index += 1;
                 continue;
             }
@@ -402,25 +405,25 @@
     /// Room is made machine by machine, as much as a task takes. (Counted over the whole fleet, the
     /// youngest small tasks made way here and there for a large one that fitted nowhere; their own job
     /// was placed there again, to be stopped again a moment later: 8,000 times in four minutes.)
-    fn preempt(&mut self, now: Time, blocked: &[(Urgency, JobIx)]) {
-        let blocked: Vec<(Urgency, JobIx)> = blocked
+    fn preempt(&mut self, now: Timestamp, blocked: &[(QueueKey, JobIndex)]) {
+        let blocked: Vec<(QueueKey, JobIndex)> = blocked
             .iter()
             .filter(|(u, ix)| {
-                self.may_press(u, *ix) && self.job(*ix).is_some_and(|j| self.team_allows(j))
+                self.may_preempt(u, *ix) && self.job(*ix).is_some_and(|j| self.team_allows(j))
             })
-            .take(MOST_PRESSED)
+            .take(MAX_PREEMPTING_JOBS)
             .copied()
             .collect();
-        let Some(highest) = blocked.iter().map(|b| b.0.rank).max() else { return };
+        let Some(highest) = blocked.iter().map(|b| b.0.priority).max() else { return };
         if now.since(self.last_preempt) < PREEMPT_EVERY {
             self.dirty = true;
             return;
         }
         self.last_preempt = now;
-        let owed = blocked.iter().any(|b| b.0.owed);
-        let mut rooms = self.rooms_to_make(now, highest, owed);
-        let old = (self.room_for_old(now) >= 0.0).then(|| now - self.tun.lift_after);
-        for (urgency, ix) in blocked {
+        let within_guarantee = blocked.iter().any(|b| b.0.within_guarantee);
+        let mut rooms = self.preemptable_machines(now, highest, within_guarantee);
+        let old = (self.room_for_aged(now) >= 0.0).then(|| now - self.tunables.lift_after);
+        for (queue_key, ix) in blocked {
             let Some(job) = self.job(ix) else { continue };
             let mut need = job.pending();
             let mut offers: Vec<(f64, usize, Vec<usize>)> = Vec::new();
@@ -441,12 +444,12 @@
                 if need == 0 {
                     break;
                 }
-                self.offers_of(urgency, job, old, at, room, &mut offers);
+                self.preemption_options(queue_key, job, old, at, room, &mut offers);
             }
             offers.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-            for (_, at, victims) in offers.into_iter().take(need as usize) {
-                for victim in victims {
-                    self.give_way(now, urgency, &mut rooms[at], victim);
+            for (_, at, candidates) in offers.into_iter().take(need as usize) {
+                for candidate in candidates {
+                    self.preempt_candidate(now, queue_key, &mut rooms[at], candidate);
                 }
                 let Some(job) = self.job(ix) else { break };
                 rooms[at].free.take(&job.spec);
@@ -455,48 +458,54 @@
     }
 
     /// Whether the job is late enough to have work of lower priority stopped.
-    pub(crate) fn is_pressed(&self, urgency: &Urgency) -> bool {
-        urgency.slack <= self.tun.preempt_slack.as_secs()
+    pub(crate) fn is_urgent(&self, queue_key: &QueueKey) -> bool {
+        queue_key.slack <= self.tunables.preempt_slack.as_secs_f64()
     }
 
     /// The machines with work that could be stopped, and what is being freed there already.
-    fn rooms_to_make(&self, now: Time, highest: Rank, owed: bool) -> Vec<Room> {
+    fn preemptable_machines(
+        &self,
+        now: Timestamp,
+        highest: Priority,
+        within_guarantee: bool,
+    ) -> Vec<PreemptableMachine> {
         let mut rooms = Vec::new();
         for (machine, m) in self.machines.iter().enumerate() {
             // Without work to stop, and none that is stopping, a machine has no more room than when the
             // jobs found none there.
-            let may_make_room = m.stopping > 0 || owed || m.lowest_rank() < Some(highest);
+            let may_make_room =
+                m.stopping > 0 || within_guarantee || m.lowest_priority() < Some(highest);
             if m.tasks.is_empty() || !may_make_room || !self.open_for_work(now, m) {
                 continue;
             }
             let Some(kind) = m.kind.and_then(|k| self.types.get(k)) else { continue };
-            let mut room = Room {
-                machine: machine as MachineIx,
+            let mut room = PreemptableMachine {
+                machine: machine as MachineIndex,
                 free: Amount {
                     cpus: kind.cpus - m.cpus,
                     gpus: kind.gpus - m.gpus,
                     memory: kind.memory_gb - m.memory,
                 },
-                victims: Vec::new(),
+                candidates: Vec::new(),
             };
             for &id in &m.tasks {
                 let Some(other) = self.job(id.0) else { continue };
                 match other.tasks[id.1 as usize].phase {
-                    Phase::Stopping => room.free.add(&other.spec),
-                    Phase::Running if other.rank < highest || owed => {
+                    TaskPhase::Stopping => room.free.add(&other.spec),
+                    TaskPhase::Running if other.priority < highest || within_guarantee => {
                         let Some(&began) = other.started.get(&id.1) else { continue };
-                        let ran = now.since(began).as_secs();
+                        let ran = now.since(began).as_secs_f64();
                         let saves = other.spec.checkpoint_s > 0.0;
                         let mut cost = if saves { other.spec.save_s.min(ran) } else { ran };
                         if self.would_be_late(now, other, ran) {
                             cost += SPOILT;
                         }
-                        room.victims.push(Victim { cost, id, stopped: false });
+                        room.candidates.push(PreemptionCandidate { cost, id, stopped: false });
                     }
                     _ => {}
                 }
             }
-            room.victims.sort_by(|a, b| a.cost.total_cmp(&b.cost).then(a.id.cmp(&b.id)));
+            room.candidates.sort_by(|a, b| a.cost.total_cmp(&b.cost).then(a.id.cmp(&b.id)));
             rooms.push(room);
         }
         rooms
@@ -504,40 +513,46 @@
 
     /// What would have to be stopped on one machine for each further task of the job, and at what
     /// cost.
-    fn offers_of(
+    fn preemption_options(
         &self,
-        urgency: Urgency,
+        queue_key: QueueKey,
         job: &Job,
-        old: Option<Time>,
+        old: Option<Timestamp>,
         at: usize,
-        room: &Room,
+        room: &PreemptableMachine,
         offers: &mut Vec<(f64, usize, Vec<usize>)>,
     ) {
         let mut free = room.free;
-        let (mut cost, mut least, mut victims) = (0.0, 0.0f64, Vec::new());
-        for (i, victim) in room.victims.iter().enumerate() {
-            let Some(other) = self.job(victim.id.0) else { continue };
-            if victim.stopped || !self.may_stop(urgency, job, other, old) {
+        let (mut cost, mut least, mut candidates) = (0.0, 0.0f64, Vec::new());
+        for (i, candidate) in room.candidates.iter().enumerate() {
+            let Some(other) = self.job(candidate.id.0) else { continue };
+            if candidate.stopped || !self.may_stop(queue_key, job, other, old) {
                 continue;
             }
             free.add(&other.spec);
-            cost += victim.cost;
-            victims.push(i);
+            cost += candidate.cost;
+            candidates.push(i);
             // One large task may make room for several small ones.
             while free.take(&job.spec) {
                 // Never cheaper than the one before it, on which it rests.
                 least = least.max(cost);
-                offers.push((least, at, std::mem::take(&mut victims)));
+                offers.push((least, at, std::mem::take(&mut candidates)));
                 cost = 0.0;
             }
         }
     }
 
-    fn give_way(&mut self, now: Time, urgency: Urgency, room: &mut Room, victim: usize) {
-        let id = room.victims[victim].id;
-        room.victims[victim].stopped = true;
+    fn preempt_candidate(
+        &mut self,
+        now: Timestamp,
+        queue_key: QueueKey,
+        room: &mut PreemptableMachine,
+        candidate: usize,
+    ) {
+        let id = room.candidates[candidate].id;
+        room.candidates[candidate].stopped = true;
         let Some(other) = self.job(id.0) else { return };
-        if !urgency.owed && self.is_at_floor(other) {
+        if !queue_key.within_guarantee && self.is_at_floor(other) {
             return; // What was stopped before it in this look brought its class down there.
         }
         room.free.add(&other.spec);
@@ -549,8 +564,8 @@
 
     /// Whether the job is in time as things stand and would not be if a task that has run for
     /// `ran` seconds had to start again.
-    fn would_be_late(&self, now: Time, job: &Job, ran: f64) -> bool {
-        let Some(due) = &job.due else { return false };
+    fn would_be_late(&self, now: Timestamp, job: &Job, ran: f64) -> bool {
+        let Some(due) = &job.effective_deadline else { return false };
         let left = due.left(now);
         let run = self.expected_run(job);
         left >= (run - ran).max(0.0) && left < run + RESTART
@@ -558,46 +573,55 @@
 
     /// The protocol's reasons for stopping one job's task for another's. What age has lifted is
     /// left alone while it keeps to its part of the fleet, or it would never get done.
-    fn may_stop(&self, urgency: Urgency, job: &Job, other: &Job, old: Option<Time>) -> bool {
-        if old.is_some_and(|before| other.released < before) {
+    fn may_stop(
+        &self,
+        queue_key: QueueKey,
+        job: &Job,
+        other: &Job,
+        old: Option<Timestamp>,
+    ) -> bool {
+        if old.is_some_and(|before| other.ready_at < before) {
             return false;
         }
         // At last it has begun: its first task is left to its end.
-        let first = !other.begun || (other.done == 0 && other.placed == 1);
-        if first && self.last_round.since(other.released) > self.tun.begin_within {
+        let first = !other.has_started || (other.done == 0 && other.placed == 1);
+        if first && self.last_round.since(other.ready_at) > self.tunables.begin_within {
             return false;
         }
         // In an overload a class keeps its floor, but against a guarantee.
-        if !urgency.owed && self.is_at_floor(other) {
+        if !queue_key.within_guarantee && self.is_at_floor(other) {
             return false;
         }
         // A step of a chain counts as what needs it, when it stops others and when others would stop
         // it: stopped for work below the chain's last job, it would make that job late.
-        if other.rank < job.rank {
+        if other.priority < job.priority {
             return true;
         }
-        if !urgency.owed || other.spec.team == job.spec.team {
+        if !queue_key.within_guarantee || other.spec.team == job.spec.team {
             return false;
         }
         // Work beyond another team's guarantee gives way to a team's own guarantee.
         self.site.team(&other.spec.team).is_some_and(|team| {
             let (cpus, gpus) = self.team_use.get(&other.spec.team).copied().unwrap_or_default();
-            cpus > team.cpus + SLACK || gpus > team.gpus + SLACK
+            cpus > team.cpus + EPSILON || gpus > team.gpus + EPSILON
         })
     }
 
     /// Whether the class is one whose tasks should start within a short time.
-    pub(crate) fn is_quick(&self, class: &str) -> bool {
-        self.site.wait_aim(class).is_some_and(|w| w < Span::secs(30))
+    pub(crate) fn has_short_start_objective(&self, class: &str) -> bool {
+        self.site.start_objective(class).is_some_and(|w| w < TimeDelta::from_secs(30))
     }
 
     /// Room that a job of a class with a wait aim may need at any moment.
-    pub fn headroom_cpus(&self, now: Time) -> f64 {
-        let jobs =
-            if self.ordinary_is_cheap() { self.tun.headroom_cheap } else { self.tun.headroom };
+    pub fn headroom_cpus(&self, now: Timestamp) -> f64 {
+        let jobs = if self.ordinary_is_cheap() {
+            self.tunables.headroom_cheap
+        } else {
+            self.tunables.headroom
+        };
         self.sizes
             .iter()
-            .filter(|(class, _)| self.is_quick(class))
+            .filter(|(class, _)| self.has_short_start_objective(class))
             .filter(|(_, (_, last))| now.since(*last) < LULL)
             .map(|(_, (size, _))| size * jobs)
             .fold(0.0, f64::max)
--- a/crates/scheduler/src/protocol.rs
+++ b/crates/scheduler/src/protocol.rs
@@ -3,82 +3,81 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Map, Value};
 
-use crate::model::job::{JobSpec, Rank};
+use crate::model::job::{JobSpec, Priority};
 use crate::storage::document::Document;
 
 /// What a submission may be refused for as malformed: the field and what is wrong with it.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {fault}")]
-pub struct BadField {
+pub struct InvalidField {
     pub field: &'static str,
     pub fault: String,
 }
 
-fn bad(field: &'static str, fault: impl Into<String>) -> BadField {
-    BadField { field, fault: fault.into() }
+fn invalid(field: &'static str, fault: impl Into<String>) -> InvalidField {
+    InvalidField { field, fault: fault.into() }
 }
 
 /// The largest number of tasks in one job.
-pub const MOST_TASKS: u64 = 100_000;
+pub const MAX_TASKS: u64 = 100_000;
 
 /// Whether `name` has the form of a job's id: `req-` and decimal digits. Everything else is no id,
 /// and is never looked up in the state service.
-pub fn is_job_ref(name: &str) -> bool {
+pub fn is_job_id(name: &str) -> bool {
     name.strip_prefix("req-")
         .is_some_and(|n| (1..=20).contains(&n.len()) && n.bytes().all(|b| b.is_ascii_digit()))
 }
 
 /// Reads a submission, naming the first field that is missing or invalid.
-pub fn parse_submission(body: &[u8]) -> Result<(String, JobSpec), BadField> {
+pub fn parse_submission(body: &[u8]) -> Result<(String, JobSpec), InvalidField> {
     let value: Value =
-        serde_json::from_slice(body).map_err(|e| bad("body", format!("not JSON: {e}")))?;
-    let Value::Object(map) = value else { return Err(bad("body", "not a JSON object")) };
+        serde_json::from_slice(body).map_err(|e| invalid("body", format!("not JSON: {e}")))?;
+    let Value::Object(map) = value else { return Err(invalid("body", "not a JSON object")) };
     let name = text(&map, "ref")?;
-    if !is_job_ref(&name) {
-        return Err(bad("ref", "must look like req-000412"));
+    if !is_job_id(&name) {
+        return Err(invalid("ref", "must look like req-000412"));
     }
     if text(&map, "husk")? != "batch" {
-        return Err(bad("husk", "must be \"batch\""));
+        return Err(invalid("husk", "must be \"batch\""));
     }
-    let rank = match text(&map, "rank")?.as_str() {
-        "prod" => Rank::Prod,
-        "high" => Rank::High,
-        "normal" => Rank::Normal,
-        "low" => Rank::Low,
-        _ => return Err(bad("rank", "must be prod, high, normal or low")),
+    let priority = match text(&map, "rank")?.as_str() {
+        "prod" => Priority::Prod,
+        "high" => Priority::High,
+        "normal" => Priority::Normal,
+        "low" => Priority::Low,
+        _ => return Err(invalid("rank", "must be prod, high, normal or low")),
     };
     let tasks = match map.get("nuts") {
-        Some(v) => v
-            .as_u64()
-            .filter(|n| (1..=MOST_TASKS).contains(n))
-            .ok_or_else(|| bad("nuts", format!("must be a whole number from 1 to {MOST_TASKS}")))?,
-        None => return Err(bad("nuts", "is missing")),
+        Some(v) => v.as_u64().filter(|n| (1..=MAX_TASKS).contains(n)).ok_or_else(|| {
+            invalid("nuts", format!("must be a whole number from 1 to {MAX_TASKS}"))
+        })?,
+        None => return Err(invalid("nuts", "is missing")),
     };
     let cpus = amount(&map, "vcpus")?;
     let gpus = amount(&map, "gpus")?;
     let memory_gb = amount(&map, "memoryGb")?;
     if cpus == 0.0 && gpus == 0.0 && memory_gb == 0.0 {
-        return Err(bad("vcpus", "a task must take something of its machine"));
+        return Err(invalid("vcpus", "a task must take something of its machine"));
     }
     let types = match map.get("breeds") {
         None | Some(Value::Null) => None,
         Some(Value::Array(items)) => {
             let mut names = Vec::with_capacity(items.len());
             for item in items {
-                let name = item.as_str().ok_or_else(|| bad("breeds", "must hold names"))?;
+                let name = item.as_str().ok_or_else(|| invalid("breeds", "must hold names"))?;
                 names.push(name.to_owned());
             }
             if names.is_empty() {
-                return Err(bad("breeds", "must not be empty"));
+                return Err(invalid("breeds", "must not be empty"));
             }
             Some(names)
         }
-        Some(_) => return Err(bad("breeds", "must be a list of machine types or null")),
+        Some(_) => return Err(invalid("breeds", "must be a list of machine types or null")),
     };
     let zone = match map.get("grove") {
         None | Some(Value::Null) => None,
         Some(Value::String(s)) if !s.is_empty() => Some(s.clone()),
-        Some(_) => return Err(bad("grove", "must be a zone's name or null")),
+        Some(_) => return Err(invalid("grove", "must be a zone's name or null")),
     };
     let deadline_s = match map.get("harvestS") {
         None | Some(Value::Null) => None,
@@ -87,7 +86,7 @@
     let spec = JobSpec {
         class: text(&map, "shell")?,
         team: text(&map, "crew")?,
-        rank,
+        priority,
         tasks: tasks as u32,
         cpus,
         gpus,
@@ -103,78 +102,79 @@
         checkpoint_s: amount(&map, "stashS")?,
         save_s: amount(&map, "buryS")?,
         deadline_s,
-        needs: waits(&map)?,
+        dependencies: dependencies(&map)?,
     };
     Ok((name, spec))
 }
 
 /// The most jobs that one may wait for. With names of the usual length their list takes a quarter of
 /// the smallest value that a state service is planned to hold.
-pub const MOST_WAITS: usize = 64;
+pub const MAX_DEPENDENCIES: usize = 64;
 
 /// The jobs that have to be done first, each once.
-fn waits(map: &Map<String, Value>) -> Result<Vec<String>, BadField> {
+fn dependencies(map: &Map<String, Value>) -> Result<Vec<String>, InvalidField> {
     let items = match map.get("waits") {
         None | Some(Value::Null) => return Ok(Vec::new()),
         Some(Value::Array(items)) => items,
-        Some(_) => return Err(bad("waits", "must be a list of job ids or null")),
+        Some(_) => return Err(invalid("waits", "must be a list of job ids or null")),
     };
     let mut names: Vec<String> = Vec::new();
     for item in items {
         match item.as_str() {
-            Some(name) if is_job_ref(name) => {
+            Some(name) if is_job_id(name) => {
                 if !names.iter().any(|n| n == name) {
                     names.push(name.to_owned());
                 }
             }
-            _ => return Err(bad("waits", format!("{item} does not look like req-000412"))),
+            _ => return Err(invalid("waits", format!("{item} does not look like req-000412"))),
         }
-        if names.len() > MOST_WAITS {
-            return Err(bad("waits", format!("must name at most {MOST_WAITS} jobs")));
+        if names.len() > MAX_DEPENDENCIES {
+            return Err(invalid("waits", format!("must name at most {MAX_DEPENDENCIES} jobs")));
         }
     }
     Ok(names)
 }
 
-fn text(map: &Map<String, Value>, field: &'static str) -> Result<String, BadField> {
+fn text(map: &Map<String, Value>, field: &'static str) -> Result<String, InvalidField> {
     match map.get(field) {
         Some(Value::String(s)) if s.len() <= 256 && !s.is_empty() => Ok(s.clone()),
-        Some(Value::String(_)) => Err(bad(field, "must have 1 to 256 bytes")),
-        Some(_) => Err(bad(field, "must be a string")),
-        None => Err(bad(field, "is missing")),
+        Some(Value::String(_)) => Err(invalid(field, "must have 1 to 256 bytes")),
+        Some(_) => Err(invalid(field, "must be a string")),
+        None => Err(invalid(field, "is missing")),
     }
 }
 
-fn amount(map: &Map<String, Value>, field: &'static str) -> Result<f64, BadField> {
+fn amount(map: &Map<String, Value>, field: &'static str) -> Result<f64, InvalidField> {
     match map.get(field) {
         Some(v) => v
             .as_f64()
             .filter(|x| x.is_finite() && *x >= 0.0)
-            .ok_or_else(|| bad(field, "must be a number of at least 0")),
-        None => Err(bad(field, "is missing")),
+            .ok_or_else(|| invalid(field, "must be a number of at least 0")),
+        None => Err(invalid(field, "is missing")),
     }
 }
 
-fn flag(map: &Map<String, Value>, field: &'static str) -> Result<bool, BadField> {
+fn flag(map: &Map<String, Value>, field: &'static str) -> Result<bool, InvalidField> {
     match map.get(field) {
         Some(Value::Bool(b)) => Ok(*b),
-        Some(_) => Err(bad(field, "must be true or false")),
-        None => Err(bad(field, "is missing")),
+        Some(_) => Err(invalid(field, "must be true or false")),
+        None => Err(invalid(field, "is missing")),
     }
 }
 
 /// How a job stands, for its user.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Stage {
+pub enum JobStage {
     Queued,
     Running,
     Done,
-    Aborted,
+    #[serde(rename = "aborted")]
+    Cancelled,
 }
 
 /// The answer to a submission, a poll or a withdrawal.
-pub fn job_answer(name: &str, stage: Stage, counts: Option<(u32, u32)>) -> Value {
+pub fn job_response(name: &str, stage: JobStage, counts: Option<(u32, u32)>) -> Value {
     match counts {
         Some((done, running)) => {
             json!({"ref": name, "stage": stage, "done": done, "running": running})
@@ -266,9 +266,9 @@
 }
 
 /// Splits `req-000412/3` into the job and the task's number.
-pub fn split_task(name: &str) -> Option<(&str, u32)> {
+pub fn parse_task_id(name: &str) -> Option<(&str, u32)> {
     let (job, index) = name.rsplit_once('/')?;
-    if !is_job_ref(job) || (index.len() > 1 && index.starts_with('0')) {
+    if !is_job_id(job) || (index.len() > 1 && index.starts_with('0')) {
         return None;
     }
     Some((job, index.parse().ok()?))
--- a/crates/scheduler/src/protocol/tests.rs
+++ b/crates/scheduler/src/protocol/tests.rs
@@ -11,7 +11,7 @@
 fn submission_is_read_whole() {
     let (name, spec) = parse_submission(sample().to_string().as_bytes()).expect("valid");
     assert_eq!(name, "req-000412");
-    assert_eq!((spec.tasks, spec.rank, spec.deadline_s), (16, Rank::High, Some(900.0)));
+    assert_eq!((spec.tasks, spec.priority, spec.deadline_s), (16, Priority::High, Some(900.0)));
     assert!(spec.one_zone && spec.spot && !spec.spread);
 }
 
@@ -63,7 +63,7 @@
     ] {
         body["waits"] = waits;
         let (_, spec) = parse_submission(body.to_string().as_bytes()).expect("valid");
-        assert_eq!(spec.needs, read);
+        assert_eq!(spec.dependencies, read);
     }
     // Named too often is no fault while they are few.
     body["waits"] = json!(vec!["req-1"; 500]);
@@ -72,9 +72,9 @@
 
 #[test]
 fn task_names_are_split_strictly() {
-    assert_eq!(split_task("req-000412/3"), Some(("req-000412", 3)));
+    assert_eq!(parse_task_id("req-000412/3"), Some(("req-000412", 3)));
     for odd in ["req-000412", "req-000412/", "req-000412/x", "x/3", "req-1/03", "req-1/-1"] {
-        assert_eq!(split_task(odd), None, "{odd}");
+        assert_eq!(parse_task_id(odd), None, "{odd}");
     }
 }
 
--- a/crates/scheduler/src/queue/dependencies.rs
+++ b/crates/scheduler/src/queue/dependencies.rs
@@ -8,27 +8,27 @@
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-use crate::model::job::{End, JobSpec};
-use crate::model::task::Phase;
-use crate::scheduler::{Command, Job, JobIx, Scheduler};
-use crate::time::{Span, Time};
+use crate::model::job::{JobEnd, JobSpec};
+use crate::model::task::TaskPhase;
+use crate::scheduler::{Command, Job, JobIndex, Scheduler};
+use crate::time::{TimeDelta, Timestamp};
 
 /// Names in one question about ends.
-const MOST_ASKED: usize = 400;
+const MAX_ASKED: usize = 400;
 /// After a question that was not answered whole, the rest is asked again.
-const ASK_AGAIN: Span = Span::millis(400);
+const ASK_AGAIN: TimeDelta = TimeDelta::from_millis(400);
 /// How much longer than one task a step takes: it is done with its slowest.
 const SLOWEST: f64 = 1.3;
 /// How often a job's priority and deadline are worked out anew for one event. More would be needed
 /// only in a tangle of many ways to the same job, where the last bit of them matters little; and
 /// damaged records that name each other in a circle would go on for ever.
-const MOST_LOOKS: u32 = 16;
+const MAX_LOOKS: u32 = 16;
 
 /// A deadline, and the time that is needed after the job at hand to meet it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Due {
+pub struct EffectiveDeadline {
     /// Acceptance of the job whose deadline it is.
-    pub accepted: Time,
+    pub accepted: Timestamp,
     pub deadline_s: f64,
     /// Its class: aims may allow for more than once the deadline.
     pub class: String,
@@ -36,22 +36,22 @@
     pub after_s: f64,
 }
 
-impl Due {
-    pub fn of(spec: &JobSpec, accepted: Time) -> Option<Due> {
+impl EffectiveDeadline {
+    pub fn of(spec: &JobSpec, accepted: Timestamp) -> Option<EffectiveDeadline> {
         let class = spec.class.clone();
-        Some(Due { accepted, deadline_s: spec.deadline_s?, class, after_s: 0.0 })
+        Some(EffectiveDeadline { accepted, deadline_s: spec.deadline_s?, class, after_s: 0.0 })
     }
 
     /// Seconds left to the time at which the job at hand has to be done.
-    pub fn left(&self, now: Time) -> f64 {
-        self.deadline_s - now.since(self.accepted).as_secs() - self.after_s
+    pub fn left(&self, now: Timestamp) -> f64 {
+        self.deadline_s - now.since(self.accepted).as_secs_f64() - self.after_s
     }
 }
 
 /// What a question about a job's end found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Found {
-    Ended(End),
+pub enum JobEndLookup {
+    Ended(JobEnd),
     /// Accepted, and not ended when it was asked.
     Open,
     /// Nobody ever submitted it.
@@ -60,103 +60,103 @@
 
 /// A job that others need and whose end was not read yet.
 #[derive(Debug, Default)]
-struct Need {
+struct Dependency {
     /// Jobs in the registry that can't begin before its end.
-    waiting: BTreeSet<JobIx>,
+    waiting: BTreeSet<JobIndex>,
 }
 
 #[derive(Debug, Default)]
-pub(crate) struct Chains {
+pub(crate) struct DependencyGraph {
     /// By name; those that have ended, or that nobody waits for, are not kept.
-    needs: HashMap<String, Need>,
+    dependencies: HashMap<String, Dependency>,
     /// Needs whose end is to be asked for: one may have been written before anybody listened.
     unread: BTreeSet<String>,
     asking: bool,
-    ask_at: Time,
+    ask_at: Timestamp,
     /// Jobs whose end `aborted` is still to be written.
-    pub(crate) doomed: BTreeSet<JobIx>,
+    pub(crate) dependency_cancelled: BTreeSet<JobIndex>,
 }
 
 impl Scheduler {
     /// A job has come into the registry: what it needs is looked for.
-    pub(crate) fn link(&mut self, now: Time, ix: JobIx) {
+    pub(crate) fn add_dependencies(&mut self, now: Timestamp, ix: JobIndex) {
         // What needs it may have come first: records are read in no order of theirs. (After each
         // take-over half the steps of all chains had only their own priority, the lowest, and waited
         // for two minutes.)
-        self.refresh(now, ix);
+        self.refresh_inherited(now, ix);
         let Some(job) = self.jobs.get_mut(&ix) else { return };
-        if job.spec.needs.is_empty() {
+        if job.spec.dependencies.is_empty() {
             return;
         }
         // Accepted records name each once; one from outside may not.
-        let needs: BTreeSet<String> = job.spec.needs.iter().cloned().collect();
-        job.unmet = needs.len();
+        let dependencies: BTreeSet<String> = job.spec.dependencies.iter().cloned().collect();
+        job.unmet_dependencies = dependencies.len();
         let mut behind_doomed = false;
-        for name in needs {
-            let above = self.by_ref.get(&name).and_then(|i| self.jobs.get(i));
-            behind_doomed |= above.is_some_and(|j| j.doomed);
+        for name in dependencies {
+            let above = self.jobs_by_name.get(&name).and_then(|i| self.jobs.get(i));
+            behind_doomed |= above.is_some_and(|j| j.dependency_cancelled);
             // The end may have been told before there was anybody to tell it to.
-            self.chains.unread.insert(name.clone());
-            self.chains.needs.entry(name).or_default().waiting.insert(ix);
+            self.dependency_graph.unread.insert(name.clone());
+            self.dependency_graph.dependencies.entry(name).or_default().waiting.insert(ix);
         }
         if behind_doomed {
-            self.doom(vec![ix]);
+            self.cancel_dependents(vec![ix]);
         }
-        self.refresh_above(now, ix);
+        self.propagate_to_dependencies(now, ix);
     }
 
     /// The job waits for nothing any more: it has ended.
-    pub(crate) fn unlink(&mut self, now: Time, ix: JobIx) {
-        self.chains.doomed.remove(&ix);
-        let Some(job) = self.jobs.get(&ix).filter(|j| j.unmet > 0) else { return };
-        for name in &job.spec.needs {
-            if let Some(need) = self.chains.needs.get_mut(name) {
-                need.waiting.remove(&ix);
-                if need.waiting.is_empty() {
-                    self.chains.needs.remove(name);
-                    self.chains.unread.remove(name);
+    pub(crate) fn remove_dependencies(&mut self, now: Timestamp, ix: JobIndex) {
+        self.dependency_graph.dependency_cancelled.remove(&ix);
+        let Some(job) = self.jobs.get(&ix).filter(|j| j.unmet_dependencies > 0) else { return };
+        for name in &job.spec.dependencies {
+            if let Some(dependency) = self.dependency_graph.dependencies.get_mut(name) {
+                dependency.waiting.remove(&ix);
+                if dependency.waiting.is_empty() {
+                    self.dependency_graph.dependencies.remove(name);
+                    self.dependency_graph.unread.remove(name);
                 }
             }
         }
-        self.refresh_above(now, ix);
+        self.propagate_to_dependencies(now, ix);
     }
 
     /// A job's end as it is stored. Nothing else may be told here.
-    pub fn job_ended(&mut self, now: Time, name: &str, end: End) {
+    pub fn job_ended(&mut self, now: Timestamp, name: &str, end: JobEnd) {
         self.job_over(now, name);
-        self.chains.unread.remove(name);
-        let Some(need) = self.chains.needs.remove(name) else { return };
+        self.dependency_graph.unread.remove(name);
+        let Some(dependency) = self.dependency_graph.dependencies.remove(name) else { return };
         match end {
-            End::Done => {
-                for ix in need.waiting {
-                    self.meet(now, ix);
+            JobEnd::Done => {
+                for ix in dependency.waiting {
+                    self.dependency_met(now, ix);
                 }
             }
-            End::Aborted => {
-                let behind: Vec<JobIx> = need.waiting.iter().copied().collect();
+            JobEnd::Cancelled => {
+                let behind: Vec<JobIndex> = dependency.waiting.iter().copied().collect();
                 // It stays what they wait for: they never begin.
-                self.doom(behind);
+                self.cancel_dependents(behind);
             }
         }
     }
 
     /// One of the jobs that it needs is done.
-    fn meet(&mut self, now: Time, ix: JobIx) {
+    fn dependency_met(&mut self, now: Timestamp, ix: JobIndex) {
         let Some(job) = self.jobs.get_mut(&ix) else { return };
-        job.unmet = job.unmet.saturating_sub(1);
-        if job.unmet > 0 || job.over {
+        job.unmet_dependencies = job.unmet_dependencies.saturating_sub(1);
+        if job.unmet_dependencies > 0 || job.over {
             return;
         }
         // Of one that an earlier leader released, the first placing tells about when that was.
-        let begun = job.tasks.iter().filter(|t| t.phase != Phase::Pending).map(|t| t.placed_at);
-        job.released = begun.min().unwrap_or(now);
-        let (spec, since) = (job.spec.clone(), job.released);
+        let begun = job.tasks.iter().filter(|t| t.phase != TaskPhase::Pending).map(|t| t.placed_at);
+        job.ready_at = begun.min().unwrap_or(now);
+        let (spec, since) = (job.spec.clone(), job.ready_at);
         let text = format!(
             "{} may begin after {:.1} s, {:?}: {} done",
             job.name,
-            since.since(job.accepted).as_secs(),
-            job.rank,
-            spec.needs.join(", ")
+            since.since(job.accepted).as_secs_f64(),
+            job.priority,
+            spec.dependencies.join(", ")
         );
         self.log(text);
         self.learn_size(&spec, now, since);
@@ -164,53 +164,56 @@
     }
 
     /// Marks the jobs and all that need them, at every depth.
-    fn doom(&mut self, first: Vec<JobIx>) {
+    fn cancel_dependents(&mut self, first: Vec<JobIndex>) {
         let mut work = first;
         while let Some(ix) = work.pop() {
             let Some(job) = self.jobs.get_mut(&ix) else { continue };
-            if job.over || job.doomed {
+            if job.over || job.dependency_cancelled {
                 continue;
             }
             // What stands behind an unfinished job has never been started, so nothing of it is
             // anywhere. (Were a record from outside to say otherwise, its end would stop the tasks.)
             debug_assert!(job.placed == 0 && job.done == 0, "{} began too early", job.name);
-            job.doomed = true;
-            self.chains.doomed.insert(ix);
-            if let Some(need) = self.chains.needs.get(&job.name) {
-                work.extend(need.waiting.iter().copied());
+            job.dependency_cancelled = true;
+            self.dependency_graph.dependency_cancelled.insert(ix);
+            if let Some(dependency) = self.dependency_graph.dependencies.get(&job.name) {
+                work.extend(dependency.waiting.iter().copied());
             }
         }
     }
 
     /// Asks for ends that may have been written unheard.
-    pub(crate) fn ask_for_ends(&mut self, now: Time) {
-        if self.chains.asking || self.chains.unread.is_empty() || now < self.chains.ask_at {
+    pub(crate) fn look_up_job_ends(&mut self, now: Timestamp) {
+        if self.dependency_graph.asking
+            || self.dependency_graph.unread.is_empty()
+            || now < self.dependency_graph.ask_at
+        {
             return;
         }
-        self.chains.asking = true;
-        let names = self.chains.unread.iter().take(MOST_ASKED).cloned().collect();
+        self.dependency_graph.asking = true;
+        let names = self.dependency_graph.unread.iter().take(MAX_ASKED).cloned().collect();
         self.out.push(Command::FindJobEnds { names });
     }
 
     /// The end of a job is known to be written, but not which: a write met it.
-    pub(crate) fn ended_somehow(&mut self, now: Time, name: &str) {
+    pub(crate) fn job_ended_unknown_how(&mut self, now: Timestamp, name: &str) {
         self.job_over(now, name);
-        if self.chains.needs.contains_key(name) {
-            self.chains.unread.insert(name.to_owned());
+        if self.dependency_graph.dependencies.contains_key(name) {
+            self.dependency_graph.unread.insert(name.to_owned());
         }
     }
 
     /// The answer to [`Command::FindJobEnds`], as far as it could be had.
-    pub fn job_ends_found(&mut self, now: Time, found: &[(String, Found)]) {
-        self.chains.asking = false;
-        self.chains.ask_at = if found.is_empty() { now + ASK_AGAIN } else { now };
+    pub fn job_ends_found(&mut self, now: Timestamp, found: &[(String, JobEndLookup)]) {
+        self.dependency_graph.asking = false;
+        self.dependency_graph.ask_at = if found.is_empty() { now + ASK_AGAIN } else { now };
         for (name, found) in found {
-            self.chains.unread.remove(name);
+            self.dependency_graph.unread.remove(name);
             match found {
-                Found::Ended(end) => self.job_ended(now, name, *end),
+                JobEndLookup::Ended(end) => self.job_ended(now, name, *end),
                 // From here on its end is told by the watch, and by each reading of the records.
-                Found::Open => {}
-                Found::Missing => {
+                JobEndLookup::Open => {}
+                JobEndLookup::Missing => {
                     self.log_once(name, "is waited for, but nobody ever submitted it");
                 }
             }
@@ -218,28 +221,35 @@
     }
 
     /// Jobs that others wait for, whether in the registry or not.
-    pub fn open_needs(&self) -> Vec<String> {
-        self.chains.needs.keys().cloned().collect()
+    pub fn open_dependencies(&self) -> Vec<String> {
+        self.dependency_graph.dependencies.keys().cloned().collect()
     }
 
     // ---- what is passed up a chain --------------------------------------------------------
 
     /// A job began or ceased to wait: what it passes to those that it needs changes, step by
     /// step, as far as it makes a difference.
-    fn refresh_above(&mut self, now: Time, ix: JobIx) {
-        let mut work: VecDeque<JobIx> = VecDeque::from([ix]);
+    fn propagate_to_dependencies(&mut self, now: Timestamp, ix: JobIndex) {
+        let mut work: VecDeque<JobIndex> = VecDeque::from([ix]);
         let mut queued = BTreeSet::from([ix]);
-        let mut looks: HashMap<JobIx, u32> = HashMap::new();
+        let mut looks: HashMap<JobIndex, u32> = HashMap::new();
         while let Some(ix) = work.pop_front() {
             queued.remove(&ix);
             let Some(job) = self.jobs.get(&ix) else { continue };
-            let above: Vec<JobIx> =
-                job.spec.needs.iter().filter_map(|n| self.by_ref.get(n).copied()).collect();
-            for need in above {
-                let looks = looks.entry(need).or_default();
+            let above: Vec<JobIndex> = job
+                .spec
+                .dependencies
+                .iter()
+                .filter_map(|n| self.jobs_by_name.get(n).copied())
+                .collect();
+            for dependency in above {
+                let looks = looks.entry(dependency).or_default();
                 *looks += 1;
-                if *looks <= MOST_LOOKS && self.refresh(now, need) && queued.insert(need) {
-                    work.push_back(need);
+                if *looks <= MAX_LOOKS
+                    && self.refresh_inherited(now, dependency)
+                    && queued.insert(dependency)
+                {
+                    work.push_back(dependency);
                 }
             }
         }
@@ -247,27 +257,27 @@
 
     /// Works out a job's priority and deadline from its own and those of the jobs right behind it;
     /// whether either changed.
-    fn refresh(&mut self, now: Time, ix: JobIx) -> bool {
+    fn refresh_inherited(&mut self, now: Timestamp, ix: JobIndex) -> bool {
         let Some(job) = self.jobs.get(&ix) else { return false };
-        let mut rank = job.spec.rank;
-        let mut due = Due::of(&job.spec, job.accepted);
-        if let Some(need) = self.chains.needs.get(&job.name) {
-            for next in need.waiting.iter().filter_map(|i| self.jobs.get(i)) {
-                rank = rank.max(next.rank);
-                let Some(theirs) = &next.due else { continue };
+        let mut priority = job.spec.priority;
+        let mut effective_deadline = EffectiveDeadline::of(&job.spec, job.accepted);
+        if let Some(dependency) = self.dependency_graph.dependencies.get(&job.name) {
+            for next in dependency.waiting.iter().filter_map(|i| self.jobs.get(i)) {
+                priority = priority.max(next.priority);
+                let Some(theirs) = &next.effective_deadline else { continue };
                 let after_s = theirs.after_s + self.step_takes(next);
-                let passed = Due { after_s, ..theirs.clone() };
-                if due.as_ref().is_none_or(|d| passed.left(now) < d.left(now)) {
-                    due = Some(passed);
+                let passed = EffectiveDeadline { after_s, ..theirs.clone() };
+                if effective_deadline.as_ref().is_none_or(|d| passed.left(now) < d.left(now)) {
+                    effective_deadline = Some(passed);
                 }
             }
         }
-        if job.rank == rank && job.due == due {
+        if job.priority == priority && job.effective_deadline == effective_deadline {
             return false;
         }
         if let Some(job) = self.jobs.get_mut(&ix) {
-            job.rank = rank;
-            job.due = due;
+            job.priority = priority;
+            job.effective_deadline = effective_deadline;
         }
         self.dirty = true;
         true
@@ -275,12 +285,12 @@
 
     /// Seconds from the release of a step to its end.
     fn step_takes(&self, job: &Job) -> f64 {
-        self.expected_run(job) * SLOWEST + self.tun.chain_step.as_secs()
+        self.expected_run(job) * SLOWEST + self.tunables.chain_step.as_secs_f64()
     }
 
     /// How many jobs need each of the given ones; an end that releases others is written first.
-    pub(crate) fn waited_for(&self, ix: JobIx) -> usize {
+    pub(crate) fn dependent_count(&self, ix: JobIndex) -> usize {
         let Some(job) = self.jobs.get(&ix) else { return 0 };
-        self.chains.needs.get(&job.name).map_or(0, |n| n.waiting.len())
+        self.dependency_graph.dependencies.get(&job.name).map_or(0, |n| n.waiting.len())
     }
 }
--- a/crates/scheduler/src/queue/order.rs
+++ b/crates/scheduler/src/queue/order.rs
@@ -2,9 +2,9 @@
 
 use std::cmp::Ordering;
 
-use crate::model::job::{Rank, SLACK};
-use crate::scheduler::{Job, JobIx, Scheduler};
-use crate::time::{Span, Time};
+use crate::model::job::{Priority, EPSILON};
+use crate::scheduler::{Job, JobIndex, Scheduler};
+use crate::time::{TimeDelta, Timestamp};
 
 /// How much a job's share of the fleet counts against its slack.
 const SIZE_WEIGHT: f64 = 8.0;
@@ -18,12 +18,12 @@
 
 /// Where a job stands in the queue. Smaller comes first.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Urgency {
+pub struct QueueKey {
     /// Has waited so long that age outweighs all else.
-    pub lift: Lift,
-    pub rank: Rank,
+    pub aging: Aging,
+    pub priority: Priority,
     /// Within its team's guarantee.
-    pub owed: bool,
+    pub within_guarantee: bool,
     /// Can't meet its deadline any more: others still can.
     pub hopeless: bool,
     /// Seconds until the job has to start to meet its aim.
@@ -32,13 +32,13 @@
     pub size: f64,
     /// The same without the aim on starting: what a machine that has yet to boot can still help.
     pub finish_slack: f64,
-    pub accepted: Time,
+    pub accepted: Timestamp,
 }
 
 /// What age lifts a job to. Under lasting overload the order by priority and slack would starve a
 /// class, a team or the largest jobs, and an accepted job has to run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Lift {
+pub enum Aging {
     None,
     /// Unfinished for long: first within a part of the fleet.
     Old,
@@ -46,13 +46,13 @@
     Unbegun,
 }
 
-impl Urgency {
-    pub fn order(&self, other: &Urgency) -> Ordering {
+impl QueueKey {
+    pub fn order(&self, other: &QueueKey) -> Ordering {
         other
-            .lift
-            .cmp(&self.lift)
-            .then(other.rank.cmp(&self.rank))
-            .then(other.owed.cmp(&self.owed))
+            .aging
+            .cmp(&self.aging)
+            .then(other.priority.cmp(&self.priority))
+            .then(other.within_guarantee.cmp(&self.within_guarantee))
             .then(self.hopeless.cmp(&other.hopeless))
             .then((self.slack + self.size).total_cmp(&(other.slack + other.size)))
             .then(self.accepted.cmp(&other.accepted))
@@ -74,36 +74,40 @@
         }
     }
 
-    pub fn urgency(&self, now: Time, job: &Job) -> Urgency {
+    pub fn queue_key(&self, now: Timestamp, job: &Job) -> QueueKey {
         let spec = &job.spec;
         let run = self.expected_run(job);
         // What a job waited for others is no delay of its own.
-        let age = now.since(job.released).as_secs();
+        let age = now.since(job.ready_at).as_secs_f64();
         let mut slack = f64::INFINITY;
         let mut hopeless = false;
         let mut size = 0.0;
-        if let Some(due) = &job.due {
+        if let Some(effective_deadline) = &job.effective_deadline {
             // Estimates err by half: only what is far beyond its time is given up, and then the
             // class's longer deadline counts, if it has one. A step of a chain shares the deadline
             // of the job at its end, and leaves the time for what comes between.
-            let deadline = due.deadline_s;
-            let takes = now.since(due.accepted).as_secs() + due.after_s;
-            let needs = self.least_run(job, run);
-            let least = (takes + needs) / deadline.max(0.1);
-            slack = deadline * self.site.deadline_times(&due.class, least) - takes - run;
-            hopeless = slack < needs - run;
+            let deadline = effective_deadline.deadline_s;
+            let takes =
+                now.since(effective_deadline.accepted).as_secs_f64() + effective_deadline.after_s;
+            let dependencies = self.least_run(job, run);
+            let least = (takes + dependencies) / deadline.max(0.1);
+            slack =
+                deadline * self.site.deadline_times(&effective_deadline.class, least) - takes - run;
+            hopeless = slack < dependencies - run;
         }
-        let finish_aim = if self.sharing.is_on() {
+        let finish_objective = if self.fair_share.is_active() {
             // One that is missed for certain hurries nothing any more.
-            let needs = age + self.least_run(job, run);
-            let next = self.site.next_finish_aim(&spec.class, Span::from_secs(needs));
-            hopeless |= next.is_none() && self.site.finish_aim(&spec.class).is_some();
+            let dependencies = age + self.least_run(job, run);
+            let next = self
+                .site
+                .next_finish_objective(&spec.class, TimeDelta::from_secs_f64(dependencies));
+            hopeless |= next.is_none() && self.site.finish_objective(&spec.class).is_some();
             next
         } else {
-            self.site.finish_aim(&spec.class)
+            self.site.finish_objective(&spec.class)
         };
-        if let Some(within) = finish_aim {
-            slack = slack.min(within.as_secs() - age - run);
+        if let Some(within) = finish_objective {
+            slack = slack.min(within.as_secs_f64() - age - run);
         }
         let finish_slack = slack;
         // Under overload not all jobs can be in time; the large ones would make many small ones late.
@@ -113,12 +117,12 @@
         }
         // A start that is late already gains nothing from being hurried further: then the class's
         // next aim on starting counts, if it has a looser one.
-        let lost = Span::from_secs(age - GRACE);
-        match self.site.next_wait_aim(&spec.class, lost) {
-            Some(within) => slack = slack.min(within.as_secs() - age),
+        let lost = TimeDelta::from_secs_f64(age - GRACE);
+        match self.site.next_start_objective(&spec.class, lost) {
+            Some(within) => slack = slack.min(within.as_secs_f64() - age),
             None if slack == f64::INFINITY => {
-                if let Some(within) = self.site.wait_aim(&spec.class) {
-                    slack = within.as_secs() - age;
+                if let Some(within) = self.site.start_objective(&spec.class) {
+                    slack = within.as_secs_f64() - age;
                 }
             }
             None => {}
@@ -127,24 +131,25 @@
             // Without any aim, age alone counts, behind everything that is pressed for time.
             slack = 3_600.0 - age;
         }
-        let owed = self.site.team(&spec.team).is_some_and(|team| {
+        let within_guarantee = self.site.team(&spec.team).is_some_and(|team| {
             let (cpus, gpus) = self.team_use.get(&spec.team).copied().unwrap_or_default();
-            let within = |used: f64, takes: f64, owed: f64| {
-                takes <= 0.0 || (owed > 0.0 && used + takes <= owed + SLACK)
+            let within = |used: f64, takes: f64, within_guarantee: f64| {
+                takes <= 0.0
+                    || (within_guarantee > 0.0 && used + takes <= within_guarantee + EPSILON)
             };
             (team.cpus > 0.0 || team.gpus > 0.0)
                 && within(cpus, spec.cpus, team.cpus)
                 && within(gpus, spec.gpus, team.gpus)
         });
-        Urgency {
-            lift: self.lift(now, job),
-            rank: job.rank,
-            owed,
+        QueueKey {
+            aging: self.aging(now, job),
+            priority: job.priority,
+            within_guarantee,
             hopeless,
             size,
             slack,
             finish_slack,
-            accepted: job.released,
+            accepted: job.ready_at,
         }
     }
 
@@ -155,39 +160,39 @@
     /// its tasks, unless most of it is under way already.
     fn least_run(&self, job: &Job, run: f64) -> f64 {
         let begun = 2 * (job.placed + job.done) >= job.spec.tasks;
-        if self.sharing.is_on() && !begun {
+        if self.fair_share.is_active() && !begun {
             let left = f64::from(job.pending()) * job.spec.cpus * run;
-            let room = self.sharing.room_of(job.share_class()).cpus;
+            let room = self.fair_share.room_of(job.share_class()).cpus;
             run * SLOWEST_TASK + if room > 0.0 { left / room } else { 0.0 }
         } else {
             run * HALF_RUN
         }
     }
 
-    fn lift(&self, now: Time, job: &Job) -> Lift {
-        let age = now.since(job.released);
-        if !job.begun && job.placed == 0 && age > self.tun.begin_within {
-            Lift::Unbegun
-        } else if age > self.tun.lift_after {
-            Lift::Old
+    fn aging(&self, now: Timestamp, job: &Job) -> Aging {
+        let age = now.since(job.ready_at);
+        if !job.has_started && job.placed == 0 && age > self.tunables.begin_within {
+            Aging::Unbegun
+        } else if age > self.tunables.lift_after {
+            Aging::Old
         } else {
-            Lift::None
+            Aging::None
         }
     }
 
     /// Jobs with tasks to place, the most urgent first.
-    pub fn queue(&self, now: Time) -> Vec<(Urgency, JobIx)> {
-        let mut queue: Vec<(Urgency, JobIx)> = self
+    pub fn queue(&self, now: Timestamp) -> Vec<(QueueKey, JobIndex)> {
+        let mut queue: Vec<(QueueKey, JobIndex)> = self
             .jobs
             .iter()
             .filter_map(|(&ix, job)| {
                 // One that waits for others is no work yet: it takes no room and asks for none.
                 let open = !job.over
-                    && !job.held()
+                    && !job.is_blocked()
                     && !job.ending
                     && job.pending() > 0
                     && now >= job.not_before;
-                open.then(|| (self.urgency(now, job), ix))
+                open.then(|| (self.queue_key(now, job), ix))
             })
             .collect();
         queue.sort_by(|a, b| a.0.order(&b.0).then(a.1.cmp(&b.1)));
--- a/crates/scheduler/src/reconciliation/delegation.rs
+++ b/crates/scheduler/src/reconciliation/delegation.rs
@@ -18,15 +18,15 @@
 use std::collections::{HashMap, VecDeque};
 
 use crate::leadership::watermark;
-use crate::model::task::MachineIx;
+use crate::model::task::MachineIndex;
 use crate::reconciliation::repeated_heartbeats::CachedHeartbeat;
-use crate::time::{Span, Time};
+use crate::time::{TimeDelta, Timestamp};
 use crate::tunables::Site;
 
 /// For how long after a grant reports are passed on to the leader that gave it.
-const FRESH: Span = Span::secs(3);
+const FRESH: TimeDelta = TimeDelta::from_secs(3);
 /// Questions whose answers are still of use.
-const MOST_ASKED: usize = 32;
+const MAX_ASKED: usize = 32;
 /// Marks remembered, some fifty bytes each: several for each machine that a node may serve.
 const MAX_CACHE_ENTRIES: usize = 20_000;
 
@@ -38,7 +38,7 @@
     /// The question's number.
     pub asked: u64,
     /// For how long, as the leader answered, cancellations might have escaped it.
-    pub unknown_for: Span,
+    pub unknown_for: TimeDelta,
     /// The number of the last mark withdrawn from the follower under the term; 0: none.
     pub invalidated: u64,
 }
@@ -51,7 +51,7 @@
     /// The token to answer repetitions with.
     pub token: u64,
     /// For how long they mean nothing.
-    pub valid_for: Span,
+    pub valid_for: TimeDelta,
     /// The number of the last mark withdrawn before the leader answered.
     pub invalidated: u64,
 }
@@ -60,26 +60,26 @@
 struct CacheEntry {
     number: u64,
     token: u64,
-    until: Time,
+    until: Timestamp,
 }
 
 #[derive(Debug)]
 struct GrantedDelegation {
     term: u64,
-    at: Time,
+    at: Timestamp,
     /// Every cancellation told before this has withdrawn its marks.
-    cancellations_known_until: Time,
+    cancellations_known_until: Timestamp,
     /// The number of the last withdrawal that arrived, with all before it.
     invalidated: u64,
-    cache_entries: HashMap<MachineIx, CacheEntry>,
+    cache_entries: HashMap<MachineIndex, CacheEntry>,
 }
 
 /// A follower's side of the agreement with the leader.
 #[derive(Debug)]
 pub struct FollowerDelegation {
-    window: Span,
+    window: TimeDelta,
     last_asked: u64,
-    asked: VecDeque<(u64, Time)>,
+    asked: VecDeque<(u64, Timestamp)>,
     granted: Option<GrantedDelegation>,
 }
 
@@ -91,8 +91,8 @@
     }
 
     /// The leader is asked now. The number of the question.
-    pub fn ask(&mut self, now: Time) -> u64 {
-        if self.asked.len() >= MOST_ASKED {
+    pub fn ask(&mut self, now: Timestamp) -> u64 {
+        if self.asked.len() >= MAX_ASKED {
             self.asked.pop_front();
         }
         self.last_asked += 1;
@@ -101,7 +101,7 @@
     }
 
     /// A leader answered a question. Whether it was of use.
-    pub fn granted(&mut self, now: Time, grant: &DelegationGrant) -> bool {
+    pub fn granted(&mut self, now: Timestamp, grant: &DelegationGrant) -> bool {
         let Some(&(_, asked)) = self.asked.iter().find(|(number, _)| *number == grant.asked) else {
             return false;
         };
@@ -132,7 +132,7 @@
     }
 
     /// Marks that the leader withdraws, with the number of the first.
-    pub fn invalidate(&mut self, term: u64, first: u64, cache_entries: &[(MachineIx, u64)]) {
+    pub fn invalidate(&mut self, term: u64, first: u64, cache_entries: &[(MachineIndex, u64)]) {
         let Some(granted) = self.granted.as_mut().filter(|g| g.term == term) else { return };
         granted.catch_up(first.saturating_sub(1));
         granted.invalidated =
@@ -150,7 +150,7 @@
 
     /// A mark that came with the leader's answer. Without everything withdrawn before it, or with what
     /// came after it, it may be void already.
-    pub fn add(&mut self, now: Time, new: &CacheGrant) -> bool {
+    pub fn add(&mut self, now: Timestamp, new: &CacheGrant) -> bool {
         let Some(granted) = self.granted.as_mut() else { return false };
         if granted.term != new.cached.term
             || granted.invalidated != new.invalidated
@@ -158,14 +158,14 @@
         {
             return false;
         }
-        let until = Time(now.0.saturating_add(new.valid_for.0));
+        let until = Timestamp(now.0.saturating_add(new.valid_for.0));
         let cache_entry = CacheEntry { number: new.cached.number, token: new.token, until };
         granted.cache_entries.insert(new.cached.machine, cache_entry);
         true
     }
 
     /// The token with which a repetition of the settled report may be answered now.
-    pub fn cached_response_token(&self, now: Time, cached: CachedHeartbeat) -> Option<u64> {
+    pub fn cached_response_token(&self, now: Timestamp, cached: CachedHeartbeat) -> Option<u64> {
         let granted = self.granted.as_ref().filter(|g| g.term == cached.term)?;
         let cache_entry = granted.cache_entries.get(&cached.machine)?;
         let in_window = now.since(granted.cancellations_known_until) <= self.window;
@@ -174,7 +174,7 @@
     }
 
     /// The term of the leader to which reports may be passed on now.
-    pub fn forwarding_term(&self, now: Time) -> Option<u64> {
+    pub fn forwarding_term(&self, now: Timestamp) -> Option<u64> {
         self.granted.as_ref().filter(|g| now.since(g.at) <= FRESH).map(|g| g.term)
     }
 
--- a/crates/scheduler/src/reconciliation/health.rs
+++ b/crates/scheduler/src/reconciliation/health.rs
@@ -1,14 +1,14 @@
 //! Which machines are well: silent, deaf, overdue, slow or about to be taken, each alone and all together.
 
-use crate::model::task::Phase;
+use crate::model::task::TaskPhase;
 use crate::scheduler::{MachineState, Scheduler, OVERDUE};
-use crate::time::{Span, Time};
+use crate::time::{TimeDelta, Timestamp};
 
 /// From this many machines on, what they do together says something.
 const MANY: usize = 8;
 
 /// How often every task's run time is compared with its siblings'.
-const SLOW_EVERY: Span = Span::secs(2);
+const SLOW_EVERY: TimeDelta = TimeDelta::from_secs(2);
 
 /// Messages lost in a row, to any machines, that are more than the bad luck of some of them.
 const MANY_LOST: u32 = 12;
@@ -20,11 +20,12 @@
     /// Whether all of several machines that should report have been silent for a while: more
     /// likely this node can't be reached than that all of them failed at once. Of many machines some
     /// report at any moment, so that one interval without any is enough.
-    pub fn deaf(&self, now: Time) -> bool {
+    pub fn hears_no_worker(&self, now: Timestamp) -> bool {
         let up = || self.machines.iter().filter(|m| m.state == MachineState::Up);
         let n = up().count();
         let heartbeat = self.site.heartbeat_interval;
-        let silence = if n >= MANY { heartbeat } else { heartbeat + heartbeat + Span::secs(1) };
+        let silence =
+            if n >= MANY { heartbeat } else { heartbeat + heartbeat + TimeDelta::from_secs(1) };
         now.since(self.started_at) > silence
             && n > 0
             && up().all(|m| {
@@ -39,7 +40,7 @@
     /// start that it sent, and gave machines back that other nodes reach.) Without machines there is nothing
     /// to reach. (A leader that had returned its whole idle fleet gave way for the messages that were under
     /// way to it, and so did the next: nobody led for six seconds.)
-    pub fn reaches_no_worker(&self, now: Time) -> bool {
+    pub fn reaches_no_worker(&self, now: Timestamp) -> bool {
         self.messages_lost_in_a_row >= MANY_LOST
             && now.since(self.last_message_answered) > self.site.heartbeat_interval
             && self.machines.iter().any(|m| m.state == MachineState::Up)
@@ -49,8 +50,8 @@
     /// reported within half an interval, and nearly none has. (The machines that happened to have
     /// reported longest ago pass any patience first, when most of the others are not even due: one by
     /// one a leader cut off from the workers gave back 500 of 800 before it gave way.)
-    pub(crate) fn unheard_zones(&self, now: Time) -> Vec<String> {
-        let half = self.site.heartbeat_interval.scale(0.5);
+    pub(crate) fn silent_zones(&self, now: Timestamp) -> Vec<String> {
+        let half = self.site.heartbeat_interval.mul_f64(0.5);
         let mut zones: std::collections::BTreeMap<&str, (usize, usize)> = Default::default();
         let up = self.machines.iter().filter(|m| m.state == MachineState::Up);
         for m in up.filter(|m| m.draining.is_none()) {
@@ -66,17 +67,18 @@
     /// Silence after which a machine is given up: its report is overdue, it was asked directly and
     /// has had the time to answer. (Counted in seconds that suited reports every three, every
     /// machine whose reports came six seconds apart was given back as soon as one was a bit late.)
-    pub(crate) fn patience(&self) -> Span {
-        self.site.heartbeat_interval.scale(OVERDUE) + self.tun.patience
+    pub(crate) fn suspicion_timeout(&self) -> TimeDelta {
+        self.site.heartbeat_interval.mul_f64(OVERDUE) + self.tunables.patience
     }
 
     /// Marks machines that have to go: silent, overdue, slow, faulty.
-    pub(crate) fn judge_machines(&mut self, now: Time, unheard: &[String]) {
-        let patience = self.patience();
+    pub(crate) fn assess_health(&mut self, now: Timestamp, unheard: &[String]) {
+        let suspicion_timeout = self.suspicion_timeout();
         // One that is heard and doesn't hear has twice the patience: it may be the answer alone
         // that was late.
         let lost_for = |m: &crate::scheduler::Machine| {
-            let deaf = m.unacknowledged_since.map_or(Span::ZERO, |t| Span(now.since(t).0 / 2));
+            let deaf =
+                m.unacknowledged_since.map_or(TimeDelta::ZERO, |t| TimeDelta(now.since(t).0 / 2));
             now.since(m.last_heartbeat).max(deaf)
         };
         let holding = self
@@ -89,7 +91,7 @@
                 let m = &self.machines[i];
                 let waits = m.state == MachineState::Up
                     || (m.state == MachineState::Booting && !m.tasks.is_empty());
-                waits && m.draining.is_none() && lost_for(m) > patience
+                waits && m.draining.is_none() && lost_for(m) > suspicion_timeout
             })
             .collect();
         // When most of the fleet is silent at once, the trouble is more likely between here and
@@ -98,10 +100,10 @@
         for i in silent {
             let m = &mut self.machines[i];
             let together = many || unheard.contains(&m.zone);
-            if together && lost_for(m) < patience + patience + patience {
+            if together && lost_for(m) < suspicion_timeout + suspicion_timeout + suspicion_timeout {
                 continue;
             }
-            let silent = now.since(m.last_heartbeat) > patience;
+            let silent = now.since(m.last_heartbeat) > suspicion_timeout;
             m.draining = Some(if silent { "silent" } else { "deaf" });
             let what = if silent {
                 "has been silent too long"
@@ -115,13 +117,15 @@
             let m = &self.machines[i];
             if m.state == MachineState::Booting && m.tasks.is_empty() && m.draining.is_none() {
                 let boot = m.kind.and_then(|k| self.types.get(k)).map_or(60.0, |k| k.boot_s);
-                let limit = Span::from_secs(boot.max(5.0) * self.tun.boot_patience);
+                let limit = TimeDelta::from_secs_f64(boot.max(5.0) * self.tunables.boot_patience);
                 // A new leader hears of machines that came up long ago, and has to give each the
                 // time to answer it. (By their age alone, each take-over gave back every machine
                 // that was idle and hadn't reported within its first second: a third of the fleet.)
                 let asked = match m.hinted_up_at {
-                    Some(since) => now.since(since) > patience + patience + patience,
-                    None => now.since(m.last_heartbeat) > patience + patience,
+                    Some(since) => {
+                        now.since(since) > suspicion_timeout + suspicion_timeout + suspicion_timeout
+                    }
+                    None => now.since(m.last_heartbeat) > suspicion_timeout + suspicion_timeout,
                 };
                 if now.since(m.requested_at) > limit && asked {
                     self.machines[i].draining = Some("never came up");
@@ -132,14 +136,14 @@
         }
         if now.since(self.autoscaler.slow_looked_for) >= SLOW_EVERY {
             self.autoscaler.slow_looked_for = now;
-            self.mark_slow(now);
+            self.drain_slow_machines(now);
         }
     }
 
     /// Stops what won't be done on a machine before the cloud takes it, where it can run elsewhere:
     /// left alone, it would lose the rest of the notice as well, and the time until the machine is
     /// found to be gone. What has a good chance to complete, or nowhere to go, runs on.
-    pub(crate) fn evacuate(&mut self, now: Time) {
+    pub(crate) fn evict_before_interruption(&mut self, now: Timestamp) {
         if !self.machines.iter().any(|m| m.interruption_at.is_some() && !m.tasks.is_empty()) {
             return;
         }
@@ -153,13 +157,13 @@
         for m in self.machines.iter().filter(|m| m.state == MachineState::Up) {
             let Some(interruption_at) = m.interruption_at else { continue };
             // It may come at half the time told.
-            let left = interruption_at.since(now).as_secs() * NOTICE_PERIOD_TRUSTED;
+            let left = interruption_at.since(now).as_secs_f64() * NOTICE_PERIOD_TRUSTED;
             for &id in &m.tasks {
                 let Some(job) = self.job(id.0) else { continue };
                 let task = &job.tasks[id.1 as usize];
                 let started = job.started.get(&id.1);
-                let ran = started.map_or(0.0, |&t| now.since(t).as_secs());
-                let sent = task.token != 0 && task.phase != Phase::Stopping;
+                let ran = started.map_or(0.0, |&t| now.since(t).as_secs_f64());
+                let sent = task.token != 0 && task.phase != TaskPhase::Stopping;
                 if !sent || ran + left >= self.expected_run(job) || room < job.spec.cpus {
                     continue;
                 }
@@ -173,7 +177,7 @@
     }
 
     /// A machine on which tasks run far longer than their siblings elsewhere is drained.
-    fn mark_slow(&mut self, now: Time) {
+    fn drain_slow_machines(&mut self, now: Timestamp) {
         let mut slow = Vec::new();
         for (i, m) in self.machines.iter().enumerate() {
             if m.state != MachineState::Up || m.draining.is_some() {
@@ -186,8 +190,9 @@
                     self.job(id.0).is_some_and(|j| {
                         let Some(&t) = j.started.get(&id.1) else { return false };
                         j.run_times.1 >= 3
-                            && now.since(t).as_secs()
-                                > self.tun.slow_factor * j.run_times.0 / f64::from(j.run_times.1)
+                            && now.since(t).as_secs_f64()
+                                > self.tunables.slow_factor * j.run_times.0
+                                    / f64::from(j.run_times.1)
                                     + 5.0
                     })
                 })
--- a/crates/scheduler/src/reconciliation/heartbeats.rs
+++ b/crates/scheduler/src/reconciliation/heartbeats.rs
@@ -1,17 +1,17 @@
 //! Workers' reports: what they prove, and the commands that answer them. (The paper's receipts.)
 
 use crate::leadership::election::token;
-use crate::model::task::{Input, MachineIx, Phase};
+use crate::model::task::{MachineIndex, TaskEvent, TaskPhase};
 use crate::protocol::{self, ExitReason, Heartbeat, TaskState, WorkerCommand};
 use crate::scheduler::{grace_of, Command, MachineState, Scheduler, TaskId};
-use crate::time::{Span, Time};
+use crate::time::{TimeDelta, Timestamp};
 
 /// A start counts for the job's users if it is not stopped again within half a minute.
-pub(crate) const BEGUN_AFTER: Span = Span::secs(32);
+pub(crate) const STARTED_AFTER: TimeDelta = TimeDelta::from_secs(32);
 
 /// Commands in one answer, which is one line of at most 64 KiB; the next report is told the rest. (A
 /// report may have as many tasks as fit into its own 64 KiB, and a call is longer than a task.)
-pub(crate) const MOST_COMMANDS: usize = 500;
+pub(crate) const MAX_COMMANDS: usize = 500;
 
 /// One task of a report, and the known task that it names, if there is one.
 pub(crate) struct ReportedTask<'a> {
@@ -50,7 +50,7 @@
     /// A worker's report. `None`: this node is not entitled to answer it.
     pub fn heartbeat(
         &mut self,
-        now: Time,
+        now: Timestamp,
         heartbeat: &Heartbeat,
     ) -> Option<(u64, Vec<WorkerCommand>)> {
         if crate::leadership::election::term_of(heartbeat.token) > self.term {
@@ -92,7 +92,7 @@
 
     /// What the worker should still do about the tasks it reports: stop those that have no
     /// business there and forget those whose end is recorded. Both can be repeated.
-    fn commands_for(&mut self, m: MachineIx, entries: &[ReportedTask]) -> Vec<WorkerCommand> {
+    fn commands_for(&mut self, m: MachineIndex, entries: &[ReportedTask]) -> Vec<WorkerCommand> {
         let mut calls = Vec::new();
         let mut reaps = Vec::new();
         for reported in entries {
@@ -102,7 +102,7 @@
             if entry.state == TaskState::Exited {
                 let keep = job.is_some_and(|(job, index)| {
                     !job.over
-                        && (job.tasks[index].phase != Phase::Done
+                        && (job.tasks[index].phase != TaskPhase::Done
                             || !job.recorded.contains(index as u32))
                 });
                 if !keep {
@@ -116,7 +116,7 @@
             let grace = match job {
                 None => Some(0.0),
                 Some((job, _)) if job.over => Some(0.0),
-                Some((job, index)) if job.tasks[index].phase == Phase::Stopping => {
+                Some((job, index)) if job.tasks[index].phase == TaskPhase::Stopping => {
                     Some(grace_of(&job.spec))
                 }
                 Some(_) => None,
@@ -138,15 +138,15 @@
                 calls.extend(reaps);
             }
         }
-        calls.truncate(MOST_COMMANDS);
+        calls.truncate(MAX_COMMANDS);
         calls
     }
 
     /// Looks up the tasks of a report, each once.
     pub(crate) fn resolve<'a>(&self, heartbeat: &'a Heartbeat) -> Vec<ReportedTask<'a>> {
         let resolve = |entry: &'a protocol::TaskStatus| {
-            let id = protocol::split_task(&entry.task).and_then(|(name, index)| {
-                let &job_index = self.by_ref.get(name)?;
+            let id = protocol::parse_task_id(&entry.task).and_then(|(name, index)| {
+                let &job_index = self.jobs_by_name.get(name)?;
                 let exists = (index as usize) < self.job(job_index)?.tasks.len();
                 exists.then_some((job_index, index))
             });
@@ -156,10 +156,12 @@
     }
 
     /// Whether that attempt of the task is on the machine as far as is known here.
-    fn is_placed(&self, m: MachineIx, id: TaskId, attempt: u64) -> bool {
+    fn is_placed(&self, m: MachineIndex, id: TaskId, attempt: u64) -> bool {
         self.job(id.0).is_some_and(|job| {
             let task = &job.tasks[id.1 as usize];
-            u64::from(task.attempt) == attempt && task.machine == m && task.phase != Phase::Pending
+            u64::from(task.attempt) == attempt
+                && task.machine == m
+                && task.phase != TaskPhase::Pending
         })
     }
 
@@ -168,11 +170,11 @@
     /// copy from long ago.
     pub(crate) fn reconcile_heartbeat(
         &mut self,
-        now: Time,
+        now: Timestamp,
         heartbeat: &Heartbeat,
         entries: &[ReportedTask],
         direct: bool,
-    ) -> MachineIx {
+    ) -> MachineIndex {
         let m = self.machine_named(now, &heartbeat.machine);
         let newer = {
             let known = &self.machines[m as usize];
@@ -237,11 +239,11 @@
                         let began = self.began(now, &task);
                         if let Some(job) = self.jobs.get_mut(&id.0) {
                             let since = *job.started.entry(id.1).or_insert(began);
-                            job.begun |= now.since(since) >= BEGUN_AFTER;
+                            job.has_started |= now.since(since) >= STARTED_AFTER;
                         }
                         self.has_image(m, image);
                     }
-                    self.step(now, id, Input::Seen);
+                    self.step(now, id, TaskEvent::Observed);
                 }
                 None => {
                     // An absent task proves nothing while its start may still be under way:
@@ -252,7 +254,7 @@
                             || heartbeat.token > task.token);
                     if proven {
                         changed = true;
-                        self.step(now, id, Input::Absent);
+                        self.step(now, id, TaskEvent::ProvenAbsent);
                     }
                 }
             }
@@ -277,7 +279,7 @@
     }
 
     /// Takes over what a newer report says of its machine.
-    fn adopt(&mut self, now: Time, m: MachineIx, heartbeat: &Heartbeat, direct: bool) {
+    fn adopt(&mut self, now: Timestamp, m: MachineIndex, heartbeat: &Heartbeat, direct: bool) {
         let kind = self.types.iter().position(|t| t.name == heartbeat.kind);
         let term = self.term;
         let machine = &mut self.machines[m as usize];
@@ -328,7 +330,8 @@
             self.dirty = true;
         }
         let machine = &mut self.machines[m as usize];
-        let interruption_at = heartbeat.interruption_notice_s.map(|s| now + Span::from_secs(s));
+        let interruption_at =
+            heartbeat.interruption_notice_s.map(|s| now + TimeDelta::from_secs_f64(s));
         let new = interruption_at.is_some() && machine.interruption_at.is_none();
         machine.interruption_at = match (interruption_at, machine.interruption_at) {
             (Some(_), Some(known)) => Some(known),
@@ -359,7 +362,7 @@
         }
     }
 
-    pub(crate) fn has_image(&mut self, m: MachineIx, image: String) {
+    pub(crate) fn has_image(&mut self, m: MachineIndex, image: String) {
         let images = &mut self.machines[m as usize].images;
         if images.last() != Some(&image) {
             images.retain(|i| *i != image);
@@ -370,24 +373,24 @@
         }
     }
 
-    fn finish(&mut self, now: Time, id: TaskId, m: MachineIx, attempt: u64) {
+    fn finish(&mut self, now: Timestamp, id: TaskId, m: MachineIndex, attempt: u64) {
         let Some(job) = self.job(id.0) else { return };
         let Some(task) = job.tasks.get(id.1 as usize) else { return };
-        if task.phase == Phase::Done || attempt > u64::from(task.attempt) {
+        if task.phase == TaskPhase::Done || attempt > u64::from(task.attempt) {
             return;
         }
         let here = task.machine == m && u64::from(task.attempt) == attempt;
         if task.phase.placed() && !here {
             // An older attempt finished after all. The newer one is of no use: it is stopped
             // first, and only its proven absence lets the registry forget it.
-            if task.token != 0 || task.phase != Phase::Dispatching {
+            if task.token != 0 || task.phase != TaskPhase::Dispatching {
                 self.stop(now, id, 0.0);
             }
             return;
         }
         if here {
             if let Some(&began) = job.started.get(&id.1) {
-                let ran = now.since(began).as_secs();
+                let ran = now.since(began).as_secs_f64();
                 let (class, estimate) = (job.spec.class.clone(), job.spec.estimate_s);
                 let slot = self.ratios.entry(class).or_insert((0.0, 0.0));
                 if estimate > 0.0 && ran > 0.0 {
@@ -401,7 +404,7 @@
             }
         }
         if let Some(job) = self.jobs.get_mut(&id.0) {
-            job.begun = true;
+            job.has_started = true;
         }
         // What completes anything isn't sick; and a job that comes off somewhere was not at fault
         // where it failed.
@@ -409,21 +412,21 @@
         machine.failures.clear();
         machine.completed_at = now;
         let first = self.job(id.0).filter(|j| j.done == 0);
-        let failed: Vec<(MachineIx, Time)> = first
+        let failed: Vec<(MachineIndex, Timestamp)> = first
             .map_or(Vec::new(), |j| j.error_machines.iter().map(|(&m, &at)| (m, at)).collect());
         for (other, at) in failed {
             if self.machines[other as usize].completed_at < at {
-                self.blame(other, id.0);
+                self.attribute_failure(other, id.0);
             }
         }
-        self.step(now, id, Input::Finish);
+        self.step(now, id, TaskEvent::Completed);
     }
 
     /// The job failed on the machine, and not by its own fault as far as can be told.
-    fn blame(&mut self, m: MachineIx, job: crate::scheduler::JobIx) {
+    fn attribute_failure(&mut self, m: MachineIndex, job: crate::scheduler::JobIndex) {
         let machine = &mut self.machines[m as usize];
         machine.failures.insert(job);
-        if machine.failures.len() as u32 >= self.tun.sick_after && machine.draining.is_none() {
+        if machine.failures.len() as u32 >= self.tunables.sick_after && machine.draining.is_none() {
             machine.draining = Some("fails the tasks of several jobs");
             let name = machine.name.clone();
             self.log(format!("{name} is drained: it fails the tasks of several jobs"));
@@ -431,11 +434,11 @@
     }
 
     /// A task's attempt ended on its machine for another reason than completion.
-    fn exited(&mut self, now: Time, id: TaskId, m: MachineIx, cause: ExitReason) {
+    fn exited(&mut self, now: Timestamp, id: TaskId, m: MachineIndex, cause: ExitReason) {
         if cause == ExitReason::Done {
             return;
         }
-        self.step(now, id, Input::Absent);
+        self.step(now, id, TaskEvent::ProvenAbsent);
         let Some(job) = self.jobs.get_mut(&id.0) else { return };
         match cause {
             ExitReason::Error | ExitReason::Unknown | ExitReason::Other => {
@@ -445,10 +448,10 @@
                 let suspect = job.suspect();
                 if suspect && now >= job.not_before {
                     job.errors += 1;
-                    job.not_before = now + Span::secs(1u64 << job.errors.min(5));
+                    job.not_before = now + TimeDelta::from_secs(1u64 << job.errors.min(5));
                 }
                 let name = job.name.clone();
-                let cleared: Vec<MachineIx> = match suspect {
+                let cleared: Vec<MachineIndex> = match suspect {
                     true => job.error_machines.keys().copied().collect(),
                     false => Vec::new(),
                 };
@@ -457,11 +460,11 @@
                 }
                 self.log(format!("{name}/{} failed on {}", id.1, self.machines[m as usize].name));
                 if !suspect {
-                    self.blame(m, id.0);
+                    self.attribute_failure(m, id.0);
                 }
             }
             ExitReason::NoRoom | ExitReason::InUse => {
-                job.not_before = now + Span::millis(500);
+                job.not_before = now + TimeDelta::from_millis(500);
             }
             ExitReason::Stopped | ExitReason::Done => {}
         }
@@ -469,8 +472,8 @@
 
     /// Settles starts that no receipt confirmed by their deadline, and gives machines up that
     /// stay silent. Neither makes a task free: only proof does.
-    pub(crate) fn settle(&mut self, now: Time) {
-        let limit = self.site.worker_lease + self.tun.settle_margin;
+    pub(crate) fn settle(&mut self, now: Timestamp) {
+        let limit = self.site.worker_lease + self.tunables.settle_margin;
         let mut late = Vec::new();
         for m in &self.machines {
             if m.tasks.is_empty() || now.since(m.last_heartbeat) < self.site.heartbeat_interval {
@@ -479,7 +482,9 @@
             for &id in &m.tasks {
                 if let Some(job) = self.job(id.0) {
                     let t = &job.tasks[id.1 as usize];
-                    if t.phase == Phase::Dispatching && t.token != 0 && now.since(t.since) >= limit
+                    if t.phase == TaskPhase::Dispatching
+                        && t.token != 0
+                        && now.since(t.since) >= limit
                     {
                         late.push(id);
                     }
@@ -487,7 +492,7 @@
             }
         }
         for id in late {
-            if self.step(now, id, Input::Settle) {
+            if self.step(now, id, TaskEvent::ConfirmationExpired) {
                 let Some(job) = self.job(id.0) else { continue };
                 let text = format!("start of {}/{} is unconfirmed: unknown", job.name, id.1);
                 self.log(text);
@@ -496,7 +501,7 @@
     }
 
     /// The machine and all that was on it are certainly gone.
-    pub fn machine_gone(&mut self, now: Time, name: &str) {
+    pub fn machine_gone(&mut self, now: Timestamp, name: &str) {
         let Some(&m) = self.by_name.get(name) else { return };
         let machine = &mut self.machines[m as usize];
         if machine.state == MachineState::Terminated {
@@ -508,7 +513,7 @@
         self.conflicting_replicas.retain(|_, on| *on != m);
         self.gone.push_back((now, m));
         // Starts that waited for the next message to it are never sent.
-        self.last_look(now, m, false);
+        self.release_starts(now, m, false);
         let machine = &self.machines[m as usize];
         let tasks: Vec<TaskId> = machine.tasks.iter().copied().collect();
         self.lost_with_machine(now, &tasks);
@@ -516,15 +521,15 @@
     }
 
     /// The tasks' machine has certainly stopped, and they with it.
-    pub(crate) fn lost_with_machine(&mut self, now: Time, tasks: &[TaskId]) {
+    pub(crate) fn lost_with_machine(&mut self, now: Timestamp, tasks: &[TaskId]) {
         for &id in tasks {
             let unsent = self.job(id.0).is_some_and(|j| {
                 let t = &j.tasks[id.1 as usize];
-                t.phase == Phase::Dispatching && t.token == 0
+                t.phase == TaskPhase::Dispatching && t.token == 0
             });
             // An unsent start is settled by the answer to its own write.
             if !unsent {
-                self.step(now, id, Input::Absent);
+                self.step(now, id, TaskEvent::ProvenAbsent);
             }
         }
     }
--- a/crates/scheduler/src/reconciliation/repeated_heartbeats.rs
+++ b/crates/scheduler/src/reconciliation/repeated_heartbeats.rs
@@ -16,11 +16,11 @@
 use std::collections::BTreeSet;
 
 use crate::leadership::election::token;
-use crate::model::task::{MachineIx, Phase};
+use crate::model::task::{MachineIndex, TaskPhase};
 use crate::protocol::{self, Heartbeat, TaskState, TaskStatus};
-use crate::reconciliation::heartbeats::BEGUN_AFTER;
+use crate::reconciliation::heartbeats::STARTED_AFTER;
 use crate::scheduler::{MachineState, Scheduler, TaskId};
-use crate::time::{Span, Time};
+use crate::time::{TimeDelta, Timestamp};
 
 /// Names one report that left nothing to do. Of use to the scheduler that gave it, and to no other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -28,7 +28,7 @@
     /// The term of the scheduler.
     pub term: u64,
     /// The machine's place in that scheduler's table.
-    pub machine: MachineIx,
+    pub machine: MachineIndex,
     /// Never given twice in a term.
     pub number: u64,
 }
@@ -56,7 +56,7 @@
     holder: CacheHolder,
     /// From then on time alone gives the report a meaning: a task has run for long enough to count
     /// as begun.
-    until: Time,
+    until: Timestamp,
 }
 
 impl Scheduler {
@@ -64,7 +64,7 @@
     /// would have to be read in full.
     pub fn cache_heartbeat(
         &mut self,
-        now: Time,
+        now: Timestamp,
         heartbeat: &Heartbeat,
         holder: CacheHolder,
     ) -> Option<CachedHeartbeat> {
@@ -89,7 +89,7 @@
         if known.tasks.len() != heartbeat.tasks.len() {
             return None;
         }
-        let mut until = Time(u64::MAX);
+        let mut until = Timestamp(u64::MAX);
         let mut reported: BTreeSet<TaskId> = BTreeSet::new();
         for entry in &heartbeat.tasks {
             let (task, meaningless_until) = self.cacheable_task(machine, entry)?;
@@ -107,12 +107,16 @@
     }
 
     /// The task, if it is reported as it is known here, and until when that means nothing.
-    fn cacheable_task(&self, machine: MachineIx, entry: &TaskStatus) -> Option<(TaskId, Time)> {
-        let (name, index) = protocol::split_task(&entry.task)?;
-        let &job_index = self.by_ref.get(name)?;
+    fn cacheable_task(
+        &self,
+        machine: MachineIndex,
+        entry: &TaskStatus,
+    ) -> Option<(TaskId, Timestamp)> {
+        let (name, index) = protocol::parse_task_id(&entry.task)?;
+        let &job_index = self.jobs_by_name.get(name)?;
         let job = self.job(job_index)?;
         let task = job.tasks.get(index as usize)?;
-        let as_known = task.phase == Phase::Running
+        let as_known = task.phase == TaskPhase::Running
             && task.machine == machine
             && u64::from(task.attempt) == entry.attempt
             && !job.over;
@@ -120,26 +124,26 @@
             return None;
         }
         let until = match entry.state {
-            TaskState::Fetching => Time(u64::MAX),
-            TaskState::Running if job.begun => Time(u64::MAX),
-            TaskState::Running => *job.started.get(&index)? + BEGUN_AFTER,
+            TaskState::Fetching => Timestamp(u64::MAX),
+            TaskState::Running if job.has_started => Timestamp(u64::MAX),
+            TaskState::Running => *job.started.get(&index)? + STARTED_AFTER,
             TaskState::Flushing | TaskState::Exited | TaskState::Other => return None,
         };
         Some(((job_index, index), until))
     }
 
     /// For how long repetitions of the settled report mean nothing, if nothing happens.
-    pub fn cached_for(&self, now: Time, cached: CachedHeartbeat) -> Span {
+    pub fn cached_for(&self, now: Timestamp, cached: CachedHeartbeat) -> TimeDelta {
         let machine = self.machines.get(cached.machine as usize);
         let known = machine.and_then(|m| m.cached).filter(|s| s.number == cached.number);
-        known.map_or(Span::ZERO, |s| s.until.since(now))
+        known.map_or(TimeDelta::ZERO, |s| s.until.since(now))
     }
 
     /// The settled report came again, the same but for its sequence number. The token to answer with,
     /// and no commands; `None`: the report has to be read in full.
     pub fn answer_repeated_heartbeat(
         &mut self,
-        now: Time,
+        now: Timestamp,
         cached: CachedHeartbeat,
         sequence: u64,
     ) -> Option<u64> {
@@ -153,7 +157,7 @@
     /// The settled report came again, here or at its holder, who answered it. Whether it was of use.
     pub fn record_repeated_heartbeat(
         &mut self,
-        now: Time,
+        now: Timestamp,
         cached: CachedHeartbeat,
         sequence: u64,
     ) -> bool {
@@ -172,7 +176,7 @@
 
     /// A repetition of the machine's last report may mean something from now on. The only place where
     /// a mark ends, so that its holder is always told.
-    pub(crate) fn invalidate_cached_heartbeat(&mut self, machine: MachineIx) {
+    pub(crate) fn invalidate_cached_heartbeat(&mut self, machine: MachineIndex) {
         let known = self.machines.get_mut(machine as usize);
         let Some(CacheRecord { number, holder, .. }) = known.and_then(|m| m.cached.take()) else {
             return;
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -11,16 +11,16 @@
 
 use crate::leadership::election::token;
 use crate::leadership::watermark;
-use crate::model::job::{JobSpec, Rank};
-use crate::model::task::{Input, MachineIx, Phase, Task};
+use crate::model::job::{JobSpec, Priority};
+use crate::model::task::{MachineIndex, Task, TaskEvent, TaskPhase};
 use crate::protocol::{Heartbeat, MachineType, Transaction, WorkerCommand};
-use crate::queue::dependencies::{Chains, Due};
+use crate::queue::dependencies::{DependencyGraph, EffectiveDeadline};
 use crate::storage::transactions::InFlightTransaction;
-use crate::time::{Span, Time};
+use crate::time::{TimeDelta, Timestamp};
 use crate::tunables::{Site, Tunables};
 
-pub type JobIx = u32;
-pub type TaskId = (JobIx, u32);
+pub type JobIndex = u32;
+pub type TaskId = (JobIndex, u32);
 
 /// Something for the sockets to do.
 #[derive(Debug, Clone, PartialEq)]
@@ -41,7 +41,7 @@
     },
     /// Post the calls once, never again, and answer with [`Scheduler::message_answered`].
     SendToWorker {
-        machine: MachineIx,
+        machine: MachineIndex,
         address: String,
         token: u64,
         agent_epoch: u64,
@@ -118,13 +118,13 @@
     /// The token that the worker knew by its newest report.
     pub acknowledged_token: u64,
     /// When an answer to its report last carried a token that it had not seen.
-    pub token_sent_at: Time,
+    pub token_sent_at: Timestamp,
     /// The token that it has to show before anything more is started there: raised when a message
     /// to it was lost, or when its lease ran out though its reports arrive.
     pub required_token: u64,
     /// Since when it has owed that. A machine that is heard and doesn't hear looks alive by its
     /// reports; this is what gives it away.
-    pub unacknowledged_since: Option<Time>,
+    pub unacknowledged_since: Option<Timestamp>,
     /// Messages to it that were lost in a row.
     pub consecutive_losses: u32,
     /// Rented by this leader or listed by the cloud, so that it can be counted on to come. What a
@@ -135,15 +135,15 @@
     pub start_token: u64,
     /// Since when it is said to be running, by the cloud, another node or a report that may be a
     /// late copy: worth asking directly.
-    pub hinted_up_at: Option<Time>,
-    pub last_heartbeat: Time,
-    pub requested_at: Time,
-    pub interruption_at: Option<Time>,
+    pub hinted_up_at: Option<Timestamp>,
+    pub last_heartbeat: Timestamp,
+    pub requested_at: Timestamp,
+    pub interruption_at: Option<Timestamp>,
     /// Tasks that are on it as far as anybody knows.
     pub tasks: BTreeSet<TaskId>,
     /// How many of them the jobs gave each priority to, the lowest first. A job may count with a higher
     /// one that needs it, never with a lower one.
-    pub(crate) ranks: [u32; Rank::COUNT],
+    pub(crate) tasks_by_priority: [u32; Priority::COUNT],
     /// How many of them are told to stop.
     pub(crate) stopping: u32,
     /// Tasks that it reports and the registry doesn't place there: room that can't be counted on.
@@ -160,14 +160,14 @@
     pub in_send_queue: bool,
     /// Starts in the message under way, with their attempts.
     pub in_message: Vec<(TaskId, u32)>,
-    pub retry_at: Time,
-    pub idle_since: Time,
+    pub retry_at: Timestamp,
+    pub idle_since: Timestamp,
     /// Jobs that failed here since anything completed here, each counted once.
-    pub failures: BTreeSet<JobIx>,
+    pub failures: BTreeSet<JobIndex>,
     /// When a task completed here last.
-    pub completed_at: Time,
+    pub completed_at: Timestamp,
     pub draining: Option<&'static str>,
-    pub termination_sent_at: Option<Time>,
+    pub termination_sent_at: Option<Timestamp>,
     /// Its last report, if a repetition of that would mean nothing; see [`crate::reconciliation::repeated_heartbeats`].
     pub(crate) cached: Option<crate::reconciliation::repeated_heartbeats::CacheRecord>,
 }
@@ -178,13 +178,13 @@
     }
 
     /// The lowest priority that a job gave to one of its tasks.
-    pub(crate) fn lowest_rank(&self) -> Option<Rank> {
-        let lowest = self.ranks.iter().position(|&tasks| tasks > 0)?;
-        Rank::ALL.get(lowest).copied()
+    pub(crate) fn lowest_priority(&self) -> Option<Priority> {
+        let lowest = self.tasks_by_priority.iter().position(|&tasks| tasks > 0)?;
+        Priority::ALL.get(lowest).copied()
     }
 
     /// Nothing more is started there until it shows that it heard of this.
-    pub(crate) fn raise_fencing_counter(&mut self, now: Time, term: u64) {
+    pub(crate) fn raise_fencing_counter(&mut self, now: Timestamp, term: u64) {
         self.fencing_counter += 1;
         self.required_token = token(term, self.fencing_counter);
         self.unacknowledged_since.get_or_insert(now);
@@ -196,31 +196,31 @@
     pub revision: u64,
     pub in_flight: bool,
     /// Since when a planned start waits for its write.
-    pub start_due: Option<Time>,
+    pub start_due: Option<Timestamp>,
     /// Since when unpersisted_since waits that is not written yet. It may wait longer, or go along with a
     /// start: until it is written the worker keeps it.
-    pub unpersisted_since: Option<Time>,
+    pub unpersisted_since: Option<Timestamp>,
 }
 
 #[derive(Debug, Clone)]
 pub struct Job {
     pub name: String,
     pub spec: JobSpec,
-    pub accepted: Time,
+    pub accepted: Timestamp,
     /// When the last job that it needs was found to be done; its acceptance, if it needs none. All
     /// times but the deadline count from here.
-    pub released: Time,
+    pub ready_at: Timestamp,
     /// Jobs that it needs and whose end `done` was not read yet. While there are any, nothing of
     /// it is started and it counts for nothing.
-    pub unmet: usize,
+    pub unmet_dependencies: usize,
     /// A job that it needs, directly or through others, has ended `aborted`: so will this one.
-    pub doomed: bool,
+    pub dependency_cancelled: bool,
     /// The highest priority of its own and of the jobs that need it.
-    pub rank: Rank,
+    pub priority: Priority,
     /// Its team's class, for what that holds of the fleet.
     pub(crate) share_class: ClassId,
     /// The deadline that presses it most: its own, or that of a job that needs it.
-    pub due: Option<Due>,
+    pub effective_deadline: Option<EffectiveDeadline>,
     pub chunk_size: u32,
     pub chunks: Vec<Chunk>,
     /// Marks of the parts of its chunks that are kept apart, by chunk and first task.
@@ -245,22 +245,22 @@
     /// Times in a row that it was found to be at fault itself, tasks that fail together counted once.
     pub errors: u32,
     /// Where its tasks failed, and when last.
-    pub error_machines: BTreeMap<MachineIx, Time>,
-    pub not_before: Time,
+    pub error_machines: BTreeMap<MachineIndex, Timestamp>,
+    pub not_before: Timestamp,
     /// When each running task was first seen with its image.
-    pub started: HashMap<u32, Time>,
+    pub started: HashMap<u32, Timestamp>,
     /// Whether any of its tasks has run for long enough to count as a start, or to its end.
-    pub begun: bool,
+    pub has_started: bool,
     pub run_times: (f64, u32),
 }
 
 impl Job {
     /// A job of which nothing is placed yet.
     pub(crate) fn new(
-        now: Time,
+        now: Timestamp,
         name: &str,
         spec: JobSpec,
-        accepted: Time,
+        accepted: Timestamp,
         chunk_size: u32,
         share_class: ClassId,
     ) -> Job {
@@ -268,12 +268,12 @@
         Job {
             name: name.to_owned(),
             accepted,
-            released: accepted,
-            unmet: 0,
-            doomed: false,
-            rank: spec.rank,
+            ready_at: accepted,
+            unmet_dependencies: 0,
+            dependency_cancelled: false,
+            priority: spec.priority,
             share_class,
-            due: Due::of(&spec, accepted),
+            effective_deadline: EffectiveDeadline::of(&spec, accepted),
             chunk_size,
             chunks: vec![Chunk::default(); chunks],
             parts: BTreeMap::new(),
@@ -290,9 +290,9 @@
             scan_from: 0,
             errors: 0,
             error_machines: BTreeMap::new(),
-            not_before: Time(0),
+            not_before: Timestamp(0),
             started: HashMap::new(),
-            begun: false,
+            has_started: false,
             run_times: (0.0, 0),
             spec,
         }
@@ -304,8 +304,8 @@
     }
 
     /// Whether it waits for other jobs.
-    pub fn held(&self) -> bool {
-        self.unmet > 0 || self.doomed
+    pub fn is_blocked(&self) -> bool {
+        self.unmet_dependencies > 0 || self.dependency_cancelled
     }
 
     pub fn pending(&self) -> u32 {
@@ -320,7 +320,7 @@
     /// Whether its tasks keep away from the machine because they failed there lately. (Sent there
     /// again, as the machine was the first to be free each time, one job's tasks failed 412 times on
     /// one of 42 sick machines; three such machines made the job look at fault, and nobody was blamed.)
-    pub(crate) fn avoids(&self, now: Time, m: MachineIx) -> bool {
+    pub(crate) fn avoids(&self, now: Timestamp, m: MachineIndex) -> bool {
         self.error_machines.get(&m).is_some_and(|&at| now.since(at) < AVOID_FOR)
     }
 
@@ -330,32 +330,32 @@
 }
 pub struct Scheduler {
     pub site: std::rc::Rc<Site>,
-    pub tun: std::rc::Rc<Tunables>,
+    pub tunables: std::rc::Rc<Tunables>,
     pub term: u64,
     /// Stands for the unknown token of a start that an earlier term sent.
     pub(crate) loaded_token: u64,
     /// By a number that is never used again, so that a late answer can't mean another job.
-    pub jobs: BTreeMap<JobIx, Job>,
-    pub(crate) next_job: JobIx,
-    pub by_ref: HashMap<String, JobIx>,
+    pub jobs: BTreeMap<JobIndex, Job>,
+    pub(crate) next_job: JobIndex,
+    pub jobs_by_name: HashMap<String, JobIndex>,
     pub machines: Vec<Machine>,
-    pub by_name: HashMap<String, MachineIx>,
+    pub by_name: HashMap<String, MachineIndex>,
     /// Machines that are gone, in the order in which they went.
-    pub(crate) gone: VecDeque<(Time, MachineIx)>,
+    pub(crate) gone: VecDeque<(Timestamp, MachineIndex)>,
     pub types: Vec<MachineType>,
     pub team_use: HashMap<String, (f64, f64)>,
     /// What the teams and their classes hold of the fleet, and whether that decides the order.
-    pub sharing: crate::queue::fair_share::Sharing,
+    pub fair_share: crate::queue::fair_share::FairShare,
     pub(crate) out: Vec<Command>,
     pub(crate) transactions: BTreeMap<u64, InFlightTransaction>,
     pub(crate) next_id: u64,
     /// The state service refused the last write: nothing is decided until it answers again.
-    pub writes_paused_until: Time,
+    pub writes_paused_until: Timestamp,
     /// The largest value and the most changes of a transaction that the state service takes now, as
     /// far as is known.
     pub(crate) limits: Limits,
-    pub(crate) chains: Chains,
-    pub(crate) last_round: Time,
+    pub(crate) dependency_graph: DependencyGraph,
+    pub(crate) last_round: Timestamp,
     /// Changes that the state service's write rate has room for now, and at most; `None`: any.
     writes: Option<(f64, f64)>,
     /// Chunks with planned starts that are not on their way to the state service.
@@ -369,18 +369,18 @@
     pub holds_lease: bool,
     /// Every cancellation that any user was told of before this is in the registry; see
     /// [`crate::leadership::watermark`].
-    pub cancellations_known_until: Time,
+    pub cancellations_known_until: Timestamp,
     /// Tasks that a machine shows live under an attempt that is not the registry's, and where. Whatever
     /// the registry says, they are there.
-    pub(crate) conflicting_replicas: BTreeMap<TaskId, MachineIx>,
+    pub(crate) conflicting_replicas: BTreeMap<TaskId, MachineIndex>,
     /// What was logged of odd reports, each once.
     pub(crate) anomalies: BTreeSet<(String, &'static str)>,
     /// Processors of the machines that are up, as of the last round.
     pub(crate) fleet_cpus: f64,
-    pub(crate) last_preempt: Time,
+    pub(crate) last_preempt: Timestamp,
     /// Machines to be looked at for something to send, each once.
-    pub(crate) send_queue: Vec<MachineIx>,
-    pub(crate) last_sweep: Time,
+    pub(crate) send_queue: Vec<MachineIndex>,
+    pub(crate) last_sweep: Timestamp,
     /// Numbers the reports that left nothing to do.
     pub(crate) last_cached_number: u64,
     /// Those whose holders have to be told that they hold no more.
@@ -388,7 +388,7 @@
     /// Messages to workers whose outcome is open.
     pub(crate) messages_in_flight: usize,
     /// When a worker last answered a message, and how many were lost since.
-    pub(crate) last_message_answered: Time,
+    pub(crate) last_message_answered: Timestamp,
     pub(crate) messages_lost_in_a_row: u32,
     /// Machines looked at for placing, for tests of what a round costs.
     pub machines_examined: u64,
@@ -396,12 +396,12 @@
     pub jobs_examined: u64,
     /// Machines looked at for something to send, for tests of what a report costs.
     pub send_checks: u64,
-    pub started_at: Time,
+    pub started_at: Timestamp,
     pub autoscaler: crate::autoscaling::Autoscaler,
     /// Learned ratio of run time to the owner's estimate, by class: sum of logs and count.
     pub ratios: HashMap<String, (f64, f64)>,
     /// Learned size of a job, in processors, by class, and when one came last.
-    pub sizes: HashMap<String, (f64, Time)>,
+    pub sizes: HashMap<String, (f64, Timestamp)>,
 }
 
 /// What the state service takes at once.
@@ -414,47 +414,47 @@
 /// Machines on which a job has to fail to be at fault itself.
 const SUSPECT_AFTER: usize = 3;
 /// For how long a job keeps away from a machine that failed it.
-const AVOID_FOR: Span = Span::secs(120);
+const AVOID_FOR: TimeDelta = TimeDelta::from_secs(120);
 
 /// What a task that was placed needs at least until it runs: a write, a message, mostly an image.
-const START_TAKES: Span = Span::secs(1);
+const START_TAKES: TimeDelta = TimeDelta::from_secs(1);
 
 /// Report intervals, each up to a quarter longer than told, after which a worker is overdue.
 pub const OVERDUE: f64 = 1.4;
 /// How long a machine that is gone is remembered, against late reports of it.
-const FORGET_AFTER: Span = Span::secs(600);
+const FORGET_AFTER: TimeDelta = TimeDelta::from_secs(600);
 /// Odd things to remember as logged: several for each machine of any fleet.
 const MAX_ANOMALIES: usize = 20_000;
 /// Classes to learn about; more than any deployment has, fewer than would hurt.
-const MOST_CLASSES: usize = 1_000;
+const MAX_CLASSES: usize = 1_000;
 
 impl Scheduler {
     pub fn new(
         site: std::rc::Rc<Site>,
-        tun: std::rc::Rc<Tunables>,
+        tunables: std::rc::Rc<Tunables>,
         term: u64,
         types: Vec<MachineType>,
-        now: Time,
+        now: Timestamp,
     ) -> Scheduler {
         Scheduler {
             term,
             loaded_token: token(term, 0) - 1,
             jobs: BTreeMap::new(),
             next_job: 0,
-            by_ref: HashMap::new(),
+            jobs_by_name: HashMap::new(),
             machines: Vec::new(),
             by_name: HashMap::new(),
             gone: VecDeque::new(),
             types,
             team_use: HashMap::new(),
-            sharing: crate::queue::fair_share::Sharing::new(&site, &tun),
+            fair_share: crate::queue::fair_share::FairShare::new(&site, &tunables),
             out: Vec::new(),
             transactions: BTreeMap::new(),
             next_id: 1,
-            writes_paused_until: Time(0),
+            writes_paused_until: Timestamp(0),
             limits: Limits { value_bytes: site.value_bytes, txn_ops: site.txn_ops },
-            chains: Chains::default(),
-            last_round: Time(0),
+            dependency_graph: DependencyGraph::default(),
+            last_round: Timestamp(0),
             writes: None,
             planned_chunks: 0,
             write_counters: crate::storage::transactions::WriteCounters::default(),
@@ -464,9 +464,9 @@
             conflicting_replicas: BTreeMap::new(),
             anomalies: BTreeSet::new(),
             fleet_cpus: 0.0,
-            last_preempt: Time(0),
+            last_preempt: Timestamp(0),
             send_queue: Vec::new(),
-            last_sweep: Time(0),
+            last_sweep: Timestamp(0),
             last_cached_number: 0,
             invalidated: Vec::new(),
             messages_in_flight: 0,
@@ -479,7 +479,7 @@
             autoscaler: crate::autoscaling::Autoscaler::default(),
             ratios: HashMap::new(),
             sizes: HashMap::new(),
-            tun,
+            tunables,
             site,
         }
     }
@@ -530,7 +530,7 @@
     /// Whether a lease renewed now ends in time for whatever cancellation isn't known here. (A leader
     /// that the state service alone refused went on renewing through the outage that followed: tasks
     /// of jobs that others had cancelled meanwhile ran for as long as it lasted.)
-    pub fn may_renew_leases(&self, now: Time) -> bool {
+    pub fn may_renew_leases(&self, now: Timestamp) -> bool {
         now.since(self.cancellations_known_until) <= watermark::window(&self.site)
     }
 
@@ -538,18 +538,18 @@
     /// the job's end, but since then the end may have been written: after an outage a start that had
     /// waited through it, or whose write was only then found to be committed, would come long after a
     /// user was told that the job is cancelled.
-    pub(crate) fn may_start(&self, now: Time, placed: Time) -> bool {
+    pub(crate) fn may_start(&self, now: Timestamp, placed: Timestamp) -> bool {
         now.since(placed.max(self.cancellations_known_until))
-            <= watermark::window(&self.site).scale(0.5)
+            <= watermark::window(&self.site).mul_f64(0.5)
     }
 
-    pub fn job(&self, ix: JobIx) -> Option<&Job> {
+    pub fn job(&self, ix: JobIndex) -> Option<&Job> {
         self.jobs.get(&ix)
     }
 
     /// Learns how large the class's jobs are, from one that can begin.
-    pub(crate) fn learn_size(&mut self, spec: &JobSpec, now: Time, since: Time) {
-        if self.sizes.len() > MOST_CLASSES {
+    pub(crate) fn learn_size(&mut self, spec: &JobSpec, now: Timestamp, since: Timestamp) {
+        if self.sizes.len() > MAX_CLASSES {
             self.sizes.clear();
             self.ratios.clear();
         }
@@ -560,7 +560,7 @@
     }
 
     /// The machine of that name, made up as silent if nothing is known of it.
-    pub fn machine_named(&mut self, now: Time, name: &str) -> MachineIx {
+    pub fn machine_named(&mut self, now: Timestamp, name: &str) -> MachineIndex {
         if let Some(&ix) = self.by_name.get(name) {
             return ix;
         }
@@ -574,7 +574,7 @@
             agent_epoch: 0,
             sequence: 0,
             acknowledged_token: 0,
-            token_sent_at: Time(0),
+            token_sent_at: Timestamp(0),
             required_token: 0,
             unacknowledged_since: None,
             consecutive_losses: 0,
@@ -586,7 +586,7 @@
             requested_at: now,
             interruption_at: None,
             tasks: BTreeSet::new(),
-            ranks: [0; Rank::COUNT],
+            tasks_by_priority: [0; Priority::COUNT],
             stopping: 0,
             unexpected_tasks: 0,
             cpus: 0.0,
@@ -598,10 +598,10 @@
             request_in_flight: false,
             in_send_queue: false,
             in_message: Vec::new(),
-            retry_at: Time(0),
+            retry_at: Timestamp(0),
             idle_since: now,
             failures: BTreeSet::new(),
-            completed_at: Time(0),
+            completed_at: Timestamp(0),
             draining: None,
             termination_sent_at: None,
             cached: None,
@@ -614,7 +614,7 @@
             }
             None => {
                 self.machines.push(machine);
-                self.machines.len() as MachineIx - 1
+                self.machines.len() as MachineIndex - 1
             }
         };
         self.by_name.insert(name.to_owned(), ix);
@@ -624,7 +624,7 @@
     /// The place of a machine that is long gone, for a new one: the table would grow for as long as a
     /// leader leads. Nothing may refer to it any more. Only the one that went first is looked at (a
     /// look at all of them for each new machine made a take-over's list cost its square).
-    fn free_place(&mut self, now: Time) -> Option<MachineIx> {
+    fn free_place(&mut self, now: Timestamp) -> Option<MachineIndex> {
         let &(gone_at, ix) = self.gone.front()?;
         if now.since(gone_at) <= FORGET_AFTER {
             return None;
@@ -639,7 +639,7 @@
     }
 
     /// Another node tells where a machine can be reached: only worth asking there.
-    pub fn hint_address(&mut self, now: Time, name: &str, address: &str) {
+    pub fn hint_address(&mut self, now: Timestamp, name: &str, address: &str) {
         let m = self.machine_named(now, name);
         let machine = &mut self.machines[m as usize];
         if machine.state == MachineState::Booting && machine.address.is_empty() {
@@ -655,15 +655,15 @@
 
     /// The job has ended for its users: nothing of it is started any more. How it ended isn't told
     /// here, so nothing is released by it; see [`Scheduler::job_ended`].
-    pub fn job_over(&mut self, now: Time, name: &str) {
-        let Some(&ix) = self.by_ref.get(name) else { return };
+    pub fn job_over(&mut self, now: Timestamp, name: &str) {
+        let Some(&ix) = self.jobs_by_name.get(name) else { return };
         let Some(job) = self.jobs.get_mut(&ix) else { return };
         if job.over {
             return;
         }
         job.over = true;
         self.dirty = true;
-        self.unlink(now, ix);
+        self.remove_dependencies(now, ix);
         let Some(job) = self.jobs.get(&ix) else { return };
         let all: Vec<u32> =
             (0..job.spec.tasks).filter(|&i| job.tasks[i as usize].phase.placed()).collect();
@@ -675,7 +675,7 @@
     // ---- the registry -------------------------------------------------------------------------
 
     /// Counts a placed task on its machine, for its team and its zone.
-    pub(crate) fn attach(&mut self, id: TaskId, m: MachineIx) {
+    pub(crate) fn attach(&mut self, id: TaskId, m: MachineIndex) {
         let Some(job) = self.jobs.get_mut(&id.0) else { return };
         let machine = &mut self.machines[m as usize];
         if !machine.tasks.insert(id) {
@@ -685,23 +685,23 @@
         machine.cpus += job.spec.cpus;
         machine.gpus += job.spec.gpus;
         machine.memory += job.spec.memory_gb;
-        machine.ranks[job.spec.rank as usize] += 1;
+        machine.tasks_by_priority[job.spec.priority as usize] += 1;
         job.placed += 1;
         *job.zones.entry(machine.zone.clone()).or_default() += 1;
         let team = self.team_use.entry(job.spec.team.clone()).or_default();
         team.0 += job.spec.cpus;
         team.1 += job.spec.gpus;
-        self.sharing.shares.task_placed(job.share_class, job.spec.task());
+        self.fair_share.shares.task_placed(job.share_class, job.spec.task());
     }
 
     /// The reverse of [`Scheduler::attach`]; only called on proof.
-    pub(crate) fn detach(&mut self, now: Time, id: TaskId) {
+    pub(crate) fn detach(&mut self, now: Timestamp, id: TaskId) {
         let Some(job) = self.jobs.get_mut(&id.0) else { return };
         let machine = &mut self.machines[job.tasks[id.1 as usize].machine as usize];
         if !machine.tasks.remove(&id) {
             return;
         }
-        machine.ranks[job.spec.rank as usize] -= 1;
+        machine.tasks_by_priority[job.spec.priority as usize] -= 1;
         machine.cpus -= job.spec.cpus;
         machine.gpus -= job.spec.gpus;
         machine.memory -= job.spec.memory_gb;
@@ -721,14 +721,14 @@
             team.0 = (team.0 - job.spec.cpus).max(0.0);
             team.1 = (team.1 - job.spec.gpus).max(0.0);
         }
-        self.sharing.shares.task_gone(job.share_class, job.spec.task());
+        self.fair_share.shares.task_gone(job.share_class, job.spec.task());
         job.started.remove(&id.1);
         job.scan_from = job.scan_from.min(id.1);
         self.dirty = true;
     }
 
     /// Every change of a task's state goes through here, so that the sums always agree with it.
-    pub(crate) fn step(&mut self, now: Time, id: TaskId, input: Input) -> bool {
+    pub(crate) fn step(&mut self, now: Timestamp, id: TaskId, input: TaskEvent) -> bool {
         let Some(job) = self.jobs.get_mut(&id.0) else { return false };
         let Some(task) = job.tasks.get_mut(id.1 as usize) else { return false };
         let before = task.phase;
@@ -738,46 +738,47 @@
         let after = task.phase;
         let machine = task.machine;
         match input {
-            Input::Finish | Input::Absent | Input::Settle => {
+            TaskEvent::Completed | TaskEvent::ProvenAbsent | TaskEvent::ConfirmationExpired => {
                 let chunk = job.chunk_of(id.1);
                 job.chunks[chunk].unpersisted_since.get_or_insert(now);
                 job.changed.insert(id.1);
             }
-            Input::Dispatch { .. } | Input::Retract => {
+            TaskEvent::Dispatch { .. } | TaskEvent::Retract => {
                 job.changed.insert(id.1);
             }
-            Input::Send { .. } | Input::Seen | Input::Stop => {}
+            TaskEvent::Sent { .. } | TaskEvent::Observed | TaskEvent::Stop => {}
         }
-        job.stopping += u32::from(after == Phase::Stopping);
-        job.stopping -= u32::from(before == Phase::Stopping && after != Phase::Stopping);
-        if after == Phase::Stopping {
-            self.sharing.shares.task_stopping(job.share_class, job.spec.task());
-        } else if before == Phase::Stopping {
-            self.sharing.shares.task_stopped(job.share_class, job.spec.task());
+        job.stopping += u32::from(after == TaskPhase::Stopping);
+        job.stopping -= u32::from(before == TaskPhase::Stopping && after != TaskPhase::Stopping);
+        if after == TaskPhase::Stopping {
+            self.fair_share.shares.task_stopping(job.share_class, job.spec.task());
+        } else if before == TaskPhase::Stopping {
+            self.fair_share.shares.task_stopped(job.share_class, job.spec.task());
         }
-        if after == Phase::Done {
+        if after == TaskPhase::Done {
             job.done += 1;
             job.errors = 0;
         }
         if let Some(machine) = self.machines.get_mut(machine as usize) {
-            machine.stopping += u32::from(after == Phase::Stopping);
-            machine.stopping -= u32::from(before == Phase::Stopping && after != Phase::Stopping);
+            machine.stopping += u32::from(after == TaskPhase::Stopping);
+            machine.stopping -=
+                u32::from(before == TaskPhase::Stopping && after != TaskPhase::Stopping);
         }
         if before.placed() || after.placed() {
             self.invalidate_cached_heartbeat(machine);
         }
         if before.placed() && !after.placed() {
             self.detach(now, id);
-        } else if let Input::Dispatch { machine, .. } = input {
+        } else if let TaskEvent::Dispatch { machine, .. } = input {
             self.attach(id, machine);
         }
         true
     }
 
     /// Plans a start: written with the next transactions, sent after they are committed.
-    pub(crate) fn dispatch(&mut self, now: Time, id: TaskId, machine: MachineIx) {
+    pub(crate) fn dispatch(&mut self, now: Timestamp, id: TaskId, machine: MachineIndex) {
         let agent_epoch = self.machines[machine as usize].agent_epoch;
-        if self.step(now, id, Input::Dispatch { machine, agent_epoch }) {
+        if self.step(now, id, TaskEvent::Dispatch { machine, agent_epoch }) {
             if let Some(job) = self.jobs.get_mut(&id.0) {
                 let chunk = job.chunk_of(id.1);
                 let due = &mut job.chunks[chunk].start_due;
@@ -795,14 +796,14 @@
 
     /// Whether the task was placed under an earlier term and hasn't been seen under this one.
     pub(crate) fn placed_before(&self, task: &Task) -> bool {
-        task.phase == Phase::Dispatching && task.token == self.loaded_token
+        task.phase == TaskPhase::Dispatching && task.token == self.loaded_token
     }
 
     /// Since when a task runs that is seen running for the first time. One that an earlier leader
     /// placed has run since then. (Counted from the take-over, run times were learned that were far
     /// too short, every task that ran on looked slow beside them, and a fifth of a fleet without a
     /// slow machine was drained.)
-    pub(crate) fn began(&self, now: Time, task: &Task) -> Time {
+    pub(crate) fn began(&self, now: Timestamp, task: &Task) -> Timestamp {
         if self.placed_before(task) {
             (task.placed_at + START_TAKES).min(now)
         } else {
@@ -811,16 +812,16 @@
     }
 
     /// Tells a task's machine to stop it; repeated with every report until it is gone.
-    pub(crate) fn stop(&mut self, now: Time, id: TaskId, grace_s: f64) {
+    pub(crate) fn stop(&mut self, now: Timestamp, id: TaskId, grace_s: f64) {
         let Some(job) = self.jobs.get(&id.0) else { return };
         let task = job.tasks[id.1 as usize];
-        if task.phase == Phase::Dispatching && task.token == 0 {
+        if task.phase == TaskPhase::Dispatching && task.token == 0 {
             // Not sent yet, and with the job over or the task wanted elsewhere it never will be:
             // the commit's answer takes it back.
             return;
         }
         let name = format!("{}/{}", job.name, id.1);
-        if self.step(now, id, Input::Stop) {
+        if self.step(now, id, TaskEvent::Stop) {
             let attempt = u64::from(task.attempt);
             let call = WorkerCommand::Kill { task: name, attempt, grace_s };
             let machine = &mut self.machines[task.machine as usize];
@@ -832,7 +833,7 @@
     }
 
     /// Something may have to be sent to the machine.
-    pub(crate) fn enqueue_send(&mut self, m: MachineIx) {
+    pub(crate) fn enqueue_send(&mut self, m: MachineIndex) {
         let machine = &mut self.machines[m as usize];
         if !machine.in_send_queue {
             machine.in_send_queue = true;
@@ -841,7 +842,7 @@
     }
 
     /// Tasks of the job that are done and that run, for display.
-    pub fn counts(&self, ix: JobIx) -> Option<(u32, u32)> {
+    pub fn counts(&self, ix: JobIndex) -> Option<(u32, u32)> {
         let job = self.job(ix)?;
         Some((job.done, job.started.len() as u32))
     }
--- a/crates/scheduler/src/storage/records.rs
+++ b/crates/scheduler/src/storage/records.rs
@@ -9,14 +9,14 @@
 use serde_json::{json, Value};
 
 use crate::model::job::{keys, JobSpec};
-use crate::model::task::{Phase, Task};
+use crate::model::task::{Task, TaskPhase};
 use crate::protocol;
-use crate::scheduler::{Job, JobIx, Scheduler, TaskId};
+use crate::scheduler::{Job, JobIndex, Scheduler, TaskId};
 use crate::storage::document::Document;
-use crate::time::{Span, Time};
+use crate::time::{TimeDelta, Timestamp};
 
 /// In what steps after the job's acceptance the time of a placing is stored.
-pub(crate) const PLACED_UNIT: Span = Span::millis(100);
+pub(crate) const PLACED_UNIT: TimeDelta = TimeDelta::from_millis(100);
 /// How many tasks one stored chunk holds, so that its value stays below the limit even with long
 /// machine names and large attempt numbers.
 pub fn chunk_size(value_bytes: usize) -> u32 {
@@ -51,15 +51,15 @@
 }
 
 /// Phase, attempt, machine, session, and when it was placed, if the record tells.
-type Record<'a> = (Phase, u32, &'a str, u64, Option<u64>);
+type Record<'a> = (TaskPhase, u32, &'a str, u64, Option<u64>);
 
 fn read_record(record: &Value) -> Option<Record<'_>> {
     let items = match record {
-        Value::Number(_) => return Some((Phase::Pending, 1, "", 0, None)),
+        Value::Number(_) => return Some((TaskPhase::Pending, 1, "", 0, None)),
         Value::Array(items) => items,
         _ => return None,
     };
-    let phase = Phase::from_code(items.first()?.as_u64()?)?;
+    let phase = TaskPhase::from_code(items.first()?.as_u64()?)?;
     let attempt = u32::try_from(items.get(1)?.as_u64()?).ok()?;
     if !phase.placed() {
         return Some((phase, attempt, "", 0, None));
@@ -71,8 +71,8 @@
 impl Scheduler {
     /// Adds a job from its stored description. `accepted` is its acceptance on this node's clock.
     /// Returns whether the record could be read.
-    pub fn add_job(&mut self, now: Time, name: &str, value: &Value, wall_us: u64) -> bool {
-        if self.by_ref.contains_key(name) {
+    pub fn add_job(&mut self, now: Timestamp, name: &str, value: &Value, wall_us: u64) -> bool {
+        if self.jobs_by_name.contains_key(name) {
             return true;
         }
         let spec = serde_json::from_value::<JobSpec>(value["spec"].clone());
@@ -82,24 +82,24 @@
             self.log_once(name, "its stored description cannot be read");
             return false;
         };
-        if spec.tasks == 0 || u64::from(spec.tasks) > protocol::MOST_TASKS || chunk_size == 0 {
+        if spec.tasks == 0 || u64::from(spec.tasks) > protocol::MAX_TASKS || chunk_size == 0 {
             self.log_once(name, "its stored description is out of range");
             return false;
         }
         let chunk_size = chunk_size.min(u64::from(u32::MAX)) as u32;
-        let age = Span(wall_us.saturating_sub(at));
+        let age = TimeDelta(wall_us.saturating_sub(at));
         let accepted = now - age;
-        if spec.needs.is_empty() {
+        if spec.dependencies.is_empty() {
             self.learn_size(&spec, now, accepted);
         }
-        let class = self.sharing.shares.job_came(&spec.team, &spec.class);
+        let class = self.fair_share.shares.job_came(&spec.team, &spec.class);
         let job = Job::new(now, name, spec, accepted, chunk_size, class);
         let ix = self.next_job;
         self.next_job += 1;
         self.jobs.insert(ix, job);
-        self.by_ref.insert(name.to_owned(), ix);
+        self.jobs_by_name.insert(name.to_owned(), ix);
         self.dirty = true;
-        self.link(now, ix);
+        self.add_dependencies(now, ix);
         true
     }
 
@@ -108,7 +108,7 @@
     ///
     /// A task may stand in its chunk and in a part that was written later, or the other way round:
     /// each holds all of its tasks as they were when it was written, so the newer one counts.
-    pub fn load_runs(&mut self, now: Time, stored: &[protocol::KeyValue]) -> Vec<String> {
+    pub fn load_runs(&mut self, now: Timestamp, stored: &[protocol::KeyValue]) -> Vec<String> {
         let mut by_age: Vec<&protocol::KeyValue> = stored.iter().collect();
         by_age.sort_by_key(|key_value| key_value.revision);
         let mut newest: BTreeMap<TaskId, &Value> = BTreeMap::new();
@@ -118,7 +118,7 @@
                 strange.push(key_value.key.clone());
             }
         }
-        let mut by_job: BTreeMap<JobIx, Vec<(u32, &Value)>> = BTreeMap::new();
+        let mut by_job: BTreeMap<JobIndex, Vec<(u32, &Value)>> = BTreeMap::new();
         for (id, record) in newest {
             by_job.entry(id.0).or_default().push((id.1, record));
         }
@@ -135,7 +135,7 @@
         newest: &mut BTreeMap<TaskId, &'a Value>,
     ) -> Option<()> {
         let (name, chunk, from) = keys::split_run(&key_value.key)?;
-        let ix = *self.by_ref.get(name)?;
+        let ix = *self.jobs_by_name.get(name)?;
         let records = key_value.value["t"].as_array()?;
         let job = self.jobs.get_mut(&ix)?;
         let state = job.chunks.get_mut(chunk)?;
@@ -158,7 +158,7 @@
         Some(())
     }
 
-    fn load_records(&mut self, now: Time, ix: JobIx, records: &[(u32, &Value)]) {
+    fn load_records(&mut self, now: Timestamp, ix: JobIndex, records: &[(u32, &Value)]) {
         let Some(job) = self.jobs.get_mut(&ix) else { return };
         let mut placed = Vec::new();
         for &(index, record) in records {
@@ -169,17 +169,17 @@
             task.attempt = attempt;
             task.since = now;
             if let Some(steps) = steps {
-                let after = Span(steps.saturating_mul(PLACED_UNIT.0));
+                let after = TimeDelta(steps.saturating_mul(PLACED_UNIT.0));
                 task.placed_at = (job.accepted + after).min(now);
             }
-            if phase == Phase::Done {
-                task.phase = Phase::Done;
+            if phase == TaskPhase::Done {
+                task.phase = TaskPhase::Done;
                 job.recorded.insert(index);
                 job.done += 1;
-                job.begun = true;
+                job.has_started = true;
             } else if phase.placed() {
                 // Whatever it was, all that is certain now is that it may be there.
-                task.phase = Phase::Dispatching;
+                task.phase = TaskPhase::Dispatching;
                 task.agent_epoch = agent_epoch;
                 // Sent under an older term, so with a token below all of this one's. Only a worker
                 // that has seen this term refuses it for certain; a lower bar would take a report
@@ -198,11 +198,13 @@
     }
 
     /// The stored form of the job's tasks from one up to another.
-    pub(crate) fn records(&self, ix: JobIx, from: u32, to: u32) -> Document {
+    pub(crate) fn records(&self, ix: JobIndex, from: u32, to: u32) -> Document {
         let Some(job) = self.jobs.get(&ix) else { return Document::new(&()) };
         let record = |task: &Task| match task.phase {
-            Phase::Pending if task.attempt == 1 => TaskRecord::Untouched(0),
-            Phase::Pending | Phase::Done => TaskRecord::Off(task.phase.code(), task.attempt),
+            TaskPhase::Pending if task.attempt == 1 => TaskRecord::Untouched(0),
+            TaskPhase::Pending | TaskPhase::Done => {
+                TaskRecord::Off(task.phase.code(), task.attempt)
+            }
             phase => {
                 let name = &self.machines[task.machine as usize].name;
                 let placed = task.placed_at.since(job.accepted).0 / PLACED_UNIT.0;
--- a/crates/scheduler/src/storage/transactions.rs
+++ b/crates/scheduler/src/storage/transactions.rs
@@ -1,11 +1,11 @@
 //! Rounds: what was decided is written before anything is sent, and sent once it is written.
 
-use crate::model::job::{keys, End};
-use crate::model::task::{Input, MachineIx, Phase};
+use crate::model::job::{keys, JobEnd};
+use crate::model::task::{MachineIndex, TaskEvent, TaskPhase};
 use crate::protocol::{Compare, Operation, Transaction, WorkerCommand};
-use crate::scheduler::{Command, JobIx, MachineState, Scheduler, TaskId, TransactionOutcome};
+use crate::scheduler::{Command, JobIndex, MachineState, Scheduler, TaskId, TransactionOutcome};
 use crate::storage::document::Document;
-use crate::time::{Span, Time};
+use crate::time::{TimeDelta, Timestamp};
 use serde_json::Value;
 
 const MAX_TRANSACTION_BYTES: usize = 40 * 1024;
@@ -16,7 +16,7 @@
 
 /// How often every machine is looked at for what time alone brings: an overdue report, a deadline,
 /// the end of a pause. What events bring is looked at when they come.
-const SWEEP_EVERY: Span = Span::millis(200);
+const SWEEP_EVERY: TimeDelta = TimeDelta::from_millis(200);
 
 /// Changes written since it was told last, by kind.
 #[derive(Debug, Default)]
@@ -37,14 +37,14 @@
     transaction: Transaction,
     bytes: usize,
     /// Chunks written, whole or in part.
-    chunks: Vec<(JobIx, usize)>,
+    chunks: Vec<(JobIndex, usize)>,
     /// What was written of each: its first task, if it is a part.
-    written: Vec<(JobIx, usize, Option<u32>)>,
+    written: Vec<(JobIndex, usize, Option<u32>)>,
     /// All tasks whose records were written anew.
     changed: Vec<TaskId>,
     starts: Vec<TaskId>,
     finishes: Vec<TaskId>,
-    ends: Vec<(JobIx, End)>,
+    ends: Vec<(JobIndex, JobEnd)>,
     /// Jobs whose records go.
     cleanups: Vec<RecordCleanup>,
     /// Evidence and clean-up alone: nothing waits for it.
@@ -53,7 +53,7 @@
 
 /// What goes of a job's records.
 struct RecordCleanup {
-    job: JobIx,
+    job: JobIndex,
     /// Whether these are the last of them.
     last: bool,
     /// Parts of chunks, by chunk and first task.
@@ -70,7 +70,7 @@
 pub(crate) struct InFlightTransaction {
     batch: Batch,
     nonce: String,
-    retry_at: Option<Time>,
+    retry_at: Option<Timestamp>,
     /// An answer was lost at least once, so that a conflict may be with its own earlier copy.
     indeterminate: bool,
     /// It is over the service's limits by now, so that none of its copies takes effect any more.
@@ -95,7 +95,7 @@
 
 impl Scheduler {
     /// Called often: starts a round if there is something to do, sends what is due.
-    pub fn tick(&mut self, now: Time) {
+    pub fn tick(&mut self, now: Timestamp) {
         let due: Vec<u64> = self
             .transactions
             .iter()
@@ -116,39 +116,43 @@
         }
         if self.holds_lease
             && now >= self.writes_paused_until
-            && now.since(self.last_round) >= self.tun.round_every
-            && self.transactions.len() < self.tun.txns_in_flight as usize
+            && now.since(self.last_round) >= self.tunables.round_every
+            && self.transactions.len() < self.tunables.txns_in_flight as usize
             && self.write_allowance(0.0) >= 1
         {
             self.last_round = now;
-            if self.dirty && !self.has_plans_to_write() {
+            if self.dirty && !self.waits_for_writes() {
                 self.dirty = false;
                 self.place(now);
             }
             self.write_round(now);
         }
-        self.ask_for_ends(now);
-        self.flush(now, sweep);
+        self.look_up_job_ends(now);
+        self.send_messages(now, sweep);
     }
 
     /// Writes what the round decided, starts and ends first, as few transactions as the limits
     /// allow. What finds no room waits for the next round, which takes more at once. (Evidence and
     /// clean-up once went out beside the starts: at 20 changes a second they took most of it, and a
     /// start or an acceptance waited whole seconds.)
-    fn write_round(&mut self, now: Time) {
+    fn write_round(&mut self, now: Timestamp) {
         let ops = self.limits.txn_ops;
-        let most = self.tun.txns_in_flight as usize;
-        let mut starts: Vec<(std::cmp::Reverse<crate::model::job::Rank>, Time, JobIx, usize)> =
-            Vec::new();
-        let mut ends: Vec<JobIx> = Vec::new();
-        let mut background: Vec<(Time, JobIx, usize)> = Vec::new();
-        let mut over: Vec<JobIx> = Vec::new();
+        let most = self.tunables.txns_in_flight as usize;
+        let mut starts: Vec<(
+            std::cmp::Reverse<crate::model::job::Priority>,
+            Timestamp,
+            JobIndex,
+            usize,
+        )> = Vec::new();
+        let mut ends: Vec<JobIndex> = Vec::new();
+        let mut background: Vec<(Timestamp, JobIndex, usize)> = Vec::new();
+        let mut over: Vec<JobIndex> = Vec::new();
         for (&ix, job) in &self.jobs {
             if job.over {
                 over.push(ix);
                 continue;
             }
-            if job.doomed {
+            if job.dependency_cancelled {
                 continue;
             }
             if job.done == job.spec.tasks {
@@ -159,19 +163,20 @@
             }
             for (chunk, c) in job.chunks.iter().enumerate().filter(|(_, c)| !c.in_flight) {
                 if let Some(due) = c.start_due {
-                    starts.push((std::cmp::Reverse(job.rank), due, ix, chunk));
+                    starts.push((std::cmp::Reverse(job.priority), due, ix, chunk));
                 } else if let Some(since) = c.unpersisted_since {
-                    if now.since(since) >= self.tun.evidence_delay {
+                    if now.since(since) >= self.tunables.evidence_delay {
                         background.push((since, ix, chunk));
                     }
                 }
             }
         }
         // A user was told that these are cancelled with the job before them: nothing goes first.
-        let doomed: Vec<JobIx> = self.chains.doomed.iter().copied().collect();
-        self.write_all_ends(&doomed, End::Aborted);
-        ends.sort_by_key(|&ix| std::cmp::Reverse(self.waited_for(ix)));
-        self.write_all_ends(&ends, End::Done);
+        let dependency_cancelled: Vec<JobIndex> =
+            self.dependency_graph.dependency_cancelled.iter().copied().collect();
+        self.write_all_ends(&dependency_cancelled, JobEnd::Cancelled);
+        ends.sort_by_key(|&ix| std::cmp::Reverse(self.dependent_count(ix)));
+        self.write_all_ends(&ends, JobEnd::Done);
         starts.sort_unstable();
         let mut starts = starts.into_iter().peekable();
         self.planned_chunks = starts.len();
@@ -193,7 +198,7 @@
             return;
         }
         background.sort_unstable();
-        let limit = Span(self.tun.evidence_delay.0.saturating_mul(OVERDUE_STATUS_WRITE));
+        let limit = TimeDelta(self.tunables.evidence_delay.0.saturating_mul(OVERDUE_STATUS_WRITE));
         let overdue = background.first().is_some_and(|l| now.since(l.0) > limit);
         let keep = if overdue { 0.0 } else { KEEP_FOR_STARTS };
         let room = self.write_allowance(keep).min(ops);
@@ -227,7 +232,7 @@
     /// kind holds its tasks as they are at that moment and is guarded by its own mark; whoever reads
     /// them takes, of each task, the one that was written last. So it makes no difference which
     /// parts were written before a leader ended.
-    fn add_chunk(&mut self, batch: &mut Batch, ix: JobIx, chunk: usize, room: usize) {
+    fn add_chunk(&mut self, batch: &mut Batch, ix: JobIndex, chunk: usize, room: usize) {
         let Some(job) = self.jobs.get(&ix) else { return };
         let base = chunk as u32 * job.chunk_size;
         let end = base.saturating_add(job.chunk_size).min(job.spec.tasks);
@@ -261,7 +266,7 @@
     }
 
     /// The chunk has something in the batch; whether that is all that it has to write.
-    fn mark_chunk_in_flight(&mut self, batch: &mut Batch, ix: JobIx, chunk: usize, all: bool) {
+    fn mark_chunk_in_flight(&mut self, batch: &mut Batch, ix: JobIndex, chunk: usize, all: bool) {
         if let Some(state) = self.jobs.get_mut(&ix).and_then(|j| j.chunks.get_mut(chunk)) {
             state.in_flight = true;
             if all {
@@ -275,7 +280,7 @@
     fn add_records(
         &mut self,
         batch: &mut Batch,
-        ix: JobIx,
+        ix: JobIndex,
         chunk: usize,
         part: Option<u32>,
         value: Document,
@@ -284,10 +289,10 @@
         let Some(job) = self.jobs.get_mut(&ix) else { return };
         for index in tasks {
             let task = &job.tasks[index as usize];
-            if task.phase == Phase::Done && !job.recorded.contains(index) {
+            if task.phase == TaskPhase::Done && !job.recorded.contains(index) {
                 batch.finishes.push((ix, index));
             }
-            if task.phase == Phase::Dispatching && task.token == 0 {
+            if task.phase == TaskPhase::Dispatching && task.token == 0 {
                 batch.starts.push((ix, index));
             }
             if job.changed.remove(index) {
@@ -342,12 +347,12 @@
     }
 
     /// Writes the jobs' ends, as many as may be written now.
-    fn write_all_ends(&mut self, jobs: &[JobIx], end: End) {
-        let open = |ix: &&JobIx| self.job(**ix).is_some_and(|j| !j.ending && !j.over);
-        let jobs: Vec<JobIx> = jobs.iter().filter(open).copied().collect();
+    fn write_all_ends(&mut self, jobs: &[JobIndex], end: JobEnd) {
+        let open = |ix: &&JobIndex| self.job(**ix).is_some_and(|j| !j.ending && !j.over);
+        let jobs: Vec<JobIndex> = jobs.iter().filter(open).copied().collect();
         for some in jobs.chunks(self.limits.txn_ops) {
             let room = self.write_allowance(0.0).min(some.len());
-            if self.transactions.len() < self.tun.txns_in_flight as usize && room > 0 {
+            if self.transactions.len() < self.tunables.txns_in_flight as usize && room > 0 {
                 self.write_ends(&some[..room], end);
             }
         }
@@ -355,7 +360,7 @@
 
     /// The jobs' ends, each written once by whoever comes first: all tasks are done, or a job that
     /// they need was cancelled.
-    fn write_ends(&mut self, jobs: &[JobIx], end: End) {
+    fn write_ends(&mut self, jobs: &[JobIndex], end: JobEnd) {
         let mut batch = Batch::default();
         for &ix in jobs {
             let Some(job) = self.jobs.get_mut(&ix) else { continue };
@@ -371,7 +376,7 @@
 
     /// Drops the records of a job that is over, once nothing of it can be anywhere. The
     /// description goes last, so that a chunk never outlives it.
-    fn clean_up_records(&mut self, batch: &mut Batch, ix: JobIx, most: usize) {
+    fn clean_up_records(&mut self, batch: &mut Batch, ix: JobIndex, most: usize) {
         let Some(job) = self.jobs.get_mut(&ix) else { return };
         if job.dropping || job.placed > 0 || job.chunks.iter().any(|c| c.in_flight) {
             return;
@@ -396,7 +401,7 @@
         let left = !job.parts.is_empty() || job.chunks.iter().any(|c| c.revision > 0);
         let last = !left && !batch.full(most);
         if last {
-            let key = keys::description(&job.name, !job.spec.needs.is_empty());
+            let key = keys::description(&job.name, !job.spec.dependencies.is_empty());
             batch.transaction.operations.push(Operation::delete(key));
             self.write_counters.jobs += 1;
         }
@@ -405,7 +410,7 @@
     }
 
     /// The answer to a [`Command::Commit`].
-    pub fn transaction_answered(&mut self, now: Time, id: u64, outcome: TransactionOutcome) {
+    pub fn transaction_answered(&mut self, now: Timestamp, id: u64, outcome: TransactionOutcome) {
         let Some(mut pending) = self.transactions.remove(&id) else { return };
         match outcome {
             TransactionOutcome::Committed { revision } => {
@@ -415,15 +420,15 @@
                 // It may have been executed, or may be yet. Sending the same again with the same
                 // guards settles it: only one of the copies can ever take effect.
                 pending.indeterminate = true;
-                pending.retry_at = Some(now + Span::millis(250));
+                pending.retry_at = Some(now + TimeDelta::from_millis(250));
                 self.transactions.insert(id, pending);
             }
             TransactionOutcome::Rejected if pending.indeterminate => {
-                pending.retry_at = Some(now + Span::millis(500));
+                pending.retry_at = Some(now + TimeDelta::from_millis(500));
                 self.transactions.insert(id, pending);
             }
             TransactionOutcome::Rejected => {
-                self.writes_paused_until = now + Span::millis(300);
+                self.writes_paused_until = now + TimeDelta::from_millis(300);
                 self.failed(now, pending.batch);
             }
             TransactionOutcome::TooLarge => {
@@ -462,14 +467,14 @@
                         // With a doubted transaction, most likely its own first copy: the value
                         // tells. Until it is read the outcome stays open.
                         for name in ended {
-                            self.ended_somehow(now, &name);
+                            self.job_ended_unknown_how(now, &name);
                         }
                         self.out.push(Command::Read { id, key });
                         self.transactions.insert(id, pending);
                     }
                     None => {
                         for name in &ended {
-                            self.ended_somehow(now, name);
+                            self.job_ended_unknown_how(now, name);
                         }
                         self.failed(now, pending.batch);
                     }
@@ -479,11 +484,11 @@
     }
 
     /// The answer to a [`Command::Read`]: the value and mark (0: no such key), or nothing.
-    pub fn read_answered(&mut self, now: Time, id: u64, answer: Option<(Value, u64)>) {
+    pub fn read_answered(&mut self, now: Timestamp, id: u64, answer: Option<(Value, u64)>) {
         let Some(mut pending) = self.transactions.remove(&id) else { return };
         match answer {
             None => {
-                pending.retry_at = Some(now + Span::millis(500));
+                pending.retry_at = Some(now + TimeDelta::from_millis(500));
                 pending.indeterminate = true;
                 self.transactions.insert(id, pending);
             }
@@ -502,8 +507,8 @@
         }
     }
 
-    fn committed(&mut self, now: Time, done: Batch, revision: u64) {
-        self.writes_paused_until = Time(0);
+    fn committed(&mut self, now: Timestamp, done: Batch, revision: u64) {
+        self.writes_paused_until = Timestamp(0);
         for &(ix, chunk) in &done.chunks {
             if let Some(job) = self.jobs.get_mut(&ix) {
                 job.chunks[chunk].in_flight = false;
@@ -529,14 +534,14 @@
         }
         for (ix, end) in done.ends {
             let Some(name) = self.job(ix).map(|j| j.name.clone()) else { continue };
-            if end == End::Aborted {
+            if end == JobEnd::Cancelled {
                 self.log(format!("{name} is cancelled: a job that it needs was"));
             } else if let Some(job) = self.job(ix) {
                 let deadline = job.spec.deadline_s.map(|d| format!(" of {d:.0} s"));
                 let text = format!(
                     "{} is done after {:.1} s{}: class {}, {} tasks, estimate {:.0} s, ran {:.0} s",
                     job.name,
-                    now.since(job.accepted).as_secs(),
+                    now.since(job.accepted).as_secs_f64(),
                     deadline.unwrap_or_default(),
                     job.spec.class,
                     job.spec.tasks,
@@ -551,8 +556,8 @@
         for RecordCleanup { job: ix, last, .. } in done.cleanups {
             if last {
                 if let Some(job) = self.jobs.remove(&ix) {
-                    self.by_ref.remove(&job.name);
-                    self.sharing.shares.job_gone(job.share_class);
+                    self.jobs_by_name.remove(&job.name);
+                    self.fair_share.shares.job_gone(job.share_class);
                 }
             } else if let Some(job) = self.jobs.get_mut(&ix) {
                 job.dropping = false;
@@ -565,7 +570,7 @@
     fn send_start(&mut self, id: TaskId) {
         let Some(job) = self.job(id.0) else { return };
         let task = job.tasks[id.1 as usize];
-        if task.phase == Phase::Dispatching && task.token == 0 {
+        if task.phase == TaskPhase::Dispatching && task.token == 0 {
             self.machines[task.machine as usize].starting.push(id);
             self.enqueue_send(task.machine);
         }
@@ -574,10 +579,10 @@
     /// The last look at the starts that wait for a machine's next message. Those that may still
     /// go are marked as sent with the very token of the message; a start that is given its token
     /// any earlier could be proven absent by a report while it still waits here.
-    pub(crate) fn last_look(
+    pub(crate) fn release_starts(
         &mut self,
-        now: Time,
-        m: MachineIx,
+        now: Timestamp,
+        m: MachineIndex,
         sending: bool,
     ) -> (Vec<(TaskId, u32)>, Vec<WorkerCommand>) {
         let machine = &self.machines[m as usize];
@@ -592,12 +597,12 @@
         for id in std::mem::take(&mut self.machines[m as usize].starting) {
             let Some(job) = self.job(id.0) else { continue };
             let task = job.tasks[id.1 as usize];
-            if task.phase != Phase::Dispatching || task.token != 0 || task.machine != m {
+            if task.phase != TaskPhase::Dispatching || task.token != 0 || task.machine != m {
                 continue;
             }
             if job.over || !open || task.agent_epoch != agent_epoch {
                 // Recorded, never sent and never to be sent: absent by this registry's own doing.
-                self.step(now, id, Input::Absent);
+                self.step(now, id, TaskEvent::ProvenAbsent);
                 continue;
             }
             // One that a machine shows live against the registry is stopped there first.
@@ -608,7 +613,7 @@
             let name = format!("{}/{}", job.name, id.1);
             calls.push(WorkerCommand::Run { task: name, attempt: u64::from(task.attempt) });
             ids.push((id, task.attempt));
-            self.step(now, id, Input::Send { token });
+            self.step(now, id, TaskEvent::Sent { token });
         }
         self.machines[m as usize].starting = wait;
         if !ids.is_empty() {
@@ -619,7 +624,7 @@
     }
 
     /// The transaction certainly had no effect: what it would have started is pending again.
-    fn failed(&mut self, now: Time, failed: Batch) {
+    fn failed(&mut self, now: Timestamp, failed: Batch) {
         for &(ix, chunk) in &failed.chunks {
             if let Some(job) = self.jobs.get_mut(&ix) {
                 job.chunks[chunk].in_flight = false;
@@ -632,7 +637,7 @@
             }
         }
         for &id in &failed.starts {
-            self.step(now, id, Input::Retract);
+            self.step(now, id, TaskEvent::Retract);
         }
         for (ix, _) in failed.ends {
             if let Some(job) = self.jobs.get_mut(&ix) {
--- a/crates/scheduler/src/tunables.rs
+++ b/crates/scheduler/src/tunables.rs
@@ -3,42 +3,42 @@
 use std::collections::BTreeMap;
 
 use crate::model::job::Team;
-use crate::time::Span;
+use crate::time::TimeDelta;
 
 /// The operators' settings. `docs/operations.md` says what each is for; the binary reads them from
 /// a script and checks their ranges.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tunables {
     /// How long the leader's lease in the state service lasts.
-    pub leader_lease: Span,
+    pub leader_lease: TimeDelta,
     /// Added to the worker lease before an unconfirmed start is settled as unknown.
-    pub settle_margin: Span,
+    pub settle_margin: TimeDelta,
     /// Silence beyond an overdue report after which a machine is given back to the cloud.
-    pub patience: Span,
+    pub patience: TimeDelta,
     /// Idle time after which a spot machine is returned.
-    pub idle_spot: Span,
+    pub idle_spot: TimeDelta,
     /// Idle time after which an ordinary machine is returned.
-    pub idle_ordinary: Span,
+    pub idle_ordinary: TimeDelta,
     /// A job with less time than this to its latest start may rent ordinary machines.
-    pub ordinary_slack: Span,
+    pub ordinary_slack: TimeDelta,
     /// Ordinary machines up to this many times as dear as spot ones are rented as freely.
     pub premium: f64,
     /// A job with less time than this to its latest start, beyond a boot, may rent spot machines;
     /// with more, it waits for running work to make room.
-    pub rent_slack: Span,
+    pub rent_slack: TimeDelta,
     /// A job with less time than this to its latest start may stop work of lower priority.
-    pub preempt_slack: Span,
+    pub preempt_slack: TimeDelta,
     /// Spare room kept for classes with a wait aim, in jobs of the usual size.
     pub headroom: f64,
     /// The same where ordinary machines are cheap (see `premium`): there standing by costs little
     /// beside what a boot costs in time.
     pub headroom_cheap: f64,
     /// Idle time before a return where ordinary machines are cheap.
-    pub idle_cheap: Span,
+    pub idle_cheap: TimeDelta,
     /// Age at which the first task of a job of which nothing has run yet goes before all others.
-    pub begin_within: Span,
+    pub begin_within: TimeDelta,
     /// Age at which an unfinished job goes before younger ones, within `lift_share`.
-    pub lift_after: Span,
+    pub lift_after: TimeDelta,
     /// The part of the fleet in which age goes before priority.
     pub lift_share: f64,
     /// Boot times (of the type's own) after which a machine that never came up is returned.
@@ -48,12 +48,12 @@
     /// Times its siblings' run time at which a running task marks its machine slow.
     pub slow_factor: f64,
     /// Shortest time between two rounds of decisions; under load they come less often.
-    pub round_every: Span,
+    pub round_every: TimeDelta,
     /// Longest that evidence (finishes, tasks proven absent) waits for company before it is written.
-    pub evidence_delay: Span,
+    pub evidence_delay: TimeDelta,
     /// What each later step of a chain is expected to take beyond the run of its slowest task: its
     /// release, its starts and its images.
-    pub chain_step: Span,
+    pub chain_step: TimeDelta,
     /// Most transactions of the leader under way at once.
     pub txns_in_flight: u32,
     /// Whether an overloaded fleet is shared between teams and classes; see [`crate::queue::fair_share`].
@@ -73,27 +73,27 @@
 impl Default for Tunables {
     fn default() -> Tunables {
         Tunables {
-            leader_lease: Span::millis(2_500),
-            settle_margin: Span::secs(2),
-            patience: Span::millis(2_300),
-            idle_spot: Span::secs(20),
-            idle_ordinary: Span::secs(8),
-            ordinary_slack: Span::secs(80),
+            leader_lease: TimeDelta::from_millis(2_500),
+            settle_margin: TimeDelta::from_secs(2),
+            patience: TimeDelta::from_millis(2_300),
+            idle_spot: TimeDelta::from_secs(20),
+            idle_ordinary: TimeDelta::from_secs(8),
+            ordinary_slack: TimeDelta::from_secs(80),
             premium: 3.0,
-            rent_slack: Span::secs(60),
-            preempt_slack: Span::secs(8),
+            rent_slack: TimeDelta::from_secs(60),
+            preempt_slack: TimeDelta::from_secs(8),
             headroom: 0.5,
             headroom_cheap: 5.0,
-            idle_cheap: Span::secs(200),
-            begin_within: Span::secs(160),
-            lift_after: Span::secs(420),
+            idle_cheap: TimeDelta::from_secs(200),
+            begin_within: TimeDelta::from_secs(160),
+            lift_after: TimeDelta::from_secs(420),
             lift_share: 0.1,
             boot_patience: 3.0,
             sick_after: 2,
             slow_factor: 2.0,
-            round_every: Span::millis(20),
-            evidence_delay: Span::secs(4),
-            chain_step: Span::secs(5),
+            round_every: TimeDelta::from_millis(20),
+            evidence_delay: TimeDelta::from_secs(4),
+            chain_step: TimeDelta::from_secs(5),
             txns_in_flight: 4,
             shared_order: true,
             overload_at: 1.0,
@@ -114,11 +114,11 @@
     },
     Wait {
         class: String,
-        within: Span,
+        within: TimeDelta,
     },
     Finished {
         class: String,
-        within: Span,
+        within: TimeDelta,
     },
 }
 
@@ -127,13 +127,13 @@
 pub struct Site {
     pub teams: Vec<Team>,
     pub objectives: Vec<Objective>,
-    pub heartbeat_interval: Span,
-    pub worker_lease: Span,
+    pub heartbeat_interval: TimeDelta,
+    pub worker_lease: TimeDelta,
     /// Within what time of its confirmation a cancelled job's tasks must be gone.
-    pub cancel_within: Span,
+    pub cancel_within: TimeDelta,
     pub value_bytes: usize,
     pub txn_ops: usize,
-    pub list_lag: Span,
+    pub list_lag: TimeDelta,
     /// Messages to workers that may be under way at once.
     pub most_messages: usize,
 }
@@ -143,7 +143,7 @@
         self.teams.iter().find(|t| t.name == name)
     }
 
-    fn waits<'a>(&'a self, class: &'a str) -> impl Iterator<Item = Span> + 'a {
+    fn waits<'a>(&'a self, class: &'a str) -> impl Iterator<Item = TimeDelta> + 'a {
         self.objectives.iter().filter_map(move |o| match o {
             Objective::Wait { class: c, within } if c == class => Some(*within),
             _ => None,
@@ -151,17 +151,17 @@
     }
 
     /// The shortest time within which tasks of the class should start, if an aim says so.
-    pub fn wait_aim(&self, class: &str) -> Option<Span> {
+    pub fn start_objective(&self, class: &str) -> Option<TimeDelta> {
         self.waits(class).min()
     }
 
     /// The shortest of the class's aims on starting that is longer than `lost`. A class may have
     /// several, in any order: once the tighter can't be met the looser one counts.
-    pub fn next_wait_aim(&self, class: &str, lost: Span) -> Option<Span> {
+    pub fn next_start_objective(&self, class: &str, lost: TimeDelta) -> Option<TimeDelta> {
         self.waits(class).filter(|w| *w > lost).min()
     }
 
-    fn finishes<'a>(&'a self, class: &'a str) -> impl Iterator<Item = Span> + 'a {
+    fn finishes<'a>(&'a self, class: &'a str) -> impl Iterator<Item = TimeDelta> + 'a {
         self.objectives.iter().filter_map(move |o| match o {
             Objective::Finished { class: c, within } if c == class => Some(*within),
             _ => None,
@@ -169,12 +169,12 @@
     }
 
     /// Within what time jobs of the class should be complete, if an aim says so.
-    pub fn finish_aim(&self, class: &str) -> Option<Span> {
+    pub fn finish_objective(&self, class: &str) -> Option<TimeDelta> {
         self.finishes(class).min()
     }
 
     /// The shortest of the class's aims on completion that leaves a job `needed` time in all.
-    pub fn next_finish_aim(&self, class: &str, needed: Span) -> Option<Span> {
+    pub fn next_finish_objective(&self, class: &str, needed: TimeDelta) -> Option<TimeDelta> {
         self.finishes(class).filter(|within| *within >= needed).min()
     }
 
--- a/crates/scheduler/src/tunables/tests.rs
+++ b/crates/scheduler/src/tunables/tests.rs
@@ -2,23 +2,26 @@
 
 #[test]
 fn several_aims_of_a_class_count_in_any_order() {
-    let wait = |s| Objective::Wait { class: "c".into(), within: Span::secs(s) };
+    let wait = |s| Objective::Wait { class: "c".into(), within: TimeDelta::from_secs(s) };
     let deadline = |times| Objective::Deadline { class: "c".into(), times };
     let mut site = Site {
         teams: Vec::new(),
         objectives: vec![wait(15), deadline(1.5), wait(3), deadline(1.0), wait(3)],
-        heartbeat_interval: Span::secs(3),
-        worker_lease: Span::secs(20),
-        cancel_within: Span::secs(40),
+        heartbeat_interval: TimeDelta::from_secs(3),
+        worker_lease: TimeDelta::from_secs(20),
+        cancel_within: TimeDelta::from_secs(40),
         value_bytes: 4096,
         txn_ops: 12,
-        list_lag: Span::secs(4),
+        list_lag: TimeDelta::from_secs(4),
         most_messages: 300,
     };
     for _ in 0..2 {
-        assert_eq!(site.wait_aim("c"), Some(Span::secs(3)));
-        assert_eq!(site.next_wait_aim("c", Span::secs(3)), Some(Span::secs(15)));
-        assert_eq!(site.next_wait_aim("c", Span::secs(15)), None);
+        assert_eq!(site.start_objective("c"), Some(TimeDelta::from_secs(3)));
+        assert_eq!(
+            site.next_start_objective("c", TimeDelta::from_secs(3)),
+            Some(TimeDelta::from_secs(15))
+        );
+        assert_eq!(site.next_start_objective("c", TimeDelta::from_secs(15)), None);
         assert_eq!(site.deadline_times("c", 0.0), 1.0);
         assert_eq!(site.deadline_times("c", 1.1), 1.5);
         assert_eq!(site.deadline_times("c", 9.0), 1.5);
--- a/crates/scheduler/tests/autoscaling.rs
+++ b/crates/scheduler/tests/autoscaling.rs
@@ -3,10 +3,10 @@
 mod world;
 
 use serde_json::json;
-use walnutlug_scheduler::model::job::{keys, JobSpec, Rank};
+use walnutlug_scheduler::model::job::{keys, JobSpec, Priority};
 use walnutlug_scheduler::protocol::{CloudMachineState, ListedMachine, MachineType};
 use walnutlug_scheduler::scheduler::{Command, MessageOutcome};
-use walnutlug_scheduler::time::Span;
+use walnutlug_scheduler::time::TimeDelta;
 use walnutlug_scheduler::tunables::{Objective, Site};
 use world::{one_machine, site, spec, types, World};
 
@@ -62,11 +62,11 @@
 #[test]
 fn a_leader_that_hears_of_no_worker_is_deaf() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "b")]);
-    assert!(!w.leader.deaf(w.now));
+    assert!(!w.leader.hears_no_worker(w.now));
     w.wait(20_000);
-    assert!(w.leader.deaf(w.now));
+    assert!(w.leader.hears_no_worker(w.now));
     w.heartbeat("n-2");
-    assert!(!w.leader.deaf(w.now), "one worker is heard");
+    assert!(!w.leader.hears_no_worker(w.now), "one worker is heard");
 }
 
 /// The fleet once stopped growing at 400 machines, rented and wanted together, whatever waited.
@@ -136,7 +136,7 @@
     w.submit("req-000002", &spec(4));
     w.submit(
         "req-000003",
-        &JobSpec { rank: walnutlug_scheduler::model::job::Rank::High, ..spec(4) },
+        &JobSpec { priority: walnutlug_scheduler::model::job::Priority::High, ..spec(4) },
     );
     w.wait(50);
     w.leader.set_write_allowance(1.0, 16.0);
@@ -292,8 +292,8 @@
 fn patience_counts_from_when_a_report_is_overdue() {
     for heartbeat in [3, 6, 20] {
         let site = Site {
-            heartbeat_interval: Span::secs(heartbeat),
-            worker_lease: Span::secs(5 * heartbeat),
+            heartbeat_interval: TimeDelta::from_secs(heartbeat),
+            worker_lease: TimeDelta::from_secs(5 * heartbeat),
             ..site()
         };
         let mut w = World::of(site, &[("n-1", "a"), ("n-2", "a"), ("n-3", "b")]);
@@ -366,7 +366,11 @@
             (0..40).map(|i| (format!("n-{i:03}"), if i % 2 == 0 { "a" } else { "b" })).collect();
         let machines: Vec<(&str, &str)> = names.iter().map(|(n, z)| (n.as_str(), *z)).collect();
         let mut w = World::of(
-            Site { heartbeat_interval: Span::secs(5), worker_lease: Span::secs(24), ..site() },
+            Site {
+                heartbeat_interval: TimeDelta::from_secs(5),
+                worker_lease: TimeDelta::from_secs(24),
+                ..site()
+            },
             &machines,
         );
         // Work on every machine, and more of it than fits.
@@ -383,7 +387,7 @@
             w.wait(75);
             w.tick();
             w.leader.autoscale(w.now);
-            if deaf_at.is_none() && w.leader.deaf(w.now) {
+            if deaf_at.is_none() && w.leader.hears_no_worker(w.now) {
                 deaf_at = Some(at_ms);
             }
             w.commands.extend(w.leader.take_commands());
@@ -441,7 +445,7 @@
         w.finish(&machine, &task);
     }
     keep_running(&mut w, 8);
-    let ix = w.leader.by_ref[JOB];
+    let ix = w.leader.jobs_by_name[JOB];
     let job = w.leader.job(ix).expect("the job");
     let ran = job.run_times.0 / f64::from(job.run_times.1.max(1));
     assert_eq!(job.run_times.1, 3);
@@ -453,7 +457,7 @@
 #[test]
 fn pressed_work_goes_to_ordinary_machines_where_they_cost_little_more() {
     for (price, apart) in [(0.5, true), (3.0, false)] {
-        let quick = Objective::Wait { class: "quick".into(), within: Span::secs(3) };
+        let quick = Objective::Wait { class: "quick".into(), within: TimeDelta::from_secs(3) };
         let site = Site { objectives: vec![quick], ..site() };
         let mut w = World::of(site, &[("n-1", "a"), ("n-2", "a")]);
         w.leader.set_types(vec![MachineType { price, ..types().remove(0) }]);
@@ -480,7 +484,7 @@
 #[test]
 fn dear_machines_are_rented_once_for_the_same_need() {
     let mut w = one_machine();
-    let late = JobSpec { rank: Rank::High, deadline_s: Some(1.0), ..spec(200) };
+    let late = JobSpec { priority: Priority::High, deadline_s: Some(1.0), ..spec(200) };
     w.submit("req-000001", &late);
     w.submit("req-000002", &JobSpec { deadline_s: Some(60.0), ..spec(16) });
     w.settle();
@@ -594,7 +598,7 @@
 #[test]
 fn room_for_a_large_task_is_made_on_one_machine() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
-    let small = JobSpec { rank: Rank::Low, deadline_s: None, ..spec(1) };
+    let small = JobSpec { priority: Priority::Low, deadline_s: None, ..spec(1) };
     let fill = |w: &mut World, from: usize| {
         for i in from..from + 8 {
             w.submit(&format!("req-{i}"), &small);
@@ -614,7 +618,10 @@
     w.settle();
     fill(&mut w, 100);
     assert_eq!(w.places().len(), 8, "both are full");
-    w.submit("req-500", &JobSpec { rank: Rank::High, cpus: 8.0, deadline_s: Some(1.0), ..spec(1) });
+    w.submit(
+        "req-500",
+        &JobSpec { priority: Priority::High, cpus: 8.0, deadline_s: Some(1.0), ..spec(1) },
+    );
     w.wait(300);
     w.tick();
     let gave = |w: &World| {
@@ -630,10 +637,10 @@
     assert_eq!(w.places_of("req-500/0").len(), 1, "{:?}", w.places());
     // And one large task makes room for several small ones: no more are stopped than are needed.
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
-    w.submit("req-1", &JobSpec { rank: Rank::Low, cpus: 8.0, deadline_s: None, ..spec(2) });
+    w.submit("req-1", &JobSpec { priority: Priority::Low, cpus: 8.0, deadline_s: None, ..spec(2) });
     w.settle();
     w.all_report();
-    w.submit("req-2", &JobSpec { rank: Rank::High, deadline_s: Some(1.0), ..spec(4) });
+    w.submit("req-2", &JobSpec { priority: Priority::High, deadline_s: Some(1.0), ..spec(4) });
     w.wait(300);
     w.tick();
     assert_eq!(gave(&w), 1);
@@ -663,7 +670,7 @@
         w.tick();
         lost(&mut w);
     }
-    assert!(!w.leader.deaf(w.now), "reports come");
+    assert!(!w.leader.hears_no_worker(w.now), "reports come");
     assert!(w.leader.reaches_no_worker(w.now));
     // One answer, and it does.
     let direct = |c: &Command| matches!(c, Command::SendToWorker { .. });
--- a/crates/scheduler/tests/cancellations.rs
+++ b/crates/scheduler/tests/cancellations.rs
@@ -4,8 +4,8 @@
 mod world;
 
 use walnutlug_scheduler::leadership::watermark::{ask_every, window, CancellationLog, Watermark};
-use walnutlug_scheduler::model::job::{keys, End};
-use walnutlug_scheduler::time::{Span, Time};
+use walnutlug_scheduler::model::job::{keys, JobEnd};
+use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 use walnutlug_scheduler::tunables::Site;
 use world::{spec, World};
 
@@ -53,8 +53,8 @@
     asked: u64,
     peers: Vec<Peer>,
     /// Frames under way to the leader, by when they arrive.
-    messages_in_flight: Vec<(Time, Frame)>,
-    renewed: Time,
+    messages_in_flight: Vec<(Timestamp, Frame)>,
+    renewed: Timestamp,
 }
 
 #[derive(Debug, Clone)]
@@ -64,7 +64,11 @@
 }
 
 fn site(lease: u64, cancel: u64) -> Site {
-    Site { worker_lease: Span::millis(lease), cancel_within: Span::millis(cancel), ..world::site() }
+    Site {
+        worker_lease: TimeDelta::from_millis(lease),
+        cancel_within: TimeDelta::from_millis(cancel),
+        ..world::site()
+    }
 }
 
 fn new_peer(name: &'static str, incarnation: u64, site: &Site) -> Peer {
@@ -101,7 +105,7 @@
         match frame {
             Frame::Told { node, incarnation, first, jobs } => {
                 for job in &jobs {
-                    self.w.leader.job_ended(now, job, End::Aborted);
+                    self.w.leader.job_ended(now, job, JobEnd::Cancelled);
                 }
                 let name = self.peers[node].name;
                 let up_to = self.watermark.told(now, name, incarnation, first, jobs.len() as u64);
@@ -116,14 +120,14 @@
     }
 
     /// Plays on to the given time after `began`; whether the task was live at all steps.
-    fn play(&mut self, began: Time, to: u64, m: &Meeting) {
+    fn play(&mut self, began: Timestamp, to: u64, m: &Meeting) {
         let every = ask_every(&self.w.leader.site).0.div_ceil(1_000).max(1);
         let mut since_ask = 0;
-        while self.w.now.since(began) < Span::millis(to) {
+        while self.w.now.since(began) < TimeDelta::from_millis(to) {
             self.w.wait(STEP);
             let now = self.w.now;
             let at = now.since(began).0 / 1_000;
-            let told = began + Span::millis(m.told_at);
+            let told = began + TimeDelta::from_millis(m.told_at);
             if at >= m.told_at && at < m.told_at + STEP {
                 // Stored, in the log, told to the user; and only then whatever happens to the node.
                 self.w.store.put(&keys::end(JOB), serde_json::json!("aborted"));
@@ -133,7 +137,7 @@
                 }
             }
             if let Frames::EndsAndReturns(after) = m.frames {
-                if !self.peers[0].up && now.since(told) >= Span::millis(after) {
+                if !self.peers[0].up && now.since(told) >= TimeDelta::from_millis(after) {
                     self.peers[0] = new_peer("p", 8, &self.w.leader.site);
                 }
             }
@@ -155,12 +159,12 @@
     }
 
     /// The others answer the leader's question and tell what it lacks.
-    fn exchange(&mut self, now: Time, told: Time, m: &Meeting) {
+    fn exchange(&mut self, now: Timestamp, told: Timestamp, m: &Meeting) {
         for node in 0..self.peers.len() {
             let lossy = node == 0 && now >= told;
             let lost = match m.frames {
                 Frames::Cut => true,
-                Frames::LostFor(ms) => lossy && now.since(told) < Span::millis(ms),
+                Frames::LostFor(ms) => lossy && now.since(told) < TimeDelta::from_millis(ms),
                 _ => false,
             };
             let peer = &mut self.peers[node];
@@ -181,9 +185,9 @@
             for frame in sent {
                 match m.frames {
                     Frames::Late(ms) if lossy => {
-                        let late = now + Span::millis(ms);
+                        let late = now + TimeDelta::from_millis(ms);
                         self.messages_in_flight.push((late, frame.clone()));
-                        self.messages_in_flight.push((late + Span::millis(ms), frame));
+                        self.messages_in_flight.push((late + TimeDelta::from_millis(ms), frame));
                     }
                     _ => self.messages_in_flight.push((now, frame)),
                 }
@@ -192,9 +196,9 @@
     }
 
     /// The worker reports every three seconds and drops all when its lease ends.
-    fn work(&mut self, now: Time, at: u64) {
+    fn work(&mut self, now: Timestamp, at: u64) {
         self.w.leader.cancellations_known_until = self.watermark.until(now);
-        let lease = self.w.leader.site.worker_lease.scale(SLOW);
+        let lease = self.w.leader.site.worker_lease.mul_f64(SLOW);
         if now.since(self.renewed) > lease {
             self.w.workers.get_mut("n-1").expect("worker").lease_ends();
             self.renewed = now;
@@ -326,8 +330,8 @@
 fn a_log_is_told_until_it_is_acknowledged_by_that_life_of_its_reader() {
     let site = site(24_000, 44_000);
     let mut log = CancellationLog::new(&site);
-    let now = Time(1 << 40);
-    let at = |ms: u64| now + Span::millis(ms);
+    let now = Timestamp(1 << 40);
+    let at = |ms: u64| now + TimeDelta::from_millis(ms);
     log.append(now, "req-1");
     assert_eq!(log.to_tell(now, "q"), None, "nobody of that name was heard");
     log.heard("q", 3);
@@ -353,12 +357,12 @@
 /// Each line is an order of events in which a vouch must not count, and what makes it count.
 #[test]
 fn a_vouch_counts_only_for_what_arrived_without_a_gap() {
-    let now = Time(1 << 40);
-    let at = |ms: u64| now + Span::millis(ms);
+    let now = Timestamp(1 << 40);
+    let at = |ms: u64| now + TimeDelta::from_millis(ms);
     let mut w = Watermark::new(["p".to_owned()]);
     w.ask(at(10), 1);
     w.vouch(at(11), "p", 7, 0, 1);
-    assert_eq!(w.until(at(11)), Time(0), "what its former self told is not known");
+    assert_eq!(w.until(at(11)), Timestamp(0), "what its former self told is not known");
     w.read(at(12));
     w.ask(at(20), 2);
     w.vouch(at(21), "p", 7, 1, 2);
@@ -419,7 +423,7 @@
         }
     }
     // The ends are read: it is never sent.
-    w.leader.job_ended(w.now, JOB, End::Aborted);
+    w.leader.job_ended(w.now, JOB, JobEnd::Cancelled);
     w.cut_off = false;
     w.settle();
     w.heartbeat("n-1");
@@ -490,7 +494,7 @@
 /// A leader elected just before an outage for all has read its records, and its watch has not returned yet.
 #[test]
 fn lives_known_before_the_records_were_read_vouch_at_once() {
-    let at = |s: u64| Time((1 << 40) + s * 1_000_000);
+    let at = |s: u64| Timestamp((1 << 40) + s * 1_000_000);
     for (heard_at, counts) in [(Some(1), true), (None, false), (Some(4), false)] {
         let mut watermark = Watermark::new(["b".to_owned()]);
         if let Some(s) = heard_at {
--- a/crates/scheduler/tests/delegation.rs
+++ b/crates/scheduler/tests/delegation.rs
@@ -12,26 +12,30 @@
     CacheGrant, DelegationGrant, FollowerDelegation,
 };
 use walnutlug_scheduler::reconciliation::repeated_heartbeats::CachedHeartbeat;
-use walnutlug_scheduler::time::{Span, Time};
+use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 use walnutlug_scheduler::tunables::Site;
 
 const TERM: u64 = 7;
-const START: Time = Time(1 << 40);
+const START: Timestamp = Timestamp(1 << 40);
 
 fn site(lease_s: u64, cancel_s: u64) -> Site {
-    Site { worker_lease: Span::secs(lease_s), cancel_within: Span::secs(cancel_s), ..world::site() }
+    Site {
+        worker_lease: TimeDelta::from_secs(lease_s),
+        cancel_within: TimeDelta::from_secs(cancel_s),
+        ..world::site()
+    }
 }
 
 fn cache_entry(machine: u32, number: u64, invalidated: u64) -> CacheGrant {
     let cached = CachedHeartbeat { term: TERM, machine, number };
-    CacheGrant { cached, token: 70 + number, valid_for: Span::secs(1_000), invalidated }
+    CacheGrant { cached, token: 70 + number, valid_for: TimeDelta::from_secs(1_000), invalidated }
 }
 
 /// A follower that was granted its share at the start, with a mark for machine 1.
 fn granted(site: &Site) -> (FollowerDelegation, CacheGrant) {
     let mut follower = FollowerDelegation::new(site);
     let asked = follower.ask(START);
-    let grant = DelegationGrant { term: TERM, asked, unknown_for: Span::ZERO, invalidated: 0 };
+    let grant = DelegationGrant { term: TERM, asked, unknown_for: TimeDelta::ZERO, invalidated: 0 };
     assert!(follower.granted(START, &grant));
     let new = cache_entry(1, 1, 0);
     assert!(follower.add(START, &new));
@@ -40,13 +44,14 @@
 
 fn grant(
     follower: &mut FollowerDelegation,
-    asked_at: Time,
-    now: Time,
+    asked_at: Timestamp,
+    now: Timestamp,
     term: u64,
     invalidated: u64,
 ) -> bool {
     let asked = follower.ask(asked_at);
-    follower.granted(now, &DelegationGrant { term, asked, unknown_for: Span::ZERO, invalidated })
+    follower
+        .granted(now, &DelegationGrant { term, asked, unknown_for: TimeDelta::ZERO, invalidated })
 }
 
 #[test]
@@ -56,24 +61,25 @@
         let window = watermark::window(&site);
         let (mut follower, new) = granted(&site);
         assert_eq!(follower.cached_response_token(START + window, new.cached), Some(new.token));
-        assert_eq!(follower.cached_response_token(START + window + Span(1), new.cached), None);
+        assert_eq!(follower.cached_response_token(START + window + TimeDelta(1), new.cached), None);
         // Late on its way, a grant counts from the question; and by as much less as the leader itself
         // might not know.
-        let asked = follower.ask(START + Span::secs(2));
-        let unknown_for = Span::secs(1);
+        let asked = follower.ask(START + TimeDelta::from_secs(2));
+        let unknown_for = TimeDelta::from_secs(1);
         let grant = DelegationGrant { term: TERM, asked, unknown_for, invalidated: 0 };
-        assert!(follower.granted(START + Span::secs(9), &grant));
-        let end = START + Span::secs(1) + window;
+        assert!(follower.granted(START + TimeDelta::from_secs(9), &grant));
+        let end = START + TimeDelta::from_secs(1) + window;
         assert_eq!(follower.cached_response_token(end, new.cached), Some(new.token));
-        assert_eq!(follower.cached_response_token(end + Span(1), new.cached), None);
+        assert_eq!(follower.cached_response_token(end + TimeDelta(1), new.cached), None);
     }
 }
 
 #[test]
 fn a_grant_to_a_question_that_was_not_asked_is_worth_nothing() {
     let (mut follower, new) = granted(&site(24, 44));
-    let later = START + watermark::window(&site(24, 44)) + Span(1);
-    let grant = DelegationGrant { term: TERM, asked: 99, unknown_for: Span::ZERO, invalidated: 0 };
+    let later = START + watermark::window(&site(24, 44)) + TimeDelta(1);
+    let grant =
+        DelegationGrant { term: TERM, asked: 99, unknown_for: TimeDelta::ZERO, invalidated: 0 };
     assert!(!follower.granted(later, &grant));
     assert_eq!(follower.cached_response_token(later, new.cached), None);
 }
@@ -121,35 +127,37 @@
 #[test]
 fn an_overtaken_grant_moves_nothing() {
     let (mut follower, new) = granted(&site(24, 44));
-    let first = follower.ask(START + Span::secs(10));
-    let second = follower.ask(START + Span::secs(11));
+    let first = follower.ask(START + TimeDelta::from_secs(10));
+    let second = follower.ask(START + TimeDelta::from_secs(11));
     let at = |asked, invalidated| DelegationGrant {
         term: TERM,
         asked,
-        unknown_for: Span::ZERO,
+        unknown_for: TimeDelta::ZERO,
         invalidated,
     };
     follower.invalidate(TERM, 1, &[(8, 1)]);
-    assert!(follower.granted(START + Span::secs(11), &at(second, 1)));
-    assert!(!follower.granted(START + Span::secs(12), &at(first, 0)));
-    assert!(follower.cached_response_token(START + Span::secs(12), new.cached).is_some());
+    assert!(follower.granted(START + TimeDelta::from_secs(11), &at(second, 1)));
+    assert!(!follower.granted(START + TimeDelta::from_secs(12), &at(first, 0)));
+    assert!(follower.cached_response_token(START + TimeDelta::from_secs(12), new.cached).is_some());
 }
 
 #[test]
 fn reports_are_passed_on_only_to_a_leader_that_granted_lately() {
     let (follower, _) = granted(&site(24, 44));
-    assert_eq!(follower.forwarding_term(START + Span::secs(3)), Some(TERM));
-    assert_eq!(follower.forwarding_term(START + Span::secs(3) + Span(1)), None);
+    assert_eq!(follower.forwarding_term(START + TimeDelta::from_secs(3)), Some(TERM));
+    assert_eq!(follower.forwarding_term(START + TimeDelta::from_secs(3) + TimeDelta(1)), None);
     assert_eq!(FollowerDelegation::new(&site(24, 44)).forwarding_term(START), None);
 }
 
 #[test]
 fn a_mark_ends_when_time_alone_gives_the_report_a_meaning() {
     let (mut follower, _) = granted(&site(24, 44));
-    let new = CacheGrant { valid_for: Span::secs(2), ..cache_entry(3, 4, 0) };
+    let new = CacheGrant { valid_for: TimeDelta::from_secs(2), ..cache_entry(3, 4, 0) };
     assert!(follower.add(START, &new));
-    assert!(follower.cached_response_token(START + Span::secs(2) - Span(1), new.cached).is_some());
-    assert!(follower.cached_response_token(START + Span::secs(2), new.cached).is_none());
+    assert!(follower
+        .cached_response_token(START + TimeDelta::from_secs(2) - TimeDelta(1), new.cached)
+        .is_some());
+    assert!(follower.cached_response_token(START + TimeDelta::from_secs(2), new.cached).is_none());
 }
 
 /// A leader's stream of withdrawals, grants and marks over connections that break, so that frames are lost
@@ -169,29 +177,29 @@
         let window = watermark::window(&site);
         let mut follower = FollowerDelegation::new(&site);
         let mut now = START;
-        let mut wire: Vec<(Time, ToFollower)> = Vec::new();
+        let mut wire: Vec<(Timestamp, ToFollower)> = Vec::new();
         let mut cancellations_known_until = START;
         let mut sent = 0;
         let mut last_number = 0;
         // The leader's marks by machine, and when each that it withdrew was.
         let mut valid: BTreeMap<u32, u64> = BTreeMap::new();
-        let mut invalidated: BTreeMap<(u32, u64), Time> = BTreeMap::new();
+        let mut invalidated: BTreeMap<(u32, u64), Timestamp> = BTreeMap::new();
         let mut given: Vec<(u32, u64)> = Vec::new();
         let (mut answered, mut troubled) = (0, false);
         for step in 0u64..1_500 {
-            now = now + Span::millis(50);
+            now = now + TimeDelta::from_millis(50);
             if step.is_multiple_of(100) {
                 troubled = rng.random_range(0..10) < 4;
             }
             // The leader knows all but the last second, unless it is cut off from the others.
             if !troubled || rng.random_range(0..100) < 2 {
-                cancellations_known_until =
-                    cancellations_known_until.max(now - Span::millis(rng.random_range(0..1_000)));
+                cancellations_known_until = cancellations_known_until
+                    .max(now - TimeDelta::from_millis(rng.random_range(0..1_000)));
             }
             let mut send = |rng: &mut StdRng, frame| {
                 let lost = troubled && rng.random_range(0..10) < 3;
                 let most = if troubled { 6_000 } else { 1 };
-                let at = now + Span::millis(rng.random_range(0..most));
+                let at = now + TimeDelta::from_millis(rng.random_range(0..most));
                 if !lost {
                     wire.push((at, frame));
                 }
@@ -236,7 +244,7 @@
                 answered += 1;
                 if let Some(&at) = invalidated.get(&(machine, number)) {
                     let late = now.since(at);
-                    assert!(late <= window, "seed {seed}: {} s late", late.as_secs());
+                    assert!(late <= window, "seed {seed}: {} s late", late.as_secs_f64());
                 }
             }
         }
