--- a/crates/scheduler/tests/dependencies.rs
+++ b/crates/scheduler/tests/dependencies.rs
@@ -4,16 +4,16 @@
 mod world;
 
 use serde_json::json;
-use walnutlug_scheduler::model::job::{keys, End, JobSpec, Rank};
-use walnutlug_scheduler::queue::dependencies::Found;
+use walnutlug_scheduler::model::job::{keys, JobEnd, JobSpec, Priority};
+use walnutlug_scheduler::queue::dependencies::JobEndLookup;
 use walnutlug_scheduler::scheduler::{Command, TransactionOutcome};
 use world::{one_machine, spec, World};
 
 const FIRST: &str = "req-000001";
 const SECOND: &str = "req-000002";
 
-fn after(needs: &[&str]) -> JobSpec {
-    JobSpec { needs: needs.iter().map(|n| (*n).to_owned()).collect(), ..spec(1) }
+fn after(dependencies: &[&str]) -> JobSpec {
+    JobSpec { dependencies: dependencies.iter().map(|n| (*n).to_owned()).collect(), ..spec(1) }
 }
 
 fn name(i: usize) -> String {
@@ -76,7 +76,7 @@
     w.leader.transaction_answered(w.now, id, outcome);
     assert!(w.leader.queue(w.now).is_empty(), "that it ended doesn't tell how");
     assert_eq!(asked(&mut w), [FIRST]);
-    w.leader.job_ends_found(w.now, &[(FIRST.to_owned(), Found::Ended(End::Done))]);
+    w.leader.job_ends_found(w.now, &[(FIRST.to_owned(), JobEndLookup::Ended(JobEnd::Done))]);
     assert_eq!(w.leader.queue(w.now).len(), 1);
 }
 
@@ -118,13 +118,13 @@
     w.leader.job_ends_found(w.now, &[]);
     w.wait(1_000);
     assert_eq!(asked(&mut w), [FIRST], "what was not answered is asked again");
-    w.leader.job_ends_found(w.now, &[(FIRST.to_owned(), Found::Open)]);
+    w.leader.job_ends_found(w.now, &[(FIRST.to_owned(), JobEndLookup::Open)]);
     w.run_out();
     assert!(w.places().is_empty() && w.end(SECOND).is_none());
     // Not in the registry, so no commit of this leader's tells; the watch or the next reading does.
-    assert_eq!(w.leader.open_needs(), [FIRST]);
+    assert_eq!(w.leader.open_dependencies(), [FIRST]);
     w.store.put(&keys::end(FIRST), json!("done"));
-    w.leader.job_ended(w.now, FIRST, End::Done);
+    w.leader.job_ended(w.now, FIRST, JobEnd::Done);
     w.run_out();
     assert_eq!(w.end(SECOND), Some(&json!("done")));
 }
@@ -200,7 +200,7 @@
     w.settle();
     assert_eq!(w.end(FIRST), Some(&json!("done")));
     // What a user is told then is the end as it is stored.
-    w.leader.job_ended(w.now, FIRST, End::Done);
+    w.leader.job_ended(w.now, FIRST, JobEnd::Done);
     w.run_out();
     assert_eq!(w.end(SECOND), Some(&json!("done")));
 }
@@ -225,19 +225,19 @@
 #[test]
 fn a_step_has_the_priority_and_the_deadline_of_what_needs_it() {
     let mut w = one_machine();
-    let step = JobSpec { rank: Rank::Low, deadline_s: None, ..spec(1) };
+    let step = JobSpec { priority: Priority::Low, deadline_s: None, ..spec(1) };
     w.submit(FIRST, &step);
-    w.submit(SECOND, &JobSpec { needs: vec![FIRST.into()], ..step.clone() });
+    w.submit(SECOND, &JobSpec { dependencies: vec![FIRST.into()], ..step.clone() });
     let state = |w: &World| {
-        let job = w.leader.job(w.leader.by_ref[FIRST]).expect("the first step");
-        (job.rank, w.leader.urgency(w.now, job).slack)
+        let job = w.leader.job(w.leader.jobs_by_name[FIRST]).expect("the first step");
+        (job.priority, w.leader.queue_key(w.now, job).slack)
     };
-    let (rank, alone) = state(&w);
-    assert_eq!(rank, Rank::Low);
-    let last = JobSpec { rank: Rank::High, deadline_s: Some(100.0), ..after(&[SECOND]) };
+    let (priority, alone) = state(&w);
+    assert_eq!(priority, Priority::Low);
+    let last = JobSpec { priority: Priority::High, deadline_s: Some(100.0), ..after(&[SECOND]) };
     w.submit("req-000003", &last);
-    let (rank, pressed) = state(&w);
-    assert_eq!(rank, Rank::High);
+    let (priority, pressed) = state(&w);
+    assert_eq!(priority, Priority::High);
     // 100 s less three runs of 10 s, of which two are later steps with what they take beyond.
     assert!((50.0..70.0).contains(&pressed) && alone > 1_000.0, "{pressed} {alone}");
     // A tighter one behind the same step, and its end.
@@ -246,7 +246,7 @@
     w.withdraw("req-000004");
     assert!((state(&w).1 - pressed).abs() < 0.5);
     w.withdraw("req-000003");
-    assert_eq!((state(&w).0, state(&w).1 > 1_000.0), (Rank::Low, true));
+    assert_eq!((state(&w).0, state(&w).1 > 1_000.0), (Priority::Low, true));
 }
 
 /// After a take-over the steps of a chain come in the order of their names, which is any.
@@ -256,17 +256,17 @@
         [["req-1", "req-2", "req-3"], ["req-3", "req-2", "req-1"], ["req-2", "req-3", "req-1"]]
     {
         let mut w = World::new(&[]);
-        let step = JobSpec { rank: Rank::Low, deadline_s: None, ..spec(1) };
+        let step = JobSpec { priority: Priority::Low, deadline_s: None, ..spec(1) };
         w.submit(names[0], &step);
-        w.submit(names[1], &JobSpec { needs: vec![names[0].into()], ..step.clone() });
-        let needs = vec![names[1].into()];
-        w.submit(names[2], &JobSpec { rank: Rank::High, needs, ..spec(1) });
+        w.submit(names[1], &JobSpec { dependencies: vec![names[0].into()], ..step.clone() });
+        let dependencies = vec![names[1].into()];
+        w.submit(names[2], &JobSpec { priority: Priority::High, dependencies, ..spec(1) });
         let state = |w: &World| {
-            let job = |n: &str| w.leader.job(w.leader.by_ref[n]).cloned().expect("job");
-            names.map(|n| (job(n).rank, job(n).due.map(|d| d.after_s.round())))
+            let job = |n: &str| w.leader.job(w.leader.jobs_by_name[n]).cloned().expect("job");
+            names.map(|n| (job(n).priority, job(n).effective_deadline.map(|d| d.after_s.round())))
         };
         let before = state(&w);
-        assert!(before.iter().all(|s| s.0 == Rank::High), "{before:?}");
+        assert!(before.iter().all(|s| s.0 == Priority::High), "{before:?}");
         w.take_over();
         assert_eq!(state(&w), before, "{names:?}");
     }
@@ -286,7 +286,7 @@
         commands.iter().any(|c| matches!(c, Command::ScaleOut { .. }))
     };
     assert!(!rents(&mut w) && w.leader.queue(w.now).is_empty());
-    w.leader.job_ended(w.now, FIRST, End::Done);
+    w.leader.job_ended(w.now, FIRST, JobEnd::Done);
     let queue = w.leader.queue(w.now);
     assert_eq!(queue.len(), 1);
     assert_eq!(queue[0].0.accepted, w.now, "its times count from here");
@@ -336,8 +336,11 @@
     for i in 1..600 {
         w.submit(&name(i), &JobSpec { deadline_s: None, ..after(&[&name(i - 1)]) });
     }
-    w.submit(&name(600), &JobSpec { rank: Rank::Prod, ..after(&[&name(599)]) });
-    assert_eq!(w.leader.job(w.leader.by_ref[&name(0)]).map(|j| j.rank), Some(Rank::Prod));
+    w.submit(&name(600), &JobSpec { priority: Priority::Prod, ..after(&[&name(599)]) });
+    assert_eq!(
+        w.leader.job(w.leader.jobs_by_name[&name(0)]).map(|j| j.priority),
+        Some(Priority::Prod)
+    );
     // Thousands behind one job, and one behind many of them.
     w.submit(&name(1_000), &spec(1));
     for i in 2_000..5_000 {
--- a/crates/scheduler/tests/fair_share.rs
+++ b/crates/scheduler/tests/fair_share.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use walnutlug_scheduler::model::job::{JobSpec, Rank, Team};
+use walnutlug_scheduler::model::job::{JobSpec, Priority, Team};
 use walnutlug_scheduler::tunables::{Site, Tunables};
 use world::{site, spec, World};
 
@@ -29,18 +29,18 @@
 }
 
 fn set(world: &mut World, change: impl FnOnce(&mut Tunables)) {
-    let mut tunables = (*world.leader.tun).clone();
+    let mut tunables = (*world.leader.tunables).clone();
     change(&mut tunables);
-    world.leader.tun = Rc::new(tunables);
+    world.leader.tunables = Rc::new(tunables);
 }
 
 /// A job whose aim on time is as tight as that of every other one here.
-fn job(team: &str, class: &str, rank: Rank, tasks: u32) -> JobSpec {
+fn job(team: &str, class: &str, priority: Priority, tasks: u32) -> JobSpec {
     let names = (class.to_owned(), team.to_owned());
     JobSpec {
         class: names.0,
         team: names.1,
-        rank,
+        priority,
         estimate_s: 5.0,
         deadline_s: Some(12.0),
         ..spec(tasks)
@@ -137,7 +137,7 @@
     let mut world = fleet(vec![team("one", 0.0, 0.0), team("two", 0.0, 0.0)]);
     set(&mut world, |t| t.shared_order = shared_order);
     // Each of its jobs is more pressed for time than the other team's.
-    let flood = JobSpec { deadline_s: Some(6.0), ..job("one", "flood", Rank::High, 8) };
+    let flood = JobSpec { deadline_s: Some(6.0), ..job("one", "flood", Priority::High, 8) };
     let mut overload = Overload::new(world, flood);
     overload.flood_a_second = Some(9);
     let mut urgent = Vec::new();
@@ -146,7 +146,7 @@
             overload.take_over();
         }
         if second >= 30 && second % 7 == 0 && second < 200 {
-            let fix = JobSpec { deadline_s: Some(40.0), ..job("two", "fix", Rank::High, 4) };
+            let fix = JobSpec { deadline_s: Some(40.0), ..job("two", "fix", Priority::High, 4) };
             urgent.push(overload.submit(&fix));
         }
         overload.pass();
@@ -170,12 +170,12 @@
 #[test]
 fn every_class_with_work_gets_its_floor() {
     let world = fleet(vec![team("one", 0.0, 0.0), team("two", 0.0, 0.0)]);
-    let mut overload = Overload::new(world, job("one", "flood", Rank::High, 8));
+    let mut overload = Overload::new(world, job("one", "flood", Priority::High, 8));
     let others = [("one", "sheets"), ("two", "tiles")];
     let large = |(team, class): (&str, &str)| JobSpec {
         cpus: 6.0,
         deadline_s: Some(60.0),
-        ..job(team, class, Rank::Normal, 6)
+        ..job(team, class, Priority::Normal, 6)
     };
     let mut jobs: [Vec<String>; 2] = Default::default();
     let mut share = [0.0; 2];
@@ -188,7 +188,7 @@
             if jobs[at].last().is_none_or(done) {
                 jobs[at].push(overload.submit(&large(class)));
             }
-            let shares = &overload.world.leader.sharing.shares;
+            let shares = &overload.world.leader.fair_share.shares;
             share[at] +=
                 job_of(&overload, jobs[at].last()).map_or(0.0, |class| shares.class_share(class));
         }
@@ -210,7 +210,7 @@
     name: Option<&String>,
 ) -> Option<walnutlug_admission::shares::ClassId> {
     let leader = &overload.world.leader;
-    Some(leader.job(*leader.by_ref.get(name?)?)?.share_class())
+    Some(leader.job(*leader.jobs_by_name.get(name?)?)?.share_class())
 }
 
 /// Work that fits, with passing queues, blocked jobs and preemption.
@@ -224,13 +224,13 @@
         for step in 0..400u32 {
             if step % 2 == 0 {
                 let name = format!("req-{step:06}");
-                let rank = [Rank::Normal, Rank::High, Rank::Low][step as usize % 3];
+                let priority = [Priority::Normal, Priority::High, Priority::Low][step as usize % 3];
                 let tasks = 1 + step * 7 % if crowded { 300 } else { 37 };
                 let cpus = f64::from(1 + step % 4);
                 let team = ["one", "two"][step as usize / 2 % 2];
                 world.submit(
                     &name,
-                    &JobSpec { cpus, deadline_s: Some(7.0), ..job(team, "class", rank, tasks) },
+                    &JobSpec { cpus, deadline_s: Some(7.0), ..job(team, "class", priority, tasks) },
                 );
             }
             // Room comes in bunches, so that there are queues in between.
@@ -241,7 +241,7 @@
             world.all_report();
             world.tick();
             world.leader.autoscale(world.now);
-            overloaded |= world.leader.sharing.is_on();
+            overloaded |= world.leader.fair_share.is_active();
             said.extend(world.commands.iter().map(|command| format!("{command:?}")));
             world.carry_out();
         }
@@ -266,11 +266,12 @@
         team("capped", 0.0, 12.0),
         team("free", 0.0, 0.0),
     ];
-    let mut overload = Overload::new(fleet(teams), job("one", "flood", Rank::High, 8));
+    let mut overload = Overload::new(fleet(teams), job("one", "flood", Priority::High, 8));
     for second in 0..120 {
         if second % 4 == 0 {
             for team in ["two", "capped", "free"] {
-                overload.submit(&JobSpec { deadline_s: None, ..job(team, "c", Rank::High, 80) });
+                overload
+                    .submit(&JobSpec { deadline_s: None, ..job(team, "c", Priority::High, 80) });
             }
         }
         overload.pass();
@@ -292,19 +293,19 @@
 fn absurd_jobs_neither_starve_others_nor_stop_the_round() {
     let mut overload = Overload::new(
         fleet(vec![team("one", 0.0, 0.0), team("two", 0.0, 0.0)]),
-        job("one", "flood", Rank::High, 8),
+        job("one", "flood", Priority::High, 8),
     );
     let estimates = [0.0, 1e300, f64::MAX, 1e-300];
     for at in 0..1_200u32 {
         let estimate_s = estimates[at as usize % 4];
         let class = format!("class-{at}");
         let cpus = [1e-9, 2.0, 8.0][at as usize % 3];
-        let absurd = JobSpec { estimate_s, cpus, ..job("one", &class, Rank::High, 1) };
+        let absurd = JobSpec { estimate_s, cpus, ..job("one", &class, Priority::High, 1) };
         overload.submit(&absurd);
     }
     (0..20).for_each(|_| overload.pass());
-    assert!(overload.world.leader.sharing.shares.classes_kept() <= 1_003);
-    let urgent = overload.submit(&job("two", "fix", Rank::High, 4));
+    assert!(overload.world.leader.fair_share.shares.classes_kept() <= 1_003);
+    let urgent = overload.submit(&job("two", "fix", Priority::High, 4));
     (0..RUN_S + 3).for_each(|_| overload.pass());
     assert!(overload.started.contains_key(&urgent));
 }
@@ -317,11 +318,11 @@
         let mut world = fleet(teams.iter().map(|name| team(name, 0.0, 0.0)).collect());
         set(&mut world, |t| t.shared_order = shared_order);
         for at in 0..10_000usize {
-            let rank = [Rank::Normal, Rank::High][at % 2];
-            world.submit(&format!("req-{at:06}"), &job(teams[at % 4], "class", rank, 4));
+            let priority = [Priority::Normal, Priority::High][at % 2];
+            world.submit(&format!("req-{at:06}"), &job(teams[at % 4], "class", priority, 4));
         }
         world.settle();
-        assert_eq!(world.leader.sharing.is_on(), shared_order);
+        assert_eq!(world.leader.fair_share.is_active(), shared_order);
         // One machine has room again.
         for (task, machines) in world.places() {
             if machines[0] == "n-007" {
--- a/crates/scheduler/tests/fleet_size.rs
+++ b/crates/scheduler/tests/fleet_size.rs
@@ -8,7 +8,7 @@
 
 use stats_alloc::{Region, StatsAlloc, INSTRUMENTED_SYSTEM};
 use walnutlug_scheduler::model::job::JobSpec;
-use walnutlug_scheduler::model::task::Phase;
+use walnutlug_scheduler::model::task::TaskPhase;
 use walnutlug_scheduler::scheduler::{Command, Scheduler, TransactionOutcome};
 use world::{spec, World};
 
@@ -21,7 +21,7 @@
 const JOBS: usize = 84;
 const TASKS_OF_A_JOB: u32 = 200;
 /// What the registry may take for a machine with its tasks; when this was written it took 1,592.
-const MOST_BYTES_A_MACHINE: usize = 2_000;
+const MAX_BYTES_A_MACHINE: usize = 2_000;
 
 /// The tests run one at a time, since the allocator counts for all of them.
 fn alone() -> MutexGuard<'static, ()> {
@@ -77,7 +77,7 @@
     assert_eq!(running(&world), MACHINES * TASKS_EACH);
     let empty = Scheduler::new(
         world.leader.site.clone(),
-        world.leader.tun.clone(),
+        world.leader.tunables.clone(),
         world.leader.term,
         Vec::new(),
         world.now,
@@ -86,7 +86,7 @@
     let region = Region::new(ALLOCATOR);
     drop(leader);
     let held = region.change().bytes_deallocated;
-    assert!(held < MACHINES * MOST_BYTES_A_MACHINE, "{held} bytes for {MACHINES} machines");
+    assert!(held < MACHINES * MAX_BYTES_A_MACHINE, "{held} bytes for {MACHINES} machines");
 }
 
 #[test]
@@ -188,7 +188,7 @@
     let ended = (0..JOBS).filter(|&index| world.end(&job_name(index)).is_some()).count();
     assert_eq!(ended, JOBS, "every job is recorded as done");
     let all_done = |job: &walnutlug_scheduler::scheduler::Job| {
-        job.tasks.iter().all(|task| task.phase == Phase::Done)
+        job.tasks.iter().all(|task| task.phase == TaskPhase::Done)
     };
     assert!(world.leader.jobs.values().all(all_done));
     let written = (world.store.store_revision - written) as usize;
--- a/crates/scheduler/tests/golden_bytes.rs
+++ b/crates/scheduler/tests/golden_bytes.rs
@@ -8,11 +8,11 @@
 use golden_file::Golden;
 use serde::Serialize;
 use serde_json::{json, Value};
-use walnutlug_scheduler::model::job::{keys, End, JobSpec, Rank};
-use walnutlug_scheduler::model::task::Phase;
+use walnutlug_scheduler::model::job::{keys, JobEnd, JobSpec, Priority};
+use walnutlug_scheduler::model::task::TaskPhase;
 use walnutlug_scheduler::protocol::{
-    job_answer, parse_submission, CommandsRequest, ExitReason, Heartbeat, HeartbeatResponse,
-    KeyValue, Operation, Redirect, Stage, TaskState, TaskStatus, WorkerCommand,
+    job_response, parse_submission, CommandsRequest, ExitReason, Heartbeat, HeartbeatResponse,
+    JobStage, KeyValue, Operation, Redirect, TaskState, TaskStatus, WorkerCommand,
 };
 use walnutlug_scheduler::scheduler::Command;
 use walnutlug_scheduler::storage::records::{chunk_size, description_record};
@@ -28,7 +28,7 @@
     JobSpec {
         class: "train".into(),
         team: "one".into(),
-        rank: Rank::High,
+        priority: Priority::High,
         tasks: 7,
         cpus: 2.5,
         gpus: 1.0,
@@ -44,20 +44,20 @@
         checkpoint_s: 30.0,
         save_s: 4.5,
         deadline_s: Some(900.0),
-        needs: Vec::new(),
+        dependencies: Vec::new(),
     }
 }
 
 fn chained_spec() -> JobSpec {
     JobSpec {
-        rank: Rank::Low,
+        priority: Priority::Low,
         types: None,
         zone: None,
         one_zone: false,
         spread: true,
         spot: false,
         deadline_s: None,
-        needs: vec!["req-000002".into(), "req-000003".into()],
+        dependencies: vec!["req-000002".into(), "req-000003".into()],
         ..full_spec()
     }
 }
@@ -81,17 +81,17 @@
 }
 
 fn descriptions() -> Vec<(&'static str, JobSpec)> {
-    let ranked = |rank| JobSpec { rank, ..full_spec() };
+    let ranked = |priority| JobSpec { priority, ..full_spec() };
     vec![
         ("description", full_spec()),
         ("description of a chained job", chained_spec()),
-        ("description, rank normal", ranked(Rank::Normal)),
-        ("description, rank prod", ranked(Rank::Prod)),
+        ("description, rank normal", ranked(Priority::Normal)),
+        ("description, rank prod", ranked(Priority::Prod)),
     ]
 }
 
 fn description(spec: &JobSpec) -> String {
-    let key = keys::description(JOB, !spec.needs.is_empty());
+    let key = keys::description(JOB, !spec.dependencies.is_empty());
     stored(&key, &description_record(spec, ACCEPTED_US, 83))
 }
 
@@ -101,8 +101,8 @@
     let mut found: Vec<(&str, String)> =
         descriptions.iter().map(|(kind, spec)| (*kind, description(spec))).collect();
     found.push(("acceptance", stored(&keys::job(JOB), &json!(1))));
-    found.push(("end done", stored(&keys::end(JOB), &json!(End::Done))));
-    found.push(("end aborted", stored(&keys::end(JOB), &json!(End::Aborted))));
+    found.push(("end done", stored(&keys::end(JOB), &json!(JobEnd::Done))));
+    found.push(("end aborted", stored(&keys::end(JOB), &json!(JobEnd::Cancelled))));
     found.push(("machine types", stored(keys::TYPES, &json!({"breeds": types()}))));
     found.push(("chunk's key", keys::run(JOB, 12)));
     found.push(("part's key", keys::part(JOB, 12, 345)));
@@ -110,10 +110,10 @@
     for (kind, spec) in &descriptions {
         read_description(kind, &golden.text(kind), spec);
     }
-    for (kind, end) in [("end done", End::Done), ("end aborted", End::Aborted)] {
+    for (kind, end) in [("end done", JobEnd::Done), ("end aborted", JobEnd::Cancelled)] {
         let (key, value) = split(&golden.text(kind));
         assert!(key.strip_prefix(keys::END) == Some(JOB), "{kind}: its key");
-        let read: End = serde_json::from_value(value).expect("an end");
+        let read: JobEnd = serde_json::from_value(value).expect("an end");
         assert!(read == end, "{kind}: read otherwise");
     }
     let (_, value) = split(&golden.text("machine types"));
@@ -130,7 +130,7 @@
     assert!(keys::described(&key) == Some(JOB), "{kind}: its key");
     let mut world = World::new(&[]);
     assert!(world.leader.add_job(world.now, JOB, &value, ACCEPTED_US), "{kind}: can't be read");
-    let job = world.leader.job(world.leader.by_ref[JOB]).expect("the job");
+    let job = world.leader.job(world.leader.jobs_by_name[JOB]).expect("the job");
     assert!(job.spec == *spec, "{kind}: a field was read otherwise");
     assert!(job.chunk_size == 83, "{kind}: chunk size");
     assert!(job.accepted == world.now, "{kind}: time of acceptance");
@@ -147,7 +147,7 @@
         let name = keys::described(&key_value.key).expect("a description");
         let wall = key_value.value["at"].as_u64().expect("a time");
         assert!(world.leader.add_job(world.now, name, &key_value.value, wall), "{}", key_value.key);
-        let job = world.leader.job(world.leader.by_ref[name]).expect("the job");
+        let job = world.leader.job(world.leader.jobs_by_name[name]).expect("the job");
         let again = description_record(&job.spec, wall, job.chunk_size);
         assert_eq!(text(&again), text(&key_value.value), "{}", key_value.key);
     }
@@ -161,20 +161,20 @@
     Golden::check("tests/golden/former.txt", &found);
 }
 
-fn phase_name(phase: Phase) -> &'static str {
+fn phase_name(phase: TaskPhase) -> &'static str {
     match phase {
-        Phase::Pending => "pending",
-        Phase::Dispatching => "dispatching",
-        Phase::Running => "running",
-        Phase::Stopping => "stopping",
-        Phase::Unknown => "unknown",
-        Phase::Done => "done",
+        TaskPhase::Pending => "pending",
+        TaskPhase::Dispatching => "dispatching",
+        TaskPhase::Running => "running",
+        TaskPhase::Stopping => "stopping",
+        TaskPhase::Unknown => "unknown",
+        TaskPhase::Done => "done",
     }
 }
 
 /// Every task of a job, field by field, in words of this test.
 fn tasks_as_read(world: &World, name: &str) -> String {
-    let job = world.leader.job(world.leader.by_ref[name]).expect("the job");
+    let job = world.leader.job(world.leader.jobs_by_name[name]).expect("the job");
     let line = |task: &walnutlug_scheduler::model::task::Task| {
         let place = match task.phase.placed() {
             true => world.leader.machines[task.machine as usize].name.as_str(),
@@ -346,7 +346,7 @@
     fn start_and_confirm(&mut self) {
         self.begin("1 start");
         self.world.submit(JOB, &JobSpec { checkpoint_s: 5.0, save_s: 2.0, ..spec(5) });
-        self.world.submit("req-000002", &JobSpec { needs: vec![JOB.into()], ..spec(1) });
+        self.world.submit("req-000002", &JobSpec { dependencies: vec![JOB.into()], ..spec(1) });
         self.go_on(4);
         self.world.all_report();
         self.go_on(2);
@@ -459,8 +459,8 @@
 
 #[test]
 fn messages_of_the_protocol_are_written_and_read_as_before() {
-    let stages = [Stage::Queued, Stage::Running, Stage::Done, Stage::Aborted];
-    let answers = stages.map(|stage| job_answer(JOB, stage, None).to_string()).join("\n");
+    let stages = [JobStage::Queued, JobStage::Running, JobStage::Done, JobStage::Cancelled];
+    let answers = stages.map(|stage| job_response(JOB, stage, None).to_string()).join("\n");
     let found = [
         ("report", text(&full_report())),
         ("answer to a report", text(&HeartbeatResponse { token: 41, calls: calls() })),
@@ -469,7 +469,7 @@
         ("redirect", text(&Redirect { node: Some("kernel-2".into()) })),
         ("redirect to none", text(&Redirect { node: None })),
         ("job", answers),
-        ("job with counts", job_answer(JOB, Stage::Running, Some((3, 13))).to_string()),
+        ("job with counts", job_response(JOB, JobStage::Running, Some((3, 13))).to_string()),
     ];
     let golden = Golden::check(PROTOCOL, &found);
     let heartbeat = golden.text("report");
--- a/crates/scheduler/tests/random_interleavings.rs
+++ b/crates/scheduler/tests/random_interleavings.rs
@@ -280,10 +280,10 @@
                 }
             }
             31 if pick.is_multiple_of(8) && self.accepted < JOBS.len() => {
-                let (job, needs) = JOBS[self.accepted];
+                let (job, dependencies) = JOBS[self.accepted];
                 self.accepted += 1;
-                let needs = needs.iter().map(|n| (*n).to_owned()).collect();
-                let spec = walnutlug_scheduler::model::job::JobSpec { needs, ..spec(3) };
+                let dependencies = dependencies.iter().map(|n| (*n).to_owned()).collect();
+                let spec = walnutlug_scheduler::model::job::JobSpec { dependencies, ..spec(3) };
                 // Of what waits a leader of the former version hears nothing.
                 if self.former_terms.contains(&self.w.leader.term) {
                     self.w.store_job(job, &spec, 2);
@@ -326,7 +326,7 @@
         for (task, machines) in self.w.places() {
             assert!(machines.len() <= 1, "{task} is on {machines:?}");
         }
-        for (job, needs) in JOBS {
+        for (job, dependencies) in JOBS {
             if self.w.end(job) == Some(&json!("done")) {
                 for i in 0..3 {
                     assert!(self.completed.contains(&format!("{job}/{i}")), "{job} isn't done");
@@ -334,7 +334,7 @@
             }
             let live = |i: &u32| !self.w.places_of(&format!("{job}/{i}")).is_empty();
             if (0..3).any(|i| live(&i)) {
-                for need in needs {
+                for need in dependencies {
                     let end = self.w.end(need);
                     assert_eq!(end, Some(&json!("done")), "{job} runs before {need} is done");
                 }
@@ -395,10 +395,10 @@
         }
         w.wait(1_000);
     }
-    for (job, needs) in &JOBS[..accepted] {
+    for (job, dependencies) in &JOBS[..accepted] {
         let end = w.end(job);
         assert!(end.is_some(), "{job} is neither done nor cancelled after all is quiet");
-        for need in *needs {
+        for need in *dependencies {
             let before = w.end(need);
             assert!(before == end || end == Some(&json!("aborted")), "{job} behind {need}");
         }
--- a/crates/scheduler/tests/repeated_heartbeats.rs
+++ b/crates/scheduler/tests/repeated_heartbeats.rs
@@ -7,7 +7,7 @@
 use walnutlug_scheduler::protocol::{sequence_digits, Heartbeat, TaskState};
 use walnutlug_scheduler::reconciliation::repeated_heartbeats::{CachedHeartbeat, OWN_NODE};
 use walnutlug_scheduler::scheduler::{Command, MessageOutcome};
-use walnutlug_scheduler::time::Span;
+use walnutlug_scheduler::time::TimeDelta;
 use world::{one_machine, spec, World};
 
 const MACHINE: &str = "n-1";
@@ -183,7 +183,7 @@
     let (_, cached) = heartbeat(&mut w);
     assert_eq!(cached, None, "the third task is on its way");
     w.settle();
-    w.wait(Span::secs(1).0 / 1_000);
+    w.wait(TimeDelta::from_secs(1).0 / 1_000);
     w.all_report();
     w.settle();
     assert!(heartbeat(&mut w).1.is_some());
--- a/crates/scheduler/tests/sim/follower.rs
+++ b/crates/scheduler/tests/sim/follower.rs
@@ -6,7 +6,7 @@
     CacheGrant, DelegationGrant, FollowerDelegation,
 };
 use walnutlug_scheduler::reconciliation::repeated_heartbeats::{CachedHeartbeat, Invalidated};
-use walnutlug_scheduler::time::{Span, Time};
+use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 use walnutlug_scheduler::tunables::Site;
 
 use super::Leader;
@@ -22,12 +22,12 @@
 
 pub(super) struct Follower {
     served: FollowerDelegation,
-    frames: Vec<(Time, ToFollower)>,
-    last_frame: Time,
+    frames: Vec<(Timestamp, ToFollower)>,
+    last_frame: Timestamp,
     heard: Vec<(CachedHeartbeat, u64)>,
     /// Marks withdrawn by the leader of a term.
     invalidated: (u64, u64),
-    asks_at: Time,
+    asks_at: Timestamp,
     /// Repetitions that it answered by itself.
     pub(super) repeated: u64,
 }
@@ -37,21 +37,27 @@
         Follower {
             served: FollowerDelegation::new(site),
             frames: Vec::new(),
-            last_frame: Time(0),
+            last_frame: Timestamp(0),
             heard: Vec::new(),
             invalidated: (0, 0),
-            asks_at: Time(0),
+            asks_at: Timestamp(0),
             repeated: 0,
         }
     }
 
-    fn send(&mut self, now: Time, delay_ms: u64, frame: ToFollower) {
-        self.last_frame = self.last_frame.max(now + Span::millis(delay_ms));
+    fn send(&mut self, now: Timestamp, delay_ms: u64, frame: ToFollower) {
+        self.last_frame = self.last_frame.max(now + TimeDelta::from_millis(delay_ms));
         self.frames.push((self.last_frame, frame));
     }
 
     /// What the leader withdrew goes out, or is lost with the connection.
-    fn send_invalidations(&mut self, now: Time, leader: &mut Leader, linked: bool, delay_ms: u64) {
+    fn send_invalidations(
+        &mut self,
+        now: Timestamp,
+        leader: &mut Leader,
+        linked: bool,
+        delay_ms: u64,
+    ) {
         let term = leader.s.term;
         for Invalidated { cached, .. } in leader.s.take_invalidated() {
             if self.invalidated.0 != term {
@@ -68,7 +74,7 @@
     /// One step: it hears, is heard, and asks.
     pub(super) fn step(
         &mut self,
-        now: Time,
+        now: Timestamp,
         leader: Option<&mut Leader>,
         linked: bool,
         delay_ms: u64,
@@ -76,7 +82,7 @@
         if let Some(leader) = leader {
             self.send_invalidations(now, leader, linked, delay_ms);
             if now >= self.asks_at {
-                self.asks_at = now + Span::secs(1);
+                self.asks_at = now + TimeDelta::from_secs(1);
                 let asked = self.served.ask(now);
                 let term = leader.s.term;
                 let invalidated = if self.invalidated.0 == term { self.invalidated.1 } else { 0 };
@@ -105,7 +111,7 @@
     /// The answer to a worker's report; `None`: the worker goes to the leader.
     pub(super) fn answer(
         &mut self,
-        now: Time,
+        now: Timestamp,
         leader: Option<&mut Leader>,
         linked: bool,
         cached: &mut Option<(Heartbeat, CachedHeartbeat)>,
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -9,7 +9,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::{json, Value};
-use walnutlug_scheduler::model::job::{keys, End, JobSpec};
+use walnutlug_scheduler::model::job::{keys, JobEnd, JobSpec};
 use walnutlug_scheduler::protocol::{
     CloudMachineState, ExitReason, Heartbeat, ListedMachine, Operation, TaskState, Transaction,
     WorkerCommand,
@@ -17,7 +17,7 @@
 use walnutlug_scheduler::reconciliation::repeated_heartbeats::{CachedHeartbeat, OWN_NODE};
 use walnutlug_scheduler::scheduler::{Command, MessageOutcome, Scheduler, TransactionOutcome};
 use walnutlug_scheduler::storage::records::description_record;
-use walnutlug_scheduler::time::{Span, Time};
+use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 use walnutlug_scheduler::tunables::{Site, Tunables};
 
 use crate::world::{self, transcript, Store, Worker};
@@ -26,10 +26,10 @@
 pub mod meetings;
 use follower::Follower;
 
-const STEP: Span = Span::millis(100);
+const STEP: TimeDelta = TimeDelta::from_millis(100);
 /// A step of a transcript, in which several of these are told together.
-const RECORDED_STEP: Span = Span::millis(500);
-const START: Time = Time(1 << 40);
+const RECORDED_STEP: TimeDelta = TimeDelta::from_millis(500);
+const START: Timestamp = Timestamp(1 << 40);
 const CHUNK: u32 = 20;
 
 /// A trouble, and for how long; shares are of a hundred machines, messages or jobs.
@@ -98,25 +98,25 @@
 struct Leader {
     s: Scheduler,
     /// When it was last served by the state service.
-    served: Time,
+    served: Timestamp,
     /// Up to when it is cut from the state service, and from the other nodes.
-    no_state: Time,
-    no_peers: Time,
-    known: Time,
-    hears_at: Time,
+    no_state: Timestamp,
+    no_peers: Timestamp,
+    known: Timestamp,
+    hears_at: Timestamp,
 }
 
 struct Machine {
     worker: Worker,
-    renewed: Time,
-    report_at: Time,
-    up_at: Time,
-    mute: Time,
-    deaf: Time,
-    hung: Time,
+    renewed: Timestamp,
+    report_at: Timestamp,
+    up_at: Timestamp,
+    mute: Timestamp,
+    deaf: Timestamp,
+    hung: Timestamp,
     /// Messages that came while it hung or that were held up.
-    held: Vec<(Time, u64, u64, Vec<WorkerCommand>)>,
-    ran: BTreeMap<(String, u64), Span>,
+    held: Vec<(Timestamp, u64, u64, Vec<WorkerCommand>)>,
+    ran: BTreeMap<(String, u64), TimeDelta>,
     gone: bool,
     /// Its last report, if that left nothing to do.
     cached: Option<(Heartbeat, CachedHeartbeat)>,
@@ -135,7 +135,7 @@
 /// Answers as a node does: a repetition of a report that left nothing to do is not read in full.
 fn answer(
     leader: &mut Leader,
-    now: Time,
+    now: Timestamp,
     cached: &mut Option<(Heartbeat, CachedHeartbeat)>,
     heartbeat: &Heartbeat,
 ) -> Option<(u64, Vec<WorkerCommand>)> {
@@ -159,8 +159,8 @@
 
 struct Job {
     spec: JobSpec,
-    told: Option<Time>,
-    runs: Span,
+    told: Option<Timestamp>,
+    runs: TimeDelta,
 }
 
 enum Event {
@@ -188,18 +188,18 @@
 }
 
 pub struct Sim {
-    pub now: Time,
+    pub now: Timestamp,
     what: String,
     rng: StdRng,
     site: Rc<Site>,
     store: Store,
     leaders: Vec<Leader>,
-    elect_at: Option<Time>,
+    elect_at: Option<Timestamp>,
     machines: BTreeMap<String, Machine>,
     jobs: BTreeMap<String, Job>,
-    events: Vec<(Time, Event)>,
-    until: BTreeMap<&'static str, (u64, Time)>,
-    boots: Time,
+    events: Vec<(Timestamp, Event)>,
+    until: BTreeMap<&'static str, (u64, Timestamp)>,
+    boots: Timestamp,
     kept: Vec<Heartbeat>,
     next_machine: u32,
     next_job: u32,
@@ -250,9 +250,9 @@
         self.rng.random_range(from..to)
     }
 
-    fn in_ms(&mut self, from: u64, to: u64) -> Time {
+    fn in_ms(&mut self, from: u64, to: u64) -> Timestamp {
         let ms = self.between(from, to);
-        self.now + Span::millis(ms)
+        self.now + TimeDelta::from_millis(ms)
     }
 
     fn saw(&mut self, what: &'static str) {
@@ -263,7 +263,7 @@
         self.until.get(trouble).filter(|u| self.now < u.1).map(|u| u.0)
     }
 
-    fn boot(&mut self, zone: &str, up_at: Time) -> String {
+    fn boot(&mut self, zone: &str, up_at: Timestamp) -> String {
         self.next_machine += 1;
         let name = format!("n-{:03}", self.next_machine);
         let machine = Machine {
@@ -294,9 +294,9 @@
     }
 
     pub fn trouble(&mut self, trouble: Trouble) {
-        let end = |sim: &Sim, ms: u64| sim.now + Span::millis(ms);
+        let end = |sim: &Sim, ms: u64| sim.now + TimeDelta::from_millis(ms);
         let spell = |sim: &mut Sim, what: &'static str, share: u64, ms: u64| {
-            sim.until.insert(what, (share, sim.now + Span::millis(ms)));
+            sim.until.insert(what, (share, sim.now + TimeDelta::from_millis(ms)));
         };
         match trouble {
             Trouble::Crash => {
@@ -385,7 +385,7 @@
         }
     }
 
-    fn touch(&mut self, name: &str, trouble: Trouble, until: Time) {
+    fn touch(&mut self, name: &str, trouble: Trouble, until: Timestamp) {
         let holds = self.machines.get(name).is_some_and(|m| !m.worker.live().is_empty());
         let Some(m) = self.machines.get_mut(name) else { return };
         let what = match trouble {
@@ -417,7 +417,7 @@
         }
         self.next_job += 1;
         let name = format!("req-{:06}", self.next_job);
-        let mut runs = Span::secs(7);
+        let mut runs = TimeDelta::from_secs(7);
         let plain = |n| JobSpec { deadline_s: Some(60.0), ..world::spec(n) };
         let spec = match kind {
             Kind::Plain(n) => plain(n),
@@ -426,14 +426,14 @@
             Kind::Together(n) => JobSpec { one_zone: true, ..plain(n) },
             Kind::Spread(n) => JobSpec { spread: true, ..plain(n) },
             Kind::Urgent(n) => {
-                JobSpec { rank: walnutlug_scheduler::model::job::Rank::High, ..plain(n) }
+                JobSpec { priority: walnutlug_scheduler::model::job::Priority::High, ..plain(n) }
             }
             Kind::Flood(n) => {
-                let rank = walnutlug_scheduler::model::job::Rank::High;
-                JobSpec { rank, class: "flood".into(), deadline_s: Some(20.0), ..plain(n) }
+                let priority = walnutlug_scheduler::model::job::Priority::High;
+                JobSpec { priority, class: "flood".into(), deadline_s: Some(20.0), ..plain(n) }
             }
             Kind::Long(n) => {
-                runs = Span::secs(60);
+                runs = TimeDelta::from_secs(60);
                 JobSpec { estimate_s: 60.0, deadline_s: Some(200.0), ..plain(n) }
             }
         };
@@ -504,7 +504,7 @@
         let strange = s.load_runs(self.now, &self.store.key_values(keys::RUN));
         assert!(strange.is_empty(), "{}: {strange:?}", self.what);
         // In one order, whatever that of the table: a transcript holds what comes of it.
-        let mut names: Vec<String> = s.by_ref.keys().cloned().collect();
+        let mut names: Vec<String> = s.jobs_by_name.keys().cloned().collect();
         names.sort_unstable();
         for name in names.iter().filter(|n| self.store.keys.contains_key(&keys::end(n))) {
             s.job_over(self.now, name);
@@ -558,7 +558,7 @@
         let leader = self.leaders.last_mut();
         let linked = linked && leader.as_ref().is_some_and(|l| self.now >= l.no_peers);
         self.follower.step(self.now, leader, linked, delay_ms);
-        self.leaders.retain(|l| l.served != Time(0));
+        self.leaders.retain(|l| l.served != Timestamp(0));
         self.check();
     }
 
@@ -618,7 +618,7 @@
                 }
                 let lost = self.on("peers").is_some();
                 for l in self.leaders.iter_mut().filter(|l| !lost && l.no_peers <= now) {
-                    l.s.job_ended(now, &job, End::Aborted);
+                    l.s.job_ended(now, &job, JobEnd::Cancelled);
                 }
             }
         }
@@ -729,7 +729,7 @@
         if served {
             l.served = now;
             if now >= l.hears_at {
-                l.hears_at = now + Span::millis(300);
+                l.hears_at = now + TimeDelta::from_millis(300);
                 l.known = now;
                 let wall = world::WALL + (now.0 - START.0);
                 for key_value in self.store.key_values(keys::TODO) {
@@ -744,13 +744,13 @@
                 }
             }
         } else if peers && now >= l.no_peers {
-            l.known = l.known.max(now - Span::secs(1));
+            l.known = l.known.max(now - TimeDelta::from_secs(1));
         }
         l.s.cancellations_known_until = l.known;
-        l.s.holds_lease = now.since(l.served) < Span::millis(2_400);
+        l.s.holds_lease = now.since(l.served) < TimeDelta::from_millis(2_400);
         l.s.tick(now);
         l.s.autoscale(now);
-        let shared = l.s.sharing.is_on();
+        let shared = l.s.fair_share.is_active();
         if shared {
             *self.seen.entry("an overload shared").or_default() += 1;
         }
@@ -770,7 +770,7 @@
                     } else {
                         CloudMachineState::Booting
                     },
-                    age_s: now.since(m.up_at).as_secs(),
+                    age_s: now.since(m.up_at).as_secs_f64(),
                 })
                 .collect();
             l.s.machine_list(now, &list);
@@ -790,9 +790,9 @@
                 let cache_entry = self.store.keys.get(keys::LEADER).map_or(0, |k| k.1);
                 let down = matches!(command, Command::StepDown(_));
                 if served && (down || cache_entry != term) {
-                    self.leaders[i].served = Time(0);
+                    self.leaders[i].served = Timestamp(0);
                     if cache_entry == term {
-                        self.elect_at.get_or_insert(self.now + Span::millis(500));
+                        self.elect_at.get_or_insert(self.now + TimeDelta::from_millis(500));
                     }
                 }
             }
@@ -802,7 +802,7 @@
                 if !served {
                     return self.events.push(answer(soon, TransactionOutcome::Rejected));
                 }
-                let never = self.now + Span::millis(900);
+                let never = self.now + TimeDelta::from_millis(900);
                 if self.on("late").is_some_and(|share| self.chance(share)) {
                     let at = self.in_ms(2_000, 12_000);
                     self.events.push((at, Event::Late(transaction)));
@@ -824,7 +824,7 @@
             Command::SendToWorker { machine, token, agent_epoch, calls, .. } => {
                 let name = self.leaders[i].s.machines[machine as usize].name.clone();
                 let answer = |at, outcome| (at, Event::Direct { term, machine, outcome });
-                let late = self.now + Span::secs(2);
+                let late = self.now + TimeDelta::from_secs(2);
                 let now = self.now;
                 let held = self.on("hold").is_some_and(|share| self.chance(share));
                 let held_until = self.in_ms(2_500, 9_000);
@@ -843,7 +843,7 @@
                 let heartbeat = m.worker.direct(token, agent_epoch, &calls);
                 if !calls.is_empty() {
                     // A change of its tasks is reported, within half a second.
-                    m.report_at = m.report_at.min(now + Span::millis(500));
+                    m.report_at = m.report_at.min(now + TimeDelta::from_millis(500));
                 }
                 let outcome = MessageOutcome::Answered(Box::new(heartbeat));
                 self.events.push(answer(soon, outcome));
@@ -858,7 +858,7 @@
                     if now < self.boots {
                         self.saw("up within two seconds");
                     }
-                    names.push(self.boot(&zone, now + Span::millis(ms)));
+                    names.push(self.boot(&zone, now + TimeDelta::from_millis(ms)));
                 }
                 self.leaders[i].s.scale_out_answered(now, &kind, &zone, spot, count, Ok(names));
             }
@@ -893,7 +893,7 @@
                 }
             }
         }
-        let at = self.now.since(START).as_secs();
+        let at = self.now.since(START).as_secs_f64();
         let what = format!("{} at {at:.1} s", self.what);
         for (task, machines) in &places {
             assert_eq!(machines.len(), 1, "ran_twice, {what}: {task} on {machines:?}");
@@ -922,8 +922,11 @@
         let mut script: Vec<(u64, Trouble)> = script.to_vec();
         script.sort_by_key(|s| s.0);
         let mut script = script.into_iter().peekable();
-        while self.now.since(START) < Span::secs(for_s) {
-            while script.peek().is_some_and(|s| Span::millis(s.0) <= self.now.since(START)) {
+        while self.now.since(START) < TimeDelta::from_secs(for_s) {
+            while script
+                .peek()
+                .is_some_and(|s| TimeDelta::from_millis(s.0) <= self.now.since(START))
+            {
                 let (_, trouble) = script.next().expect("a trouble");
                 self.trouble(trouble);
             }
--- a/crates/scheduler/tests/task_starts.rs
+++ b/crates/scheduler/tests/task_starts.rs
@@ -4,7 +4,7 @@
 
 use serde_json::json;
 use walnutlug_scheduler::model::job::keys;
-use walnutlug_scheduler::model::task::Phase;
+use walnutlug_scheduler::model::task::TaskPhase;
 use walnutlug_scheduler::protocol::{CloudMachineState, ListedMachine, WorkerCommand};
 use walnutlug_scheduler::scheduler::{Command, MachineState, MessageOutcome, TransactionOutcome};
 use world::{one_machine, spec, World};
@@ -61,13 +61,13 @@
     let (name, (machine, token, agent_epoch, calls)) = w.start_under_way(JOB);
     w.heartbeat(&name);
     w.settle();
-    assert_eq!(w.phase(JOB, 0), Phase::Dispatching);
+    assert_eq!(w.phase(JOB, 0), TaskPhase::Dispatching);
     assert!(w.places().is_empty());
     // It arrives late after all: still the only copy.
     w.deliver(machine, token, agent_epoch, &calls);
     w.settle();
     assert_eq!(w.places().len(), 1);
-    assert_eq!(w.phase(JOB, 0), Phase::Running);
+    assert_eq!(w.phase(JOB, 0), TaskPhase::Running);
 }
 
 /// The answer is lost. A raised fence makes the worker refuse the old message, and only a report
@@ -103,7 +103,7 @@
     w.leader.machines[0].fencing_counter += 1;
     w.heartbeat("n-1");
     w.heartbeat("n-1");
-    assert_eq!((w.phase(JOB, 0), w.attempt(JOB, 0)), (Phase::Dispatching, 1));
+    assert_eq!((w.phase(JOB, 0), w.attempt(JOB, 0)), (TaskPhase::Dispatching, 1));
     w.settle();
     assert_eq!(w.places().len(), 1);
     assert_eq!(w.attempt(JOB, 0), 1);
@@ -129,7 +129,7 @@
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
     let (_, (machine, ..)) = w.start_under_way(JOB);
     w.leader.message_answered(w.now, machine, MessageOutcome::NotSent);
-    assert_eq!((w.phase(JOB, 0), w.attempt(JOB, 0)), (Phase::Pending, 2));
+    assert_eq!((w.phase(JOB, 0), w.attempt(JOB, 0)), (TaskPhase::Pending, 2));
     w.settle();
     assert_eq!(w.places().len(), 1);
 }
@@ -143,9 +143,9 @@
     w.workers.get_mut(&name).expect("worker").alive = false;
     w.leader.machine_gone(w.now, &name);
     w.settle();
-    assert_eq!((w.phase(JOB, 0), w.attempt(JOB, 0)), (Phase::Running, 2));
+    assert_eq!((w.phase(JOB, 0), w.attempt(JOB, 0)), (TaskPhase::Running, 2));
     w.leader.message_answered(w.now, machine, MessageOutcome::NotSent);
-    assert_eq!((w.phase(JOB, 0), w.attempt(JOB, 0)), (Phase::Running, 2));
+    assert_eq!((w.phase(JOB, 0), w.attempt(JOB, 0)), (TaskPhase::Running, 2));
 }
 
 #[test]
@@ -158,7 +158,7 @@
         w.wait(1_000);
         w.settle();
     }
-    assert_eq!((w.phase(JOB, 0), w.attempt(JOB, 0)), (Phase::Unknown, 1));
+    assert_eq!((w.phase(JOB, 0), w.attempt(JOB, 0)), (TaskPhase::Unknown, 1));
 }
 
 #[test]
@@ -181,7 +181,7 @@
     w.leader.scale_in_answered(w.now, std::slice::from_ref(&machine), false);
     assert_eq!(w.attempt(JOB, 0), 1, "an unanswered return is no proof");
     w.leader.scale_in_answered(w.now, std::slice::from_ref(&machine), true);
-    assert_eq!((w.phase(JOB, 0), w.attempt(JOB, 0)), (Phase::Pending, 2));
+    assert_eq!((w.phase(JOB, 0), w.attempt(JOB, 0)), (TaskPhase::Pending, 2));
 }
 
 #[test]
@@ -250,10 +250,10 @@
     let old = w.workers.get_mut("n-1").expect("worker").heartbeat();
     w.finish("n-1", &format!("{JOB}/0"));
     w.heartbeat("n-1");
-    assert_eq!(w.phase(JOB, 0), Phase::Done);
+    assert_eq!(w.phase(JOB, 0), TaskPhase::Done);
     w.leader.heartbeat(w.now, &old);
-    assert_eq!(w.phase(JOB, 0), Phase::Done);
-    assert_eq!(w.phase(JOB, 1), Phase::Running);
+    assert_eq!(w.phase(JOB, 0), TaskPhase::Done);
+    assert_eq!(w.phase(JOB, 1), TaskPhase::Running);
 }
 
 #[test]
@@ -300,7 +300,7 @@
     assert_eq!(w.end(JOB), Some(&json!("aborted")));
     w.all_report();
     w.settle();
-    assert!(w.leader.by_ref.is_empty());
+    assert!(w.leader.jobs_by_name.is_empty());
 }
 
 #[test]
@@ -440,7 +440,7 @@
                 w.leader.transaction_answered(w.now, id, TransactionOutcome::Rejected);
             }
         }
-        assert_eq!(w.phase(JOB, 0), Phase::Pending);
+        assert_eq!(w.phase(JOB, 0), TaskPhase::Pending);
         w.heartbeat("n-1");
     }
     w.wait(500);
@@ -523,7 +523,7 @@
     }
     let machines = &w.leader.machines;
     assert!(machines.iter().all(|m| m.state == MachineState::Up && m.draining.is_none()));
-    let job = w.leader.job(w.leader.by_ref[JOB]).expect("job");
+    let job = w.leader.job(w.leader.jobs_by_name[JOB]).expect("job");
     let tries = job.tasks.iter().map(|t| t.attempt).max();
     assert!(tries < Some(12), "tried at growing intervals, not {tries:?} times in 80 s");
 }
@@ -581,7 +581,7 @@
     let outcome = w.store.apply(&transaction);
     w.leader.transaction_answered(w.now, id, outcome);
     let task = format!("{JOB}/0");
-    let ix = w.leader.by_ref[JOB];
+    let ix = w.leader.jobs_by_name[JOB];
     let planned = w.leader.job(ix).expect("job").tasks[0].machine;
     let planned = w.leader.machines[planned as usize].name.clone();
     let other = if planned == "n-1" { "n-2" } else { "n-1" };
--- a/crates/scheduler/tests/transcripts/scripts.rs
+++ b/crates/scheduler/tests/transcripts/scripts.rs
@@ -5,14 +5,14 @@
 use std::rc::Rc;
 
 use serde_json::json;
-use walnutlug_scheduler::leadership::election::{Input, Leadership, Role};
+use walnutlug_scheduler::leadership::election::{ElectionEvent, Leadership, Role};
 use walnutlug_scheduler::leadership::watermark::{CancellationLog, Watermark};
-use walnutlug_scheduler::model::job::{keys, End, JobSpec, Rank, Team};
+use walnutlug_scheduler::model::job::{keys, JobEnd, JobSpec, Priority, Team};
 use walnutlug_scheduler::protocol::{
     CloudMachineState, ExitReason, KeyValue, ListedMachine, TaskState,
 };
 use walnutlug_scheduler::scheduler::{Command, MessageOutcome, TransactionOutcome};
-use walnutlug_scheduler::time::{Span, Time};
+use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 use walnutlug_scheduler::tunables::{Objective, Site};
 
 use crate::world::golden::Dice;
@@ -102,11 +102,11 @@
     for round in 0..60 {
         if round % 4 == 0 && round < 40 {
             let tasks = 1 + dice.below(14) as u32;
-            let rank = [Rank::Low, Rank::Normal, Rank::High][dice.below(3)];
+            let priority = [Priority::Low, Priority::Normal, Priority::High][dice.below(3)];
             let team = ["one", "capped"][dice.below(2)].to_owned();
             let zone = dice.chance(20).then(|| "b".to_owned());
             let (one_zone, spread) = [(false, false), (true, false), (false, true)][dice.below(3)];
-            let job = JobSpec { rank, team, zone, one_zone, spread, ..spec(tasks) };
+            let job = JobSpec { priority, team, zone, one_zone, spread, ..spec(tasks) };
             world.submit(&job_name(round), &job);
         }
         for _ in 0..3 {
@@ -125,7 +125,7 @@
 pub fn chains() {
     let mut world = fleet_of(site(), 4);
     let mut dice = Dice::new(2);
-    let needs = |names: &[usize]| names.iter().map(|&n| job_name(n)).collect::<Vec<_>>();
+    let dependencies = |names: &[usize]| names.iter().map(|&n| job_name(n)).collect::<Vec<_>>();
     for index in 0..40usize {
         let needed: Vec<usize> = match index % 8 {
             0 => vec![],
@@ -135,9 +135,14 @@
             5 => vec![index - 5, 900 + index],
             _ => vec![index - 1, index - 1],
         };
-        let rank = if index % 8 == 7 { Rank::High } else { Rank::Low };
+        let priority = if index % 8 == 7 { Priority::High } else { Priority::Low };
         let deadline_s = (index % 3 == 0).then_some(40.0);
-        let job = JobSpec { needs: needs(&needed), rank, deadline_s, ..spec(1 + index as u32 % 3) };
+        let job = JobSpec {
+            dependencies: dependencies(&needed),
+            priority,
+            deadline_s,
+            ..spec(1 + index as u32 % 3)
+        };
         world.submit(&job_name(index), &job);
     }
     for round in 0..70 {
@@ -154,7 +159,7 @@
         }
         if round == 50 {
             world.store.put(&keys::end(&job_name(905)), json!("done"));
-            world.leader.job_ended(world.now, &job_name(905), End::Done);
+            world.leader.job_ended(world.now, &job_name(905), JobEnd::Done);
         }
         world.all_report();
         world.wait(700);
@@ -236,12 +241,13 @@
     let mut dice = Dice::new(5);
     for step in 0..160usize {
         if step % 2 == 0 && step < 120 {
-            let rank = [Rank::Normal, Rank::High, Rank::Low, Rank::Prod][step / 2 % 4];
+            let priority =
+                [Priority::Normal, Priority::High, Priority::Low, Priority::Prod][step / 2 % 4];
             let cpus = [1.0, 2.0, 4.0, 8.0][dice.below(4)];
             let team = ["one", "two"][step / 2 % 2].to_owned();
             let (checkpoint_s, save_s) = if dice.chance(30) { (3.0, 1.0) } else { (0.0, 0.0) };
             let job = JobSpec {
-                rank,
+                priority,
                 cpus,
                 team,
                 checkpoint_s,
@@ -274,21 +280,21 @@
     let mut dice = Dice::new(6);
     let mut shared = 0;
     for second in 0..70usize {
-        let job = |team: &str, class: &str, rank| JobSpec {
+        let job = |team: &str, class: &str, priority| JobSpec {
             team: team.into(),
             class: class.into(),
-            rank,
+            priority,
             estimate_s: 5.0,
             deadline_s: Some(12.0),
             ..spec(8)
         };
         for index in 0..5 {
-            world.submit(&job_name(10 * second + index), &job("one", "flood", Rank::High));
+            world.submit(&job_name(10 * second + index), &job("one", "flood", Priority::High));
         }
         if second % 5 == 4 {
             for (index, team) in ["two", "capped", "free"].into_iter().enumerate() {
                 let class = ["fix", "sheets"][dice.below(2)];
-                let job = JobSpec { cpus: 3.0, ..job(team, class, Rank::Normal) };
+                let job = JobSpec { cpus: 3.0, ..job(team, class, Priority::Normal) };
                 world.submit(&job_name(10 * second + 5 + index), &job);
             }
         }
@@ -305,7 +311,7 @@
             world.autoscale();
             world.carry_out();
         }
-        shared += u64::from(world.leader.sharing.is_on());
+        shared += u64::from(world.leader.fair_share.is_active());
     }
     transcript::count("seconds with an overload shared", shared);
     assert!(shared > 10, "the flood is an overload");
@@ -314,7 +320,7 @@
 /// The cloud of a script: machines come after a while, or not at all, and go.
 struct Cloud {
     next: usize,
-    coming: Vec<(Time, Worker)>,
+    coming: Vec<(Timestamp, Worker)>,
     listed: BTreeMap<String, (bool, String, CloudMachineState)>,
 }
 
@@ -356,13 +362,13 @@
         world.carry_out();
     }
 
-    fn scale_out(&mut self, now: Time, zone: &str, spot: bool, count: u32) -> Vec<String> {
+    fn scale_out(&mut self, now: Timestamp, zone: &str, spot: bool, count: u32) -> Vec<String> {
         let mut names = Vec::new();
         for _ in 0..count {
             self.next += 1;
             let name = format!("x-{:03}", self.next);
             let worker = Worker { spot, ..Worker::new(&name, zone) };
-            self.coming.push((now + Span::secs(5), worker));
+            self.coming.push((now + TimeDelta::from_secs(5), worker));
             self.listed.insert(name.clone(), (spot, zone.to_owned(), CloudMachineState::Booting));
             names.push(name);
         }
@@ -417,7 +423,7 @@
 /// The fleet grows with the work and shrinks after it, in two zones, on spot and ordinary machines, with
 /// notices, failures, refusals, an objective, and a change of the leader.
 pub fn scale_out_and_in() {
-    let within = Span::secs(3);
+    let within = TimeDelta::from_secs(3);
     let objectives = vec![Objective::Wait { class: "quick".into(), within }];
     let mut world = fleet_of(Site { objectives, ..site() }, 2);
     let mut dice = Dice::new(7);
@@ -427,7 +433,7 @@
             let quick = dice.chance(30);
             let job = JobSpec {
                 class: if quick { "quick" } else { "c" }.into(),
-                rank: if quick { Rank::High } else { Rank::Normal },
+                priority: if quick { Priority::High } else { Priority::Normal },
                 cpus: [1.0, 2.0, 8.0][dice.below(3)],
                 spot: dice.chance(70),
                 zone: dice.chance(20).then(|| "b".to_owned()),
@@ -537,7 +543,7 @@
     world.all_report();
     world.run_out();
     world.submit_in_chunks(&job_name(11), &spec(3), 168);
-    world.submit(&job_name(12), &JobSpec { needs: vec![job_name(11)], ..spec(3) });
+    world.submit(&job_name(12), &JobSpec { dependencies: vec![job_name(11)], ..spec(3) });
     for turn in 0..8 {
         world.take_over_as(turn % 3 != 2);
         world.all_report();
@@ -596,27 +602,27 @@
     let mut leadership = Leadership::default();
     let mut log = CancellationLog::new(&site());
     let mut watermark = Watermark::new(["p".to_owned(), "q".to_owned()]);
-    let mut now = Time(1 << 40);
+    let mut now = Timestamp(1 << 40);
     for step in 0..1_500u64 {
         transcript::next_step();
-        now = now + Span::millis(dice.below(900) as u64);
+        now = now + TimeDelta::from_millis(dice.below(900) as u64);
         let term = 1 + dice.below(3) as u64;
         let changed = match dice.below(7) {
-            0 => leadership.step(now, Input::Vacant),
-            1 => leadership.step(now, Input::Won { term }),
-            2 => leadership.step(now, Input::Failed),
-            3 | 4 => leadership.step(now, Input::Loaded { term }),
-            5 => leadership.step(now, Input::Lost),
+            0 => leadership.step(now, ElectionEvent::Vacant),
+            1 => leadership.step(now, ElectionEvent::Won { term }),
+            2 => leadership.step(now, ElectionEvent::Failed),
+            3 | 4 => leadership.step(now, ElectionEvent::Loaded { term }),
+            5 => leadership.step(now, ElectionEvent::Lost),
             _ => {
-                leadership.stand_aside(now, Span::secs(2));
+                leadership.back_off(now, TimeDelta::from_secs(2));
                 false
             }
         };
         let role = match leadership.role() {
-            Role::Following => "follows".to_owned(),
-            Role::Standing => "campaigns".to_owned(),
+            Role::Follower => "follows".to_owned(),
+            Role::Candidate => "campaigns".to_owned(),
             Role::Loading { term } => format!("loads {term}"),
-            Role::Leading { term } => format!("leads {term}"),
+            Role::Leader { term } => format!("leads {term}"),
         };
         transcript::line("role", &format!("{role} changed={changed}"));
         let node = ["p", "q"][dice.below(2)];
@@ -653,9 +659,9 @@
 pub fn unshared_flood() {
     let teams = vec![team("one", 0.0, 0.0), team("two", 0.0, 0.0)];
     let mut world = fleet_of(Site { teams, ..site() }, 6);
-    let mut tunables = (*world.leader.tun).clone();
+    let mut tunables = (*world.leader.tunables).clone();
     tunables.shared_order = false;
-    world.leader.tun = Rc::new(tunables);
+    world.leader.tunables = Rc::new(tunables);
     world.leader.autoscaler.listed = true;
     let mut dice = Dice::new(12);
     for second in 0..40usize {
@@ -682,14 +688,15 @@
         if round < 50 && round % 2 == 0 {
             let steps = 1 + dice.below(4);
             for step in 0..steps {
-                let needs = if step == 0 { Vec::new() } else { vec![job_name(last)] };
+                let dependencies = if step == 0 { Vec::new() } else { vec![job_name(last)] };
                 let ends = step + 1 == steps;
                 let deadline_s = ends.then(|| 20.0 + dice.below(120) as f64);
-                let rank = if ends && dice.chance(15) { Rank::High } else { Rank::Normal };
+                let priority =
+                    if ends && dice.chance(15) { Priority::High } else { Priority::Normal };
                 let estimate_s = 4.0 + dice.below(9) as f64;
                 let tasks = 1 + dice.below(3) as u32;
                 last += 1;
-                let job = JobSpec { needs, rank, deadline_s, estimate_s, ..spec(tasks) };
+                let job = JobSpec { dependencies, priority, deadline_s, estimate_s, ..spec(tasks) };
                 world.submit(&job_name(last), &job);
             }
         }
@@ -707,14 +714,16 @@
 
 /// Classes that have to start or finish within a time crowd a small fleet.
 pub fn objectives() {
-    let wait =
-        |class: &str, within| Objective::Wait { class: class.into(), within: Span::secs(within) };
+    let wait = |class: &str, within| Objective::Wait {
+        class: class.into(),
+        within: TimeDelta::from_secs(within),
+    };
     let objectives = vec![
         wait("quick", 2),
         wait("quick", 9),
         wait("soon", 5),
         Objective::Deadline { class: "c".into(), times: 2.0 },
-        Objective::Finished { class: "soon".into(), within: Span::secs(40) },
+        Objective::Finished { class: "soon".into(), within: TimeDelta::from_secs(40) },
     ];
     let mut world = fleet_of(Site { objectives, ..site() }, 3);
     let mut dice = Dice::new(14);
@@ -722,10 +731,15 @@
         if round < 120 {
             let class = ["quick", "soon", "c"][dice.below(3)].to_owned();
             let deadline_s = dice.chance(40).then(|| 5.0 + dice.below(60) as f64);
-            let rank = [Rank::Normal, Rank::High][usize::from(dice.chance(20))];
+            let priority = [Priority::Normal, Priority::High][usize::from(dice.chance(20))];
             let estimate_s = 1.0 + dice.below(12) as f64;
-            let job =
-                JobSpec { class, deadline_s, rank, estimate_s, ..spec(1 + dice.below(6) as u32) };
+            let job = JobSpec {
+                class,
+                deadline_s,
+                priority,
+                estimate_s,
+                ..spec(1 + dice.below(6) as u32)
+            };
             world.submit(&job_name(round), &job);
         }
         some_tasks_end(&mut world, &mut dice, 22, &[ExitReason::Done]);
--- a/crates/scheduler/tests/untrusted_reports.rs
+++ b/crates/scheduler/tests/untrusted_reports.rs
@@ -4,8 +4,8 @@
 mod world;
 
 use walnutlug_scheduler::leadership::election::token;
-use walnutlug_scheduler::model::job::{JobSpec, Rank};
-use walnutlug_scheduler::model::task::Phase;
+use walnutlug_scheduler::model::job::{JobSpec, Priority};
+use walnutlug_scheduler::model::task::TaskPhase;
 use walnutlug_scheduler::protocol::Heartbeat;
 use walnutlug_scheduler::scheduler::{Command, MachineState, MessageOutcome, Scheduler};
 use world::{spec, Worker, World};
@@ -65,7 +65,7 @@
     let mut w = World::new(&[("n-1", "a")]);
     w.submit(JOB, &spec(1));
     w.settle();
-    assert_eq!(w.phase(JOB, 0), Phase::Running);
+    assert_eq!(w.phase(JOB, 0), TaskPhase::Running);
     // Its lease runs out although its reports arrive: it hears no answer.
     w.workers.get_mut("n-1").expect("worker").lease_ends();
     let heartbeat = report_of(&mut w, "n-1");
@@ -288,7 +288,7 @@
             let runs = if task.starts_with(JOB) { 60 } else { 5 + index };
             let since = *began.entry(task.clone()).or_insert(now);
             if task.starts_with(JOB) && now - since >= 40 {
-                first.get_or_insert(w.now.since(accepted).as_secs());
+                first.get_or_insert(w.now.since(accepted).as_secs_f64());
             }
             if now >= since + runs {
                 w.finish(&machines[0], &task);
@@ -302,7 +302,7 @@
 /// More high-priority work than the fleet can ever do.
 fn overload(w: &mut World, second: u64) {
     let name = format!("req-9{second:05}");
-    w.submit(&name, &JobSpec { rank: Rank::High, deadline_s: Some(30.0), ..spec(6) });
+    w.submit(&name, &JobSpec { priority: Priority::High, deadline_s: Some(30.0), ..spec(6) });
 }
 
 fn play_second(w: &mut World, runs_s: u64, began: &mut std::collections::BTreeMap<String, u64>) {
@@ -326,14 +326,15 @@
         overload(&mut w, second);
     }
     w.settle();
-    w.submit(JOB, &JobSpec { rank: Rank::Low, cpus: 2.0, ..spec(12) });
+    w.submit(JOB, &JobSpec { priority: Priority::Low, cpus: 2.0, ..spec(12) });
     let accepted = w.now;
-    let begun = |s: &Scheduler| s.by_ref.get(JOB).and_then(|&ix| s.job(ix)).map(|j| j.begun);
+    let begun =
+        |s: &Scheduler| s.jobs_by_name.get(JOB).and_then(|&ix| s.job(ix)).map(|j| j.has_started);
     let (mut first, mut done) = (None, None);
     for second in 10..900 {
         overload(&mut w, second);
         play_second(&mut w, 8, &mut began);
-        let age = w.now.since(accepted).as_secs();
+        let age = w.now.since(accepted).as_secs_f64();
         if begun(&w.leader) == Some(true) {
             first.get_or_insert(age);
         }
--- a/crates/scheduler/tests/version_compatibility.rs
+++ b/crates/scheduler/tests/version_compatibility.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 
 use serde_json::{json, Value};
-use walnutlug_scheduler::model::job::{keys, JobSpec, Rank};
-use walnutlug_scheduler::model::task::Phase;
+use walnutlug_scheduler::model::job::{keys, JobSpec, Priority};
+use walnutlug_scheduler::model::task::TaskPhase;
 use walnutlug_scheduler::protocol::KeyValue;
 use walnutlug_scheduler::storage::records::{chunk_size, description_record};
 use world::{spec, World};
@@ -40,12 +40,12 @@
         worker.tasks.insert((task.to_owned(), 1), running);
     }
     w.take_over();
-    let phases: Vec<Phase> = (0..5).map(|i| w.phase("req-000001", i)).collect();
-    let there = Phase::Dispatching;
-    assert_eq!(phases, [Phase::Done, Phase::Done, there, there, there]);
-    let job = w.leader.job(w.leader.by_ref["req-000002"]).expect("job");
-    assert_eq!((job.spec.zone.as_deref(), job.spec.rank), (Some("a"), Rank::Normal));
-    assert!(job.spec.needs.is_empty() && !job.held());
+    let phases: Vec<TaskPhase> = (0..5).map(|i| w.phase("req-000001", i)).collect();
+    let there = TaskPhase::Dispatching;
+    assert_eq!(phases, [TaskPhase::Done, TaskPhase::Done, there, there, there]);
+    let job = w.leader.job(w.leader.jobs_by_name["req-000002"]).expect("job");
+    assert_eq!((job.spec.zone.as_deref(), job.spec.priority), (Some("a"), Priority::Normal));
+    assert!(job.spec.dependencies.is_empty() && !job.is_blocked());
     w.all_report();
     w.run_out();
     for job in ["req-000001", "req-000002"] {
@@ -120,9 +120,9 @@
 #[test]
 fn the_lead_goes_to_and_fro_between_the_versions() {
     let mut w = World::new(&[("n-000001", "a"), ("n-000002", "b")]);
-    let needs = |names: &[&str]| names.iter().map(|n| (*n).to_owned()).collect::<Vec<_>>();
+    let dependencies = |names: &[&str]| names.iter().map(|n| (*n).to_owned()).collect::<Vec<_>>();
     w.submit_in_chunks("req-000001", &spec(3), 168);
-    w.submit("req-000002", &JobSpec { needs: needs(&["req-000001"]), ..spec(3) });
+    w.submit("req-000002", &JobSpec { dependencies: dependencies(&["req-000001"]), ..spec(3) });
     w.settle();
     for turn in 0..8 {
         w.take_over_as(turn % 3 != 2);
--- a/crates/scheduler/tests/world/mod.rs
+++ b/crates/scheduler/tests/world/mod.rs
@@ -7,15 +7,15 @@
 
 use serde_json::{json, Value};
 use walnutlug_scheduler::leadership::election::token;
-use walnutlug_scheduler::model::job::{keys, End, JobSpec, Rank, Team};
+use walnutlug_scheduler::model::job::{keys, JobEnd, JobSpec, Priority, Team};
 use walnutlug_scheduler::protocol::{
     ExitReason, Heartbeat, KeyValue, MachineType, Operation, TaskState, TaskStatus, Transaction,
     WorkerCommand,
 };
-use walnutlug_scheduler::queue::dependencies::Found;
+use walnutlug_scheduler::queue::dependencies::JobEndLookup;
 use walnutlug_scheduler::scheduler::{Command, MessageOutcome, Scheduler, TransactionOutcome};
 use walnutlug_scheduler::storage::records::{chunk_size, description_record};
-use walnutlug_scheduler::time::{Span, Time};
+use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 use walnutlug_scheduler::tunables::{Site, Tunables};
 
 #[path = "../transcripts/golden.rs"]
@@ -91,11 +91,13 @@
     }
 
     /// How the jobs stand, for a leader that asks.
-    pub fn ends(&self, names: &[String]) -> Vec<(String, Found)> {
+    pub fn ends(&self, names: &[String]) -> Vec<(String, JobEndLookup)> {
         let find = |name: &String| match self.keys.get(&keys::end(name)) {
-            Some((end, _)) => Found::Ended(serde_json::from_value(end.clone()).expect("an end")),
-            None if self.keys.contains_key(&keys::job(name)) => Found::Open,
-            None => Found::Missing,
+            Some((end, _)) => {
+                JobEndLookup::Ended(serde_json::from_value(end.clone()).expect("an end"))
+            }
+            None if self.keys.contains_key(&keys::job(name)) => JobEndLookup::Open,
+            None => JobEndLookup::Missing,
         };
         names.iter().map(|n| (n.clone(), find(n))).collect()
     }
@@ -232,7 +234,7 @@
     JobSpec {
         class: "c".into(),
         team: "one".into(),
-        rank: Rank::Normal,
+        priority: Priority::Normal,
         tasks,
         cpus: 2.0,
         gpus: 0.0,
@@ -248,7 +250,7 @@
         checkpoint_s: 0.0,
         save_s: 0.0,
         deadline_s: Some(100.0),
-        needs: Vec::new(),
+        dependencies: Vec::new(),
     }
 }
 
@@ -263,12 +265,12 @@
             Team { name: "capped".into(), cpus: 0.0, cpus_max: 4.0, gpus: 0.0, gpus_max: 0.0 },
         ],
         objectives: Vec::new(),
-        heartbeat_interval: Span::secs(3),
-        worker_lease: Span::secs(20),
-        cancel_within: Span::secs(40),
+        heartbeat_interval: TimeDelta::from_secs(3),
+        worker_lease: TimeDelta::from_secs(20),
+        cancel_within: TimeDelta::from_secs(40),
         value_bytes: 4096,
         txn_ops: 12,
-        list_lag: Span::secs(4),
+        list_lag: TimeDelta::from_secs(4),
         most_messages: 300,
     }
 }
@@ -290,7 +292,7 @@
 
 /// One leader with its messages, and the world around it.
 pub struct World {
-    pub now: Time,
+    pub now: Timestamp,
     pub store: Store,
     pub workers: BTreeMap<String, Worker>,
     pub leader: Scheduler,
@@ -307,7 +309,7 @@
     pub fn of(site: Site, machines: &[(&str, &str)]) -> World {
         let mut store = Store::default();
         let term = store.put(keys::LEADER, json!("first"));
-        let now = Time(START);
+        let now = Timestamp(START);
         let workers = machines.iter().map(|(n, z)| ((*n).to_owned(), Worker::new(n, z))).collect();
         let leader =
             Scheduler::new(Rc::new(site), Rc::new(Tunables::default()), term, types(), now);
@@ -332,7 +334,7 @@
     pub fn store_job(&mut self, name: &str, spec: &JobSpec, chunk: u32) -> Value {
         let value = description_record(spec, self.wall_us(), chunk);
         self.store.put(&keys::job(name), json!(1));
-        self.store.put(&keys::description(name, !spec.needs.is_empty()), value.clone());
+        self.store.put(&keys::description(name, !spec.dependencies.is_empty()), value.clone());
         value
     }
 
@@ -342,7 +344,7 @@
 
     /// Time passes in which the leader hears of every cancellation, unless it is `cut_off`.
     pub fn wait(&mut self, ms: u64) {
-        self.now = self.now + Span::millis(ms);
+        self.now = self.now + TimeDelta::from_millis(ms);
         if !self.cut_off {
             self.leader.cancellations_known_until = self.now;
         }
@@ -408,7 +410,7 @@
     /// The job has ended for its user: the end is stored, and told to the leader.
     pub fn withdraw(&mut self, job: &str) {
         self.store.put(&keys::end(job), json!("aborted"));
-        self.leader.job_ended(self.now, job, End::Aborted);
+        self.leader.job_ended(self.now, job, JobEnd::Cancelled);
     }
 
     /// The same, if nothing has ended it yet.
@@ -506,7 +508,7 @@
     /// chunks.
     pub fn take_over_as(&mut self, former: bool) -> Scheduler {
         let term = self.store.put(keys::LEADER, json!("next"));
-        let (site, tunables) = (self.leader.site.clone(), self.leader.tun.clone());
+        let (site, tunables) = (self.leader.site.clone(), self.leader.tunables.clone());
         let mut s = Scheduler::new(site, tunables, term, types(), self.now);
         for (key, (value, _)) in &self.store.keys {
             if let Some(name) = keys::described(key) {
@@ -521,7 +523,7 @@
             s.set_limits(value_bytes, ops);
         }
         // In one order, whatever that of the table: a transcript holds what comes of it.
-        let mut names: Vec<String> = s.by_ref.keys().cloned().collect();
+        let mut names: Vec<String> = s.jobs_by_name.keys().cloned().collect();
         names.sort_unstable();
         for name in names {
             if self.store.keys.contains_key(&keys::end(&name)) {
@@ -564,13 +566,13 @@
         self.store.keys.get(&keys::end(name)).map(|v| &v.0)
     }
 
-    pub fn phase(&self, name: &str, index: usize) -> walnutlug_scheduler::model::task::Phase {
-        let ix = self.leader.by_ref[name];
+    pub fn phase(&self, name: &str, index: usize) -> walnutlug_scheduler::model::task::TaskPhase {
+        let ix = self.leader.jobs_by_name[name];
         self.leader.job(ix).expect("job").tasks[index].phase
     }
 
     pub fn attempt(&self, name: &str, index: usize) -> u32 {
-        let ix = self.leader.by_ref[name];
+        let ix = self.leader.jobs_by_name[name];
         self.leader.job(ix).expect("job").tasks[index].attempt
     }
 
--- a/crates/time/src/tests.rs
+++ b/crates/time/src/tests.rs
@@ -2,9 +2,9 @@
 
 #[test]
 fn absurd_seconds_are_bounded() {
-    assert_eq!(Span::from_secs(f64::NAN), Span::ZERO);
-    assert_eq!(Span::from_secs(-3.0), Span::ZERO);
-    assert_eq!(Span::from_secs(1.5), Span::millis(1500));
-    assert_eq!(Span::from_secs(f64::INFINITY), Span::secs(1_000_000_000));
-    assert_eq!(Time(5).since(Time(9)), Span::ZERO);
+    assert_eq!(TimeDelta::from_secs_f64(f64::NAN), TimeDelta::ZERO);
+    assert_eq!(TimeDelta::from_secs_f64(-3.0), TimeDelta::ZERO);
+    assert_eq!(TimeDelta::from_secs_f64(1.5), TimeDelta::from_millis(1500));
+    assert_eq!(TimeDelta::from_secs_f64(f64::INFINITY), TimeDelta::from_secs(1_000_000_000));
+    assert_eq!(Timestamp(5).since(Timestamp(9)), TimeDelta::ZERO);
 }
