--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -17,7 +17,7 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::time::{Duration, Instant};
 use tracing::{debug, info, warn};
-use walnutlug_fencing::intent_log::Ledger;
+use walnutlug_fencing::intent_log::IntentLog;
 use walnutlug_fencing::leased_role::Epoch;
 use walnutlug_scheduler::leadership::election::{ElectionEvent, Leadership, Role};
 use walnutlug_scheduler::leadership::watermark::{CancellationLog, Watermark};
@@ -110,9 +110,9 @@
     /// Until when the leader's lease is certainly held.
     lease_until: Cell<Instant>,
     /// The outside actions of this node's time as the leader, if duties are fenced.
-    fleet: RefCell<Option<Ledger>>,
+    fleet: RefCell<Option<IntentLog>>,
     /// This node's part in reading and sharing the machine types, if duties are fenced.
-    machine_types_role: machine_types_role::TypeDuty,
+    machine_types_role: machine_types_role::MachineTypesRole,
     /// The highest term of which this node knows.
     highest_term: Cell<Option<Epoch>>,
     /// Connections from users and workers.
@@ -184,7 +184,7 @@
             stale_told: Cell::new(false),
             lease_until: Cell::new(Instant::now()),
             fleet: RefCell::default(),
-            machine_types_role: machine_types_role::TypeDuty::default(),
+            machine_types_role: machine_types_role::MachineTypesRole::default(),
             highest_term: Cell::new(None),
             open: Rc::default(),
             let_go: Cell::new(0),
--- a/crates/controller/src/node/fleet_role.rs
+++ b/crates/controller/src/node/fleet_role.rs
@@ -8,9 +8,9 @@
 use walnutlug_fencing::fence::Fence;
 use walnutlug_fencing::intent::{Action, ScaleOut, TerminatedMachine, INTENT_PREFIX};
 use walnutlug_fencing::intent_log::{
-    ActionAnswer, ActionId, Adopted, Ledger, LedgerCommand, WriteLimits,
+    ActionAnswer, ActionId, Adopted, IntentLog, IntentLogCommand, WriteLimits,
 };
-use walnutlug_fencing::leased_role::{Duty, Epoch, EpochError};
+use walnutlug_fencing::leased_role::{Epoch, EpochError, LeasedRole};
 use walnutlug_scheduler::protocol::ScaleOutRequest;
 use walnutlug_scheduler::scheduler::Scheduler;
 
@@ -44,15 +44,15 @@
     // The term guards every write, so no record of an earlier one can come after this.
     let (stored, _) = retry(node, INTENT_PREFIX).await?;
     let listed_within = node.site.list_lag.mul_f64(LISTED_AFTER_LAGS);
-    let fence = Fence::new(Duty::Fleet, epoch);
-    let mut ledger = Ledger::new(fence, write_limits(node), listed_within);
+    let fence = Fence::new(LeasedRole::Fleet, epoch);
+    let mut intent_log = IntentLog::new(fence, write_limits(node), listed_within);
     let now = node.now();
     let has_tasks = |name: &str| {
         let machine = scheduler.by_name.get(name).map(|&ix| &scheduler.machines[ix as usize]);
         machine.is_some_and(|machine| !machine.tasks.is_empty())
     };
-    let adopted = ledger.adopt(now, &stored, has_tasks);
-    tell_adopted(term, &adopted);
+    let adopted = intent_log.adopt(now, &stored, has_tasks);
+    log_adopted(term, &adopted);
     for machine in &adopted.returns {
         scheduler.adopt_scale_in(now, &machine.machine);
     }
@@ -64,7 +64,7 @@
             scale_out.count,
         );
     }
-    *node.fleet.borrow_mut() = Some(ledger);
+    *node.fleet.borrow_mut() = Some(intent_log);
     Ok(())
 }
 
@@ -80,7 +80,7 @@
     WriteLimits { value_bytes: limits.value_bytes, txn_ops: limits.txn_ops }
 }
 
-fn tell_adopted(term: u64, adopted: &Adopted) {
+fn log_adopted(term: u64, adopted: &Adopted) {
     if !adopted.scale_outs.is_empty() || !adopted.returns.is_empty() {
         let (scale_outs, returns) = (adopted.scale_outs.len(), adopted.returns.len());
         info!(term, scale_outs, returns, "settling what former holders of the fleet duty recorded");
@@ -108,7 +108,8 @@
         spot: request.spot,
         count: request.count,
     };
-    let taken = node.fleet.borrow_mut().as_mut().is_some_and(|ledger| ledger.scale_out(scale_out));
+    let taken =
+        node.fleet.borrow_mut().as_mut().is_some_and(|intent_log| intent_log.scale_out(scale_out));
     if !taken {
         scale_out_failed(node, request);
     }
@@ -143,7 +144,7 @@
     };
     let machines = machines.iter().map(with_tasks).collect();
     let mut fleet = node.fleet.borrow_mut();
-    let requests = fleet.as_mut().map_or(0, |ledger| ledger.scale_in(now, machines));
+    let requests = fleet.as_mut().map_or(0, |intent_log| intent_log.scale_in(now, machines));
     if requests == 0 {
         // Nothing new comes of it, so no answer will either.
         scheduler.scale_in_answered(now, &[], false);
@@ -155,27 +156,29 @@
 pub(super) fn advance(node: &Rc<Node>, term: u64) {
     let commands = {
         let mut fleet = node.fleet.borrow_mut();
-        let Some(ledger) = fleet.as_mut() else { return };
-        if ledger.fence().epoch().revision() != term {
+        let Some(intent_log) = fleet.as_mut() else { return };
+        if intent_log.fence().epoch().revision() != term {
             return;
         }
-        ledger.set_limits(write_limits(node));
-        ledger.tick(node.now(), holds(node, term));
-        ledger.take_commands()
+        intent_log.set_limits(write_limits(node));
+        intent_log.tick(node.now(), holds(node, term));
+        intent_log.take_commands()
     };
     for command in commands {
         match command {
-            LedgerCommand::Write { id, transaction } => {
+            IntentLogCommand::Write { id, transaction } => {
                 let node = node.clone();
                 tokio::task::spawn_local(async move {
                     let outcome = node.key_value.commit(RequestClass::Dispatch, &transaction).await;
-                    with_ledger(&node, term, |ledger| ledger.written(node.now(), id, &outcome));
+                    with_intent_log(&node, term, |intent_log| {
+                        intent_log.written(node.now(), id, &outcome)
+                    });
                 });
             }
-            LedgerCommand::Send { id, action: Action::ScaleOut(scale_out) } => {
+            IntentLogCommand::Send { id, action: Action::ScaleOut(scale_out) } => {
                 tokio::task::spawn_local(send_scale_out(node.clone(), term, id, scale_out));
             }
-            LedgerCommand::Send { id, action: Action::ScaleIn(machines) } => {
+            IntentLogCommand::Send { id, action: Action::ScaleIn(machines) } => {
                 tokio::task::spawn_local(send_scale_in(node.clone(), term, id, machines));
             }
         }
@@ -183,13 +186,14 @@
 }
 
 /// Tells the ledger of that term what happened, and carries on.
-fn with_ledger(node: &Rc<Node>, term: u64, tell: impl FnOnce(&mut Ledger)) {
+fn with_intent_log(node: &Rc<Node>, term: u64, tell: impl FnOnce(&mut IntentLog)) {
     let stopped = {
         let mut fleet = node.fleet.borrow_mut();
-        let ledger = fleet.as_mut().filter(|ledger| ledger.fence().epoch().revision() == term);
-        let Some(ledger) = ledger else { return };
-        tell(ledger);
-        ledger.stopped().map(ToString::to_string)
+        let intent_log =
+            fleet.as_mut().filter(|intent_log| intent_log.fence().epoch().revision() == term);
+        let Some(intent_log) = intent_log else { return };
+        tell(intent_log);
+        intent_log.stopped().map(ToString::to_string)
     };
     match stopped {
         Some(why) => node.step_down(&format!("the fleet duty is over: {why}")),
@@ -211,7 +215,7 @@
         Err(CloudError::Unknown) => ActionAnswer::Unknown,
     };
     let rented = answer.as_deref().unwrap_or_default();
-    with_ledger(&node, term, |ledger| ledger.answered(node.now(), id, outcome, rented));
+    with_intent_log(&node, term, |intent_log| intent_log.answered(node.now(), id, outcome, rented));
     with_scheduler(&node, term, |s, now| {
         let ScaleOut { kind, zone, spot, count, .. } = &scale_out;
         match answer {
@@ -240,7 +244,7 @@
     if outcome != ActionAnswer::Done {
         debug!("machines not returned yet: {outcome:?}");
     }
-    with_ledger(&node, term, |ledger| ledger.answered(node.now(), id, outcome, &[]));
+    with_intent_log(&node, term, |intent_log| intent_log.answered(node.now(), id, outcome, &[]));
     with_scheduler(&node, term, |s, now| {
         s.scale_in_answered(now, &names, outcome == ActionAnswer::Done);
     });
--- a/crates/controller/src/node/golden_tests.rs
+++ b/crates/controller/src/node/golden_tests.rs
@@ -23,7 +23,7 @@
 /// Long enough for an election, the reading of the records and renewals of the lease.
 const ELECTION: Duration = Duration::from_secs(4);
 /// Long enough to take the duty of the machine types and to share them.
-const DUTY: Duration = Duration::from_secs(150);
+const ROLE: Duration = Duration::from_secs(150);
 
 type JobEndLookup = Vec<(&'static str, String)>;
 
@@ -373,7 +373,7 @@
         let node = noting(&asked);
         let duty = tokio::task::spawn_local(machine_types_role::keep(node.clone()));
         let types = tokio::task::spawn_local(machine_types::keep(node.clone()));
-        tokio::time::sleep(DUTY).await;
+        tokio::time::sleep(ROLE).await;
         duty.abort();
         types.abort();
         found.push(("machine types", steady(&node, &distinct(&asked))));
--- a/crates/controller/src/node/machine_types_role.rs
+++ b/crates/controller/src/node/machine_types_role.rs
@@ -7,11 +7,11 @@
 use tokio::time::{sleep, Duration};
 use tracing::{debug, error, info, warn};
 use walnutlug_fencing::fence::{Fence, FencedWrite};
-use walnutlug_fencing::lease::{DutyLease, LeaseInput, LeaseState};
+use walnutlug_fencing::lease::{LeaseInput, LeaseState, RoleLease};
 use walnutlug_fencing::leased_role::{
-    Duty, Epoch, HolderRecord, Holding, RecordError, HOLDER_FORMAT,
+    Epoch, HeldRole, HolderRecord, LeasedRole, RecordError, HOLDER_FORMAT,
 };
-use walnutlug_fencing::role_balancer::{Balance, Standing};
+use walnutlug_fencing::role_balancer::{NodeLoad, RoleBalancer};
 use walnutlug_scheduler::model::job::keys;
 use walnutlug_scheduler::protocol::{KeyValue, MachineType, Operation};
 use walnutlug_scheduler::scheduler::TransactionOutcome;
@@ -20,36 +20,36 @@
 use super::{Node, PEER_FRESH};
 use crate::key_value_client::{KeyValueError, RequestClass};
 
-const DUTY: Duty = Duty::MachineTypes;
+const ROLE: LeasedRole = LeasedRole::MachineTypes;
 const LEASE: TimeDelta = TimeDelta::from_secs(12);
 /// How often the holder renews its lease and the others look who holds the duty.
 const LOOK_EVERY: Duration = Duration::from_secs(4);
 
 /// A node's part in the duty.
-pub(super) struct TypeDuty {
-    lease: RefCell<DutyLease>,
+pub(super) struct MachineTypesRole {
+    lease: RefCell<RoleLease>,
     /// The number of the lease in the state service, while there is one.
     lease_id: RefCell<Option<u64>>,
-    balance: RefCell<Balance>,
+    balancer: RefCell<RoleBalancer>,
     /// The epoch under which the types were shared last.
     shared: RefCell<Option<Epoch>>,
     /// The stored fault that was logged last; each is logged once.
     told: RefCell<Option<RecordError>>,
 }
 
-impl Default for TypeDuty {
-    fn default() -> TypeDuty {
-        TypeDuty {
-            lease: RefCell::new(DutyLease::new(LEASE)),
+impl Default for MachineTypesRole {
+    fn default() -> MachineTypesRole {
+        MachineTypesRole {
+            lease: RefCell::new(RoleLease::new(LEASE)),
             lease_id: RefCell::default(),
-            balance: RefCell::default(),
+            balancer: RefCell::default(),
             shared: RefCell::default(),
             told: RefCell::default(),
         }
     }
 }
 
-impl TypeDuty {
+impl MachineTypesRole {
     /// Whether this node certainly holds the duty now.
     pub(super) fn is_held(&self, now: Timestamp) -> bool {
         self.lease.borrow().permit(now).is_some()
@@ -67,16 +67,16 @@
         if !lease.step(input) {
             return;
         }
-        let duty = DUTY.name();
+        let role = ROLE.name();
         match (before, lease.state()) {
             (LeaseState::Acquiring { .. }, LeaseState::Held { epoch, .. }) => {
-                info!(duty, %epoch, "this node holds the duty");
+                info!(role, %epoch, "this node holds the duty");
             }
             (LeaseState::Held { epoch, .. }, LeaseState::Idle) => {
-                info!(duty, %epoch, "this node holds the duty no more");
+                info!(role, %epoch, "this node holds the duty no more");
             }
             (_, LeaseState::Stopped { error }) => {
-                error!(duty, "the duty stops at this node: {error}");
+                error!(role, "the duty stops at this node: {error}");
             }
             _ => {}
         }
@@ -98,37 +98,37 @@
     }
 }
 
-fn own_standing(node: &Node) -> Standing {
+fn own_load(node: &Node) -> NodeLoad {
     let leads = node.leadership.borrow().term().is_some();
-    Standing { leads, store_reachable: node.key_value.store_reachable() }
+    NodeLoad { leads, store_reachable: node.key_value.store_reachable() }
 }
 
-fn other_standings(node: &Node) -> Vec<Standing> {
+fn other_loads(node: &Node) -> Vec<NodeLoad> {
     let leader = node.other_leader();
     let states = node.peer_states.borrow();
     let fresh = states.iter().filter(|(_, state)| state.heard.elapsed() < PEER_FRESH);
-    let standing = |(name, state): (&String, &super::PeerState)| Standing {
+    let load = |(name, state): (&String, &super::PeerState)| NodeLoad {
         leads: leader.as_ref() == Some(name),
         store_reachable: state.store_reachable,
     };
-    fresh.map(standing).collect()
+    fresh.map(load).collect()
 }
 
 async fn renew(node: &Rc<Node>) {
-    let duty = &node.machine_types_role;
-    let Some(id) = *duty.lease_id.borrow() else { return };
-    let (now, own, others) = (node.now(), own_standing(node), other_standings(node));
-    if duty.balance.borrow_mut().should_hand_over(now, own, &others) {
-        info!(duty = DUTY.name(), "given up for a node that doesn't lead");
+    let role = &node.machine_types_role;
+    let Some(id) = *role.lease_id.borrow() else { return };
+    let (now, own, others) = (node.now(), own_load(node), other_loads(node));
+    if role.balancer.borrow_mut().should_hand_over(now, own, &others) {
+        info!(role = ROLE.name(), "given up for a node that doesn't lead");
         return give_up(node, id).await;
     }
     match node.key_value.touch(id).await {
-        Ok(()) => duty.step(LeaseInput::Renewed { sent: now }),
+        Ok(()) => role.step(LeaseInput::Renewed { sent: now }),
         Err(KeyValueError::Expired) => {
-            *duty.lease_id.borrow_mut() = None;
-            duty.step(LeaseInput::Ended);
+            *role.lease_id.borrow_mut() = None;
+            role.step(LeaseInput::Ended);
         }
-        Err(e) => debug!("the lease of {} is not renewed: {e}", DUTY.name()),
+        Err(e) => debug!("the lease of {} is not renewed: {e}", ROLE.name()),
     }
 }
 
@@ -140,31 +140,31 @@
 
 /// Looks who holds the duty, and takes it if nobody does.
 async fn look(node: &Rc<Node>) {
-    let duty = &node.machine_types_role;
-    match node.key_value.get(RequestClass::Watch, &DUTY.key()).await {
+    let role = &node.machine_types_role;
+    match node.key_value.get(RequestClass::Watch, &ROLE.key()).await {
         Ok(Some(key_value)) => {
-            duty.balance.borrow_mut().taken();
+            role.balancer.borrow_mut().taken();
             held_by(node, &key_value).await;
         }
         Ok(None) => {
-            let own = own_standing(node);
-            if duty.balance.borrow_mut().should_take(node.now(), own) {
+            let own = own_load(node);
+            if role.balancer.borrow_mut().should_take(node.now(), own) {
                 acquire(node).await;
             }
         }
-        Err(e) => debug!("who holds {} can't be read: {e}", DUTY.name()),
+        Err(e) => debug!("who holds {} can't be read: {e}", ROLE.name()),
     }
 }
 
 async fn held_by(node: &Rc<Node>, key_value: &KeyValue) {
     let mut names: Vec<&str> = node.settings.peers.iter().map(|peer| peer.name.as_str()).collect();
     names.push(&node.settings.node_name);
-    let holding = match Holding::read(key_value, &names) {
+    let holding = match HeldRole::read(key_value, &names) {
         Ok(holding) => holding,
         Err(fault) => {
             // Left as it is: its lease will end, or a version that can read it will see to it.
             if node.machine_types_role.told.replace(Some(fault.clone())) != Some(fault.clone()) {
-                warn!("nothing is done for the duty {}: {fault}", DUTY.name());
+                warn!("nothing is done for the duty {}: {fault}", ROLE.name());
             }
             return;
         }
@@ -178,17 +178,17 @@
 }
 
 async fn acquire(node: &Rc<Node>) {
-    let duty = &node.machine_types_role;
+    let role = &node.machine_types_role;
     let sent = node.now();
     let Ok(id) = node.key_value.lease(Duration::from_micros(LEASE.0)).await else { return };
-    duty.step(LeaseInput::Granted { sent });
+    role.step(LeaseInput::Granted { sent });
     match create_key(node, id).await {
         Some(revision) => {
-            *duty.lease_id.borrow_mut() = Some(id);
-            duty.step(LeaseInput::Won { revision });
+            *role.lease_id.borrow_mut() = Some(id);
+            role.step(LeaseInput::Won { revision });
         }
         None => {
-            duty.step(LeaseInput::Failed);
+            role.step(LeaseInput::Failed);
             // Ending the lease ends whatever a late copy of the transaction might yet create.
             let _ = node.key_value.release(id).await;
         }
@@ -203,12 +203,12 @@
         incarnation: node.election_nonce.clone(),
         lease,
     };
-    let transaction = Holding::claim(DUTY, &holder);
+    let transaction = HeldRole::claim(ROLE, &holder);
     match node.key_value.commit(RequestClass::Watch, &transaction).await {
         TransactionOutcome::Committed { revision } => Some(revision),
         TransactionOutcome::Conflict { .. } | TransactionOutcome::Indeterminate => {
-            let key_value = node.key_value.get(RequestClass::Watch, &DUTY.key()).await.ok()??;
-            let holding = Holding::read(&key_value, &[&node.settings.node_name]).ok()?;
+            let key_value = node.key_value.get(RequestClass::Watch, &ROLE.key()).await.ok()??;
+            let holding = HeldRole::read(&key_value, &[&node.settings.node_name]).ok()?;
             (holding.holder == holder).then_some(key_value.revision)
         }
         TransactionOutcome::Rejected | TransactionOutcome::TooLarge => None,
@@ -224,7 +224,7 @@
         debug!("the machine types are too long to be kept");
         return;
     }
-    let mut write = FencedWrite::new(&Fence::new(DUTY, epoch));
+    let mut write = FencedWrite::new(&Fence::new(ROLE, epoch));
     write.change(Operation::put(keys::TYPES, value));
     match node.key_value.commit(RequestClass::Watch, &write.into_transaction()).await {
         TransactionOutcome::Committed { .. } => {
--- a/crates/controller/src/node/machine_types_role/tests.rs
+++ b/crates/controller/src/node/machine_types_role/tests.rs
@@ -31,7 +31,7 @@
         // Its lease ends while it stands still, and the other takes over.
         tokio::time::advance(Duration::from_micros(LEASE.0)).await;
         assert!(!first.machine_types_role.is_held(first.now()), "it stops by itself");
-        store.remove(&DUTY.key());
+        store.remove(&ROLE.key());
         second.key_value.get(RequestClass::Watch, keys::LEADER).await.expect("an answer");
         look(&second).await;
         assert!(epoch(&second) > epoch(&first));
@@ -66,11 +66,11 @@
     for value in odd {
         let store = StandIn::default();
         let node = store.node();
-        store.put(&DUTY.key(), value.clone());
+        store.put(&ROLE.key(), value.clone());
         look(&node).await;
         assert_eq!(epoch(&node), None);
         assert!(node.machine_types_role.told.borrow().is_some(), "{value} is told");
-        assert_eq!(store.value(&DUTY.key()), Some(value.clone()), "and stays");
+        assert_eq!(store.value(&ROLE.key()), Some(value.clone()), "and stays");
     }
 }
 
@@ -85,9 +85,9 @@
             incarnation: "former".into(),
             lease: 77,
         };
-        store.put(&DUTY.key(), serde_json::to_value(&former).expect("a value"));
+        store.put(&ROLE.key(), serde_json::to_value(&former).expect("a value"));
         look(&node).await;
-        assert!(!store.holds(&DUTY.key()), "its lease is ended");
+        assert!(!store.holds(&ROLE.key()), "its lease is ended");
         node.key_value.get(RequestClass::Watch, keys::LEADER).await.expect("an answer");
         look(&node).await;
         let held = epoch(&node);
@@ -95,7 +95,7 @@
         assert!(held.is_some() && epoch(&node) == held);
         let id = node.machine_types_role.lease_id.borrow().expect("a lease");
         give_up(&node, id).await;
-        assert!(epoch(&node).is_none() && !store.holds(&DUTY.key()));
+        assert!(epoch(&node).is_none() && !store.holds(&ROLE.key()));
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
--- a/crates/controller/src/user_api/concurrent_failures_tests.rs
+++ b/crates/controller/src/user_api/concurrent_failures_tests.rs
@@ -22,13 +22,13 @@
 
 /// What all users were told, in the order of the answers' arrival.
 #[derive(Default)]
-struct Ledger {
+struct IntentLog {
     told: BTreeMap<String, Vec<(Instant, Told)>>,
     /// Answers that were held against an older one; of them, those after an end.
     compared: (u32, u32),
 }
 
-impl Ledger {
+impl IntentLog {
     /// An answer to a question that was asked at `asked` is no older than any that had come by then.
     fn note(&mut self, what: &str, job: &str, asked: Instant, told: Told) {
         let before = self.told.entry(job.to_owned()).or_default();
@@ -64,7 +64,13 @@
     Withdraw,
 }
 
-async fn ask(ledger: Rc<RefCell<Ledger>>, what: String, node: Rc<Node>, job: String, ask: Ask) {
+async fn ask(
+    intent_log: Rc<RefCell<IntentLog>>,
+    what: String,
+    node: Rc<Node>,
+    job: String,
+    ask: Ask,
+) {
     let asked = Instant::now();
     let answer = match ask {
         Ask::Submit => submit(node, submission(&job).to_string().into_bytes()).await,
@@ -83,7 +89,7 @@
         }
         other => panic!("{what}: {other:?}"),
     };
-    ledger.borrow_mut().note(&what, &job, asked, told);
+    intent_log.borrow_mut().note(&what, &job, asked, told);
 }
 
 struct Meeting {
@@ -137,7 +143,7 @@
     store.disorder(seed, m.lost, m.late);
     let mut cluster = store.cluster(3);
     let mut rng = StdRng::seed_from_u64(seed ^ 0x5eed);
-    let ledger = Rc::new(RefCell::new(Ledger::default()));
+    let intent_log = Rc::new(RefCell::new(IntentLog::default()));
     let asked = Rc::new(Cell::new(0u32));
     let began = Instant::now();
     let mut tasks = Vec::new();
@@ -151,13 +157,13 @@
         };
         for kind in kinds {
             let after = Duration::from_millis(rng.random_range(0..12));
-            let (ledger, what, node, job) =
-                (ledger.clone(), what.clone(), node(&mut rng), job.clone());
+            let (intent_log, what, node, job) =
+                (intent_log.clone(), what.clone(), node(&mut rng), job.clone());
             let asked = asked.clone();
             tasks.push(tokio::task::spawn_local(async move {
                 sleep(after).await;
                 asked.set(asked.get() + 1);
-                ask(ledger, what, node, job, kind).await;
+                ask(intent_log, what, node, job, kind).await;
             }));
         }
         // A leader finds it done: its end goes in as a leader's does, if nobody's came first.
@@ -203,19 +209,19 @@
     sleep(Duration::from_secs(15)).await;
     let (lost, late) = store.order();
     assert_eq!((lost > 0, late > 0), (m.lost > 0.0, m.late > 0.0), "{what}: no such trouble came");
-    let jobs: Vec<String> = ledger.borrow().told.keys().cloned().collect();
+    let jobs: Vec<String> = intent_log.borrow().told.keys().cloned().collect();
     for node in &cluster.nodes {
         node.key_value.probe().await; // As a node does each second.
     }
     for job in jobs {
         for node in &cluster.nodes {
-            ask(ledger.clone(), what.clone(), node.clone(), job.clone(), Ask::Poll).await;
+            ask(intent_log.clone(), what.clone(), node.clone(), job.clone(), Ask::Poll).await;
         }
-        let told = ledger.borrow().told[&job].last().expect("an answer").1;
+        let told = intent_log.borrow().told[&job].last().expect("an answer").1;
         let stored = store.holds(&keys::job(&job));
         assert_eq!(told != Told::Unknown, stored, "{what}: {job} at the end");
     }
-    let compared = ledger.borrow().compared;
+    let compared = intent_log.borrow().compared;
     assert!(compared.0 > 1_000 && compared.1 > 100, "{what}: hardly anything met: {compared:?}");
 }
 
--- a/crates/controller/tests/fencing.rs
+++ b/crates/controller/tests/fencing.rs
@@ -27,9 +27,9 @@
     assert!(
         heartbeat.intents > 0 && heartbeat.findings.rentals > 0 && heartbeat.findings.returns > 0
     );
-    assert_eq!(heartbeat.findings.uncovered(), 0, "actions of replaced holders");
+    assert_eq!(heartbeat.findings.unfenced_actions(), 0, "actions of replaced holders");
     assert_eq!(heartbeat.findings.stale_returns_under_work, 0);
     assert_eq!(heartbeat.findings.forgotten, 0, "machines that nobody returned");
     assert_eq!(heartbeat.done, heartbeat.accepted, "jobs that got lost");
-    assert!(heartbeat.ran_twice.is_empty(), "{:?}", heartbeat.ran_twice);
+    assert!(heartbeat.duplicate_executions.is_empty(), "{:?}", heartbeat.duplicate_executions);
 }
--- a/crates/controller/tests/overload.rs
+++ b/crates/controller/tests/overload.rs
@@ -23,7 +23,7 @@
     let heartbeat = runtime.expect("a runtime").block_on(run(&plan));
     println!("{heartbeat:#?}");
     assert!(heartbeat.killed > 0, "a controller was killed");
-    assert!(heartbeat.ran_twice.is_empty(), "{:?}", heartbeat.ran_twice);
+    assert!(heartbeat.duplicate_executions.is_empty(), "{:?}", heartbeat.duplicate_executions);
     for team in TEAMS {
         let told = &heartbeat.teams[team];
         assert!(told.accepted > 0, "{team}");
--- a/crates/fault-injection/src/action_checker.rs
+++ b/crates/fault-injection/src/action_checker.rs
@@ -29,7 +29,7 @@
 
 impl Findings {
     /// Requests of replaced holders that nobody stood for.
-    pub fn uncovered(&self) -> usize {
+    pub fn unfenced_actions(&self) -> usize {
         self.stale - self.stale_covered + self.late - self.late_covered
     }
 }
--- a/crates/fault-injection/src/fake_workers.rs
+++ b/crates/fault-injection/src/fake_workers.rs
@@ -58,7 +58,7 @@
 type Running = (Shared, Vec<JoinHandle<()>>);
 
 /// Starts of a task while the same task was on another machine: none may be.
-pub type Doubles = Arc<Mutex<Vec<String>>>;
+pub type DuplicateExecutions = Arc<Mutex<Vec<String>>>;
 
 /// All workers of a run.
 #[derive(Clone)]
@@ -67,7 +67,7 @@
     client: reqwest::Client,
     workers: Arc<Mutex<BTreeMap<String, Running>>>,
     run_for: Duration,
-    doubles: Doubles,
+    duplicate_executions: DuplicateExecutions,
     /// When a task of each job first started.
     first_starts: Arc<Mutex<BTreeMap<String, Instant>>>,
 }
@@ -90,14 +90,14 @@
             client: client.expect("a client"),
             workers: Arc::default(),
             run_for,
-            doubles: Arc::default(),
+            duplicate_executions: Arc::default(),
             first_starts: Arc::default(),
         }
     }
 
     /// Tasks that ran twice at once.
-    pub fn doubles(&self) -> Vec<String> {
-        lock(&self.doubles).clone()
+    pub fn duplicate_executions(&self) -> Vec<String> {
+        lock(&self.duplicate_executions).clone()
     }
 
     /// When a task of each job first started.
@@ -185,7 +185,7 @@
             match call["call"].as_str() {
                 Some("run") => {
                     if self.runs_elsewhere(worker, &task) {
-                        lock(&self.doubles).push(task);
+                        lock(&self.duplicate_executions).push(task);
                     }
                     if let Some((job, _)) = task_name(&key.0) {
                         let mut first = lock(&self.first_starts);
--- a/crates/fault-injection/src/freeze_scenario.rs
+++ b/crates/fault-injection/src/freeze_scenario.rs
@@ -49,7 +49,7 @@
     pub intents: u64,
     pub accepted: usize,
     pub done: usize,
-    pub ran_twice: Vec<String>,
+    pub duplicate_executions: Vec<String>,
     /// Times without a leader, in milliseconds.
     pub vacant_ms: Histogram<u64>,
 }
@@ -110,7 +110,7 @@
         intents: state.intents(),
         accepted: accepted.len(),
         done,
-        ran_twice: fleet.doubles(),
+        duplicate_executions: fleet.duplicate_executions(),
         vacant_ms: terms.vacant_ms.clone(),
     }
 }
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -61,14 +61,14 @@
     match play {
         Play::Freezes { script, freezes, minutes } => {
             let within = Duration::from_secs(60 * minutes);
-            tell_freezes(
+            print_freeze_report(
                 &freeze_scenario::run(&freeze_scenario::Plan { program, script, freezes, within })
                     .await,
             )
         }
         Play::Overload { script, minutes } => {
             let length = Duration::from_secs_f64(60.0 * minutes);
-            tell_overload(
+            print_overload_report(
                 &overload_scenario::run(&overload_scenario::Plan { program, script, length }).await,
             )
         }
@@ -80,9 +80,9 @@
     }
 }
 
-fn tell_overload(report: &overload_scenario::Report) -> ExitCode {
+fn print_overload_report(report: &overload_scenario::Report) -> ExitCode {
     println!("controllers killed {}, frozen {}", report.killed, report.frozen);
-    println!("tasks that ran twice at once {:?}", report.ran_twice);
+    println!("tasks that ran twice at once {:?}", report.duplicate_executions);
     let mut lost = 0;
     for (team, told) in &report.teams {
         let start = |quantile| told.start_ms.value_at_quantile(quantile);
@@ -103,28 +103,28 @@
         );
         lost += told.accepted - told.done;
     }
-    match (lost, report.ran_twice.is_empty()) {
+    match (lost, report.duplicate_executions.is_empty()) {
         (0, true) => ExitCode::SUCCESS,
         _ => ExitCode::FAILURE,
     }
 }
 
-fn tell_freezes(report: &freeze_scenario::Report) -> ExitCode {
+fn print_freeze_report(report: &freeze_scenario::Report) -> ExitCode {
     let vacant = |quantile| report.vacant_ms.value_at_quantile(quantile);
     println!("freezes {} (aimed at each point: {:?})", report.freezes, report.aimed);
     println!("terms {}, intents stored {}", report.terms, report.intents);
     println!("jobs accepted {}, done {}", report.accepted, report.done);
-    println!("tasks that ran twice at once {:?}", report.ran_twice);
+    println!("tasks that ran twice at once {:?}", report.duplicate_executions);
     println!("{:#?}", report.findings);
-    println!("uncovered actions of replaced holders {}", report.findings.uncovered());
+    println!("uncovered actions of replaced holders {}", report.findings.unfenced_actions());
     println!(
         "time without a leader: median {} ms, 99th percentile {} ms, most {} ms",
         vacant(0.5),
         vacant(0.99),
         report.vacant_ms.max()
     );
-    match report.findings.uncovered() {
-        0 if report.ran_twice.is_empty() => ExitCode::SUCCESS,
+    match report.findings.unfenced_actions() {
+        0 if report.duplicate_executions.is_empty() => ExitCode::SUCCESS,
         _ => ExitCode::FAILURE,
     }
 }
@@ -152,7 +152,7 @@
     println!("jobs to be done {}, to be aborted {}", report.done, report.aborted);
     println!("undecided requests {:?}", report.undecided);
     println!("wrong answers {:?}", report.wrong);
-    println!("tasks that ran twice at once {:?}", report.ran_twice);
+    println!("tasks that ran twice at once {:?}", report.duplicate_executions);
     let checks = report.checks();
     for (check, holds) in &checks {
         println!("{}: {check}", if *holds { "holds" } else { "FAILS" });
--- a/crates/fault-injection/src/overload_scenario.rs
+++ b/crates/fault-injection/src/overload_scenario.rs
@@ -76,7 +76,7 @@
     pub killed: usize,
     pub frozen: usize,
     pub teams: BTreeMap<&'static str, TeamReport>,
-    pub ran_twice: Vec<String>,
+    pub duplicate_executions: Vec<String>,
 }
 
 #[derive(Default)]
@@ -207,7 +207,12 @@
     let done = wind_down(&controllers.users, &tally).await;
     controllers.end();
     let teams = TEAMS.iter().map(|&team| (team, report_on(team, &tally, &fleet, done[team])));
-    Report { killed, frozen, teams: teams.collect(), ran_twice: fleet.doubles() }
+    Report {
+        killed,
+        frozen,
+        teams: teams.collect(),
+        duplicate_executions: fleet.duplicate_executions(),
+    }
 }
 
 fn clients(users: &[String], tally: &Arc<Tally>, fleet: &Fleet) -> Vec<Client> {
--- a/crates/fault-injection/src/version_scenario.rs
+++ b/crates/fault-injection/src/version_scenario.rs
@@ -67,7 +67,7 @@
     pub undecided: Vec<String>,
     /// Answers of nodes that were not as they had to be.
     pub wrong: Vec<String>,
-    pub ran_twice: Vec<String>,
+    pub duplicate_executions: Vec<String>,
 }
 
 impl Report {
@@ -81,7 +81,7 @@
             ("jobs were done, and jobs were aborted", self.done > 0 && self.aborted > 0),
             ("every request was decided", self.undecided.is_empty()),
             ("every node of both versions tells every job's end", self.wrong.is_empty()),
-            ("no task ran twice at once", self.ran_twice.is_empty()),
+            ("no task ran twice at once", self.duplicate_executions.is_empty()),
             ("each version read the other's records", read.iter().all(|both| both.least() > 0)),
         ]
     }
@@ -122,7 +122,7 @@
     let told = ask_until_ended(&user, &workload).await;
     let history = history(&state, &controllers);
     controllers.end();
-    report_on(&workload, &told, history, fleet.doubles())
+    report_on(&workload, &told, history, fleet.duplicate_executions())
 }
 
 fn history(state: &FakeKeyValueService, controllers: &Controllers) -> Elections {
@@ -221,7 +221,7 @@
     workload: &Workload,
     told: &[Stages],
     history: Elections,
-    ran_twice: Vec<String>,
+    duplicate_executions: Vec<String>,
 ) -> Report {
     let aborted = workload.aborted();
     let mut accepted_by = [0; NODES];
@@ -247,7 +247,7 @@
         done: workload.jobs.len() - aborted.len(),
         undecided: workload.undecided.clone(),
         wrong,
-        ran_twice,
+        duplicate_executions,
         history,
     }
 }
--- a/crates/fencing/src/fence.rs
+++ b/crates/fencing/src/fence.rs
@@ -2,19 +2,19 @@
 
 use walnutlug_scheduler::protocol::{Compare, Operation, Transaction};
 
-use crate::leased_role::{Duty, Epoch};
+use crate::leased_role::{Epoch, LeasedRole};
 
 /// What every write of a duty's holder is conditional on. There is none without an epoch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fence {
-    duty: Duty,
+    role: LeasedRole,
     epoch: Epoch,
 }
 
 impl Fence {
     /// The fence of the duty, held under that epoch.
-    pub fn new(duty: Duty, epoch: Epoch) -> Fence {
-        Fence { duty, epoch }
+    pub fn new(role: LeasedRole, epoch: Epoch) -> Fence {
+        Fence { role, epoch }
     }
 
     /// The epoch that the writes are fenced by.
@@ -23,17 +23,17 @@
     }
 
     /// The duty whose writes these are.
-    pub fn duty(&self) -> Duty {
-        self.duty
+    pub fn role(&self) -> LeasedRole {
+        self.role
     }
 
     fn compare(&self) -> Compare {
-        Compare { key: self.duty.key(), revision: self.epoch.revision() }
+        Compare { key: self.role.key(), revision: self.epoch.revision() }
     }
 
     /// Whether one of these failed conditions means that the duty is another's now.
     pub fn is_broken_by(&self, failed: &[String]) -> bool {
-        failed.contains(&self.duty.key())
+        failed.contains(&self.role.key())
     }
 }
 
--- a/crates/fencing/src/intent.rs
+++ b/crates/fencing/src/intent.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use walnutlug_scheduler::protocol::{KeyValue, ScaleOutRequest};
 
-use crate::leased_role::{check_format, Duty, Epoch, EpochError, RecordError};
+use crate::leased_role::{check_format, Epoch, EpochError, LeasedRole, RecordError};
 
 /// Prefix of the keys of all intents.
 pub const INTENT_PREFIX: &str = "intent/";
@@ -83,15 +83,15 @@
 }
 
 /// Where a record is kept: below the duty and the epoch that decided it.
-pub fn intent_key(duty: Duty, epoch: Epoch, number: u64) -> String {
-    format!("{INTENT_PREFIX}{}/{:020}/{number:06}", duty.name(), epoch.revision())
+pub fn intent_key(role: LeasedRole, epoch: Epoch, number: u64) -> String {
+    format!("{INTENT_PREFIX}{}/{:020}/{number:06}", role.name(), epoch.revision())
 }
 
 /// A record as it was found.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredIntent {
     /// Whose it is.
-    pub duty: Duty,
+    pub role: LeasedRole,
     /// The epoch that decided it.
     pub epoch: Epoch,
     /// What it holds.
@@ -105,7 +105,8 @@
         let unreadable = |fault: &str| RecordError::Unreadable { key: key(), fault: fault.into() };
         let place = key_value.key.strip_prefix(INTENT_PREFIX).unwrap_or_default();
         let (name, place) = place.split_once('/').unwrap_or((place, ""));
-        let duty = Duty::from_name(name).ok_or_else(|| RecordError::UnknownDuty { key: key() })?;
+        let role =
+            LeasedRole::from_name(name).ok_or_else(|| RecordError::UnknownRole { key: key() })?;
         check_format(&key_value.key, &key_value.value, INTENT_FORMAT)?;
         let epoch = place.split_once('/').and_then(|(epoch, _)| epoch.parse().ok());
         let epoch = epoch.ok_or_else(|| unreadable("its key names no epoch"))?;
@@ -113,6 +114,6 @@
             .map_err(|error: EpochError| RecordError::Epoch { key: key(), error })?;
         let record: IntentRecord = serde_json::from_value(key_value.value.clone())
             .map_err(|e| unreadable(&e.to_string()))?;
-        Ok(StoredIntent { duty, epoch, record })
+        Ok(StoredIntent { role, epoch, record })
     }
 }
--- a/crates/fencing/src/intent_log.rs
+++ b/crates/fencing/src/intent_log.rs
@@ -38,15 +38,15 @@
 
 /// What the ledger wants done.
 #[derive(Debug, Clone, PartialEq)]
-pub enum LedgerCommand {
-    /// Send the transaction and answer with [`Ledger::written`].
+pub enum IntentLogCommand {
+    /// Send the transaction and answer with [`IntentLog::written`].
     Write {
         /// Names the write.
         id: u64,
         /// What to send.
         transaction: Transaction,
     },
-    /// Check the lease, send the action, and answer with [`Ledger::answered`].
+    /// Check the lease, send the action, and answer with [`IntentLog::answered`].
     Send {
         /// Names the action.
         id: ActionId,
@@ -210,7 +210,7 @@
 
 /// The outside actions of one holding of a duty.
 #[derive(Debug)]
-pub struct Ledger {
+pub struct IntentLog {
     fence: Fence,
     limits: WriteLimits,
     /// How long after a rental its machines are on the cloud's list for certain.
@@ -225,13 +225,13 @@
     next_record: u64,
     next_write: u64,
     stopped: Option<Stopped>,
-    commands: Vec<LedgerCommand>,
+    commands: Vec<IntentLogCommand>,
 }
 
-impl Ledger {
+impl IntentLog {
     /// With nothing to do. What former holders left has to be adopted before anything else.
-    pub fn new(fence: Fence, limits: WriteLimits, listed_within: TimeDelta) -> Ledger {
-        Ledger {
+    pub fn new(fence: Fence, limits: WriteLimits, listed_within: TimeDelta) -> IntentLog {
+        IntentLog {
             fence,
             limits,
             listed_within,
@@ -263,7 +263,7 @@
     }
 
     /// What is to be done now.
-    pub fn take_commands(&mut self) -> Vec<LedgerCommand> {
+    pub fn take_commands(&mut self) -> Vec<IntentLogCommand> {
         std::mem::take(&mut self.commands)
     }
 
@@ -285,7 +285,7 @@
         let mut adopted = Adopted::default();
         for key_value in stored {
             let intent = match StoredIntent::read(key_value) {
-                Ok(intent) if intent.duty == self.fence.duty() => intent,
+                Ok(intent) if intent.role == self.fence.role() => intent,
                 Ok(_) => continue,
                 Err(fault) => {
                     adopted.faults.push(fault);
@@ -389,17 +389,17 @@
             Some(write) if write.retry_at.is_some_and(|at| now >= at) => {
                 write.retry_at = None;
                 let (id, transaction) = (write.id, write.transaction.clone());
-                self.commands.push(LedgerCommand::Write { id, transaction });
+                self.commands.push(IntentLogCommand::Write { id, transaction });
             }
             Some(_) => {}
             None => self.start_write(now),
         }
         if holds_lease {
-            self.give_out(now);
+            self.send_due_actions(now);
         }
     }
 
-    fn give_out(&mut self, now: Timestamp) {
+    fn send_due_actions(&mut self, now: Timestamp) {
         let mut due = Vec::new();
         for (&record, kept) in &self.records {
             for (index, tracked) in kept.actions.iter().enumerate() {
@@ -410,7 +410,7 @@
         }
         for (id, action) in due {
             if self.step(id, ActionInput::GivenOut) {
-                self.commands.push(LedgerCommand::Send { id, action });
+                self.commands.push(IntentLogCommand::Send { id, action });
             }
         }
     }
@@ -439,7 +439,7 @@
         }
         let (id, transaction) = (self.next_write, write.into_transaction());
         self.next_write += 1;
-        self.commands.push(LedgerCommand::Write { id, transaction: transaction.clone() });
+        self.commands.push(IntentLogCommand::Write { id, transaction: transaction.clone() });
         self.write = Some(PendingWrite { id, transaction, created, dropped, retry_at: None });
     }
 
@@ -451,7 +451,7 @@
                 break;
             }
             let number = self.next_record;
-            let key = intent_key(self.fence.duty(), self.fence.epoch(), number);
+            let key = intent_key(self.fence.role(), self.fence.epoch(), number);
             let record = IntentRecord::new(actions.clone());
             write.create(&key, Operation::put_document(&key, Document::new(&record)));
             self.add_record(now, key, actions, RecordState::Writing);
@@ -486,7 +486,7 @@
         }
     }
 
-    /// The answer to [`LedgerCommand::Write`].
+    /// The answer to [`IntentLogCommand::Write`].
     pub fn written(&mut self, now: Timestamp, id: u64, outcome: &TransactionOutcome) {
         let Some(mut write) = self.write.take_if(|write| write.id == id) else { return };
         match outcome {
@@ -531,7 +531,7 @@
         }
     }
 
-    /// The answer to [`LedgerCommand::Send`]; of a rental, with the machines that were rented.
+    /// The answer to [`IntentLogCommand::Send`]; of a rental, with the machines that were rented.
     pub fn answered(
         &mut self,
         now: Timestamp,
--- a/crates/fencing/src/lease.rs
+++ b/crates/fencing/src/lease.rs
@@ -1,4 +1,4 @@
-//! A node's own view of a lease that it holds a duty by. [`DutyLease::step`] makes every change.
+//! A node's own view of a lease that it holds a duty by. [`RoleLease::step`] makes every change.
 //!
 //! The state service ends a lease a full `ttl` after the last renewal that it carried out, which is after the
 //! renewal was sent. So a holder that counts from the sending, and allows for its clock being slow, stops
@@ -83,17 +83,17 @@
 
 /// One duty's lease at one node.
 #[derive(Debug)]
-pub struct DutyLease {
+pub struct RoleLease {
     ttl: TimeDelta,
     state: LeaseState,
     /// The highest epoch that is known to have been in use.
     highest: Option<Epoch>,
 }
 
-impl DutyLease {
+impl RoleLease {
     /// Not held; leases are asked for with that time to live.
-    pub fn new(ttl: TimeDelta) -> DutyLease {
-        DutyLease { ttl, state: LeaseState::Idle, highest: None }
+    pub fn new(ttl: TimeDelta) -> RoleLease {
+        RoleLease { ttl, state: LeaseState::Idle, highest: None }
     }
 
     /// How the duty stands.
--- a/crates/fencing/src/leased_role.rs
+++ b/crates/fencing/src/leased_role.rs
@@ -7,14 +7,14 @@
 use walnutlug_scheduler::storage::document::Document;
 
 /// Prefix of the keys that name the holders.
-pub const DUTY_PREFIX: &str = "duty/";
+pub const ROLE_KEY_PREFIX: &str = "duty/";
 
 /// The newest format of a holder's record that this version reads and the one that it writes.
 pub const HOLDER_FORMAT: u64 = 1;
 
 /// Work with one owner at a time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Duty {
+pub enum LeasedRole {
     /// Renting and returning machines, and adopting those that nobody expected. What it decides follows
     /// from the registry of the leader, so it goes with the lead: one key, one lease, and the term is the
     /// epoch.
@@ -23,28 +23,28 @@
     MachineTypes,
 }
 
-impl Duty {
+impl LeasedRole {
     /// All of them.
-    pub const ALL: [Duty; 2] = [Duty::Fleet, Duty::MachineTypes];
+    pub const ALL: [LeasedRole; 2] = [LeasedRole::Fleet, LeasedRole::MachineTypes];
 
     /// Its name in stored keys.
     pub fn name(self) -> &'static str {
         match self {
-            Duty::Fleet => "fleet",
-            Duty::MachineTypes => "machine-types",
+            LeasedRole::Fleet => "fleet",
+            LeasedRole::MachineTypes => "machine-types",
         }
     }
 
     /// The duty of that name, if this version knows it.
-    pub fn from_name(name: &str) -> Option<Duty> {
-        Duty::ALL.into_iter().find(|duty| duty.name() == name)
+    pub fn from_name(name: &str) -> Option<LeasedRole> {
+        LeasedRole::ALL.into_iter().find(|role| role.name() == name)
     }
 
     /// The key that exists for as long as somebody holds the duty. Its revision is the epoch.
     pub fn key(self) -> String {
         match self {
-            Duty::Fleet => keys::LEADER.to_owned(),
-            Duty::MachineTypes => format!("{DUTY_PREFIX}{}", self.name()),
+            LeasedRole::Fleet => keys::LEADER.to_owned(),
+            LeasedRole::MachineTypes => format!("{ROLE_KEY_PREFIX}{}", self.name()),
         }
     }
 }
@@ -145,7 +145,7 @@
     },
     /// Of a duty that this version doesn't have.
     #[error("{key}: no such duty is known")]
-    UnknownDuty {
+    UnknownRole {
         /// Where it is stored.
         key: String,
     },
@@ -182,22 +182,22 @@
 
 /// Who holds which duty under what epoch.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Holding {
+pub struct HeldRole {
     /// The duty.
-    pub duty: Duty,
+    pub role: LeasedRole,
     /// Its epoch.
     pub epoch: Epoch,
     /// The holder.
     pub holder: HolderRecord,
 }
 
-impl Holding {
+impl HeldRole {
     /// Reads a stored holder; `nodes` are the names in the settings.
-    pub fn read(key_value: &KeyValue, nodes: &[&str]) -> Result<Holding, RecordError> {
+    pub fn read(key_value: &KeyValue, nodes: &[&str]) -> Result<HeldRole, RecordError> {
         let key = || key_value.key.clone();
-        let name = key_value.key.strip_prefix(DUTY_PREFIX);
-        let duty = name.and_then(Duty::from_name);
-        let duty = duty.ok_or_else(|| RecordError::UnknownDuty { key: key() })?;
+        let name = key_value.key.strip_prefix(ROLE_KEY_PREFIX);
+        let role = name.and_then(LeasedRole::from_name);
+        let role = role.ok_or_else(|| RecordError::UnknownRole { key: key() })?;
         check_format(&key_value.key, &key_value.value, HOLDER_FORMAT)?;
         let holder: HolderRecord = serde_json::from_value(key_value.value.clone())
             .map_err(|e| RecordError::Unreadable { key: key(), fault: e.to_string() })?;
@@ -206,12 +206,12 @@
         }
         let epoch = Epoch::from_revision(key_value.revision)
             .map_err(|error| RecordError::Epoch { key: key(), error })?;
-        Ok(Holding { duty, epoch, holder })
+        Ok(HeldRole { role, epoch, holder })
     }
 
     /// The transaction that takes the duty, if nobody holds it. Its revision becomes the epoch.
-    pub fn claim(duty: Duty, holder: &HolderRecord) -> Transaction {
-        let key = duty.key();
+    pub fn claim(role: LeasedRole, holder: &HolderRecord) -> Transaction {
+        let key = role.key();
         let put = Operation::Put {
             put: key.clone(),
             value: Document::new(holder),
--- a/crates/fencing/src/role_balancer.rs
+++ b/crates/fencing/src/role_balancer.rs
@@ -13,7 +13,7 @@
 
 /// How a node stands, as far as the balance looks at it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Standing {
+pub struct NodeLoad {
     /// It leads.
     pub leads: bool,
     /// The state service answers it.
@@ -22,14 +22,14 @@
 
 /// Decides at one node when to take and when to give up a duty.
 #[derive(Debug, Default)]
-pub struct Balance {
+pub struct RoleBalancer {
     vacant_since: Option<Timestamp>,
     better_since: Option<Timestamp>,
 }
 
-impl Balance {
+impl RoleBalancer {
     /// Nobody holds the duty. Whether this node should try to take it now.
-    pub fn should_take(&mut self, now: Timestamp, own: Standing) -> bool {
+    pub fn should_take(&mut self, now: Timestamp, own: NodeLoad) -> bool {
         self.better_since = None;
         let since = *self.vacant_since.get_or_insert(now);
         let wait = if own.leads { LEADER_WAITS } else { TimeDelta::ZERO };
@@ -42,7 +42,7 @@
     }
 
     /// This node holds the duty. Whether it should give it up for one of the others.
-    pub fn should_hand_over(&mut self, now: Timestamp, own: Standing, others: &[Standing]) -> bool {
+    pub fn should_hand_over(&mut self, now: Timestamp, own: NodeLoad, others: &[NodeLoad]) -> bool {
         self.vacant_since = None;
         let better = own.leads && others.iter().any(|other| other.store_reachable && !other.leads);
         if !better {
--- a/crates/fencing/tests/components.rs
+++ b/crates/fencing/tests/components.rs
@@ -2,17 +2,17 @@
 
 use serde_json::json;
 use walnutlug_fencing::intent::{intent_key, StoredIntent};
-use walnutlug_fencing::lease::{safe_lease_time, DutyLease, LeaseInput, LeaseState};
-use walnutlug_fencing::leased_role::{Duty, Epoch, EpochError, RecordError};
-use walnutlug_fencing::role_balancer::{Balance, Standing};
+use walnutlug_fencing::lease::{safe_lease_time, LeaseInput, LeaseState, RoleLease};
+use walnutlug_fencing::leased_role::{Epoch, EpochError, LeasedRole, RecordError};
+use walnutlug_fencing::role_balancer::{NodeLoad, RoleBalancer};
 use walnutlug_scheduler::protocol::KeyValue;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 
 const TTL: TimeDelta = TimeDelta::from_secs(10);
 const START: Timestamp = Timestamp(1 << 40);
 
-fn held() -> DutyLease {
-    let mut lease = DutyLease::new(TTL);
+fn held() -> RoleLease {
+    let mut lease = RoleLease::new(TTL);
     assert!(lease.step(LeaseInput::Granted { sent: START }));
     assert!(lease.step(LeaseInput::Won { revision: 7 }));
     lease
@@ -48,7 +48,7 @@
         (0, EpochError::Zero),
         (Epoch::LIMIT + 1, EpochError::AtLimit(Epoch::LIMIT + 1)),
     ] {
-        let mut lease = DutyLease::new(TTL);
+        let mut lease = RoleLease::new(TTL);
         lease.observe(Epoch::from_revision(7).expect("an epoch"));
         lease.step(LeaseInput::Granted { sent: START });
         assert!(lease.step(LeaseInput::Won { revision }));
@@ -60,25 +60,25 @@
 
 #[test]
 fn a_duty_moves_away_from_the_leader_only_after_a_while() {
-    let node = |leads| Standing { leads, store_reachable: true };
-    let cut_off = Standing { leads: false, store_reachable: false };
-    let mut balance = Balance::default();
-    assert!(balance.should_take(START, node(false)));
-    let mut balance = Balance::default();
-    assert!(!balance.should_take(START, node(true)), "others first");
-    assert!(balance.should_take(START + TimeDelta::from_secs(4), node(true)), "somebody has to");
+    let node = |leads| NodeLoad { leads, store_reachable: true };
+    let cut_off = NodeLoad { leads: false, store_reachable: false };
+    let mut balancer = RoleBalancer::default();
+    assert!(balancer.should_take(START, node(false)));
+    let mut balancer = RoleBalancer::default();
+    assert!(!balancer.should_take(START, node(true)), "others first");
+    assert!(balancer.should_take(START + TimeDelta::from_secs(4), node(true)), "somebody has to");
     let at = |s| START + TimeDelta::from_secs(s);
-    assert!(!balance.should_hand_over(at(10), node(true), &[node(false)]));
-    assert!(!balance.should_hand_over(at(20), node(true), &[cut_off]), "nobody better there");
-    assert!(!balance.should_hand_over(at(45), node(true), &[node(false)]), "counted anew");
-    assert!(balance.should_hand_over(at(76), node(true), &[node(false)]));
-    assert!(!balance.should_hand_over(at(200), node(false), &[node(false)]), "no back and forth");
+    assert!(!balancer.should_hand_over(at(10), node(true), &[node(false)]));
+    assert!(!balancer.should_hand_over(at(20), node(true), &[cut_off]), "nobody better there");
+    assert!(!balancer.should_hand_over(at(45), node(true), &[node(false)]), "counted anew");
+    assert!(balancer.should_hand_over(at(76), node(true), &[node(false)]));
+    assert!(!balancer.should_hand_over(at(200), node(false), &[node(false)]), "no back and forth");
 }
 
 #[test]
 fn stored_intents_that_cannot_be_acted_on_are_named() {
     let epoch = Epoch::from_revision(9).expect("an epoch");
-    let key = intent_key(Duty::Fleet, epoch, 1);
+    let key = intent_key(LeasedRole::Fleet, epoch, 1);
     let read = |key: &str, value| {
         StoredIntent::read(&KeyValue { key: key.to_owned(), value, revision: 1 }).map(|i| i.epoch)
     };
@@ -90,7 +90,7 @@
     let newer = read(&key, json!({"format": 2, "plans": []}));
     assert!(matches!(newer, Err(RecordError::NewerFormat { found: 2, .. })), "{newer:?}");
     let unknown = read("intent/tea/00000000000000000009/000001", good.clone());
-    assert!(matches!(unknown, Err(RecordError::UnknownDuty { .. })), "{unknown:?}");
+    assert!(matches!(unknown, Err(RecordError::UnknownRole { .. })), "{unknown:?}");
     let bad_epoch = read("intent/fleet/0/000001", good.clone());
     assert!(matches!(bad_epoch, Err(RecordError::Epoch { .. })), "{bad_epoch:?}");
     for (key, value) in [
--- a/crates/fencing/tests/golden_bytes.rs
+++ b/crates/fencing/tests/golden_bytes.rs
@@ -11,8 +11,8 @@
 use walnutlug_fencing::intent::{
     intent_key, Action, IntentRecord, ScaleOut, StoredIntent, TerminatedMachine,
 };
-use walnutlug_fencing::intent_log::{ActionAnswer, Ledger, LedgerCommand, WriteLimits};
-use walnutlug_fencing::leased_role::{Duty, Epoch, HolderRecord, Holding, HOLDER_FORMAT};
+use walnutlug_fencing::intent_log::{ActionAnswer, IntentLog, IntentLogCommand, WriteLimits};
+use walnutlug_fencing::leased_role::{Epoch, HeldRole, HolderRecord, LeasedRole, HOLDER_FORMAT};
 use walnutlug_scheduler::model::job::keys;
 use walnutlug_scheduler::protocol::{KeyValue, Operation, Transaction};
 use walnutlug_scheduler::scheduler::TransactionOutcome;
@@ -65,7 +65,7 @@
 
 /// A record below its key, as it goes to the state service.
 fn intent_text(actions: &[Action]) -> String {
-    let key = intent_key(Duty::Fleet, epoch(), 17);
+    let key = intent_key(LeasedRole::Fleet, epoch(), 17);
     format!("{key}\n{}", text(&IntentRecord::new(actions.to_vec())))
 }
 
@@ -75,7 +75,7 @@
 }
 
 fn types_write() -> Transaction {
-    let mut write = FencedWrite::new(&Fence::new(Duty::MachineTypes, epoch()));
+    let mut write = FencedWrite::new(&Fence::new(LeasedRole::MachineTypes, epoch()));
     write.change(Operation::put(keys::TYPES, json!({"breeds": []})));
     write.into_transaction()
 }
@@ -84,15 +84,17 @@
 fn holders_and_intents_are_written_and_read_as_before() {
     let mut found: Vec<(&str, String)> =
         intents().iter().map(|(kind, actions)| (*kind, intent_text(actions))).collect();
-    found
-        .push(("claim of the machine types", text(&Holding::claim(Duty::MachineTypes, &holder()))));
-    found.push(("claim of the fleet", text(&Holding::claim(Duty::Fleet, &holder()))));
+    found.push((
+        "claim of the machine types",
+        text(&HeldRole::claim(LeasedRole::MachineTypes, &holder())),
+    ));
+    found.push(("claim of the fleet", text(&HeldRole::claim(LeasedRole::Fleet, &holder()))));
     found.push(("fenced write of the machine types", text(&types_write())));
-    found.push(("holder", format!("{}\n{}", Duty::MachineTypes.key(), text(&holder()))));
+    found.push(("holder", format!("{}\n{}", LeasedRole::MachineTypes.key(), text(&holder()))));
     let golden = Golden::check(RECORDS, &found);
-    let holding = Holding::read(&key_value(&golden.text("holder"), 412), &["kernel-1"]);
+    let holding = HeldRole::read(&key_value(&golden.text("holder"), 412), &["kernel-1"]);
     let Ok(holding) = holding else { panic!("holder: can't be read") };
-    assert!(holding.duty == Duty::MachineTypes, "holder: the duty");
+    assert!(holding.role == LeasedRole::MachineTypes, "holder: the duty");
     assert!(holding.epoch == epoch(), "holder: the epoch");
     assert!(holding.holder == holder(), "holder: a field was read otherwise");
     for (kind, actions) in intents() {
@@ -100,25 +102,25 @@
         let Ok(read) = StoredIntent::read(&key_value(&entry, 1)) else {
             panic!("{kind}: can't be read")
         };
-        assert!(read.duty == Duty::Fleet && read.epoch == epoch(), "{kind}: its key");
+        assert!(read.role == LeasedRole::Fleet && read.epoch == epoch(), "{kind}: its key");
         assert!(read.record.actions == actions, "{kind}: a field was read otherwise");
         assert!(intent_text(&read.record.actions) == entry, "{kind}: written again it differs");
     }
 }
 
 /// What the ledger writes and sends, as it goes out.
-fn noted(ledger: &mut Ledger, now: Timestamp, lines: &mut Vec<String>) {
-    ledger.tick(now, true);
-    for command in ledger.take_commands() {
+fn noted(intent_log: &mut IntentLog, now: Timestamp, lines: &mut Vec<String>) {
+    intent_log.tick(now, true);
+    for command in intent_log.take_commands() {
         match command {
-            LedgerCommand::Write { id, transaction } => {
+            IntentLogCommand::Write { id, transaction } => {
                 lines.push(text(&transaction));
-                ledger.written(now, id, &TransactionOutcome::Committed { revision: 500 });
+                intent_log.written(now, id, &TransactionOutcome::Committed { revision: 500 });
             }
-            LedgerCommand::Send { id, action } => {
+            IntentLogCommand::Send { id, action } => {
                 lines.push(format!("send {}", sent(&action)));
                 let names: Vec<String> = Vec::new();
-                ledger.answered(now, id, ActionAnswer::Done, &names);
+                intent_log.answered(now, id, ActionAnswer::Done, &names);
             }
         }
     }
@@ -134,15 +136,15 @@
     }
 }
 
-fn ledger() -> Ledger {
-    Ledger::new(Fence::new(Duty::Fleet, epoch()), LIMITS, TimeDelta::from_secs(20))
+fn intent_log() -> IntentLog {
+    IntentLog::new(Fence::new(LeasedRole::Fleet, epoch()), LIMITS, TimeDelta::from_secs(20))
 }
 
 /// Intents are stored, sent and dropped; then what an earlier holder left is adopted and dropped.
 #[test]
 fn the_ledgers_transactions_are_written_as_before() {
     let mut own = Vec::new();
-    let mut kept = ledger();
+    let mut kept = intent_log();
     assert!(kept.scale_out(scale_out(3)), "taken on");
     let machines = vec![returned("n-000233", false), returned("n-000234", true)];
     assert_eq!(kept.scale_in(START, machines), 1);
@@ -150,7 +152,7 @@
         noted(&mut kept, START + TimeDelta::from_secs(step), &mut own);
     }
     let mut adopted = Vec::new();
-    let mut successor = ledger();
+    let mut successor = intent_log();
     let left: Vec<KeyValue> = vec![left_by_the_former()];
     let taken = successor.adopt(START, &left, |_| false);
     assert!(taken.faults.is_empty(), "the record is read");
@@ -177,5 +179,5 @@
     let actions: Value = json!([{"rent": {"request": "w-300-1", "kind": "t8", "zone": "b",
         "spot": false, "count": 3}}, {"return": [{"name": "n-000100", "tasks": true}]}]);
     let value = json!({"format": 1, "actions": actions});
-    KeyValue { key: intent_key(Duty::Fleet, former, 2), value, revision: 301 }
+    KeyValue { key: intent_key(LeasedRole::Fleet, former, 2), value, revision: 301 }
 }
--- a/crates/fencing/tests/random_interleavings.rs
+++ b/crates/fencing/tests/random_interleavings.rs
@@ -9,8 +9,10 @@
 use serde_json::Value;
 use walnutlug_fencing::fence::Fence;
 use walnutlug_fencing::intent::{Action, ScaleOut, TerminatedMachine, INTENT_PREFIX};
-use walnutlug_fencing::intent_log::{ActionAnswer, ActionId, Ledger, LedgerCommand, WriteLimits};
-use walnutlug_fencing::leased_role::{Duty, Epoch};
+use walnutlug_fencing::intent_log::{
+    ActionAnswer, ActionId, IntentLog, IntentLogCommand, WriteLimits,
+};
+use walnutlug_fencing::leased_role::{Epoch, LeasedRole};
 use walnutlug_scheduler::model::job::keys;
 use walnutlug_scheduler::protocol::{KeyValue, Operation, Transaction};
 use walnutlug_scheduler::scheduler::TransactionOutcome;
@@ -79,9 +81,9 @@
 
 struct Holder {
     epoch: u64,
-    ledger: Ledger,
+    intent_log: IntentLog,
     /// What it was told to do and has not done when it stood still.
-    about_to: Vec<LedgerCommand>,
+    about_to: Vec<IntentLogCommand>,
 }
 
 struct World {
@@ -103,9 +105,9 @@
 }
 
 fn holder(epoch: u64) -> Holder {
-    let fence = Fence::new(Duty::Fleet, Epoch::from_revision(epoch).expect("an epoch"));
-    let ledger = Ledger::new(fence, LIMITS, TimeDelta::from_secs(12));
-    Holder { epoch, ledger, about_to: Vec::new() }
+    let fence = Fence::new(LeasedRole::Fleet, Epoch::from_revision(epoch).expect("an epoch"));
+    let intent_log = IntentLog::new(fence, LIMITS, TimeDelta::from_secs(12));
+    Holder { epoch, intent_log, about_to: Vec::new() }
 }
 
 impl World {
@@ -133,7 +135,7 @@
             Step::Rent => self.scale_out(),
             Step::Use(index) => {
                 let name = machine(*index);
-                if !self.returned.contains(&name) && !self.holder.ledger.is_scaling_in(&name) {
+                if !self.returned.contains(&name) && !self.holder.intent_log.is_scaling_in(&name) {
                     self.in_use.insert(name);
                 }
             }
@@ -142,7 +144,7 @@
                 let name = machine(*index);
                 if !self.in_use.contains(&name) {
                     let wish = TerminatedMachine { machine: name, holds_tasks: false };
-                    self.holder.ledger.scale_in(self.now, vec![wish]);
+                    self.holder.intent_log.scale_in(self.now, vec![wish]);
                 }
             }
             Step::Deliver(index) => self.deliver(*index, true, false),
@@ -157,7 +159,7 @@
 
     fn scale_out(&mut self) {
         self.requests += 1;
-        self.holder.ledger.scale_out(ScaleOut {
+        self.holder.intent_log.scale_out(ScaleOut {
             request: format!("{}-{}", self.holder.epoch, self.requests),
             kind: "t8".into(),
             zone: "a".into(),
@@ -167,17 +169,19 @@
     }
 
     fn tick(&mut self) {
-        self.holder.ledger.tick(self.now, true);
-        for command in self.holder.ledger.take_commands() {
+        self.holder.intent_log.tick(self.now, true);
+        for command in self.holder.intent_log.take_commands() {
             self.send(self.holder.epoch, command);
         }
     }
 
     /// The sender holds its lease: nobody has replaced it.
-    fn send(&mut self, epoch: u64, command: LedgerCommand) {
+    fn send(&mut self, epoch: u64, command: IntentLogCommand) {
         self.messages.push(match command {
-            LedgerCommand::Write { id, transaction } => Message::Write { epoch, id, transaction },
-            LedgerCommand::Send { id, action } => Message::Cloud { epoch, id, action },
+            IntentLogCommand::Write { id, transaction } => {
+                Message::Write { epoch, id, transaction }
+            }
+            IntentLogCommand::Send { id, action } => Message::Cloud { epoch, id, action },
         });
     }
 
@@ -219,13 +223,13 @@
 
     fn tell_write(&mut self, epoch: u64, id: u64, outcome: &TransactionOutcome) {
         if epoch == self.holder.epoch {
-            self.holder.ledger.written(self.now, id, outcome);
+            self.holder.intent_log.written(self.now, id, outcome);
         }
     }
 
     fn tell_action(&mut self, epoch: u64, id: ActionId, answer: ActionAnswer, rented: &[String]) {
         if epoch == self.holder.epoch {
-            self.holder.ledger.answered(self.now, id, answer, rented);
+            self.holder.intent_log.answered(self.now, id, answer, rented);
         }
     }
 
@@ -306,11 +310,12 @@
         self.revision += 1;
         self.keys.insert(keys::LEADER.to_owned(), (Value::Null, self.revision));
         let mut new = holder(self.revision);
-        let adopted = new.ledger.adopt(self.now, &self.stored(), |name| self.in_use.contains(name));
+        let adopted =
+            new.intent_log.adopt(self.now, &self.stored(), |name| self.in_use.contains(name));
         assert!(adopted.faults.is_empty() && adopted.overruled.is_empty(), "{adopted:?}");
         let mut old = std::mem::replace(&mut self.holder, new);
-        old.ledger.tick(self.now, true);
-        old.about_to = old.ledger.take_commands();
+        old.intent_log.tick(self.now, true);
+        old.about_to = old.intent_log.take_commands();
         self.former.push(old);
     }
 
@@ -318,7 +323,7 @@
     fn resume(&mut self) {
         let Some(mut old) = self.former.pop() else { return };
         for command in std::mem::take(&mut old.about_to) {
-            if matches!(command, LedgerCommand::Write { .. }) {
+            if matches!(command, IntentLogCommand::Write { .. }) {
                 self.send(old.epoch, command);
             }
         }
@@ -332,11 +337,11 @@
             while !self.messages.is_empty() {
                 self.deliver(0, true, false);
             }
-            if self.holder.ledger.open_actions() == 0 && self.stored().is_empty() {
+            if self.holder.intent_log.open_actions() == 0 && self.stored().is_empty() {
                 return;
             }
         }
-        panic!("not settled: {:?}", self.holder.ledger);
+        panic!("not settled: {:?}", self.holder.intent_log);
     }
 }
 
@@ -362,14 +367,14 @@
     let requested: Vec<_> = (0..100)
         .map(|n| TerminatedMachine { machine: format!("n-{n:06}"), holds_tasks: n % 2 == 0 })
         .collect();
-    assert_eq!(world.holder.ledger.scale_in(world.now, requested.clone()), 1);
-    assert_eq!(world.holder.ledger.scale_in(world.now, requested), 0, "wanted already");
-    world.holder.ledger.set_limits(WriteLimits { value_bytes: 8_000, txn_ops: 32 });
-    world.holder.ledger.tick(world.now, true);
-    let first = world.holder.ledger.take_commands();
-    let [LedgerCommand::Write { id, .. }] = first[..] else { panic!("{first:?}") };
-    world.holder.ledger.set_limits(LIMITS);
-    world.holder.ledger.written(world.now, id, &TransactionOutcome::TooLarge);
+    assert_eq!(world.holder.intent_log.scale_in(world.now, requested.clone()), 1);
+    assert_eq!(world.holder.intent_log.scale_in(world.now, requested), 0, "wanted already");
+    world.holder.intent_log.set_limits(WriteLimits { value_bytes: 8_000, txn_ops: 32 });
+    world.holder.intent_log.tick(world.now, true);
+    let first = world.holder.intent_log.take_commands();
+    let [IntentLogCommand::Write { id, .. }] = first[..] else { panic!("{first:?}") };
+    world.holder.intent_log.set_limits(LIMITS);
+    world.holder.intent_log.written(world.now, id, &TransactionOutcome::TooLarge);
     world.settle();
     assert_eq!(world.returned.len(), 100);
 }
@@ -382,10 +387,10 @@
     world.tick();
     world.deliver(0, true, false);
     let mut same = holder(1);
-    same.ledger.adopt(world.now, &world.stored(), |_| false);
-    assert!(same.ledger.stopped().is_some());
-    same.ledger.tick(world.now, true);
-    assert!(same.ledger.take_commands().is_empty());
+    same.intent_log.adopt(world.now, &world.stored(), |_| false);
+    assert!(same.intent_log.stopped().is_some());
+    same.intent_log.tick(world.now, true);
+    assert!(same.intent_log.take_commands().is_empty());
 }
 
 /// Work that a version without fences put on a machine whose return is recorded is not destroyed.
@@ -394,12 +399,12 @@
     let mut world = World::new();
     for (name, holds_tasks) in [("n-1", false), ("n-2", true)] {
         let wish = TerminatedMachine { machine: name.into(), holds_tasks };
-        world.holder.ledger.scale_in(world.now, vec![wish]);
+        world.holder.intent_log.scale_in(world.now, vec![wish]);
     }
     world.tick();
     world.deliver(0, true, false);
     let mut next = holder(9);
-    let adopted = next.ledger.adopt(world.now, &world.stored(), |_| true);
+    let adopted = next.intent_log.adopt(world.now, &world.stored(), |_| true);
     assert_eq!(adopted.overruled, ["n-1"]);
-    assert!(!next.ledger.is_scaling_in("n-1") && next.ledger.is_scaling_in("n-2"));
+    assert!(!next.intent_log.is_scaling_in("n-1") && next.intent_log.is_scaling_in("n-2"));
 }
--- a/crates/fencing/tests/transcripts.rs
+++ b/crates/fencing/tests/transcripts.rs
@@ -2,7 +2,7 @@
 //! the files in `transcripts/`. `UPDATE_TRANSCRIPTS=1` writes the files anew, which only a change that is
 //! meant to change behaviour may do.
 //!
-//! What the scripts reach: `ledger`, `intent` and `fence` (ledger), `lease` and `duty` (leases), `balance`
+//! What the scripts reach: `intent_log`, `intent` and `fence` (ledger), `lease` and `role` (leases), `balancer`
 //! (balance), and the reading of stored records (records).
 
 #[path = "../../scheduler/tests/transcripts/golden.rs"]
@@ -15,11 +15,13 @@
 use walnutlug_fencing::fence::Fence;
 use walnutlug_fencing::intent::{Action, ScaleOut, StoredIntent, TerminatedMachine, INTENT_PREFIX};
 use walnutlug_fencing::intent_log::{
-    ActionAnswer, ActionId, Ledger, LedgerCommand, Stopped, WriteLimits,
+    ActionAnswer, ActionId, IntentLog, IntentLogCommand, Stopped, WriteLimits,
 };
-use walnutlug_fencing::lease::{DutyLease, LeaseInput, LeaseState};
-use walnutlug_fencing::leased_role::{Duty, Epoch, EpochError, HolderRecord, Holding, RecordError};
-use walnutlug_fencing::role_balancer::{Balance, Standing};
+use walnutlug_fencing::lease::{LeaseInput, LeaseState, RoleLease};
+use walnutlug_fencing::leased_role::{
+    Epoch, EpochError, HeldRole, HolderRecord, LeasedRole, RecordError,
+};
+use walnutlug_fencing::role_balancer::{NodeLoad, RoleBalancer};
 use walnutlug_scheduler::protocol::{KeyValue, Operation, Transaction};
 use walnutlug_scheduler::scheduler::TransactionOutcome;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
@@ -94,7 +96,7 @@
         RecordError::NewerFormat { key, found, newest } => {
             format!("{key} newer format {found} above {newest}")
         }
-        RecordError::UnknownDuty { key } => format!("{key} unknown duty"),
+        RecordError::UnknownRole { key } => format!("{key} unknown duty"),
         RecordError::UnknownHolder { key, node } => format!("{key} unknown holder {node}"),
         RecordError::Epoch { key, error } => format!("{key} epoch {}", epoch_error(*error)),
     }
@@ -113,15 +115,15 @@
     now: Timestamp,
     revision: u64,
     keys: BTreeMap<String, (Value, u64)>,
-    ledger: Ledger,
+    intent_log: IntentLog,
     under_way: Vec<UnderWay>,
     requests: u64,
     limits: WriteLimits,
 }
 
-fn ledger(epoch: u64, limits: WriteLimits) -> Ledger {
-    let fence = Fence::new(Duty::Fleet, Epoch::from_revision(epoch).expect("an epoch"));
-    Ledger::new(fence, limits, TimeDelta::from_secs(12))
+fn intent_log(epoch: u64, limits: WriteLimits) -> IntentLog {
+    let fence = Fence::new(LeasedRole::Fleet, Epoch::from_revision(epoch).expect("an epoch"));
+    IntentLog::new(fence, limits, TimeDelta::from_secs(12))
 }
 
 impl Play {
@@ -133,12 +135,12 @@
             now: START,
             revision: 1,
             keys: BTreeMap::new(),
-            ledger: ledger(1, limits),
+            intent_log: intent_log(1, limits),
             under_way: Vec::new(),
             requests: 0,
             limits,
         };
-        play.keys.insert(Duty::Fleet.key(), (Value::Null, 1));
+        play.keys.insert(LeasedRole::Fleet.key(), (Value::Null, 1));
         play
     }
 
@@ -159,8 +161,8 @@
             _ if self.dice.chance(20) => self.replace(),
             _ => self.change_limits(),
         }
-        let open = self.ledger.open_actions();
-        let stopped = match self.ledger.stopped() {
+        let open = self.intent_log.open_actions();
+        let stopped = match self.intent_log.stopped() {
             None => "no".to_owned(),
             Some(Stopped::Fenced) => "fenced".to_owned(),
             Some(Stopped::Epoch(error)) => epoch_error(*error),
@@ -177,7 +179,7 @@
             spot: self.dice.chance(50),
             count: 1 + self.dice.below(4) as u32,
         };
-        let taken = self.ledger.scale_out(scale_out);
+        let taken = self.intent_log.scale_out(scale_out);
         self.line("wants to rent", &format!("taken={taken}"));
     }
 
@@ -189,21 +191,21 @@
             })
             .collect();
         let first = machines[0].machine.clone();
-        let requests = self.ledger.scale_in(self.now, machines);
-        let returning = self.ledger.is_scaling_in(&first);
+        let requests = self.intent_log.scale_in(self.now, machines);
+        let returning = self.intent_log.is_scaling_in(&first);
         self.line("wants to return", &format!("requests={requests} {first} returning={returning}"));
     }
 
     fn tick(&mut self) {
         let holds_lease = self.dice.chance(90);
-        self.ledger.tick(self.now, holds_lease);
-        for command in self.ledger.take_commands() {
+        self.intent_log.tick(self.now, holds_lease);
+        for command in self.intent_log.take_commands() {
             match command {
-                LedgerCommand::Write { id, transaction } => {
+                IntentLogCommand::Write { id, transaction } => {
                     self.line("write", &format!("id={id} {}", transaction_text(&transaction)));
                     self.under_way.push(UnderWay::Write { id, transaction });
                 }
-                LedgerCommand::Send { id, action } => {
+                IntentLogCommand::Send { id, action } => {
                     self.line("send", &json_of(&action));
                     match &action {
                         Action::ScaleOut(scale_out) => {
@@ -234,7 +236,7 @@
                     }
                     _ => self.apply(&transaction),
                 };
-                self.ledger.written(self.now, id, &outcome);
+                self.intent_log.written(self.now, id, &outcome);
                 let kind = match outcome {
                     TransactionOutcome::Committed { .. } => "written: committed",
                     TransactionOutcome::Conflict { .. } => "written: conflict",
@@ -258,7 +260,7 @@
                         .collect(),
                     _ => Vec::new(),
                 };
-                self.ledger.answered(self.now, id, answer, &rented);
+                self.intent_log.answered(self.now, id, answer, &rented);
                 self.line(kind, &json_of(&rented));
             }
         }
@@ -296,13 +298,13 @@
     /// Another holds the duty from now on; at times the store tells the former one so first.
     fn replace(&mut self) {
         self.revision += 1;
-        self.keys.insert(Duty::Fleet.key(), (Value::Null, self.revision));
+        self.keys.insert(LeasedRole::Fleet.key(), (Value::Null, self.revision));
         if self.dice.chance(50) {
             self.tick();
             self.deliver();
         }
         self.under_way.clear();
-        self.ledger = ledger(self.revision, self.limits);
+        self.intent_log = intent_log(self.revision, self.limits);
         let stored: Vec<KeyValue> = self
             .keys
             .iter()
@@ -313,7 +315,7 @@
                 revision: *revision,
             })
             .collect();
-        let adopted = self.ledger.adopt(self.now, &stored, |name| name.ends_with('7'));
+        let adopted = self.intent_log.adopt(self.now, &stored, |name| name.ends_with('7'));
         let faults: Vec<String> = adopted.faults.iter().map(record_error).collect();
         let text = format!(
             "rentals={} returns={} overruled={} faults={}",
@@ -330,7 +332,7 @@
         self.limits = WriteLimits { value_bytes, txn_ops };
         // At times the ledger hears of it only by a refusal.
         if self.dice.chance(70) {
-            self.ledger.set_limits(self.limits);
+            self.intent_log.set_limits(self.limits);
         }
         self.line("limits", &format!("{value_bytes} {txn_ops}"));
     }
@@ -351,7 +353,7 @@
     let mut dice = Dice::new(22);
     let mut now = START;
     for (life, ttl) in [10, 4, 30].into_iter().cycle().take(60).enumerate() {
-        let mut lease = DutyLease::new(TimeDelta::from_secs(ttl));
+        let mut lease = RoleLease::new(TimeDelta::from_secs(ttl));
         for _ in 0..40 {
             transcript.next_step();
             now = now + TimeDelta::from_millis(dice.below(4_000) as u64);
@@ -392,7 +394,7 @@
     let mut transcript = Transcript::new("balance");
     let mut dice = Dice::new(23);
     let mut now = START;
-    let mut balance = Balance::default();
+    let mut balancer = RoleBalancer::default();
     let (mut leads, mut others_lead) = (false, false);
     for _ in 0..2_000 {
         transcript.next_step();
@@ -400,19 +402,19 @@
         if dice.chance(4) {
             (leads, others_lead) = (dice.chance(50), dice.chance(50));
         }
-        let own = Standing { leads, store_reachable: dice.chance(90) };
+        let own = NodeLoad { leads, store_reachable: dice.chance(90) };
         let others = [
-            Standing { leads: others_lead, store_reachable: dice.chance(97) },
-            Standing { leads: false, store_reachable: dice.chance(97) },
+            NodeLoad { leads: others_lead, store_reachable: dice.chance(97) },
+            NodeLoad { leads: false, store_reachable: dice.chance(97) },
         ];
         match dice.below(20) {
-            0 => balance.taken(),
+            0 => balancer.taken(),
             1 => {
-                let takes = balance.should_take(now, own);
+                let takes = balancer.should_take(now, own);
                 transcript.line("vacant", &format!("takes={takes}"));
             }
             _ => {
-                let hands_over = balance.should_hand_over(now, own, &others);
+                let hands_over = balancer.should_hand_over(now, own, &others);
                 transcript.line("held", &format!("hands-over={hands_over}"));
                 transcript.count("hands over", u64::from(hands_over));
             }
@@ -427,9 +429,9 @@
     let mut transcript = Transcript::new("records");
     let incarnation = "x1".to_owned();
     let holder = HolderRecord { format: 1, node: "p".into(), incarnation, lease: 9 };
-    for duty in Duty::ALL {
+    for role in LeasedRole::ALL {
         transcript.next_step();
-        transcript.line("claim", &transaction_text(&Holding::claim(duty, &holder)));
+        transcript.line("claim", &transaction_text(&HeldRole::claim(role, &holder)));
     }
     let well = json!({"format": 1, "node": "p", "inc": "x", "lease": 4});
     for value in [
@@ -446,9 +448,9 @@
         {
             transcript.next_step();
             let key_value = KeyValue { key: key.to_owned(), value: value.clone(), revision };
-            let text = match Holding::read(&key_value, &["p", "q"]) {
+            let text = match HeldRole::read(&key_value, &["p", "q"]) {
                 Ok(found) => {
-                    format!("{} {} {}", found.duty.name(), found.epoch, json_of(&found.holder))
+                    format!("{} {} {}", found.role.name(), found.epoch, json_of(&found.holder))
                 }
                 Err(error) => record_error(&error),
             };
@@ -470,7 +472,7 @@
             let text =
                 match StoredIntent::read(&KeyValue { key, value: value.clone(), revision: 3 }) {
                     Ok(found) => {
-                        format!("{} {} {}", found.duty.name(), found.epoch, json_of(&found.record))
+                        format!("{} {} {}", found.role.name(), found.epoch, json_of(&found.record))
                     }
                     Err(error) => record_error(&error),
                 };
