--- a/crates/controller/src/heartbeat_delegation.rs
+++ b/crates/controller/src/heartbeat_delegation.rs
@@ -1,4 +1,4 @@
-//! Workers' reports answered by every node: followers pass on to the leader what may be new, and answer
+//! Workers' heartbeats answered by every node: followers pass on to the leader what may be new, and answer
 //! repetitions themselves within the bound that `walnutlug_scheduler::reconciliation::delegation` keeps.
 
 use std::cell::{Cell, RefCell};
@@ -24,11 +24,11 @@
 };
 use crate::worker_api::{self, WorkerConnection};
 
-/// How often the leader is told which machines repeated their reports; they report every few seconds.
+/// How often the leader is told which machines repeated their heartbeats; they report every few seconds.
 const HEARD_EVERY: Duration = Duration::from_millis(500);
 /// Every how many of these the leader is asked for a grant.
 const ASK_EVERY: u32 = 2;
-/// How long the leader may take to answer a report; the worker waits for four seconds.
+/// How long the leader may take to answer a heartbeat; the worker waits for four seconds.
 const ANSWER_WITHIN: Duration = Duration::from_secs(3);
 /// A follower that has not asked for so long is sent no workers.
 const FOLLOWER_FRESH: Duration = Duration::from_millis(2_500);
@@ -99,8 +99,8 @@
 }
 
 impl HeartbeatDelegation {
-    /// With nothing granted and no followers. Each connection has at most one report under way, so as
-    /// many may wait as there may be connections: after an outage every report differs from the last.
+    /// With nothing granted and no followers. Each connection has at most one heartbeat under way, so as
+    /// many may wait as there may be connections: after an outage every heartbeat differs from the last.
     pub fn new(site: &Site, peers: usize, most_waiting: usize) -> HeartbeatDelegation {
         HeartbeatDelegation {
             workers: Rc::default(),
@@ -129,7 +129,7 @@
     }
 }
 
-/// The token with which a follower may answer the report, if it repeats a settled one.
+/// The token with which a follower may answer the heartbeat, if it repeats a settled one.
 pub fn repeated(node: &Node, connection: &WorkerConnection, body: &[u8]) -> Option<u64> {
     let (cached, sequence) = connection.repeated_by(body)?;
     let token = node.serving.leader.borrow().cached_response_token(node.now(), cached)?;
@@ -138,7 +138,7 @@
     Some(token)
 }
 
-/// Passes the report on to the leader. `None`: the worker should go elsewhere.
+/// Passes the heartbeat on to the leader. `None`: the worker should go elsewhere.
 pub async fn forward(node: &Node, connection: &WorkerConnection, body: &[u8]) -> Option<Answer> {
     let serving = &node.serving;
     let term = serving.leader.borrow().forwarding_term(node.now())?;
--- a/crates/controller/src/heartbeat_delegation/tests.rs
+++ b/crates/controller/src/heartbeat_delegation/tests.rs
@@ -6,7 +6,7 @@
 use walnutlug_scheduler::leadership::watermark::window;
 use walnutlug_scheduler::model::job::JobEnd;
 
-/// A worker's report to a node, with frames delivered meanwhile. The status, the token and the calls.
+/// A worker's heartbeat to a node, with frames delivered meanwhile. The status, the token and the calls.
 async fn heartbeat(
     c: &mut Cluster,
     at: usize,
@@ -56,7 +56,7 @@
     (c, connection, 3, token)
 }
 
-/// Whether the follower would answer the report by itself.
+/// Whether the follower would answer the heartbeat by itself.
 fn repeats(c: &Cluster, connection: &WorkerConnection, sequence: u64, token: u64) -> bool {
     repeated(&c.nodes[1], connection, report_of(sequence, token).as_bytes()).is_some()
 }
@@ -93,7 +93,7 @@
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// The state service refuses everybody and the follower hears of nobody, while another node confirms that
+/// The key-value store refuses everybody and the follower hears of nobody, while another node confirms that
 /// the job is cancelled.
 #[tokio::test(start_paused = true)]
 async fn a_follower_that_is_cut_off_renews_no_longer_than_the_window() {
@@ -209,7 +209,7 @@
             assert_eq!(one.await.expect("an answer").status, 421);
         }
         assert!(node.serving.waiting.borrow().is_empty(), "what was refused can come again");
-        // A report longer than a frame goes to the leader itself.
+        // A heartbeat longer than a frame goes to the leader itself.
         let long = format!("{}{}", report_of(1, 0), " ".repeat(MAX_CARRIED));
         let answer =
             worker_api::heartbeat(&node, &WorkerConnection::default(), long.as_bytes()).await;
--- a/crates/controller/src/key_value_client.rs
+++ b/crates/controller/src/key_value_client.rs
@@ -1,4 +1,4 @@
-//! The state service: its protocol, and a pacer that keeps this node within its share of the
+//! The key-value store: its protocol, and a pacer that keeps this node within its share of the
 //! request and write limits, the leadership's requests first.
 
 use std::cell::{Cell, RefCell};
--- a/crates/controller/src/key_value_client/golden_tests.rs
+++ b/crates/controller/src/key_value_client/golden_tests.rs
@@ -1,4 +1,4 @@
-//! Every request to the state service, as it is sent, and what is read of its answers. Kept in
+//! Every request to the key-value store, as it is sent, and what is read of its answers. Kept in
 //! `golden/requests.txt`.
 
 use walnutlug_scheduler::protocol::{Compare, Operation, WatchEvent};
@@ -8,7 +8,7 @@
 
 const FILE: &str = "src/key_value_client/golden/requests.txt";
 
-/// A state service that gives these answers, one after the other, and what it was asked.
+/// A key-value store that gives these answers, one after the other, and what it was asked.
 struct Scripted {
     state: KeyValueClient,
     asked: Rc<RefCell<Vec<String>>>,
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -47,11 +47,11 @@
 const ADDRESS_TURN: usize = 6;
 /// Addresses remembered: many times those of any fleet, at some forty bytes each.
 const MAX_ADDRESSES: usize = 50_000;
-/// Messages that wait for another node beside its workers' reports: a status, some addresses and the
+/// Messages that wait for another node beside its workers' heartbeats: a status, some addresses and the
 /// progress of every open job each second. What finds no place is only a hint lost.
 const PEER_HINTS: usize = 2_048;
 
-/// Messages that may wait for another node: in a burst the reports on all of a node's connections, or the
+/// Messages that may wait for another node: in a burst the heartbeats on all of a node's connections, or the
 /// answers to as many, and the hints.
 pub(crate) fn peer_queue(sockets: Sockets) -> usize {
     sockets.inbound as usize + PEER_HINTS
@@ -87,7 +87,7 @@
     /// Wakes the leader: something is to be decided.
     pub new_work: Notify,
     pub redirected: Cell<u16>,
-    /// Its part in answering the workers' reports.
+    /// Its part in answering the workers' heartbeats.
     pub serving: HeartbeatDelegation,
     pub submit_times: RefCell<Histogram<u64>>,
     wake: Notify,
@@ -100,7 +100,7 @@
     epoch: Instant,
     ready_once: Cell<bool>,
     told: RefCell<HashMap<String, (u32, u32)>>,
-    /// Where machines can be reached, as the leader told lately: for a quick take-over.
+    /// Where machines can be reached, as the leader told lately: for a quick failover.
     addresses: RefCell<HashMap<String, (SocketAddrV4, Instant)>>,
     /// The name up to which machines' addresses were told in this turn.
     addresses_told: RefCell<String>,
@@ -319,7 +319,7 @@
         self.watermark.borrow().until(self.now())
     }
 
-    /// The job has ended, for certain: from the state service. Told to the other nodes before any
+    /// The job has ended, for certain: from the key-value store. Told to the other nodes before any
     /// user hears of it from this one.
     pub fn learn_end(&self, name: &str, end: JobEnd) {
         if end == JobEnd::Cancelled && self.user_api.ended(name).is_none() {
@@ -330,7 +330,7 @@
         self.take_end(name, end);
     }
 
-    /// The job has ended, for certain: from the state service, or cancelled by another node's word,
+    /// The job has ended, for certain: from the key-value store, or cancelled by another node's word,
     /// which tells only what is stored.
     fn take_end(&self, name: &str, end: JobEnd) {
         let known = self.user_api.ended(name).is_some();
@@ -407,7 +407,7 @@
             Frame::Ended { job, end: JobEnd::Cancelled } if is_job_id(&job) => {
                 self.take_end(&job, JobEnd::Cancelled);
             }
-            // Only a hint to look: a job is released by what the state service tells.
+            // Only a hint to look: a job is released by what the key-value store tells.
             Frame::Ended { job, .. } => {
                 self.user_api.ended_elsewhere(&job);
                 self.new_work.notify_one();
@@ -482,7 +482,7 @@
     /// Ready once the node can decide. In an outage for all it stays ready and says 503 with a
     /// time to come again: users are served sooner so than through the balancer's growing pauses.
     /// Alone refused while others are served, it is of no use to anybody; nor is it cut off from
-    /// the state service and from all other nodes, which are served for all it knows.
+    /// the key-value store and from all other nodes, which are served for all it knows.
     fn ready(&self) -> bool {
         if self.types.borrow().is_empty() || !self.ready_once.get() {
             return false;
@@ -556,7 +556,7 @@
         "/hello" => match method {
             "POST" => {
                 let mut answer = worker_api::heartbeat(&node, &connection, &request.body).await;
-                // Workers find their way back with the next report; a user may not find a socket.
+                // Workers find their way back with the next heartbeat; a user may not find a socket.
                 if node.open.get() > Sockets::share(node.settings.fd_limit).workers_kept {
                     answer.close = true;
                     node.let_go.set(node.let_go.get() + 1);
--- a/crates/controller/src/node/broadcast.rs
+++ b/crates/controller/src/node/broadcast.rs
@@ -10,7 +10,7 @@
 use super::{Node, ADDRESS_TURN};
 use crate::peers::{self, Frame};
 
-/// Tells the others how this node stands, and as the leader what they need for a quick take-over.
+/// Tells the others how this node stands, and as the leader what they need for a quick failover.
 pub(super) async fn run_broadcasts(node: Rc<Node>) {
     let mut count = 0u32;
     loop {
--- a/crates/controller/src/node/fleet_role.rs
+++ b/crates/controller/src/node/fleet_role.rs
@@ -21,7 +21,7 @@
 
 /// Lags of the cloud's list after which a machine is on it for certain; it may lag twice as long as told.
 const LISTED_AFTER_LAGS: f64 = 3.0;
-/// Faulty records that are named in the log at a take-over.
+/// Faulty records that are named in the log at a failover.
 const MAX_FAULTS_LOGGED: usize = 5;
 
 /// Takes the duty over with the lead: reads what former holders recorded and were not seen to settle.
--- a/crates/controller/src/node/golden_tests.rs
+++ b/crates/controller/src/node/golden_tests.rs
@@ -1,5 +1,5 @@
 //! Answers to users and workers as the bytes on their connections, commands to workers, and what this
-//! node sends to the state service for each. Kept in `golden/`.
+//! node sends to the key-value store for each. Kept in `golden/`.
 
 use serde_json::{json, Value};
 use tokio::task::LocalSet;
@@ -200,7 +200,7 @@
     ask(node, "POST", "/hello", body).await
 }
 
-/// The report of a worker on which the task has ended.
+/// The heartbeat of a worker on which the task has ended.
 fn finished_report(sequence: u64, token: u64) -> String {
     let mut heartbeat: Value = serde_json::from_str(&report_of(sequence, token)).expect("json");
     heartbeat["nuts"][0]["stage"] = json!("exited");
--- a/crates/controller/src/node/leader.rs
+++ b/crates/controller/src/node/leader.rs
@@ -188,7 +188,7 @@
             Err(e) => {
                 debug!("lease not renewed: {e}");
                 // In an outage the lease gets its full time again, so the leader stays and goes
-                // on answering its workers; what it may not do any more the state service and
+                // on answering its workers; what it may not do any more the key-value store and
                 // the workers' tokens refuse.
                 touched = sent - ttl.mul_f64(0.28) + Duration::from_millis(150);
             }
--- a/crates/controller/src/node/machine_types_role.rs
+++ b/crates/controller/src/node/machine_types_role.rs
@@ -28,7 +28,7 @@
 /// A node's part in the duty.
 pub(super) struct MachineTypesRole {
     lease: RefCell<RoleLease>,
-    /// The number of the lease in the state service, while there is one.
+    /// The number of the lease in the key-value store, while there is one.
     lease_id: RefCell<Option<u64>>,
     balancer: RefCell<RoleBalancer>,
     /// The epoch under which the types were shared last.
--- a/crates/controller/src/node/machine_types_role/tests.rs
+++ b/crates/controller/src/node/machine_types_role/tests.rs
@@ -16,7 +16,7 @@
         let store = StandIn::default();
         let c = store.cluster(2);
         let (first, second) = (c.nodes[0].clone(), c.nodes[1].clone());
-        // A node that the state service has not answered lately doesn't try.
+        // A node that the key-value store has not answered lately doesn't try.
         for node in [&first, &second] {
             node.key_value.get(RequestClass::Watch, keys::LEADER).await.expect("an answer");
         }
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// Cut off from the state service and from the other nodes, while workers still reach it.
+/// Cut off from the key-value store and from the other nodes, while workers still reach it.
 #[tokio::test(start_paused = true)]
 async fn a_node_cut_off_from_state_and_peers_refuses_users_at_once() {
     let store = StandIn::default();
@@ -183,7 +183,7 @@
     (status, calls)
 }
 
-/// The report of a worker without tasks.
+/// The heartbeat of a worker without tasks.
 pub fn idle_report(machine: &str, sequence: u64) -> String {
     let heartbeat = serde_json::json!({"tree": machine, "address": "10.0.0.1:1", "breed": "t8",
         "grove": "east", "windfall": true, "season": 1, "ring": sequence, "staff": 0, "shakeS": null,
@@ -191,7 +191,7 @@
     heartbeat.to_string()
 }
 
-/// The report of a worker that runs the task and has seen the token.
+/// The heartbeat of a worker that runs the task and has seen the token.
 pub fn report_of(sequence: u64, token: u64) -> String {
     let heartbeat = serde_json::json!({"tree": "n-1", "address": "10.0.0.1:1", "breed": "t8",
         "grove": "east", "windfall": true, "season": 1, "ring": sequence, "staff": token, "shakeS": null,
@@ -214,7 +214,7 @@
     (answer.status, told["staff"].as_u64().unwrap_or(0), calls)
 }
 
-/// Whether the connection takes a report for its last one again.
+/// Whether the connection takes a heartbeat for its last one again.
 fn remembers(last: &WorkerConnection, sequence: u64, token: u64) -> bool {
     last.repeated_by(report_of(sequence, token).as_bytes())
         .is_some_and(|(_, found)| found == sequence)
@@ -258,7 +258,7 @@
         .await;
 }
 
-/// The state service refuses the leader alone, another node confirms a cancellation, then the service
+/// The key-value store refuses the leader alone, another node confirms a cancellation, then the service
 /// is down for all. What the leader's worker is told, by what became of the frames.
 #[tokio::test(start_paused = true)]
 async fn the_gap_is_closed_whether_frames_arrive_or_not() {
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -130,13 +130,13 @@
 }
 
 /// Machines in one frame. One frame each, the hints of a large fleet overran the queue, and a
-/// take-over asked only a part of it.
+/// failover asked only a part of it.
 pub const MAX_MACHINES: usize = 120;
 
 /// One message between nodes.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Frame {
-    /// Who speaks, whether it leads under what term, and whether the state service serves it.
+    /// Who speaks, whether it leads under what term, and whether the key-value store serves it.
     Status {
         name: String,
         term: u64,
@@ -158,7 +158,7 @@
     NewJob {
         job: String,
     },
-    /// The state service has come down to its next limits, as the speaker met with. Whoever hears it
+    /// The key-value store has come down to its next limits, as the speaker met with. Whoever hears it
     /// only sends less.
     LimitsLowered,
     /// Where machines that report to the leader can be reached.
--- a/crates/controller/src/peers/heartbeat_frames.rs
+++ b/crates/controller/src/peers/heartbeat_frames.rs
@@ -10,7 +10,7 @@
 
 use super::{name_field, name_of, MOST};
 
-/// Bytes of a report or an answer that one frame takes; a worker with more to say goes to the leader.
+/// Bytes of a heartbeat or an answer that one frame takes; a worker with more to say goes to the leader.
 pub const MAX_CARRIED: usize = 3_500;
 /// Machines in one frame.
 pub const MAX_ENTRIES: usize = 150;
@@ -20,7 +20,7 @@
     size_of::<RepeatedHeartbeatsBody>() + MAX_ENTRIES * size_of::<RepeatedHeartbeatEntry>() < MOST
 );
 
-/// A worker's report on its way to the leader.
+/// A worker's heartbeat on its way to the leader.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ForwardedHeartbeat {
     /// The follower, and which life of it asks.
@@ -39,7 +39,7 @@
     pub number: u64,
     /// The body for the worker; `None`: the leader doesn't answer this one.
     pub answer: Option<Vec<u8>>,
-    /// If repetitions of the report may be answered without asking.
+    /// If repetitions of the heartbeat may be answered without asking.
     pub cache_entry: Option<CacheGrant>,
 }
 
--- a/crates/controller/src/settings.rs
+++ b/crates/controller/src/settings.rs
@@ -25,7 +25,7 @@
     pub state: SocketAddrV4,
     pub site: Site,
     pub state_limits: crate::key_value_client::Limits,
-    /// What the state service may come down to at any time.
+    /// What the key-value store may come down to at any time.
     pub state_next: Option<crate::key_value_client::Limits>,
     pub cloud_rps: f64,
     pub fd_limit: u32,
@@ -40,7 +40,7 @@
 /// | who | part of L |
 /// | --- | --- |
 /// | workers' own connections, kept open | 64% |
-/// | users, probes, and workers beyond that for one report each | 12% |
+/// | users, probes, and workers beyond that for one heartbeat each | 12% |
 /// | requests of this node: messages to workers 11%, the rest state, cloud and idle connections | 16% |
 /// | other nodes, listeners, connections that are closing | 8% |
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -57,7 +57,7 @@
 
 impl Sockets {
     /// The fewest sockets that a node can do with: its own descriptors and listeners, requests to the
-    /// state service and the cloud beside two watches, a connection each way with one to spare for
+    /// key-value store and the cloud beside two watches, a connection each way with one to spare for
     /// every other node, and some users and workers.
     pub fn least(peers: usize) -> u32 {
         (8 + 12 + 3 * peers + 16) as u32
@@ -118,7 +118,7 @@
         }
     }
 
-    /// The state service's limits. Where there are limits to fall back on, each may be left out.
+    /// The key-value store's limits. Where there are limits to fall back on, each may be left out.
     fn limits(
         &mut self,
         path: &str,
--- a/crates/controller/src/user_api.rs
+++ b/crates/controller/src/user_api.rs
@@ -1,7 +1,7 @@
 //! The users' side: submissions, polls and withdrawals. Any node serves it, from the state
 //! service alone; what the leader and the other nodes tell only adds counts for display.
 //!
-//! No answer is ever older than one that any node gave before: an end never changes, and "not ended" is said only after the state service confirmed it.
+//! No answer is ever older than one that any node gave before: an end never changes, and "not ended" is said only after the key-value store confirmed it.
 
 #[cfg(test)]
 pub mod fake_cluster;
@@ -96,7 +96,7 @@
     fn learn(&self, name: &str, known: Known) {
         let mut map = self.known.borrow_mut();
         if map.len() > MAX_KNOWN {
-            // Only a memory of what the state service keeps for ever: it is asked again.
+            // Only a memory of what the key-value store keeps for ever: it is asked again.
             map.clear();
         }
         if matches!(known, Known::Ended(_)) {
@@ -445,7 +445,7 @@
 }
 
 /// Sends an acceptance, and once more over another connection if the answer takes long: now and then
-/// the state service takes some hundred milliseconds over one request and few over the next. Both
+/// the key-value store takes some hundred milliseconds over one request and few over the next. Both
 /// are guarded by the job's absence, so only one takes effect; the other then finds the job known.
 async fn commit_twice(node: &Rc<Node>, transaction: &Transaction) -> TransactionOutcome {
     let first = node.key_value.commit(RequestClass::Submission, transaction);
--- a/crates/controller/src/user_api/concurrent_failures_tests.rs
+++ b/crates/controller/src/user_api/concurrent_failures_tests.rs
@@ -99,7 +99,7 @@
     late: f64,
     /// Share of the frames between nodes that is lost.
     frames_lost: f64,
-    /// For how long the state service is down for all, in the middle.
+    /// For how long the key-value store is down for all, in the middle.
     outage: Duration,
 }
 
--- a/crates/controller/src/user_api/fake_cluster.rs
+++ b/crates/controller/src/user_api/fake_cluster.rs
@@ -1,4 +1,4 @@
-//! A state service for tests: the protocol's conditional writes, and faults on demand.
+//! A key-value store for tests: the protocol's conditional writes, and faults on demand.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
--- a/crates/controller/src/user_api/job_checks.rs
+++ b/crates/controller/src/user_api/job_checks.rs
@@ -1,4 +1,4 @@
-//! How jobs stand, asked of the state service: many at once, each with all that it needs.
+//! How jobs stand, asked of the key-value store: many at once, each with all that it needs.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::rc::Rc;
--- a/crates/controller/src/worker_api.rs
+++ b/crates/controller/src/worker_api.rs
@@ -1,4 +1,4 @@
-//! The workers: their reports, and commands sent to them directly.
+//! The workers: their heartbeats, and commands sent to them directly.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -22,7 +22,7 @@
 use connection::sequence_in;
 pub use connection::WorkerConnection;
 
-/// Reads a report; what is malformed changes nothing.
+/// Reads a heartbeat; what is malformed changes nothing.
 fn parse(body: &[u8]) -> Result<Heartbeat, String> {
     let heartbeat: Heartbeat = serde_json::from_slice(body).map_err(|e| e.to_string())?;
     if heartbeat.machine.is_empty() || heartbeat.machine.len() > 64 {
@@ -37,10 +37,10 @@
     Ok(heartbeat)
 }
 
-/// Answers a worker's report, as the leader or on its behalf.
+/// Answers a worker's heartbeat, as the leader or on its behalf.
 pub async fn heartbeat(node: &Node, connection: &WorkerConnection, body: &[u8]) -> Answer {
     let first = connection.count(&node.serving.workers);
-    // Not with its first report: a worker that can't reach the other node comes back at once, and its
+    // Not with its first heartbeat: a worker that can't reach the other node comes back at once, and its
     // lease must not run out between two nodes that send it to each other.
     let other = if first { None } else { node.serving.another_node_for(body.len()) };
     if let Some(other) = other {
@@ -58,7 +58,7 @@
     }
 }
 
-/// Answers a worker's report as the leader.
+/// Answers a worker's heartbeat as the leader.
 pub fn answer_heartbeat(node: &Node, connection: &WorkerConnection, body: &[u8]) -> Answer {
     if let Some(token) = cached_response_token(node, connection, body) {
         return accepted(token, Vec::new());
@@ -75,7 +75,7 @@
     accepted(read.token, read.calls)
 }
 
-/// The token to answer with, if the report is the connection's last one again and that left nothing
+/// The token to answer with, if the heartbeat is the connection's last one again and that left nothing
 /// to do. Nothing is to be decided then either, so the leader isn't woken.
 fn cached_response_token(node: &Node, connection: &WorkerConnection, body: &[u8]) -> Option<u64> {
     let (cached, sequence) = connection.repeated_by(body)?;
@@ -89,14 +89,14 @@
     scheduler.answer_repeated_heartbeat(now, cached, sequence)
 }
 
-/// The leader's answer to a report, and the mark if it left nothing to do.
+/// The leader's answer to a heartbeat, and the mark if it left nothing to do.
 struct HandledHeartbeat {
     token: u64,
     calls: Vec<WorkerCommand>,
     cached: Option<CachedHeartbeat>,
 }
 
-/// Reads a report that may say something new. `None`: this node may not answer it.
+/// Reads a heartbeat that may say something new. `None`: this node may not answer it.
 fn handle_heartbeat(
     node: &Node,
     body: &[u8],
@@ -120,7 +120,7 @@
     Some(HandledHeartbeat { token, calls, cached })
 }
 
-/// The leader's answer to a report that a follower passed on.
+/// The leader's answer to a heartbeat that a follower passed on.
 pub struct HandledForwardedHeartbeat {
     /// The body for the worker.
     pub body: Vec<u8>,
@@ -128,7 +128,7 @@
     pub cache_entry: Option<(CachedHeartbeat, u64, TimeDelta)>,
 }
 
-/// Reads a report that a follower passed on. `None`: the worker should come itself, or go elsewhere.
+/// Reads a heartbeat that a follower passed on. `None`: the worker should come itself, or go elsewhere.
 pub fn handle_forwarded_heartbeat(
     node: &Node,
     body: &[u8],
@@ -165,7 +165,7 @@
     }
 }
 
-/// Sends commands once. Never again: whether they arrived is for the worker's reports to tell.
+/// Sends commands once. Never again: whether they arrived is for the worker's heartbeats to tell.
 pub async fn send_commands(
     client: &Client,
     address: &str,
--- a/crates/controller/src/worker_api/connection.rs
+++ b/crates/controller/src/worker_api/connection.rs
@@ -1,4 +1,4 @@
-//! What a connection remembers of its worker's last report, so that a repetition costs little.
+//! What a connection remembers of its worker's last heartbeat, so that a repetition costs little.
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::ops::Range;
@@ -10,7 +10,7 @@
 /// Longer reports are read in full each time: some thousand connections remember one each.
 const MAX_REMEMBERED: usize = 4 * 1024;
 
-/// A report as it came, and the mark that it left nothing to do.
+/// A heartbeat as it came, and the mark that it left nothing to do.
 #[derive(Debug)]
 struct Remembered {
     body: Vec<u8>,
@@ -37,7 +37,7 @@
 }
 
 impl WorkerConnection {
-    /// A report has come. Whether it is the first on this connection.
+    /// A heartbeat has come. Whether it is the first on this connection.
     pub fn count(&self, workers: &Rc<Cell<u32>>) -> bool {
         self.counted.get_or_init(|| {
             workers.set(workers.get() + 1);
@@ -47,7 +47,7 @@
         self.heartbeats.get() == 1
     }
 
-    /// If the body is the last report again, but for its sequence number: that number, and the mark.
+    /// If the body is the last heartbeat again, but for its sequence number: that number, and the mark.
     pub fn repeated_by(&self, body: &[u8]) -> Option<(CachedHeartbeat, u64)> {
         let remembered = self.last.borrow();
         let last = remembered.as_ref()?;
@@ -57,7 +57,7 @@
         Some((last.cached, parse_digits(digits)?))
     }
 
-    /// Remembers a report that left nothing to do, or forgets the one before.
+    /// Remembers a heartbeat that left nothing to do, or forgets the one before.
     pub fn remember(&self, body: &[u8], cached: Option<CachedHeartbeat>) {
         let remembered = cached.filter(|_| body.len() <= MAX_REMEMBERED).and_then(|cached| {
             Some(Remembered { body: body.to_vec(), sequence: sequence_digits(body)?, cached })
@@ -66,7 +66,7 @@
     }
 }
 
-/// The sequence number as it stands in a report's text.
+/// The sequence number as it stands in a heartbeat's text.
 pub fn sequence_in(body: &[u8]) -> Option<u64> {
     parse_digits(&body[sequence_digits(body)?])
 }
--- a/crates/fault-injection/src/controllers.rs
+++ b/crates/fault-injection/src/controllers.rs
@@ -1,4 +1,4 @@
-//! Three controllers as processes of this machine, each with sockets of its own to the stand-ins.
+//! Three controllers as processes of this machine, each with sockets of its own to the fakes.
 
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
--- a/crates/fault-injection/src/elections.rs
+++ b/crates/fault-injection/src/elections.rs
@@ -1,4 +1,4 @@
-//! What the state service's history tells of elections between two versions, and of the jobs that lived
+//! What the key-value store's history tells of elections between two versions, and of the jobs that lived
 //! under both. No sockets and no clock.
 
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/fault-injection/src/fake_key_value_service.rs
+++ b/crates/fault-injection/src/fake_key_value_service.rs
@@ -1,4 +1,4 @@
-//! A state service: keys with revisions, leases, conditional transactions and watches, in memory. One socket
+//! A key-value store: keys with revisions, leases, conditional transactions and watches, in memory. One socket
 //! for each controller, so that it is known who asks.
 
 use std::collections::BTreeMap;
--- a/crates/fault-injection/src/fake_key_value_store.rs
+++ b/crates/fault-injection/src/fake_key_value_store.rs
@@ -1,4 +1,4 @@
-//! The state service's contents: keys with revisions, attached to leases, changed by conditional
+//! The key-value store's contents: keys with revisions, attached to leases, changed by conditional
 //! transactions. No sockets and no clock: whoever serves it says when a lease ends.
 
 use std::collections::BTreeMap;
--- a/crates/fault-injection/src/fake_workers.rs
+++ b/crates/fault-injection/src/fake_workers.rs
@@ -1,4 +1,4 @@
-//! Workers as the protocol describes them, many in one process: reports, tokens, sessions, leases, commands.
+//! Workers as the protocol describes them, many in one process: reports, tokens, agent epochs, leases, commands.
 //! Their tasks only take time.
 
 use std::collections::BTreeMap;
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,4 +1,4 @@
-//! Real controllers on loopback against stand-ins for everything around them, a harness that freezes the
+//! Real controllers on loopback against fakes for everything around them, a harness that freezes the
 //! leader, a play with two versions of the program, and a checker of what the cloud was asked.
 
 pub mod action_checker;
--- a/crates/fencing/src/intent_log.rs
+++ b/crates/fencing/src/intent_log.rs
@@ -185,7 +185,7 @@
     retry_at: Option<Timestamp>,
 }
 
-/// What the state service takes at once.
+/// What the key-value store takes at once.
 #[derive(Debug, Clone, Copy)]
 pub struct WriteLimits {
     /// The largest value.
@@ -257,7 +257,7 @@
         self.stopped.as_ref()
     }
 
-    /// The state service takes that much at once from now on.
+    /// The key-value store takes that much at once from now on.
     pub fn set_limits(&mut self, limits: WriteLimits) {
         self.limits = limits;
     }
--- a/crates/fencing/src/lease.rs
+++ b/crates/fencing/src/lease.rs
@@ -1,6 +1,6 @@
 //! A node's own view of a lease that it holds a duty by. [`RoleLease::step`] makes every change.
 //!
-//! The state service ends a lease a full `ttl` after the last renewal that it carried out, which is after the
+//! The key-value store ends a lease a full `ttl` after the last renewal that it carried out, which is after the
 //! renewal was sent. So a holder that counts from the sending, and allows for its clock being slow, stops
 //! before the service lets anybody else in, and needs no message for that.
 
--- a/crates/fencing/src/leased_role.rs
+++ b/crates/fencing/src/leased_role.rs
@@ -50,7 +50,7 @@
 }
 
 /// Tells one holding of a duty from all others. It is the revision of the duty's key, as the term is the
-/// revision of the leader's: revisions of the state service only rise.
+/// revision of the leader's: revisions of the key-value store only rise.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Epoch(u64);
 
@@ -63,7 +63,7 @@
     /// Above what a term may be, so that tokens made of it would not rise any more.
     #[error("epoch {0} is beyond the limit {limit}", limit = Epoch::LIMIT)]
     AtLimit(u64),
-    /// A higher one was in use: the state service lost what it had stored.
+    /// A higher one was in use: the key-value store lost what it had stored.
     #[error("epoch {found} went back: {known} was in use before")]
     WentBack {
         /// The epoch that was found now.
@@ -86,7 +86,7 @@
         }
     }
 
-    /// As a revision of the state service.
+    /// As a revision of the key-value store.
     pub fn revision(self) -> u64 {
         self.0
     }
--- a/crates/fencing/src/role_balancer.rs
+++ b/crates/fencing/src/role_balancer.rs
@@ -16,7 +16,7 @@
 pub struct NodeLoad {
     /// It leads.
     pub leads: bool,
-    /// The state service answers it.
+    /// The key-value store answers it.
     pub store_reachable: bool,
 }
 
--- a/crates/fencing/tests/golden_bytes.rs
+++ b/crates/fencing/tests/golden_bytes.rs
@@ -63,7 +63,7 @@
     ]
 }
 
-/// A record below its key, as it goes to the state service.
+/// A record below its key, as it goes to the key-value store.
 fn intent_text(actions: &[Action]) -> String {
     let key = intent_key(LeasedRole::Fleet, epoch(), 17);
     format!("{key}\n{}", text(&IntentRecord::new(actions.to_vec())))
--- a/crates/scheduler/src/autoscaling.rs
+++ b/crates/scheduler/src/autoscaling.rs
@@ -342,7 +342,7 @@
             let soon = job.tasks.iter().zip(0..).filter(|(t, index)| {
                 let since = match job.started.get(index) {
                     Some(&since) => since,
-                    // Right after a take-over nothing has been seen running yet. (Taken for work
+                    // Right after a failover nothing has been seen running yet. (Taken for work
                     // that frees nothing, it made a new leader rent three hundred dear machines.)
                     None if self.placed_before(t) => self.began(now, t),
                     None => return false,
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -1,5 +1,5 @@
 //! Commands sent to workers directly: one message under way per worker, each sent once. Whether it arrived
-//! is for the worker's reports to tell.
+//! is for the worker's heartbeats to tell.
 
 use crate::leadership::election::token;
 use crate::model::task::{MachineIndex, TaskEvent, TaskPhase};
@@ -34,7 +34,7 @@
             self.send_checks += 1;
             let m = &self.machines[ix];
             // A machine of the last leader's that has not reported yet is asked at the address that
-            // the cloud or another node tells, so that a take-over doesn't wait for its next report.
+            // the cloud or another node tells, so that a failover doesn't wait for its next heartbeat.
             let asked = m.state == MachineState::Booting
                 && (m.hinted_up_at.is_some() || !m.tasks.is_empty());
             let known = m.state == MachineState::Up || asked;
@@ -44,22 +44,22 @@
                 && !m.address.is_empty()
                 && self.messages_in_flight < self.site.most_messages;
             // A fence that was raised for a lost send, or a new term, is shown to the worker at
-            // once instead of with its next report.
-            // (The first answer of a worker whose session wasn't known shows the session only; the
+            // once instead of with its next heartbeat.
+            // (The first answer of a worker whose agent epoch wasn't known shows the agent epoch only; the
             // second shows that it has seen the term.)
-            // A fence that an answer to its own report has just shown it is asked about only if its
-            // next report doesn't come. (Each reap raises the fence: a question after each of them was a
+            // A fence that an answer to its own heartbeat has just shown it is asked about only if its
+            // next heartbeat doesn't come. (Each reap raises the fence: a question after each of them was a
             // third of all messages.)
             let just_told = now.since(m.token_sent_at) < ANSWER_SHOWS_WITHIN;
             let unseen = m.acknowledged_token < token(term, 0).max(m.required_token)
                 || (m.acknowledged_token < m.token(term) && !m.tasks.is_empty() && !just_told);
-            // One that missed a report is asked: if it answers it is not silent, and if it doesn't
+            // One that missed a heartbeat is asked: if it answers it is not silent, and if it doesn't
             // it can be given up sooner.
             let missed = m.state == MachineState::Up && now.since(m.last_heartbeat) > overdue;
             let may_start = can_send && self.holds_lease;
             let (ids, starts) = self.release_starts(now, ix as MachineIndex, may_start);
             let m = &mut self.machines[ix];
-            // Mere questions are paced: at a take-over the whole fleet is asked.
+            // Mere questions are paced: at a failover the whole fleet is asked.
             let ask_later = m.outbox.is_empty()
                 && starts.is_empty()
                 && self.messages_in_flight >= most_questions;
@@ -78,7 +78,7 @@
         self.ask_overdue(overdue_machines, most_questions);
     }
 
-    /// Asks machines of which a report is missing, after all that a message is more urgent for, and those first
+    /// Asks machines of which a heartbeat is missing, after all that a message is more urgent for, and those first
     /// that were heard longest ago. (In the order of the table, the first two thousand were overdue again
     /// before the others were asked at all.)
     fn ask_overdue(&mut self, mut machines: Vec<MachineIndex>, most_questions: usize) {
@@ -179,7 +179,7 @@
     }
 
     /// The message may have held the command to stop a cancelled job's tasks: the next one holds it
-    /// again. The answers to the worker's reports do so too, where there are any.
+    /// again. The answers to the worker's heartbeats do so too, where there are any.
     fn repeat_stops(&mut self, m: MachineIndex) {
         let machine = &self.machines[m as usize];
         let mut calls = Vec::new();
--- a/crates/scheduler/src/leadership/watermark.rs
+++ b/crates/scheduler/src/leadership/watermark.rs
@@ -1,7 +1,7 @@
 //! Which cancellations the users were told of, who has to hear of them, and up to when a leader knows
 //! them all.
 //!
-//! A worker's lease is renewed by the answers to its reports, and a task of a cancelled job that is
+//! A worker's lease is renewed by the answers to its heartbeats, and a task of a cancelled job that is
 //! renewed unknowingly lives on. So each node keeps a [`CancellationLog`] of the cancellations that it told,
 //! numbered, and repeats them to every other node until that acknowledges them. A leader asks the
 //! others again and again how far their logs go; from the answers, and from what it reads itself, its
@@ -135,7 +135,7 @@
     /// All that it told before this is known here.
     vouched: Timestamp,
     /// Something that it, or its former self, told before this may have been missed: it vouches for
-    /// nothing until the state service was read later than that.
+    /// nothing until the key-value store was read later than that.
     gap: Option<Timestamp>,
 }
 
@@ -155,7 +155,7 @@
         Watermark { read: Timestamp(0), streams, asked: VecDeque::new() }
     }
 
-    /// All ends that were stored by then have been read from the state service.
+    /// All ends that were stored by then have been read from the key-value store.
     pub fn read(&mut self, by: Timestamp) {
         self.read = self.read.max(by);
     }
--- a/crates/scheduler/src/model/job.rs
+++ b/crates/scheduler/src/model/job.rs
@@ -22,7 +22,7 @@
         [Priority::Low, Priority::Normal, Priority::High, Priority::Prod];
 }
 
-/// What the owner asked for. Stored in the state service as it is.
+/// What the owner asked for. Stored in the key-value store as it is.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
     pub class: String,
--- a/crates/scheduler/src/model/task.rs
+++ b/crates/scheduler/src/model/task.rs
@@ -22,7 +22,7 @@
     Pending,
     /// Recorded, or being recorded, as given to a machine; the start may be under way.
     Dispatching,
-    /// A report showed it on its machine.
+    /// A heartbeat showed it on its machine.
     Running,
     /// Told to stop; still on its machine as far as anybody knows.
     Stopping,
@@ -68,7 +68,7 @@
     pub phase: TaskPhase,
     pub attempt: u32,
     pub machine: MachineIndex,
-    /// The worker's session that the start was sent to.
+    /// The worker's agent epoch that the start was sent to.
     pub agent_epoch: u64,
     /// The token that the start was sent with; 0 until it is sent. Proof of absence needs a
     /// report that had already seen a higher one.
@@ -89,7 +89,7 @@
     Retract,
     /// The start goes out, once, with this token.
     Sent { token: u64 },
-    /// A report shows the attempt on the machine, with its image.
+    /// A heartbeat shows the attempt on the machine, with its image.
     Observed,
     /// A command to stop it goes out.
     Stop,
@@ -97,7 +97,7 @@
     ConfirmationExpired,
     /// Proven off its machine without having completed.
     ProvenAbsent,
-    /// A report shows that it completed.
+    /// A heartbeat shows that it completed.
     Completed,
 }
 
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -100,7 +100,7 @@
 
     /// Whether anything may be started on the machine now.
     pub fn open_for_work(&self, now: Timestamp, m: &Machine) -> bool {
-        // A report under this term is what opens a machine: until then nobody can tell what the
+        // A heartbeat under this term is what opens a machine: until then nobody can tell what the
         // last leader left on it. One that has been silent for a while is not trusted either.
         m.state == MachineState::Up
             && m.kind.is_some()
--- a/crates/scheduler/src/protocol.rs
+++ b/crates/scheduler/src/protocol.rs
@@ -22,7 +22,7 @@
 pub const MAX_TASKS: u64 = 100_000;
 
 /// Whether `name` has the form of a job's id: `req-` and decimal digits. Everything else is no id,
-/// and is never looked up in the state service.
+/// and is never looked up in the key-value store.
 pub fn is_job_id(name: &str) -> bool {
     name.strip_prefix("req-")
         .is_some_and(|n| (1..=20).contains(&n.len()) && n.bytes().all(|b| b.is_ascii_digit()))
@@ -108,7 +108,7 @@
 }
 
 /// The most jobs that one may wait for. With names of the usual length their list takes a quarter of
-/// the smallest value that a state service is planned to hold.
+/// the smallest value that a key-value store is planned to hold.
 pub const MAX_DEPENDENCIES: usize = 64;
 
 /// The jobs that have to be done first, each once.
@@ -183,7 +183,7 @@
     }
 }
 
-/// One task in a worker's report.
+/// One task in a worker's heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize, Serialize)]
 pub struct TaskStatus {
     #[serde(rename = "nut")]
@@ -221,7 +221,7 @@
     Other,
 }
 
-/// A worker's report, also the answer to `/commands` and `/show`.
+/// A worker's heartbeat, also the answer to `/commands` and `/show`.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Heartbeat {
     #[serde(rename = "tree")]
@@ -245,10 +245,10 @@
     pub tasks: Vec<TaskStatus>,
 }
 
-/// The name of a report's sequence number, as it stands in the text.
+/// The name of a heartbeat's sequence number, as it stands in the text.
 const SEQUENCE_KEY: &[u8] = b"\"ring\":";
 
-/// Where the digits of a report's sequence number stand in its text. `None`: nowhere, or in more than
+/// Where the digits of a heartbeat's sequence number stand in its text. `None`: nowhere, or in more than
 /// one place, or not as plain digits. (Inside of a string the key can't stand like that: its quotation
 /// marks would be escaped.)
 pub fn sequence_digits(heartbeat: &[u8]) -> Option<std::ops::Range<usize>> {
@@ -300,7 +300,7 @@
     },
 }
 
-/// The answer to a report.
+/// The answer to a heartbeat.
 #[derive(Debug, Serialize)]
 pub struct HeartbeatResponse {
     #[serde(rename = "staff")]
--- a/crates/scheduler/src/queue/dependencies.rs
+++ b/crates/scheduler/src/queue/dependencies.rs
@@ -81,7 +81,7 @@
     /// A job has come into the registry: what it needs is looked for.
     pub(crate) fn add_dependencies(&mut self, now: Timestamp, ix: JobIndex) {
         // What needs it may have come first: records are read in no order of theirs. (After each
-        // take-over half the steps of all chains had only their own priority, the lowest, and waited
+        // failover half the steps of all chains had only their own priority, the lowest, and waited
         // for two minutes.)
         self.refresh_inherited(now, ix);
         let Some(job) = self.jobs.get_mut(&ix) else { return };
--- a/crates/scheduler/src/queue/fair_share.rs
+++ b/crates/scheduler/src/queue/fair_share.rs
@@ -40,7 +40,7 @@
 const MAX_TOLD: usize = 12;
 /// How often the work that finds no room is added up.
 const OBSERVE_EVERY: TimeDelta = TimeDelta::from_millis(500);
-/// After a take-over, until a machine list is read, nobody can tell what room there is.
+/// After a failover, until a machine list is read, nobody can tell what room there is.
 const KNOWS_FLEET_AFTER: TimeDelta = TimeDelta::from_secs(10);
 
 /// What the leader keeps to share the fleet.
--- a/crates/scheduler/src/reconciliation/delegation.rs
+++ b/crates/scheduler/src/reconciliation/delegation.rs
@@ -1,7 +1,7 @@
 //! What a follower may answer to workers on the leader's behalf.
 //!
-//! A follower holds a share of the workers' connections. A report that may say something new goes to the
-//! leader, whose answer it passes on. A repetition of a report that left nothing to do
+//! A follower holds a share of the workers' connections. A heartbeat that may say something new goes to the
+//! leader, whose answer it passes on. A repetition of a heartbeat that left nothing to do
 //! ([`crate::reconciliation::repeated_heartbeats`]) it answers itself, and tells the leader later that the machine was heard.
 //!
 //! Such an answer renews the leases of the machine's tasks, so the bound of [`crate::leadership::watermark`] holds for
@@ -43,10 +43,10 @@
     pub invalidated: u64,
 }
 
-/// A mark that came with the leader's answer to a report.
+/// A mark that came with the leader's answer to a heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CacheGrant {
-    /// The report that left nothing to do.
+    /// The heartbeat that left nothing to do.
     pub cached: CachedHeartbeat,
     /// The token to answer repetitions with.
     pub token: u64,
--- a/crates/scheduler/src/reconciliation/health.rs
+++ b/crates/scheduler/src/reconciliation/health.rs
@@ -64,7 +64,7 @@
         unheard.map(|(zone, _)| zone.to_owned()).collect()
     }
 
-    /// Silence after which a machine is given up: its report is overdue, it was asked directly and
+    /// Silence after which a machine is given up: its heartbeat is overdue, it was asked directly and
     /// has had the time to answer. (Counted in seconds that suited reports every three, every
     /// machine whose reports came six seconds apart was given back as soon as one was a bit late.)
     pub(crate) fn suspicion_timeout(&self) -> TimeDelta {
@@ -119,7 +119,7 @@
                 let boot = m.kind.and_then(|k| self.types.get(k)).map_or(60.0, |k| k.boot_s);
                 let limit = TimeDelta::from_secs_f64(boot.max(5.0) * self.tunables.boot_patience);
                 // A new leader hears of machines that came up long ago, and has to give each the
-                // time to answer it. (By their age alone, each take-over gave back every machine
+                // time to answer it. (By their age alone, each failover gave back every machine
                 // that was idle and hadn't reported within its first second: a third of the fleet.)
                 let asked = match m.hinted_up_at {
                     Some(since) => {
--- a/crates/scheduler/src/reconciliation/heartbeats.rs
+++ b/crates/scheduler/src/reconciliation/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Workers' reports: what they prove, and the commands that answer them. (The paper's receipts.)
+//! Workers' heartbeats: what they prove, and the commands that answer them. (The paper's receipts.)
 
 use crate::leadership::election::token;
 use crate::model::task::{MachineIndex, TaskEvent, TaskPhase};
@@ -9,17 +9,17 @@
 /// A start counts for the job's users if it is not stopped again within half a minute.
 pub(crate) const STARTED_AFTER: TimeDelta = TimeDelta::from_secs(32);
 
-/// Commands in one answer, which is one line of at most 64 KiB; the next report is told the rest. (A
+/// Commands in one answer, which is one line of at most 64 KiB; the next heartbeat is told the rest. (A
 /// report may have as many tasks as fit into its own 64 KiB, and a call is longer than a task.)
 pub(crate) const MAX_COMMANDS: usize = 500;
 
-/// One task of a report, and the known task that it names, if there is one.
+/// One task of a heartbeat, and the known task that it names, if there is one.
 pub(crate) struct ReportedTask<'a> {
     entry: &'a protocol::TaskStatus,
     id: Option<TaskId>,
 }
 
-/// The entries of a report that name known tasks, in the order of those.
+/// The entries of a heartbeat that name known tasks, in the order of those.
 struct EntriesByTask<'a>(Vec<(TaskId, &'a protocol::TaskStatus)>);
 
 impl<'a> EntriesByTask<'a> {
@@ -47,7 +47,7 @@
 }
 
 impl Scheduler {
-    /// A worker's report. `None`: this node is not entitled to answer it.
+    /// A worker's heartbeat. `None`: this node is not entitled to answer it.
     pub fn heartbeat(
         &mut self,
         now: Timestamp,
@@ -142,7 +142,7 @@
         calls
     }
 
-    /// Looks up the tasks of a report, each once.
+    /// Looks up the tasks of a heartbeat, each once.
     pub(crate) fn resolve<'a>(&self, heartbeat: &'a Heartbeat) -> Vec<ReportedTask<'a>> {
         let resolve = |entry: &'a protocol::TaskStatus| {
             let id = protocol::parse_task_id(&entry.task).and_then(|(name, index)| {
@@ -165,8 +165,8 @@
         })
     }
 
-    /// Merges a report into the registry. Older reports add unpersisted_since and take none away. An answer to a
-    /// direct command comes from the machine as it is now; a report that came by itself may be a
+    /// Merges a heartbeat into the registry. Older reports add unpersisted_since and take none away. An answer to a
+    /// direct command comes from the machine as it is now; a heartbeat that came by itself may be a
     /// copy from long ago.
     pub(crate) fn reconcile_heartbeat(
         &mut self,
@@ -183,7 +183,7 @@
         if self.machines[m as usize].state == MachineState::Terminated {
             return m;
         }
-        // A finish is a finish, however late the report that tells it.
+        // A finish is a finish, however late the heartbeat that tells it.
         for ReportedTask { entry, id } in entries {
             if entry.state == TaskState::Exited && entry.cause == Some(ExitReason::Done) {
                 if let Some(id) = id {
@@ -247,7 +247,7 @@
                 }
                 None => {
                     // An absent task proves nothing while its start may still be under way:
-                    // the worker must have moved on to a later session, or have seen a token
+                    // the worker must have moved on to a later agent epoch, or have seen a token
                     // above the one that the start carries.
                     let proven = task.token != 0
                         && (heartbeat.agent_epoch > task.agent_epoch
@@ -260,7 +260,7 @@
             }
         }
         // A confirmed task that is missing under the very token it was sent with is strange;
-        // a raised fence turns the next report into proof.
+        // a raised fence turns the next heartbeat into proof.
         let machine = &self.machines[m as usize];
         let doubt = machine.tasks.iter().any(|id| {
             self.job(id.0).is_some_and(|j| {
@@ -278,7 +278,7 @@
         m
     }
 
-    /// Takes over what a newer report says of its machine.
+    /// Takes over what a newer heartbeat says of its machine.
     fn adopt(&mut self, now: Timestamp, m: MachineIndex, heartbeat: &Heartbeat, direct: bool) {
         let kind = self.types.iter().position(|t| t.name == heartbeat.kind);
         let term = self.term;
@@ -288,10 +288,10 @@
         // the newer ones: the machine is asked, and nothing else comes of it.
         let live = direct || heartbeat.token >= token(term, 0);
         if heartbeat.agent_epoch > machine.agent_epoch {
-            // A new session begins without tasks, and without messages meant for the old one.
+            // A new agent epoch begins without tasks, and without messages meant for the old one.
             machine.outbox.clear();
             if machine.agent_epoch > 0 && !direct {
-                // Its lease ran out though its reports arrive: answers may not reach it.
+                // Its lease ran out though its heartbeats arrive: answers may not reach it.
                 machine.raise_fencing_counter(now, term);
             }
         }
--- a/crates/scheduler/src/reconciliation/repeated_heartbeats.rs
+++ b/crates/scheduler/src/reconciliation/repeated_heartbeats.rs
@@ -1,17 +1,17 @@
 //! Reports that say nothing new.
 //!
 //! Most reports repeat the one before them: the same tasks, in the same states, under the same token.
-//! [`Scheduler::cache_heartbeat`] finds out whether a report has left nothing to do, so that the same
+//! [`Scheduler::cache_heartbeat`] finds out whether a heartbeat has left nothing to do, so that the same
 //! report under a later sequence number could not either. The node keeps the answer beside the text of
-//! the report, and hands a repetition to [`Scheduler::answer_repeated_heartbeat`], which looks at one machine and
+//! the heartbeat, and hands a repetition to [`Scheduler::answer_repeated_heartbeat`], which looks at one machine and
 //! nothing else.
 //!
-//! The report may have come through another node, which then answers the repetitions itself (see
+//! The heartbeat may have come through another node, which then answers the repetitions itself (see
 //! [`crate::reconciliation::delegation`]); it is the holder of the mark and is told when that is withdrawn.
 //!
-//! This is exact and no estimate: whatever could give such a report a meaning (a task of the machine
+//! This is exact and no estimate: whatever could give such a heartbeat a meaning (a task of the machine
 //! changes, its fence is raised, another report of it comes, the machine types change) withdraws the
-//! mark first, and the report is then read in full.
+//! mark first, and the heartbeat is then read in full.
 
 use std::collections::BTreeSet;
 
@@ -22,7 +22,7 @@
 use crate::scheduler::{MachineState, Scheduler, TaskId};
 use crate::time::{TimeDelta, Timestamp};
 
-/// Names one report that left nothing to do. Of use to the scheduler that gave it, and to no other.
+/// Names one heartbeat that left nothing to do. Of use to the scheduler that gave it, and to no other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CachedHeartbeat {
     /// The term of the scheduler.
@@ -54,13 +54,13 @@
 pub(crate) struct CacheRecord {
     number: u64,
     holder: CacheHolder,
-    /// From then on time alone gives the report a meaning: a task has run for long enough to count
+    /// From then on time alone gives the heartbeat a meaning: a task has run for long enough to count
     /// as begun.
     until: Timestamp,
 }
 
 impl Scheduler {
-    /// To be asked right after the report was answered without commands. `None`: a repetition of it
+    /// To be asked right after the heartbeat was answered without commands. `None`: a repetition of it
     /// would have to be read in full.
     pub fn cache_heartbeat(
         &mut self,
@@ -140,7 +140,7 @@
     }
 
     /// The settled report came again, the same but for its sequence number. The token to answer with,
-    /// and no commands; `None`: the report has to be read in full.
+    /// and no commands; `None`: the heartbeat has to be read in full.
     pub fn answer_repeated_heartbeat(
         &mut self,
         now: Timestamp,
@@ -174,7 +174,7 @@
         true
     }
 
-    /// A repetition of the machine's last report may mean something from now on. The only place where
+    /// A repetition of the machine's last heartbeat may mean something from now on. The only place where
     /// a mark ends, so that its holder is always told.
     pub(crate) fn invalidate_cached_heartbeat(&mut self, machine: MachineIndex) {
         let known = self.machines.get_mut(machine as usize);
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -85,7 +85,7 @@
 /// What became of a direct command.
 #[derive(Debug, Clone)]
 pub enum MessageOutcome {
-    /// 200 or 409: the worker's report after it.
+    /// 200 or 409: the worker's heartbeat after it.
     Answered(Box<Heartbeat>),
     /// The connection was refused, so nothing was sent.
     NotSent,
@@ -117,10 +117,10 @@
     pub sequence: u64,
     /// The token that the worker knew by its newest report.
     pub acknowledged_token: u64,
-    /// When an answer to its report last carried a token that it had not seen.
+    /// When an answer to its heartbeat last carried a token that it had not seen.
     pub token_sent_at: Timestamp,
     /// The token that it has to show before anything more is started there: raised when a message
-    /// to it was lost, or when its lease ran out though its reports arrive.
+    /// to it was lost, or when its lease ran out though its heartbeats arrive.
     pub required_token: u64,
     /// Since when it has owed that. A machine that is heard and doesn't hear looks alive by its
     /// reports; this is what gives it away.
@@ -128,12 +128,12 @@
     /// Messages to it that were lost in a row.
     pub consecutive_losses: u32,
     /// Rented by this leader or listed by the cloud, so that it can be counted on to come. What a
-    /// late report alone tells of may be long gone.
+    /// late heartbeat alone tells of may be long gone.
     pub expected: bool,
     pub fencing_counter: u64,
     /// Highest token with which a start was sent; a reap needs a higher one.
     pub start_token: u64,
-    /// Since when it is said to be running, by the cloud, another node or a report that may be a
+    /// Since when it is said to be running, by the cloud, another node or a heartbeat that may be a
     /// late copy: worth asking directly.
     pub hinted_up_at: Option<Timestamp>,
     pub last_heartbeat: Timestamp,
@@ -168,7 +168,7 @@
     pub completed_at: Timestamp,
     pub draining: Option<&'static str>,
     pub termination_sent_at: Option<Timestamp>,
-    /// Its last report, if a repetition of that would mean nothing; see [`crate::reconciliation::repeated_heartbeats`].
+    /// Its last heartbeat, if a repetition of that would mean nothing; see [`crate::reconciliation::repeated_heartbeats`].
     pub(crate) cached: Option<crate::reconciliation::repeated_heartbeats::CacheRecord>,
 }
 
@@ -349,22 +349,22 @@
     pub(crate) out: Vec<Command>,
     pub(crate) transactions: BTreeMap<u64, InFlightTransaction>,
     pub(crate) next_id: u64,
-    /// The state service refused the last write: nothing is decided until it answers again.
+    /// The key-value store refused the last write: nothing is decided until it answers again.
     pub writes_paused_until: Timestamp,
-    /// The largest value and the most changes of a transaction that the state service takes now, as
+    /// The largest value and the most changes of a transaction that the key-value store takes now, as
     /// far as is known.
     pub(crate) limits: Limits,
     pub(crate) dependency_graph: DependencyGraph,
     pub(crate) last_round: Timestamp,
-    /// Changes that the state service's write rate has room for now, and at most; `None`: any.
+    /// Changes that the key-value store's write rate has room for now, and at most; `None`: any.
     writes: Option<(f64, f64)>,
-    /// Chunks with planned starts that are not on their way to the state service.
+    /// Chunks with planned starts that are not on their way to the key-value store.
     pub(crate) planned_chunks: usize,
     pub(crate) write_counters: crate::storage::transactions::WriteCounters,
     pub dirty: bool,
     /// Whether the lease is certainly held. Without it another node may lead: this one goes on
     /// answering its workers, so that their tasks live, and starts, rents and returns nothing.
-    /// (A leader cut off from the state service once gave back machines that had merely gone over
+    /// (A leader cut off from the key-value store once gave back machines that had merely gone over
     /// to its successor.)
     pub holds_lease: bool,
     /// Every cancellation that any user was told of before this is in the registry; see
@@ -381,7 +381,7 @@
     /// Machines to be looked at for something to send, each once.
     pub(crate) send_queue: Vec<MachineIndex>,
     pub(crate) last_sweep: Timestamp,
-    /// Numbers the reports that left nothing to do.
+    /// Numbers the heartbeats that left nothing to do.
     pub(crate) last_cached_number: u64,
     /// Those whose holders have to be told that they hold no more.
     pub(crate) invalidated: Vec<crate::reconciliation::repeated_heartbeats::Invalidated>,
@@ -394,7 +394,7 @@
     pub machines_examined: u64,
     /// Jobs looked at for placing, once for each pass over them, for tests of what a round costs.
     pub jobs_examined: u64,
-    /// Machines looked at for something to send, for tests of what a report costs.
+    /// Machines looked at for something to send, for tests of what a heartbeat costs.
     pub send_checks: u64,
     pub started_at: Timestamp,
     pub autoscaler: crate::autoscaling::Autoscaler,
@@ -404,7 +404,7 @@
     pub sizes: HashMap<String, (f64, Timestamp)>,
 }
 
-/// What the state service takes at once.
+/// What the key-value store takes at once.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Limits {
     pub value_bytes: usize,
@@ -421,7 +421,7 @@
 
 /// Report intervals, each up to a quarter longer than told, after which a worker is overdue.
 pub const OVERDUE: f64 = 1.4;
-/// How long a machine that is gone is remembered, against late reports of it.
+/// How long a machine that is gone is remembered, against late heartbeats of it.
 const FORGET_AFTER: TimeDelta = TimeDelta::from_secs(600);
 /// Odd things to remember as logged: several for each machine of any fleet.
 const MAX_ANOMALIES: usize = 20_000;
@@ -484,7 +484,7 @@
         }
     }
 
-    /// Tells what the state service takes at once; it may become less at any time.
+    /// Tells what the key-value store takes at once; it may become less at any time.
     pub fn set_limits(&mut self, value_bytes: usize, txn_ops: usize) {
         self.limits = Limits { value_bytes, txn_ops: txn_ops.max(1) };
     }
@@ -519,7 +519,7 @@
         self.out.push(Command::Note(text));
     }
 
-    /// Logs something odd about a worker's report, once for each machine and kind.
+    /// Logs something odd about a worker's heartbeat, once for each machine and kind.
     pub(crate) fn log_once(&mut self, machine: &str, what: &'static str) {
         if self.anomalies.len() < MAX_ANOMALIES && self.anomalies.insert((machine.to_owned(), what))
         {
@@ -528,7 +528,7 @@
     }
 
     /// Whether a lease renewed now ends in time for whatever cancellation isn't known here. (A leader
-    /// that the state service alone refused went on renewing through the outage that followed: tasks
+    /// that the key-value store alone refused went on renewing through the outage that followed: tasks
     /// of jobs that others had cancelled meanwhile ran for as long as it lasted.)
     pub fn may_renew_leases(&self, now: Timestamp) -> bool {
         now.since(self.cancellations_known_until) <= watermark::window(&self.site)
@@ -623,7 +623,7 @@
 
     /// The place of a machine that is long gone, for a new one: the table would grow for as long as a
     /// leader leads. Nothing may refer to it any more. Only the one that went first is looked at (a
-    /// look at all of them for each new machine made a take-over's list cost its square).
+    /// look at all of them for each new machine made a failover's list cost its square).
     fn free_place(&mut self, now: Timestamp) -> Option<MachineIndex> {
         let &(gone_at, ix) = self.gone.front()?;
         if now.since(gone_at) <= FORGET_AFTER {
@@ -800,7 +800,7 @@
     }
 
     /// Since when a task runs that is seen running for the first time. One that an earlier leader
-    /// placed has run since then. (Counted from the take-over, run times were learned that were far
+    /// placed has run since then. (Counted from the failover, run times were learned that were far
     /// too short, every task that ran on looked slow beside them, and a fifth of a fleet without a
     /// slow machine was drained.)
     pub(crate) fn began(&self, now: Timestamp, task: &Task) -> Timestamp {
@@ -811,7 +811,7 @@
         }
     }
 
-    /// Tells a task's machine to stop it; repeated with every report until it is gone.
+    /// Tells a task's machine to stop it; repeated with every heartbeat until it is gone.
     pub(crate) fn stop(&mut self, now: Timestamp, id: TaskId, grace_s: f64) {
         let Some(job) = self.jobs.get(&id.0) else { return };
         let task = job.tasks[id.1 as usize];
--- a/crates/scheduler/src/storage/document.rs
+++ b/crates/scheduler/src/storage/document.rs
@@ -1,6 +1,6 @@
 //! Stored values, written out once.
 //!
-//! A value of the state service is measured, copied into a transaction, kept until that is settled and
+//! A value of the key-value store is measured, copied into a transaction, kept until that is settled and
 //! sent, perhaps several times. Kept as text it is encoded once and shared after that. (Kept as a tree, a
 //! round that wrote a dozen records made thousands of small allocations, three times over.)
 
--- a/crates/scheduler/src/storage/records.rs
+++ b/crates/scheduler/src/storage/records.rs
@@ -1,4 +1,4 @@
-//! What is kept in the state service of jobs and their tasks: how it is written and how it is read.
+//! What is kept in the key-value store of jobs and their tasks: how it is written and how it is read.
 //!
 //! A job's description is one value, written when it is accepted. Its tasks are kept in chunks of
 //! [`chunk_size`], or in parts of a chunk where a whole one is too large a value by now.
@@ -46,11 +46,11 @@
     Untouched(u8),
     /// Phase and attempt.
     Off(u8, u32),
-    /// Phase, attempt, machine, its session, and when it was placed.
+    /// Phase, attempt, machine, its agent epoch, and when it was placed.
     Placed(u8, u32, &'a str, u64, u64),
 }
 
-/// Phase, attempt, machine, session, and when it was placed, if the record tells.
+/// Phase, attempt, machine, agent epoch, and when it was placed, if the record tells.
 type Record<'a> = (TaskPhase, u32, &'a str, u64, Option<u64>);
 
 fn read_record(record: &Value) -> Option<Record<'_>> {
@@ -182,7 +182,7 @@
                 task.phase = TaskPhase::Dispatching;
                 task.agent_epoch = agent_epoch;
                 // Sent under an older term, so with a token below all of this one's. Only a worker
-                // that has seen this term refuses it for certain; a lower bar would take a report
+                // that has seen this term refuses it for certain; a lower bar would take a heartbeat
                 // from before the old start's arrival for proof.
                 task.token = self.loaded_token;
                 placed.push((index, machine.to_owned()));
--- a/crates/scheduler/src/storage/transactions.rs
+++ b/crates/scheduler/src/storage/transactions.rs
@@ -578,7 +578,7 @@
 
     /// The last look at the starts that wait for a machine's next message. Those that may still
     /// go are marked as sent with the very token of the message; a start that is given its token
-    /// any earlier could be proven absent by a report while it still waits here.
+    /// any earlier could be proven absent by a heartbeat while it still waits here.
     pub(crate) fn release_starts(
         &mut self,
         now: Timestamp,
--- a/crates/scheduler/src/tunables.rs
+++ b/crates/scheduler/src/tunables.rs
@@ -9,7 +9,7 @@
 /// a script and checks their ranges.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tunables {
-    /// How long the leader's lease in the state service lasts.
+    /// How long the leader's lease in the key-value store lasts.
     pub leader_lease: TimeDelta,
     /// Added to the worker lease before an unconfirmed start is settled as unknown.
     pub settle_margin: TimeDelta,
--- a/crates/scheduler/tests/autoscaling.rs
+++ b/crates/scheduler/tests/autoscaling.rs
@@ -186,7 +186,7 @@
     assert_eq!(w.leader.machines_examined - before, 1);
 }
 
-/// A take-over asks the whole fleet, a part at a time: sockets and processor are for starts and for
+/// A failover asks the whole fleet, a part at a time: sockets and processor are for starts and for
 /// answers to workers first.
 #[test]
 fn a_take_over_asks_a_large_fleet_in_parts() {
@@ -214,7 +214,7 @@
     }
 }
 
-/// Seen on the rough day of the grown maps cluster: within a second of each take-over a third of the
+/// Seen on the rough day of the grown maps cluster: within a second of each failover a third of the
 /// fleet was given back as "never came up", since it was older than a boot and had not reported to
 /// the new leader yet.
 #[test]
@@ -232,7 +232,7 @@
     };
     w.leader.machine_list(w.now, &[listed("n-1"), listed("n-2"), listed("n-dead")]);
     let mut given_up: Vec<(u64, String)> = Vec::new();
-    // They answer after some seconds, as in a take-over of hundreds.
+    // They answer after some seconds, as in a failover of hundreds.
     let awake = |w: &mut World, on: bool| w.workers.values_mut().for_each(|k| k.alive = on);
     awake(&mut w, false);
     for second in 0..20 {
@@ -348,7 +348,7 @@
         w.leader.machine_gone(w.now, &name);
         w.wait(1_000);
     }
-    // Those of the last ten minutes are remembered, against late reports of them.
+    // Those of the last ten minutes are remembered, against late heartbeats of them.
     let table = w.leader.machines.len();
     assert!((500..700).contains(&table), "{table}");
     assert_eq!(w.leader.by_name.len(), table);
@@ -412,7 +412,7 @@
     }
 }
 
-/// Counted from the take-over, run times were learned far too short, all that ran on looked slow beside
+/// Counted from the failover, run times were learned far too short, all that ran on looked slow beside
 /// them, and a fifth of a fleet without a slow machine was drained.
 #[test]
 fn a_new_leader_knows_for_how_long_tasks_have_run() {
@@ -646,7 +646,7 @@
     assert_eq!(gave(&w), 1);
 }
 
-/// A leader that is cut off from the workers, while other nodes pass their reports on to it, isn't deaf; but
+/// A leader that is cut off from the workers, while other nodes pass their heartbeats on to it, isn't deaf; but
 /// nothing that it sends arrives.
 #[test]
 fn a_leader_whose_messages_are_all_lost_reaches_no_worker() {
--- a/crates/scheduler/tests/cancellations.rs
+++ b/crates/scheduler/tests/cancellations.rs
@@ -35,7 +35,7 @@
 struct Meeting {
     name: &'static str,
     frames: Frames,
-    /// The state service refuses the leader from the start on, and is down for all from this on.
+    /// The key-value store refuses the leader from the start on, and is down for all from this on.
     outage_at: u64,
     told_at: u64,
 }
@@ -86,7 +86,7 @@
         w.heartbeat("n-1");
         w.cut_off = true;
         let mut watermark = Watermark::new(["p".to_owned(), "q".to_owned()]);
-        // Both are known, and the state service was read since.
+        // Both are known, and the key-value store was read since.
         for node in ["p", "q"] {
             watermark.vouch(w.now, node, 7, 0, 0);
         }
@@ -315,7 +315,7 @@
     let began = p.w.now;
     p.play(began, window(&site).0 / 1_000 - 2 * STEP, &far);
     assert!(p.w.leader.may_renew_leases(p.w.now));
-    // The last report within the window came at 18 s.
+    // The last heartbeat within the window came at 18 s.
     p.play(began, 18_000 + 24_000 - STEP, &far);
     assert!(p.live());
     p.play(began, 18_000 + 24_000 + 3 * STEP, &far);
@@ -446,7 +446,7 @@
     assert_eq!(w.workers["n-1"].tasks.len(), 1);
 }
 
-/// The message with the kill is lost, and the worker's reports don't come: it is sent again.
+/// The message with the kill is lost, and the worker's heartbeats don't come: it is sent again.
 #[test]
 fn a_lost_kill_of_a_cancelled_job_is_sent_again() {
     let mut w = World::new(&[("n-1", "a")]);
@@ -468,8 +468,8 @@
     assert!(w.places_of(&format!("{JOB}/0")).is_empty(), "by direct command, without any report");
 }
 
-/// The answer to a direct command has a higher count than a report sent just before it and overtakes
-/// it; the report's answer renews the lease all the same.
+/// The answer to a direct command has a higher count than a heartbeat sent just before it and overtakes
+/// it; the heartbeat's answer renews the lease all the same.
 #[test]
 fn a_report_that_was_overtaken_is_told_what_to_stop() {
     let mut w = World::new(&[("n-1", "a")]);
--- a/crates/scheduler/tests/dependencies.rs
+++ b/crates/scheduler/tests/dependencies.rs
@@ -249,7 +249,7 @@
     assert_eq!((state(&w).0, state(&w).1 > 1_000.0), (Priority::Low, true));
 }
 
-/// After a take-over the steps of a chain come in the order of their names, which is any.
+/// After a failover the steps of a chain come in the order of their names, which is any.
 #[test]
 fn a_take_over_knows_the_priorities_of_a_chain_in_whatever_order_it_is_read() {
     for names in
--- a/crates/scheduler/tests/fair_share.rs
+++ b/crates/scheduler/tests/fair_share.rs
@@ -154,7 +154,7 @@
     urgent.iter().map(|name| overload.waited(name)).max().expect("jobs")
 }
 
-/// Within one run of a task, since equal priorities stop nothing, and a take-over that may fall in; both
+/// Within one run of a task, since equal priorities stop nothing, and a failover that may fall in; both
 /// ends of a run are seen a second late here.
 #[test]
 fn urgent_work_of_a_team_below_its_share_starts_soon_whoever_leads() {
--- a/crates/scheduler/tests/fleet_size.rs
+++ b/crates/scheduler/tests/fleet_size.rs
@@ -1,4 +1,4 @@
-//! The scheduler at 4,200 machines: what a start, a take-over, a change of every machine at once and the end
+//! The scheduler at 4,200 machines: what a start, a failover, a change of every machine at once and the end
 //! of an outage cost, in entries looked at, messages, transactions and bytes kept.
 
 mod world;
--- a/crates/scheduler/tests/golden_bytes.rs
+++ b/crates/scheduler/tests/golden_bytes.rs
@@ -1,4 +1,4 @@
-//! Every kind of record that the scheduler keeps in the state service, to the byte: as it is written,
+//! Every kind of record that the scheduler keeps in the key-value store, to the byte: as it is written,
 //! as the loader reads it, and as it is written again. Kept in `golden/records.txt`; those of the
 //! former version in `fixtures/production-records.json`.
 
@@ -66,7 +66,7 @@
     serde_json::to_string(value).expect("text")
 }
 
-/// A key and its value as they go to the state service.
+/// A key and its value as they go to the key-value store.
 fn stored(key: &str, value: &Value) -> String {
     let Operation::Put { put, value, lease } = Operation::put(key, value) else {
         panic!("a change that puts")
@@ -416,7 +416,7 @@
 
 const PROTOCOL: &str = "tests/golden/protocol.txt";
 
-/// A report with every state and every cause.
+/// A heartbeat with every state and every cause.
 fn full_report() -> Heartbeat {
     let task = |index: u64, state, cause| TaskStatus {
         task: format!("req-000412/{index}"),
--- a/crates/scheduler/tests/random_interleavings.rs
+++ b/crates/scheduler/tests/random_interleavings.rs
@@ -29,7 +29,7 @@
     Heartbeat(Heartbeat),
 }
 
-/// What the state service takes once its limits have fallen: less than a chunk of the former version
+/// What the key-value store takes once its limits have fallen: less than a chunk of the former version
 /// with its tasks placed.
 const LEAST: (usize, usize) = (100, 2);
 
@@ -308,7 +308,7 @@
                 }
             }
             30 if pick.is_multiple_of(4) => {
-                // Back within a moment: none of its tasks, or a new session and no token either.
+                // Back within a moment: none of its tasks, or a new agent epoch and no token either.
                 let worker = self.w.workers.get_mut(name).expect("worker");
                 worker.tasks.clear();
                 if pick.is_multiple_of(8) {
--- a/crates/scheduler/tests/repeated_heartbeats.rs
+++ b/crates/scheduler/tests/repeated_heartbeats.rs
@@ -13,7 +13,7 @@
 const MACHINE: &str = "n-1";
 const JOB: &str = "req-000001";
 
-/// Lets the machine report, and settles the report if it left nothing to do.
+/// Lets the machine report, and settles the heartbeat if it left nothing to do.
 fn heartbeat(w: &mut World) -> (Heartbeat, Option<CachedHeartbeat>) {
     let heartbeat = w.workers.get_mut(MACHINE).expect("worker").heartbeat();
     let (token, calls) = w.leader.heartbeat(w.now, &heartbeat).expect("an answer");
@@ -23,7 +23,7 @@
     (heartbeat, cached)
 }
 
-/// A machine with two running tasks of a job of three, whose last report left nothing to do.
+/// A machine with two running tasks of a job of three, whose last heartbeat left nothing to do.
 fn running() -> (World, Heartbeat, CachedHeartbeat) {
     let mut w = one_machine();
     w.submit(JOB, &JobSpec { cpus: 4.0, ..spec(3) });
@@ -170,7 +170,7 @@
     }
 }
 
-/// A start that is planned or under way for the machine: its reports are read until they show it.
+/// A start that is planned or under way for the machine: its heartbeats are read until they show it.
 #[test]
 fn a_planned_start_unsettles_its_machine() {
     let (mut w, first, cached) = running();
@@ -211,7 +211,7 @@
     }
 }
 
-/// What a report costs doesn't grow with the fleet: a repetition has no machine looked at, and a new
+/// What a heartbeat costs doesn't grow with the fleet: a repetition has no machine looked at, and a new
 /// report its own. (Every report once woke the leader, which then looked at whatever there was.)
 #[test]
 fn a_report_costs_the_same_at_any_size() {
--- a/crates/scheduler/tests/sim/follower.rs
+++ b/crates/scheduler/tests/sim/follower.rs
@@ -108,7 +108,7 @@
         }
     }
 
-    /// The answer to a worker's report; `None`: the worker goes to the leader.
+    /// The answer to a worker's heartbeat; `None`: the worker goes to the leader.
     pub(super) fn answer(
         &mut self,
         now: Timestamp,
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -39,9 +39,9 @@
     Crash,
     /// All controllers are away.
     Away(u64),
-    /// The state service refuses the leader alone, which is replaced unless it is down for all.
+    /// The key-value store refuses the leader alone, which is replaced unless it is down for all.
     RefuseLeader(u64),
-    /// The leader loses the state service and the other nodes; another leads, and both reach workers.
+    /// The leader loses the key-value store and the other nodes; another leads, and both reach workers.
     CutLeader(u64),
     Outage(u64),
     /// Frames between nodes are lost.
@@ -65,7 +65,7 @@
     HoldCommands(u64, u64),
     /// Copies of reports arrive again, up to two leases later, at whoever leads then.
     LateReports(u64, u64),
-    /// The next leader hears old reports first.
+    /// The next leader hears old heartbeats first.
     ReportsForNext(u64),
     /// Users cancel so many of the jobs that run.
     Cancel(u64),
@@ -97,9 +97,9 @@
 
 struct Leader {
     s: Scheduler,
-    /// When it was last served by the state service.
+    /// When it was last served by the key-value store.
     served: Timestamp,
-    /// Up to when it is cut from the state service, and from the other nodes.
+    /// Up to when it is cut from the key-value store, and from the other nodes.
     no_state: Timestamp,
     no_peers: Timestamp,
     known: Timestamp,
@@ -118,11 +118,11 @@
     held: Vec<(Timestamp, u64, u64, Vec<WorkerCommand>)>,
     ran: BTreeMap<(String, u64), TimeDelta>,
     gone: bool,
-    /// Its last report, if that left nothing to do.
+    /// Its last heartbeat, if that left nothing to do.
     cached: Option<(Heartbeat, CachedHeartbeat)>,
 }
 
-/// The mark of the machine's last report, if this one is that again.
+/// The mark of the machine's last heartbeat, if this one is that again.
 fn repeats(
     cached: &Option<(Heartbeat, CachedHeartbeat)>,
     heartbeat: &Heartbeat,
@@ -132,7 +132,7 @@
     (format!("{last:?}") == format!("{heartbeat:?}")).then_some(*cache_entry)
 }
 
-/// Answers as a node does: a repetition of a report that left nothing to do is not read in full.
+/// Answers as a node does: a repetition of a heartbeat that left nothing to do is not read in full.
 fn answer(
     leader: &mut Leader,
     now: Timestamp,
@@ -624,7 +624,7 @@
         }
     }
 
-    /// One machine's step: its lease, what was held up for it, its tasks, its report.
+    /// One machine's step: its lease, what was held up for it, its tasks, its heartbeat.
     fn work(&mut self, name: &str) {
         let now = self.now;
         let m = self.machines.get_mut(name).expect("machine");
--- a/crates/scheduler/tests/storage_limits.rs
+++ b/crates/scheduler/tests/storage_limits.rs
@@ -1,4 +1,4 @@
-//! The state service's limits fall without notice: what was kept in large chunks goes on in small
+//! The key-value store's limits fall without notice: what was kept in large chunks goes on in small
 //! parts beside them, and what is stored is right after every one of the writes.
 
 mod world;
--- a/crates/scheduler/tests/task_starts.rs
+++ b/crates/scheduler/tests/task_starts.rs
@@ -53,7 +53,7 @@
     assert!(w.workers.values().all(|w| w.tasks.is_empty()), "all reaped");
 }
 
-/// The direct start is held up; a report under the same token doesn't show the task. That proves
+/// The direct start is held up; a heartbeat under the same token doesn't show the task. That proves
 /// nothing: the start arrives a minute later and is executed.
 #[test]
 fn an_absent_report_under_the_same_token_proves_nothing() {
@@ -70,7 +70,7 @@
     assert_eq!(w.phase(JOB, 0), TaskPhase::Running);
 }
 
-/// The answer is lost. A raised fence makes the worker refuse the old message, and only a report
+/// The answer is lost. A raised fence makes the worker refuse the old message, and only a heartbeat
 /// that has seen it lets the task move, under a new attempt.
 #[test]
 fn a_lost_start_moves_only_behind_a_raised_fence() {
@@ -90,7 +90,7 @@
     assert!(w.places().values().all(|m| m.len() == 1));
 }
 
-/// While a start waits for the message in front of it, a raised fence and a report must not prove
+/// While a start waits for the message in front of it, a raised fence and a heartbeat must not prove
 /// it absent: it would then go out all the same, beside its own next attempt.
 #[test]
 fn a_start_that_waits_for_its_message_is_not_proven_absent() {
@@ -366,7 +366,7 @@
     assert_eq!(w.places().len(), 1);
 }
 
-/// A start of the last leader's is still under way, and the worker's report comes from before the
+/// A start of the last leader's is still under way, and the worker's heartbeat comes from before the
 /// new term reached it: that the task is absent proves nothing yet.
 #[test]
 fn a_take_over_asks_for_its_own_term_before_it_believes_an_absence() {
--- a/crates/scheduler/tests/transcripts.rs
+++ b/crates/scheduler/tests/transcripts.rs
@@ -1,4 +1,4 @@
-//! Transcripts: fixed scripts over the scheduler, each with every command, every answer to a report and every
+//! Transcripts: fixed scripts over the scheduler, each with every command, every answer to a heartbeat and every
 //! byte that is written to the store, held against the files in `transcripts/`. They hold across a change
 //! of names and modules, and fail at the first step that differs. `UPDATE_TRANSCRIPTS=1` writes the files
 //! anew, which only a change that is meant to change behaviour may do.
@@ -15,7 +15,7 @@
 //! | `sharing`, with the package `admission` | floods, the meetings with a flood |
 //! | `fleet`, `offers`, `tunables` (objectives) | scale out and in, preemption, the meetings |
 //! | `health` | failing machines, notices |
-//! | `unchanged`, `serving` | repeated reports (`unchanged`), the meetings: half of the workers are answered by a follower |
+//! | `unchanged`, `serving` | repeated heartbeats (`unchanged`), the meetings: half of the workers are answered by a follower |
 //! | `leadership`, `watermark` | leadership and watermark |
 //!
 //! Not reached here: `protocol::parse_submission` and the answers to users, which are held byte by byte elsewhere.
--- a/crates/scheduler/tests/transcripts/scripts.rs
+++ b/crates/scheduler/tests/transcripts/scripts.rs
@@ -488,7 +488,7 @@
     }
 }
 
-/// The limits of the state service fall while a large array runs, and again before a transaction's answer.
+/// The limits of the key-value store fall while a large array runs, and again before a transaction's answer.
 pub fn falling_limits() {
     let job = job_name(1);
     let mut world = fleet_of(site(), 40);
--- a/crates/scheduler/tests/untrusted_reports.rs
+++ b/crates/scheduler/tests/untrusted_reports.rs
@@ -20,7 +20,7 @@
     w.workers.get_mut(name).expect("worker").heartbeat()
 }
 
-/// Plays a second in which the machine's reports arrive and nothing reaches it.
+/// Plays a second in which the machine's heartbeats arrive and nothing reaches it.
 fn deaf_second(w: &mut World, name: &str) -> Vec<Command> {
     w.wait(1_000);
     let heartbeat = report_of(w, name);
@@ -66,7 +66,7 @@
     w.submit(JOB, &spec(1));
     w.settle();
     assert_eq!(w.phase(JOB, 0), TaskPhase::Running);
-    // Its lease runs out although its reports arrive: it hears no answer.
+    // Its lease runs out although its heartbeats arrive: it hears no answer.
     w.workers.get_mut("n-1").expect("worker").lease_ends();
     let heartbeat = report_of(&mut w, "n-1");
     w.leader.heartbeat(w.now, &heartbeat);
@@ -133,7 +133,7 @@
     assert_eq!(notes(&mut w), 1, "logged once, not per copy");
 }
 
-/// A new leader never saw the newer report, so the copy is the newest it knows. The machine is
+/// A new leader never saw the newer heartbeat, so the copy is the newest it knows. The machine is
 /// long dead.
 #[test]
 fn a_late_copy_at_a_new_leader_only_makes_it_ask() {
@@ -204,7 +204,7 @@
     assert_eq!(machine(&w, "n-1").acknowledged_token, before.acknowledged_token);
 }
 
-/// Cut off from the state service and the other nodes, but not from its workers.
+/// Cut off from the key-value store and the other nodes, but not from its workers.
 #[test]
 fn a_leader_without_its_lease_answers_workers_and_does_nothing_else() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a"), ("n-3", "a")]);
@@ -243,7 +243,7 @@
     let mut w = World::new(&[("n-1", "a")]);
     w.submit(JOB, &spec(3));
     w.settle();
-    // Back within a moment: the same name and session, and nothing on it.
+    // Back within a moment: the same name and agent epoch, and nothing on it.
     w.workers.get_mut("n-1").expect("worker").tasks.clear();
     w.all_report();
     w.settle();
@@ -251,7 +251,7 @@
     w.settle();
     assert_eq!(w.places().len(), 3);
     assert_eq!(w.attempt(JOB, 0), 2);
-    // With a new session, and having forgotten every token.
+    // With a new agent epoch, and having forgotten every token.
     let fresh = Worker { agent_epoch: 2, sequence: 0, ..Worker::new("n-1", "a") };
     w.workers.insert("n-1".into(), fresh);
     w.all_report();
--- a/crates/scheduler/tests/world/mod.rs
+++ b/crates/scheduler/tests/world/mod.rs
@@ -199,7 +199,7 @@
         }
     }
 
-    /// `/commands`: the report after them, executed or not.
+    /// `/commands`: the heartbeat after them, executed or not.
     pub fn direct(&mut self, token: u64, agent_epoch: u64, calls: &[WorkerCommand]) -> Heartbeat {
         if token >= self.token && agent_epoch == self.agent_epoch {
             self.token = token;
@@ -208,7 +208,7 @@
         self.heartbeat()
     }
 
-    /// The answer to a report of the given session.
+    /// The answer to a heartbeat of the given agent epoch.
     pub fn answered(&mut self, agent_epoch: u64, token: u64, calls: &[WorkerCommand]) {
         if token >= self.token && agent_epoch == self.agent_epoch {
             self.token = token;
@@ -297,7 +297,7 @@
     pub workers: BTreeMap<String, Worker>,
     pub leader: Scheduler,
     pub commands: Vec<Command>,
-    /// Neither the state service nor another node tells the leader anything.
+    /// Neither the key-value store nor another node tells the leader anything.
     pub cut_off: bool,
 }
 
--- a/crates/scheduler/tests/world/transcript.rs
+++ b/crates/scheduler/tests/world/transcript.rs
@@ -128,7 +128,7 @@
     }
 }
 
-/// How a report of that kind (whole, repeated, repeated at another node, late) was answered.
+/// How a heartbeat of that kind (whole, repeated, repeated at another node, late) was answered.
 pub fn answer(kind: &str, machine: &str, answer: Option<&(u64, Vec<WorkerCommand>)>) {
     with(|transcript| {
         let text = match answer {
