--- a/crates/controller/src/cloud_client.rs
+++ b/crates/controller/src/cloud_client.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use tokio::time::{sleep, Instant};
-use walnutlug_scheduler::protocol::{
+use walnutlug_scheduler::protocol::cloud::{
     ListedMachine, MachineIds, MachineList, MachineType, MachineTypes, ScaleOutRequest,
 };
 
--- a/crates/controller/src/cloud_client/golden_tests.rs
+++ b/crates/controller/src/cloud_client/golden_tests.rs
@@ -1,7 +1,7 @@
 //! Every request to the cloud, as it is sent, and what is read of its answers. Kept in
 //! `golden/requests.txt`.
 
-use walnutlug_scheduler::protocol::CloudMachineState;
+use walnutlug_scheduler::protocol::cloud::CloudMachineState;
 
 use super::*;
 use crate::golden_file::Golden;
--- a/crates/controller/src/heartbeat_delegation/tests.rs
+++ b/crates/controller/src/heartbeat_delegation/tests.rs
@@ -4,7 +4,7 @@
 use crate::user_api;
 use crate::user_api::fake_cluster::{Cluster, Fault, StandIn};
 use walnutlug_scheduler::leadership::watermark::window;
-use walnutlug_scheduler::model::job::JobEnd;
+use walnutlug_scheduler::model::job_spec::JobEnd;
 
 /// A worker's heartbeat to a node, with frames delivered meanwhile. The status, the token and the calls.
 async fn heartbeat(
--- a/crates/controller/src/key_value_client.rs
+++ b/crates/controller/src/key_value_client.rs
@@ -9,10 +9,10 @@
 use serde::de::DeserializeOwned;
 use serde_json::{json, Value};
 use tokio::time::{sleep, Instant};
-use walnutlug_scheduler::protocol::{
+use walnutlug_scheduler::command::TransactionOutcome;
+use walnutlug_scheduler::protocol::key_value::{
     Committed, Conflict, KeyValue, LeaseGrant, Page, Transaction, Watched,
 };
-use walnutlug_scheduler::scheduler::TransactionOutcome;
 
 use crate::http::client::{Client, Failure, Response};
 
@@ -304,7 +304,7 @@
     pub async fn probe(&self) {
         if self.last_ok.get().elapsed() > PROBE_AFTER {
             let _ = self
-                .get(RequestClass::Leadership, walnutlug_scheduler::model::job::keys::LEADER)
+                .get(RequestClass::Leadership, walnutlug_scheduler::storage::keys::LEADER)
                 .await;
         }
     }
@@ -503,14 +503,16 @@
     pub async fn end(
         &self,
         name: &str,
-    ) -> Result<Option<walnutlug_scheduler::model::job::JobEnd>, KeyValueError> {
-        let key = walnutlug_scheduler::model::job::keys::end(name);
+    ) -> Result<Option<walnutlug_scheduler::model::job_spec::JobEnd>, KeyValueError> {
+        let key = walnutlug_scheduler::storage::keys::end(name);
         match self.get(RequestClass::Submission, &key).await? {
             None => Ok(None),
             Some(key_value) => {
-                serde_json::from_value::<walnutlug_scheduler::model::job::JobEnd>(key_value.value)
-                    .map(Some)
-                    .map_err(|_| KeyValueError::InvalidResponse)
+                serde_json::from_value::<walnutlug_scheduler::model::job_spec::JobEnd>(
+                    key_value.value,
+                )
+                .map(Some)
+                .map_err(|_| KeyValueError::InvalidResponse)
             }
         }
     }
--- a/crates/controller/src/key_value_client/golden_tests.rs
+++ b/crates/controller/src/key_value_client/golden_tests.rs
@@ -1,7 +1,7 @@
 //! Every request to the key-value store, as it is sent, and what is read of its answers. Kept in
 //! `golden/requests.txt`.
 
-use walnutlug_scheduler::protocol::{Compare, Operation, WatchEvent};
+use walnutlug_scheduler::protocol::key_value::{Compare, Operation, WatchEvent};
 
 use super::*;
 use crate::golden_file::Golden;
--- a/crates/controller/src/node/broadcast.rs
+++ b/crates/controller/src/node/broadcast.rs
@@ -5,7 +5,7 @@
 use tokio::time::{sleep, Duration};
 use tracing::{info, warn};
 use walnutlug_scheduler::leadership::watermark::ask_every;
-use walnutlug_scheduler::scheduler::MachineState;
+use walnutlug_scheduler::model::machine::MachineState;
 
 use super::{Node, ADDRESS_TURN};
 use crate::peers::{self, Frame};
--- a/crates/controller/src/node/fleet_role.rs
+++ b/crates/controller/src/node/fleet_role.rs
@@ -11,7 +11,7 @@
     ActionAnswer, ActionId, Adopted, IntentLog, IntentLogCommand, WriteLimits,
 };
 use walnutlug_fencing::leased_role::{Epoch, EpochError, LeasedRole};
-use walnutlug_scheduler::protocol::ScaleOutRequest;
+use walnutlug_scheduler::protocol::cloud::ScaleOutRequest;
 use walnutlug_scheduler::scheduler::Scheduler;
 
 use super::leader::{retry, with_scheduler};
--- a/crates/controller/src/node/golden_tests.rs
+++ b/crates/controller/src/node/golden_tests.rs
@@ -3,9 +3,10 @@
 
 use serde_json::{json, Value};
 use tokio::task::LocalSet;
-use walnutlug_scheduler::model::job::keys;
-use walnutlug_scheduler::protocol::{MachineType, WorkerCommand};
-use walnutlug_scheduler::scheduler::MessageOutcome;
+use walnutlug_scheduler::command::MessageOutcome;
+use walnutlug_scheduler::protocol::cloud::MachineType;
+use walnutlug_scheduler::protocol::workers::WorkerCommand;
+use walnutlug_scheduler::storage::keys;
 
 use super::tests::{idle_report, leader_with_a_task, report_of, JOB};
 use super::*;
--- a/crates/controller/src/node/leader.rs
+++ b/crates/controller/src/node/leader.rs
@@ -6,13 +6,16 @@
 use tokio::time::{sleep, timeout, Duration, Instant};
 use tracing::{debug, info, warn};
 use walnutlug_fencing::lease;
+use walnutlug_scheduler::command::{Command, TransactionOutcome};
 use walnutlug_scheduler::leadership::election::{ElectionEvent, Role};
 use walnutlug_scheduler::leadership::watermark;
-use walnutlug_scheduler::model::job::{keys, JobEnd};
-use walnutlug_scheduler::protocol::{Compare, Operation, ScaleOutRequest, Transaction, WatchEvent};
+use walnutlug_scheduler::model::job_spec::JobEnd;
+use walnutlug_scheduler::protocol::cloud::ScaleOutRequest;
+use walnutlug_scheduler::protocol::key_value::{Compare, Operation, Transaction, WatchEvent};
 use walnutlug_scheduler::queue::dependencies::JobEndLookup;
-use walnutlug_scheduler::scheduler::{Command, Scheduler, TransactionOutcome};
+use walnutlug_scheduler::scheduler::Scheduler;
 use walnutlug_scheduler::storage::document::Document;
+use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 
 use super::{fleet_role, Node, ADDRESS_FRESH};
@@ -77,7 +80,10 @@
 /// The key names this node, but not this life of it: the process ended while it led, and came back
 /// before its lease ran out. Nobody leads, so the lease is ended at once. Were the former self
 /// alive against all order, its writes would fail, and nothing worse.
-async fn release_former_lease(node: &Node, key_value: &walnutlug_scheduler::protocol::KeyValue) {
+async fn release_former_lease(
+    node: &Node,
+    key_value: &walnutlug_scheduler::protocol::key_value::KeyValue,
+) {
     if let Some(lease) = key_value.value["lease"].as_u64() {
         info!(term = key_value.revision, "this node led when it ended: its lease is given up");
         let _ = node.key_value.release(lease).await;
@@ -388,7 +394,7 @@
 pub(super) async fn retry(
     node: &Rc<Node>,
     prefix: &str,
-) -> Result<(Vec<walnutlug_scheduler::protocol::KeyValue>, u64), KeyValueError> {
+) -> Result<(Vec<walnutlug_scheduler::protocol::key_value::KeyValue>, u64), KeyValueError> {
     let mut tries = 0;
     loop {
         match node.key_value.list(RequestClass::Dispatch, prefix).await {
--- a/crates/controller/src/node/machine_types.rs
+++ b/crates/controller/src/node/machine_types.rs
@@ -4,8 +4,8 @@
 
 use tokio::time::{sleep, Duration};
 use tracing::{debug, warn};
-use walnutlug_scheduler::model::job::keys;
-use walnutlug_scheduler::protocol::MachineType;
+use walnutlug_scheduler::protocol::cloud::MachineType;
+use walnutlug_scheduler::storage::keys;
 
 use super::{machine_types_role, Node};
 use crate::cloud_client::usable_types;
--- a/crates/controller/src/node/machine_types_role.rs
+++ b/crates/controller/src/node/machine_types_role.rs
@@ -12,9 +12,10 @@
     Epoch, HeldRole, HolderRecord, LeasedRole, RecordError, HOLDER_FORMAT,
 };
 use walnutlug_fencing::role_balancer::{NodeLoad, RoleBalancer};
-use walnutlug_scheduler::model::job::keys;
-use walnutlug_scheduler::protocol::{KeyValue, MachineType, Operation};
-use walnutlug_scheduler::scheduler::TransactionOutcome;
+use walnutlug_scheduler::command::TransactionOutcome;
+use walnutlug_scheduler::protocol::cloud::MachineType;
+use walnutlug_scheduler::protocol::key_value::{KeyValue, Operation};
+use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 
 use super::{Node, PEER_FRESH};
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::key_value_client::RequestClass;
 use crate::user_api::fake_cluster::{Cluster, Fault, StandIn};
-use walnutlug_scheduler::model::job::keys;
+use walnutlug_scheduler::storage::keys;
 
 #[tokio::test(start_paused = true)]
 async fn a_node_alone_refused_is_not_ready_and_one_among_all_is() {
@@ -158,7 +158,11 @@
     let value = serde_json::json!({"w": "x", "t": [[2, 1, "n-1", 1, 0]]});
     s.load_runs(
         node.now(),
-        &[walnutlug_scheduler::protocol::KeyValue { key: keys::run(JOB, 0), value, revision: 1 }],
+        &[walnutlug_scheduler::protocol::key_value::KeyValue {
+            key: keys::run(JOB, 0),
+            value,
+            revision: 1,
+        }],
     );
     for input in
         [ElectionEvent::Vacant, ElectionEvent::Won { term: 5 }, ElectionEvent::Loaded { term: 5 }]
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -15,9 +15,9 @@
 use tokio::time::timeout;
 use tracing::debug;
 use walnutlug_scheduler::leadership::watermark::MAX_TOLD;
-use walnutlug_scheduler::model::job::JobEnd;
+use walnutlug_scheduler::model::job_spec::JobEnd;
 use walnutlug_scheduler::model::task::MachineIndex;
-use walnutlug_scheduler::protocol::is_job_id;
+use walnutlug_scheduler::protocol::users::is_job_id;
 use zerocopy::little_endian::{U16, U32, U64};
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
 
--- a/crates/controller/src/settings.rs
+++ b/crates/controller/src/settings.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use serde_json::Value;
-use walnutlug_scheduler::model::job::Team;
+use walnutlug_scheduler::model::team::Team;
 use walnutlug_scheduler::time::TimeDelta;
 use walnutlug_scheduler::tunables::{Objective, Site};
 
--- a/crates/controller/src/user_api.rs
+++ b/crates/controller/src/user_api.rs
@@ -15,12 +15,13 @@
 use tokio::time::{sleep, Duration, Instant};
 use tracing::{debug, info};
 use walnutlug_admission::turns::TurnQueue;
-use walnutlug_scheduler::model::job::{keys, JobEnd, JobSpec, Priority};
-use walnutlug_scheduler::protocol::{
-    self, is_job_id, job_response, Compare, JobStage, Operation, Transaction,
-};
-use walnutlug_scheduler::scheduler::TransactionOutcome;
+use walnutlug_scheduler::command::TransactionOutcome;
+use walnutlug_scheduler::model::job_spec::{JobEnd, JobSpec, Priority};
+use walnutlug_scheduler::protocol;
+use walnutlug_scheduler::protocol::key_value::{Compare, Operation, Transaction};
+use walnutlug_scheduler::protocol::users::{is_job_id, job_response, JobStage};
 use walnutlug_scheduler::storage::document::Document;
+use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::storage::records::{chunk_size, description_record};
 
 use job_checks::check;
@@ -177,7 +178,7 @@
 
 pub async fn submit(node: Rc<Node>, body: Vec<u8>) -> Answer {
     let started = Instant::now();
-    let (name, spec) = match protocol::parse_submission(&body) {
+    let (name, spec) = match protocol::users::parse_submission(&body) {
         Ok(parsed) => parsed,
         Err(e) => return Answer::error(400, e.to_string()),
     };
@@ -572,7 +573,7 @@
 /// Keeps the types for nodes that start while the cloud is down.
 pub async fn share_types(
     state: &KeyValueClient,
-    types: &[protocol::MachineType],
+    types: &[protocol::cloud::MachineType],
 ) -> TransactionOutcome {
     let value = serde_json::json!({"breeds": types});
     if value.to_string().len() > state.limits().value_bytes {
--- a/crates/controller/src/user_api/fake_cluster.rs
+++ b/crates/controller/src/user_api/fake_cluster.rs
@@ -9,7 +9,8 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, Duration};
 use walnutlug_fault_injection::fake_key_value_store::Store;
-use walnutlug_scheduler::protocol::{MachineType, Transaction};
+use walnutlug_scheduler::protocol::cloud::MachineType;
+use walnutlug_scheduler::protocol::key_value::Transaction;
 use walnutlug_scheduler::tunables::Tunables;
 
 use crate::http::client::{Answering, Client, Failure, Response};
--- a/crates/controller/src/user_api/job_checks.rs
+++ b/crates/controller/src/user_api/job_checks.rs
@@ -5,9 +5,10 @@
 
 use tokio::time::{Duration, Instant};
 use tracing::info;
-use walnutlug_scheduler::model::job::{keys, JobEnd};
-use walnutlug_scheduler::protocol::{Compare, Operation, Transaction};
-use walnutlug_scheduler::scheduler::TransactionOutcome;
+use walnutlug_scheduler::command::TransactionOutcome;
+use walnutlug_scheduler::model::job_spec::JobEnd;
+use walnutlug_scheduler::protocol::key_value::{Compare, Operation, Transaction};
+use walnutlug_scheduler::storage::keys;
 
 use super::{Known, Status};
 use crate::key_value_client::{KeyValueError, RequestClass};
--- a/crates/controller/src/worker_api.rs
+++ b/crates/controller/src/worker_api.rs
@@ -3,14 +3,14 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
+use walnutlug_scheduler::command::MessageOutcome;
 use walnutlug_scheduler::leadership::election::Role;
-use walnutlug_scheduler::protocol::{
+use walnutlug_scheduler::protocol::workers::{
     CommandsRequest, Heartbeat, HeartbeatResponse, Redirect, WorkerCommand,
 };
 use walnutlug_scheduler::reconciliation::repeated_heartbeats::{
     CacheHolder, CachedHeartbeat, OWN_NODE,
 };
-use walnutlug_scheduler::scheduler::MessageOutcome;
 use walnutlug_scheduler::time::TimeDelta;
 
 use crate::heartbeat_delegation;
--- a/crates/controller/src/worker_api/connection.rs
+++ b/crates/controller/src/worker_api/connection.rs
@@ -4,7 +4,7 @@
 use std::ops::Range;
 use std::rc::Rc;
 
-use walnutlug_scheduler::protocol::sequence_digits;
+use walnutlug_scheduler::protocol::workers::sequence_digits;
 use walnutlug_scheduler::reconciliation::repeated_heartbeats::CachedHeartbeat;
 
 /// Longer reports are read in full each time: some thousand connections remember one each.
--- a/crates/fault-injection/src/elections.rs
+++ b/crates/fault-injection/src/elections.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use walnutlug_scheduler::model::job::keys;
+use walnutlug_scheduler::storage::keys;
 
 use crate::fake_key_value_store::Event;
 
--- a/crates/fault-injection/src/fake_key_value_service.rs
+++ b/crates/fault-injection/src/fake_key_value_service.rs
@@ -12,7 +12,7 @@
 use serde::Deserialize;
 use serde_json::{json, Value};
 use tokio::sync::Notify;
-use walnutlug_scheduler::protocol::{Operation, Transaction};
+use walnutlug_scheduler::protocol::key_value::{Operation, Transaction};
 
 use crate::fake_key_value_store::{Event, Store};
 use crate::freeze::{Freezer, Point};
--- a/crates/fault-injection/src/fake_key_value_store.rs
+++ b/crates/fault-injection/src/fake_key_value_store.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use serde_json::{json, Value};
-use walnutlug_scheduler::protocol::{Operation, Transaction};
+use walnutlug_scheduler::protocol::key_value::{Operation, Transaction};
 
 /// A key's value, the revision of its last change, and the lease that it ends with.
 #[derive(Debug, Clone, PartialEq)]
--- a/crates/fencing/src/fence.rs
+++ b/crates/fencing/src/fence.rs
@@ -1,6 +1,6 @@
 //! Writes that take effect only while the writer still holds its duty.
 
-use walnutlug_scheduler::protocol::{Compare, Operation, Transaction};
+use walnutlug_scheduler::protocol::key_value::{Compare, Operation, Transaction};
 
 use crate::leased_role::{Epoch, LeasedRole};
 
--- a/crates/fencing/src/intent.rs
+++ b/crates/fencing/src/intent.rs
@@ -4,7 +4,8 @@
 //! them. It is dropped when all of them are settled. Whoever holds the duty next finds what is left.
 
 use serde::{Deserialize, Serialize};
-use walnutlug_scheduler::protocol::{KeyValue, ScaleOutRequest};
+use walnutlug_scheduler::protocol::cloud::ScaleOutRequest;
+use walnutlug_scheduler::protocol::key_value::KeyValue;
 
 use crate::leased_role::{check_format, Epoch, EpochError, LeasedRole, RecordError};
 
--- a/crates/fencing/src/intent_log.rs
+++ b/crates/fencing/src/intent_log.rs
@@ -6,8 +6,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use walnutlug_scheduler::protocol::{KeyValue, Operation, Transaction};
-use walnutlug_scheduler::scheduler::TransactionOutcome;
+use walnutlug_scheduler::command::TransactionOutcome;
+use walnutlug_scheduler::protocol::key_value::{KeyValue, Operation, Transaction};
 use walnutlug_scheduler::storage::document::Document;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 
--- a/crates/fencing/src/leased_role.rs
+++ b/crates/fencing/src/leased_role.rs
@@ -2,9 +2,9 @@
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
-use walnutlug_scheduler::model::job::keys;
-use walnutlug_scheduler::protocol::{Compare, KeyValue, Operation, Transaction};
+use walnutlug_scheduler::protocol::key_value::{Compare, KeyValue, Operation, Transaction};
 use walnutlug_scheduler::storage::document::Document;
+use walnutlug_scheduler::storage::keys;
 
 /// Prefix of the keys that name the holders.
 pub const ROLE_KEY_PREFIX: &str = "duty/";
--- a/crates/fencing/tests/components.rs
+++ b/crates/fencing/tests/components.rs
@@ -5,7 +5,7 @@
 use walnutlug_fencing::lease::{safe_lease_time, LeaseInput, LeaseState, RoleLease};
 use walnutlug_fencing::leased_role::{Epoch, EpochError, LeasedRole, RecordError};
 use walnutlug_fencing::role_balancer::{NodeLoad, RoleBalancer};
-use walnutlug_scheduler::protocol::KeyValue;
+use walnutlug_scheduler::protocol::key_value::KeyValue;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 
 const TTL: TimeDelta = TimeDelta::from_secs(10);
--- a/crates/fencing/tests/golden_bytes.rs
+++ b/crates/fencing/tests/golden_bytes.rs
@@ -13,9 +13,9 @@
 };
 use walnutlug_fencing::intent_log::{ActionAnswer, IntentLog, IntentLogCommand, WriteLimits};
 use walnutlug_fencing::leased_role::{Epoch, HeldRole, HolderRecord, LeasedRole, HOLDER_FORMAT};
-use walnutlug_scheduler::model::job::keys;
-use walnutlug_scheduler::protocol::{KeyValue, Operation, Transaction};
-use walnutlug_scheduler::scheduler::TransactionOutcome;
+use walnutlug_scheduler::command::TransactionOutcome;
+use walnutlug_scheduler::protocol::key_value::{KeyValue, Operation, Transaction};
+use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 
 const RECORDS: &str = "tests/golden/records.txt";
--- a/crates/fencing/tests/transcripts.rs
+++ b/crates/fencing/tests/transcripts.rs
@@ -22,8 +22,8 @@
     Epoch, EpochError, HeldRole, HolderRecord, LeasedRole, RecordError,
 };
 use walnutlug_fencing::role_balancer::{NodeLoad, RoleBalancer};
-use walnutlug_scheduler::protocol::{KeyValue, Operation, Transaction};
-use walnutlug_scheduler::scheduler::TransactionOutcome;
+use walnutlug_scheduler::command::TransactionOutcome;
+use walnutlug_scheduler::protocol::key_value::{KeyValue, Operation, Transaction};
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 
 const START: Timestamp = Timestamp(1 << 40);
--- a/crates/scheduler/src/autoscaling.rs
+++ b/crates/scheduler/src/autoscaling.rs
@@ -9,10 +9,13 @@
 use crate::autoscaling::offers::{
     InstanceOffer, InstanceOffers, WhatIfMachine, MAX_MACHINES_PER_REQUEST,
 };
-use crate::model::job::EPSILON;
-use crate::protocol::{CloudMachineState, ListedMachine};
+use crate::command::Command;
+use crate::model::job::{Job, JobIndex};
+use crate::model::machine::MachineState;
+use crate::model::EPSILON;
+use crate::protocol::cloud::{CloudMachineState, ListedMachine};
 use crate::queue::order::QueueKey;
-use crate::scheduler::{Command, Job, JobIndex, MachineState, Scheduler};
+use crate::scheduler::Scheduler;
 use crate::time::{TimeDelta, Timestamp};
 
 #[derive(Debug, Default)]
@@ -79,8 +82,9 @@
         let unheard = self.silent_zones(now);
         self.assess_health(now, &unheard);
         self.evict_before_interruption(now);
-        let ours =
-            |m: &crate::scheduler::Machine| m.state == MachineState::Up && m.draining.is_none();
+        let ours = |m: &crate::model::machine::Machine| {
+            m.state == MachineState::Up && m.draining.is_none()
+        };
         if !unheard.is_empty()
             && self.machines.iter().all(|m| !ours(m) || unheard.contains(&m.zone))
         {
@@ -637,7 +641,7 @@
 impl Scheduler {
     /// Takes over newer machine types. The places of known ones don't change, since machines
     /// refer to them.
-    pub fn set_types(&mut self, types: Vec<crate::protocol::MachineType>) {
+    pub fn set_types(&mut self, types: Vec<crate::protocol::cloud::MachineType>) {
         for new in types {
             match self.types.iter_mut().find(|t| t.name == new.name) {
                 Some(known) => *known = new,
--- a/crates/scheduler/src/autoscaling/offers.rs
+++ b/crates/scheduler/src/autoscaling/offers.rs
@@ -1,6 +1,7 @@
 //! What the cloud offers, and trying placements on machines that aren't there yet.
 
-use crate::model::job::{JobSpec, EPSILON};
+use crate::model::job_spec::JobSpec;
+use crate::model::EPSILON;
 
 /// A kind of machine that can be asked for: type, zone, spot or ordinary.
 pub type InstanceOffer = (usize, String, bool);
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -1,11 +1,14 @@
 //! Commands sent to workers directly: one message under way per worker, each sent once. Whether it arrived
 //! is for the worker's heartbeats to tell.
 
+use crate::command::{Command, MessageOutcome};
 use crate::leadership::election::token;
+use crate::model::job::TaskId;
+use crate::model::machine::MachineState;
 use crate::model::task::{MachineIndex, TaskEvent, TaskPhase};
-use crate::protocol::WorkerCommand;
+use crate::protocol::workers::WorkerCommand;
 use crate::reconciliation::heartbeats::MAX_COMMANDS;
-use crate::scheduler::{Command, MachineState, MessageOutcome, Scheduler, TaskId, OVERDUE};
+use crate::scheduler::{Scheduler, OVERDUE};
 use crate::time::{TimeDelta, Timestamp};
 
 /// A worker reports a higher token that an answer showed it within half a second, if the answer arrived.
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -2,6 +2,7 @@
 //! output, no clock and no randomness here, so that every history can be played in a test.
 
 pub mod autoscaling;
+pub mod command;
 pub mod dispatch;
 pub mod leadership;
 pub mod model;
--- a/crates/scheduler/src/model.rs
+++ b/crates/scheduler/src/model.rs
@@ -1,4 +1,10 @@
-//! What the scheduler reasons about: jobs and tasks, each with its states.
+//! What the scheduler reasons about: jobs, tasks, machines and teams, each with its states.
 
 pub mod job;
+pub mod job_spec;
+pub mod machine;
 pub mod task;
+pub mod team;
+
+/// Room for sums of decimal amounts: a tenth added ten times must still count as one.
+pub const EPSILON: f64 = 1e-6;
--- a/crates/scheduler/src/model/job.rs
+++ b/crates/scheduler/src/model/job.rs
@@ -1,171 +1,159 @@
-//! A job: what its owner asked for, and how far it is.
+//! A job in the scheduler's table: its tasks, their records, and what was learned of it.
 
-use serde::{Deserialize, Serialize};
+use std::collections::{BTreeMap, HashMap};
 
-use walnutlug_admission::resources::Resources;
+use roaring::RoaringBitmap;
+use walnutlug_admission::shares::ClassId;
 
-use crate::protocol::MachineType;
+use crate::model::job_spec::{JobSpec, Priority};
+use crate::model::task::{MachineIndex, Task};
+use crate::queue::dependencies::EffectiveDeadline;
+use crate::time::{TimeDelta, Timestamp};
 
-/// Priority of a job; the greater comes first.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Priority {
-    Low,
-    Normal,
-    High,
-    Prod,
-}
-
-impl Priority {
-    pub const COUNT: usize = Priority::ALL.len();
-    /// All of them, the lowest first, each at the place of its number.
-    pub const ALL: [Priority; 4] =
-        [Priority::Low, Priority::Normal, Priority::High, Priority::Prod];
-}
+pub type JobIndex = u32;
 
-/// What the owner asked for. Stored in the key-value store as it is.
-#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct JobSpec {
-    pub class: String,
-    pub team: String,
-    #[serde(rename = "rank")]
-    pub priority: Priority,
-    pub tasks: u32,
-    pub cpus: f64,
-    pub gpus: f64,
-    pub memory_gb: f64,
-    pub image: String,
-    pub image_gb: f64,
-    pub types: Option<Vec<String>>,
-    pub zone: Option<String>,
-    pub one_zone: bool,
-    pub spread: bool,
-    pub spot: bool,
-    pub estimate_s: f64,
-    pub checkpoint_s: f64,
-    pub save_s: f64,
-    pub deadline_s: Option<f64>,
-    /// Jobs that have to be done before any task of this one starts, each once. Left out when there
-    /// are none, so that such a record is the one that versions without chains wrote.
-    #[serde(default, rename = "needs", skip_serializing_if = "Vec::is_empty")]
-    pub dependencies: Vec<String>,
-}
+pub type TaskId = (JobIndex, u32);
 
-/// How a job ended. Written once to `end/{ref}`; whoever writes first wins.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub enum JobEnd {
-    Done,
-    #[serde(rename = "aborted")]
-    Cancelled,
+#[derive(Debug, Clone, Default)]
+pub struct Chunk {
+    pub revision: u64,
+    pub in_flight: bool,
+    /// Since when a planned start waits for its write.
+    pub start_due: Option<Timestamp>,
+    /// Since when unpersisted_since waits that is not written yet. It may wait longer, or go along with a
+    /// start: until it is written the worker keeps it.
+    pub unpersisted_since: Option<Timestamp>,
 }
 
-/// A team's guarantee and limit. A limit of 0 means none.
-#[derive(Debug, Clone, PartialEq)]
-pub struct Team {
+#[derive(Debug, Clone)]
+pub struct Job {
     pub name: String,
-    pub cpus: f64,
-    pub cpus_max: f64,
-    pub gpus: f64,
-    pub gpus_max: f64,
+    pub spec: JobSpec,
+    pub accepted: Timestamp,
+    /// When the last job that it needs was found to be done; its acceptance, if it needs none. All
+    /// times but the deadline count from here.
+    pub ready_at: Timestamp,
+    /// Jobs that it needs and whose end `done` was not read yet. While there are any, nothing of
+    /// it is started and it counts for nothing.
+    pub unmet_dependencies: usize,
+    /// A job that it needs, directly or through others, has ended `aborted`: so will this one.
+    pub dependency_cancelled: bool,
+    /// The highest priority of its own and of the jobs that need it.
+    pub priority: Priority,
+    /// Its team's class, for what that holds of the fleet.
+    pub(crate) share_class: ClassId,
+    /// The deadline that presses it most: its own, or that of a job that needs it.
+    pub effective_deadline: Option<EffectiveDeadline>,
+    pub chunk_size: u32,
+    pub chunks: Vec<Chunk>,
+    /// Marks of the parts of its chunks that are kept apart, by chunk and first task.
+    pub parts: BTreeMap<(usize, u32), u64>,
+    /// Tasks that changed since their records were written last.
+    pub changed: RoaringBitmap,
+    pub tasks: Vec<Task>,
+    /// Which finishes are written; only then may the worker forget them.
+    pub recorded: RoaringBitmap,
+    /// Ended for its users: nothing more is started, all that is left is stopped.
+    pub over: bool,
+    pub ending: bool,
+    pub dropping: bool,
+    pub done: u32,
+    pub placed: u32,
+    /// Of those placed, the ones told to stop.
+    pub stopping: u32,
+    /// Tasks not proven absent, by zone.
+    pub zones: BTreeMap<String, u32>,
+    /// No task below this index is pending.
+    pub scan_from: u32,
+    /// Times in a row that it was found to be at fault itself, tasks that fail together counted once.
+    pub errors: u32,
+    /// Where its tasks failed, and when last.
+    pub error_machines: BTreeMap<MachineIndex, Timestamp>,
+    pub not_before: Timestamp,
+    /// When each running task was first seen with its image.
+    pub started: HashMap<u32, Timestamp>,
+    /// Whether any of its tasks has run for long enough to count as a start, or to its end.
+    pub has_started: bool,
+    pub run_times: (f64, u32),
 }
 
-/// Room for sums of decimal amounts: a tenth added ten times must still count as one.
-pub const EPSILON: f64 = 1e-6;
-
-impl Team {
-    /// Whether the team may use this much at once.
-    pub fn allows(&self, cpus: f64, gpus: f64) -> bool {
-        (self.cpus_max <= 0.0 || cpus <= self.cpus_max + EPSILON)
-            && (self.gpus_max <= 0.0 || gpus <= self.gpus_max + EPSILON)
+impl Job {
+    /// A job of which nothing is placed yet.
+    pub(crate) fn new(
+        now: Timestamp,
+        name: &str,
+        spec: JobSpec,
+        accepted: Timestamp,
+        chunk_size: u32,
+        share_class: ClassId,
+    ) -> Job {
+        let chunks = spec.tasks.div_ceil(chunk_size) as usize;
+        Job {
+            name: name.to_owned(),
+            accepted,
+            ready_at: accepted,
+            unmet_dependencies: 0,
+            dependency_cancelled: false,
+            priority: spec.priority,
+            share_class,
+            effective_deadline: EffectiveDeadline::of(&spec, accepted),
+            chunk_size,
+            chunks: vec![Chunk::default(); chunks],
+            parts: BTreeMap::new(),
+            changed: RoaringBitmap::new(),
+            tasks: vec![Task::new(now); spec.tasks as usize],
+            recorded: RoaringBitmap::new(),
+            over: false,
+            ending: false,
+            dropping: false,
+            done: 0,
+            placed: 0,
+            stopping: 0,
+            zones: BTreeMap::new(),
+            scan_from: 0,
+            errors: 0,
+            error_machines: BTreeMap::new(),
+            not_before: Timestamp(0),
+            started: HashMap::new(),
+            has_started: false,
+            run_times: (0.0, 0),
+            spec,
+        }
     }
-}
 
-impl JobSpec {
-    /// What one task takes of its machine.
-    pub fn task(&self) -> Resources {
-        Resources { cpus: self.cpus, gpus: self.gpus, memory_gb: self.memory_gb }
+    /// Its team's class, by which its share of the fleet is kept.
+    pub fn share_class(&self) -> ClassId {
+        self.share_class
     }
 
-    pub fn allows_type(&self, name: &str) -> bool {
-        self.types.as_ref().is_none_or(|types| types.iter().any(|t| t == name))
+    /// Whether it waits for other jobs.
+    pub fn is_blocked(&self) -> bool {
+        self.unmet_dependencies > 0 || self.dependency_cancelled
     }
 
-    pub fn fits_type(&self, kind: &MachineType) -> bool {
-        self.allows_type(&kind.name)
-            && self.cpus <= kind.cpus + EPSILON
-            && self.gpus <= kind.gpus + EPSILON
-            && self.memory_gb <= kind.memory_gb + EPSILON
+    pub fn pending(&self) -> u32 {
+        self.spec.tasks - self.done - self.placed
     }
 
-    /// Why the job can never run, if so. Only called once teams and types are known.
-    pub fn impossible(&self, teams: &[Team], types: &[MachineType]) -> Option<String> {
-        let Some(team) = teams.iter().find(|t| t.name == self.team) else {
-            return Some(format!("crew: unknown team {:?}", self.team));
-        };
-        if !team.allows(self.cpus, self.gpus) {
-            return Some(format!("crew: one task is over the limit of team {:?}", self.team));
-        }
-        let offered = |kind: &&MachineType| match &self.zone {
-            Some(zone) => kind.zones.iter().any(|z| z == zone),
-            None => true,
-        };
-        if !types.iter().filter(offered).any(|kind| self.fits_type(kind)) {
-            return Some("breeds: a task fits no allowed machine type".to_owned());
-        }
-        None
+    /// Whether the job itself is likely at fault: it failed on several machines and never came off.
+    pub(crate) fn suspect(&self) -> bool {
+        self.done == 0 && self.error_machines.len() >= SUSPECT_AFTER
     }
-}
 
-/// The key under which each part of a job is kept.
-pub mod keys {
-    pub const LEADER: &str = "leader";
-    pub const TYPES: &str = "types";
-    pub const TODO: &str = "todo/";
-    /// Descriptions of jobs that wait for others. A version without chains reads `todo/` alone: it
-    /// never sees these, and so can't start one too early, whenever it comes to lead.
-    pub const CHAINED: &str = "todo-chain/";
-    /// What both kinds of descriptions begin with: one list and one watch serve both.
-    pub const DESCRIPTIONS: &str = "todo";
-    pub const RUN: &str = "run/";
-    pub const JOB: &str = "job/";
-    pub const END: &str = "end/";
-
-    /// Proof that the job was accepted. Created once, never deleted.
-    pub fn job(name: &str) -> String {
-        format!("{JOB}{name}")
-    }
-    /// The description, for as long as there is anything to do about the job.
-    pub fn todo(name: &str) -> String {
-        format!("{TODO}{name}")
-    }
-    /// Where the description of a job is kept, one of a chain or not.
-    pub fn description(name: &str, chained: bool) -> String {
-        match chained {
-            true => format!("{CHAINED}{name}"),
-            false => todo(name),
-        }
-    }
-    /// The job whose description the key holds, of either kind.
-    pub fn described(key: &str) -> Option<&str> {
-        key.strip_prefix(TODO).or_else(|| key.strip_prefix(CHAINED))
-    }
-    pub fn end(name: &str) -> String {
-        format!("{END}{name}")
+    /// Whether its tasks keep away from the machine because they failed there lately. (Sent there
+    /// again, as the machine was the first to be free each time, one job's tasks failed 412 times on
+    /// one of 42 sick machines; three such machines made the job look at fault, and nobody was blamed.)
+    pub(crate) fn avoids(&self, now: Timestamp, m: MachineIndex) -> bool {
+        self.error_machines.get(&m).is_some_and(|&at| now.since(at) < AVOID_FOR)
     }
-    pub fn run(name: &str, chunk: usize) -> String {
-        format!("{RUN}{name}/{chunk:05}")
-    }
-    /// Tasks of a chunk, from the one with that number on, that are kept apart from it because the
-    /// whole would be too large a value.
-    pub fn part(name: &str, chunk: usize, from: u32) -> String {
-        format!("{RUN}{name}/{chunk:05}.{from:06}")
-    }
-    /// The job, the chunk and, of a part, its first task.
-    pub fn split_run(key: &str) -> Option<(&str, usize, Option<u32>)> {
-        let (name, place) = key.strip_prefix(RUN)?.rsplit_once('/')?;
-        Some(match place.split_once('.') {
-            Some((chunk, from)) => (name, chunk.parse().ok()?, Some(from.parse().ok()?)),
-            None => (name, place.parse().ok()?, None),
-        })
+
+    pub(crate) fn chunk_of(&self, index: u32) -> usize {
+        (index / self.chunk_size) as usize
     }
 }
+
+/// Machines on which a job has to fail to be at fault itself.
+const SUSPECT_AFTER: usize = 3;
+
+/// For how long a job keeps away from a machine that failed it.
+const AVOID_FOR: TimeDelta = TimeDelta::from_secs(120);
--- /dev/null
+++ b/crates/scheduler/src/model/job_spec.rs
@@ -0,0 +1,98 @@
+//! What the owner of a job asked for, and how a job can end.
+
+use serde::{Deserialize, Serialize};
+
+use walnutlug_admission::resources::Resources;
+
+use crate::model::team::Team;
+use crate::model::EPSILON;
+use crate::protocol::cloud::MachineType;
+
+/// Priority of a job; the greater comes first.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub enum Priority {
+    Low,
+    Normal,
+    High,
+    Prod,
+}
+
+impl Priority {
+    pub const COUNT: usize = Priority::ALL.len();
+    /// All of them, the lowest first, each at the place of its number.
+    pub const ALL: [Priority; 4] =
+        [Priority::Low, Priority::Normal, Priority::High, Priority::Prod];
+}
+
+/// What the owner asked for. Stored in the key-value store as it is.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct JobSpec {
+    pub class: String,
+    pub team: String,
+    #[serde(rename = "rank")]
+    pub priority: Priority,
+    pub tasks: u32,
+    pub cpus: f64,
+    pub gpus: f64,
+    pub memory_gb: f64,
+    pub image: String,
+    pub image_gb: f64,
+    pub types: Option<Vec<String>>,
+    pub zone: Option<String>,
+    pub one_zone: bool,
+    pub spread: bool,
+    pub spot: bool,
+    pub estimate_s: f64,
+    pub checkpoint_s: f64,
+    pub save_s: f64,
+    pub deadline_s: Option<f64>,
+    /// Jobs that have to be done before any task of this one starts, each once. Left out when there
+    /// are none, so that such a record is the one that versions without chains wrote.
+    #[serde(default, rename = "needs", skip_serializing_if = "Vec::is_empty")]
+    pub dependencies: Vec<String>,
+}
+
+/// How a job ended. Written once to `end/{ref}`; whoever writes first wins.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "lowercase")]
+pub enum JobEnd {
+    Done,
+    #[serde(rename = "aborted")]
+    Cancelled,
+}
+
+impl JobSpec {
+    /// What one task takes of its machine.
+    pub fn task(&self) -> Resources {
+        Resources { cpus: self.cpus, gpus: self.gpus, memory_gb: self.memory_gb }
+    }
+
+    pub fn allows_type(&self, name: &str) -> bool {
+        self.types.as_ref().is_none_or(|types| types.iter().any(|t| t == name))
+    }
+
+    pub fn fits_type(&self, kind: &MachineType) -> bool {
+        self.allows_type(&kind.name)
+            && self.cpus <= kind.cpus + EPSILON
+            && self.gpus <= kind.gpus + EPSILON
+            && self.memory_gb <= kind.memory_gb + EPSILON
+    }
+
+    /// Why the job can never run, if so. Only called once teams and types are known.
+    pub fn impossible(&self, teams: &[Team], types: &[MachineType]) -> Option<String> {
+        let Some(team) = teams.iter().find(|t| t.name == self.team) else {
+            return Some(format!("crew: unknown team {:?}", self.team));
+        };
+        if !team.allows(self.cpus, self.gpus) {
+            return Some(format!("crew: one task is over the limit of team {:?}", self.team));
+        }
+        let offered = |kind: &&MachineType| match &self.zone {
+            Some(zone) => kind.zones.iter().any(|z| z == zone),
+            None => true,
+        };
+        if !types.iter().filter(offered).any(|kind| self.fits_type(kind)) {
+            return Some("breeds: a task fits no allowed machine type".to_owned());
+        }
+        None
+    }
+}
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -3,12 +3,13 @@
 use walnutlug_admission::resources::Resources;
 
 use crate::leadership::election::token;
-use crate::model::job::{JobSpec, Priority, EPSILON};
+use crate::model::job::{Job, JobIndex, TaskId};
+use crate::model::job_spec::{JobSpec, Priority};
+use crate::model::machine::{Machine, MachineState};
 use crate::model::task::{MachineIndex, TaskPhase};
+use crate::model::EPSILON;
 use crate::queue::order::{Aging, QueueKey};
-use crate::scheduler::{
-    grace_of, Job, JobIndex, Machine, MachineState, Scheduler, TaskId, OVERDUE,
-};
+use crate::scheduler::{grace_of, Scheduler, OVERDUE};
 use crate::time::{TimeDelta, Timestamp};
 
 /// Without a job of a class for this long, no room is kept for its next one.
--- a/crates/scheduler/src/protocol/tests.rs
+++ b/crates/scheduler/src/protocol/tests.rs
@@ -1,4 +1,8 @@
-use super::*;
+use serde_json::{json, Value};
+
+use super::users::*;
+use super::workers::*;
+use crate::model::job_spec::Priority;
 
 fn sample() -> Value {
     json!({"ref":"req-000412","shell":"train","crew":"vision","husk":"batch","rank":"high",
--- /dev/null
+++ b/crates/scheduler/src/protocol/users.rs
@@ -0,0 +1,183 @@
+//! What users submit, and what they are answered.
+
+use serde::{Deserialize, Serialize};
+use serde_json::{json, Map, Value};
+
+use crate::model::job_spec::{JobSpec, Priority};
+
+/// What a submission may be refused for as malformed: the field and what is wrong with it.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+#[error("{field}: {fault}")]
+pub struct InvalidField {
+    pub field: &'static str,
+    pub fault: String,
+}
+
+fn invalid(field: &'static str, fault: impl Into<String>) -> InvalidField {
+    InvalidField { field, fault: fault.into() }
+}
+
+/// The largest number of tasks in one job.
+pub const MAX_TASKS: u64 = 100_000;
+
+/// Whether `name` has the form of a job's id: `req-` and decimal digits. Everything else is no id,
+/// and is never looked up in the key-value store.
+pub fn is_job_id(name: &str) -> bool {
+    name.strip_prefix("req-")
+        .is_some_and(|n| (1..=20).contains(&n.len()) && n.bytes().all(|b| b.is_ascii_digit()))
+}
+
+/// Reads a submission, naming the first field that is missing or invalid.
+pub fn parse_submission(body: &[u8]) -> Result<(String, JobSpec), InvalidField> {
+    let value: Value =
+        serde_json::from_slice(body).map_err(|e| invalid("body", format!("not JSON: {e}")))?;
+    let Value::Object(map) = value else { return Err(invalid("body", "not a JSON object")) };
+    let name = text(&map, "ref")?;
+    if !is_job_id(&name) {
+        return Err(invalid("ref", "must look like req-000412"));
+    }
+    if text(&map, "husk")? != "batch" {
+        return Err(invalid("husk", "must be \"batch\""));
+    }
+    let priority = match text(&map, "rank")?.as_str() {
+        "prod" => Priority::Prod,
+        "high" => Priority::High,
+        "normal" => Priority::Normal,
+        "low" => Priority::Low,
+        _ => return Err(invalid("rank", "must be prod, high, normal or low")),
+    };
+    let tasks = match map.get("nuts") {
+        Some(v) => v.as_u64().filter(|n| (1..=MAX_TASKS).contains(n)).ok_or_else(|| {
+            invalid("nuts", format!("must be a whole number from 1 to {MAX_TASKS}"))
+        })?,
+        None => return Err(invalid("nuts", "is missing")),
+    };
+    let cpus = amount(&map, "vcpus")?;
+    let gpus = amount(&map, "gpus")?;
+    let memory_gb = amount(&map, "memoryGb")?;
+    if cpus == 0.0 && gpus == 0.0 && memory_gb == 0.0 {
+        return Err(invalid("vcpus", "a task must take something of its machine"));
+    }
+    let types = match map.get("breeds") {
+        None | Some(Value::Null) => None,
+        Some(Value::Array(items)) => {
+            let mut names = Vec::with_capacity(items.len());
+            for item in items {
+                let name = item.as_str().ok_or_else(|| invalid("breeds", "must hold names"))?;
+                names.push(name.to_owned());
+            }
+            if names.is_empty() {
+                return Err(invalid("breeds", "must not be empty"));
+            }
+            Some(names)
+        }
+        Some(_) => return Err(invalid("breeds", "must be a list of machine types or null")),
+    };
+    let zone = match map.get("grove") {
+        None | Some(Value::Null) => None,
+        Some(Value::String(s)) if !s.is_empty() => Some(s.clone()),
+        Some(_) => return Err(invalid("grove", "must be a zone's name or null")),
+    };
+    let deadline_s = match map.get("harvestS") {
+        None | Some(Value::Null) => None,
+        Some(_) => Some(amount(&map, "harvestS")?),
+    };
+    let spec = JobSpec {
+        class: text(&map, "shell")?,
+        team: text(&map, "crew")?,
+        priority,
+        tasks: tasks as u32,
+        cpus,
+        gpus,
+        memory_gb,
+        image: text(&map, "seed")?,
+        image_gb: amount(&map, "imageGb")?,
+        types,
+        zone,
+        one_zone: flag(&map, "together")?,
+        spread: flag(&map, "spread")?,
+        spot: flag(&map, "windfall")?,
+        estimate_s: amount(&map, "ripenS")?,
+        checkpoint_s: amount(&map, "stashS")?,
+        save_s: amount(&map, "buryS")?,
+        deadline_s,
+        dependencies: dependencies(&map)?,
+    };
+    Ok((name, spec))
+}
+
+/// The most jobs that one may wait for. With names of the usual length their list takes a quarter of
+/// the smallest value that a key-value store is planned to hold.
+pub const MAX_DEPENDENCIES: usize = 64;
+
+/// The jobs that have to be done first, each once.
+fn dependencies(map: &Map<String, Value>) -> Result<Vec<String>, InvalidField> {
+    let items = match map.get("waits") {
+        None | Some(Value::Null) => return Ok(Vec::new()),
+        Some(Value::Array(items)) => items,
+        Some(_) => return Err(invalid("waits", "must be a list of job ids or null")),
+    };
+    let mut names: Vec<String> = Vec::new();
+    for item in items {
+        match item.as_str() {
+            Some(name) if is_job_id(name) => {
+                if !names.iter().any(|n| n == name) {
+                    names.push(name.to_owned());
+                }
+            }
+            _ => return Err(invalid("waits", format!("{item} does not look like req-000412"))),
+        }
+        if names.len() > MAX_DEPENDENCIES {
+            return Err(invalid("waits", format!("must name at most {MAX_DEPENDENCIES} jobs")));
+        }
+    }
+    Ok(names)
+}
+
+fn text(map: &Map<String, Value>, field: &'static str) -> Result<String, InvalidField> {
+    match map.get(field) {
+        Some(Value::String(s)) if s.len() <= 256 && !s.is_empty() => Ok(s.clone()),
+        Some(Value::String(_)) => Err(invalid(field, "must have 1 to 256 bytes")),
+        Some(_) => Err(invalid(field, "must be a string")),
+        None => Err(invalid(field, "is missing")),
+    }
+}
+
+fn amount(map: &Map<String, Value>, field: &'static str) -> Result<f64, InvalidField> {
+    match map.get(field) {
+        Some(v) => v
+            .as_f64()
+            .filter(|x| x.is_finite() && *x >= 0.0)
+            .ok_or_else(|| invalid(field, "must be a number of at least 0")),
+        None => Err(invalid(field, "is missing")),
+    }
+}
+
+fn flag(map: &Map<String, Value>, field: &'static str) -> Result<bool, InvalidField> {
+    match map.get(field) {
+        Some(Value::Bool(b)) => Ok(*b),
+        Some(_) => Err(invalid(field, "must be true or false")),
+        None => Err(invalid(field, "is missing")),
+    }
+}
+
+/// How a job stands, for its user.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "lowercase")]
+pub enum JobStage {
+    Queued,
+    Running,
+    Done,
+    #[serde(rename = "aborted")]
+    Cancelled,
+}
+
+/// The answer to a submission, a poll or a withdrawal.
+pub fn job_response(name: &str, stage: JobStage, counts: Option<(u32, u32)>) -> Value {
+    match counts {
+        Some((done, running)) => {
+            json!({"ref": name, "stage": stage, "done": done, "running": running})
+        }
+        None => json!({"ref": name, "stage": stage}),
+    }
+}
--- a/crates/scheduler/src/queue/dependencies.rs
+++ b/crates/scheduler/src/queue/dependencies.rs
@@ -8,9 +8,11 @@
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-use crate::model::job::{JobEnd, JobSpec};
+use crate::command::Command;
+use crate::model::job::{Job, JobIndex};
+use crate::model::job_spec::{JobEnd, JobSpec};
 use crate::model::task::TaskPhase;
-use crate::scheduler::{Command, Job, JobIndex, Scheduler};
+use crate::scheduler::Scheduler;
 use crate::time::{TimeDelta, Timestamp};
 
 /// Names in one question about ends.
--- a/crates/scheduler/src/queue/fair_share.rs
+++ b/crates/scheduler/src/queue/fair_share.rs
@@ -10,12 +10,14 @@
 use walnutlug_admission::saturation::{Change, Saturation, Thresholds};
 use walnutlug_admission::shares::{ClassId, Entitlement, Shares, TeamId};
 
-use crate::model::job::EPSILON;
+use crate::model::job::{Job, JobIndex};
+use crate::model::machine::{Machine, MachineState};
 use crate::model::task::MachineIndex;
+use crate::model::EPSILON;
 use crate::placement::MAX_PREEMPTING_JOBS;
-use crate::protocol::MachineType;
+use crate::protocol::cloud::MachineType;
 use crate::queue::order::{Aging, QueueKey};
-use crate::scheduler::{Job, JobIndex, Machine, MachineState, Scheduler};
+use crate::scheduler::Scheduler;
 use crate::time::{TimeDelta, Timestamp};
 use crate::tunables::{Site, Tunables};
 
@@ -89,7 +91,7 @@
 fn entitlements(site: &Site, tunables: &Tunables) -> HashMap<String, Entitlement> {
     let guaranteed: Vec<f64> = site.teams.iter().map(|t| t.cpus).filter(|&c| c > 0.0).collect();
     let mean = guaranteed.iter().sum::<f64>() / guaranteed.len().max(1) as f64;
-    let entitlement = |team: &crate::model::job::Team| {
+    let entitlement = |team: &crate::model::team::Team| {
         let by_guarantee = if team.cpus > 0.0 { team.cpus / mean } else { 1.0 };
         Entitlement {
             weight: tunables.team_weights.get(&team.name).copied().unwrap_or(by_guarantee),
--- a/crates/scheduler/src/queue/order.rs
+++ b/crates/scheduler/src/queue/order.rs
@@ -2,8 +2,10 @@
 
 use std::cmp::Ordering;
 
-use crate::model::job::{Priority, EPSILON};
-use crate::scheduler::{Job, JobIndex, Scheduler};
+use crate::model::job::{Job, JobIndex};
+use crate::model::job_spec::Priority;
+use crate::model::EPSILON;
+use crate::scheduler::Scheduler;
 use crate::time::{TimeDelta, Timestamp};
 
 /// How much a job's share of the fleet counts against its slack.
--- a/crates/scheduler/src/reconciliation/health.rs
+++ b/crates/scheduler/src/reconciliation/health.rs
@@ -1,7 +1,8 @@
 //! Which machines are well: silent, deaf, overdue, slow or about to be taken, each alone and all together.
 
+use crate::model::machine::MachineState;
 use crate::model::task::TaskPhase;
-use crate::scheduler::{MachineState, Scheduler, OVERDUE};
+use crate::scheduler::{Scheduler, OVERDUE};
 use crate::time::{TimeDelta, Timestamp};
 
 /// From this many machines on, what they do together says something.
@@ -76,7 +77,7 @@
         let suspicion_timeout = self.suspicion_timeout();
         // One that is heard and doesn't hear has twice the patience: it may be the answer alone
         // that was late.
-        let lost_for = |m: &crate::scheduler::Machine| {
+        let lost_for = |m: &crate::model::machine::Machine| {
             let deaf =
                 m.unacknowledged_since.map_or(TimeDelta::ZERO, |t| TimeDelta(now.since(t).0 / 2));
             now.since(m.last_heartbeat).max(deaf)
--- a/crates/scheduler/src/reconciliation/heartbeats.rs
+++ b/crates/scheduler/src/reconciliation/heartbeats.rs
@@ -1,9 +1,13 @@
 //! Workers' heartbeats: what they prove, and the commands that answer them. (The paper's receipts.)
 
+use crate::command::Command;
 use crate::leadership::election::token;
+use crate::model::job::TaskId;
+use crate::model::machine::MachineState;
 use crate::model::task::{MachineIndex, TaskEvent, TaskPhase};
-use crate::protocol::{self, ExitReason, Heartbeat, TaskState, WorkerCommand};
-use crate::scheduler::{grace_of, Command, MachineState, Scheduler, TaskId};
+use crate::protocol;
+use crate::protocol::workers::{ExitReason, Heartbeat, TaskState, WorkerCommand};
+use crate::scheduler::{grace_of, Scheduler};
 use crate::time::{TimeDelta, Timestamp};
 
 /// A start counts for the job's users if it is not stopped again within half a minute.
@@ -15,28 +19,28 @@
 
 /// One task of a heartbeat, and the known task that it names, if there is one.
 pub(crate) struct ReportedTask<'a> {
-    entry: &'a protocol::TaskStatus,
+    entry: &'a protocol::workers::TaskStatus,
     id: Option<TaskId>,
 }
 
 /// The entries of a heartbeat that name known tasks, in the order of those.
-struct EntriesByTask<'a>(Vec<(TaskId, &'a protocol::TaskStatus)>);
+struct EntriesByTask<'a>(Vec<(TaskId, &'a protocol::workers::TaskStatus)>);
 
 impl<'a> EntriesByTask<'a> {
     fn new(entries: &[ReportedTask<'a>]) -> EntriesByTask<'a> {
         let known = entries.iter().filter_map(|reported| Some((reported.id?, reported.entry)));
-        let mut by_task: Vec<(TaskId, &'a protocol::TaskStatus)> = known.collect();
+        let mut by_task: Vec<(TaskId, &'a protocol::workers::TaskStatus)> = known.collect();
         by_task.sort_by_key(|(id, _)| *id);
         EntriesByTask(by_task)
     }
 
-    fn of(&self, id: TaskId) -> impl Iterator<Item = &'a protocol::TaskStatus> + '_ {
+    fn of(&self, id: TaskId) -> impl Iterator<Item = &'a protocol::workers::TaskStatus> + '_ {
         let begin = self.0.partition_point(|(other, _)| *other < id);
         self.0[begin..].iter().take_while(move |(other, _)| *other == id).map(|(_, entry)| *entry)
     }
 
     /// The entry of the highest attempt.
-    fn newest(&self, id: TaskId) -> Option<&'a protocol::TaskStatus> {
+    fn newest(&self, id: TaskId) -> Option<&'a protocol::workers::TaskStatus> {
         self.of(id).reduce(|best, entry| if entry.attempt > best.attempt { entry } else { best })
     }
 
@@ -144,8 +148,8 @@
 
     /// Looks up the tasks of a heartbeat, each once.
     pub(crate) fn resolve<'a>(&self, heartbeat: &'a Heartbeat) -> Vec<ReportedTask<'a>> {
-        let resolve = |entry: &'a protocol::TaskStatus| {
-            let id = protocol::parse_task_id(&entry.task).and_then(|(name, index)| {
+        let resolve = |entry: &'a protocol::workers::TaskStatus| {
+            let id = protocol::workers::parse_task_id(&entry.task).and_then(|(name, index)| {
                 let &job_index = self.jobs_by_name.get(name)?;
                 let exists = (index as usize) < self.job(job_index)?.tasks.len();
                 exists.then_some((job_index, index))
@@ -423,7 +427,7 @@
     }
 
     /// The job failed on the machine, and not by its own fault as far as can be told.
-    fn attribute_failure(&mut self, m: MachineIndex, job: crate::scheduler::JobIndex) {
+    fn attribute_failure(&mut self, m: MachineIndex, job: crate::model::job::JobIndex) {
         let machine = &mut self.machines[m as usize];
         machine.failures.insert(job);
         if machine.failures.len() as u32 >= self.tunables.sick_after && machine.draining.is_none() {
--- a/crates/scheduler/src/reconciliation/repeated_heartbeats.rs
+++ b/crates/scheduler/src/reconciliation/repeated_heartbeats.rs
@@ -16,10 +16,13 @@
 use std::collections::BTreeSet;
 
 use crate::leadership::election::token;
+use crate::model::job::TaskId;
+use crate::model::machine::MachineState;
 use crate::model::task::{MachineIndex, TaskPhase};
-use crate::protocol::{self, Heartbeat, TaskState, TaskStatus};
+use crate::protocol;
+use crate::protocol::workers::{Heartbeat, TaskState, TaskStatus};
 use crate::reconciliation::heartbeats::STARTED_AFTER;
-use crate::scheduler::{MachineState, Scheduler, TaskId};
+use crate::scheduler::Scheduler;
 use crate::time::{TimeDelta, Timestamp};
 
 /// Names one heartbeat that left nothing to do. Of use to the scheduler that gave it, and to no other.
@@ -112,7 +115,7 @@
         machine: MachineIndex,
         entry: &TaskStatus,
     ) -> Option<(TaskId, Timestamp)> {
-        let (name, index) = protocol::parse_task_id(&entry.task)?;
+        let (name, index) = protocol::workers::parse_task_id(&entry.task)?;
         let &job_index = self.jobs_by_name.get(name)?;
         let job = self.job(job_index)?;
         let task = job.tasks.get(index as usize)?;
--- a/crates/scheduler/src/storage/records.rs
+++ b/crates/scheduler/src/storage/records.rs
@@ -8,11 +8,13 @@
 use serde::Serialize;
 use serde_json::{json, Value};
 
-use crate::model::job::{keys, JobSpec};
+use crate::model::job::{Job, JobIndex, TaskId};
+use crate::model::job_spec::JobSpec;
 use crate::model::task::{Task, TaskPhase};
 use crate::protocol;
-use crate::scheduler::{Job, JobIndex, Scheduler, TaskId};
+use crate::scheduler::Scheduler;
 use crate::storage::document::Document;
+use crate::storage::keys;
 use crate::time::{TimeDelta, Timestamp};
 
 /// In what steps after the job's acceptance the time of a placing is stored.
@@ -82,7 +84,8 @@
             self.log_once(name, "its stored description cannot be read");
             return false;
         };
-        if spec.tasks == 0 || u64::from(spec.tasks) > protocol::MAX_TASKS || chunk_size == 0 {
+        if spec.tasks == 0 || u64::from(spec.tasks) > protocol::users::MAX_TASKS || chunk_size == 0
+        {
             self.log_once(name, "its stored description is out of range");
             return false;
         }
@@ -108,8 +111,12 @@
     ///
     /// A task may stand in its chunk and in a part that was written later, or the other way round:
     /// each holds all of its tasks as they were when it was written, so the newer one counts.
-    pub fn load_runs(&mut self, now: Timestamp, stored: &[protocol::KeyValue]) -> Vec<String> {
-        let mut by_age: Vec<&protocol::KeyValue> = stored.iter().collect();
+    pub fn load_runs(
+        &mut self,
+        now: Timestamp,
+        stored: &[protocol::key_value::KeyValue],
+    ) -> Vec<String> {
+        let mut by_age: Vec<&protocol::key_value::KeyValue> = stored.iter().collect();
         by_age.sort_by_key(|key_value| key_value.revision);
         let mut newest: BTreeMap<TaskId, &Value> = BTreeMap::new();
         let mut strange = Vec::new();
@@ -131,7 +138,7 @@
     /// Adds a stored chunk's or part's records to the newest of each task.
     fn read_run<'a>(
         &mut self,
-        key_value: &'a protocol::KeyValue,
+        key_value: &'a protocol::key_value::KeyValue,
         newest: &mut BTreeMap<TaskId, &'a Value>,
     ) -> Option<()> {
         let (name, chunk, from) = keys::split_run(&key_value.key)?;
--- a/crates/scheduler/src/storage/transactions.rs
+++ b/crates/scheduler/src/storage/transactions.rs
@@ -1,10 +1,15 @@
 //! Rounds: what was decided is written before anything is sent, and sent once it is written.
 
-use crate::model::job::{keys, JobEnd};
+use crate::command::{Command, TransactionOutcome};
+use crate::model::job::{JobIndex, TaskId};
+use crate::model::job_spec::JobEnd;
+use crate::model::machine::MachineState;
 use crate::model::task::{MachineIndex, TaskEvent, TaskPhase};
-use crate::protocol::{Compare, Operation, Transaction, WorkerCommand};
-use crate::scheduler::{Command, JobIndex, MachineState, Scheduler, TaskId, TransactionOutcome};
+use crate::protocol::key_value::{Compare, Operation, Transaction};
+use crate::protocol::workers::WorkerCommand;
+use crate::scheduler::Scheduler;
 use crate::storage::document::Document;
+use crate::storage::keys;
 use crate::time::{TimeDelta, Timestamp};
 use serde_json::Value;
 
@@ -139,7 +144,7 @@
         let ops = self.limits.txn_ops;
         let most = self.tunables.txns_in_flight as usize;
         let mut starts: Vec<(
-            std::cmp::Reverse<crate::model::job::Priority>,
+            std::cmp::Reverse<crate::model::job_spec::Priority>,
             Timestamp,
             JobIndex,
             usize,
--- a/crates/scheduler/src/tunables.rs
+++ b/crates/scheduler/src/tunables.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::model::job::Team;
+use crate::model::team::Team;
 use crate::time::TimeDelta;
 
 /// The operators' settings. `docs/operations.md` says what each is for; the binary reads them from
--- a/crates/scheduler/tests/autoscaling.rs
+++ b/crates/scheduler/tests/autoscaling.rs
@@ -3,9 +3,10 @@
 mod world;
 
 use serde_json::json;
-use walnutlug_scheduler::model::job::{keys, JobSpec, Priority};
-use walnutlug_scheduler::protocol::{CloudMachineState, ListedMachine, MachineType};
-use walnutlug_scheduler::scheduler::{Command, MessageOutcome};
+use walnutlug_scheduler::command::{Command, MessageOutcome};
+use walnutlug_scheduler::model::job_spec::{JobSpec, Priority};
+use walnutlug_scheduler::protocol::cloud::{CloudMachineState, ListedMachine, MachineType};
+use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::time::TimeDelta;
 use walnutlug_scheduler::tunables::{Objective, Site};
 use world::{one_machine, site, spec, types, World};
@@ -136,7 +137,7 @@
     w.submit("req-000002", &spec(4));
     w.submit(
         "req-000003",
-        &JobSpec { priority: walnutlug_scheduler::model::job::Priority::High, ..spec(4) },
+        &JobSpec { priority: walnutlug_scheduler::model::job_spec::Priority::High, ..spec(4) },
     );
     w.wait(50);
     w.leader.set_write_allowance(1.0, 16.0);
@@ -512,7 +513,7 @@
 /// machines made the job look at fault, and no machine was blamed.
 #[test]
 fn a_job_keeps_away_from_machines_that_failed_it_and_they_are_drained() {
-    use walnutlug_scheduler::protocol::{ExitReason, TaskState};
+    use walnutlug_scheduler::protocol::workers::{ExitReason, TaskState};
     let names: Vec<String> = (0..8).map(|i| format!("n-{i}")).collect();
     let machines: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "a")).collect();
     let mut w = World::new(&machines);
--- a/crates/scheduler/tests/cancellations.rs
+++ b/crates/scheduler/tests/cancellations.rs
@@ -4,7 +4,8 @@
 mod world;
 
 use walnutlug_scheduler::leadership::watermark::{ask_every, window, CancellationLog, Watermark};
-use walnutlug_scheduler::model::job::{keys, JobEnd};
+use walnutlug_scheduler::model::job_spec::JobEnd;
+use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 use walnutlug_scheduler::tunables::Site;
 use world::{spec, World};
@@ -417,7 +418,7 @@
     for _ in 0..20 {
         w.tick();
         for command in std::mem::take(&mut w.commands) {
-            if let walnutlug_scheduler::scheduler::Command::SendToWorker { calls, .. } = command {
+            if let walnutlug_scheduler::command::Command::SendToWorker { calls, .. } = command {
                 assert!(calls.is_empty(), "{calls:?}");
             }
         }
@@ -461,7 +462,7 @@
     w.leader.message_answered(
         w.now,
         m,
-        walnutlug_scheduler::scheduler::MessageOutcome::Indeterminate,
+        walnutlug_scheduler::command::MessageOutcome::Indeterminate,
     );
     w.wait(3_000);
     w.settle();
@@ -483,7 +484,7 @@
     w.leader.message_answered(
         w.now,
         m,
-        walnutlug_scheduler::scheduler::MessageOutcome::Answered(Box::new(newer)),
+        walnutlug_scheduler::command::MessageOutcome::Answered(Box::new(newer)),
     );
     w.withdraw(JOB);
     let (token, calls) = w.leader.heartbeat(w.now, &overtaken).expect("an answer");
--- a/crates/scheduler/tests/dependencies.rs
+++ b/crates/scheduler/tests/dependencies.rs
@@ -4,9 +4,10 @@
 mod world;
 
 use serde_json::json;
-use walnutlug_scheduler::model::job::{keys, JobEnd, JobSpec, Priority};
+use walnutlug_scheduler::command::{Command, TransactionOutcome};
+use walnutlug_scheduler::model::job_spec::{JobEnd, JobSpec, Priority};
 use walnutlug_scheduler::queue::dependencies::JobEndLookup;
-use walnutlug_scheduler::scheduler::{Command, TransactionOutcome};
+use walnutlug_scheduler::storage::keys;
 use world::{one_machine, spec, World};
 
 const FIRST: &str = "req-000001";
--- a/crates/scheduler/tests/fair_share.rs
+++ b/crates/scheduler/tests/fair_share.rs
@@ -6,7 +6,8 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use walnutlug_scheduler::model::job::{JobSpec, Priority, Team};
+use walnutlug_scheduler::model::job_spec::{JobSpec, Priority};
+use walnutlug_scheduler::model::team::Team;
 use walnutlug_scheduler::tunables::{Site, Tunables};
 use world::{site, spec, World};
 
--- a/crates/scheduler/tests/fleet_size.rs
+++ b/crates/scheduler/tests/fleet_size.rs
@@ -7,9 +7,10 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use stats_alloc::{Region, StatsAlloc, INSTRUMENTED_SYSTEM};
-use walnutlug_scheduler::model::job::JobSpec;
+use walnutlug_scheduler::command::{Command, TransactionOutcome};
+use walnutlug_scheduler::model::job_spec::JobSpec;
 use walnutlug_scheduler::model::task::TaskPhase;
-use walnutlug_scheduler::scheduler::{Command, Scheduler, TransactionOutcome};
+use walnutlug_scheduler::scheduler::Scheduler;
 use world::{spec, World};
 
 /// Counts what the tests of this file allocate.
@@ -187,7 +188,7 @@
     }
     let ended = (0..JOBS).filter(|&index| world.end(&job_name(index)).is_some()).count();
     assert_eq!(ended, JOBS, "every job is recorded as done");
-    let all_done = |job: &walnutlug_scheduler::scheduler::Job| {
+    let all_done = |job: &walnutlug_scheduler::model::job::Job| {
         job.tasks.iter().all(|task| task.phase == TaskPhase::Done)
     };
     assert!(world.leader.jobs.values().all(all_done));
--- a/crates/scheduler/tests/golden_bytes.rs
+++ b/crates/scheduler/tests/golden_bytes.rs
@@ -8,13 +8,16 @@
 use golden_file::Golden;
 use serde::Serialize;
 use serde_json::{json, Value};
-use walnutlug_scheduler::model::job::{keys, JobEnd, JobSpec, Priority};
+use walnutlug_scheduler::command::Command;
+use walnutlug_scheduler::model::job_spec::{JobEnd, JobSpec, Priority};
 use walnutlug_scheduler::model::task::TaskPhase;
-use walnutlug_scheduler::protocol::{
-    job_response, parse_submission, CommandsRequest, ExitReason, Heartbeat, HeartbeatResponse,
-    JobStage, KeyValue, Operation, Redirect, TaskState, TaskStatus, WorkerCommand,
+use walnutlug_scheduler::protocol::key_value::{KeyValue, Operation};
+use walnutlug_scheduler::protocol::users::{job_response, parse_submission, JobStage};
+use walnutlug_scheduler::protocol::workers::{
+    CommandsRequest, ExitReason, Heartbeat, HeartbeatResponse, Redirect, TaskState, TaskStatus,
+    WorkerCommand,
 };
-use walnutlug_scheduler::scheduler::Command;
+use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::storage::records::{chunk_size, description_record};
 use world::{spec, types, World};
 
@@ -117,7 +120,7 @@
         assert!(read == end, "{kind}: read otherwise");
     }
     let (_, value) = split(&golden.text("machine types"));
-    let read: Vec<walnutlug_scheduler::protocol::MachineType> =
+    let read: Vec<walnutlug_scheduler::protocol::cloud::MachineType> =
         serde_json::from_value(value["breeds"].clone()).expect("types");
     assert!(read == types(), "machine types: read otherwise");
     assert_eq!(keys::split_run(&golden.text("chunk's key")), Some((JOB, 12, None)));
--- a/crates/scheduler/tests/random_interleavings.rs
+++ b/crates/scheduler/tests/random_interleavings.rs
@@ -6,14 +6,15 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use serde_json::json;
-use walnutlug_scheduler::protocol::{Heartbeat, WorkerCommand};
-use walnutlug_scheduler::scheduler::{Command, MessageOutcome, Scheduler, TransactionOutcome};
+use walnutlug_scheduler::command::{Command, MessageOutcome, TransactionOutcome};
+use walnutlug_scheduler::protocol::workers::{Heartbeat, WorkerCommand};
+use walnutlug_scheduler::scheduler::Scheduler;
 use world::{spec, World};
 
 /// A message that the test holds.
 enum Held {
     /// To the state store; `None`: a copy nobody waits for.
-    Commit(u64, Option<u64>, walnutlug_scheduler::protocol::Transaction),
+    Commit(u64, Option<u64>, walnutlug_scheduler::protocol::key_value::Transaction),
     Read(u64, u64, String),
     /// A leader's question about ends.
     Ends(u64, Vec<String>),
@@ -283,7 +284,8 @@
                 let (job, dependencies) = JOBS[self.accepted];
                 self.accepted += 1;
                 let dependencies = dependencies.iter().map(|n| (*n).to_owned()).collect();
-                let spec = walnutlug_scheduler::model::job::JobSpec { dependencies, ..spec(3) };
+                let spec =
+                    walnutlug_scheduler::model::job_spec::JobSpec { dependencies, ..spec(3) };
                 // Of what waits a leader of the former version hears nothing.
                 if self.former_terms.contains(&self.w.leader.term) {
                     self.w.store_job(job, &spec, 2);
--- a/crates/scheduler/tests/repeated_heartbeats.rs
+++ b/crates/scheduler/tests/repeated_heartbeats.rs
@@ -3,10 +3,10 @@
 
 mod world;
 
-use walnutlug_scheduler::model::job::JobSpec;
-use walnutlug_scheduler::protocol::{sequence_digits, Heartbeat, TaskState};
+use walnutlug_scheduler::command::{Command, MessageOutcome};
+use walnutlug_scheduler::model::job_spec::JobSpec;
+use walnutlug_scheduler::protocol::workers::{sequence_digits, Heartbeat, TaskState};
 use walnutlug_scheduler::reconciliation::repeated_heartbeats::{CachedHeartbeat, OWN_NODE};
-use walnutlug_scheduler::scheduler::{Command, MessageOutcome};
 use walnutlug_scheduler::time::TimeDelta;
 use world::{one_machine, spec, World};
 
@@ -100,7 +100,7 @@
             let mut old = heartbeat.clone();
             old.sequence -= 1;
             old.tasks[0].state = TaskState::Exited;
-            old.tasks[0].cause = Some(walnutlug_scheduler::protocol::ExitReason::Done);
+            old.tasks[0].cause = Some(walnutlug_scheduler::protocol::workers::ExitReason::Done);
             w.leader.heartbeat(w.now, &old);
         }),
     ];
--- a/crates/scheduler/tests/sim/follower.rs
+++ b/crates/scheduler/tests/sim/follower.rs
@@ -1,7 +1,7 @@
 //! A node that answers workers on the leader's behalf, in the simulation: the other side of a stream of
 //! frames that are late by up to a third of a second, and lost while the nodes don't hear each other.
 
-use walnutlug_scheduler::protocol::{Heartbeat, WorkerCommand};
+use walnutlug_scheduler::protocol::workers::{Heartbeat, WorkerCommand};
 use walnutlug_scheduler::reconciliation::delegation::{
     CacheGrant, DelegationGrant, FollowerDelegation,
 };
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -9,13 +9,14 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::{json, Value};
-use walnutlug_scheduler::model::job::{keys, JobEnd, JobSpec};
-use walnutlug_scheduler::protocol::{
-    CloudMachineState, ExitReason, Heartbeat, ListedMachine, Operation, TaskState, Transaction,
-    WorkerCommand,
-};
+use walnutlug_scheduler::command::{Command, MessageOutcome, TransactionOutcome};
+use walnutlug_scheduler::model::job_spec::{JobEnd, JobSpec};
+use walnutlug_scheduler::protocol::cloud::{CloudMachineState, ListedMachine};
+use walnutlug_scheduler::protocol::key_value::{Operation, Transaction};
+use walnutlug_scheduler::protocol::workers::{ExitReason, Heartbeat, TaskState, WorkerCommand};
 use walnutlug_scheduler::reconciliation::repeated_heartbeats::{CachedHeartbeat, OWN_NODE};
-use walnutlug_scheduler::scheduler::{Command, MessageOutcome, Scheduler, TransactionOutcome};
+use walnutlug_scheduler::scheduler::Scheduler;
+use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::storage::records::description_record;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 use walnutlug_scheduler::tunables::{Site, Tunables};
@@ -425,11 +426,12 @@
             Kind::Bound(n) => JobSpec { zone: Some("a".into()), ..plain(n) },
             Kind::Together(n) => JobSpec { one_zone: true, ..plain(n) },
             Kind::Spread(n) => JobSpec { spread: true, ..plain(n) },
-            Kind::Urgent(n) => {
-                JobSpec { priority: walnutlug_scheduler::model::job::Priority::High, ..plain(n) }
-            }
+            Kind::Urgent(n) => JobSpec {
+                priority: walnutlug_scheduler::model::job_spec::Priority::High,
+                ..plain(n)
+            },
             Kind::Flood(n) => {
-                let priority = walnutlug_scheduler::model::job::Priority::High;
+                let priority = walnutlug_scheduler::model::job_spec::Priority::High;
                 JobSpec { priority, class: "flood".into(), deadline_s: Some(20.0), ..plain(n) }
             }
             Kind::Long(n) => {
--- a/crates/scheduler/tests/storage_limits.rs
+++ b/crates/scheduler/tests/storage_limits.rs
@@ -6,9 +6,10 @@
 use std::collections::BTreeSet;
 
 use serde_json::json;
-use walnutlug_scheduler::model::job::{keys, JobSpec};
+use walnutlug_scheduler::command::{Command, TransactionOutcome};
+use walnutlug_scheduler::model::job_spec::JobSpec;
 use walnutlug_scheduler::model::task::TaskPhase;
-use walnutlug_scheduler::scheduler::{Command, TransactionOutcome};
+use walnutlug_scheduler::storage::keys;
 use world::{spec, World};
 
 const JOB: &str = "req-000001";
--- a/crates/scheduler/tests/task_starts.rs
+++ b/crates/scheduler/tests/task_starts.rs
@@ -3,10 +3,12 @@
 mod world;
 
 use serde_json::json;
-use walnutlug_scheduler::model::job::keys;
+use walnutlug_scheduler::command::{Command, MessageOutcome, TransactionOutcome};
+use walnutlug_scheduler::model::machine::MachineState;
 use walnutlug_scheduler::model::task::TaskPhase;
-use walnutlug_scheduler::protocol::{CloudMachineState, ListedMachine, WorkerCommand};
-use walnutlug_scheduler::scheduler::{Command, MachineState, MessageOutcome, TransactionOutcome};
+use walnutlug_scheduler::protocol::cloud::{CloudMachineState, ListedMachine};
+use walnutlug_scheduler::protocol::workers::WorkerCommand;
+use walnutlug_scheduler::storage::keys;
 use world::{one_machine, spec, World};
 
 const JOB: &str = "req-000001";
@@ -510,10 +512,10 @@
         w.settle();
         for worker in w.workers.values_mut() {
             for state in worker.tasks.values_mut() {
-                if state.0 != walnutlug_scheduler::protocol::TaskState::Exited {
+                if state.0 != walnutlug_scheduler::protocol::workers::TaskState::Exited {
                     *state = (
-                        walnutlug_scheduler::protocol::TaskState::Exited,
-                        Some(walnutlug_scheduler::protocol::ExitReason::Error),
+                        walnutlug_scheduler::protocol::workers::TaskState::Exited,
+                        Some(walnutlug_scheduler::protocol::workers::ExitReason::Error),
                     );
                 }
             }
@@ -547,7 +549,7 @@
 /// task was started on another machine while an earlier attempt ran on.
 #[test]
 fn a_refusal_because_the_task_is_there_is_no_absence() {
-    use walnutlug_scheduler::protocol::{ExitReason, TaskState};
+    use walnutlug_scheduler::protocol::workers::{ExitReason, TaskState};
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
     w.submit(JOB, &spec(1));
     w.settle();
@@ -573,7 +575,7 @@
 /// A machine shows a task live that the registry takes for pending: whatever led to that, the start waits.
 #[test]
 fn a_start_waits_while_another_machine_shows_the_task_live() {
-    use walnutlug_scheduler::protocol::TaskState;
+    use walnutlug_scheduler::protocol::workers::TaskState;
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
     w.submit(JOB, &spec(1));
     w.tick();
--- a/crates/scheduler/tests/transcripts.rs
+++ b/crates/scheduler/tests/transcripts.rs
@@ -18,7 +18,7 @@
 //! | `unchanged`, `serving` | repeated heartbeats (`unchanged`), the meetings: half of the workers are answered by a follower |
 //! | `leadership`, `watermark` | leadership and watermark |
 //!
-//! Not reached here: `protocol::parse_submission` and the answers to users, which are held byte by byte elsewhere.
+//! Not reached here: `protocol::users::parse_submission` and the answers to users, which are held byte by byte elsewhere.
 
 mod sim;
 mod world;
--- a/crates/scheduler/tests/transcripts/scripts.rs
+++ b/crates/scheduler/tests/transcripts/scripts.rs
@@ -5,13 +5,15 @@
 use std::rc::Rc;
 
 use serde_json::json;
+use walnutlug_scheduler::command::{Command, MessageOutcome, TransactionOutcome};
 use walnutlug_scheduler::leadership::election::{ElectionEvent, Leadership, Role};
 use walnutlug_scheduler::leadership::watermark::{CancellationLog, Watermark};
-use walnutlug_scheduler::model::job::{keys, JobEnd, JobSpec, Priority, Team};
-use walnutlug_scheduler::protocol::{
-    CloudMachineState, ExitReason, KeyValue, ListedMachine, TaskState,
-};
-use walnutlug_scheduler::scheduler::{Command, MessageOutcome, TransactionOutcome};
+use walnutlug_scheduler::model::job_spec::{JobEnd, JobSpec, Priority};
+use walnutlug_scheduler::model::team::Team;
+use walnutlug_scheduler::protocol::cloud::{CloudMachineState, ListedMachine};
+use walnutlug_scheduler::protocol::key_value::KeyValue;
+use walnutlug_scheduler::protocol::workers::{ExitReason, TaskState};
+use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 use walnutlug_scheduler::tunables::{Objective, Site};
 
--- a/crates/scheduler/tests/untrusted_reports.rs
+++ b/crates/scheduler/tests/untrusted_reports.rs
@@ -3,16 +3,18 @@
 
 mod world;
 
+use walnutlug_scheduler::command::{Command, MessageOutcome};
 use walnutlug_scheduler::leadership::election::token;
-use walnutlug_scheduler::model::job::{JobSpec, Priority};
+use walnutlug_scheduler::model::job_spec::{JobSpec, Priority};
+use walnutlug_scheduler::model::machine::MachineState;
 use walnutlug_scheduler::model::task::TaskPhase;
-use walnutlug_scheduler::protocol::Heartbeat;
-use walnutlug_scheduler::scheduler::{Command, MachineState, MessageOutcome, Scheduler};
+use walnutlug_scheduler::protocol::workers::Heartbeat;
+use walnutlug_scheduler::scheduler::Scheduler;
 use world::{spec, Worker, World};
 
 const JOB: &str = "req-000001";
 
-fn machine<'a>(w: &'a World, name: &str) -> &'a walnutlug_scheduler::scheduler::Machine {
+fn machine<'a>(w: &'a World, name: &str) -> &'a walnutlug_scheduler::model::machine::Machine {
     &w.leader.machines[w.leader.by_name[name] as usize]
 }
 
@@ -349,7 +351,7 @@
 
 #[test]
 fn a_report_of_thousands_of_tasks_gets_an_answer_that_fits_a_line() {
-    use walnutlug_scheduler::protocol::{HeartbeatResponse, TaskState, TaskStatus};
+    use walnutlug_scheduler::protocol::workers::{HeartbeatResponse, TaskState, TaskStatus};
     let mut w = World::new(&[("n-1", "a")]);
     let mut heartbeat = report_of(&mut w, "n-1");
     heartbeat.tasks = (0..3_000)
--- a/crates/scheduler/tests/version_compatibility.rs
+++ b/crates/scheduler/tests/version_compatibility.rs
@@ -6,9 +6,10 @@
 use std::collections::BTreeMap;
 
 use serde_json::{json, Value};
-use walnutlug_scheduler::model::job::{keys, JobSpec, Priority};
+use walnutlug_scheduler::model::job_spec::{JobSpec, Priority};
 use walnutlug_scheduler::model::task::TaskPhase;
-use walnutlug_scheduler::protocol::KeyValue;
+use walnutlug_scheduler::protocol::key_value::KeyValue;
+use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::storage::records::{chunk_size, description_record};
 use world::{spec, World};
 
@@ -36,7 +37,7 @@
         ("n-000001", "req-000002/1"),
     ] {
         let worker = w.workers.get_mut(machine).expect("worker");
-        let running = (walnutlug_scheduler::protocol::TaskState::Running, None);
+        let running = (walnutlug_scheduler::protocol::workers::TaskState::Running, None);
         worker.tasks.insert((task.to_owned(), 1), running);
     }
     w.take_over();
--- a/crates/scheduler/tests/world/mod.rs
+++ b/crates/scheduler/tests/world/mod.rs
@@ -6,14 +6,18 @@
 use std::rc::Rc;
 
 use serde_json::{json, Value};
+use walnutlug_scheduler::command::{Command, MessageOutcome, TransactionOutcome};
 use walnutlug_scheduler::leadership::election::token;
-use walnutlug_scheduler::model::job::{keys, JobEnd, JobSpec, Priority, Team};
-use walnutlug_scheduler::protocol::{
-    ExitReason, Heartbeat, KeyValue, MachineType, Operation, TaskState, TaskStatus, Transaction,
-    WorkerCommand,
+use walnutlug_scheduler::model::job_spec::{JobEnd, JobSpec, Priority};
+use walnutlug_scheduler::model::team::Team;
+use walnutlug_scheduler::protocol::cloud::MachineType;
+use walnutlug_scheduler::protocol::key_value::{KeyValue, Operation, Transaction};
+use walnutlug_scheduler::protocol::workers::{
+    ExitReason, Heartbeat, TaskState, TaskStatus, WorkerCommand,
 };
 use walnutlug_scheduler::queue::dependencies::JobEndLookup;
-use walnutlug_scheduler::scheduler::{Command, MessageOutcome, Scheduler, TransactionOutcome};
+use walnutlug_scheduler::scheduler::Scheduler;
+use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::storage::records::{chunk_size, description_record};
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 use walnutlug_scheduler::tunables::{Site, Tunables};
--- a/crates/scheduler/tests/world/transcript.rs
+++ b/crates/scheduler/tests/world/transcript.rs
@@ -8,8 +8,9 @@
 
 use serde::Serialize;
 use serde_json::Value;
-use walnutlug_scheduler::protocol::{Operation, Transaction, WorkerCommand};
-use walnutlug_scheduler::scheduler::{Command, TransactionOutcome};
+use walnutlug_scheduler::command::{Command, TransactionOutcome};
+use walnutlug_scheduler::protocol::key_value::{Operation, Transaction};
+use walnutlug_scheduler::protocol::workers::WorkerCommand;
 
 use super::golden::Transcript;
 
