--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -1,6 +1,7 @@
 //! One controller node: what it knows, whom it answers and what it tells the others.
 
 mod broadcast;
+mod event_log;
 mod fleet_role;
 mod leader;
 mod machine_types;
--- a/crates/controller/src/node/leader.rs
+++ b/crates/controller/src/node/leader.rs
@@ -18,7 +18,7 @@
 use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 
-use super::{fleet_role, Node, ADDRESS_FRESH};
+use super::{event_log, fleet_role, Node, ADDRESS_FRESH};
 use crate::cloud_client::CloudError;
 use crate::key_value_client::{leader_record, KeyValueClient, KeyValueError, RequestClass};
 use crate::{heartbeat_delegation, worker_api};
@@ -565,7 +565,7 @@
 fn execute(node: &Rc<Node>, term: u64, command: Command) {
     let node = node.clone();
     match command {
-        Command::Note(text) => info!("{text}"),
+        Command::Log(event) => event_log::write(&event),
         Command::StepDown(why) => node.step_down(why),
         Command::VerifyLeadership => {
             if !node.checking_lead.replace(true) {
--- a/crates/scheduler/src/autoscaling.rs
+++ b/crates/scheduler/src/autoscaling.rs
@@ -10,7 +10,9 @@
     InstanceOffer, InstanceOffers, WhatIfMachine, MAX_MACHINES_PER_REQUEST,
 };
 use crate::command::Command;
+use crate::event::{Event, FleetCost, MachineScaledIn};
 use crate::model::job::{Job, JobIndex};
+use crate::model::machine::DrainReason;
 use crate::model::machine::MachineState;
 use crate::model::EPSILON;
 use crate::protocol::cloud::{CloudMachineState, ListedMachine};
@@ -41,13 +43,7 @@
 struct Usage {
     since: Option<Timestamp>,
     last: Option<Timestamp>,
-    spot: f64,
-    ordinary: f64,
-    booting: f64,
-    idle_spot: f64,
-    idle_ordinary: f64,
-    fetching: f64,
-    running: f64,
+    cost: FleetCost,
 }
 
 /// How long a machine that is said to be up is counted on without having answered.
@@ -83,7 +79,7 @@
         self.assess_health(now, &unheard);
         self.evict_before_interruption(now);
         let ours = |m: &crate::model::machine::Machine| {
-            m.state == MachineState::Up && m.draining.is_none()
+            m.state == MachineState::Up && m.drain_reason.is_none()
         };
         if !unheard.is_empty()
             && self.machines.iter().all(|m| !ours(m) || unheard.contains(&m.zone))
@@ -110,57 +106,44 @@
 
     /// Tells once a minute what the fleet's money went to.
     fn account_costs(&mut self, now: Timestamp) {
-        let mut u = std::mem::take(&mut self.autoscaler.usage);
-        let hours = u.last.map_or(0.0, |t| now.since(t).as_secs_f64() / 3_600.0);
-        u.last = Some(now);
+        let mut usage = std::mem::take(&mut self.autoscaler.usage);
+        let hours = usage.last.map_or(0.0, |t| now.since(t).as_secs_f64() / 3_600.0);
+        usage.last = Some(now);
+        let cost = &mut usage.cost;
         for m in &self.machines {
             let Some(kind) = m.kind.and_then(|k| self.types.get(k)) else { continue };
             if m.state == MachineState::Terminated {
                 continue;
             }
             let money = hours * if m.spot { kind.spot_price } else { kind.price };
-            *(if m.spot { &mut u.spot } else { &mut u.ordinary }) += money;
+            *(if m.spot { &mut cost.spot } else { &mut cost.ordinary }) += money;
             if m.state == MachineState::Booting {
-                u.booting += money;
+                cost.booting += money;
                 continue;
             }
             // By the resource that is scarcest on the machine, so that a full one is not idle.
             let part = |takes: f64, of: f64| if of > 0.0 { (takes / of).min(1.0) } else { 0.0 };
             let idle = 1.0 - part(m.cpus, kind.cpus).max(part(m.memory, kind.memory_gb));
-            *(if m.spot { &mut u.idle_spot } else { &mut u.idle_ordinary }) += money * idle;
+            *(if m.spot { &mut cost.idle_spot } else { &mut cost.idle_ordinary }) += money * idle;
             for id in &m.tasks {
                 let Some(job) = self.job(id.0) else { continue };
                 let share = money * part(job.spec.cpus, kind.cpus);
                 if job.started.contains_key(&id.1) {
-                    u.running += share;
+                    cost.running += share;
                 } else {
-                    u.fetching += share;
+                    cost.fetching += share;
                 }
             }
         }
-        let since = *u.since.get_or_insert(now);
+        let since = *usage.since.get_or_insert(now);
         if now.since(since) >= TimeDelta::from_secs(60) {
-            self.log(format!(
-                "fleet: cost {:.3} (spot {:.3}, ordinary {:.3}): running {:.3}, starting {:.3}, booting {:.3}, idle spot {:.3}, idle ordinary {:.3}",
-                u.spot + u.ordinary,
-                u.spot,
-                u.ordinary,
-                u.running,
-                u.fetching,
-                u.booting,
-                u.idle_spot,
-                u.idle_ordinary
-            ));
-            u = Usage { since: Some(now), last: Some(now), ..Usage::default() };
-            let t = std::mem::take(&mut self.write_counters);
-            self.log(format!(
-                "state changes: starts {}, evidence {}, ends {}, drops {} of {} jobs",
-                t.starts, t.status_writes, t.ends, t.drops, t.jobs
-            ));
-            self.log(format!("placed {} tasks, {} where the image is", t.placed, t.cached));
+            self.log(Event::FleetCost(usage.cost));
+            usage = Usage { since: Some(now), last: Some(now), cost: FleetCost::default() };
+            let written = std::mem::take(&mut self.write_counts);
+            self.log(Event::Writes(written));
             self.log_shares();
         }
-        self.autoscaler.usage = u;
+        self.autoscaler.usage = usage;
     }
 
     /// Rents for work that finds no place, and for the headroom.
@@ -184,7 +167,7 @@
             // One that is said to run and doesn't answer is most likely gone.
             let coming = m.state == MachineState::Booting
                 && m.expected
-                && m.draining.is_none()
+                && m.drain_reason.is_none()
                 && m.hinted_up_at.is_none_or(|t| now.since(t) < ANSWER_WITHIN);
             if !coming && !self.open_for_work(now, m) {
                 continue;
@@ -456,7 +439,7 @@
                 break;
             }
             free -= cpus;
-            self.machines[i].draining = Some("idle");
+            self.machines[i].drain_reason = Some(DrainReason::Idle);
         }
     }
 
@@ -466,21 +449,20 @@
             return;
         }
         let mut names = Vec::new();
-        let mut causes = Vec::new();
+        let mut scaled_in = Vec::new();
         let mut returning = Vec::new();
         for (m, ix) in self.machines.iter_mut().zip(0..) {
             let again = m.state == MachineState::Terminating
                 && m.termination_sent_at.is_some_and(|t| now.since(t) > TERMINATION_RETRY);
             // A drained machine is returned when empty; a silent one is returned because it holds
             // tasks that nothing else can prove off it. One that never came up is just returned.
-            let hopeless =
-                matches!(m.draining, Some("silent" | "deaf" | "never came up" | "failed"));
+            let hopeless = m.drain_reason.is_some_and(DrainReason::is_hopeless);
             let due = m.state != MachineState::Terminated
                 && m.state != MachineState::Terminating
                 && (hopeless
-                    || (m.draining.is_some() && m.tasks.is_empty() && m.unexpected_tasks == 0));
+                    || (m.drain_reason.is_some() && m.tasks.is_empty() && m.unexpected_tasks == 0));
             if (due || again) && names.len() < 100 {
-                causes.push(format!("{} ({})", m.name, m.draining.unwrap_or("asked again")));
+                scaled_in.push(MachineScaledIn { machine: m.name.clone(), reason: m.drain_reason });
                 m.state = MachineState::Terminating;
                 returning.push(ix);
                 m.termination_sent_at = Some(now);
@@ -492,7 +474,7 @@
         }
         if !names.is_empty() {
             self.autoscaler.returning += 1;
-            self.log(format!("returning {}", causes.join(", ")));
+            self.log(Event::ScaleIn { machines: scaled_in });
             self.out.push(Command::ScaleIn { machines: names });
         }
     }
@@ -572,8 +554,13 @@
         } else {
             self.autoscaler.refused.remove(&offer);
         }
-        let what = if spot { "spot" } else { "ordinary" };
-        self.log(format!("rented {} of {asked} {what} {kind} in {zone}", got.len()));
+        self.log(Event::ScaleOutAnswered {
+            requested: asked,
+            granted: got.len(),
+            machine_type: kind.to_owned(),
+            zone: zone.to_owned(),
+            spot,
+        });
         for name in got {
             let m = self.machine_named(now, &name);
             let machine = &mut self.machines[m as usize];
@@ -625,12 +612,11 @@
             if entry.stage == CloudMachineState::Failed {
                 // A failed machine stopped by itself, so nothing is on it any more. It stays
                 // listed until it is returned.
-                if machine.draining != Some("failed") && machine.state != MachineState::Terminating
+                if machine.drain_reason != Some(DrainReason::Failed)
+                    && machine.state != MachineState::Terminating
                 {
-                    machine.draining = Some("failed");
-                    let text = format!("{} failed", entry.name);
-                    let tasks: Vec<_> = self.machines[m as usize].tasks.iter().copied().collect();
-                    self.log(text);
+                    let tasks: Vec<_> = machine.tasks.iter().copied().collect();
+                    self.drain(m as usize, DrainReason::Failed);
                     self.lost_with_machine(now, &tasks);
                 }
             }
--- a/crates/scheduler/src/command.rs
+++ b/crates/scheduler/src/command.rs
@@ -1,5 +1,6 @@
 //! What the scheduler wants done, and what became of it.
 
+use crate::event::Event;
 use crate::model::task::MachineIndex;
 use crate::protocol::key_value::Transaction;
 use crate::protocol::workers::{Heartbeat, WorkerCommand};
@@ -39,7 +40,7 @@
         machines: Vec<String>,
     },
     /// Worth a line in the log.
-    Note(String),
+    Log(Event),
     /// A worker claims a newer term: worth a look at the leader key, and no more.
     VerifyLeadership,
     /// The term is over.
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -4,6 +4,7 @@
 pub mod autoscaling;
 pub mod command;
 pub mod dispatch;
+pub mod event;
 pub mod leadership;
 pub mod model;
 pub mod placement;
--- a/crates/scheduler/src/model/machine.rs
+++ b/crates/scheduler/src/model/machine.rs
@@ -82,12 +82,59 @@
     pub failures: BTreeSet<JobIndex>,
     /// When a task completed here last.
     pub completed_at: Timestamp,
-    pub draining: Option<&'static str>,
+    /// Nothing more is placed on it, and it is returned to the cloud.
+    pub drain_reason: Option<DrainReason>,
     pub termination_sent_at: Option<Timestamp>,
     /// Its last heartbeat, if a repetition of that would mean nothing; see [`crate::reconciliation::repeated_heartbeats`].
     pub(crate) cached: Option<CacheRecord>,
 }
 
+/// Why a machine is returned to the cloud.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum DrainReason {
+    /// No heartbeat came for too long.
+    Silent,
+    /// Its heartbeats come, but nothing sent to it arrives.
+    Unreachable,
+    /// Its boot is overdue.
+    NeverCameUp,
+    /// The cloud lists it as failed.
+    Failed,
+    /// Its tasks run far longer than their siblings elsewhere.
+    Slow,
+    /// Tasks of several jobs failed on it.
+    FailsTasks,
+    /// It has had nothing to do for a while.
+    Idle,
+}
+
+impl DrainReason {
+    /// Whether the machine is returned with the tasks that are on it: nothing else proves them gone.
+    pub fn is_hopeless(self) -> bool {
+        match self {
+            DrainReason::Silent
+            | DrainReason::Unreachable
+            | DrainReason::NeverCameUp
+            | DrainReason::Failed => true,
+            DrainReason::Slow | DrainReason::FailsTasks | DrainReason::Idle => false,
+        }
+    }
+}
+
+impl std::fmt::Display for DrainReason {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        f.write_str(match self {
+            DrainReason::Silent => "silent",
+            DrainReason::Unreachable => "unreachable",
+            DrainReason::NeverCameUp => "never came up",
+            DrainReason::Failed => "failed",
+            DrainReason::Slow => "slow",
+            DrainReason::FailsTasks => "fails the tasks of several jobs",
+            DrainReason::Idle => "idle",
+        })
+    }
+}
+
 impl Machine {
     pub fn token(&self, term: u64) -> u64 {
         token(term, self.fencing_counter)
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -2,6 +2,7 @@
 
 use walnutlug_admission::resources::Resources;
 
+use crate::event::Event;
 use crate::leadership::election::token;
 use crate::model::job::{Job, JobIndex, TaskId};
 use crate::model::job_spec::{JobSpec, Priority};
@@ -107,7 +108,7 @@
             && m.kind.is_some()
             && m.acknowledged_token >= token(self.term, 0).max(m.required_token)
             && m.interruption_at.is_none()
-            && m.draining.is_none()
+            && m.drain_reason.is_none()
             && m.unexpected_tasks == 0
             && now >= m.retry_at
             && now.since(m.last_heartbeat)
@@ -558,8 +559,8 @@
         }
         room.free.add(&other.spec);
         let grace = grace_of(&other.spec);
-        let text = format!("{}/{} gives way to a more urgent job", other.name, id.1);
-        self.log(text);
+        let task = format!("{}/{}", other.name, id.1);
+        self.log(Event::TaskPreempted { task });
         self.stop(now, id, grace);
     }
 
--- a/crates/scheduler/src/queue/dependencies.rs
+++ b/crates/scheduler/src/queue/dependencies.rs
@@ -9,6 +9,7 @@
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
 use crate::command::Command;
+use crate::event::{Anomaly, Event};
 use crate::model::job::{Job, JobIndex};
 use crate::model::job_spec::{JobEnd, JobSpec};
 use crate::model::task::TaskPhase;
@@ -153,14 +154,13 @@
         let begun = job.tasks.iter().filter(|t| t.phase != TaskPhase::Pending).map(|t| t.placed_at);
         job.ready_at = begun.min().unwrap_or(now);
         let (spec, since) = (job.spec.clone(), job.ready_at);
-        let text = format!(
-            "{} may begin after {:.1} s, {:?}: {} done",
-            job.name,
-            since.since(job.accepted).as_secs_f64(),
-            job.priority,
-            spec.dependencies.join(", ")
-        );
-        self.log(text);
+        let event = Event::JobReady {
+            job: job.name.clone(),
+            waited: since.since(job.accepted),
+            priority: job.priority,
+            dependencies: spec.dependencies.clone(),
+        };
+        self.log(event);
         self.learn_size(&spec, now, since);
         self.dirty = true;
     }
@@ -216,7 +216,7 @@
                 // From here on its end is told by the watch, and by each reading of the records.
                 JobEndLookup::Open => {}
                 JobEndLookup::Missing => {
-                    self.log_once(name, "is waited for, but nobody ever submitted it");
+                    self.log_once(name, Anomaly::DependencyNeverSubmitted);
                 }
             }
         }
--- a/crates/scheduler/src/queue/fair_share.rs
+++ b/crates/scheduler/src/queue/fair_share.rs
@@ -10,6 +10,7 @@
 use walnutlug_admission::saturation::{Change, Saturation, Thresholds};
 use walnutlug_admission::shares::{ClassId, Entitlement, Shares, TeamId};
 
+use crate::event::{Event, HeldShare};
 use crate::model::job::{Job, JobIndex};
 use crate::model::machine::{Machine, MachineState};
 use crate::model::task::MachineIndex;
@@ -252,16 +253,14 @@
         if !self.fair_share.is_active() {
             return;
         }
-        let held: Vec<String> = self
-            .fair_share
-            .shares
-            .largest(MAX_TOLD)
-            .into_iter()
-            .map(|(team, class, share)| {
-                format!("{team}/{} {share:.3}", class.unwrap_or("further classes"))
-            })
-            .collect();
-        self.log(format!("shares of the overloaded fleet: {}", held.join(", ")));
+        let held = self.fair_share.shares.largest(MAX_TOLD).into_iter();
+        let shares = held.map(|(team, class, share)| HeldShare {
+            team: team.to_owned(),
+            class: class.map(str::to_owned),
+            share,
+        });
+        let shares = shares.collect();
+        self.log(Event::Shares { shares });
     }
 
     /// Takes in how much of the queue was left without room.
@@ -288,10 +287,8 @@
             leave_after: LEAVE_AFTER,
         };
         match self.fair_share.saturation.observe(now, waiting, &thresholds) {
-            Some(Change::Entered) => self.log(format!(
-                "overloaded: work for {waiting:.2} of the fleet finds no room; it is shared by team and class"
-            )),
-            Some(Change::Left) => self.log("no longer overloaded".to_owned()),
+            Some(Change::Entered) => self.log(Event::OverloadEntered { waiting }),
+            Some(Change::Left) => self.log(Event::OverloadLeft),
             None => {}
         }
     }
@@ -349,8 +346,9 @@
 
     /// What the machines have that were rented or are being asked for.
     fn on_its_way(&self) -> Resources {
-        let boots =
-            |m: &&Machine| m.state == MachineState::Booting && m.expected && m.draining.is_none();
+        let boots = |m: &&Machine| {
+            m.state == MachineState::Booting && m.expected && m.drain_reason.is_none()
+        };
         let kinds = self.machines.iter().filter(boots).filter_map(|m| m.kind);
         let rented = kinds.map(|kind| self.types[kind].room());
         let asked = self.autoscaler.asking.iter();
--- a/crates/scheduler/src/reconciliation/health.rs
+++ b/crates/scheduler/src/reconciliation/health.rs
@@ -1,5 +1,7 @@
 //! Which machines are well: silent, deaf, overdue, slow or about to be taken, each alone and all together.
 
+use crate::event::Event;
+use crate::model::machine::DrainReason;
 use crate::model::machine::MachineState;
 use crate::model::task::TaskPhase;
 use crate::scheduler::{Scheduler, OVERDUE};
@@ -55,7 +57,7 @@
         let half = self.site.heartbeat_interval.mul_f64(0.5);
         let mut zones: std::collections::BTreeMap<&str, (usize, usize)> = Default::default();
         let up = self.machines.iter().filter(|m| m.state == MachineState::Up);
-        for m in up.filter(|m| m.draining.is_none()) {
+        for m in up.filter(|m| m.drain_reason.is_none()) {
             let (all, heard) = zones.entry(&m.zone).or_default();
             *all += 1;
             *heard += usize::from(now.since(m.last_heartbeat) <= half);
@@ -85,38 +87,31 @@
         let holding = self
             .machines
             .iter()
-            .filter(|m| m.state == MachineState::Up && m.draining.is_none())
+            .filter(|m| m.state == MachineState::Up && m.drain_reason.is_none())
             .count();
         let silent: Vec<usize> = (0..self.machines.len())
             .filter(|&i| {
                 let m = &self.machines[i];
                 let waits = m.state == MachineState::Up
                     || (m.state == MachineState::Booting && !m.tasks.is_empty());
-                waits && m.draining.is_none() && lost_for(m) > suspicion_timeout
+                waits && m.drain_reason.is_none() && lost_for(m) > suspicion_timeout
             })
             .collect();
         // When most of the fleet is silent at once, the trouble is more likely between here and
         // there than on every machine: wait longer before giving so much work up.
         let many = silent.len() > 3 && silent.len() * 2 > holding;
         for i in silent {
-            let m = &mut self.machines[i];
+            let m = &self.machines[i];
             let together = many || unheard.contains(&m.zone);
             if together && lost_for(m) < suspicion_timeout + suspicion_timeout + suspicion_timeout {
                 continue;
             }
             let silent = now.since(m.last_heartbeat) > suspicion_timeout;
-            m.draining = Some(if silent { "silent" } else { "deaf" });
-            let what = if silent {
-                "has been silent too long"
-            } else {
-                "reports, but nothing sent to it arrives"
-            };
-            let text = format!("{} {what}: given back", m.name);
-            self.log(text);
+            self.drain(i, if silent { DrainReason::Silent } else { DrainReason::Unreachable });
         }
         for i in 0..self.machines.len() {
             let m = &self.machines[i];
-            if m.state == MachineState::Booting && m.tasks.is_empty() && m.draining.is_none() {
+            if m.state == MachineState::Booting && m.tasks.is_empty() && m.drain_reason.is_none() {
                 let boot = m.kind.and_then(|k| self.types.get(k)).map_or(60.0, |k| k.boot_s);
                 let limit = TimeDelta::from_secs_f64(boot.max(5.0) * self.tunables.boot_patience);
                 // A new leader hears of machines that came up long ago, and has to give each the
@@ -129,9 +124,7 @@
                     None => now.since(m.last_heartbeat) > suspicion_timeout + suspicion_timeout,
                 };
                 if now.since(m.requested_at) > limit && asked {
-                    self.machines[i].draining = Some("never came up");
-                    let text = format!("{} never came up: given back", self.machines[i].name);
-                    self.log(text);
+                    self.drain(i, DrainReason::NeverCameUp);
                 }
             }
         }
@@ -181,7 +174,7 @@
     fn drain_slow_machines(&mut self, now: Timestamp) {
         let mut slow = Vec::new();
         for (i, m) in self.machines.iter().enumerate() {
-            if m.state != MachineState::Up || m.draining.is_some() {
+            if m.state != MachineState::Up || m.drain_reason.is_some() {
                 continue;
             }
             let late = m
@@ -203,9 +196,15 @@
             }
         }
         for i in slow {
-            self.machines[i].draining = Some("slow");
-            let text = format!("{} runs its tasks slowly: drained", self.machines[i].name);
-            self.log(text);
+            self.drain(i, DrainReason::Slow);
         }
     }
+
+    /// Nothing more is placed on the machine, and it is returned to the cloud.
+    pub(crate) fn drain(&mut self, index: usize, reason: DrainReason) {
+        let machine = &mut self.machines[index];
+        machine.drain_reason = Some(reason);
+        let machine = machine.name.clone();
+        self.log(Event::MachineDrained { machine, reason });
+    }
 }
--- a/crates/scheduler/src/reconciliation/heartbeats.rs
+++ b/crates/scheduler/src/reconciliation/heartbeats.rs
@@ -1,8 +1,10 @@
 //! Workers' heartbeats: what they prove, and the commands that answer them. (The paper's receipts.)
 
 use crate::command::Command;
+use crate::event::{Anomaly, Event};
 use crate::leadership::election::token;
 use crate::model::job::TaskId;
+use crate::model::machine::DrainReason;
 use crate::model::machine::MachineState;
 use crate::model::task::{MachineIndex, TaskEvent, TaskPhase};
 use crate::protocol;
@@ -60,7 +62,7 @@
         if crate::leadership::election::term_of(heartbeat.token) > self.term {
             // Most likely true: then the leader key tells. A token that came from nowhere must not
             // end a term.
-            self.log_once(&heartbeat.machine, "shows a token of a newer term than this one");
+            self.log_once(&heartbeat.machine, Anomaly::NewerTerm);
             self.out.push(Command::VerifyLeadership);
             return None;
         }
@@ -75,11 +77,11 @@
         let machine = &self.machines[m as usize];
         if machine.state == MachineState::Terminated {
             let token = machine.token(self.term);
-            self.log_once(&heartbeat.machine, "reports, though it was given back");
+            self.log_once(&heartbeat.machine, Anomaly::HeartbeatAfterTermination);
             return Some((token, Vec::new()));
         }
         if heartbeat.agent_epoch < newest.0 {
-            self.log_once(&heartbeat.machine, "a report of an earlier session came late");
+            self.log_once(&heartbeat.machine, Anomaly::LateHeartbeat);
             let machine = &self.machines[m as usize];
             return Some((machine.token(self.term), Vec::new()));
         }
@@ -219,7 +221,7 @@
         }
         let by_task = EntriesByTask::new(entries);
         if unexpected_tasks > 0 {
-            self.log_once(&heartbeat.machine, "runs tasks that have no business there");
+            self.log_once(&heartbeat.machine, Anomaly::UnexpectedTasks);
         }
         let mine: Vec<TaskId> = self.machines[m as usize].tasks.iter().copied().collect();
         let mut changed = unexpected_tasks != self.machines[m as usize].unexpected_tasks;
@@ -341,10 +343,10 @@
             (Some(_), Some(known)) => Some(known),
             (interruption_at, _) => interruption_at,
         };
-        let name = machine.name.clone();
+        let machine = machine.name.clone();
         if new {
             self.dirty = true;
-            self.log(format!("{name} will be taken by the cloud"));
+            self.log(Event::MachineInterruptionNotice { machine });
         }
         let machine = &self.machines[m as usize];
         if first && machine.acknowledged_token >= token(term, 0) {
@@ -430,10 +432,10 @@
     fn attribute_failure(&mut self, m: MachineIndex, job: crate::model::job::JobIndex) {
         let machine = &mut self.machines[m as usize];
         machine.failures.insert(job);
-        if machine.failures.len() as u32 >= self.tunables.sick_after && machine.draining.is_none() {
-            machine.draining = Some("fails the tasks of several jobs");
-            let name = machine.name.clone();
-            self.log(format!("{name} is drained: it fails the tasks of several jobs"));
+        if machine.failures.len() as u32 >= self.tunables.sick_after
+            && machine.drain_reason.is_none()
+        {
+            self.drain(m as usize, DrainReason::FailsTasks);
         }
     }
 
@@ -462,7 +464,8 @@
                 for other in cleared {
                     self.machines[other as usize].failures.remove(&id.0);
                 }
-                self.log(format!("{name}/{} failed on {}", id.1, self.machines[m as usize].name));
+                let machine = self.machines[m as usize].name.clone();
+                self.log(Event::TaskFailed { task: format!("{name}/{}", id.1), machine });
                 if !suspect {
                     self.attribute_failure(m, id.0);
                 }
@@ -498,8 +501,8 @@
         for id in late {
             if self.step(now, id, TaskEvent::ConfirmationExpired) {
                 let Some(job) = self.job(id.0) else { continue };
-                let text = format!("start of {}/{} is unconfirmed: unknown", job.name, id.1);
-                self.log(text);
+                let task = format!("{}/{}", job.name, id.1);
+                self.log(Event::StartUnconfirmed { task });
             }
         }
     }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -7,6 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 use crate::command::Command;
+use crate::event::{Anomaly, Event, WriteCounts};
 use crate::leadership::election::token;
 use crate::leadership::watermark;
 use crate::model::job::{Job, JobIndex, TaskId};
@@ -53,7 +54,7 @@
     writes: Option<(f64, f64)>,
     /// Chunks with planned starts that are not on their way to the key-value store.
     pub(crate) planned_chunks: usize,
-    pub(crate) write_counters: crate::storage::transactions::WriteCounters,
+    pub(crate) write_counts: WriteCounts,
     pub dirty: bool,
     /// Whether the lease is certainly held. Without it another node may lead: this one goes on
     /// answering its workers, so that their tasks live, and starts, rents and returns nothing.
@@ -67,7 +68,7 @@
     /// the registry says, they are there.
     pub(crate) conflicting_replicas: BTreeMap<TaskId, MachineIndex>,
     /// What was logged of odd reports, each once.
-    pub(crate) anomalies: BTreeSet<(String, &'static str)>,
+    pub(crate) anomalies: BTreeSet<(String, Anomaly)>,
     /// Processors of the machines that are up, as of the last round.
     pub(crate) fleet_cpus: f64,
     pub(crate) last_preempt: Timestamp,
@@ -145,7 +146,7 @@
             last_round: Timestamp(0),
             writes: None,
             planned_chunks: 0,
-            write_counters: crate::storage::transactions::WriteCounters::default(),
+            write_counts: WriteCounts::default(),
             dirty: true,
             holds_lease: true,
             cancellations_known_until: now,
@@ -203,15 +204,14 @@
         std::mem::take(&mut self.out)
     }
 
-    pub(crate) fn log(&mut self, text: String) {
-        self.out.push(Command::Note(text));
+    pub(crate) fn log(&mut self, event: Event) {
+        self.out.push(Command::Log(event));
     }
 
-    /// Logs something odd about a worker's heartbeat, once for each machine and kind.
-    pub(crate) fn log_once(&mut self, machine: &str, what: &'static str) {
-        if self.anomalies.len() < MAX_ANOMALIES && self.anomalies.insert((machine.to_owned(), what))
-        {
-            self.log(format!("{machine}: {what}"));
+    /// Logs what should not be, once for each machine or job and kind.
+    pub(crate) fn log_once(&mut self, name: &str, kind: Anomaly) {
+        if self.anomalies.len() < MAX_ANOMALIES && self.anomalies.insert((name.to_owned(), kind)) {
+            self.log(Event::Anomaly { name: name.to_owned(), kind });
         }
     }
 
@@ -290,7 +290,7 @@
             idle_since: now,
             failures: BTreeSet::new(),
             completed_at: Timestamp(0),
-            draining: None,
+            drain_reason: None,
             termination_sent_at: None,
             cached: None,
         };
@@ -472,9 +472,9 @@
                 let due = &mut job.chunks[chunk].start_due;
                 self.planned_chunks += usize::from(due.is_none());
                 due.get_or_insert(now);
-                self.write_counters.placed += 1;
+                self.write_counts.tasks_placed += 1;
                 let images = &self.machines[machine as usize].images;
-                self.write_counters.cached += usize::from(images.contains(&job.spec.image));
+                self.write_counts.image_cached += usize::from(images.contains(&job.spec.image));
                 // It will be there once fetched; the next task for it need not fetch it elsewhere.
                 let image = job.spec.image.clone();
                 self.has_image(machine, image);
--- a/crates/scheduler/src/storage/records.rs
+++ b/crates/scheduler/src/storage/records.rs
@@ -8,6 +8,7 @@
 use serde::Serialize;
 use serde_json::{json, Value};
 
+use crate::event::Anomaly;
 use crate::model::job::{Job, JobIndex, TaskId};
 use crate::model::job_spec::JobSpec;
 use crate::model::task::{Task, TaskPhase};
@@ -81,12 +82,12 @@
         let (Ok(spec), Some(at), Some(chunk_size)) =
             (spec, value["at"].as_u64(), value["chunk"].as_u64())
         else {
-            self.log_once(name, "its stored description cannot be read");
+            self.log_once(name, Anomaly::UnreadableDescription);
             return false;
         };
         if spec.tasks == 0 || u64::from(spec.tasks) > protocol::users::MAX_TASKS || chunk_size == 0
         {
-            self.log_once(name, "its stored description is out of range");
+            self.log_once(name, Anomaly::DescriptionOutOfRange);
             return false;
         }
         let chunk_size = chunk_size.min(u64::from(u32::MAX)) as u32;
--- a/crates/scheduler/src/storage/transactions.rs
+++ b/crates/scheduler/src/storage/transactions.rs
@@ -1,6 +1,7 @@
 //! Rounds: what was decided is written before anything is sent, and sent once it is written.
 
 use crate::command::{Command, TransactionOutcome};
+use crate::event::{Event, JobDone};
 use crate::model::job::{JobIndex, TaskId};
 use crate::model::job_spec::JobEnd;
 use crate::model::machine::MachineState;
@@ -23,19 +24,6 @@
 /// the end of a pause. What events bring is looked at when they come.
 const SWEEP_EVERY: TimeDelta = TimeDelta::from_millis(200);
 
-/// Changes written since it was told last, by kind.
-#[derive(Debug, Default)]
-pub(crate) struct WriteCounters {
-    pub starts: usize,
-    pub status_writes: usize,
-    pub ends: usize,
-    pub drops: usize,
-    pub jobs: usize,
-    /// Tasks placed, and how many of them where their image is known to be.
-    pub placed: usize,
-    pub cached: usize,
-}
-
 /// What one transaction writes, and what its outcome decides.
 #[derive(Default)]
 struct Batch {
@@ -306,8 +294,8 @@
         }
         let state = &job.chunks[chunk];
         match state.start_due {
-            Some(_) => self.write_counters.starts += 1,
-            None => self.write_counters.status_writes += 1,
+            Some(_) => self.write_counts.starts += 1,
+            None => self.write_counts.task_states += 1,
         }
         let mut compare = |key: String, revision| {
             if !batch.transaction.compares.iter().any(|g| g.key == key) {
@@ -375,7 +363,7 @@
             batch.transaction.operations.push(Operation::put(key, end));
             batch.ends.push((ix, end));
         }
-        self.write_counters.ends += batch.ends.len();
+        self.write_counts.job_ends += batch.ends.len();
         self.commit(batch);
     }
 
@@ -408,10 +396,10 @@
         if last {
             let key = keys::description(&job.name, !job.spec.dependencies.is_empty());
             batch.transaction.operations.push(Operation::delete(key));
-            self.write_counters.jobs += 1;
+            self.write_counts.jobs_deleted += 1;
         }
         batch.cleanups.push(RecordCleanup { job: ix, last, parts });
-        self.write_counters.drops += batch.transaction.operations.len() - before;
+        self.write_counts.deletes += batch.transaction.operations.len() - before;
     }
 
     /// The answer to a [`Command::Commit`].
@@ -540,20 +528,18 @@
         for (ix, end) in done.ends {
             let Some(name) = self.job(ix).map(|j| j.name.clone()) else { continue };
             if end == JobEnd::Cancelled {
-                self.log(format!("{name} is cancelled: a job that it needs was"));
+                self.log(Event::JobCancelledByDependency { job: name.clone() });
             } else if let Some(job) = self.job(ix) {
-                let deadline = job.spec.deadline_s.map(|d| format!(" of {d:.0} s"));
-                let text = format!(
-                    "{} is done after {:.1} s{}: class {}, {} tasks, estimate {:.0} s, ran {:.0} s",
-                    job.name,
-                    now.since(job.accepted).as_secs_f64(),
-                    deadline.unwrap_or_default(),
-                    job.spec.class,
-                    job.spec.tasks,
-                    job.spec.estimate_s,
-                    job.run_times.0 / f64::from(job.run_times.1.max(1)),
-                );
-                self.log(text);
+                let done = JobDone {
+                    job: job.name.clone(),
+                    class: job.spec.class.clone(),
+                    tasks: job.spec.tasks,
+                    elapsed: now.since(job.accepted),
+                    deadline_s: job.spec.deadline_s,
+                    estimate_s: job.spec.estimate_s,
+                    mean_run_s: job.run_times.0 / f64::from(job.run_times.1.max(1)),
+                };
+                self.log(Event::JobDone(done));
             }
             // Committed, so stored: what waits for it may begin in this very turn.
             self.job_ended(now, &name, end);
@@ -593,7 +579,7 @@
         let machine = &self.machines[m as usize];
         let open = machine.state == MachineState::Up
             && machine.interruption_at.is_none()
-            && machine.draining.is_none();
+            && machine.drain_reason.is_none();
         if machine.starting.is_empty() || (open && !sending) {
             return (Vec::new(), Vec::new());
         }
--- a/crates/scheduler/tests/autoscaling.rs
+++ b/crates/scheduler/tests/autoscaling.rs
@@ -4,7 +4,9 @@
 
 use serde_json::json;
 use walnutlug_scheduler::command::{Command, MessageOutcome};
+use walnutlug_scheduler::event::Event;
 use walnutlug_scheduler::model::job_spec::{JobSpec, Priority};
+use walnutlug_scheduler::model::machine::DrainReason;
 use walnutlug_scheduler::protocol::cloud::{CloudMachineState, ListedMachine, MachineType};
 use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::time::TimeDelta;
@@ -240,10 +242,12 @@
         w.wait(1_000);
         w.leader.autoscale(w.now);
         for command in w.leader.take_commands() {
-            if let Command::Note(text) = command {
-                if text.contains("never came up:") {
-                    given_up.push((second, text));
-                }
+            if let Command::Log(Event::MachineDrained {
+                machine,
+                reason: DrainReason::NeverCameUp,
+            }) = command
+            {
+                given_up.push((second, machine));
             }
         }
         if second == 4 {
@@ -252,7 +256,7 @@
         w.settle();
     }
     assert_eq!(given_up.len(), 1, "{given_up:?}");
-    assert!(given_up[0].1.contains("n-dead") && given_up[0].0 >= 9, "{given_up:?}");
+    assert!(given_up[0].1 == "n-dead" && given_up[0].0 >= 9, "{given_up:?}");
 }
 
 /// A third of the spot machines got notice, and their tasks stayed until the machines were gone and
@@ -451,7 +455,10 @@
     let ran = job.run_times.0 / f64::from(job.run_times.1.max(1));
     assert_eq!(job.run_times.1, 3);
     assert!((75.0..100.0).contains(&ran), "ran {ran} s");
-    assert!(w.leader.machines.iter().all(|m| m.draining != Some("slow")), "none is slow");
+    assert!(
+        w.leader.machines.iter().all(|m| m.drain_reason != Some(DrainReason::Slow)),
+        "none is slow"
+    );
 }
 
 /// Jobs of many short, pressed tasks were late whenever the cloud took one spot machine of many.
@@ -541,7 +548,7 @@
         .leader
         .machines
         .iter()
-        .filter(|m| m.draining.is_some_and(|why| why.contains("several jobs")))
+        .filter(|m| m.drain_reason == Some(DrainReason::FailsTasks))
         .map(|m| m.name.as_str())
         .collect();
     assert_eq!(drained, ["n-0", "n-1", "n-2"]);
@@ -626,10 +633,7 @@
     w.wait(300);
     w.tick();
     let gave = |w: &World| {
-        w.commands
-            .iter()
-            .filter(|c| matches!(c, Command::Note(n) if n.contains("gives way")))
-            .count()
+        w.commands.iter().filter(|c| matches!(c, Command::Log(Event::TaskPreempted { .. }))).count()
     };
     assert_eq!(gave(&w), 4);
     w.settle();
--- a/crates/scheduler/tests/dependencies.rs
+++ b/crates/scheduler/tests/dependencies.rs
@@ -5,6 +5,7 @@
 
 use serde_json::json;
 use walnutlug_scheduler::command::{Command, TransactionOutcome};
+use walnutlug_scheduler::event::{Anomaly, Event};
 use walnutlug_scheduler::model::job_spec::{JobEnd, JobSpec, Priority};
 use walnutlug_scheduler::queue::dependencies::JobEndLookup;
 use walnutlug_scheduler::storage::keys;
@@ -306,7 +307,12 @@
         let found = w.store.ends(&names);
         w.leader.job_ends_found(w.now, &found);
         let commands = w.leader.take_commands();
-        let told = |c: &&Command| matches!(c, Command::Note(n) if n.contains("nobody ever"));
+        let told = |c: &&Command| {
+            matches!(
+                c,
+                Command::Log(Event::Anomaly { kind: Anomaly::DependencyNeverSubmitted, .. })
+            )
+        };
         notes += commands.iter().filter(told).count();
         w.wait(1_000);
     }
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -787,7 +787,7 @@
 
     fn carry_out(&mut self, i: usize, term: u64, served: bool, command: Command) {
         match command {
-            Command::Note(_) | Command::FindJobEnds { .. } => {}
+            Command::Log(_) | Command::FindJobEnds { .. } => {}
             Command::VerifyLeadership | Command::StepDown(_) => {
                 let cache_entry = self.store.keys.get(keys::LEADER).map_or(0, |k| k.1);
                 let down = matches!(command, Command::StepDown(_));
--- a/crates/scheduler/tests/task_starts.rs
+++ b/crates/scheduler/tests/task_starts.rs
@@ -524,7 +524,7 @@
         w.wait(1_000);
     }
     let machines = &w.leader.machines;
-    assert!(machines.iter().all(|m| m.state == MachineState::Up && m.draining.is_none()));
+    assert!(machines.iter().all(|m| m.state == MachineState::Up && m.drain_reason.is_none()));
     let job = w.leader.job(w.leader.jobs_by_name[JOB]).expect("job");
     let tries = job.tasks.iter().map(|t| t.attempt).max();
     assert!(tries < Some(12), "tried at growing intervals, not {tries:?} times in 80 s");
--- a/crates/scheduler/tests/untrusted_reports.rs
+++ b/crates/scheduler/tests/untrusted_reports.rs
@@ -4,6 +4,7 @@
 mod world;
 
 use walnutlug_scheduler::command::{Command, MessageOutcome};
+use walnutlug_scheduler::event::{Anomaly, Event};
 use walnutlug_scheduler::leadership::election::token;
 use walnutlug_scheduler::model::job_spec::{JobSpec, Priority};
 use walnutlug_scheduler::model::machine::MachineState;
@@ -130,7 +131,11 @@
     assert_eq!(after.address, before.address);
     let notes = |w: &mut World| {
         let all = w.leader.take_commands();
-        all.iter().filter(|c| matches!(c, Command::Note(t) if t.contains("came late"))).count()
+        all.iter()
+            .filter(|c| {
+                matches!(c, Command::Log(Event::Anomaly { kind: Anomaly::LateHeartbeat, .. }))
+            })
+            .count()
     };
     assert_eq!(notes(&mut w), 1, "logged once, not per copy");
 }
@@ -201,7 +206,7 @@
     let commands = w.leader.take_commands();
     assert!(!commands.iter().any(|c| matches!(c, Command::StepDown(_))));
     assert!(commands.contains(&Command::VerifyLeadership));
-    let notes = commands.iter().filter(|c| matches!(c, Command::Note(_))).count();
+    let notes = commands.iter().filter(|c| matches!(c, Command::Log(_))).count();
     assert_eq!(notes, 1, "logged once");
     assert_eq!(machine(&w, "n-1").acknowledged_token, before.acknowledged_token);
 }
@@ -229,7 +234,7 @@
         for command in w.leader.take_commands().into_iter().chain(std::mem::take(&mut w.commands)) {
             match command {
                 Command::SendToWorker { calls, .. } => assert!(calls.is_empty(), "{calls:?}"),
-                Command::Note(_) => {}
+                Command::Log(_) => {}
                 other => panic!("{other:?}"),
             }
         }
--- a/crates/scheduler/tests/world/transcript.rs
+++ b/crates/scheduler/tests/world/transcript.rs
@@ -62,7 +62,7 @@
 fn command(transcript: &mut Transcript, term: u64, command: &Command) {
     match command {
         // Text for the log.
-        Command::Note(_) => {}
+        Command::Log(_) => {}
         Command::Commit { id, transaction } => {
             transcript
                 .line("commit", &format!("term={term} id={id} {}", transaction_text(transaction)));
