--- a/crates/scheduler/src/autoscaling.rs
+++ b/crates/scheduler/src/autoscaling.rs
@@ -360,8 +360,10 @@
     /// the job sooner than any machine that has yet to boot.
     fn others_can_give_way(&self, ix: JobIndex, cpus: f64) -> bool {
         let Some(job) = self.job(ix) else { return false };
-        let lower =
-            self.jobs.values().filter(|j| j.priority < job.priority && !j.over && j.placed > 0);
+        let lower = self
+            .jobs
+            .values()
+            .filter(|j| j.priority < job.priority && !j.is_ended() && j.placed > 0);
         let mut by_class: BTreeMap<ClassId, f64> = BTreeMap::new();
         for other in lower {
             let held = f64::from(other.placed) * other.spec.cpus;
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -187,7 +187,7 @@
         let machine = &self.machines[m as usize];
         let mut calls = Vec::new();
         for id in &machine.tasks {
-            let Some(job) = self.job(id.0).filter(|j| j.over) else { continue };
+            let Some(job) = self.job(id.0).filter(|j| j.is_ended()) else { continue };
             let task = &job.tasks[id.1 as usize];
             if task.phase == TaskPhase::Stopping {
                 let name = format!("{}/{}", job.name, id.1);
--- a/crates/scheduler/src/model.rs
+++ b/crates/scheduler/src/model.rs
@@ -2,6 +2,7 @@
 
 pub mod job;
 pub mod job_spec;
+pub mod job_state;
 pub mod machine;
 pub mod task;
 pub mod team;
--- a/crates/scheduler/src/model/job.rs
+++ b/crates/scheduler/src/model/job.rs
@@ -6,6 +6,7 @@
 use walnutlug_admission::shares::ClassId;
 
 use crate::model::job_spec::{JobSpec, Priority};
+use crate::model::job_state::{JobEvent, JobState};
 use crate::model::task::{MachineIndex, Task};
 use crate::queue::dependencies::EffectiveDeadline;
 use crate::time::{TimeDelta, Timestamp};
@@ -36,8 +37,6 @@
     /// Jobs that it needs and whose end `done` was not read yet. While there are any, nothing of
     /// it is started and it counts for nothing.
     pub unmet_dependencies: usize,
-    /// A job that it needs, directly or through others, has ended `aborted`: so will this one.
-    pub dependency_cancelled: bool,
     /// The highest priority of its own and of the jobs that need it.
     pub priority: Priority,
     /// Its team's class, for what that holds of the fleet.
@@ -53,10 +52,7 @@
     pub tasks: Vec<Task>,
     /// Which finishes are written; only then may the worker forget them.
     pub recorded: RoaringBitmap,
-    /// Ended for its users: nothing more is started, all that is left is stopped.
-    pub over: bool,
-    pub ending: bool,
-    pub dropping: bool,
+    state: JobState,
     pub done: u32,
     pub placed: u32,
     /// Of those placed, the ones told to stop.
@@ -93,7 +89,6 @@
             accepted,
             ready_at: accepted,
             unmet_dependencies: 0,
-            dependency_cancelled: false,
             priority: spec.priority,
             share_class,
             effective_deadline: EffectiveDeadline::of(&spec, accepted),
@@ -103,9 +98,7 @@
             changed: RoaringBitmap::new(),
             tasks: vec![Task::new(now); spec.tasks as usize],
             recorded: RoaringBitmap::new(),
-            over: false,
-            ending: false,
-            dropping: false,
+            state: JobState::Open,
             done: 0,
             placed: 0,
             stopping: 0,
@@ -126,9 +119,31 @@
         self.share_class
     }
 
+    /// How far it is from its end.
+    pub fn state(&self) -> JobState {
+        self.state
+    }
+
+    /// Changes its state, if the event means anything in it.
+    pub(crate) fn apply(&mut self, event: JobEvent) -> bool {
+        let next = self.state.next(event);
+        self.state = next.unwrap_or(self.state);
+        next.is_some()
+    }
+
+    /// Whether it has ended for its users: nothing more is started, all that is left is stopped.
+    pub fn is_ended(&self) -> bool {
+        self.state.is_ended()
+    }
+
+    /// Whether a deletion of its records may be sent now.
+    pub(crate) fn may_delete_records(&self) -> bool {
+        matches!(self.state, JobState::Ended { .. })
+    }
+
     /// Whether it waits for other jobs.
     pub fn is_blocked(&self) -> bool {
-        self.unmet_dependencies > 0 || self.dependency_cancelled
+        self.unmet_dependencies > 0 || self.state.is_dependency_cancelled()
     }
 
     pub fn pending(&self) -> u32 {
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -92,7 +92,7 @@
             .filter(|m| m.state == MachineState::Up)
             .filter_map(|m| Some(self.types.get(m.kind?)?.cpus))
             .sum();
-        let old = self.jobs.values().filter(|j| j.placed > 0 && !j.over);
+        let old = self.jobs.values().filter(|j| j.placed > 0 && !j.is_ended());
         let used: f64 = old
             .filter(|j| now.since(j.ready_at) > self.tunables.lift_after)
             .map(|j| f64::from(j.placed) * j.spec.cpus)
--- a/crates/scheduler/src/queue/dependencies.rs
+++ b/crates/scheduler/src/queue/dependencies.rs
@@ -12,6 +12,7 @@
 use crate::event::{Anomaly, Event};
 use crate::model::job::{Job, JobIndex};
 use crate::model::job_spec::{JobEnd, JobSpec};
+use crate::model::job_state::JobEvent;
 use crate::model::task::TaskPhase;
 use crate::scheduler::Scheduler;
 use crate::time::{TimeDelta, Timestamp};
@@ -97,7 +98,7 @@
         let mut behind_doomed = false;
         for name in dependencies {
             let above = self.jobs_by_name.get(&name).and_then(|i| self.jobs.get(i));
-            behind_doomed |= above.is_some_and(|j| j.dependency_cancelled);
+            behind_doomed |= above.is_some_and(|j| j.state().is_dependency_cancelled());
             // The end may have been told before there was anybody to tell it to.
             self.dependency_graph.unread.insert(name.clone());
             self.dependency_graph.dependencies.entry(name).or_default().waiting.insert(ix);
@@ -147,7 +148,7 @@
     fn dependency_met(&mut self, now: Timestamp, ix: JobIndex) {
         let Some(job) = self.jobs.get_mut(&ix) else { return };
         job.unmet_dependencies = job.unmet_dependencies.saturating_sub(1);
-        if job.unmet_dependencies > 0 || job.over {
+        if job.unmet_dependencies > 0 || job.is_ended() {
             return;
         }
         // Of one that an earlier leader released, the first placing tells about when that was.
@@ -170,13 +171,13 @@
         let mut work = first;
         while let Some(ix) = work.pop() {
             let Some(job) = self.jobs.get_mut(&ix) else { continue };
-            if job.over || job.dependency_cancelled {
+            if job.is_ended() || job.state().is_dependency_cancelled() {
                 continue;
             }
             // What stands behind an unfinished job has never been started, so nothing of it is
             // anywhere. (Were a record from outside to say otherwise, its end would stop the tasks.)
             debug_assert!(job.placed == 0 && job.done == 0, "{} began too early", job.name);
-            job.dependency_cancelled = true;
+            job.apply(JobEvent::DependencyCancelled);
             self.dependency_graph.dependency_cancelled.insert(ix);
             if let Some(dependency) = self.dependency_graph.dependencies.get(&job.name) {
                 work.extend(dependency.waiting.iter().copied());
--- a/crates/scheduler/src/queue/order.rs
+++ b/crates/scheduler/src/queue/order.rs
@@ -189,9 +189,9 @@
             .iter()
             .filter_map(|(&ix, job)| {
                 // One that waits for others is no work yet: it takes no room and asks for none.
-                let open = !job.over
+                let open = !job.is_ended()
                     && !job.is_blocked()
-                    && !job.ending
+                    && !job.state().is_writing_end()
                     && job.pending() > 0
                     && now >= job.not_before;
                 open.then(|| (self.queue_key(now, job), ix))
--- a/crates/scheduler/src/reconciliation/heartbeats.rs
+++ b/crates/scheduler/src/reconciliation/heartbeats.rs
@@ -107,7 +107,7 @@
             let job = job.and_then(|id| Some((self.job(id.0)?, id.1 as usize)));
             if entry.state == TaskState::Exited {
                 let keep = job.is_some_and(|(job, index)| {
-                    !job.over
+                    !job.is_ended()
                         && (job.tasks[index].phase != TaskPhase::Done
                             || !job.recorded.contains(index as u32))
                 });
@@ -121,7 +121,7 @@
             }
             let grace = match job {
                 None => Some(0.0),
-                Some((job, _)) if job.over => Some(0.0),
+                Some((job, _)) if job.is_ended() => Some(0.0),
                 Some((job, index)) if job.tasks[index].phase == TaskPhase::Stopping => {
                     Some(grace_of(&job.spec))
                 }
--- a/crates/scheduler/src/reconciliation/repeated_heartbeats.rs
+++ b/crates/scheduler/src/reconciliation/repeated_heartbeats.rs
@@ -122,7 +122,7 @@
         let as_known = task.phase == TaskPhase::Running
             && task.machine == machine
             && u64::from(task.attempt) == entry.attempt
-            && !job.over;
+            && !job.is_ended();
         if !as_known {
             return None;
         }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -12,6 +12,7 @@
 use crate::leadership::watermark;
 use crate::model::job::{Job, JobIndex, TaskId};
 use crate::model::job_spec::{JobSpec, Priority};
+use crate::model::job_state::JobEvent;
 use crate::model::machine::{Machine, MachineState};
 use crate::model::task::{MachineIndex, Task, TaskEvent, TaskPhase};
 use crate::protocol::cloud::MachineType;
@@ -338,7 +339,7 @@
 
     /// Names of the jobs that have not ended as far as is known here.
     pub fn open_jobs(&self) -> Vec<String> {
-        self.jobs.values().filter(|j| !j.over).map(|j| j.name.clone()).collect()
+        self.jobs.values().filter(|j| !j.is_ended()).map(|j| j.name.clone()).collect()
     }
 
     /// The job has ended for its users: nothing of it is started any more. How it ended isn't told
@@ -346,10 +347,9 @@
     pub fn job_over(&mut self, now: Timestamp, name: &str) {
         let Some(&ix) = self.jobs_by_name.get(name) else { return };
         let Some(job) = self.jobs.get_mut(&ix) else { return };
-        if job.over {
+        if !job.apply(JobEvent::Ended) {
             return;
         }
-        job.over = true;
         self.dirty = true;
         self.remove_dependencies(now, ix);
         let Some(job) = self.jobs.get(&ix) else { return };
--- a/crates/scheduler/src/storage/transactions.rs
+++ b/crates/scheduler/src/storage/transactions.rs
@@ -4,6 +4,7 @@
 use crate::event::{Event, JobDone};
 use crate::model::job::{JobIndex, TaskId};
 use crate::model::job_spec::JobEnd;
+use crate::model::job_state::JobEvent;
 use crate::model::machine::MachineState;
 use crate::model::task::{MachineIndex, TaskEvent, TaskPhase};
 use crate::protocol::key_value::{Compare, Operation, Transaction};
@@ -139,17 +140,17 @@
         )> = Vec::new();
         let mut ends: Vec<JobIndex> = Vec::new();
         let mut background: Vec<(Timestamp, JobIndex, usize)> = Vec::new();
-        let mut over: Vec<JobIndex> = Vec::new();
+        let mut ended: Vec<JobIndex> = Vec::new();
         for (&ix, job) in &self.jobs {
-            if job.over {
-                over.push(ix);
+            if job.is_ended() {
+                ended.push(ix);
                 continue;
             }
-            if job.dependency_cancelled {
+            if job.state().is_dependency_cancelled() {
                 continue;
             }
             if job.done == job.spec.tasks {
-                if !job.ending && !job.chunks.iter().any(|c| c.in_flight) {
+                if !job.state().is_writing_end() && !job.chunks.iter().any(|c| c.in_flight) {
                     ends.push(ix);
                 }
                 continue;
@@ -187,7 +188,7 @@
             }
             self.commit(batch);
         }
-        if background.is_empty() && over.is_empty() {
+        if background.is_empty() && ended.is_empty() {
             return;
         }
         background.sort_unstable();
@@ -206,7 +207,7 @@
             }
             self.add_chunk(&mut batch, ix, chunk, room);
         }
-        for ix in over {
+        for ix in ended {
             if batch.full(room) {
                 break;
             }
@@ -341,7 +342,9 @@
 
     /// Writes the jobs' ends, as many as may be written now.
     fn write_all_ends(&mut self, jobs: &[JobIndex], end: JobEnd) {
-        let open = |ix: &&JobIndex| self.job(**ix).is_some_and(|j| !j.ending && !j.over);
+        let open = |ix: &&JobIndex| {
+            self.job(**ix).is_some_and(|j| !j.state().is_writing_end() && !j.is_ended())
+        };
         let jobs: Vec<JobIndex> = jobs.iter().filter(open).copied().collect();
         for some in jobs.chunks(self.limits.txn_ops) {
             let room = self.write_allowance(0.0).min(some.len());
@@ -357,7 +360,7 @@
         let mut batch = Batch::default();
         for &ix in jobs {
             let Some(job) = self.jobs.get_mut(&ix) else { continue };
-            job.ending = true;
+            job.apply(JobEvent::EndWriteStarted);
             let key = keys::end(&job.name);
             batch.transaction.compares.push(Compare { key: key.clone(), revision: 0 });
             batch.transaction.operations.push(Operation::put(key, end));
@@ -371,10 +374,10 @@
     /// description goes last, so that a chunk never outlives it.
     fn clean_up_records(&mut self, batch: &mut Batch, ix: JobIndex, most: usize) {
         let Some(job) = self.jobs.get_mut(&ix) else { return };
-        if job.dropping || job.placed > 0 || job.chunks.iter().any(|c| c.in_flight) {
+        if !job.may_delete_records() || job.placed > 0 || job.chunks.iter().any(|c| c.in_flight) {
             return;
         }
-        job.dropping = true;
+        job.apply(JobEvent::DeletionStarted);
         let before = batch.transaction.operations.len();
         for (i, chunk) in job.chunks.iter_mut().enumerate() {
             if chunk.revision > 0 && !batch.full(most) {
@@ -551,7 +554,7 @@
                     self.fair_share.shares.job_gone(job.share_class);
                 }
             } else if let Some(job) = self.jobs.get_mut(&ix) {
-                job.dropping = false;
+                job.apply(JobEvent::DeletionIncomplete);
             }
         }
         self.dirty = true;
@@ -591,7 +594,7 @@
             if task.phase != TaskPhase::Dispatching || task.token != 0 || task.machine != m {
                 continue;
             }
-            if job.over || !open || task.agent_epoch != agent_epoch {
+            if job.is_ended() || !open || task.agent_epoch != agent_epoch {
                 // Recorded, never sent and never to be sent: absent by this registry's own doing.
                 self.step(now, id, TaskEvent::ProvenAbsent);
                 continue;
@@ -632,12 +635,12 @@
         }
         for (ix, _) in failed.ends {
             if let Some(job) = self.jobs.get_mut(&ix) {
-                job.ending = false;
+                job.apply(JobEvent::EndWriteFailed);
             }
         }
         for RecordCleanup { job: ix, parts, .. } in failed.cleanups {
             if let Some(job) = self.jobs.get_mut(&ix) {
-                job.dropping = false;
+                job.apply(JobEvent::DeletionIncomplete);
                 job.parts.extend(parts.into_iter().map(|part| (part, 1)));
                 // Which chunks still exist is not known any more; dropping a key that does not
                 // exist does no harm.
--- a/crates/scheduler/tests/fair_share.rs
+++ b/crates/scheduler/tests/fair_share.rs
@@ -88,7 +88,7 @@
     fn pass(&mut self) {
         self.second += 1;
         let waiting =
-            self.world.leader.jobs.values().filter(|j| !j.over && j.pending() > 0).count();
+            self.world.leader.jobs.values().filter(|j| !j.is_ended() && j.pending() > 0).count();
         let coming = self.flood_a_second.unwrap_or(BACKLOG.saturating_sub(waiting));
         for _ in 0..coming {
             let flood = self.flood.clone();
