--- a/crates/controller/src/heartbeat_delegation.rs
+++ b/crates/controller/src/heartbeat_delegation.rs
@@ -222,7 +222,7 @@
     let (term, invalidated) = {
         let mut scheduler = node.scheduler.borrow_mut();
         let Some(scheduler) = scheduler.as_mut() else { return };
-        (scheduler.term, scheduler.take_invalidated())
+        (scheduler.term, scheduler.cluster.take_invalidated())
     };
     if invalidated.is_empty() {
         return;
--- a/crates/controller/src/heartbeat_delegation/tests.rs
+++ b/crates/controller/src/heartbeat_delegation/tests.rs
@@ -72,7 +72,8 @@
         send_repeated_heartbeats(&c.nodes[1]);
         c.deliver(|_, _| true).await;
         let scheduler = c.nodes[0].scheduler.borrow();
-        let machine = scheduler.as_ref().and_then(|s| s.machines.first()).expect("a machine");
+        let machine =
+            scheduler.as_ref().and_then(|s| s.cluster.machines.first()).expect("a machine");
         assert_eq!((machine.sequence, machine.last_heartbeat), (sequence + 4, c.nodes[0].now()));
     };
     tokio::task::LocalSet::new().run_until(test).await;
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -337,7 +337,11 @@
     fn take_end(&self, name: &str, end: JobEnd) {
         let known = self.user_api.ended(name).is_some();
         let open = |s: &Scheduler| {
-            s.jobs_by_name.get(name).and_then(|ix| s.job(*ix)).is_some_and(|j| !j.is_ended())
+            s.cluster
+                .jobs_by_name
+                .get(name)
+                .and_then(|ix| s.cluster.job(*ix))
+                .is_some_and(|j| !j.is_ended())
         };
         if known && !self.scheduler.borrow().as_ref().is_some_and(open) {
             return;
--- a/crates/controller/src/node/broadcast.rs
+++ b/crates/controller/src/node/broadcast.rs
@@ -33,9 +33,9 @@
     let scheduler = node.scheduler.borrow();
     let Some(s) = scheduler.as_ref() else { return };
     let mut told = node.told.borrow_mut();
-    told.retain(|name, _| s.jobs_by_name.contains_key(name));
-    for (name, &ix) in &s.jobs_by_name {
-        let Some(counts) = s.counts(ix) else { continue };
+    told.retain(|name, _| s.cluster.jobs_by_name.contains_key(name));
+    for (name, &ix) in &s.cluster.jobs_by_name {
+        let Some(counts) = s.cluster.counts(ix) else { continue };
         if told.get(name) != Some(&counts) {
             told.insert(name.clone(), counts);
             let (done, running) = counts;
@@ -50,12 +50,13 @@
     let Some(s) = scheduler.as_ref() else { return };
     let mut told = node.addresses_told.borrow_mut();
     let mut names: Vec<(&String, &u32)> = s
-        .by_name
+        .cluster
+        .machines_by_name
         .iter()
-        .filter(|(n, &ix)| **n > *told && s.machines[ix as usize].state == MachineState::Up)
+        .filter(|(n, &ix)| **n > *told && s.cluster.machines[ix as usize].state == MachineState::Up)
         .collect();
     names.sort_unstable();
-    let most = s.by_name.len().div_ceil(ADDRESS_TURN).max(peers::MAX_MACHINES);
+    let most = s.cluster.machines_by_name.len().div_ceil(ADDRESS_TURN).max(peers::MAX_MACHINES);
     *told = match names.get(most) {
         Some(_) => names[most - 1].0.clone(),
         None => String::new(),
@@ -63,7 +64,7 @@
     names.truncate(most);
     for some in names.chunks(peers::MAX_MACHINES) {
         let list = some.iter().filter_map(|(name, &ix)| {
-            let addr = s.machines[ix as usize].address.parse().ok()?;
+            let addr = s.cluster.machines[ix as usize].address.parse().ok()?;
             Some(((*name).clone(), addr))
         });
         node.broadcast(&Frame::Machines(list.collect()));
--- a/crates/controller/src/node/leader.rs
+++ b/crates/controller/src/node/leader.rs
@@ -229,7 +229,7 @@
         // strange to the registry and will be stopped where it reports.
         warn!("stored {key} belongs to no job and is passed over");
     }
-    let open: Vec<String> = s.jobs_by_name.keys().cloned().collect();
+    let open: Vec<String> = s.cluster.jobs_by_name.keys().cloned().collect();
     loop {
         match find_ended_jobs(node, open.clone()).await {
             Ok(ended) => {
@@ -245,13 +245,13 @@
     fleet_role::take_over(node, term, &mut s).await?;
     for (name, (address, heard)) in node.addresses.borrow().iter() {
         if heard.elapsed() < ADDRESS_FRESH {
-            s.hint_address(now, name, &address.to_string());
+            s.cluster.hint_address(now, name, &address.to_string());
         }
     }
-    let placed: usize = s.machines.iter().map(|m| m.tasks.len()).sum();
+    let placed: usize = s.cluster.machines.iter().map(|m| m.tasks.len()).sum();
     info!(
         term,
-        jobs = s.jobs_by_name.len(),
+        jobs = s.cluster.jobs_by_name.len(),
         placed,
         ms = began.elapsed().as_millis() as u64,
         "records read: leading"
@@ -315,8 +315,11 @@
     let open: Vec<String> = names.into_iter().filter(|n| !ended.contains(n)).collect();
     for name in open {
         // What is in the registry was accepted; of anything else, the proof is looked for once.
-        let known =
-            node.scheduler.borrow().as_ref().is_some_and(|s| s.jobs_by_name.contains_key(&name));
+        let known = node
+            .scheduler
+            .borrow()
+            .as_ref()
+            .is_some_and(|s| s.cluster.jobs_by_name.contains_key(&name));
         if known {
             found.push((name, JobEndLookup::Open));
         } else if let Ok(proof) =
@@ -356,7 +359,7 @@
             // One that was cleaned up since the list was read comes back here as a job to do; the
             // guard on its end then fails, and it is cleaned up again.
             if let Some(name) = keys::described(&key_value.key) {
-                if !s.jobs_by_name.contains_key(name)
+                if !s.cluster.jobs_by_name.contains_key(name)
                     && s.add_job(now, name, &key_value.value, wall)
                 {
                     info!(job = %name, "found by reading the records again");
@@ -365,9 +368,9 @@
         }
         // What others wait for may not be in the registry: its end has to be heard of all the same.
         let dependencies =
-            s.open_dependencies().into_iter().filter(|n| !s.jobs_by_name.contains_key(n));
+            s.open_dependencies().into_iter().filter(|n| !s.cluster.jobs_by_name.contains_key(n));
         let dependencies: Vec<String> = dependencies.collect();
-        [s.open_jobs(), dependencies].concat()
+        [s.cluster.open_jobs(), dependencies].concat()
     };
     for name in find_ended_jobs(node, open).await? {
         if let Some(end) = node.key_value.end(&name).await? {
@@ -384,7 +387,7 @@
 ///
 /// So may ends have that other nodes told meanwhile, which their word for them counts as known here.
 pub(super) fn install(node: &Node, mut s: Scheduler) {
-    s.set_types(node.types.borrow().clone());
+    s.cluster.set_types(node.types.borrow().clone());
     for (name, end) in node.ends_while_loading.borrow_mut().drain(..) {
         s.job_ended(node.now(), &name, end);
     }
--- a/crates/controller/src/node/leader/tests.rs
+++ b/crates/controller/src/node/leader/tests.rs
@@ -27,7 +27,7 @@
     let (site, tunables) = (node.site.clone(), node.tunables.clone());
     install(&node, Scheduler::new(site, tunables, 7, Vec::new(), node.now()));
     let registry = node.scheduler.borrow();
-    assert_eq!(registry.as_ref().map(|s| s.types.len()), Some(1));
+    assert_eq!(registry.as_ref().map(|s| s.cluster.machine_types.len()), Some(1));
 }
 
 /// A process back within its former lease met its own key and waited for it to run out.
@@ -63,7 +63,8 @@
         node.now(),
     ));
     reconcile_once(&node, 7).await.expect("read");
-    let open = || node.scheduler.borrow().as_ref().map(|s| s.open_jobs()).unwrap_or_default();
+    let open =
+        || node.scheduler.borrow().as_ref().map(|s| s.cluster.open_jobs()).unwrap_or_default();
     assert_eq!(open(), ["req-1"]);
     store.put(&keys::end("req-1"), serde_json::json!("aborted"));
     reconcile_once(&node, 7).await.expect("read");
--- a/crates/controller/src/node/machine_types.rs
+++ b/crates/controller/src/node/machine_types.rs
@@ -83,7 +83,7 @@
         }
         *self.types.borrow_mut() = types.to_vec();
         if let Some(s) = self.scheduler.borrow_mut().as_mut() {
-            s.set_types(types.to_vec());
+            s.cluster.set_types(types.to_vec());
         }
         true
     }
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -249,7 +249,8 @@
                     && !remembers(&WorkerConnection::default(), 40, token)
             );
             let scheduler = leader.scheduler.borrow();
-            let machine = scheduler.as_ref().and_then(|s| s.machines.first()).expect("a machine");
+            let machine =
+                scheduler.as_ref().and_then(|s| s.cluster.machines.first()).expect("a machine");
             assert_eq!((machine.sequence, machine.last_heartbeat), (39, leader.now()));
             drop(scheduler);
             leader.learn_end(JOB, JobEnd::Cancelled);
@@ -381,6 +382,6 @@
         jobs: vec![JOB.into()],
     });
     leader::install(&node, registry);
-    let open = node.scheduler.borrow().as_ref().map(|s| s.open_jobs());
+    let open = node.scheduler.borrow().as_ref().map(|s| s.cluster.open_jobs());
     assert_eq!(open, Some(vec![]));
 }
--- a/crates/controller/src/user_api.rs
+++ b/crates/controller/src/user_api.rs
@@ -332,8 +332,8 @@
 
 fn open_stage(node: &Node, name: &str) -> (JobStage, u32, u32) {
     let own = node.scheduler.borrow().as_ref().and_then(|s| {
-        let ix = *s.jobs_by_name.get(name)?;
-        s.counts(ix)
+        let ix = *s.cluster.jobs_by_name.get(name)?;
+        s.cluster.counts(ix)
     });
     let heard = || node.user_api.progress.borrow().get(name).copied();
     let (done, running) = own.or_else(heard).unwrap_or((0, 0));
--- a/crates/scheduler/src/autoscaling.rs
+++ b/crates/scheduler/src/autoscaling.rs
@@ -11,6 +11,7 @@
 };
 use crate::command::Command;
 use crate::event::{Event, FleetCost, MachineScaledIn};
+use crate::model::cluster::TeamUsage;
 use crate::model::job::{Job, JobIndex};
 use crate::model::machine::DrainReason;
 use crate::model::machine::MachineState;
@@ -82,7 +83,7 @@
             m.state == MachineState::Up && m.drain_reason.is_none()
         };
         if !unheard.is_empty()
-            && self.machines.iter().all(|m| !ours(m) || unheard.contains(&m.zone))
+            && self.cluster.machines.iter().all(|m| !ours(m) || unheard.contains(&m.zone))
         {
             // Nothing is heard of any: what there is, and what is lacking, can't be told from here.
             return;
@@ -110,8 +111,10 @@
         let hours = usage.last.map_or(0.0, |t| now.since(t).as_secs_f64() / 3_600.0);
         usage.last = Some(now);
         let cost = &mut usage.cost;
-        for m in &self.machines {
-            let Some(kind) = m.kind.and_then(|k| self.types.get(k)) else { continue };
+        for m in &self.cluster.machines {
+            let Some(kind) = m.kind.and_then(|k| self.cluster.machine_types.get(k)) else {
+                continue;
+            };
             if m.state == MachineState::Terminated {
                 continue;
             }
@@ -126,7 +129,7 @@
             let idle = 1.0 - part(m.cpus, kind.cpus).max(part(m.memory, kind.memory_gb));
             *(if m.spot { &mut cost.idle_spot } else { &mut cost.idle_ordinary }) += money * idle;
             for id in &m.tasks {
-                let Some(job) = self.job(id.0) else { continue };
+                let Some(job) = self.cluster.job(id.0) else { continue };
                 let share = money * part(job.spec.cpus, kind.cpus);
                 if job.started.contains_key(&id.1) {
                     cost.running += share;
@@ -139,7 +142,7 @@
         if now.since(since) >= TimeDelta::from_secs(60) {
             self.log(Event::FleetCost(usage.cost));
             usage = Usage { since: Some(now), last: Some(now), cost: FleetCost::default() };
-            let written = std::mem::take(&mut self.write_counts);
+            let written = std::mem::take(&mut self.transactions.counts);
             self.log(Event::Writes(written));
             self.log_shares();
         }
@@ -148,12 +151,12 @@
 
     /// Rents for work that finds no place, and for the headroom.
     fn scale_out(&mut self, now: Timestamp, queue: Vec<(QueueKey, JobIndex)>) {
-        if now < self.autoscaler.down_until || self.types.is_empty() {
+        if now < self.autoscaler.down_until || self.cluster.machine_types.is_empty() {
             return;
         }
         // A machine without room for the smallest task that waits is of no use to any.
         let (mut least_cpus, mut least_memory) = (f64::INFINITY, f64::INFINITY);
-        for job in queue.iter().filter_map(|&(_, ix)| self.job(ix)) {
+        for job in queue.iter().filter_map(|&(_, ix)| self.cluster.job(ix)) {
             least_cpus = least_cpus.min(job.spec.cpus);
             least_memory = least_memory.min(job.spec.memory_gb);
         }
@@ -162,7 +165,7 @@
         let mut free = 0.0;
         // Processors of ordinary machines that are on their way.
         let mut ordered = 0.0;
-        for m in &self.machines {
+        for m in &self.cluster.machines {
             let Some(kind) = m.kind else { continue };
             // One that is said to run and doesn't answer is most likely gone.
             let coming = m.state == MachineState::Booting
@@ -172,7 +175,7 @@
             if !coming && !self.open_for_work(now, m) {
                 continue;
             }
-            let t = &self.types[kind];
+            let t = &self.cluster.machine_types[kind];
             let p = WhatIfMachine {
                 offer: offers.index(kind, &m.zone, m.spot),
                 cpus: t.cpus - m.cpus,
@@ -203,7 +206,7 @@
         let dear = !self.ordinary_is_cheap();
         let mut soon_free = self.cpus_free_soon(now);
         for (queue_key, ix) in queue {
-            let Some(job) = self.job(ix) else { continue };
+            let Some(job) = self.cluster.job(ix) else { continue };
             if job.errors > 0 && job.suspect() {
                 continue; // No machine is rented for a job that fails everywhere.
             }
@@ -270,7 +273,7 @@
         while lacking > EPSILON && offers.has_room() {
             // The cheapest machine to stand by, an ordinary one only where those are cheap.
             let Some(index) = offers.cheapest(|i| offers.offers[i].2 || cheap) else { break };
-            lacking -= self.types[offers.offers[index].0].cpus;
+            lacking -= self.cluster.machine_types[offers.offers[index].0].cpus;
             offers.add_desired(index);
         }
         for (offer, count) in offers.offers.into_iter().zip(offers.desired) {
@@ -280,7 +283,7 @@
             let count = count.min(MAX_MACHINES_PER_REQUEST);
             self.autoscaler.asking.insert(offer.clone(), count);
             self.out.push(Command::ScaleOut {
-                kind: self.types[offer.0].name.clone(),
+                kind: self.cluster.machine_types[offer.0].name.clone(),
                 zone: offer.1,
                 spot: offer.2,
                 count,
@@ -291,7 +294,7 @@
     /// All that the cloud offers at present.
     fn offers(&self, now: Timestamp) -> InstanceOffers {
         let mut offers = InstanceOffers::default();
-        for (k, kind) in self.types.iter().enumerate() {
+        for (k, kind) in self.cluster.machine_types.iter().enumerate() {
             for zone in &kind.zones {
                 for spot in [true, false] {
                     let price = if spot { kind.spot_price } else { kind.price };
@@ -308,30 +311,32 @@
     fn offer_allowed(&self, job: &Job, offer: &InstanceOffer) -> bool {
         let spec = &job.spec;
         (spec.spot || !offer.2)
-            && spec.fits_type(&self.types[offer.0])
+            && spec.fits_type(&self.cluster.machine_types[offer.0])
             && spec.zone.as_ref().is_none_or(|z| *z == offer.1)
             && (!spec.one_zone || job.zones.is_empty() || job.zones.contains_key(&offer.1))
     }
 
     fn empty_machine(&self, offer: usize, kind: usize) -> WhatIfMachine {
-        let kind = &self.types[kind];
+        let kind = &self.cluster.machine_types[kind];
         WhatIfMachine { offer, cpus: kind.cpus, gpus: kind.gpus, memory: kind.memory_gb }
     }
 
     /// Processors that running tasks should free within a boot's time. Those of quick classes don't
     /// count: the next of their kind take their place.
     fn cpus_free_soon(&self, now: Timestamp) -> f64 {
-        let boots = self.types.iter().map(|t| t.boot_s);
+        let boots = self.cluster.machine_types.iter().map(|t| t.boot_s);
         let boot = boots.min_by(f64::total_cmp).unwrap_or(0.0) * 1.2;
         let mut free = 0.0;
-        for job in self.jobs.values().filter(|j| !self.has_short_start_objective(&j.spec.class)) {
-            let run = self.expected_run(job);
+        for job in
+            self.cluster.jobs.values().filter(|j| !self.has_short_start_objective(&j.spec.class))
+        {
+            let run = self.run_times.expected_run(job);
             let soon = job.tasks.iter().zip(0..).filter(|(t, index)| {
                 let since = match job.started.get(index) {
                     Some(&since) => since,
                     // Right after a failover nothing has been seen running yet. (Taken for work
                     // that frees nothing, it made a new leader rent three hundred dear machines.)
-                    None if self.placed_before(t) => self.began(now, t),
+                    None if self.cluster.placed_before(t) => self.cluster.began(now, t),
                     None => return false,
                 };
                 t.phase.placed() && run - now.since(since).as_secs_f64() < boot
@@ -345,9 +350,9 @@
     /// sense. (Without this a job with time to spare waited on an empty fleet for machines that
     /// nobody rented.)
     fn makes_room_for(&self, now: Timestamp, ix: JobIndex) -> bool {
-        let Some(job) = self.job(ix) else { return false };
-        self.machines.iter().any(|m| {
-            let kind = m.kind.and_then(|k| self.types.get(k));
+        let Some(job) = self.cluster.job(ix) else { return false };
+        self.cluster.machines.iter().any(|m| {
+            let kind = m.kind.and_then(|k| self.cluster.machine_types.get(k));
             self.open_for_work(now, m)
                 && !m.tasks.is_empty()
                 && (job.spec.spot || !m.spot)
@@ -359,8 +364,9 @@
     /// Whether work of lower priority holds the room that the job needs, so that stopping it serves
     /// the job sooner than any machine that has yet to boot.
     fn others_can_give_way(&self, ix: JobIndex, cpus: f64) -> bool {
-        let Some(job) = self.job(ix) else { return false };
+        let Some(job) = self.cluster.job(ix) else { return false };
         let lower = self
+            .cluster
             .jobs
             .values()
             .filter(|j| j.priority < job.priority && !j.is_ended() && j.placed > 0);
@@ -371,8 +377,9 @@
         }
         // What a class keeps in an overload makes room for nobody. (Counted as if it did, it kept the
         // leader from renting for a flood of urgent work until the flood was nearly over.)
-        let retained_share =
-            |class: ClassId| self.fair_share.retained_share(class) * self.fleet_cpus;
+        let retained_share = |class: ClassId| {
+            self.fair_share.retained_share(&self.cluster.shares, class) * self.fleet_cpus
+        };
         let beyond = by_class.iter().map(|(&class, held)| (held - retained_share(class)).max(0.0));
         beyond.sum::<f64>() >= cpus
     }
@@ -380,7 +387,8 @@
     /// Whether ordinary machines cost little more than spot ones, over all types.
     pub(crate) fn ordinary_is_cheap(&self) -> bool {
         let (ordinary, spot) = self
-            .types
+            .cluster
+            .machine_types
             .iter()
             .fold((0.0, 0.0), |(o, s), t| (o + t.price / t.cpus, s + t.spot_price / t.cpus));
         ordinary <= self.tunables.premium * spot
@@ -388,16 +396,16 @@
 
     /// The shortest boot among the types that the job allows, in seconds.
     fn quickest_boot(&self, ix: JobIndex) -> f64 {
-        let Some(job) = self.job(ix) else { return 0.0 };
-        let fits = self.types.iter().filter(|t| job.spec.fits_type(t));
+        let Some(job) = self.cluster.job(ix) else { return 0.0 };
+        let fits = self.cluster.machine_types.iter().filter(|t| job.spec.fits_type(t));
         fits.map(|t| t.boot_s).min_by(f64::total_cmp).unwrap_or(0.0)
     }
 
     /// How many more tasks of the job its team's limit allows.
     pub(crate) fn room_in_team(&self, ix: JobIndex) -> u32 {
-        let Some(job) = self.job(ix) else { return 0 };
+        let Some(job) = self.cluster.job(ix) else { return 0 };
         let Some(team) = self.site.team(&job.spec.team) else { return 0 };
-        let (cpus, gpus) = self.team_use.get(&job.spec.team).copied().unwrap_or_default();
+        let TeamUsage { cpus, gpus } = self.cluster.team_usage(&job.spec.team);
         let by = |max: f64, used: f64, takes: f64| {
             if max <= 0.0 || takes <= 0.0 {
                 u32::MAX
@@ -415,16 +423,17 @@
     /// Drains machines that have had nothing to do for a while, ordinary ones sooner.
     fn drain_idle(&mut self, now: Timestamp) {
         let mut free: f64 = self
+            .cluster
             .machines
             .iter()
             .filter(|m| self.open_for_work(now, m))
-            .filter_map(|m| Some(self.types[m.kind?].cpus - m.cpus))
+            .filter_map(|m| Some(self.cluster.machine_types[m.kind?].cpus - m.cpus))
             .sum();
         let headroom = self.headroom_cpus(now);
         let cheap = self.ordinary_is_cheap();
-        let mut idle: Vec<usize> = (0..self.machines.len())
+        let mut idle: Vec<usize> = (0..self.cluster.machines.len())
             .filter(|&i| {
-                let m = &self.machines[i];
+                let m = &self.cluster.machines[i];
                 let limit = match (cheap, m.spot) {
                     (true, _) => self.tunables.idle_cheap,
                     (false, true) => self.tunables.idle_spot,
@@ -433,15 +442,16 @@
                 self.open_for_work(now, m) && m.tasks.is_empty() && now.since(m.idle_since) > limit
             })
             .collect();
-        idle.sort_by_key(|&i| (self.machines[i].spot, self.machines[i].idle_since));
+        idle.sort_by_key(|&i| (self.cluster.machines[i].spot, self.cluster.machines[i].idle_since));
         for i in idle {
-            let cpus = self.machines[i].kind.map_or(0.0, |k| self.types[k].cpus);
+            let cpus =
+                self.cluster.machines[i].kind.map_or(0.0, |k| self.cluster.machine_types[k].cpus);
             // Ordinary machines are too dear to stand by.
-            if (cheap || self.machines[i].spot) && free - cpus < headroom {
+            if (cheap || self.cluster.machines[i].spot) && free - cpus < headroom {
                 break;
             }
             free -= cpus;
-            self.machines[i].drain_reason = Some(DrainReason::Idle);
+            self.cluster.machines[i].drain_reason = Some(DrainReason::Idle);
         }
     }
 
@@ -453,7 +463,7 @@
         let mut names = Vec::new();
         let mut scaled_in = Vec::new();
         let mut returning = Vec::new();
-        for (m, ix) in self.machines.iter_mut().zip(0..) {
+        for (m, ix) in self.cluster.machines.iter_mut().zip(0..) {
             let again = m.state == MachineState::Terminating
                 && m.termination_sent_at.is_some_and(|t| now.since(t) > TERMINATION_RETRY);
             // A drained machine is returned when empty; a silent one is returned because it holds
@@ -472,7 +482,7 @@
             }
         }
         for ix in returning {
-            self.invalidate_cached_heartbeat(ix);
+            self.cluster.invalidate_cached_heartbeat(ix);
         }
         if !names.is_empty() {
             self.autoscaler.returning += 1;
@@ -488,8 +498,8 @@
             if ok {
                 self.reopen_offer(name);
                 self.machine_gone(now, name);
-            } else if let Some(&m) = self.by_name.get(name) {
-                self.machines[m as usize].termination_sent_at =
+            } else if let Some(&m) = self.cluster.machines_by_name.get(name) {
+                self.cluster.machines[m as usize].termination_sent_at =
                     Some(now - TERMINATION_RETRY + TimeDelta::from_millis(1_500));
             }
         }
@@ -498,16 +508,16 @@
     /// A former leader recorded that the machine is returned. Nothing is placed there, and what is on it
     /// is there until the return is answered.
     pub fn adopt_scale_in(&mut self, now: Timestamp, name: &str) {
-        let ix = self.machine_named(now, name);
-        let machine = &mut self.machines[ix as usize];
+        let ix = self.cluster.machine_named(now, name);
+        let machine = &mut self.cluster.machines[ix as usize];
         machine.state = MachineState::Terminating;
         machine.termination_sent_at = Some(now);
-        self.invalidate_cached_heartbeat(ix);
+        self.cluster.invalidate_cached_heartbeat(ix);
     }
 
     /// A former leader recorded that it rents these machines, and whether they came isn't known yet.
     pub fn adopt_scale_out(&mut self, kind: &str, zone: &str, spot: bool, count: u32) {
-        if let Some(kind) = self.types.iter().position(|t| t.name == kind) {
+        if let Some(kind) = self.cluster.machine_types.iter().position(|t| t.name == kind) {
             *self.autoscaler.asking.entry((kind, zone.to_owned(), spot)).or_default() += count;
         }
     }
@@ -520,8 +530,8 @@
     /// What was given back is to be had again, whatever was refused before. (After a cut of a zone
     /// half the fleet had been given back, and nothing was rented there for half a minute.)
     fn reopen_offer(&mut self, name: &str) {
-        let Some(&m) = self.by_name.get(name) else { return };
-        let machine = &self.machines[m as usize];
+        let Some(&m) = self.cluster.machines_by_name.get(name) else { return };
+        let machine = &self.cluster.machines[m as usize];
         if let Some(kind) = machine.kind {
             let offer = (kind, machine.zone.clone(), machine.spot);
             self.autoscaler.refused.remove(&offer);
@@ -539,7 +549,9 @@
         asked: u32,
         answer: Result<Vec<String>, ()>,
     ) {
-        let Some(k) = self.types.iter().position(|t| t.name == kind) else { return };
+        let Some(k) = self.cluster.machine_types.iter().position(|t| t.name == kind) else {
+            return;
+        };
         let offer = (k, zone.to_owned(), spot);
         self.autoscaler.asking.remove(&offer);
         let got = match answer {
@@ -564,8 +576,8 @@
             spot,
         });
         for name in got {
-            let m = self.machine_named(now, &name);
-            let machine = &mut self.machines[m as usize];
+            let m = self.cluster.machine_named(now, &name);
+            let machine = &mut self.cluster.machines[m as usize];
             machine.expected = true;
             if machine.state == MachineState::Booting {
                 machine.kind = Some(k);
@@ -573,11 +585,11 @@
                 let old = std::mem::replace(&mut machine.zone, zone.to_owned());
                 let tasks: Vec<_> = machine.tasks.iter().copied().collect();
                 if old != zone {
-                    self.rezone(&tasks, &old, zone);
+                    self.cluster.rezone(&tasks, &old, zone);
                 }
             }
         }
-        self.dirty = true;
+        self.cluster.placement_needed = true;
     }
 
     /// A whole machine list. It lags, so what is missing from it proves nothing; what it calls
@@ -585,9 +597,9 @@
     pub fn machine_list(&mut self, now: Timestamp, list: &[ListedMachine]) {
         self.autoscaler.listed = true;
         for entry in list {
-            let m = self.machine_named(now, &entry.name);
-            let kind = self.types.iter().position(|t| t.name == entry.kind);
-            let machine = &mut self.machines[m as usize];
+            let m = self.cluster.machine_named(now, &entry.name);
+            let kind = self.cluster.machine_types.iter().position(|t| t.name == entry.kind);
+            let machine = &mut self.cluster.machines[m as usize];
             if machine.state == MachineState::Terminated {
                 continue;
             }
@@ -600,9 +612,9 @@
                 machine.requested_at = now - TimeDelta::from_secs_f64(entry.age_s);
                 machine.zone.clone_from(&entry.zone);
                 let tasks: Vec<_> = machine.tasks.iter().copied().collect();
-                self.rezone(&tasks, "", &entry.zone);
+                self.cluster.rezone(&tasks, "", &entry.zone);
             }
-            let machine = &mut self.machines[m as usize];
+            let machine = &mut self.cluster.machines[m as usize];
             if machine.address.is_empty() {
                 if let Some(address) = &entry.address {
                     machine.address.clone_from(address);
@@ -626,16 +638,4 @@
     }
 }
 
-impl Scheduler {
-    /// Takes over newer machine types. The places of known ones don't change, since machines
-    /// refer to them.
-    pub fn set_types(&mut self, types: Vec<crate::protocol::cloud::MachineType>) {
-        for new in types {
-            match self.types.iter_mut().find(|t| t.name == new.name) {
-                Some(known) => *known = new,
-                None => self.types.push(new),
-            }
-        }
-        self.dirty = true;
-    }
-}
+impl Scheduler {}
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -19,6 +19,33 @@
     TimeDelta(first.0 << consecutive_losses.saturating_sub(1).min(4))
 }
 
+/// Messages to workers: which machines may need one, and what became of the last ones.
+#[derive(Debug)]
+pub(crate) struct Messages {
+    /// Machines to be looked at for something to send, each once.
+    pub(crate) send_queue: Vec<MachineIndex>,
+    /// How many have an open outcome.
+    pub(crate) in_flight: usize,
+    /// When a worker last answered one.
+    pub(crate) last_answered: Timestamp,
+    /// How many were lost since.
+    pub(crate) lost_in_a_row: u32,
+    pub(crate) last_sweep: Timestamp,
+}
+
+impl Messages {
+    /// With nothing to send.
+    pub(crate) fn new(now: Timestamp) -> Messages {
+        Messages {
+            send_queue: Vec::new(),
+            in_flight: 0,
+            last_answered: now,
+            lost_in_a_row: 0,
+            last_sweep: Timestamp(0),
+        }
+    }
+}
+
 impl Scheduler {
     /// Sends what waits for workers: one message under way per worker. Without a sweep only those
     /// machines are looked at that something happened to.
@@ -26,16 +53,16 @@
         let term = self.term;
         let overdue = self.site.heartbeat_interval.mul_f64(OVERDUE);
         let most_questions = self.site.most_messages / 3 + 1;
-        let noted = std::mem::take(&mut self.send_queue);
+        let noted = std::mem::take(&mut self.messages.send_queue);
         for &ix in &noted {
-            self.machines[ix as usize].in_send_queue = false;
+            self.cluster.machines[ix as usize].in_send_queue = false;
         }
-        let all = if sweep { 0..self.machines.len() } else { 0..0 };
+        let all = if sweep { 0..self.cluster.machines.len() } else { 0..0 };
         let noted = noted.into_iter().map(|ix| ix as usize).filter(|_| !sweep);
         let mut overdue_machines = Vec::new();
         for ix in all.chain(noted) {
-            self.send_checks += 1;
-            let m = &self.machines[ix];
+            self.examined.send_checks += 1;
+            let m = &self.cluster.machines[ix];
             // A machine of the last leader's that has not reported yet is asked at the address that
             // the cloud or another node tells, so that a failover doesn't wait for its next heartbeat.
             let asked = m.state == MachineState::Booting
@@ -45,7 +72,7 @@
                 && !m.request_in_flight
                 && now >= m.retry_at
                 && !m.address.is_empty()
-                && self.messages_in_flight < self.site.most_messages;
+                && self.messages.in_flight < self.site.most_messages;
             // A fence that was raised for a lost send, or a new term, is shown to the worker at
             // once instead of with its next heartbeat.
             // (The first answer of a worker whose agent epoch wasn't known shows the agent epoch only; the
@@ -61,11 +88,11 @@
             let missed = m.state == MachineState::Up && now.since(m.last_heartbeat) > overdue;
             let may_start = can_send && self.holds_lease;
             let (ids, starts) = self.release_starts(now, ix as MachineIndex, may_start);
-            let m = &mut self.machines[ix];
+            let m = &mut self.cluster.machines[ix];
             // Mere questions are paced: at a failover the whole fleet is asked.
             let ask_later = m.outbox.is_empty()
                 && starts.is_empty()
-                && self.messages_in_flight >= most_questions;
+                && self.messages.in_flight >= most_questions;
             if ask_later
                 || !can_send
                 || (m.outbox.is_empty() && starts.is_empty() && !unseen && !missed)
@@ -85,9 +112,9 @@
     /// that were heard longest ago. (In the order of the table, the first two thousand were overdue again
     /// before the others were asked at all.)
     fn ask_overdue(&mut self, mut machines: Vec<MachineIndex>, most_questions: usize) {
-        let room = most_questions.saturating_sub(self.messages_in_flight);
+        let room = most_questions.saturating_sub(self.messages.in_flight);
         if machines.len() > room {
-            machines.sort_unstable_by_key(|&ix| self.machines[ix as usize].last_heartbeat);
+            machines.sort_unstable_by_key(|&ix| self.cluster.machines[ix as usize].last_heartbeat);
             machines.truncate(room);
         }
         for ix in machines {
@@ -103,9 +130,9 @@
         starts: Vec<WorkerCommand>,
     ) {
         let term = self.term;
-        let m = &mut self.machines[ix as usize];
+        let m = &mut self.cluster.machines[ix as usize];
         m.request_in_flight = true;
-        self.messages_in_flight += 1;
+        self.messages.in_flight += 1;
         m.in_message = ids;
         let mut calls = std::mem::take(&mut m.outbox);
         calls.extend(starts);
@@ -120,23 +147,23 @@
 
     /// The answer to a [`Command::SendToWorker`].
     pub fn message_answered(&mut self, now: Timestamp, m: MachineIndex, outcome: MessageOutcome) {
-        let Some(machine) = self.machines.get_mut(m as usize) else { return };
+        let Some(machine) = self.cluster.machines.get_mut(m as usize) else { return };
         if std::mem::take(&mut machine.request_in_flight) {
-            self.messages_in_flight = self.messages_in_flight.saturating_sub(1);
+            self.messages.in_flight = self.messages.in_flight.saturating_sub(1);
         }
         let starts = std::mem::take(&mut machine.in_message);
         let term = self.term;
         self.enqueue_send(m);
         if !matches!(outcome, MessageOutcome::Answered(_)) {
-            self.invalidate_cached_heartbeat(m);
+            self.cluster.invalidate_cached_heartbeat(m);
         }
-        let machine = &mut self.machines[m as usize];
+        let machine = &mut self.cluster.machines[m as usize];
         match outcome {
             MessageOutcome::Answered(_) => {
-                (self.last_message_answered, self.messages_lost_in_a_row) = (now, 0)
+                (self.messages.last_answered, self.messages.lost_in_a_row) = (now, 0)
             }
             MessageOutcome::NotSent | MessageOutcome::Indeterminate => {
-                self.messages_lost_in_a_row += 1
+                self.messages.lost_in_a_row += 1
             }
         }
         match outcome {
@@ -160,12 +187,12 @@
                 // meanwhile and the task be running elsewhere under its next attempt. (Seen on a
                 // rough day: such a task was taken for absent and started a second time.)
                 for (id, attempt) in starts {
-                    let same = self.job(id.0).is_some_and(|j| {
+                    let same = self.cluster.job(id.0).is_some_and(|j| {
                         let t = &j.tasks[id.1 as usize];
                         t.attempt == attempt && t.machine == m
                     });
                     if same {
-                        self.step(now, id, TaskEvent::ProvenAbsent);
+                        self.cluster.apply(now, id, TaskEvent::ProvenAbsent);
                     }
                 }
             }
@@ -184,10 +211,10 @@
     /// The message may have held the command to stop a cancelled job's tasks: the next one holds it
     /// again. The answers to the worker's heartbeats do so too, where there are any.
     fn repeat_stops(&mut self, m: MachineIndex) {
-        let machine = &self.machines[m as usize];
+        let machine = &self.cluster.machines[m as usize];
         let mut calls = Vec::new();
         for id in &machine.tasks {
-            let Some(job) = self.job(id.0).filter(|j| j.is_ended()) else { continue };
+            let Some(job) = self.cluster.job(id.0).filter(|j| j.is_ended()) else { continue };
             let task = &job.tasks[id.1 as usize];
             if task.phase == TaskPhase::Stopping {
                 let name = format!("{}/{}", job.name, id.1);
@@ -196,7 +223,7 @@
             }
         }
         calls.truncate(MAX_COMMANDS);
-        let machine = &mut self.machines[m as usize];
+        let machine = &mut self.cluster.machines[m as usize];
         if machine.state == MachineState::Up {
             calls.retain(|call| !machine.outbox.contains(call));
             machine.outbox.extend(calls);
--- a/crates/scheduler/src/model.rs
+++ b/crates/scheduler/src/model.rs
@@ -1,9 +1,11 @@
 //! What the scheduler reasons about: jobs, tasks, machines and teams, each with its states.
 
+pub mod cluster;
 pub mod job;
 pub mod job_spec;
 pub mod job_state;
 pub mod machine;
+pub mod run_times;
 pub mod task;
 pub mod team;
 
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -4,6 +4,7 @@
 
 use crate::event::Event;
 use crate::leadership::election::token;
+use crate::model::cluster::TeamUsage;
 use crate::model::job::{Job, JobIndex, TaskId};
 use crate::model::job_spec::{JobSpec, Priority};
 use crate::model::machine::{Machine, MachineState};
@@ -87,12 +88,13 @@
     /// Processors of open machines that old jobs may still be given ahead of others.
     pub(crate) fn room_for_aged(&self, now: Timestamp) -> f64 {
         let all: f64 = self
+            .cluster
             .machines
             .iter()
             .filter(|m| m.state == MachineState::Up)
-            .filter_map(|m| Some(self.types.get(m.kind?)?.cpus))
+            .filter_map(|m| Some(self.cluster.machine_types.get(m.kind?)?.cpus))
             .sum();
-        let old = self.jobs.values().filter(|j| j.placed > 0 && !j.is_ended());
+        let old = self.cluster.jobs.values().filter(|j| j.placed > 0 && !j.is_ended());
         let used: f64 = old
             .filter(|j| now.since(j.ready_at) > self.tunables.lift_after)
             .map(|j| f64::from(j.placed) * j.spec.cpus)
@@ -116,7 +118,9 @@
     }
 
     pub fn fits(&self, job: &Job, m: &Machine) -> bool {
-        let Some(kind) = m.kind.and_then(|k| self.types.get(k)) else { return false };
+        let Some(kind) = m.kind.and_then(|k| self.cluster.machine_types.get(k)) else {
+            return false;
+        };
         let spec = &job.spec;
         (spec.spot || !m.spot)
             && spec.allows_type(&kind.name)
@@ -146,7 +150,7 @@
 
     pub fn team_allows(&self, job: &Job) -> bool {
         let Some(team) = self.site.team(&job.spec.team) else { return false };
-        let (cpus, gpus) = self.team_use.get(&job.spec.team).copied().unwrap_or_default();
+        let TeamUsage { cpus, gpus } = self.cluster.team_usage(&job.spec.team);
         team.allows(cpus + job.spec.cpus, gpus + job.spec.gpus)
     }
 
@@ -165,11 +169,13 @@
         let quick = self.has_short_start_objective(&job.spec.class);
         let mut found: Vec<(Fitness, f64, MachineIndex)> = Vec::new();
         for &ix in open {
-            let m = &self.machines[ix as usize];
+            let m = &self.cluster.machines[ix as usize];
             if !self.fits(job, m) || job.avoids(now, ix) {
                 continue;
             }
-            let Some(kind) = m.kind.and_then(|k| self.types.get(k)) else { continue };
+            let Some(kind) = m.kind.and_then(|k| self.cluster.machine_types.get(k)) else {
+                continue;
+            };
             let left = (kind.cpus - m.cpus).max(0.0) / kind.cpus.max(EPSILON);
             let image = m.images.contains(&job.spec.image);
             let fitness = Fitness {
@@ -189,11 +195,13 @@
     /// is placed.
     fn zone_for(&self, job: &Job, open: &[MachineIndex]) -> Option<String> {
         let mut room: std::collections::BTreeMap<&str, u32> = Default::default();
-        for m in open.iter().map(|&ix| &self.machines[ix as usize]) {
+        for m in open.iter().map(|&ix| &self.cluster.machines[ix as usize]) {
             if !self.fits(job, m) {
                 continue;
             }
-            let Some(kind) = m.kind.and_then(|k| self.types.get(k)) else { continue };
+            let Some(kind) = m.kind.and_then(|k| self.cluster.machine_types.get(k)) else {
+                continue;
+            };
             let by = |free: f64, takes: f64| if takes > 0.0 { free / takes } else { f64::MAX };
             let n = by(kind.cpus - m.cpus + EPSILON, job.spec.cpus)
                 .min(by(kind.gpus - m.gpus + EPSILON, job.spec.gpus))
@@ -212,21 +220,24 @@
             self.observe_saturation(now, &queue);
             return;
         }
-        self.jobs_examined += 2 * queue.len() as u64;
+        self.examined.jobs += 2 * queue.len() as u64;
         let least = self.smallest_task(&queue);
         let mut open: Vec<MachineIndex> = Vec::new();
         let mut fleet = Resources::NONE;
-        for (m, ix) in self.machines.iter().zip(0..) {
+        for (m, ix) in self.cluster.machines.iter().zip(0..) {
             if m.state != MachineState::Up {
                 continue;
             }
-            fleet += m.kind.and_then(|k| self.types.get(k)).map_or(Resources::NONE, |k| k.room());
+            fleet += m
+                .kind
+                .and_then(|k| self.cluster.machine_types.get(k))
+                .map_or(Resources::NONE, |k| k.room());
             if self.has_room(m, least) && self.open_for_work(now, m) {
                 open.push(ix);
             }
         }
         self.fleet_cpus = fleet.cpus;
-        self.fair_share.shares.set_fleet(fleet);
+        self.cluster.shares.set_fleet(fleet);
         let shared = self.fair_share.is_active();
         let blocked = if shared {
             self.place_by_share(now, &queue, open, least)
@@ -241,7 +252,7 @@
     fn smallest_task(&self, queue: &[(QueueKey, JobIndex)]) -> Resources {
         let most = f64::INFINITY;
         let mut least = Resources { cpus: most, gpus: 0.0, memory_gb: most };
-        for job in queue.iter().filter_map(|&(_, ix)| self.job(ix)) {
+        for job in queue.iter().filter_map(|&(_, ix)| self.cluster.job(ix)) {
             least.cpus = least.cpus.min(job.spec.cpus);
             least.memory_gb = least.memory_gb.min(job.spec.memory_gb);
         }
@@ -250,7 +261,7 @@
 
     /// Whether the machine has room for that much.
     pub(crate) fn has_room(&self, m: &Machine, task: Resources) -> bool {
-        m.kind.and_then(|k| self.types.get(k)).is_some_and(|kind| {
+        m.kind.and_then(|k| self.cluster.machine_types.get(k)).is_some_and(|kind| {
             kind.cpus - m.cpus + EPSILON >= task.cpus
                 && kind.memory_gb - m.memory + EPSILON >= task.memory_gb
         })
@@ -265,7 +276,7 @@
         least: Resources,
     ) -> Vec<(QueueKey, JobIndex)> {
         let mut blocked: Vec<(QueueKey, JobIndex)> = Vec::new();
-        self.jobs_examined += 2 * queue.len() as u64;
+        self.examined.jobs += 2 * queue.len() as u64;
         // What age lifts goes first, within its part; beyond that it takes its turn.
         let aged: Vec<(QueueKey, JobIndex)> =
             queue.iter().filter(|q| q.0.aging > Aging::None).copied().collect();
@@ -273,7 +284,7 @@
         let mut reserved: Vec<MachineIndex> = Vec::new();
         let max_reserved = self.max_reserved();
         for (queue_key, ix) in aged {
-            let Some(job) = self.job(ix) else { continue };
+            let Some(job) = self.cluster.job(ix) else { continue };
             let cpus = job.spec.cpus.max(0.1);
             let most = match queue_key.aging {
                 Aging::Unbegun => 1,
@@ -294,14 +305,14 @@
             if self.place_job(now, ix, &open, u32::MAX).1 {
                 blocked.push((queue_key, ix));
             }
-            open.retain(|&ix| self.has_room(&self.machines[ix as usize], least));
+            open.retain(|&ix| self.has_room(&self.cluster.machines[ix as usize], least));
         }
         blocked
     }
 
     /// How many machines at most are kept for lifted jobs that found no room.
     pub(crate) fn max_reserved(&self) -> usize {
-        ((self.machines.len() as f64 * self.tunables.lift_share / 2.0) as usize).max(1)
+        ((self.cluster.machines.len() as f64 * self.tunables.lift_share / 2.0) as usize).max(1)
     }
 
     /// The machines on which room for a task of the job is nearest, `count` at most: they get no other
@@ -314,24 +325,27 @@
         taken: &[MachineIndex],
         count: usize,
     ) -> Vec<MachineIndex> {
-        let Some(job) = self.job(ix) else { return Vec::new() };
+        let Some(job) = self.cluster.job(ix) else { return Vec::new() };
         let free = |m: &Machine| {
-            let kind = &self.types[m.kind.unwrap_or_default()];
+            let kind = &self.cluster.machine_types[m.kind.unwrap_or_default()];
             let by = |free: f64, takes: f64| if takes > 0.0 { free / takes } else { f64::MAX };
             by(kind.cpus - m.cpus, job.spec.cpus)
                 .min(by(kind.memory_gb - m.memory, job.spec.memory_gb))
                 .min(by(kind.gpus - m.gpus, job.spec.gpus))
         };
         let usable = |m: &Machine| {
-            m.kind.and_then(|k| self.types.get(k)).is_some_and(|k| job.spec.fits_type(k))
+            m.kind
+                .and_then(|k| self.cluster.machine_types.get(k))
+                .is_some_and(|k| job.spec.fits_type(k))
                 && (job.spec.spot || !m.spot)
                 && job.spec.zone.as_ref().is_none_or(|z| *z == m.zone)
                 && self.zone_allows(job, &m.zone)
                 && self.open_for_work(now, m)
         };
-        let mut nearest: Vec<(f64, MachineIndex)> = (0..self.machines.len() as MachineIndex)
+        let mut nearest: Vec<(f64, MachineIndex)> = (0..self.cluster.machines.len()
+            as MachineIndex)
             .filter(|m| !taken.contains(m) && !job.avoids(now, *m))
-            .map(|ix| (ix, &self.machines[ix as usize]))
+            .map(|ix| (ix, &self.cluster.machines[ix as usize]))
             .filter(|(_, m)| usable(m))
             .map(|(ix, m)| (free(m), ix))
             .collect();
@@ -354,13 +368,13 @@
         open: &[MachineIndex],
         most: u32,
     ) -> (u32, bool) {
-        let Some(job) = self.job(ix) else { return (0, false) };
+        let Some(job) = self.cluster.job(ix) else { return (0, false) };
         if most == 0 || job.pending() == 0 {
             return (0, false);
         }
-        self.machines_examined += open.len() as u64;
-        self.jobs_examined += 1;
-        let Some(job) = self.job(ix) else { return (0, false) };
+        self.examined.machines += open.len() as u64;
+        self.examined.jobs += 1;
+        let Some(job) = self.cluster.job(ix) else { return (0, false) };
         let zone =
             (job.spec.one_zone && job.zones.is_empty()).then(|| self.zone_for(job, open)).flatten();
         let machines = self.candidates(now, job, open);
@@ -370,7 +384,7 @@
         let mut stuck = false;
         let mut placed = 0;
         while index < total && placed < most {
-            let Some(job) = self.job(ix) else { break };
+            let Some(job) = self.cluster.job(ix) else { break };
             if job.tasks[index as usize].phase != TaskPhase::Pending {
                 index += 1;
                 continue;
@@ -382,7 +396,7 @@
                 stuck = true;
                 break;
             };
-            let machine = &self.machines[m as usize];
+            let machine = &self.cluster.machines[m as usize];
             if zone.as_ref().is_some_and(|z| *z != machine.zone)
                 || !self.fits(job, machine)
                 || !self.zone_allows(job, &machine.zone)
@@ -394,7 +408,7 @@
             placed += 1;
             index += 1;
         }
-        if let Some(job) = self.jobs.get_mut(&ix) {
+        if let Some(job) = self.cluster.jobs.get_mut(&ix) {
             job.scan_from = index;
         }
         (placed, stuck)
@@ -411,14 +425,15 @@
         let blocked: Vec<(QueueKey, JobIndex)> = blocked
             .iter()
             .filter(|(u, ix)| {
-                self.may_preempt(u, *ix) && self.job(*ix).is_some_and(|j| self.team_allows(j))
+                self.may_preempt(u, *ix)
+                    && self.cluster.job(*ix).is_some_and(|j| self.team_allows(j))
             })
             .take(MAX_PREEMPTING_JOBS)
             .copied()
             .collect();
         let Some(highest) = blocked.iter().map(|b| b.0.priority).max() else { return };
         if now.since(self.last_preempt) < PREEMPT_EVERY {
-            self.dirty = true;
+            self.cluster.placement_needed = true;
             return;
         }
         self.last_preempt = now;
@@ -426,12 +441,15 @@
         let mut rooms = self.preemptable_machines(now, highest, within_guarantee);
         let old = (self.room_for_aged(now) >= 0.0).then(|| now - self.tunables.lift_after);
         for (queue_key, ix) in blocked {
-            let Some(job) = self.job(ix) else { continue };
+            let Some(job) = self.cluster.job(ix) else { continue };
             let mut need = job.pending();
             let mut offers: Vec<(f64, usize, Vec<usize>)> = Vec::new();
             for (at, room) in rooms.iter_mut().enumerate() {
-                let m = &self.machines[room.machine as usize];
-                if !m.kind.and_then(|k| self.types.get(k)).is_some_and(|k| job.spec.fits_type(k))
+                let m = &self.cluster.machines[room.machine as usize];
+                if !m
+                    .kind
+                    .and_then(|k| self.cluster.machine_types.get(k))
+                    .is_some_and(|k| job.spec.fits_type(k))
                     || (m.spot && !job.spec.spot)
                     || job.spec.zone.as_ref().is_some_and(|z| *z != m.zone)
                     || !self.zone_allows(job, &m.zone)
@@ -453,7 +471,7 @@
                 for candidate in candidates {
                     self.preempt_candidate(now, queue_key, &mut rooms[at], candidate);
                 }
-                let Some(job) = self.job(ix) else { break };
+                let Some(job) = self.cluster.job(ix) else { break };
                 rooms[at].free.take(&job.spec);
             }
         }
@@ -472,7 +490,7 @@
         within_guarantee: bool,
     ) -> Vec<PreemptableMachine> {
         let mut rooms = Vec::new();
-        for (machine, m) in self.machines.iter().enumerate() {
+        for (machine, m) in self.cluster.machines.iter().enumerate() {
             // Without work to stop, and none that is stopping, a machine has no more room than when the
             // jobs found none there.
             let may_make_room =
@@ -480,7 +498,9 @@
             if m.tasks.is_empty() || !may_make_room || !self.open_for_work(now, m) {
                 continue;
             }
-            let Some(kind) = m.kind.and_then(|k| self.types.get(k)) else { continue };
+            let Some(kind) = m.kind.and_then(|k| self.cluster.machine_types.get(k)) else {
+                continue;
+            };
             let mut room = PreemptableMachine {
                 machine: machine as MachineIndex,
                 free: Amount {
@@ -491,7 +511,7 @@
                 candidates: Vec::new(),
             };
             for &id in &m.tasks {
-                let Some(other) = self.job(id.0) else { continue };
+                let Some(other) = self.cluster.job(id.0) else { continue };
                 match other.tasks[id.1 as usize].phase {
                     TaskPhase::Stopping => room.free.add(&other.spec),
                     TaskPhase::Running if other.priority < highest || within_guarantee => {
@@ -527,7 +547,7 @@
         let mut free = room.free;
         let (mut cost, mut least, mut candidates) = (0.0, 0.0f64, Vec::new());
         for (i, candidate) in room.candidates.iter().enumerate() {
-            let Some(other) = self.job(candidate.id.0) else { continue };
+            let Some(other) = self.cluster.job(candidate.id.0) else { continue };
             if candidate.stopped || !self.may_stop(queue_key, job, other, old) {
                 continue;
             }
@@ -553,7 +573,7 @@
     ) {
         let id = room.candidates[candidate].id;
         room.candidates[candidate].stopped = true;
-        let Some(other) = self.job(id.0) else { return };
+        let Some(other) = self.cluster.job(id.0) else { return };
         if !queue_key.within_guarantee && self.is_at_floor(other) {
             return; // What was stopped before it in this look brought its class down there.
         }
@@ -569,7 +589,7 @@
     fn would_be_late(&self, now: Timestamp, job: &Job, ran: f64) -> bool {
         let Some(due) = &job.effective_deadline else { return false };
         let left = due.left(now);
-        let run = self.expected_run(job);
+        let run = self.run_times.expected_run(job);
         left >= (run - ran).max(0.0) && left < run + RESTART
     }
 
@@ -604,7 +624,7 @@
         }
         // Work beyond another team's guarantee gives way to a team's own guarantee.
         self.site.team(&other.spec.team).is_some_and(|team| {
-            let (cpus, gpus) = self.team_use.get(&other.spec.team).copied().unwrap_or_default();
+            let TeamUsage { cpus, gpus } = self.cluster.team_usage(&other.spec.team);
             cpus > team.cpus + EPSILON || gpus > team.gpus + EPSILON
         })
     }
@@ -621,11 +641,12 @@
         } else {
             self.tunables.headroom
         };
-        self.sizes
+        self.run_times
+            .sizes
             .iter()
             .filter(|(class, _)| self.has_short_start_objective(class))
-            .filter(|(_, (_, last))| now.since(*last) < LULL)
-            .map(|(_, (size, _))| size * jobs)
+            .filter(|(_, size)| now.since(size.last_seen) < LULL)
+            .map(|(_, size)| size.cpus * jobs)
             .fold(0.0, f64::max)
     }
 }
--- a/crates/scheduler/src/queue/dependencies.rs
+++ b/crates/scheduler/src/queue/dependencies.rs
@@ -88,7 +88,7 @@
         // failover half the steps of all chains had only their own priority, the lowest, and waited
         // for two minutes.)
         self.refresh_inherited(now, ix);
-        let Some(job) = self.jobs.get_mut(&ix) else { return };
+        let Some(job) = self.cluster.jobs.get_mut(&ix) else { return };
         if job.spec.dependencies.is_empty() {
             return;
         }
@@ -97,7 +97,7 @@
         job.unmet_dependencies = dependencies.len();
         let mut behind_doomed = false;
         for name in dependencies {
-            let above = self.jobs_by_name.get(&name).and_then(|i| self.jobs.get(i));
+            let above = self.cluster.jobs_by_name.get(&name).and_then(|i| self.cluster.jobs.get(i));
             behind_doomed |= above.is_some_and(|j| j.state().is_dependency_cancelled());
             // The end may have been told before there was anybody to tell it to.
             self.dependency_graph.unread.insert(name.clone());
@@ -112,7 +112,9 @@
     /// The job waits for nothing any more: it has ended.
     pub(crate) fn remove_dependencies(&mut self, now: Timestamp, ix: JobIndex) {
         self.dependency_graph.dependency_cancelled.remove(&ix);
-        let Some(job) = self.jobs.get(&ix).filter(|j| j.unmet_dependencies > 0) else { return };
+        let Some(job) = self.cluster.jobs.get(&ix).filter(|j| j.unmet_dependencies > 0) else {
+            return;
+        };
         for name in &job.spec.dependencies {
             if let Some(dependency) = self.dependency_graph.dependencies.get_mut(name) {
                 dependency.waiting.remove(&ix);
@@ -146,7 +148,7 @@
 
     /// One of the jobs that it needs is done.
     fn dependency_met(&mut self, now: Timestamp, ix: JobIndex) {
-        let Some(job) = self.jobs.get_mut(&ix) else { return };
+        let Some(job) = self.cluster.jobs.get_mut(&ix) else { return };
         job.unmet_dependencies = job.unmet_dependencies.saturating_sub(1);
         if job.unmet_dependencies > 0 || job.is_ended() {
             return;
@@ -162,15 +164,15 @@
             dependencies: spec.dependencies.clone(),
         };
         self.log(event);
-        self.learn_size(&spec, now, since);
-        self.dirty = true;
+        self.run_times.learn_size(&spec, now, since);
+        self.cluster.placement_needed = true;
     }
 
     /// Marks the jobs and all that need them, at every depth.
     fn cancel_dependents(&mut self, first: Vec<JobIndex>) {
         let mut work = first;
         while let Some(ix) = work.pop() {
-            let Some(job) = self.jobs.get_mut(&ix) else { continue };
+            let Some(job) = self.cluster.jobs.get_mut(&ix) else { continue };
             if job.is_ended() || job.state().is_dependency_cancelled() {
                 continue;
             }
@@ -238,12 +240,12 @@
         let mut looks: HashMap<JobIndex, u32> = HashMap::new();
         while let Some(ix) = work.pop_front() {
             queued.remove(&ix);
-            let Some(job) = self.jobs.get(&ix) else { continue };
+            let Some(job) = self.cluster.jobs.get(&ix) else { continue };
             let above: Vec<JobIndex> = job
                 .spec
                 .dependencies
                 .iter()
-                .filter_map(|n| self.jobs_by_name.get(n).copied())
+                .filter_map(|n| self.cluster.jobs_by_name.get(n).copied())
                 .collect();
             for dependency in above {
                 let looks = looks.entry(dependency).or_default();
@@ -261,11 +263,11 @@
     /// Works out a job's priority and deadline from its own and those of the jobs right behind it;
     /// whether either changed.
     fn refresh_inherited(&mut self, now: Timestamp, ix: JobIndex) -> bool {
-        let Some(job) = self.jobs.get(&ix) else { return false };
+        let Some(job) = self.cluster.jobs.get(&ix) else { return false };
         let mut priority = job.spec.priority;
         let mut effective_deadline = EffectiveDeadline::of(&job.spec, job.accepted);
         if let Some(dependency) = self.dependency_graph.dependencies.get(&job.name) {
-            for next in dependency.waiting.iter().filter_map(|i| self.jobs.get(i)) {
+            for next in dependency.waiting.iter().filter_map(|i| self.cluster.jobs.get(i)) {
                 priority = priority.max(next.priority);
                 let Some(theirs) = &next.effective_deadline else { continue };
                 let after_s = theirs.after_s + self.step_takes(next);
@@ -278,22 +280,22 @@
         if job.priority == priority && job.effective_deadline == effective_deadline {
             return false;
         }
-        if let Some(job) = self.jobs.get_mut(&ix) {
+        if let Some(job) = self.cluster.jobs.get_mut(&ix) {
             job.priority = priority;
             job.effective_deadline = effective_deadline;
         }
-        self.dirty = true;
+        self.cluster.placement_needed = true;
         true
     }
 
     /// Seconds from the release of a step to its end.
     fn step_takes(&self, job: &Job) -> f64 {
-        self.expected_run(job) * SLOWEST + self.tunables.chain_step.as_secs_f64()
+        self.run_times.expected_run(job) * SLOWEST + self.tunables.chain_step.as_secs_f64()
     }
 
     /// How many jobs need each of the given ones; an end that releases others is written first.
     pub(crate) fn dependent_count(&self, ix: JobIndex) -> usize {
-        let Some(job) = self.jobs.get(&ix) else { return 0 };
+        let Some(job) = self.cluster.jobs.get(&ix) else { return 0 };
         self.dependency_graph.dependencies.get(&job.name).map_or(0, |n| n.waiting.len())
     }
 }
--- a/crates/scheduler/src/queue/fair_share.rs
+++ b/crates/scheduler/src/queue/fair_share.rs
@@ -11,6 +11,7 @@
 use walnutlug_admission::shares::{ClassId, Entitlement, Shares, TeamId};
 
 use crate::event::{Event, HeldShare};
+use crate::model::cluster::TeamUsage;
 use crate::model::job::{Job, JobIndex};
 use crate::model::machine::{Machine, MachineState};
 use crate::model::task::MachineIndex;
@@ -47,9 +48,8 @@
 const KNOWS_FLEET_AFTER: TimeDelta = TimeDelta::from_secs(10);
 
 /// What the leader keeps to share the fleet.
-#[derive(Debug)]
+#[derive(Debug, Default)]
 pub struct FairShare {
-    pub shares: Shares,
     saturation: Saturation,
     observed_at: Timestamp,
     /// The part of the fleet that each class is brought up to, by team.
@@ -57,18 +57,9 @@
 }
 
 impl FairShare {
-    pub fn new(site: &Site, tunables: &Tunables) -> FairShare {
-        FairShare {
-            shares: Shares::new(entitlements(site, tunables)),
-            saturation: Saturation::default(),
-            observed_at: Timestamp(0),
-            floors: BTreeMap::new(),
-        }
-    }
-
     /// The part of the fleet that the class keeps, whatever waits; nothing below overload.
-    pub fn retained_share(&self, class: ClassId) -> f64 {
-        let floor = self.floors.get(&self.shares.team_of(class)).copied();
+    pub fn retained_share(&self, shares: &Shares, class: ClassId) -> f64 {
+        let floor = self.floors.get(&shares.team_of(class)).copied();
         if self.is_active() {
             floor.unwrap_or(0.0) * KEPT
         } else {
@@ -77,9 +68,9 @@
     }
 
     /// What the class holds of the fleet, or its floor where it holds less.
-    pub fn room_of(&self, class: ClassId) -> Resources {
-        let floor = self.floors.get(&self.shares.team_of(class)).copied().unwrap_or(0.0);
-        self.shares.fleet().times(self.shares.class_share(class).max(floor))
+    pub fn room_of(&self, shares: &Shares, class: ClassId) -> Resources {
+        let floor = self.floors.get(&shares.team_of(class)).copied().unwrap_or(0.0);
+        shares.fleet().times(shares.class_share(class).max(floor))
     }
 
     /// Whether the fleet is overloaded, so that shares decide.
@@ -89,7 +80,7 @@
 }
 
 /// Weights are relative: a guarantee counts against the mean of all guarantees.
-fn entitlements(site: &Site, tunables: &Tunables) -> HashMap<String, Entitlement> {
+pub(crate) fn entitlements(site: &Site, tunables: &Tunables) -> HashMap<String, Entitlement> {
     let guaranteed: Vec<f64> = site.teams.iter().map(|t| t.cpus).filter(|&c| c > 0.0).collect();
     let mean = guaranteed.iter().sum::<f64>() / guaranteed.len().max(1) as f64;
     let entitlement = |team: &crate::model::team::Team| {
@@ -118,17 +109,17 @@
     /// part of the fleet stops nobody's work: its next jobs would be as late as those before them, and
     /// what was done of the work is lost.
     pub(crate) fn may_preempt(&self, queue_key: &QueueKey, ix: JobIndex) -> bool {
-        let Some(job) = self.job(ix) else { return false };
+        let Some(job) = self.cluster.job(ix) else { return false };
         self.is_urgent(queue_key)
             && (queue_key.within_guarantee
                 || !self.fair_share.is_active()
-                || !self.fair_share.shares.has_its_part(job.share_class()))
+                || !self.cluster.shares.has_its_part(job.share_class()))
     }
 
     /// Whether one task less would leave the job's class with less than it keeps.
     pub(crate) fn is_at_floor(&self, job: &Job) -> bool {
-        let left = self.fair_share.shares.share_without(job.share_class(), job.spec.task());
-        left < self.fair_share.retained_share(job.share_class())
+        let left = self.cluster.shares.share_without(job.share_class(), job.spec.task());
+        left < self.fair_share.retained_share(&self.cluster.shares, job.share_class())
     }
 
     /// Places what it can by shares: what age has lifted first, within its part of the fleet, then
@@ -143,10 +134,10 @@
     ) -> Vec<(QueueKey, JobIndex)> {
         let mut reserved = self.place_aged_by_share(now, queue, &open);
         open.retain(|ix| !reserved.contains(ix));
-        self.jobs_examined += queue.len() as u64;
+        self.examined.jobs += queue.len() as u64;
         let waiting =
             queue.iter().map(|&(queue_key, ix)| self.waiting(ix, queue_key.priority as u8));
-        let mut deal = Deal::new(&self.fair_share.shares, waiting, self.rules());
+        let mut deal = Deal::new(&self.cluster.shares, waiting, self.rules());
         self.fair_share.floors = deal.floors();
         let mut blocked: Vec<(QueueKey, JobIndex)> = Vec::new();
         let mut preempting = 0;
@@ -155,7 +146,7 @@
                 break; // Room can't be made for more than these in one look.
             }
             if self.enough_starts_planned() {
-                self.dirty = true;
+                self.cluster.placement_needed = true;
                 break;
             }
             let (queue_key, ix) = queue[portion.job];
@@ -175,7 +166,7 @@
                 }
             }
             if placed > 0 {
-                open.retain(|&m| self.has_room(&self.machines[m as usize], least));
+                open.retain(|&m| self.has_room(&self.cluster.machines[m as usize], least));
             }
         }
         blocked.sort_by_key(|entry| std::cmp::Reverse(entry.0.priority));
@@ -190,7 +181,7 @@
         queue: &[(QueueKey, JobIndex)],
         open: &[MachineIndex],
     ) -> Vec<MachineIndex> {
-        self.jobs_examined += queue.len() as u64;
+        self.examined.jobs += queue.len() as u64;
         let aged: Vec<&(QueueKey, JobIndex)> =
             queue.iter().filter(|entry| entry.0.aging > Aging::None).collect();
         let mut reserved: Vec<MachineIndex> = Vec::new();
@@ -207,10 +198,10 @@
             }
         });
         let rules = Rules { floor: 0.0, ..self.rules() };
-        let mut deal = Deal::new(&self.fair_share.shares, waiting, rules);
+        let mut deal = Deal::new(&self.cluster.shares, waiting, rules);
         while let Some(portion) = deal.next_portion() {
             let &(queue_key, ix) = aged[portion.job];
-            let Some(job) = self.job(ix) else { break };
+            let Some(job) = self.cluster.job(ix) else { break };
             let cpus = job.spec.cpus.max(0.1);
             let most = match queue_key.aging {
                 Aging::Unbegun => portion.tasks,
@@ -233,18 +224,21 @@
     /// that would wait in the order in which it was decided, and not in that of the shares. (With
     /// half of a fleet idle for want of writes, a team's few starts stood behind the flood's.)
     fn enough_starts_planned(&self) -> bool {
-        self.writes_per_second().is_some_and(|writes| self.planned_chunks as f64 >= writes)
+        self.transactions
+            .writes_per_second()
+            .is_some_and(|writes| self.transactions.planned_chunks as f64 >= writes)
     }
 
     /// Whether the next round had better wait for the writes of the last ones: a look at the whole queue
     /// for each few of them would cost more than it decides.
     pub(crate) fn waits_for_writes(&self) -> bool {
-        let half = self.writes_per_second().map(|writes| writes / 2.0);
-        self.fair_share.is_active() && half.is_some_and(|half| self.planned_chunks as f64 > half)
+        let half = self.transactions.writes_per_second().map(|writes| writes / 2.0);
+        self.fair_share.is_active()
+            && half.is_some_and(|half| self.transactions.planned_chunks as f64 > half)
     }
 
     fn waiting(&self, ix: JobIndex, tier: u8) -> Waiting {
-        let job = &self.jobs[&ix];
+        let job = &self.cluster.jobs[&ix];
         Waiting { tier, class: job.share_class, task: job.spec.task(), tasks: job.pending() }
     }
 
@@ -253,7 +247,7 @@
         if !self.fair_share.is_active() {
             return;
         }
-        let held = self.fair_share.shares.largest(MAX_TOLD).into_iter();
+        let held = self.cluster.shares.largest(MAX_TOLD).into_iter();
         let shares = held.map(|(team, class, share)| HeldShare {
             team: team.to_owned(),
             class: class.map(str::to_owned),
@@ -273,9 +267,9 @@
             return;
         }
         self.fair_share.observed_at = now;
-        self.jobs_examined += queue.len() as u64;
-        let fleet = self.fair_share.shares.fleet();
-        let boots = self.types.iter().map(|t| t.boot_s);
+        self.examined.jobs += queue.len() as u64;
+        let fleet = self.cluster.shares.fleet();
+        let boots = self.cluster.machine_types.iter().map(|t| t.boot_s);
         let boot = boots.min_by(f64::total_cmp).unwrap_or(0.0);
         let lacking = self.without_room(now, queue, boot).less(self.on_its_way());
         let waiting = lacking.dominant_share(fleet);
@@ -305,7 +299,7 @@
         let mut allowed: HashMap<&str, Resources> = HashMap::new();
         let mut sum = Resources::NONE;
         for &(queue_key, ix) in queue {
-            let Some(job) = self.job(ix) else { continue };
+            let Some(job) = self.cluster.job(ix) else { continue };
             let waits_long = now.since(job.ready_at) > self.tunables.begin_within;
             let fails = job.errors > 0 && job.suspect();
             if fails || queue_key.slack > boot_s && !waits_long {
@@ -326,7 +320,7 @@
 
     /// What the team's limit leaves it; without bound where there is no limit.
     fn room_under_limit(&self, team: &str) -> Resources {
-        let (cpus, gpus) = self.team_use.get(team).copied().unwrap_or_default();
+        let TeamUsage { cpus, gpus } = self.cluster.team_usage(team);
         let left = |most: f64, used: f64| {
             if most > 0.0 {
                 (most - used).max(0.0)
@@ -349,10 +343,12 @@
         let boots = |m: &&Machine| {
             m.state == MachineState::Booting && m.expected && m.drain_reason.is_none()
         };
-        let kinds = self.machines.iter().filter(boots).filter_map(|m| m.kind);
-        let rented = kinds.map(|kind| self.types[kind].room());
+        let kinds = self.cluster.machines.iter().filter(boots).filter_map(|m| m.kind);
+        let rented = kinds.map(|kind| self.cluster.machine_types[kind].room());
         let asked = self.autoscaler.asking.iter();
-        let asked = asked.map(|(offer, &count)| self.types[offer.0].room().times(f64::from(count)));
+        let asked = asked.map(|(offer, &count)| {
+            self.cluster.machine_types[offer.0].room().times(f64::from(count))
+        });
         rented.chain(asked).fold(Resources::NONE, |sum, room| sum + room)
     }
 }
--- a/crates/scheduler/src/queue/order.rs
+++ b/crates/scheduler/src/queue/order.rs
@@ -2,6 +2,7 @@
 
 use std::cmp::Ordering;
 
+use crate::model::cluster::TeamUsage;
 use crate::model::job::{Job, JobIndex};
 use crate::model::job_spec::Priority;
 use crate::model::EPSILON;
@@ -62,23 +63,9 @@
 }
 
 impl Scheduler {
-    /// How long a task of the job is expected to run. The owner's estimate is corrected by what
-    /// the class's tasks took so far, and by the job's own once some have completed; an estimate
-    /// of nothing, or an absurd one, is bounded so that it can't upset the order.
-    pub fn expected_run(&self, job: &Job) -> f64 {
-        if job.run_times.1 >= 2 {
-            return job.run_times.0 / f64::from(job.run_times.1);
-        }
-        let estimate = job.spec.estimate_s.clamp(0.1, 1.0e6);
-        match self.ratios.get(&job.spec.class) {
-            Some(&(sum, n)) if n >= 5.0 => estimate * (sum / n).exp(),
-            _ => estimate,
-        }
-    }
-
     pub fn queue_key(&self, now: Timestamp, job: &Job) -> QueueKey {
         let spec = &job.spec;
-        let run = self.expected_run(job);
+        let run = self.run_times.expected_run(job);
         // What a job waited for others is no delay of its own.
         let age = now.since(job.ready_at).as_secs_f64();
         let mut slack = f64::INFINITY;
@@ -134,7 +121,7 @@
             slack = 3_600.0 - age;
         }
         let within_guarantee = self.site.team(&spec.team).is_some_and(|team| {
-            let (cpus, gpus) = self.team_use.get(&spec.team).copied().unwrap_or_default();
+            let TeamUsage { cpus, gpus } = self.cluster.team_usage(&spec.team);
             let within = |used: f64, takes: f64, within_guarantee: f64| {
                 takes <= 0.0
                     || (within_guarantee > 0.0 && used + takes <= within_guarantee + EPSILON)
@@ -164,7 +151,7 @@
         let begun = 2 * (job.placed + job.done) >= job.spec.tasks;
         if self.fair_share.is_active() && !begun {
             let left = f64::from(job.pending()) * job.spec.cpus * run;
-            let room = self.fair_share.room_of(job.share_class()).cpus;
+            let room = self.fair_share.room_of(&self.cluster.shares, job.share_class()).cpus;
             run * SLOWEST_TASK + if room > 0.0 { left / room } else { 0.0 }
         } else {
             run * HALF_RUN
@@ -185,6 +172,7 @@
     /// Jobs with tasks to place, the most urgent first.
     pub fn queue(&self, now: Timestamp) -> Vec<(QueueKey, JobIndex)> {
         let mut queue: Vec<(QueueKey, JobIndex)> = self
+            .cluster
             .jobs
             .iter()
             .filter_map(|(&ix, job)| {
--- a/crates/scheduler/src/reconciliation/health.rs
+++ b/crates/scheduler/src/reconciliation/health.rs
@@ -24,7 +24,7 @@
     /// likely this node can't be reached than that all of them failed at once. Of many machines some
     /// report at any moment, so that one interval without any is enough.
     pub fn hears_no_worker(&self, now: Timestamp) -> bool {
-        let up = || self.machines.iter().filter(|m| m.state == MachineState::Up);
+        let up = || self.cluster.machines.iter().filter(|m| m.state == MachineState::Up);
         let n = up().count();
         let heartbeat = self.site.heartbeat_interval;
         let silence =
@@ -44,9 +44,9 @@
     /// to reach. (A leader that had returned its whole idle fleet gave way for the messages that were under
     /// way to it, and so did the next: nobody led for six seconds.)
     pub fn reaches_no_worker(&self, now: Timestamp) -> bool {
-        self.messages_lost_in_a_row >= MANY_LOST
-            && now.since(self.last_message_answered) > self.site.heartbeat_interval
-            && self.machines.iter().any(|m| m.state == MachineState::Up)
+        self.messages.lost_in_a_row >= MANY_LOST
+            && now.since(self.messages.last_answered) > self.site.heartbeat_interval
+            && self.cluster.machines.iter().any(|m| m.state == MachineState::Up)
     }
 
     /// The zones whose machines are unheard as a whole: of many machines about half should have
@@ -56,7 +56,7 @@
     pub(crate) fn silent_zones(&self, now: Timestamp) -> Vec<String> {
         let half = self.site.heartbeat_interval.mul_f64(0.5);
         let mut zones: std::collections::BTreeMap<&str, (usize, usize)> = Default::default();
-        let up = self.machines.iter().filter(|m| m.state == MachineState::Up);
+        let up = self.cluster.machines.iter().filter(|m| m.state == MachineState::Up);
         for m in up.filter(|m| m.drain_reason.is_none()) {
             let (all, heard) = zones.entry(&m.zone).or_default();
             *all += 1;
@@ -85,13 +85,14 @@
             now.since(m.last_heartbeat).max(deaf)
         };
         let holding = self
+            .cluster
             .machines
             .iter()
             .filter(|m| m.state == MachineState::Up && m.drain_reason.is_none())
             .count();
-        let silent: Vec<usize> = (0..self.machines.len())
+        let silent: Vec<usize> = (0..self.cluster.machines.len())
             .filter(|&i| {
-                let m = &self.machines[i];
+                let m = &self.cluster.machines[i];
                 let waits = m.state == MachineState::Up
                     || (m.state == MachineState::Booting && !m.tasks.is_empty());
                 waits && m.drain_reason.is_none() && lost_for(m) > suspicion_timeout
@@ -101,7 +102,7 @@
         // there than on every machine: wait longer before giving so much work up.
         let many = silent.len() > 3 && silent.len() * 2 > holding;
         for i in silent {
-            let m = &self.machines[i];
+            let m = &self.cluster.machines[i];
             let together = many || unheard.contains(&m.zone);
             if together && lost_for(m) < suspicion_timeout + suspicion_timeout + suspicion_timeout {
                 continue;
@@ -109,10 +110,13 @@
             let silent = now.since(m.last_heartbeat) > suspicion_timeout;
             self.drain(i, if silent { DrainReason::Silent } else { DrainReason::Unreachable });
         }
-        for i in 0..self.machines.len() {
-            let m = &self.machines[i];
+        for i in 0..self.cluster.machines.len() {
+            let m = &self.cluster.machines[i];
             if m.state == MachineState::Booting && m.tasks.is_empty() && m.drain_reason.is_none() {
-                let boot = m.kind.and_then(|k| self.types.get(k)).map_or(60.0, |k| k.boot_s);
+                let boot = m
+                    .kind
+                    .and_then(|k| self.cluster.machine_types.get(k))
+                    .map_or(60.0, |k| k.boot_s);
                 let limit = TimeDelta::from_secs_f64(boot.max(5.0) * self.tunables.boot_patience);
                 // A new leader hears of machines that came up long ago, and has to give each the
                 // time to answer it. (By their age alone, each failover gave back every machine
@@ -138,27 +142,29 @@
     /// left alone, it would lose the rest of the notice as well, and the time until the machine is
     /// found to be gone. What has a good chance to complete, or nowhere to go, runs on.
     pub(crate) fn evict_before_interruption(&mut self, now: Timestamp) {
-        if !self.machines.iter().any(|m| m.interruption_at.is_some() && !m.tasks.is_empty()) {
+        if !self.cluster.machines.iter().any(|m| m.interruption_at.is_some() && !m.tasks.is_empty())
+        {
             return;
         }
         let mut room: f64 = self
+            .cluster
             .machines
             .iter()
             .filter(|m| self.open_for_work(now, m))
-            .filter_map(|m| Some((self.types.get(m.kind?)?.cpus - m.cpus).max(0.0)))
+            .filter_map(|m| Some((self.cluster.machine_types.get(m.kind?)?.cpus - m.cpus).max(0.0)))
             .sum();
         let mut leave = Vec::new();
-        for m in self.machines.iter().filter(|m| m.state == MachineState::Up) {
+        for m in self.cluster.machines.iter().filter(|m| m.state == MachineState::Up) {
             let Some(interruption_at) = m.interruption_at else { continue };
             // It may come at half the time told.
             let left = interruption_at.since(now).as_secs_f64() * NOTICE_PERIOD_TRUSTED;
             for &id in &m.tasks {
-                let Some(job) = self.job(id.0) else { continue };
+                let Some(job) = self.cluster.job(id.0) else { continue };
                 let task = &job.tasks[id.1 as usize];
                 let started = job.started.get(&id.1);
                 let ran = started.map_or(0.0, |&t| now.since(t).as_secs_f64());
                 let sent = task.token != 0 && task.phase != TaskPhase::Stopping;
-                if !sent || ran + left >= self.expected_run(job) || room < job.spec.cpus {
+                if !sent || ran + left >= self.run_times.expected_run(job) || room < job.spec.cpus {
                     continue;
                 }
                 room -= job.spec.cpus;
@@ -173,7 +179,7 @@
     /// A machine on which tasks run far longer than their siblings elsewhere is drained.
     fn drain_slow_machines(&mut self, now: Timestamp) {
         let mut slow = Vec::new();
-        for (i, m) in self.machines.iter().enumerate() {
+        for (i, m) in self.cluster.machines.iter().enumerate() {
             if m.state != MachineState::Up || m.drain_reason.is_some() {
                 continue;
             }
@@ -181,7 +187,7 @@
                 .tasks
                 .iter()
                 .filter(|id| {
-                    self.job(id.0).is_some_and(|j| {
+                    self.cluster.job(id.0).is_some_and(|j| {
                         let Some(&t) = j.started.get(&id.1) else { return false };
                         j.run_times.1 >= 3
                             && now.since(t).as_secs_f64()
@@ -202,7 +208,7 @@
 
     /// Nothing more is placed on the machine, and it is returned to the cloud.
     pub(crate) fn drain(&mut self, index: usize, reason: DrainReason) {
-        let machine = &mut self.machines[index];
+        let machine = &mut self.cluster.machines[index];
         machine.drain_reason = Some(reason);
         let machine = machine.name.clone();
         self.log(Event::MachineDrained { machine, reason });
--- a/crates/scheduler/src/reconciliation/heartbeats.rs
+++ b/crates/scheduler/src/reconciliation/heartbeats.rs
@@ -66,7 +66,11 @@
             self.out.push(Command::VerifyLeadership);
             return None;
         }
-        let known = self.by_name.get(&heartbeat.machine).map(|&m| &self.machines[m as usize]);
+        let known = self
+            .cluster
+            .machines_by_name
+            .get(&heartbeat.machine)
+            .map(|&m| &self.cluster.machines[m as usize]);
         let newest = known.map_or((0, 0), |k| (k.agent_epoch, k.sequence));
         let entries = self.resolve(heartbeat);
         let m = self.reconcile_heartbeat(now, heartbeat, &entries, false);
@@ -74,7 +78,7 @@
         if !self.may_renew_leases(now) {
             return None;
         }
-        let machine = &self.machines[m as usize];
+        let machine = &self.cluster.machines[m as usize];
         if machine.state == MachineState::Terminated {
             let token = machine.token(self.term);
             self.log_once(&heartbeat.machine, Anomaly::HeartbeatAfterTermination);
@@ -82,13 +86,13 @@
         }
         if heartbeat.agent_epoch < newest.0 {
             self.log_once(&heartbeat.machine, Anomaly::LateHeartbeat);
-            let machine = &self.machines[m as usize];
+            let machine = &self.cluster.machines[m as usize];
             return Some((machine.token(self.term), Vec::new()));
         }
         // Also one that the answer to a direct command has overtaken: its answer renews the lease, so
         // it has to stop what is to be stopped. In a copy of the past it says nothing new.
         let calls = self.commands_for(m, &entries);
-        let machine = &mut self.machines[m as usize];
+        let machine = &mut self.cluster.machines[m as usize];
         let token = machine.token(self.term);
         if token > heartbeat.token {
             machine.token_sent_at = now;
@@ -103,8 +107,8 @@
         let mut reaps = Vec::new();
         for reported in entries {
             let entry = reported.entry;
-            let job = reported.id.filter(|&id| self.is_placed(m, id, entry.attempt));
-            let job = job.and_then(|id| Some((self.job(id.0)?, id.1 as usize)));
+            let job = reported.id.filter(|&id| self.cluster.is_placed(m, id, entry.attempt));
+            let job = job.and_then(|id| Some((self.cluster.job(id.0)?, id.1 as usize)));
             if entry.state == TaskState::Exited {
                 let keep = job.is_some_and(|(job, index)| {
                     !job.is_ended()
@@ -133,7 +137,7 @@
             }
         }
         if !reaps.is_empty() {
-            let machine = &mut self.machines[m as usize];
+            let machine = &mut self.cluster.machines[m as usize];
             // After a reap the worker has forgotten the attempt, so a copy of its start that is
             // still under way somewhere would run it again. A reap therefore always travels with
             // a token above that of every start sent before.
@@ -152,8 +156,8 @@
     pub(crate) fn resolve<'a>(&self, heartbeat: &'a Heartbeat) -> Vec<ReportedTask<'a>> {
         let resolve = |entry: &'a protocol::workers::TaskStatus| {
             let id = protocol::workers::parse_task_id(&entry.task).and_then(|(name, index)| {
-                let &job_index = self.jobs_by_name.get(name)?;
-                let exists = (index as usize) < self.job(job_index)?.tasks.len();
+                let &job_index = self.cluster.jobs_by_name.get(name)?;
+                let exists = (index as usize) < self.cluster.job(job_index)?.tasks.len();
                 exists.then_some((job_index, index))
             });
             ReportedTask { entry, id }
@@ -161,16 +165,6 @@
         heartbeat.tasks.iter().map(resolve).collect()
     }
 
-    /// Whether that attempt of the task is on the machine as far as is known here.
-    fn is_placed(&self, m: MachineIndex, id: TaskId, attempt: u64) -> bool {
-        self.job(id.0).is_some_and(|job| {
-            let task = &job.tasks[id.1 as usize];
-            u64::from(task.attempt) == attempt
-                && task.machine == m
-                && task.phase != TaskPhase::Pending
-        })
-    }
-
     /// Merges a heartbeat into the registry. Older reports add unpersisted_since and take none away. An answer to a
     /// direct command comes from the machine as it is now; a heartbeat that came by itself may be a
     /// copy from long ago.
@@ -181,12 +175,12 @@
         entries: &[ReportedTask],
         direct: bool,
     ) -> MachineIndex {
-        let m = self.machine_named(now, &heartbeat.machine);
+        let m = self.cluster.machine_named(now, &heartbeat.machine);
         let newer = {
-            let known = &self.machines[m as usize];
+            let known = &self.cluster.machines[m as usize];
             (heartbeat.agent_epoch, heartbeat.sequence) > (known.agent_epoch, known.sequence)
         };
-        if self.machines[m as usize].state == MachineState::Terminated {
+        if self.cluster.machines[m as usize].state == MachineState::Terminated {
             return m;
         }
         // A finish is a finish, however late the heartbeat that tells it.
@@ -200,22 +194,22 @@
         if !newer {
             return m;
         }
-        self.invalidate_cached_heartbeat(m);
+        self.cluster.invalidate_cached_heartbeat(m);
         if crate::leadership::election::term_of(heartbeat.token) > self.term {
             return m; // Another leader's to judge.
         }
         self.adopt(now, m, heartbeat, direct);
         self.enqueue_send(m);
         let mut unexpected_tasks = 0;
-        self.conflicting_replicas.retain(|_, on| *on != m);
+        self.cluster.conflicting_replicas.retain(|_, on| *on != m);
         for ReportedTask { entry, id } in entries {
             if entry.state == TaskState::Exited {
                 continue;
             }
-            if !id.is_some_and(|id| self.is_placed(m, id, entry.attempt)) {
+            if !id.is_some_and(|id| self.cluster.is_placed(m, id, entry.attempt)) {
                 unexpected_tasks += 1;
                 if let Some(id) = id {
-                    self.conflicting_replicas.insert(*id, m);
+                    self.cluster.conflicting_replicas.insert(*id, m);
                 }
             }
         }
@@ -223,11 +217,11 @@
         if unexpected_tasks > 0 {
             self.log_once(&heartbeat.machine, Anomaly::UnexpectedTasks);
         }
-        let mine: Vec<TaskId> = self.machines[m as usize].tasks.iter().copied().collect();
-        let mut changed = unexpected_tasks != self.machines[m as usize].unexpected_tasks;
-        self.machines[m as usize].unexpected_tasks = unexpected_tasks;
+        let mine: Vec<TaskId> = self.cluster.machines[m as usize].tasks.iter().copied().collect();
+        let mut changed = unexpected_tasks != self.cluster.machines[m as usize].unexpected_tasks;
+        self.cluster.machines[m as usize].unexpected_tasks = unexpected_tasks;
         for id in mine {
-            let Some(job) = self.job(id.0) else { continue };
+            let Some(job) = self.cluster.job(id.0) else { continue };
             let task = job.tasks[id.1 as usize];
             let entry = by_task.newest(id).filter(|e| e.attempt == u64::from(task.attempt));
             match entry {
@@ -242,14 +236,14 @@
                 Some(e) => {
                     if e.state == TaskState::Running {
                         let image = job.spec.image.clone();
-                        let began = self.began(now, &task);
-                        if let Some(job) = self.jobs.get_mut(&id.0) {
+                        let began = self.cluster.began(now, &task);
+                        if let Some(job) = self.cluster.jobs.get_mut(&id.0) {
                             let since = *job.started.entry(id.1).or_insert(began);
                             job.has_started |= now.since(since) >= STARTED_AFTER;
                         }
-                        self.has_image(m, image);
+                        self.cluster.has_image(m, image);
                     }
-                    self.step(now, id, TaskEvent::Observed);
+                    self.cluster.apply(now, id, TaskEvent::Observed);
                 }
                 None => {
                     // An absent task proves nothing while its start may still be under way:
@@ -260,16 +254,16 @@
                             || heartbeat.token > task.token);
                     if proven {
                         changed = true;
-                        self.step(now, id, TaskEvent::ProvenAbsent);
+                        self.cluster.apply(now, id, TaskEvent::ProvenAbsent);
                     }
                 }
             }
         }
         // A confirmed task that is missing under the very token it was sent with is strange;
         // a raised fence turns the next heartbeat into proof.
-        let machine = &self.machines[m as usize];
+        let machine = &self.cluster.machines[m as usize];
         let doubt = machine.tasks.iter().any(|id| {
-            self.job(id.0).is_some_and(|j| {
+            self.cluster.job(id.0).is_some_and(|j| {
                 let t = &j.tasks[id.1 as usize];
                 t.token != 0
                     && t.token == machine.token(self.term)
@@ -278,17 +272,17 @@
             })
         });
         if doubt {
-            self.machines[m as usize].fencing_counter += 1;
+            self.cluster.machines[m as usize].fencing_counter += 1;
         }
-        self.dirty |= changed;
+        self.cluster.placement_needed |= changed;
         m
     }
 
     /// Takes over what a newer heartbeat says of its machine.
     fn adopt(&mut self, now: Timestamp, m: MachineIndex, heartbeat: &Heartbeat, direct: bool) {
-        let kind = self.types.iter().position(|t| t.name == heartbeat.kind);
+        let kind = self.cluster.machine_types.iter().position(|t| t.name == heartbeat.kind);
         let term = self.term;
-        let machine = &mut self.machines[m as usize];
+        let machine = &mut self.cluster.machines[m as usize];
         // Only a worker that has heard of this term, or answers right now, shows that its machine
         // lives. Anything else may be a copy, minutes old, that reached a leader which never saw
         // the newer ones: the machine is asked, and nothing else comes of it.
@@ -310,7 +304,7 @@
         }
         if machine.acknowledged_token >= machine.required_token {
             // Open again: there may be work that waited for it.
-            self.dirty |= machine.unacknowledged_since.take().is_some();
+            self.cluster.placement_needed |= machine.unacknowledged_since.take().is_some();
             if machine.consecutive_losses <= 1 {
                 machine.retry_at = machine.retry_at.min(now);
             }
@@ -322,20 +316,20 @@
             // Tasks loaded before the machine was known were counted under no zone.
             let old = std::mem::replace(&mut machine.zone, heartbeat.zone.clone());
             let tasks: Vec<TaskId> = machine.tasks.iter().copied().collect();
-            self.rezone(&tasks, &old, &heartbeat.zone);
+            self.cluster.rezone(&tasks, &old, &heartbeat.zone);
         }
         if !live {
             return;
         }
-        let machine = &mut self.machines[m as usize];
+        let machine = &mut self.cluster.machines[m as usize];
         machine.last_heartbeat = now;
         machine.expected = true;
         if machine.state == MachineState::Booting {
             machine.state = MachineState::Up;
             machine.idle_since = now;
-            self.dirty = true;
+            self.cluster.placement_needed = true;
         }
-        let machine = &mut self.machines[m as usize];
+        let machine = &mut self.cluster.machines[m as usize];
         let interruption_at =
             heartbeat.interruption_notice_s.map(|s| now + TimeDelta::from_secs_f64(s));
         let new = interruption_at.is_some() && machine.interruption_at.is_none();
@@ -345,42 +339,17 @@
         };
         let machine = machine.name.clone();
         if new {
-            self.dirty = true;
+            self.cluster.placement_needed = true;
             self.log(Event::MachineInterruptionNotice { machine });
         }
-        let machine = &self.machines[m as usize];
+        let machine = &self.cluster.machines[m as usize];
         if first && machine.acknowledged_token >= token(term, 0) {
-            self.dirty = true;
-        }
-    }
-
-    pub(crate) fn rezone(&mut self, tasks: &[TaskId], old: &str, new: &str) {
-        for id in tasks {
-            if let Some(job) = self.jobs.get_mut(&id.0) {
-                if let Some(n) = job.zones.get_mut(old) {
-                    *n -= 1;
-                    if *n == 0 {
-                        job.zones.remove(old);
-                    }
-                }
-                *job.zones.entry(new.to_owned()).or_default() += 1;
-            }
-        }
-    }
-
-    pub(crate) fn has_image(&mut self, m: MachineIndex, image: String) {
-        let images = &mut self.machines[m as usize].images;
-        if images.last() != Some(&image) {
-            images.retain(|i| *i != image);
-            images.push(image);
-            if images.len() > 32 {
-                images.remove(0);
-            }
+            self.cluster.placement_needed = true;
         }
     }
 
     fn finish(&mut self, now: Timestamp, id: TaskId, m: MachineIndex, attempt: u64) {
-        let Some(job) = self.job(id.0) else { return };
+        let Some(job) = self.cluster.job(id.0) else { return };
         let Some(task) = job.tasks.get(id.1 as usize) else { return };
         if task.phase == TaskPhase::Done || attempt > u64::from(task.attempt) {
             return;
@@ -398,39 +367,35 @@
             if let Some(&began) = job.started.get(&id.1) {
                 let ran = now.since(began).as_secs_f64();
                 let (class, estimate) = (job.spec.class.clone(), job.spec.estimate_s);
-                let slot = self.ratios.entry(class).or_insert((0.0, 0.0));
-                if estimate > 0.0 && ran > 0.0 {
-                    slot.0 = slot.0 * 0.98 + (ran / estimate).clamp(0.05, 20.0).ln();
-                    slot.1 = slot.1 * 0.98 + 1.0;
-                }
-                if let Some(job) = self.jobs.get_mut(&id.0) {
+                self.run_times.learn_ratio(class, ran, estimate);
+                if let Some(job) = self.cluster.jobs.get_mut(&id.0) {
                     job.run_times.0 += ran;
                     job.run_times.1 += 1;
                 }
             }
         }
-        if let Some(job) = self.jobs.get_mut(&id.0) {
+        if let Some(job) = self.cluster.jobs.get_mut(&id.0) {
             job.has_started = true;
         }
         // What completes anything isn't sick; and a job that comes off somewhere was not at fault
         // where it failed.
-        let machine = &mut self.machines[m as usize];
+        let machine = &mut self.cluster.machines[m as usize];
         machine.failures.clear();
         machine.completed_at = now;
-        let first = self.job(id.0).filter(|j| j.done == 0);
+        let first = self.cluster.job(id.0).filter(|j| j.done == 0);
         let failed: Vec<(MachineIndex, Timestamp)> = first
             .map_or(Vec::new(), |j| j.error_machines.iter().map(|(&m, &at)| (m, at)).collect());
         for (other, at) in failed {
-            if self.machines[other as usize].completed_at < at {
+            if self.cluster.machines[other as usize].completed_at < at {
                 self.attribute_failure(other, id.0);
             }
         }
-        self.step(now, id, TaskEvent::Completed);
+        self.cluster.apply(now, id, TaskEvent::Completed);
     }
 
     /// The job failed on the machine, and not by its own fault as far as can be told.
     fn attribute_failure(&mut self, m: MachineIndex, job: crate::model::job::JobIndex) {
-        let machine = &mut self.machines[m as usize];
+        let machine = &mut self.cluster.machines[m as usize];
         machine.failures.insert(job);
         if machine.failures.len() as u32 >= self.tunables.sick_after
             && machine.drain_reason.is_none()
@@ -444,8 +409,8 @@
         if cause == ExitReason::Done {
             return;
         }
-        self.step(now, id, TaskEvent::ProvenAbsent);
-        let Some(job) = self.jobs.get_mut(&id.0) else { return };
+        self.cluster.apply(now, id, TaskEvent::ProvenAbsent);
+        let Some(job) = self.cluster.jobs.get_mut(&id.0) else { return };
         match cause {
             ExitReason::Error | ExitReason::Unknown | ExitReason::Other => {
                 job.error_machines.insert(m, now);
@@ -462,9 +427,9 @@
                     false => Vec::new(),
                 };
                 for other in cleared {
-                    self.machines[other as usize].failures.remove(&id.0);
+                    self.cluster.machines[other as usize].failures.remove(&id.0);
                 }
-                let machine = self.machines[m as usize].name.clone();
+                let machine = self.cluster.machines[m as usize].name.clone();
                 self.log(Event::TaskFailed { task: format!("{name}/{}", id.1), machine });
                 if !suspect {
                     self.attribute_failure(m, id.0);
@@ -482,12 +447,12 @@
     pub(crate) fn settle(&mut self, now: Timestamp) {
         let limit = self.site.worker_lease + self.tunables.settle_margin;
         let mut late = Vec::new();
-        for m in &self.machines {
+        for m in &self.cluster.machines {
             if m.tasks.is_empty() || now.since(m.last_heartbeat) < self.site.heartbeat_interval {
                 continue;
             }
             for &id in &m.tasks {
-                if let Some(job) = self.job(id.0) {
+                if let Some(job) = self.cluster.job(id.0) {
                     let t = &job.tasks[id.1 as usize];
                     if t.phase == TaskPhase::Dispatching
                         && t.token != 0
@@ -499,8 +464,8 @@
             }
         }
         for id in late {
-            if self.step(now, id, TaskEvent::ConfirmationExpired) {
-                let Some(job) = self.job(id.0) else { continue };
+            if self.cluster.apply(now, id, TaskEvent::ConfirmationExpired) {
+                let Some(job) = self.cluster.job(id.0) else { continue };
                 let task = format!("{}/{}", job.name, id.1);
                 self.log(Event::StartUnconfirmed { task });
             }
@@ -509,34 +474,34 @@
 
     /// The machine and all that was on it are certainly gone.
     pub fn machine_gone(&mut self, now: Timestamp, name: &str) {
-        let Some(&m) = self.by_name.get(name) else { return };
-        let machine = &mut self.machines[m as usize];
+        let Some(&m) = self.cluster.machines_by_name.get(name) else { return };
+        let machine = &mut self.cluster.machines[m as usize];
         if machine.state == MachineState::Terminated {
             return;
         }
         machine.state = MachineState::Terminated;
         machine.outbox.clear();
-        self.invalidate_cached_heartbeat(m);
-        self.conflicting_replicas.retain(|_, on| *on != m);
-        self.gone.push_back((now, m));
+        self.cluster.invalidate_cached_heartbeat(m);
+        self.cluster.conflicting_replicas.retain(|_, on| *on != m);
+        self.cluster.terminated.push_back((now, m));
         // Starts that waited for the next message to it are never sent.
         self.release_starts(now, m, false);
-        let machine = &self.machines[m as usize];
+        let machine = &self.cluster.machines[m as usize];
         let tasks: Vec<TaskId> = machine.tasks.iter().copied().collect();
         self.lost_with_machine(now, &tasks);
-        self.dirty = true;
+        self.cluster.placement_needed = true;
     }
 
     /// The tasks' machine has certainly stopped, and they with it.
     pub(crate) fn lost_with_machine(&mut self, now: Timestamp, tasks: &[TaskId]) {
         for &id in tasks {
-            let unsent = self.job(id.0).is_some_and(|j| {
+            let unsent = self.cluster.job(id.0).is_some_and(|j| {
                 let t = &j.tasks[id.1 as usize];
                 t.phase == TaskPhase::Dispatching && t.token == 0
             });
             // An unsent start is settled by the answer to its own write.
             if !unsent {
-                self.step(now, id, TaskEvent::ProvenAbsent);
+                self.cluster.apply(now, id, TaskEvent::ProvenAbsent);
             }
         }
     }
--- a/crates/scheduler/src/reconciliation/repeated_heartbeats.rs
+++ b/crates/scheduler/src/reconciliation/repeated_heartbeats.rs
@@ -55,8 +55,8 @@
 /// What a machine keeps of its last settled report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct CacheRecord {
-    number: u64,
-    holder: CacheHolder,
+    pub(crate) number: u64,
+    pub(crate) holder: CacheHolder,
     /// From then on time alone gives the heartbeat a meaning: a task has run for long enough to count
     /// as begun.
     until: Timestamp,
@@ -71,8 +71,8 @@
         heartbeat: &Heartbeat,
         holder: CacheHolder,
     ) -> Option<CachedHeartbeat> {
-        let &machine = self.by_name.get(&heartbeat.machine)?;
-        let known = &self.machines[machine as usize];
+        let &machine = self.cluster.machines_by_name.get(&heartbeat.machine)?;
+        let known = &self.cluster.machines[machine as usize];
         let is_newest =
             (heartbeat.agent_epoch, heartbeat.sequence) == (known.agent_epoch, known.sequence);
         // The answer raises no token, and the machine owes none.
@@ -102,10 +102,11 @@
         if reported != known.tasks || until <= now {
             return None;
         }
-        self.invalidate_cached_heartbeat(machine);
-        self.last_cached_number += 1;
-        let number = self.last_cached_number;
-        self.machines[machine as usize].cached = Some(CacheRecord { number, holder, until });
+        self.cluster.invalidate_cached_heartbeat(machine);
+        self.cluster.last_cached_number += 1;
+        let number = self.cluster.last_cached_number;
+        self.cluster.machines[machine as usize].cached =
+            Some(CacheRecord { number, holder, until });
         Some(CachedHeartbeat { term: self.term, machine, number })
     }
 
@@ -116,8 +117,8 @@
         entry: &TaskStatus,
     ) -> Option<(TaskId, Timestamp)> {
         let (name, index) = protocol::workers::parse_task_id(&entry.task)?;
-        let &job_index = self.jobs_by_name.get(name)?;
-        let job = self.job(job_index)?;
+        let &job_index = self.cluster.jobs_by_name.get(name)?;
+        let job = self.cluster.job(job_index)?;
         let task = job.tasks.get(index as usize)?;
         let as_known = task.phase == TaskPhase::Running
             && task.machine == machine
@@ -137,7 +138,7 @@
 
     /// For how long repetitions of the settled report mean nothing, if nothing happens.
     pub fn cached_for(&self, now: Timestamp, cached: CachedHeartbeat) -> TimeDelta {
-        let machine = self.machines.get(cached.machine as usize);
+        let machine = self.cluster.machines.get(cached.machine as usize);
         let known = machine.and_then(|m| m.cached).filter(|s| s.number == cached.number);
         known.map_or(TimeDelta::ZERO, |s| s.until.since(now))
     }
@@ -153,7 +154,7 @@
         if !self.may_renew_leases(now) || !self.record_repeated_heartbeat(now, cached, sequence) {
             return None;
         }
-        let machine = self.machines.get(cached.machine as usize)?;
+        let machine = self.cluster.machines.get(cached.machine as usize)?;
         Some(machine.token(self.term))
     }
 
@@ -167,7 +168,9 @@
         if cached.term != self.term {
             return false;
         }
-        let Some(machine) = self.machines.get_mut(cached.machine as usize) else { return false };
+        let Some(machine) = self.cluster.machines.get_mut(cached.machine as usize) else {
+            return false;
+        };
         let holds = machine.cached.is_some_and(|s| s.number == cached.number && now < s.until);
         if !holds || sequence <= machine.sequence {
             return false;
@@ -176,22 +179,4 @@
         machine.last_heartbeat = now;
         true
     }
-
-    /// A repetition of the machine's last heartbeat may mean something from now on. The only place where
-    /// a mark ends, so that its holder is always told.
-    pub(crate) fn invalidate_cached_heartbeat(&mut self, machine: MachineIndex) {
-        let known = self.machines.get_mut(machine as usize);
-        let Some(CacheRecord { number, holder, .. }) = known.and_then(|m| m.cached.take()) else {
-            return;
-        };
-        if holder != OWN_NODE {
-            let cached = CachedHeartbeat { term: self.term, machine, number };
-            self.invalidated.push(Invalidated { holder, cached });
-        }
-    }
-
-    /// The marks of other holders that ended since this was asked last, in their order.
-    pub fn take_invalidated(&mut self) -> Vec<Invalidated> {
-        std::mem::take(&mut self.invalidated)
-    }
 }
--- a/crates/scheduler/src/storage/records.rs
+++ b/crates/scheduler/src/storage/records.rs
@@ -75,7 +75,7 @@
     /// Adds a job from its stored description. `accepted` is its acceptance on this node's clock.
     /// Returns whether the record could be read.
     pub fn add_job(&mut self, now: Timestamp, name: &str, value: &Value, wall_us: u64) -> bool {
-        if self.jobs_by_name.contains_key(name) {
+        if self.cluster.jobs_by_name.contains_key(name) {
             return true;
         }
         let spec = serde_json::from_value::<JobSpec>(value["spec"].clone());
@@ -94,15 +94,15 @@
         let age = TimeDelta(wall_us.saturating_sub(at));
         let accepted = now - age;
         if spec.dependencies.is_empty() {
-            self.learn_size(&spec, now, accepted);
+            self.run_times.learn_size(&spec, now, accepted);
         }
-        let class = self.fair_share.shares.job_came(&spec.team, &spec.class);
+        let class = self.cluster.shares.job_came(&spec.team, &spec.class);
         let job = Job::new(now, name, spec, accepted, chunk_size, class);
-        let ix = self.next_job;
-        self.next_job += 1;
-        self.jobs.insert(ix, job);
-        self.jobs_by_name.insert(name.to_owned(), ix);
-        self.dirty = true;
+        let ix = self.cluster.next_job;
+        self.cluster.next_job += 1;
+        self.cluster.jobs.insert(ix, job);
+        self.cluster.jobs_by_name.insert(name.to_owned(), ix);
+        self.cluster.placement_needed = true;
         self.add_dependencies(now, ix);
         true
     }
@@ -143,9 +143,9 @@
         newest: &mut BTreeMap<TaskId, &'a Value>,
     ) -> Option<()> {
         let (name, chunk, from) = keys::split_run(&key_value.key)?;
-        let ix = *self.jobs_by_name.get(name)?;
+        let ix = *self.cluster.jobs_by_name.get(name)?;
         let records = key_value.value["t"].as_array()?;
-        let job = self.jobs.get_mut(&ix)?;
+        let job = self.cluster.jobs.get_mut(&ix)?;
         let state = job.chunks.get_mut(chunk)?;
         let base = chunk as u32 * job.chunk_size;
         let first = match from {
@@ -167,7 +167,7 @@
     }
 
     fn load_records(&mut self, now: Timestamp, ix: JobIndex, records: &[(u32, &Value)]) {
-        let Some(job) = self.jobs.get_mut(&ix) else { return };
+        let Some(job) = self.cluster.jobs.get_mut(&ix) else { return };
         let mut placed = Vec::new();
         for &(index, record) in records {
             let Some(task) = job.tasks.get_mut(index as usize) else { break };
@@ -192,29 +192,29 @@
                 // Sent under an older term, so with a token below all of this one's. Only a worker
                 // that has seen this term refuses it for certain; a lower bar would take a heartbeat
                 // from before the old start's arrival for proof.
-                task.token = self.loaded_token;
+                task.token = self.cluster.loaded_token;
                 placed.push((index, machine.to_owned()));
             }
         }
         for (index, machine) in placed {
-            let m = self.machine_named(now, &machine);
-            self.attach((ix, index), m);
-            if let Some(image) = self.job(ix).map(|j| j.spec.image.clone()) {
-                self.has_image(m, image);
+            let m = self.cluster.machine_named(now, &machine);
+            self.cluster.attach((ix, index), m);
+            if let Some(image) = self.cluster.job(ix).map(|j| j.spec.image.clone()) {
+                self.cluster.has_image(m, image);
             }
         }
     }
 
     /// The stored form of the job's tasks from one up to another.
     pub(crate) fn records(&self, ix: JobIndex, from: u32, to: u32) -> Document {
-        let Some(job) = self.jobs.get(&ix) else { return Document::new(&()) };
+        let Some(job) = self.cluster.jobs.get(&ix) else { return Document::new(&()) };
         let record = |task: &Task| match task.phase {
             TaskPhase::Pending if task.attempt == 1 => TaskRecord::Untouched(0),
             TaskPhase::Pending | TaskPhase::Done => {
                 TaskRecord::Off(task.phase.code(), task.attempt)
             }
             phase => {
-                let name = &self.machines[task.machine as usize].name;
+                let name = &self.cluster.machines[task.machine as usize].name;
                 let placed = task.placed_at.since(job.accepted).0 / PLACED_UNIT.0;
                 TaskRecord::Placed(phase.code(), task.attempt, name, task.agent_epoch, placed)
             }
--- a/crates/scheduler/src/storage/transactions.rs
+++ b/crates/scheduler/src/storage/transactions.rs
@@ -1,7 +1,11 @@
 //! Rounds: what was decided is written before anything is sent, and sent once it is written.
 
 use crate::command::{Command, TransactionOutcome};
-use crate::event::{Event, JobDone};
+use std::collections::BTreeMap;
+
+use serde_json::Value;
+
+use crate::event::{Event, JobDone, WriteCounts};
 use crate::model::job::{JobIndex, TaskId};
 use crate::model::job_spec::JobEnd;
 use crate::model::job_state::JobEvent;
@@ -13,7 +17,6 @@
 use crate::storage::document::Document;
 use crate::storage::keys;
 use crate::time::{TimeDelta, Timestamp};
-use serde_json::Value;
 
 const MAX_TRANSACTION_BYTES: usize = 40 * 1024;
 /// The part of the write allowance that unpersisted_since and clean-up leave to starts and ends.
@@ -82,6 +85,71 @@
     }
 }
 
+/// What the key-value store takes at once.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct Limits {
+    pub(crate) value_bytes: usize,
+    pub(crate) txn_ops: usize,
+}
+
+/// The transactions whose outcome is open, and what may be written beside them.
+pub(crate) struct Transactions {
+    pub(crate) in_flight: BTreeMap<u64, InFlightTransaction>,
+    pub(crate) next_id: u64,
+    /// The store refused the last write: nothing is decided until it answers again.
+    pub(crate) paused_until: Timestamp,
+    /// The largest value and the most operations of a transaction that the store takes now, as far as
+    /// is known.
+    pub(crate) limits: Limits,
+    /// Operations that the write rate has room for now, and at most; `None`: any.
+    allowance: Option<(f64, f64)>,
+    /// Chunks with planned starts that are not on their way to the store.
+    pub(crate) planned_chunks: usize,
+    pub(crate) counts: WriteCounts,
+}
+
+impl Transactions {
+    /// With nothing in flight.
+    pub(crate) fn new(limits: Limits) -> Transactions {
+        Transactions {
+            in_flight: BTreeMap::new(),
+            next_id: 1,
+            paused_until: Timestamp(0),
+            limits,
+            allowance: None,
+            planned_chunks: 0,
+            counts: WriteCounts::default(),
+        }
+    }
+
+    /// Tells what the key-value store takes at once; it may become less at any time.
+    pub fn set_limits(&mut self, value_bytes: usize, txn_ops: usize) {
+        self.limits = Limits { value_bytes, txn_ops: txn_ops.max(1) };
+    }
+
+    /// Tells how many changes the write rate has room for now, of how many at most. What is decided
+    /// beyond that waits here, where the most urgent goes first, and not in front of the service.
+    pub fn set_write_allowance(&mut self, left: f64, most: f64) {
+        self.allowance = Some((left, most));
+    }
+
+    /// Changes that may be written now, keeping the given part of the most for what is more urgent.
+    pub(crate) fn write_allowance(&self, keep: f64) -> usize {
+        self.allowance.map_or(usize::MAX, |(left, most)| (left - keep * most).max(0.0) as usize)
+    }
+
+    /// Changes that the write rate has room for in a second; `None`: any.
+    pub(crate) fn writes_per_second(&self) -> Option<f64> {
+        self.allowance.map(|(_, most)| most.max(1.0))
+    }
+
+    pub(crate) fn spend_writes(&mut self, n: usize) {
+        if let Some((left, _)) = &mut self.allowance {
+            *left -= n as f64;
+        }
+    }
+}
+
 /// Tasks in one part of a chunk: few enough for the longest records.
 fn part_size(value_bytes: usize) -> u32 {
     (value_bytes.saturating_sub(96) / 64).clamp(1, 200) as u32
@@ -92,31 +160,32 @@
     pub fn tick(&mut self, now: Timestamp) {
         let due: Vec<u64> = self
             .transactions
+            .in_flight
             .iter()
             .filter(|(_, t)| t.retry_at.is_some_and(|at| now >= at))
             .map(|(&id, _)| id)
             .collect();
         for id in due {
-            if let Some(t) = self.transactions.get_mut(&id) {
+            if let Some(t) = self.transactions.in_flight.get_mut(&id) {
                 t.retry_at = None;
                 let transaction = t.batch.transaction.clone();
                 self.out.push(Command::Commit { id, transaction });
             }
         }
-        let sweep = now.since(self.last_sweep) >= SWEEP_EVERY;
+        let sweep = now.since(self.messages.last_sweep) >= SWEEP_EVERY;
         if sweep {
-            self.last_sweep = now;
+            self.messages.last_sweep = now;
             self.settle(now);
         }
         if self.holds_lease
-            && now >= self.writes_paused_until
+            && now >= self.transactions.paused_until
             && now.since(self.last_round) >= self.tunables.round_every
-            && self.transactions.len() < self.tunables.txns_in_flight as usize
-            && self.write_allowance(0.0) >= 1
+            && self.transactions.in_flight.len() < self.tunables.txns_in_flight as usize
+            && self.transactions.write_allowance(0.0) >= 1
         {
             self.last_round = now;
-            if self.dirty && !self.waits_for_writes() {
-                self.dirty = false;
+            if self.cluster.placement_needed && !self.waits_for_writes() {
+                self.cluster.placement_needed = false;
                 self.place(now);
             }
             self.write_round(now);
@@ -130,7 +199,7 @@
     /// clean-up once went out beside the starts: at 20 changes a second they took most of it, and a
     /// start or an acceptance waited whole seconds.)
     fn write_round(&mut self, now: Timestamp) {
-        let ops = self.limits.txn_ops;
+        let ops = self.transactions.limits.txn_ops;
         let most = self.tunables.txns_in_flight as usize;
         let mut starts: Vec<(
             std::cmp::Reverse<crate::model::job_spec::Priority>,
@@ -141,7 +210,7 @@
         let mut ends: Vec<JobIndex> = Vec::new();
         let mut background: Vec<(Timestamp, JobIndex, usize)> = Vec::new();
         let mut ended: Vec<JobIndex> = Vec::new();
-        for (&ix, job) in &self.jobs {
+        for (&ix, job) in &self.cluster.jobs {
             if job.is_ended() {
                 ended.push(ix);
                 continue;
@@ -173,17 +242,17 @@
         self.write_all_ends(&ends, JobEnd::Done);
         starts.sort_unstable();
         let mut starts = starts.into_iter().peekable();
-        self.planned_chunks = starts.len();
+        self.transactions.planned_chunks = starts.len();
         while starts.peek().is_some() {
-            let room = self.write_allowance(0.0).min(ops);
-            if self.transactions.len() >= most || room == 0 {
-                self.dirty = true;
+            let room = self.transactions.write_allowance(0.0).min(ops);
+            if self.transactions.in_flight.len() >= most || room == 0 {
+                self.cluster.placement_needed = true;
                 break;
             }
             let mut batch = Batch::default();
             while !batch.full(room) {
                 let Some((_, _, ix, chunk)) = starts.next() else { break };
-                self.planned_chunks -= 1;
+                self.transactions.planned_chunks -= 1;
                 self.add_chunk(&mut batch, ix, chunk, room);
             }
             self.commit(batch);
@@ -195,9 +264,9 @@
         let limit = TimeDelta(self.tunables.evidence_delay.0.saturating_mul(OVERDUE_STATUS_WRITE));
         let overdue = background.first().is_some_and(|l| now.since(l.0) > limit);
         let keep = if overdue { 0.0 } else { KEEP_FOR_STARTS };
-        let room = self.write_allowance(keep).min(ops);
-        let background_in_flight = self.transactions.values().any(|t| t.batch.background);
-        if room == 0 || background_in_flight || self.transactions.len() >= most {
+        let room = self.transactions.write_allowance(keep).min(ops);
+        let background_in_flight = self.transactions.in_flight.values().any(|t| t.batch.background);
+        if room == 0 || background_in_flight || self.transactions.in_flight.len() >= most {
             return;
         }
         let mut batch = Batch { background: true, ..Batch::default() };
@@ -217,7 +286,7 @@
     }
 
     pub(crate) fn nonce(&self) -> String {
-        format!("{}-{}", self.term, self.next_id)
+        format!("{}-{}", self.term, self.transactions.next_id)
     }
 
     /// Adds what changed of a chunk. The chunk is written whole where it is small enough a value. One
@@ -227,20 +296,20 @@
     /// them takes, of each task, the one that was written last. So it makes no difference which
     /// parts were written before a leader ended.
     fn add_chunk(&mut self, batch: &mut Batch, ix: JobIndex, chunk: usize, room: usize) {
-        let Some(job) = self.jobs.get(&ix) else { return };
+        let Some(job) = self.cluster.jobs.get(&ix) else { return };
         let base = chunk as u32 * job.chunk_size;
         let end = base.saturating_add(job.chunk_size).min(job.spec.tasks);
         let value = self.records(ix, base, end);
-        if value.size() <= self.limits.value_bytes {
+        if value.size() <= self.transactions.limits.value_bytes {
             self.add_records(batch, ix, chunk, None, value, base..end);
         } else {
-            let size = part_size(self.limits.value_bytes);
+            let size = part_size(self.transactions.limits.value_bytes);
             // By the start of their window, counted from the chunk's: the same windows each time.
             let windows: std::collections::BTreeSet<u32> =
                 job.changed.range(base..end).map(|i| i - (i - base) % size).collect();
             if windows.is_empty() {
                 // All of it is written: nothing to wait for an answer to.
-                let state = self.jobs.get_mut(&ix).and_then(|j| j.chunks.get_mut(chunk));
+                let state = self.cluster.jobs.get_mut(&ix).and_then(|j| j.chunks.get_mut(chunk));
                 if let Some(state) = state {
                     (state.start_due, state.unpersisted_since) = (None, None);
                 }
@@ -261,7 +330,7 @@
 
     /// The chunk has something in the batch; whether that is all that it has to write.
     fn mark_chunk_in_flight(&mut self, batch: &mut Batch, ix: JobIndex, chunk: usize, all: bool) {
-        if let Some(state) = self.jobs.get_mut(&ix).and_then(|j| j.chunks.get_mut(chunk)) {
+        if let Some(state) = self.cluster.jobs.get_mut(&ix).and_then(|j| j.chunks.get_mut(chunk)) {
             state.in_flight = true;
             if all {
                 state.start_due = None;
@@ -280,7 +349,7 @@
         value: Document,
         tasks: std::ops::Range<u32>,
     ) {
-        let Some(job) = self.jobs.get_mut(&ix) else { return };
+        let Some(job) = self.cluster.jobs.get_mut(&ix) else { return };
         for index in tasks {
             let task = &job.tasks[index as usize];
             if task.phase == TaskPhase::Done && !job.recorded.contains(index) {
@@ -295,8 +364,8 @@
         }
         let state = &job.chunks[chunk];
         match state.start_due {
-            Some(_) => self.write_counts.starts += 1,
-            None => self.write_counts.task_states += 1,
+            Some(_) => self.transactions.counts.starts += 1,
+            None => self.transactions.counts.task_states += 1,
         }
         let mut compare = |key: String, revision| {
             if !batch.transaction.compares.iter().any(|g| g.key == key) {
@@ -326,10 +395,10 @@
             return;
         }
         let nonce = self.nonce();
-        let id = self.next_id;
-        self.next_id += 1;
+        let id = self.transactions.next_id;
+        self.transactions.next_id += 1;
         let mut batch = batch;
-        self.spend_writes(batch.transaction.operations.len());
+        self.transactions.spend_writes(batch.transaction.operations.len());
         batch
             .transaction
             .compares
@@ -337,18 +406,20 @@
         self.out.push(Command::Commit { id, transaction: batch.transaction.clone() });
         let (retry_at, indeterminate, too_large) = (None, false, false);
         self.transactions
+            .in_flight
             .insert(id, InFlightTransaction { batch, nonce, retry_at, indeterminate, too_large });
     }
 
     /// Writes the jobs' ends, as many as may be written now.
     fn write_all_ends(&mut self, jobs: &[JobIndex], end: JobEnd) {
         let open = |ix: &&JobIndex| {
-            self.job(**ix).is_some_and(|j| !j.state().is_writing_end() && !j.is_ended())
+            self.cluster.job(**ix).is_some_and(|j| !j.state().is_writing_end() && !j.is_ended())
         };
         let jobs: Vec<JobIndex> = jobs.iter().filter(open).copied().collect();
-        for some in jobs.chunks(self.limits.txn_ops) {
-            let room = self.write_allowance(0.0).min(some.len());
-            if self.transactions.len() < self.tunables.txns_in_flight as usize && room > 0 {
+        for some in jobs.chunks(self.transactions.limits.txn_ops) {
+            let room = self.transactions.write_allowance(0.0).min(some.len());
+            if self.transactions.in_flight.len() < self.tunables.txns_in_flight as usize && room > 0
+            {
                 self.write_ends(&some[..room], end);
             }
         }
@@ -359,21 +430,21 @@
     fn write_ends(&mut self, jobs: &[JobIndex], end: JobEnd) {
         let mut batch = Batch::default();
         for &ix in jobs {
-            let Some(job) = self.jobs.get_mut(&ix) else { continue };
+            let Some(job) = self.cluster.jobs.get_mut(&ix) else { continue };
             job.apply(JobEvent::EndWriteStarted);
             let key = keys::end(&job.name);
             batch.transaction.compares.push(Compare { key: key.clone(), revision: 0 });
             batch.transaction.operations.push(Operation::put(key, end));
             batch.ends.push((ix, end));
         }
-        self.write_counts.job_ends += batch.ends.len();
+        self.transactions.counts.job_ends += batch.ends.len();
         self.commit(batch);
     }
 
     /// Drops the records of a job that is over, once nothing of it can be anywhere. The
     /// description goes last, so that a chunk never outlives it.
     fn clean_up_records(&mut self, batch: &mut Batch, ix: JobIndex, most: usize) {
-        let Some(job) = self.jobs.get_mut(&ix) else { return };
+        let Some(job) = self.cluster.jobs.get_mut(&ix) else { return };
         if !job.may_delete_records() || job.placed > 0 || job.chunks.iter().any(|c| c.in_flight) {
             return;
         }
@@ -399,15 +470,15 @@
         if last {
             let key = keys::description(&job.name, !job.spec.dependencies.is_empty());
             batch.transaction.operations.push(Operation::delete(key));
-            self.write_counts.jobs_deleted += 1;
+            self.transactions.counts.jobs_deleted += 1;
         }
         batch.cleanups.push(RecordCleanup { job: ix, last, parts });
-        self.write_counts.deletes += batch.transaction.operations.len() - before;
+        self.transactions.counts.deletes += batch.transaction.operations.len() - before;
     }
 
     /// The answer to a [`Command::Commit`].
     pub fn transaction_answered(&mut self, now: Timestamp, id: u64, outcome: TransactionOutcome) {
-        let Some(mut pending) = self.transactions.remove(&id) else { return };
+        let Some(mut pending) = self.transactions.in_flight.remove(&id) else { return };
         match outcome {
             TransactionOutcome::Committed { revision } => {
                 self.committed(now, pending.batch, revision)
@@ -417,14 +488,14 @@
                 // guards settles it: only one of the copies can ever take effect.
                 pending.indeterminate = true;
                 pending.retry_at = Some(now + TimeDelta::from_millis(250));
-                self.transactions.insert(id, pending);
+                self.transactions.in_flight.insert(id, pending);
             }
             TransactionOutcome::Rejected if pending.indeterminate => {
                 pending.retry_at = Some(now + TimeDelta::from_millis(500));
-                self.transactions.insert(id, pending);
+                self.transactions.in_flight.insert(id, pending);
             }
             TransactionOutcome::Rejected => {
-                self.writes_paused_until = now + TimeDelta::from_millis(300);
+                self.transactions.paused_until = now + TimeDelta::from_millis(300);
                 self.failed(now, pending.batch);
             }
             TransactionOutcome::TooLarge => {
@@ -441,7 +512,7 @@
                     Some(key) if pending.indeterminate => {
                         pending.too_large = true;
                         self.out.push(Command::Read { id, key });
-                        self.transactions.insert(id, pending);
+                        self.transactions.in_flight.insert(id, pending);
                     }
                     // An end or a clean-up that took effect unheard is met by its next try.
                     _ => self.failed(now, pending.batch),
@@ -466,7 +537,7 @@
                             self.job_ended_unknown_how(now, &name);
                         }
                         self.out.push(Command::Read { id, key });
-                        self.transactions.insert(id, pending);
+                        self.transactions.in_flight.insert(id, pending);
                     }
                     None => {
                         for name in &ended {
@@ -481,12 +552,12 @@
 
     /// The answer to a [`Command::Read`]: the value and mark (0: no such key), or nothing.
     pub fn read_answered(&mut self, now: Timestamp, id: u64, answer: Option<(Value, u64)>) {
-        let Some(mut pending) = self.transactions.remove(&id) else { return };
+        let Some(mut pending) = self.transactions.in_flight.remove(&id) else { return };
         match answer {
             None => {
                 pending.retry_at = Some(now + TimeDelta::from_millis(500));
                 pending.indeterminate = true;
-                self.transactions.insert(id, pending);
+                self.transactions.in_flight.insert(id, pending);
             }
             Some((value, revision)) if value["w"] == pending.nonce.as_str() => {
                 self.committed(now, pending.batch, revision);
@@ -504,14 +575,14 @@
     }
 
     fn committed(&mut self, now: Timestamp, done: Batch, revision: u64) {
-        self.writes_paused_until = Timestamp(0);
+        self.transactions.paused_until = Timestamp(0);
         for &(ix, chunk) in &done.chunks {
-            if let Some(job) = self.jobs.get_mut(&ix) {
+            if let Some(job) = self.cluster.jobs.get_mut(&ix) {
                 job.chunks[chunk].in_flight = false;
             }
         }
         for &(ix, chunk, part) in &done.written {
-            if let Some(job) = self.jobs.get_mut(&ix) {
+            if let Some(job) = self.cluster.jobs.get_mut(&ix) {
                 match part {
                     Some(from) => {
                         job.parts.insert((chunk, from), revision);
@@ -521,7 +592,7 @@
             }
         }
         for &(ix, index) in &done.finishes {
-            if let Some(job) = self.jobs.get_mut(&ix) {
+            if let Some(job) = self.cluster.jobs.get_mut(&ix) {
                 job.recorded.insert(index);
             }
         }
@@ -529,10 +600,10 @@
             self.send_start(id);
         }
         for (ix, end) in done.ends {
-            let Some(name) = self.job(ix).map(|j| j.name.clone()) else { continue };
+            let Some(name) = self.cluster.job(ix).map(|j| j.name.clone()) else { continue };
             if end == JobEnd::Cancelled {
                 self.log(Event::JobCancelledByDependency { job: name.clone() });
-            } else if let Some(job) = self.job(ix) {
+            } else if let Some(job) = self.cluster.job(ix) {
                 let done = JobDone {
                     job: job.name.clone(),
                     class: job.spec.class.clone(),
@@ -549,23 +620,23 @@
         }
         for RecordCleanup { job: ix, last, .. } in done.cleanups {
             if last {
-                if let Some(job) = self.jobs.remove(&ix) {
-                    self.jobs_by_name.remove(&job.name);
-                    self.fair_share.shares.job_gone(job.share_class);
+                if let Some(job) = self.cluster.jobs.remove(&ix) {
+                    self.cluster.jobs_by_name.remove(&job.name);
+                    self.cluster.shares.job_gone(job.share_class);
                 }
-            } else if let Some(job) = self.jobs.get_mut(&ix) {
+            } else if let Some(job) = self.cluster.jobs.get_mut(&ix) {
                 job.apply(JobEvent::DeletionIncomplete);
             }
         }
-        self.dirty = true;
+        self.cluster.placement_needed = true;
     }
 
     /// A written start joins its machine's next message.
     fn send_start(&mut self, id: TaskId) {
-        let Some(job) = self.job(id.0) else { return };
+        let Some(job) = self.cluster.job(id.0) else { return };
         let task = job.tasks[id.1 as usize];
         if task.phase == TaskPhase::Dispatching && task.token == 0 {
-            self.machines[task.machine as usize].starting.push(id);
+            self.cluster.machines[task.machine as usize].starting.push(id);
             self.enqueue_send(task.machine);
         }
     }
@@ -579,7 +650,7 @@
         m: MachineIndex,
         sending: bool,
     ) -> (Vec<(TaskId, u32)>, Vec<WorkerCommand>) {
-        let machine = &self.machines[m as usize];
+        let machine = &self.cluster.machines[m as usize];
         let open = machine.state == MachineState::Up
             && machine.interruption_at.is_none()
             && machine.drain_reason.is_none();
@@ -588,30 +659,32 @@
         }
         let (token, agent_epoch) = (machine.token(self.term), machine.agent_epoch);
         let (mut ids, mut calls, mut wait) = (Vec::new(), Vec::new(), Vec::new());
-        for id in std::mem::take(&mut self.machines[m as usize].starting) {
-            let Some(job) = self.job(id.0) else { continue };
+        for id in std::mem::take(&mut self.cluster.machines[m as usize].starting) {
+            let Some(job) = self.cluster.job(id.0) else { continue };
             let task = job.tasks[id.1 as usize];
             if task.phase != TaskPhase::Dispatching || task.token != 0 || task.machine != m {
                 continue;
             }
             if job.is_ended() || !open || task.agent_epoch != agent_epoch {
                 // Recorded, never sent and never to be sent: absent by this registry's own doing.
-                self.step(now, id, TaskEvent::ProvenAbsent);
+                self.cluster.apply(now, id, TaskEvent::ProvenAbsent);
                 continue;
             }
             // One that a machine shows live against the registry is stopped there first.
-            if !self.may_start(now, task.since) || self.conflicting_replicas.contains_key(&id) {
+            if !self.may_start(now, task.since)
+                || self.cluster.conflicting_replicas.contains_key(&id)
+            {
                 wait.push(id);
                 continue;
             }
             let name = format!("{}/{}", job.name, id.1);
             calls.push(WorkerCommand::Run { task: name, attempt: u64::from(task.attempt) });
             ids.push((id, task.attempt));
-            self.step(now, id, TaskEvent::Sent { token });
+            self.cluster.apply(now, id, TaskEvent::Sent { token });
         }
-        self.machines[m as usize].starting = wait;
+        self.cluster.machines[m as usize].starting = wait;
         if !ids.is_empty() {
-            let machine = &mut self.machines[m as usize];
+            let machine = &mut self.cluster.machines[m as usize];
             machine.start_token = machine.start_token.max(token);
         }
         (ids, calls)
@@ -620,26 +693,26 @@
     /// The transaction certainly had no effect: what it would have started is pending again.
     fn failed(&mut self, now: Timestamp, failed: Batch) {
         for &(ix, chunk) in &failed.chunks {
-            if let Some(job) = self.jobs.get_mut(&ix) {
+            if let Some(job) = self.cluster.jobs.get_mut(&ix) {
                 job.chunks[chunk].in_flight = false;
                 job.chunks[chunk].unpersisted_since.get_or_insert(now);
             }
         }
         for &(ix, index) in &failed.changed {
-            if let Some(job) = self.jobs.get_mut(&ix) {
+            if let Some(job) = self.cluster.jobs.get_mut(&ix) {
                 job.changed.insert(index);
             }
         }
         for &id in &failed.starts {
-            self.step(now, id, TaskEvent::Retract);
+            self.cluster.apply(now, id, TaskEvent::Retract);
         }
         for (ix, _) in failed.ends {
-            if let Some(job) = self.jobs.get_mut(&ix) {
+            if let Some(job) = self.cluster.jobs.get_mut(&ix) {
                 job.apply(JobEvent::EndWriteFailed);
             }
         }
         for RecordCleanup { job: ix, parts, .. } in failed.cleanups {
-            if let Some(job) = self.jobs.get_mut(&ix) {
+            if let Some(job) = self.cluster.jobs.get_mut(&ix) {
                 job.apply(JobEvent::DeletionIncomplete);
                 job.parts.extend(parts.into_iter().map(|part| (part, 1)));
                 // Which chunks still exist is not known any more; dropping a key that does not
@@ -649,6 +722,6 @@
                 }
             }
         }
-        self.dirty = true;
+        self.cluster.placement_needed = true;
     }
 }
--- a/crates/scheduler/tests/autoscaling.rs
+++ b/crates/scheduler/tests/autoscaling.rs
@@ -54,8 +54,8 @@
 fn a_take_over_asks_the_machines_it_was_told_of() {
     let mut w = World::new(&[("n-1", "a")]);
     w.take_over();
-    w.leader.hint_address(w.now, "n-1", "10.0.0.1:1");
-    w.leader.hint_address(w.now, "n-gone", "10.0.0.9:1");
+    w.leader.cluster.hint_address(w.now, "n-1", "10.0.0.1:1");
+    w.leader.cluster.hint_address(w.now, "n-gone", "10.0.0.9:1");
     w.submit(JOB, &spec(1));
     w.settle();
     assert_eq!(w.places().len(), 1, "placed before any report came");
@@ -168,7 +168,7 @@
     let mut w = World::new(&machines);
     w.submit("req-000001", &JobSpec { cpus: 8.0, ..spec(300) });
     w.tick();
-    assert_eq!(w.leader.machines_examined, 2_060, "one look for 300 tasks");
+    assert_eq!(w.leader.examined.machines, 2_060, "one look for 300 tasks");
     w.settle();
     assert_eq!(w.places().len(), 300);
     w.submit("req-000002", &JobSpec { cpus: 8.0, ..spec(1_760) });
@@ -177,16 +177,16 @@
     for i in 10..70 {
         w.submit(&format!("req-0000{i}"), &spec(300));
     }
-    let before = w.leader.machines_examined;
-    w.leader.dirty = true;
+    let before = w.leader.examined.machines;
+    w.leader.cluster.placement_needed = true;
     w.tick();
-    assert_eq!(w.leader.machines_examined - before, 0, "60 jobs wait and no machine has room");
+    assert_eq!(w.leader.examined.machines - before, 0, "60 jobs wait and no machine has room");
     // One machine has room: it alone is looked at, until it is full.
     w.finish("n-0007", &w.places().into_iter().find(|p| p.1[0] == "n-0007").expect("task").0);
     w.heartbeat("n-0007");
-    let before = w.leader.machines_examined;
+    let before = w.leader.examined.machines;
     w.tick();
-    assert_eq!(w.leader.machines_examined - before, 1);
+    assert_eq!(w.leader.examined.machines - before, 1);
 }
 
 /// A failover asks the whole fleet, a part at a time: sockets and processor are for starts and for
@@ -198,10 +198,11 @@
     let mut w = World::new(&machines);
     w.take_over();
     for name in &names {
-        w.leader.hint_address(w.now, name, "10.0.0.1:1");
+        w.leader.cluster.hint_address(w.now, name, "10.0.0.1:1");
     }
     let mut rounds = 0;
-    let seen = |w: &World| w.leader.machines.iter().filter(|m| m.acknowledged_token > 0).count();
+    let seen =
+        |w: &World| w.leader.cluster.machines.iter().filter(|m| m.acknowledged_token > 0).count();
     while seen(&w) < 2_060 {
         rounds += 1;
         assert!(rounds < 90, "{} of 2,060 asked after 90 rounds", seen(&w));
@@ -354,11 +355,12 @@
         w.wait(1_000);
     }
     // Those of the last ten minutes are remembered, against late heartbeats of them.
-    let table = w.leader.machines.len();
+    let table = w.leader.cluster.machines.len();
     assert!((500..700).contains(&table), "{table}");
-    assert_eq!(w.leader.by_name.len(), table);
+    assert_eq!(w.leader.cluster.machines_by_name.len(), table);
     assert!(
-        w.leader.by_name.contains_key("x-002999") && !w.leader.by_name.contains_key("x-000001")
+        w.leader.cluster.machines_by_name.contains_key("x-002999")
+            && !w.leader.cluster.machines_by_name.contains_key("x-000001")
     );
 }
 
@@ -450,13 +452,13 @@
         w.finish(&machine, &task);
     }
     keep_running(&mut w, 8);
-    let ix = w.leader.jobs_by_name[JOB];
-    let job = w.leader.job(ix).expect("the job");
+    let ix = w.leader.cluster.jobs_by_name[JOB];
+    let job = w.leader.cluster.job(ix).expect("the job");
     let ran = job.run_times.0 / f64::from(job.run_times.1.max(1));
     assert_eq!(job.run_times.1, 3);
     assert!((75.0..100.0).contains(&ran), "ran {ran} s");
     assert!(
-        w.leader.machines.iter().all(|m| m.drain_reason != Some(DrainReason::Slow)),
+        w.leader.cluster.machines.iter().all(|m| m.drain_reason != Some(DrainReason::Slow)),
         "none is slow"
     );
 }
@@ -468,8 +470,8 @@
         let quick = Objective::Wait { class: "quick".into(), within: TimeDelta::from_secs(3) };
         let site = Site { objectives: vec![quick], ..site() };
         let mut w = World::of(site, &[("n-1", "a"), ("n-2", "a")]);
-        w.leader.set_types(vec![MachineType { price, ..types().remove(0) }]);
-        w.leader.machines[0].spot = true;
+        w.leader.cluster.set_types(vec![MachineType { price, ..types().remove(0) }]);
+        w.leader.cluster.machines[0].spot = true;
         w.submit("req-000001", &spec(1));
         w.submit("req-000002", &JobSpec { class: "quick".into(), ..spec(1) });
         w.settle();
@@ -546,6 +548,7 @@
     }
     let drained: Vec<&str> = w
         .leader
+        .cluster
         .machines
         .iter()
         .filter(|m| m.drain_reason == Some(DrainReason::FailsTasks))
@@ -554,7 +557,7 @@
     assert_eq!(drained, ["n-0", "n-1", "n-2"]);
     // Four at a time on each, for two jobs and perhaps one more that was placed meanwhile.
     assert!(failures <= 3 * 12, "{failures}");
-    assert!(w.leader.open_jobs().is_empty(), "all are done");
+    assert!(w.leader.cluster.open_jobs().is_empty(), "all are done");
 }
 
 /// After a partly filled request an offer was closed for up to 64 s, also for what was given back since.
--- a/crates/scheduler/tests/cancellations.rs
+++ b/crates/scheduler/tests/cancellations.rs
@@ -480,7 +480,7 @@
     let worker = w.workers.get_mut("n-1").expect("worker");
     let overtaken = worker.heartbeat();
     let newer = worker.heartbeat();
-    let m = w.leader.by_name["n-1"];
+    let m = w.leader.cluster.machines_by_name["n-1"];
     w.leader.message_answered(
         w.now,
         m,
--- a/crates/scheduler/tests/dependencies.rs
+++ b/crates/scheduler/tests/dependencies.rs
@@ -231,7 +231,8 @@
     w.submit(FIRST, &step);
     w.submit(SECOND, &JobSpec { dependencies: vec![FIRST.into()], ..step.clone() });
     let state = |w: &World| {
-        let job = w.leader.job(w.leader.jobs_by_name[FIRST]).expect("the first step");
+        let job =
+            w.leader.cluster.job(w.leader.cluster.jobs_by_name[FIRST]).expect("the first step");
         (job.priority, w.leader.queue_key(w.now, job).slack)
     };
     let (priority, alone) = state(&w);
@@ -264,7 +265,9 @@
         let dependencies = vec![names[1].into()];
         w.submit(names[2], &JobSpec { priority: Priority::High, dependencies, ..spec(1) });
         let state = |w: &World| {
-            let job = |n: &str| w.leader.job(w.leader.jobs_by_name[n]).cloned().expect("job");
+            let job = |n: &str| {
+                w.leader.cluster.job(w.leader.cluster.jobs_by_name[n]).cloned().expect("job")
+            };
             names.map(|n| (job(n).priority, job(n).effective_deadline.map(|d| d.after_s.round())))
         };
         let before = state(&w);
@@ -345,7 +348,7 @@
     }
     w.submit(&name(600), &JobSpec { priority: Priority::Prod, ..after(&[&name(599)]) });
     assert_eq!(
-        w.leader.job(w.leader.jobs_by_name[&name(0)]).map(|j| j.priority),
+        w.leader.cluster.job(w.leader.cluster.jobs_by_name[&name(0)]).map(|j| j.priority),
         Some(Priority::Prod)
     );
     // Thousands behind one job, and one behind many of them.
--- a/crates/scheduler/tests/fair_share.rs
+++ b/crates/scheduler/tests/fair_share.rs
@@ -87,8 +87,14 @@
     /// leader does what it decides.
     fn pass(&mut self) {
         self.second += 1;
-        let waiting =
-            self.world.leader.jobs.values().filter(|j| !j.is_ended() && j.pending() > 0).count();
+        let waiting = self
+            .world
+            .leader
+            .cluster
+            .jobs
+            .values()
+            .filter(|j| !j.is_ended() && j.pending() > 0)
+            .count();
         let coming = self.flood_a_second.unwrap_or(BACKLOG.saturating_sub(waiting));
         for _ in 0..coming {
             let flood = self.flood.clone();
@@ -189,7 +195,7 @@
             if jobs[at].last().is_none_or(done) {
                 jobs[at].push(overload.submit(&large(class)));
             }
-            let shares = &overload.world.leader.fair_share.shares;
+            let shares = &overload.world.leader.cluster.shares;
             share[at] +=
                 job_of(&overload, jobs[at].last()).map_or(0.0, |class| shares.class_share(class));
         }
@@ -211,7 +217,7 @@
     name: Option<&String>,
 ) -> Option<walnutlug_admission::shares::ClassId> {
     let leader = &overload.world.leader;
-    Some(leader.job(*leader.jobs_by_name.get(name?)?)?.share_class())
+    Some(leader.cluster.job(*leader.cluster.jobs_by_name.get(name?)?)?.share_class())
 }
 
 /// Work that fits, with passing queues, blocked jobs and preemption.
@@ -276,13 +282,15 @@
             }
         }
         overload.pass();
-        let used = |team: &str| overload.world.leader.team_use.get(team).map_or(0.0, |u| u.0);
+        let used = |team: &str| {
+            overload.world.leader.cluster.team_usage.get(team).map_or(0.0, |used| used.cpus)
+        };
         assert!(used("capped") <= 12.0, "{}", used("capped"));
         if second > 40 {
             assert!(
                 used("one") >= 24.0 && used("two") >= 80.0,
                 "{:?}",
-                overload.world.leader.team_use
+                overload.world.leader.cluster.team_usage
             );
             assert!(used("free") >= 10.0, "its floor: {}", used("free"));
         }
@@ -305,7 +313,7 @@
         overload.submit(&absurd);
     }
     (0..20).for_each(|_| overload.pass());
-    assert!(overload.world.leader.fair_share.shares.classes_kept() <= 1_003);
+    assert!(overload.world.leader.cluster.shares.classes_kept() <= 1_003);
     let urgent = overload.submit(&job("two", "fix", Priority::High, 4));
     (0..RUN_S + 3).for_each(|_| overload.pass());
     assert!(overload.started.contains_key(&urgent));
@@ -331,7 +339,7 @@
             }
         }
         world.heartbeat("n-007");
-        let entries = |world: &World| world.leader.machines_examined + world.leader.jobs_examined;
+        let entries = |world: &World| world.leader.examined.machines + world.leader.examined.jobs;
         let before = entries(&world);
         world.tick();
         entries(&world) - before
--- a/crates/scheduler/tests/fleet_size.rs
+++ b/crates/scheduler/tests/fleet_size.rs
@@ -62,12 +62,12 @@
     let names = machine_names();
     let machines: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "a")).collect();
     let mut world = World::new(&machines);
-    let before_jobs = world.leader.machines_examined;
+    let before_jobs = world.leader.examined.machines;
     for index in 0..JOBS {
         world.submit(&job_name(index), &JobSpec { cpus: 2.0, ..spec(TASKS_OF_A_JOB) });
     }
     world.tick();
-    let machines_examined = world.leader.machines_examined - before_jobs;
+    let machines_examined = world.leader.examined.machines - before_jobs;
     assert!(
         machines_examined <= (JOBS * MACHINES) as u64,
         "a job looks at each machine once: {machines_examined}"
@@ -96,13 +96,14 @@
     let mut world = full_fleet();
     world.take_over();
     for name in machine_names() {
-        world.leader.hint_address(world.now, &name, "10.0.0.1:1");
+        world.leader.cluster.hint_address(world.now, &name, "10.0.0.1:1");
     }
     let most_under_way = world.leader.site.most_messages;
     let token = world.token_now();
     let mut messages = 0;
     for round in 0.. {
-        let heard = world.leader.machines.iter().filter(|m| m.acknowledged_token >= token).count();
+        let heard =
+            world.leader.cluster.machines.iter().filter(|m| m.acknowledged_token >= token).count();
         assert!(round < 120, "{heard} are heard after {round} rounds, {messages} messages");
         world.wait(150);
         world.tick();
@@ -122,7 +123,7 @@
                 _ => {}
             }
         }
-        if world.leader.machines.iter().all(|machine| machine.acknowledged_token >= token) {
+        if world.leader.cluster.machines.iter().all(|machine| machine.acknowledged_token >= token) {
             break;
         }
     }
@@ -142,19 +143,20 @@
         }
     }
     assert_eq!(changed.len(), MACHINES);
-    let (looks, written) = (world.leader.send_checks, world.store.store_revision);
+    let (looks, written) = (world.leader.examined.send_checks, world.store.store_revision);
     world.all_report();
     world.tick();
-    let looked = world.leader.send_checks - looks;
+    let looked = world.leader.examined.send_checks - looks;
     assert!(looked <= 3 * MACHINES as u64, "{looked} looks for {MACHINES} reports");
     for _ in 0..10 {
         world.wait(1_000);
         world.settle();
     }
-    let chunks: usize = world.leader.jobs.values().map(|job| job.chunks.len()).sum();
+    let chunks: usize = world.leader.cluster.jobs.values().map(|job| job.chunks.len()).sum();
     let written = (world.store.store_revision - written) as usize;
     assert!(written <= 2 * chunks, "{written} transactions for {chunks} records");
-    let recorded: usize = world.leader.jobs.values().map(|job| job.done as usize).sum::<usize>();
+    let recorded: usize =
+        world.leader.cluster.jobs.values().map(|job| job.done as usize).sum::<usize>();
     assert_eq!(recorded, MACHINES);
 }
 
@@ -179,7 +181,7 @@
         refuse(&mut world);
     }
     assert_eq!(running(&world), 0);
-    let chunks: usize = world.leader.jobs.values().map(|job| job.chunks.len()).sum();
+    let chunks: usize = world.leader.cluster.jobs.values().map(|job| job.chunks.len()).sum();
     let written = world.store.store_revision;
     for _ in 0..60 {
         world.wait(500);
@@ -191,7 +193,7 @@
     let all_done = |job: &walnutlug_scheduler::model::job::Job| {
         job.tasks.iter().all(|task| task.phase == TaskPhase::Done)
     };
-    assert!(world.leader.jobs.values().all(all_done));
+    assert!(world.leader.cluster.jobs.values().all(all_done));
     let written = (world.store.store_revision - written) as usize;
     assert!(written <= 2 * chunks + 2 * JOBS, "{written} transactions for {chunks} records");
 }
--- a/crates/scheduler/tests/golden_bytes.rs
+++ b/crates/scheduler/tests/golden_bytes.rs
@@ -133,7 +133,7 @@
     assert!(keys::described(&key) == Some(JOB), "{kind}: its key");
     let mut world = World::new(&[]);
     assert!(world.leader.add_job(world.now, JOB, &value, ACCEPTED_US), "{kind}: can't be read");
-    let job = world.leader.job(world.leader.jobs_by_name[JOB]).expect("the job");
+    let job = world.leader.cluster.job(world.leader.cluster.jobs_by_name[JOB]).expect("the job");
     assert!(job.spec == *spec, "{kind}: a field was read otherwise");
     assert!(job.chunk_size == 83, "{kind}: chunk size");
     assert!(job.accepted == world.now, "{kind}: time of acceptance");
@@ -150,7 +150,8 @@
         let name = keys::described(&key_value.key).expect("a description");
         let wall = key_value.value["at"].as_u64().expect("a time");
         assert!(world.leader.add_job(world.now, name, &key_value.value, wall), "{}", key_value.key);
-        let job = world.leader.job(world.leader.jobs_by_name[name]).expect("the job");
+        let job =
+            world.leader.cluster.job(world.leader.cluster.jobs_by_name[name]).expect("the job");
         let again = description_record(&job.spec, wall, job.chunk_size);
         assert_eq!(text(&again), text(&key_value.value), "{}", key_value.key);
     }
@@ -177,10 +178,10 @@
 
 /// Every task of a job, field by field, in words of this test.
 fn tasks_as_read(world: &World, name: &str) -> String {
-    let job = world.leader.job(world.leader.jobs_by_name[name]).expect("the job");
+    let job = world.leader.cluster.job(world.leader.cluster.jobs_by_name[name]).expect("the job");
     let line = |task: &walnutlug_scheduler::model::task::Task| {
         let place = match task.phase.placed() {
-            true => world.leader.machines[task.machine as usize].name.as_str(),
+            true => world.leader.cluster.machines[task.machine as usize].name.as_str(),
             false => "nowhere",
         };
         let after = task.placed_at.since(job.accepted).0;
--- a/crates/scheduler/tests/random_interleavings.rs
+++ b/crates/scheduler/tests/random_interleavings.rs
@@ -97,7 +97,7 @@
                 Command::SendToWorker { machine, token, agent_epoch, calls, .. } => {
                     let name = self
                         .scheduler(term)
-                        .map(|s| s.machines[machine as usize].name.clone())
+                        .map(|s| s.cluster.machines[machine as usize].name.clone())
                         .expect("the sender");
                     let direct =
                         Held::Direct { term, waits: true, name, token, agent_epoch, calls };
@@ -176,7 +176,7 @@
                 self.held.push(copy);
                 if waits {
                     if let Some(s) = self.scheduler(term) {
-                        let machine = s.by_name[&name];
+                        let machine = s.cluster.machines_by_name[&name];
                         s.message_answered(now, machine, MessageOutcome::Indeterminate);
                     }
                 }
@@ -204,7 +204,7 @@
                 }
                 if waits {
                     if let Some(s) = self.scheduler(term) {
-                        let machine = s.by_name[&name];
+                        let machine = s.cluster.machines_by_name[&name];
                         s.message_answered(now, machine, outcome);
                     }
                 }
--- a/crates/scheduler/tests/repeated_heartbeats.rs
+++ b/crates/scheduler/tests/repeated_heartbeats.rs
@@ -42,7 +42,8 @@
         w.wait(3_000);
         let token = w.leader.answer_repeated_heartbeat(w.now, cached, heartbeat.sequence + n);
         assert_eq!(token, Some(w.token_now()));
-        let machine = &w.leader.machines[w.leader.by_name[MACHINE] as usize];
+        let machine =
+            &w.leader.cluster.machines[w.leader.cluster.machines_by_name[MACHINE] as usize];
         assert_eq!((machine.last_heartbeat, machine.sequence), (w.now, heartbeat.sequence + n));
     }
     assert!(w.leader.take_commands().is_empty());
@@ -86,7 +87,7 @@
         ("the job has ended, how isn't told", |w, _| w.leader.job_over(w.now, JOB)),
         ("another report came", |w, _| w.heartbeat(MACHINE)),
         ("a message to the machine was lost", |w, _| {
-            let machine = w.leader.by_name[MACHINE];
+            let machine = w.leader.cluster.machines_by_name[MACHINE];
             w.leader.message_answered(w.now, machine, MessageOutcome::Indeterminate);
         }),
         ("the machine is gone", |w, _| w.leader.machine_gone(w.now, MACHINE)),
@@ -229,18 +230,18 @@
         let cached = w.leader.cache_heartbeat(w.now, &heartbeat, OWN_NODE).expect("a mark");
         w.leader.tick(w.now);
         for repetition in 1..=10 {
-            let before = w.leader.send_checks;
+            let before = w.leader.examined.send_checks;
             w.leader
                 .answer_repeated_heartbeat(w.now, cached, heartbeat.sequence + repetition)
                 .expect("an answer");
             w.leader.tick(w.now);
-            assert_eq!(w.leader.send_checks - before, 0, "{size} machines");
+            assert_eq!(w.leader.examined.send_checks - before, 0, "{size} machines");
         }
-        let before = w.leader.send_checks;
+        let before = w.leader.examined.send_checks;
         w.finish(&request_in_flight, &heartbeat.tasks[0].task);
         w.workers.get_mut(&request_in_flight).expect("worker").sequence += 20;
         w.heartbeat(&request_in_flight);
         w.leader.tick(w.now);
-        assert_eq!(w.leader.send_checks - before, 1, "{size} machines");
+        assert_eq!(w.leader.examined.send_checks - before, 1, "{size} machines");
     }
 }
--- a/crates/scheduler/tests/sim/follower.rs
+++ b/crates/scheduler/tests/sim/follower.rs
@@ -59,7 +59,7 @@
         delay_ms: u64,
     ) {
         let term = leader.s.term;
-        for Invalidated { cached, .. } in leader.s.take_invalidated() {
+        for Invalidated { cached, .. } in leader.s.cluster.take_invalidated() {
             if self.invalidated.0 != term {
                 self.invalidated = (term, 0);
             }
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -506,7 +506,7 @@
         let strange = s.load_runs(self.now, &self.store.key_values(keys::RUN));
         assert!(strange.is_empty(), "{}: {strange:?}", self.what);
         // In one order, whatever that of the table: a transcript holds what comes of it.
-        let mut names: Vec<String> = s.jobs_by_name.keys().cloned().collect();
+        let mut names: Vec<String> = s.cluster.jobs_by_name.keys().cloned().collect();
         names.sort_unstable();
         for name in names.iter().filter(|n| self.store.keys.contains_key(&keys::end(n))) {
             s.job_over(self.now, name);
@@ -738,7 +738,7 @@
                     let name = key_value.key.strip_prefix(keys::TODO).expect("a description");
                     l.s.add_job(now, name, &key_value.value, wall);
                 }
-                for name in l.s.open_jobs() {
+                for name in l.s.cluster.open_jobs() {
                     if let Some((end, _)) = self.store.keys.get(&keys::end(&name)) {
                         let end = serde_json::from_value(end.clone()).expect("an end");
                         l.s.job_ended(now, &name, end);
@@ -824,7 +824,7 @@
                 self.events.push((at, Event::Read { term, id, answer }));
             }
             Command::SendToWorker { machine, token, agent_epoch, calls, .. } => {
-                let name = self.leaders[i].s.machines[machine as usize].name.clone();
+                let name = self.leaders[i].s.cluster.machines[machine as usize].name.clone();
                 let answer = |at, outcome| (at, Event::Direct { term, machine, outcome });
                 let late = self.now + TimeDelta::from_secs(2);
                 let now = self.now;
--- a/crates/scheduler/tests/storage_limits.rs
+++ b/crates/scheduler/tests/storage_limits.rs
@@ -36,10 +36,10 @@
 fn nothing_is_forgotten(w: &mut World) {
     let places = w.places();
     let live = w.take_over();
-    let ix = w.leader.jobs_by_name[JOB];
+    let ix = w.leader.cluster.jobs_by_name[JOB];
     for (task, machines) in places {
         let index: usize = task.rsplit_once('/').and_then(|t| t.1.parse().ok()).expect("a task");
-        let known = &w.leader.job(ix).expect("job").tasks[index];
+        let known = &w.leader.cluster.job(ix).expect("job").tasks[index];
         assert!(
             known.phase.placed() || known.phase == TaskPhase::Done,
             "{task} is on {machines:?}"
@@ -141,8 +141,8 @@
         assert!(!w.commands.iter().any(sends), "the outcome is open until it is read");
         w.settle();
         assert_eq!(w.places().len(), 160, "applied: {applied}");
-        let ix = w.leader.jobs_by_name[JOB];
-        let attempts = w.leader.job(ix).expect("job").tasks.iter().map(|t| t.attempt);
+        let ix = w.leader.cluster.jobs_by_name[JOB];
+        let attempts = w.leader.cluster.job(ix).expect("job").tasks.iter().map(|t| t.attempt);
         assert_eq!(attempts.max(), Some(1), "applied: {applied}");
         w.run_out();
         assert_eq!(w.end(JOB), Some(&json!("done")));
@@ -171,7 +171,7 @@
     }
     let strange = w.leader.load_runs(w.now, &w.store.key_values(keys::RUN));
     assert_eq!(strange.len(), 5, "{strange:?}");
-    let tasks = &w.leader.job(w.leader.jobs_by_name[JOB]).expect("job").tasks;
+    let tasks = &w.leader.cluster.job(w.leader.cluster.jobs_by_name[JOB]).expect("job").tasks;
     let seen: Vec<(TaskPhase, u32)> = tasks.iter().map(|t| (t.phase, t.attempt)).collect();
     let done = TaskPhase::Done;
     assert_eq!(seen, [(done, 2), (done, 3), (done, 1), (TaskPhase::Pending, 8)]);
--- a/crates/scheduler/tests/task_starts.rs
+++ b/crates/scheduler/tests/task_starts.rs
@@ -102,7 +102,7 @@
     let (id, transaction) = w.take_commit();
     let outcome = w.store.apply(&transaction);
     w.leader.transaction_answered(w.now, id, outcome);
-    w.leader.machines[0].fencing_counter += 1;
+    w.leader.cluster.machines[0].fencing_counter += 1;
     w.heartbeat("n-1");
     w.heartbeat("n-1");
     assert_eq!((w.phase(JOB, 0), w.attempt(JOB, 0)), (TaskPhase::Dispatching, 1));
@@ -178,7 +178,9 @@
         w.leader.autoscale(w.now);
     }
     assert_eq!(w.attempt(JOB, 0), 1, "silent for two minutes, and still there");
-    let state = |w: &World| w.leader.machines[w.leader.by_name[&machine] as usize].state;
+    let state = |w: &World| {
+        w.leader.cluster.machines[w.leader.cluster.machines_by_name[&machine] as usize].state
+    };
     assert_eq!(state(&w), MachineState::Terminating, "given back, since nothing else settles it");
     w.leader.scale_in_answered(w.now, std::slice::from_ref(&machine), false);
     assert_eq!(w.attempt(JOB, 0), 1, "an unanswered return is no proof");
@@ -302,7 +304,7 @@
     assert_eq!(w.end(JOB), Some(&json!("aborted")));
     w.all_report();
     w.settle();
-    assert!(w.leader.jobs_by_name.is_empty());
+    assert!(w.leader.cluster.jobs_by_name.is_empty());
 }
 
 #[test]
@@ -465,7 +467,7 @@
         w.all_report();
         w.settle();
     }
-    assert_eq!(w.leader.team_use["capped"].0, 4.0, "unknown tasks count");
+    assert_eq!(w.leader.cluster.team_usage["capped"].cpus, 4.0, "unknown tasks count");
     w.leader.machine_gone(w.now, &machine);
     w.all_report();
     w.settle();
@@ -523,9 +525,9 @@
         w.all_report();
         w.wait(1_000);
     }
-    let machines = &w.leader.machines;
+    let machines = &w.leader.cluster.machines;
     assert!(machines.iter().all(|m| m.state == MachineState::Up && m.drain_reason.is_none()));
-    let job = w.leader.job(w.leader.jobs_by_name[JOB]).expect("job");
+    let job = w.leader.cluster.job(w.leader.cluster.jobs_by_name[JOB]).expect("job");
     let tries = job.tasks.iter().map(|t| t.attempt).max();
     assert!(tries < Some(12), "tried at growing intervals, not {tries:?} times in 80 s");
 }
@@ -583,9 +585,9 @@
     let outcome = w.store.apply(&transaction);
     w.leader.transaction_answered(w.now, id, outcome);
     let task = format!("{JOB}/0");
-    let ix = w.leader.jobs_by_name[JOB];
-    let planned = w.leader.job(ix).expect("job").tasks[0].machine;
-    let planned = w.leader.machines[planned as usize].name.clone();
+    let ix = w.leader.cluster.jobs_by_name[JOB];
+    let planned = w.leader.cluster.job(ix).expect("job").tasks[0].machine;
+    let planned = w.leader.cluster.machines[planned as usize].name.clone();
     let other = if planned == "n-1" { "n-2" } else { "n-1" };
     let worker = w.workers.get_mut(other).expect("worker");
     worker.tasks.insert((task.clone(), 7), (TaskState::Running, None));
--- a/crates/scheduler/tests/transcripts/scripts.rs
+++ b/crates/scheduler/tests/transcripts/scripts.rs
@@ -69,7 +69,7 @@
                 if dice.chance(percent) =>
             {
                 transcript::count("direct lost", 1);
-                let name = world.leader.machines[machine as usize].name.clone();
+                let name = world.leader.cluster.machines[machine as usize].name.clone();
                 if dice.chance(50) {
                     if let Some(worker) = world.workers.get_mut(&name) {
                         worker.direct(token, agent_epoch, &calls);
@@ -218,7 +218,7 @@
             transcript::line("next leader", "");
             world.take_over();
             for worker in world.workers.values() {
-                world.leader.hint_address(world.now, &worker.name, "10.0.0.1:1");
+                world.leader.cluster.hint_address(world.now, &worker.name, "10.0.0.1:1");
             }
         }
         if round == 35 || round == 55 {
@@ -591,7 +591,7 @@
     play(&mut world, 4);
     world.take_over();
     for name in &names {
-        world.leader.hint_address(world.now, name, "10.0.0.1:1");
+        world.leader.cluster.hint_address(world.now, name, "10.0.0.1:1");
     }
     play(&mut world, 6);
     world.all_report();
@@ -837,7 +837,7 @@
                 transcript::line("repeated again", &format!("{name} {again}"));
             }
         }
-        for invalidated in world.leader.take_invalidated() {
+        for invalidated in world.leader.cluster.take_invalidated() {
             let (holder, revision) = (invalidated.holder, invalidated.cached);
             let text =
                 format!("holder={holder} machine={} number={}", revision.machine, revision.number);
--- a/crates/scheduler/tests/untrusted_reports.rs
+++ b/crates/scheduler/tests/untrusted_reports.rs
@@ -16,7 +16,7 @@
 const JOB: &str = "req-000001";
 
 fn machine<'a>(w: &'a World, name: &str) -> &'a walnutlug_scheduler::model::machine::Machine {
-    &w.leader.machines[w.leader.by_name[name] as usize]
+    &w.leader.cluster.machines[w.leader.cluster.machines_by_name[name] as usize]
 }
 
 fn report_of(w: &mut World, name: &str) -> Heartbeat {
@@ -191,7 +191,7 @@
     w.wait(1_000);
     w.leader.heartbeat(w.now, &copy);
     assert_eq!(machine(&w, "n-1").state, MachineState::Terminated);
-    assert_eq!(w.leader.machines.len(), 1);
+    assert_eq!(w.leader.cluster.machines.len(), 1);
 }
 
 #[test]
@@ -335,8 +335,9 @@
     w.settle();
     w.submit(JOB, &JobSpec { priority: Priority::Low, cpus: 2.0, ..spec(12) });
     let accepted = w.now;
-    let begun =
-        |s: &Scheduler| s.jobs_by_name.get(JOB).and_then(|&ix| s.job(ix)).map(|j| j.has_started);
+    let begun = |s: &Scheduler| {
+        s.cluster.jobs_by_name.get(JOB).and_then(|&ix| s.cluster.job(ix)).map(|j| j.has_started)
+    };
     let (mut first, mut done) = (None, None);
     for second in 10..900 {
         overload(&mut w, second);
--- a/crates/scheduler/tests/version_compatibility.rs
+++ b/crates/scheduler/tests/version_compatibility.rs
@@ -44,7 +44,7 @@
     let phases: Vec<TaskPhase> = (0..5).map(|i| w.phase("req-000001", i)).collect();
     let there = TaskPhase::Dispatching;
     assert_eq!(phases, [TaskPhase::Done, TaskPhase::Done, there, there, there]);
-    let job = w.leader.job(w.leader.jobs_by_name["req-000002"]).expect("job");
+    let job = w.leader.cluster.job(w.leader.cluster.jobs_by_name["req-000002"]).expect("job");
     assert_eq!((job.spec.zone.as_deref(), job.spec.priority), (Some("a"), Priority::Normal));
     assert!(job.spec.dependencies.is_empty() && !job.is_blocked());
     w.all_report();
--- a/crates/scheduler/tests/world/mod.rs
+++ b/crates/scheduler/tests/world/mod.rs
@@ -408,7 +408,7 @@
         self.submit(job, &spec(1));
         self.place_and_commit();
         let message = self.take_direct();
-        (self.leader.machines[message.0 as usize].name.clone(), message)
+        (self.leader.cluster.machines[message.0 as usize].name.clone(), message)
     }
 
     /// The job has ended for its user: the end is stored, and told to the leader.
@@ -473,7 +473,7 @@
     }
 
     pub fn deliver(&mut self, machine: u32, token: u64, agent_epoch: u64, calls: &[WorkerCommand]) {
-        let name = self.leader.machines[machine as usize].name.clone();
+        let name = self.leader.cluster.machines[machine as usize].name.clone();
         let outcome = match self.workers.get_mut(&name) {
             Some(worker) if worker.alive => {
                 MessageOutcome::Answered(Box::new(worker.direct(token, agent_epoch, calls)))
@@ -527,7 +527,7 @@
             s.set_limits(value_bytes, ops);
         }
         // In one order, whatever that of the table: a transcript holds what comes of it.
-        let mut names: Vec<String> = s.jobs_by_name.keys().cloned().collect();
+        let mut names: Vec<String> = s.cluster.jobs_by_name.keys().cloned().collect();
         names.sort_unstable();
         for name in names {
             if self.store.keys.contains_key(&keys::end(&name)) {
@@ -571,13 +571,13 @@
     }
 
     pub fn phase(&self, name: &str, index: usize) -> walnutlug_scheduler::model::task::TaskPhase {
-        let ix = self.leader.jobs_by_name[name];
-        self.leader.job(ix).expect("job").tasks[index].phase
+        let ix = self.leader.cluster.jobs_by_name[name];
+        self.leader.cluster.job(ix).expect("job").tasks[index].phase
     }
 
     pub fn attempt(&self, name: &str, index: usize) -> u32 {
-        let ix = self.leader.jobs_by_name[name];
-        self.leader.job(ix).expect("job").tasks[index].attempt
+        let ix = self.leader.cluster.jobs_by_name[name];
+        self.leader.cluster.job(ix).expect("job").tasks[index].attempt
     }
 
     pub fn token_now(&self) -> u64 {
