--- a/crates/controller/src/node/leader.rs
+++ b/crates/controller/src/node/leader.rs
@@ -6,16 +6,19 @@
 use tokio::time::{sleep, timeout, Duration, Instant};
 use tracing::{debug, info, warn};
 use walnutlug_fencing::lease;
-use walnutlug_scheduler::command::{Command, TransactionOutcome};
+use walnutlug_scheduler::command::{Command, ReadOutcome, TransactionOutcome};
 use walnutlug_scheduler::leadership::election::{ElectionEvent, Role};
 use walnutlug_scheduler::leadership::watermark;
 use walnutlug_scheduler::model::job_spec::JobEnd;
 use walnutlug_scheduler::protocol::cloud::ScaleOutRequest;
-use walnutlug_scheduler::protocol::key_value::{Compare, Operation, Transaction, WatchEvent};
+use walnutlug_scheduler::protocol::key_value::{
+    Compare, KeyValue, Operation, Transaction, WatchEvent,
+};
 use walnutlug_scheduler::queue::dependencies::JobEndLookup;
 use walnutlug_scheduler::scheduler::Scheduler;
 use walnutlug_scheduler::storage::document::Document;
 use walnutlug_scheduler::storage::keys;
+use walnutlug_scheduler::storage::transactions::{TransactionLimits, WriteAllowance};
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 
 use super::{event_log, fleet_role, Node, ADDRESS_FRESH};
@@ -221,10 +224,11 @@
     let (now, wall) = (node.now(), node.wall_us());
     for key_value in &todo {
         if let Some(name) = keys::described(&key_value.key) {
-            s.add_job(now, name, &key_value.value, wall);
+            // A damaged description is logged by the scheduler, and passed over.
+            let _ = s.add_job(now, name, &key_value.value, wall);
         }
     }
-    for key in s.load_runs(now, &runs) {
+    for key in s.load_chunks(now, &runs) {
         // Descriptions are dropped last, so this is damage from outside. Whatever it places is
         // strange to the registry and will be stopped where it reports.
         warn!("stored {key} belongs to no job and is passed over");
@@ -360,7 +364,7 @@
             // guard on its end then fails, and it is cleaned up again.
             if let Some(name) = keys::described(&key_value.key) {
                 if !s.cluster.jobs_by_name.contains_key(name)
-                    && s.add_job(now, name, &key_value.value, wall)
+                    && s.add_job(now, name, &key_value.value, wall).is_ok()
                 {
                     info!(job = %name, "found by reading the records again");
                 }
@@ -443,7 +447,8 @@
                     let WatchEvent::Put { put, value, .. } = event else { continue };
                     if let Some(name) = keys::described(put) {
                         if let Some(s) = node.scheduler.borrow_mut().as_mut() {
-                            s.add_job(now, name, value, wall);
+                            // A damaged description is logged by the scheduler, and passed over.
+                            let _ = s.add_job(now, name, value, wall);
                         }
                     } else if let Some(name) = put.strip_prefix(keys::END) {
                         if let Ok(end) = serde_json::from_value::<JobEnd>(value.clone()) {
@@ -524,12 +529,15 @@
                 return;
             }
             let (left, most) = node.key_value.write_allowance();
-            s.set_write_allowance(left, most);
+            s.set_write_allowance(WriteAllowance { left, most });
             let limits = node.key_value.limits();
-            s.set_limits(limits.value_bytes, limits.txn_ops);
+            s.set_limits(TransactionLimits {
+                value_bytes: limits.value_bytes,
+                operations: limits.txn_ops,
+            });
             // By this node's own clock, and from before the request was sent, so never too long.
-            s.holds_lease = Instant::now() < node.lease_until.get();
-            s.cancellations_known_until = node.cancellations_known_until();
+            s.authority.set_holds_lease(Instant::now() < node.lease_until.get());
+            s.authority.set_cancellations_known_until(node.cancellations_known_until());
             s.tick(now);
             s.autoscale(now);
             let commands = s.take_commands();
@@ -569,7 +577,7 @@
     let node = node.clone();
     match command {
         Command::Log(event) => event_log::write(&event),
-        Command::StepDown(why) => node.step_down(why),
+        Command::StepDown(reason) => node.step_down(&reason.to_string()),
         Command::VerifyLeadership => {
             if !node.checking_lead.replace(true) {
                 tokio::task::spawn_local(async move {
@@ -594,9 +602,11 @@
         Command::Read { id, key } => {
             tokio::task::spawn_local(async move {
                 let answer = match node.key_value.get(RequestClass::Dispatch, &key).await {
-                    Ok(Some(key_value)) => Some((key_value.value, key_value.revision)),
-                    Ok(None) => Some((serde_json::Value::Null, 0)),
-                    Err(_) => None,
+                    Ok(Some(KeyValue { value, revision, .. })) => {
+                        ReadOutcome::Found { value, revision }
+                    }
+                    Ok(None) => ReadOutcome::Missing,
+                    Err(_) => ReadOutcome::Unavailable,
                 };
                 with_scheduler(&node, term, |s, now| s.read_answered(now, id, answer));
             });
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -154,9 +154,9 @@
         "one_zone": false, "spread": false, "spot": true, "estimate_s": 9.0,
         "checkpoint_s": 0.0, "save_s": 0.0, "deadline_s": null}, "at": 1, "chunk": 50});
     store.put(&keys::todo(JOB), todo.clone());
-    assert!(s.add_job(node.now(), JOB, &todo, node.wall_us()));
+    assert!(s.add_job(node.now(), JOB, &todo, node.wall_us()).is_ok());
     let value = serde_json::json!({"w": "x", "t": [[2, 1, "n-1", 1, 0]]});
-    s.load_runs(
+    s.load_chunks(
         node.now(),
         &[walnutlug_scheduler::protocol::key_value::KeyValue {
             key: keys::run(JOB, 0),
--- a/crates/controller/src/worker_api.rs
+++ b/crates/controller/src/worker_api.rs
@@ -85,7 +85,7 @@
     let now = node.now();
     let mut scheduler = node.scheduler.borrow_mut();
     let scheduler = scheduler.as_mut()?;
-    scheduler.cancellations_known_until = node.cancellations_known_until();
+    scheduler.authority.set_cancellations_known_until(node.cancellations_known_until());
     scheduler.answer_repeated_heartbeat(now, cached, sequence)
 }
 
@@ -111,8 +111,8 @@
     let now = node.now();
     let mut scheduler = node.scheduler.borrow_mut();
     let scheduler = scheduler.as_mut()?;
-    scheduler.cancellations_known_until = node.cancellations_known_until();
-    node.log_lease_renewal(scheduler.may_renew_leases(now));
+    scheduler.authority.set_cancellations_known_until(node.cancellations_known_until());
+    node.log_lease_renewal(scheduler.authority.may_renew_leases(now));
     let (token, calls) = scheduler.heartbeat(now, heartbeat)?;
     // The number found in the text has to be the one that was read.
     let may_settle = calls.is_empty() && sequence_in(body) == Some(heartbeat.sequence);
--- a/crates/fault-injection/src/elections.rs
+++ b/crates/fault-injection/src/elections.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use walnutlug_scheduler::storage::keys;
+use walnutlug_scheduler::storage::keys::{self, RunKey};
 
 use crate::fake_key_value_store::Event;
 
@@ -89,7 +89,7 @@
         let Some(leader) = self.leader else { return };
         if let Some(job) = key.strip_prefix(keys::JOB) {
             self.accepted_under.insert(job.to_owned(), leader);
-        } else if let Some((job, ..)) = keys::split_run(key) {
+        } else if let Some(RunKey { job, .. }) = RunKey::parse(key) {
             self.started_under.entry(job.to_owned()).or_default().insert(leader);
         } else if let Some(job) = key.strip_prefix(keys::END) {
             self.ended(job, leader, text == Some("done"));
--- a/crates/scheduler/src/autoscaling.rs
+++ b/crates/scheduler/src/autoscaling.rs
@@ -73,7 +73,7 @@
         if now.since(self.autoscaler.usage.last.unwrap_or_default()) >= ACCOUNT_EVERY {
             self.account_costs(now);
         }
-        if !self.holds_lease {
+        if !self.authority.holds_lease() {
             return;
         }
         let unheard = self.silent_zones(now);
@@ -142,7 +142,7 @@
         if now.since(since) >= TimeDelta::from_secs(60) {
             self.log(Event::FleetCost(usage.cost));
             usage = Usage { since: Some(now), last: Some(now), cost: FleetCost::default() };
-            let written = std::mem::take(&mut self.transactions.counts);
+            let written = self.transactions.take_counts();
             self.log(Event::Writes(written));
             self.log_shares();
         }
--- a/crates/scheduler/src/command.rs
+++ b/crates/scheduler/src/command.rs
@@ -1,5 +1,9 @@
 //! What the scheduler wants done, and what became of it.
 
+use std::fmt;
+
+use serde_json::Value;
+
 use crate::event::Event;
 use crate::model::task::MachineIndex;
 use crate::protocol::key_value::Transaction;
@@ -44,7 +48,41 @@
     /// A worker claims a newer term: worth a look at the leader key, and no more.
     VerifyLeadership,
     /// The term is over.
-    StepDown(&'static str),
+    StepDown(StepDownReason),
+}
+
+/// Why a leader ends its own term.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum StepDownReason {
+    /// A transaction found the leader key under another revision than this term's.
+    LeaderKeyTaken,
+    /// A chunk holds what this leader did not write: its table is not what is stored.
+    UnexpectedChunk,
+}
+
+impl fmt::Display for StepDownReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            StepDownReason::LeaderKeyTaken => "another node holds the leader key",
+            StepDownReason::UnexpectedChunk => "a stored chunk differs from the registry",
+        })
+    }
+}
+
+/// What came of the reading of a key.
+#[derive(Debug, Clone, PartialEq)]
+pub enum ReadOutcome {
+    /// The key's value.
+    Found {
+        /// The value.
+        value: Value,
+        /// The key's revision.
+        revision: u64,
+    },
+    /// There is no such key.
+    Missing,
+    /// It could not be read.
+    Unavailable,
 }
 
 /// What became of a transaction.
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -1,7 +1,10 @@
 //! Commands sent to workers directly: one message under way per worker, each sent once. Whether it arrived
 //! is for the worker's heartbeats to tell.
 
+pub(crate) mod starts;
+
 use crate::command::{Command, MessageOutcome};
+use crate::dispatch::starts::ReleasedStarts;
 use crate::leadership::election::token;
 use crate::model::job::TaskId;
 use crate::model::machine::MachineState;
@@ -86,8 +89,9 @@
             // One that missed a heartbeat is asked: if it answers it is not silent, and if it doesn't
             // it can be given up sooner.
             let missed = m.state == MachineState::Up && now.since(m.last_heartbeat) > overdue;
-            let may_start = can_send && self.holds_lease;
-            let (ids, starts) = self.release_starts(now, ix as MachineIndex, may_start);
+            let may_start = can_send && self.authority.holds_lease();
+            let ReleasedStarts { ids, commands: starts } =
+                self.release_starts(now, ix as MachineIndex, may_start);
             let m = &mut self.cluster.machines[ix];
             // Mere questions are paced: at a failover the whole fleet is asked.
             let ask_later = m.outbox.is_empty()
--- a/crates/scheduler/src/model/cluster.rs
+++ b/crates/scheduler/src/model/cluster.rs
@@ -39,7 +39,7 @@
     pub(crate) loaded_token: u64,
     /// By a number that is never used again, so that a late answer can't mean another job.
     pub jobs: BTreeMap<JobIndex, Job>,
-    pub(crate) next_job: JobIndex,
+    next_job: JobIndex,
     pub jobs_by_name: HashMap<String, JobIndex>,
     pub machines: Vec<Machine>,
     pub machines_by_name: HashMap<String, MachineIndex>,
@@ -91,6 +91,24 @@
         self.jobs.get(&ix)
     }
 
+    /// Adds a job under a number that was never used before.
+    pub(crate) fn add_job(&mut self, job: Job) -> JobIndex {
+        let index = self.next_job;
+        self.next_job += 1;
+        self.jobs_by_name.insert(job.name.clone(), index);
+        self.jobs.insert(index, job);
+        self.placement_needed = true;
+        index
+    }
+
+    /// Removes a job whose last record was deleted.
+    pub(crate) fn remove_job(&mut self, index: JobIndex) {
+        if let Some(job) = self.jobs.remove(&index) {
+            self.jobs_by_name.remove(&job.name);
+            self.shares.job_gone(job.share_class);
+        }
+    }
+
     /// The machine of that name, made up as silent if nothing is known of it.
     pub fn machine_named(&mut self, now: Timestamp, name: &str) -> MachineIndex {
         if let Some(&ix) = self.machines_by_name.get(name) {
--- a/crates/scheduler/src/model/job.rs
+++ b/crates/scheduler/src/model/job.rs
@@ -1,6 +1,7 @@
 //! A job in the scheduler's table: its tasks, their records, and what was learned of it.
 
 use std::collections::{BTreeMap, HashMap};
+use std::ops::Range;
 
 use roaring::RoaringBitmap;
 use walnutlug_admission::shares::ClassId;
@@ -162,6 +163,12 @@
         self.error_machines.get(&m).is_some_and(|&at| now.since(at) < AVOID_FOR)
     }
 
+    /// The tasks of a chunk.
+    pub(crate) fn chunk_tasks(&self, chunk: usize) -> Range<u32> {
+        let start = chunk as u32 * self.chunk_size;
+        start..start.saturating_add(self.chunk_size).min(self.spec.tasks)
+    }
+
     pub(crate) fn chunk_of(&self, index: u32) -> usize {
         (index / self.chunk_size) as usize
     }
--- a/crates/scheduler/src/queue/dependencies.rs
+++ b/crates/scheduler/src/queue/dependencies.rs
@@ -78,7 +78,19 @@
     asking: bool,
     ask_at: Timestamp,
     /// Jobs whose end `aborted` is still to be written.
-    pub(crate) dependency_cancelled: BTreeSet<JobIndex>,
+    dependency_cancelled: BTreeSet<JobIndex>,
+}
+
+impl DependencyGraph {
+    /// Jobs that depend on a cancelled one, and whose own end is still to be written.
+    pub(crate) fn dependency_cancelled(&self) -> impl Iterator<Item = JobIndex> + '_ {
+        self.dependency_cancelled.iter().copied()
+    }
+
+    /// How many jobs wait for the one of that name.
+    pub(crate) fn dependent_count(&self, name: &str) -> usize {
+        self.dependencies.get(name).map_or(0, |dependency| dependency.waiting.len())
+    }
 }
 
 impl Scheduler {
@@ -292,10 +304,4 @@
     fn step_takes(&self, job: &Job) -> f64 {
         self.run_times.expected_run(job) * SLOWEST + self.tunables.chain_step.as_secs_f64()
     }
-
-    /// How many jobs need each of the given ones; an end that releases others is written first.
-    pub(crate) fn dependent_count(&self, ix: JobIndex) -> usize {
-        let Some(job) = self.cluster.jobs.get(&ix) else { return 0 };
-        self.dependency_graph.dependencies.get(&job.name).map_or(0, |n| n.waiting.len())
-    }
 }
--- a/crates/scheduler/src/queue/fair_share.rs
+++ b/crates/scheduler/src/queue/fair_share.rs
@@ -226,7 +226,7 @@
     fn enough_starts_planned(&self) -> bool {
         self.transactions
             .writes_per_second()
-            .is_some_and(|writes| self.transactions.planned_chunks as f64 >= writes)
+            .is_some_and(|writes| self.transactions.planned_chunks() as f64 >= writes)
     }
 
     /// Whether the next round had better wait for the writes of the last ones: a look at the whole queue
@@ -234,7 +234,7 @@
     pub(crate) fn waits_for_writes(&self) -> bool {
         let half = self.transactions.writes_per_second().map(|writes| writes / 2.0);
         self.fair_share.is_active()
-            && half.is_some_and(|half| self.transactions.planned_chunks as f64 > half)
+            && half.is_some_and(|half| self.transactions.planned_chunks() as f64 > half)
     }
 
     fn waiting(&self, ix: JobIndex, tier: u8) -> Waiting {
--- a/crates/scheduler/src/reconciliation/heartbeats.rs
+++ b/crates/scheduler/src/reconciliation/heartbeats.rs
@@ -75,7 +75,7 @@
         let entries = self.resolve(heartbeat);
         let m = self.reconcile_heartbeat(now, heartbeat, &entries, false);
         // What it proves counts at any time; an answer renews its lease.
-        if !self.may_renew_leases(now) {
+        if !self.authority.may_renew_leases(now) {
             return None;
         }
         let machine = &self.cluster.machines[m as usize];
--- a/crates/scheduler/src/reconciliation/repeated_heartbeats.rs
+++ b/crates/scheduler/src/reconciliation/repeated_heartbeats.rs
@@ -151,7 +151,9 @@
         cached: CachedHeartbeat,
         sequence: u64,
     ) -> Option<u64> {
-        if !self.may_renew_leases(now) || !self.record_repeated_heartbeat(now, cached, sequence) {
+        if !self.authority.may_renew_leases(now)
+            || !self.record_repeated_heartbeat(now, cached, sequence)
+        {
             return None;
         }
         let machine = self.cluster.machines.get(cached.machine as usize)?;
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -6,25 +6,31 @@
 
 use std::collections::BTreeSet;
 
+use serde_json::Value;
 use walnutlug_admission::shares::Shares;
 
-use crate::command::Command;
+use crate::command::{Command, ReadOutcome, TransactionOutcome};
+use crate::dispatch::starts::{self, ReleasedStarts};
 use crate::dispatch::Messages;
 use crate::event::{Anomaly, Event};
+use crate::leadership::authority::LeaderAuthority;
 use crate::leadership::election::token;
-use crate::leadership::watermark;
 use crate::model::cluster::Cluster;
-use crate::model::job::TaskId;
+use crate::model::job::{JobIndex, TaskId};
 use crate::model::job_spec::JobSpec;
 use crate::model::job_state::JobEvent;
 use crate::model::machine::MachineState;
 use crate::model::run_times::RunTimes;
 use crate::model::task::{MachineIndex, TaskEvent, TaskPhase};
 use crate::protocol::cloud::MachineType;
+use crate::protocol::key_value::KeyValue;
 use crate::protocol::workers::WorkerCommand;
 use crate::queue::dependencies::DependencyGraph;
-use crate::storage::transactions::{Limits, Transactions};
-use crate::time::Timestamp;
+use crate::storage::batch::{CommitEffects, StoredEnd};
+use crate::storage::loader::{self, DescriptionError, LoadedJob};
+use crate::storage::transactions::{Resolution, TransactionLimits, Transactions, WriteAllowance};
+use crate::storage::write_round::WriteRound;
+use crate::time::{TimeDelta, Timestamp};
 use crate::tunables::{Site, Tunables};
 
 /// The leader's table of jobs and machines, and the decisions about them; lives for one term.
@@ -42,14 +48,8 @@
     pub autoscaler: crate::autoscaling::Autoscaler,
     pub(crate) transactions: Transactions,
     pub(crate) messages: Messages,
-    /// Whether the lease is certainly held. Without it another node may lead: this one goes on
-    /// answering its workers, so that their tasks live, and starts, rents and returns nothing.
-    /// (A leader cut off from the key-value store once gave back machines that had merely gone over
-    /// to its successor.)
-    pub holds_lease: bool,
-    /// Every cancellation that any user was told of before this is in the table; see
-    /// [`crate::leadership::watermark`].
-    pub cancellations_known_until: Timestamp,
+    /// What this leader may do by what it knows of its lease and of cancellations.
+    pub authority: LeaderAuthority,
     pub(crate) last_round: Timestamp,
     pub(crate) last_preempt: Timestamp,
     /// Processors of the machines that are up, as of the last round.
@@ -74,6 +74,9 @@
 
 /// Report intervals, each up to a quarter longer than told, after which a worker is overdue.
 pub const OVERDUE: f64 = 1.4;
+/// How often every machine is looked at for what time alone brings: an overdue heartbeat, a deadline,
+/// the end of a pause. What events bring is looked at when they come.
+const SWEEP_EVERY: TimeDelta = TimeDelta::from_millis(200);
 /// Odd things to remember as logged: several for each machine of any fleet.
 const MAX_ANOMALIES: usize = 20_000;
 
@@ -86,7 +89,7 @@
         now: Timestamp,
     ) -> Scheduler {
         let shares = Shares::new(crate::queue::fair_share::entitlements(&site, &tunables));
-        let limits = Limits { value_bytes: site.value_bytes, txn_ops: site.txn_ops };
+        let limits = TransactionLimits { value_bytes: site.value_bytes, operations: site.txn_ops };
         Scheduler {
             term,
             started_at: now,
@@ -95,10 +98,9 @@
             fair_share: crate::queue::fair_share::FairShare::default(),
             run_times: RunTimes::default(),
             autoscaler: crate::autoscaling::Autoscaler::default(),
-            transactions: Transactions::new(limits),
+            transactions: Transactions::new(term, limits),
             messages: Messages::new(now),
-            holds_lease: true,
-            cancellations_known_until: now,
+            authority: LeaderAuthority::new(&site, now),
             last_round: Timestamp(0),
             last_preempt: Timestamp(0),
             fleet_cpus: 0.0,
@@ -110,14 +112,154 @@
         }
     }
 
-    /// Tells what the key-value store takes at once; it may become less at any time.
-    pub fn set_limits(&mut self, value_bytes: usize, txn_ops: usize) {
-        self.transactions.set_limits(value_bytes, txn_ops);
+    /// Sets what the key-value store takes at once; it may become less at any time.
+    pub fn set_limits(&mut self, limits: TransactionLimits) {
+        self.transactions.set_limits(limits);
     }
 
-    /// Tells how many operations the write rate has room for now, of how many at most.
-    pub fn set_write_allowance(&mut self, left: f64, most: f64) {
-        self.transactions.set_write_allowance(left, most);
+    /// Sets how many operations the write rate has room for.
+    pub fn set_write_allowance(&mut self, allowance: WriteAllowance) {
+        self.transactions.set_write_allowance(allowance);
+    }
+
+    /// Adds a job from its stored description; a job that is known already is left as it is. `wall_us`
+    /// is the wall clock now, in microseconds.
+    ///
+    /// # Errors
+    ///
+    /// If the description is damaged. It is logged, and the job is passed over.
+    pub fn add_job(
+        &mut self,
+        now: Timestamp,
+        name: &str,
+        value: &Value,
+        wall_us: u64,
+    ) -> Result<(), DescriptionError> {
+        match loader::load_job(&mut self.cluster, now, name, value, wall_us) {
+            Ok(LoadedJob::Known) => Ok(()),
+            Ok(LoadedJob::Added(index)) => {
+                self.job_added(now, index);
+                Ok(())
+            }
+            Err(error) => {
+                self.log_once(name, error.anomaly());
+                Err(error)
+            }
+        }
+    }
+
+    fn job_added(&mut self, now: Timestamp, index: JobIndex) {
+        if let Some(job) = self.cluster.job(index).filter(|job| job.spec.dependencies.is_empty()) {
+            self.run_times.learn_size(&job.spec, now, job.accepted);
+        }
+        self.add_dependencies(now, index);
+    }
+
+    /// Takes over the stored chunks of tasks, all of them at once, after the jobs' descriptions.
+    /// Returns the keys that belong to no job or can't be read.
+    pub fn load_chunks(&mut self, now: Timestamp, stored: &[KeyValue]) -> Vec<String> {
+        loader::load_chunks(&mut self.cluster, now, stored)
+    }
+
+    /// Called often: starts a round if there is something to do, and sends what is due.
+    pub fn tick(&mut self, now: Timestamp) {
+        self.out.extend(self.transactions.resend_due(now));
+        let sweep = now.since(self.messages.last_sweep) >= SWEEP_EVERY;
+        if sweep {
+            self.messages.last_sweep = now;
+            self.settle(now);
+        }
+        if self.authority.holds_lease()
+            && now.since(self.last_round) >= self.tunables.round_every
+            && self.transactions.may_write(now, &self.tunables)
+        {
+            self.run_round(now);
+        }
+        self.look_up_job_ends(now);
+        self.send_messages(now, sweep);
+    }
+
+    /// Places what waits, and writes what was decided.
+    fn run_round(&mut self, now: Timestamp) {
+        self.last_round = now;
+        if self.cluster.placement_needed && !self.waits_for_writes() {
+            self.cluster.placement_needed = false;
+            self.place(now);
+        }
+        let round = WriteRound {
+            cluster: &mut self.cluster,
+            transactions: &mut self.transactions,
+            dependency_graph: &self.dependency_graph,
+            tunables: &self.tunables,
+            now,
+        };
+        self.out.extend(round.run());
+    }
+
+    /// The answer to a [`Command::Commit`].
+    pub fn transaction_answered(&mut self, now: Timestamp, id: u64, outcome: TransactionOutcome) {
+        let resolution = self.transactions.answered(now, id, outcome);
+        self.resolved(now, resolution);
+    }
+
+    /// The answer to a [`Command::Read`].
+    pub fn read_answered(&mut self, now: Timestamp, id: u64, outcome: ReadOutcome) {
+        let resolution = self.transactions.read_answered(now, id, outcome);
+        self.resolved(now, resolution);
+    }
+
+    /// Hands on what an answer of the key-value store means.
+    fn resolved(&mut self, now: Timestamp, resolution: Resolution) {
+        match resolution {
+            Resolution::Unknown | Resolution::Open => {}
+            Resolution::ReadBack { read, ended } => {
+                self.jobs_ended_unknown_how(now, &ended);
+                self.out.push(read);
+            }
+            Resolution::Committed { batch, revision } => {
+                let effects = batch.committed(&mut self.cluster, now, revision);
+                self.committed(now, effects);
+            }
+            Resolution::NotExecuted { batch, ended } => {
+                self.jobs_ended_unknown_how(now, &ended);
+                batch.not_executed(&mut self.cluster, now);
+            }
+            Resolution::StepDown { batch, reason } => {
+                self.out.push(Command::StepDown(reason));
+                batch.not_executed(&mut self.cluster, now);
+            }
+        }
+    }
+
+    fn jobs_ended_unknown_how(&mut self, now: Timestamp, names: &[String]) {
+        for name in names {
+            self.job_ended_unknown_how(now, name);
+        }
+    }
+
+    /// Hands on what a committed transaction leaves to do.
+    fn committed(&mut self, now: Timestamp, effects: CommitEffects) {
+        for id in effects.starts {
+            if let Some(machine) = starts::queue_start(&mut self.cluster, id) {
+                self.enqueue_send(machine);
+            }
+        }
+        for StoredEnd { job, end, event } in effects.ends {
+            self.log(event);
+            // Committed, so stored: what waits for it may begin in this very turn.
+            self.job_ended(now, &job, end);
+        }
+    }
+
+    /// The starts that go out with the machine's next message; without one (`sending` is false) only
+    /// those are taken back that can't be sent any more.
+    pub(crate) fn release_starts(
+        &mut self,
+        now: Timestamp,
+        machine: MachineIndex,
+        sending: bool,
+    ) -> ReleasedStarts {
+        starts::release_starts(&mut self.cluster, &self.authority, now, machine, sending)
     }
 
     pub fn take_commands(&mut self) -> Vec<Command> {
@@ -135,22 +277,6 @@
         }
     }
 
-    /// Whether a lease renewed now ends in time for whatever cancellation isn't known here. (A leader
-    /// that the key-value store alone refused went on renewing through the outage that followed: tasks
-    /// of jobs that others had cancelled meanwhile ran for as long as it lasted.)
-    pub fn may_renew_leases(&self, now: Timestamp) -> bool {
-        now.since(self.cancellations_known_until) <= watermark::window(&self.site)
-    }
-
-    /// Whether a start that was placed then may still be sent. Its write was guarded by the absence of
-    /// the job's end, but since then the end may have been written: after an outage a start that had
-    /// waited through it, or whose write was only then found to be committed, would come long after a
-    /// user was told that the job is cancelled.
-    pub(crate) fn may_start(&self, now: Timestamp, placed: Timestamp) -> bool {
-        now.since(placed.max(self.cancellations_known_until))
-            <= watermark::window(&self.site).mul_f64(0.5)
-    }
-
     /// The job has ended for its users: nothing of it is started any more. How it ended isn't told
     /// here, so nothing is released by it; see [`Scheduler::job_ended`].
     pub fn job_over(&mut self, now: Timestamp, name: &str) {
@@ -178,12 +304,14 @@
             if let Some(job) = self.cluster.jobs.get_mut(&id.0) {
                 let chunk = job.chunk_of(id.1);
                 let due = &mut job.chunks[chunk].start_due;
-                self.transactions.planned_chunks += usize::from(due.is_none());
+                if due.is_none() {
+                    self.transactions.chunk_planned();
+                }
                 due.get_or_insert(now);
-                self.transactions.counts.tasks_placed += 1;
                 let images = &self.cluster.machines[machine as usize].images;
-                self.transactions.counts.image_cached +=
-                    usize::from(images.contains(&job.spec.image));
+                let counts = self.transactions.counts_mut();
+                counts.tasks_placed += 1;
+                counts.image_cached += usize::from(images.contains(&job.spec.image));
                 // It will be there once fetched; the next task for it need not fetch it elsewhere.
                 let image = job.spec.image.clone();
                 self.cluster.has_image(machine, image);
--- a/crates/scheduler/src/storage/document.rs
+++ b/crates/scheduler/src/storage/document.rs
@@ -1,8 +1,9 @@
-//! Stored values, written out once.
+//! Stored values, encoded once.
 //!
-//! A value of the key-value store is measured, copied into a transaction, kept until that is settled and
-//! sent, perhaps several times. Kept as text it is encoded once and shared after that. (Kept as a tree, a
-//! round that wrote a dozen records made thousands of small allocations, three times over.)
+//! A value of the key-value store is measured, copied into a transaction, kept until the transaction's
+//! outcome is certain, and sent, perhaps several times. Kept as text it is encoded once and shared after
+//! that. (Kept as a tree, a round that wrote a dozen records made thousands of small allocations, three
+//! times over.)
 
 use std::rc::Rc;
 
@@ -10,22 +11,22 @@
 use serde_json::value::{to_raw_value, RawValue};
 use serde_json::Value;
 
-/// A JSON value in its written form.
+/// An encoded JSON value. Clones share the text.
 #[derive(Debug, Clone)]
 pub struct Document(Rc<RawValue>);
 
 impl Document {
-    /// The written form of `value`; of what has none (a map whose keys are no strings), `null`.
+    /// Encodes `value`; `null` if it has no JSON form (a map whose keys are not strings).
     pub fn new(value: &impl Serialize) -> Document {
         Document(to_raw_value(value).unwrap_or_default().into())
     }
 
-    /// How many bytes it takes in a transaction.
+    /// The bytes that it takes in a transaction.
     pub fn size(&self) -> usize {
         self.0.get().len()
     }
 
-    /// Read back as a tree.
+    /// Decodes it as a tree.
     pub fn to_value(&self) -> Value {
         serde_json::from_str(self.0.get()).unwrap_or_default()
     }
--- a/crates/scheduler/src/storage/keys.rs
+++ b/crates/scheduler/src/storage/keys.rs
@@ -1,52 +1,81 @@
 //! The key under which each record is kept.
 
+/// Held by the leader; its revision is the term.
 pub const LEADER: &str = "leader";
+/// The machine types that the cloud offers.
 pub const TYPES: &str = "types";
+/// Prefix of the descriptions of jobs without dependencies.
 pub const TODO: &str = "todo/";
-/// Descriptions of jobs that wait for others. A version without chains reads `todo/` alone: it
-/// never sees these, and so can't start one too early, whenever it comes to lead.
+/// Prefix of the descriptions of jobs that depend on others. A version without dependencies reads
+/// `todo/` alone: it never sees these, and so can't start one too early, whenever it comes to lead.
 pub const CHAINED: &str = "todo-chain/";
-/// What both kinds of descriptions begin with: one list and one watch serve both.
+/// Common prefix of both kinds of descriptions: one list and one watch serve both.
 pub const DESCRIPTIONS: &str = "todo";
+/// Prefix of the chunks of task records.
 pub const RUN: &str = "run/";
+/// Prefix of the proofs of acceptance.
 pub const JOB: &str = "job/";
+/// Prefix of the ends of jobs.
 pub const END: &str = "end/";
 
 /// Proof that the job was accepted. Created once, never deleted.
 pub fn job(name: &str) -> String {
     format!("{JOB}{name}")
 }
-/// The description, for as long as there is anything to do about the job.
+
+/// The description of a job without dependencies, kept until the job's records are deleted.
 pub fn todo(name: &str) -> String {
     format!("{TODO}{name}")
 }
-/// Where the description of a job is kept, one of a chain or not.
+
+/// The description of a job; `chained` if it depends on others.
 pub fn description(name: &str, chained: bool) -> String {
     match chained {
         true => format!("{CHAINED}{name}"),
         false => todo(name),
     }
 }
+
 /// The job whose description the key holds, of either kind.
 pub fn described(key: &str) -> Option<&str> {
     key.strip_prefix(TODO).or_else(|| key.strip_prefix(CHAINED))
 }
+
+/// The end of a job. Created once, by whoever ends the job first.
 pub fn end(name: &str) -> String {
     format!("{END}{name}")
 }
+
+/// A chunk of a job's task records.
 pub fn run(name: &str, chunk: usize) -> String {
     format!("{RUN}{name}/{chunk:05}")
 }
+
 /// Tasks of a chunk, from the one with that number on, that are kept apart from it because the
 /// whole would be too large a value.
 pub fn part(name: &str, chunk: usize, from: u32) -> String {
     format!("{RUN}{name}/{chunk:05}.{from:06}")
 }
-/// The job, the chunk and, of a part, its first task.
-pub fn split_run(key: &str) -> Option<(&str, usize, Option<u32>)> {
-    let (name, place) = key.strip_prefix(RUN)?.rsplit_once('/')?;
-    Some(match place.split_once('.') {
-        Some((chunk, from)) => (name, chunk.parse().ok()?, Some(from.parse().ok()?)),
-        None => (name, place.parse().ok()?, None),
-    })
+
+/// What a key of a chunk, or of a part of one, names.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct RunKey<'a> {
+    /// The job's name.
+    pub job: &'a str,
+    /// The chunk's number in the job.
+    pub chunk: usize,
+    /// The first task of a part; `None` for a whole chunk.
+    pub part: Option<u32>,
+}
+
+impl<'a> RunKey<'a> {
+    /// Reads a key made by [`run`] or [`part`]; `None` for any other key.
+    pub fn parse(key: &'a str) -> Option<RunKey<'a>> {
+        let (job, place) = key.strip_prefix(RUN)?.rsplit_once('/')?;
+        let (chunk, part) = match place.split_once('.') {
+            Some((chunk, from)) => (chunk, Some(from.parse().ok()?)),
+            None => (place, None),
+        };
+        Some(RunKey { job, chunk: chunk.parse().ok()?, part })
+    }
 }
--- /dev/null
+++ b/crates/scheduler/src/storage/loader.rs
@@ -0,0 +1,204 @@
+//! Reads the stored records into the cluster.
+
+use std::borrow::Cow;
+use std::collections::BTreeMap;
+
+use serde::Deserialize;
+use serde_json::Value;
+
+use crate::event::Anomaly;
+use crate::model::cluster::Cluster;
+use crate::model::job::{Job, JobIndex, TaskId};
+use crate::model::task::{MachineIndex, TaskPhase};
+use crate::protocol::key_value::KeyValue;
+use crate::protocol::users::MAX_TASKS;
+use crate::storage::keys::RunKey;
+use crate::storage::records::{DescriptionRecord, StoredChunk, StoredProgress, StoredTask};
+use crate::time::{TimeDelta, Timestamp};
+
+/// Why a job's stored description was not taken over.
+#[derive(Debug, thiserror::Error)]
+pub enum DescriptionError {
+    /// It is no description, or one of its fields has another form.
+    #[error("the job's stored description can't be read")]
+    Unreadable(#[source] serde_json::Error),
+    /// The number of its tasks, or of those in a chunk, is out of range.
+    #[error(
+        "the job's stored description is out of range: {tasks} tasks in chunks of {chunk_size}"
+    )]
+    OutOfRange {
+        /// The job's tasks.
+        tasks: u32,
+        /// Tasks in a chunk.
+        chunk_size: u64,
+    },
+}
+
+impl DescriptionError {
+    /// As it is logged, once for each job.
+    pub(crate) fn anomaly(&self) -> Anomaly {
+        match self {
+            DescriptionError::Unreadable(_) => Anomaly::UnreadableDescription,
+            DescriptionError::OutOfRange { .. } => Anomaly::DescriptionOutOfRange,
+        }
+    }
+}
+
+/// What came of a job's stored description.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum LoadedJob {
+    /// The job is new to the cluster.
+    Added(JobIndex),
+    /// The job was in the cluster before, and nothing changed.
+    Known,
+}
+
+/// Adds a job from its stored description. `wall_us` is the wall clock now, in microseconds, from
+/// which its acceptance on this node's clock is worked out.
+pub(crate) fn load_job(
+    cluster: &mut Cluster,
+    now: Timestamp,
+    name: &str,
+    value: &Value,
+    wall_us: u64,
+) -> Result<LoadedJob, DescriptionError> {
+    if cluster.jobs_by_name.contains_key(name) {
+        return Ok(LoadedJob::Known);
+    }
+    let record = DescriptionRecord::deserialize(value).map_err(DescriptionError::Unreadable)?;
+    let (tasks, chunk_size) = (record.spec.tasks, record.chunk_size);
+    if tasks == 0 || u64::from(tasks) > MAX_TASKS || chunk_size == 0 {
+        return Err(DescriptionError::OutOfRange { tasks, chunk_size });
+    }
+    let chunk_size = chunk_size.min(u64::from(u32::MAX)) as u32;
+    let accepted = now - TimeDelta(wall_us.saturating_sub(record.accepted_wall_us));
+    let spec = Cow::into_owned(record.spec);
+    let class = cluster.shares.job_came(&spec.team, &spec.class);
+    let job = Job::new(now, name, spec, accepted, chunk_size, class);
+    Ok(LoadedJob::Added(cluster.add_job(job)))
+}
+
+/// Takes over the stored chunks, all of them at once. All that was placed keeps its machine;
+/// deadlines start again. Returns the keys that belong to no job or can't be read.
+///
+/// A task may stand in its chunk and in a part that was written later, or the other way round:
+/// each holds all of its tasks as they were when it was written, so the newer one counts.
+pub(crate) fn load_chunks(
+    cluster: &mut Cluster,
+    now: Timestamp,
+    stored: &[KeyValue],
+) -> Vec<String> {
+    let mut by_revision: Vec<&KeyValue> = stored.iter().collect();
+    by_revision.sort_by_key(|key_value| key_value.revision);
+    let mut newest: BTreeMap<TaskId, StoredTask<'_>> = BTreeMap::new();
+    let mut unreadable = Vec::new();
+    for key_value in by_revision {
+        match read_chunk(cluster, key_value) {
+            Some(tasks) => newest.extend(tasks),
+            None => unreadable.push(key_value.key.clone()),
+        }
+    }
+    let mut by_job: BTreeMap<JobIndex, Vec<(u32, StoredTask<'_>)>> = BTreeMap::new();
+    for (id, record) in newest {
+        by_job.entry(id.0).or_default().push((id.1, record));
+    }
+    for (job, records) in by_job {
+        load_tasks(cluster, now, job, &records);
+    }
+    unreadable
+}
+
+/// Reads a chunk or a part, and notes its revision with the job. `None` if it belongs to no job, or
+/// can't be read.
+fn read_chunk<'a>(
+    cluster: &mut Cluster,
+    key_value: &'a KeyValue,
+) -> Option<Vec<(TaskId, StoredTask<'a>)>> {
+    let key = RunKey::parse(&key_value.key)?;
+    let job_index = *cluster.jobs_by_name.get(key.job)?;
+    let records = StoredChunk::deserialize(&key_value.value).ok()?.tasks;
+    let job = cluster.jobs.get_mut(&job_index)?;
+    let chunk = job.chunks.get_mut(key.chunk)?;
+    let base = key.chunk as u32 * job.chunk_size;
+    let first = match key.part {
+        Some(from) if from < base || from >= base.saturating_add(job.chunk_size) => return None,
+        Some(from) => {
+            job.parts.insert((key.chunk, from), key_value.revision);
+            from
+        }
+        None => {
+            chunk.revision = key_value.revision;
+            base
+        }
+    };
+    let end = base.saturating_add(job.chunk_size).min(job.spec.tasks);
+    Some((first..end).zip(records).map(|(task, record)| ((job_index, task), record)).collect())
+}
+
+/// A task that a record shows on a machine.
+struct LoadedPlacement {
+    id: TaskId,
+    machine: String,
+}
+
+fn load_tasks(
+    cluster: &mut Cluster,
+    now: Timestamp,
+    job_index: JobIndex,
+    records: &[(u32, StoredTask<'_>)],
+) {
+    let loaded_token = cluster.loaded_token;
+    let Some(job) = cluster.jobs.get_mut(&job_index) else { return };
+    let image = job.spec.image.clone();
+    let mut placements = Vec::new();
+    for (index, record) in records {
+        let Some(state) = record.state() else { continue };
+        if *index >= job.spec.tasks {
+            break;
+        }
+        let placement = load_task(job, now, *index, state, loaded_token);
+        placements.extend(placement.map(|machine| LoadedPlacement {
+            id: (job_index, *index),
+            machine: machine.to_owned(),
+        }));
+    }
+    for LoadedPlacement { id, machine } in placements {
+        let machine: MachineIndex = cluster.machine_named(now, &machine);
+        cluster.attach(id, machine);
+        cluster.has_image(machine, image.clone());
+    }
+}
+
+/// Takes over one task's record. Returns the machine on which it is, if it is placed.
+fn load_task<'a>(
+    job: &mut Job,
+    now: Timestamp,
+    index: u32,
+    state: crate::storage::records::TaskState<'a>,
+    loaded_token: u64,
+) -> Option<&'a str> {
+    let task = &mut job.tasks[index as usize];
+    task.attempt = state.attempt;
+    task.since = now;
+    match state.progress {
+        StoredProgress::Pending => None,
+        StoredProgress::Done => {
+            task.phase = TaskPhase::Done;
+            job.recorded.insert(index);
+            job.done += 1;
+            job.has_started = true;
+            None
+        }
+        StoredProgress::Placed(placement) => {
+            task.placed_at = placement.placed_at(job.accepted, now).unwrap_or(task.placed_at);
+            // Whatever it was, all that is certain now is that it may be there.
+            task.phase = TaskPhase::Dispatching;
+            task.agent_epoch = placement.agent_epoch;
+            // Sent under an older term, so with a token below all of this one's. Only a worker
+            // that has seen this term refuses it for certain; a lower bar would take a heartbeat
+            // from before the old start's arrival for proof.
+            task.token = loaded_token;
+            Some(placement.machine)
+        }
+    }
+}
--- /dev/null
+++ b/crates/scheduler/src/storage/write_round.rs
@@ -0,0 +1,217 @@
+//! What one round writes: everything that was decided, before anything of it is sent.
+//!
+//! Ends and starts go first, as few transactions as the limits allow. What finds no room waits for the
+//! next round, which takes more at once. (Task states and deletions once went out beside the starts: at 20
+//! changes a second they took most of it, and a start or an acceptance waited whole seconds.)
+
+use std::cmp::Reverse;
+
+use crate::command::Command;
+use crate::model::cluster::Cluster;
+use crate::model::job::{Job, JobIndex};
+use crate::model::job_spec::{JobEnd, Priority};
+use crate::model::job_state::JobEvent;
+use crate::queue::dependencies::DependencyGraph;
+use crate::storage::batch::{Batch, ChunkId};
+use crate::storage::chunk_writes::ChunkWriter;
+use crate::storage::deletion;
+use crate::storage::transactions::Transactions;
+use crate::time::{TimeDelta, Timestamp};
+use crate::tunables::Tunables;
+
+/// The part of the write allowance that task states and deletions leave to starts and ends.
+const KEEP_FOR_STARTS: f64 = 0.4;
+/// Times its delay after which a task state waits for nothing any more.
+const OVERDUE_STATUS_WRITE: u64 = 5;
+
+/// A chunk with planned starts. The order is the one in which they are written: the highest priority
+/// first, then the one that has waited longest.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct PlannedStarts {
+    priority: Reverse<Priority>,
+    due: Timestamp,
+    job: JobIndex,
+    chunk: usize,
+}
+
+/// A chunk with task states that are not stored, in the order in which they are written.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct UnpersistedChunk {
+    since: Timestamp,
+    job: JobIndex,
+    chunk: usize,
+}
+
+/// All that waits to be written.
+#[derive(Debug, Default)]
+struct PendingWrites {
+    starts: Vec<PlannedStarts>,
+    /// Jobs of which all tasks are done.
+    done: Vec<JobIndex>,
+    task_states: Vec<UnpersistedChunk>,
+    /// Jobs whose records may be deleted.
+    ended: Vec<JobIndex>,
+}
+
+impl PendingWrites {
+    fn collect(cluster: &Cluster, tunables: &Tunables, now: Timestamp) -> PendingWrites {
+        let mut pending = PendingWrites::default();
+        for (&index, job) in &cluster.jobs {
+            if job.is_ended() {
+                pending.ended.push(index);
+            } else if job.state().is_dependency_cancelled() {
+                continue;
+            } else if job.done == job.spec.tasks {
+                if !job.state().is_writing_end() && !job.chunks.iter().any(|c| c.in_flight) {
+                    pending.done.push(index);
+                }
+            } else {
+                pending.add_chunks(index, job, tunables, now);
+            }
+        }
+        pending
+    }
+
+    fn add_chunks(&mut self, index: JobIndex, job: &Job, tunables: &Tunables, now: Timestamp) {
+        for (number, chunk) in job.chunks.iter().enumerate().filter(|(_, c)| !c.in_flight) {
+            if let Some(due) = chunk.start_due {
+                let priority = Reverse(job.priority);
+                self.starts.push(PlannedStarts { priority, due, job: index, chunk: number });
+            } else if let Some(since) = chunk.unpersisted_since {
+                if now.since(since) >= tunables.evidence_delay {
+                    self.task_states.push(UnpersistedChunk { since, job: index, chunk: number });
+                }
+            }
+        }
+    }
+}
+
+/// The owners that a round of writes reads and changes.
+pub(crate) struct WriteRound<'a> {
+    pub(crate) cluster: &'a mut Cluster,
+    pub(crate) transactions: &'a mut Transactions,
+    pub(crate) dependency_graph: &'a DependencyGraph,
+    pub(crate) tunables: &'a Tunables,
+    pub(crate) now: Timestamp,
+}
+
+impl WriteRound<'_> {
+    /// Writes what waits, and returns the transactions to send.
+    pub(crate) fn run(mut self) -> Vec<Command> {
+        let mut commits = Vec::new();
+        let mut pending = PendingWrites::collect(self.cluster, self.tunables, self.now);
+        // A user was told that these are cancelled with the job before them: nothing goes first.
+        let cancelled: Vec<JobIndex> = self.dependency_graph.dependency_cancelled().collect();
+        self.write_ends(&cancelled, JobEnd::Cancelled, &mut commits);
+        pending.done.sort_by_key(|&index| Reverse(self.dependent_count(index)));
+        self.write_ends(&pending.done, JobEnd::Done, &mut commits);
+        pending.starts.sort_unstable();
+        self.write_starts(pending.starts, &mut commits);
+        pending.task_states.sort_unstable();
+        self.write_background(&pending.task_states, &pending.ended, &mut commits);
+        commits
+    }
+
+    /// How many jobs wait for this one; an end that releases others is written first.
+    fn dependent_count(&self, index: JobIndex) -> usize {
+        self.cluster.job(index).map_or(0, |job| self.dependency_graph.dependent_count(&job.name))
+    }
+
+    fn has_free_transaction(&self) -> bool {
+        self.transactions.in_flight_count() < self.tunables.txns_in_flight as usize
+    }
+
+    /// Writes the jobs' ends, as many as may be written now, each written once by whoever comes first:
+    /// all tasks are done, or a job that they depend on was cancelled.
+    fn write_ends(&mut self, jobs: &[JobIndex], end: JobEnd, commits: &mut Vec<Command>) {
+        let is_open = |index: &&JobIndex| {
+            let job = self.cluster.job(**index);
+            job.is_some_and(|job| !job.state().is_writing_end() && !job.is_ended())
+        };
+        let jobs: Vec<JobIndex> = jobs.iter().filter(is_open).copied().collect();
+        for some in jobs.chunks(self.transactions.limits().operations) {
+            let room = self.transactions.write_allowance(0.0).min(some.len());
+            if self.has_free_transaction() && room > 0 {
+                commits.extend(self.send_ends(&some[..room], end));
+            }
+        }
+    }
+
+    fn send_ends(&mut self, jobs: &[JobIndex], end: JobEnd) -> Option<Command> {
+        let mut batch = Batch::default();
+        for &index in jobs {
+            let Some(job) = self.cluster.jobs.get_mut(&index) else { continue };
+            job.apply(JobEvent::EndWriteStarted);
+            batch.put_end(index, &job.name, end);
+        }
+        self.transactions.counts_mut().job_ends += batch.operations();
+        self.transactions.send(batch)
+    }
+
+    /// Writes planned starts, the most urgent first, with what else changed of their chunks.
+    fn write_starts(&mut self, starts: Vec<PlannedStarts>, commits: &mut Vec<Command>) {
+        self.transactions.set_planned_chunks(starts.len());
+        let mut starts = starts.into_iter().peekable();
+        while starts.peek().is_some() {
+            let room = self.room(0.0);
+            if !self.has_free_transaction() || room == 0 {
+                self.cluster.placement_needed = true;
+                break;
+            }
+            let mut batch = Batch::default();
+            while !batch.is_full(room) {
+                let Some(PlannedStarts { job, chunk, .. }) = starts.next() else { break };
+                self.transactions.planned_chunk_taken();
+                self.add_chunk(&mut batch, ChunkId { job, chunk }, room);
+            }
+            commits.extend(self.transactions.send(batch));
+        }
+    }
+
+    /// Writes task states and deletes records, in one transaction at a time.
+    fn write_background(
+        &mut self,
+        task_states: &[UnpersistedChunk],
+        ended: &[JobIndex],
+        commits: &mut Vec<Command>,
+    ) {
+        let limit = TimeDelta(self.tunables.evidence_delay.0.saturating_mul(OVERDUE_STATUS_WRITE));
+        let overdue = task_states.first().is_some_and(|s| self.now.since(s.since) > limit);
+        let room = self.room(if overdue { 0.0 } else { KEEP_FOR_STARTS });
+        if room == 0 || self.transactions.background_in_flight() || !self.has_free_transaction() {
+            return;
+        }
+        let mut batch = Batch::background();
+        for &UnpersistedChunk { job, chunk, .. } in task_states {
+            if batch.is_full(room) {
+                break;
+            }
+            self.add_chunk(&mut batch, ChunkId { job, chunk }, room);
+        }
+        for &job in ended {
+            if batch.is_full(room) {
+                break;
+            }
+            self.delete_records(&mut batch, job, room);
+        }
+        commits.extend(self.transactions.send(batch));
+    }
+
+    /// Operations that a transaction may have now, keeping that part of the allowance.
+    fn room(&self, keep: f64) -> usize {
+        self.transactions.write_allowance(keep).min(self.transactions.limits().operations)
+    }
+
+    fn add_chunk(&mut self, batch: &mut Batch, chunk: ChunkId, max_operations: usize) {
+        let (cluster, transactions) = (&mut *self.cluster, &mut *self.transactions);
+        ChunkWriter { cluster, transactions, batch, max_operations }.add_chunk(chunk);
+    }
+
+    fn delete_records(&mut self, batch: &mut Batch, job: JobIndex, max_operations: usize) {
+        let before = batch.operations();
+        let last = deletion::delete_records(batch, self.cluster, job, max_operations);
+        let counts = self.transactions.counts_mut();
+        counts.jobs_deleted += usize::from(last);
+        counts.deletes += batch.operations() - before;
+    }
+}
--- a/crates/scheduler/tests/autoscaling.rs
+++ b/crates/scheduler/tests/autoscaling.rs
@@ -9,6 +9,7 @@
 use walnutlug_scheduler::model::machine::DrainReason;
 use walnutlug_scheduler::protocol::cloud::{CloudMachineState, ListedMachine, MachineType};
 use walnutlug_scheduler::storage::keys;
+use walnutlug_scheduler::storage::transactions::WriteAllowance;
 use walnutlug_scheduler::time::TimeDelta;
 use walnutlug_scheduler::tunables::{Objective, Site};
 use world::{one_machine, site, spec, types, World};
@@ -142,7 +143,7 @@
         &JobSpec { priority: walnutlug_scheduler::model::job_spec::Priority::High, ..spec(4) },
     );
     w.wait(50);
-    w.leader.set_write_allowance(1.0, 16.0);
+    w.leader.set_write_allowance(WriteAllowance { left: 1.0, most: 16.0 });
     w.leader.tick(w.now);
     let commits: Vec<_> = w
         .leader
--- a/crates/scheduler/tests/cancellations.rs
+++ b/crates/scheduler/tests/cancellations.rs
@@ -198,7 +198,7 @@
 
     /// The worker reports every three seconds and drops all when its lease ends.
     fn work(&mut self, now: Timestamp, at: u64) {
-        self.w.leader.cancellations_known_until = self.watermark.until(now);
+        self.w.leader.authority.set_cancellations_known_until(self.watermark.until(now));
         let lease = self.w.leader.site.worker_lease.mul_f64(SLOW);
         if now.since(self.renewed) > lease {
             self.w.workers.get_mut("n-1").expect("worker").lease_ends();
@@ -315,7 +315,7 @@
     let mut p = Play::new(&site);
     let began = p.w.now;
     p.play(began, window(&site).0 / 1_000 - 2 * STEP, &far);
-    assert!(p.w.leader.may_renew_leases(p.w.now));
+    assert!(p.w.leader.authority.may_renew_leases(p.w.now));
     // The last heartbeat within the window came at 18 s.
     p.play(began, 18_000 + 24_000 - STEP, &far);
     assert!(p.live());
@@ -323,8 +323,8 @@
     assert!(!p.live());
     // Heard of again, the machine is open for work as before.
     p.watermark.read(p.w.now);
-    p.w.leader.cancellations_known_until = p.w.now;
-    assert!(p.w.leader.may_renew_leases(p.w.now));
+    p.w.leader.authority.set_cancellations_known_until(p.w.now);
+    assert!(p.w.leader.authority.may_renew_leases(p.w.now));
 }
 
 #[test]
--- a/crates/scheduler/tests/golden_bytes.rs
+++ b/crates/scheduler/tests/golden_bytes.rs
@@ -17,8 +17,9 @@
     CommandsRequest, ExitReason, Heartbeat, HeartbeatResponse, Redirect, TaskState, TaskStatus,
     WorkerCommand,
 };
-use walnutlug_scheduler::storage::keys;
+use walnutlug_scheduler::storage::keys::{self, RunKey};
 use walnutlug_scheduler::storage::records::{chunk_size, description_record};
+use walnutlug_scheduler::storage::transactions::TransactionLimits;
 use world::{spec, types, World};
 
 const RECORDS: &str = "tests/golden/records.txt";
@@ -123,8 +124,10 @@
     let read: Vec<walnutlug_scheduler::protocol::cloud::MachineType> =
         serde_json::from_value(value["breeds"].clone()).expect("types");
     assert!(read == types(), "machine types: read otherwise");
-    assert_eq!(keys::split_run(&golden.text("chunk's key")), Some((JOB, 12, None)));
-    assert_eq!(keys::split_run(&golden.text("part's key")), Some((JOB, 12, Some(345))));
+    let chunk = RunKey { job: JOB, chunk: 12, part: None };
+    assert_eq!(RunKey::parse(&golden.text("chunk's key")), Some(chunk));
+    let part = RunKey { part: Some(345), ..chunk };
+    assert_eq!(RunKey::parse(&golden.text("part's key")), Some(part));
 }
 
 /// Reads the description as a new leader does, and writes it again.
@@ -132,7 +135,10 @@
     let (key, value) = split(entry);
     assert!(keys::described(&key) == Some(JOB), "{kind}: its key");
     let mut world = World::new(&[]);
-    assert!(world.leader.add_job(world.now, JOB, &value, ACCEPTED_US), "{kind}: can't be read");
+    assert!(
+        world.leader.add_job(world.now, JOB, &value, ACCEPTED_US).is_ok(),
+        "{kind}: can't be read"
+    );
     let job = world.leader.cluster.job(world.leader.cluster.jobs_by_name[JOB]).expect("the job");
     assert!(job.spec == *spec, "{kind}: a field was read otherwise");
     assert!(job.chunk_size == 83, "{kind}: chunk size");
@@ -149,7 +155,11 @@
     for key_value in former.iter().filter(|key_value| key_value.key.starts_with(keys::TODO)) {
         let name = keys::described(&key_value.key).expect("a description");
         let wall = key_value.value["at"].as_u64().expect("a time");
-        assert!(world.leader.add_job(world.now, name, &key_value.value, wall), "{}", key_value.key);
+        assert!(
+            world.leader.add_job(world.now, name, &key_value.value, wall).is_ok(),
+            "{}",
+            key_value.key
+        );
         let job =
             world.leader.cluster.job(world.leader.cluster.jobs_by_name[name]).expect("the job");
         let again = description_record(&job.spec, wall, job.chunk_size);
@@ -157,7 +167,7 @@
     }
     let runs: Vec<KeyValue> =
         former.into_iter().filter(|key_value| key_value.key.starts_with(keys::RUN)).collect();
-    assert!(world.leader.load_runs(world.now, &runs).is_empty(), "all of them are read");
+    assert!(world.leader.load_chunks(world.now, &runs).is_empty(), "all of them are read");
     let found: Vec<(&str, String)> = ["req-000001", "req-000002"]
         .into_iter()
         .map(|name| (name, tasks_as_read(&world, name)))
@@ -206,10 +216,10 @@
     let accepted_before_us = 50_000_000;
     let value = description_record(&spec, ACCEPTED_US, 7);
     let wall = ACCEPTED_US + accepted_before_us;
-    assert!(world.leader.add_job(world.now, JOB, &value, wall), "the description");
+    assert!(world.leader.add_job(world.now, JOB, &value, wall).is_ok(), "the description");
     let key_value = |key, value, revision| KeyValue { key, value, revision };
     let part = json!({"t": [[2, 9, "n-000003", 7, 11]], "w": "1-2"});
-    let strange = world.leader.load_runs(
+    let strange = world.leader.load_chunks(
         world.now,
         &[
             key_value(keys::run(JOB, 0), chunk_of_every_phase(), 8),
@@ -406,7 +416,7 @@
         self.world.submit_in_chunks("req-000005", &many, 168);
         self.go_on(4);
         self.world.store.limits = Some((2_048, 4));
-        self.world.leader.set_limits(2_048, 4);
+        self.world.leader.set_limits(TransactionLimits { value_bytes: 2_048, operations: 4 });
         for (task, machines) in self.world.places().into_iter().take(3) {
             self.world.finish(&machines[0], &task);
         }
--- a/crates/scheduler/tests/random_interleavings.rs
+++ b/crates/scheduler/tests/random_interleavings.rs
@@ -6,9 +6,10 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use serde_json::json;
-use walnutlug_scheduler::command::{Command, MessageOutcome, TransactionOutcome};
+use walnutlug_scheduler::command::{Command, MessageOutcome, ReadOutcome, TransactionOutcome};
 use walnutlug_scheduler::protocol::workers::{Heartbeat, WorkerCommand};
 use walnutlug_scheduler::scheduler::Scheduler;
+use walnutlug_scheduler::storage::transactions::TransactionLimits;
 use world::{spec, World};
 
 /// A message that the test holds.
@@ -156,9 +157,12 @@
                 }
             }
             Held::Read(term, id, key) => {
-                let found = self.w.store.keys.get(&key).cloned().unwrap_or_default();
+                let outcome = match fate.is_multiple_of(4) {
+                    true => ReadOutcome::Unavailable,
+                    false => self.w.store.read(&key),
+                };
                 if let Some(s) = self.scheduler(term) {
-                    s.read_answered(now, id, (!fate.is_multiple_of(4)).then_some(found));
+                    s.read_answered(now, id, outcome);
                 }
             }
             Held::Direct { term, waits, name, token, agent_epoch, calls }
@@ -299,7 +303,10 @@
                 if !self.former && !self.former_terms.contains(&self.w.leader.term) {
                     self.w.store.limits = Some(LEAST);
                     for s in self.old.iter_mut().chain([&mut self.w.leader]) {
-                        s.set_limits(LEAST.0, LEAST.1);
+                        s.set_limits(TransactionLimits {
+                            value_bytes: LEAST.0,
+                            operations: LEAST.1,
+                        });
                     }
                 }
                 self.former = false;
--- a/crates/scheduler/tests/sim/follower.rs
+++ b/crates/scheduler/tests/sim/follower.rs
@@ -128,7 +128,7 @@
         }
         let leader =
             leader.filter(|l| linked && self.served.forwarding_term(now) == Some(l.s.term))?;
-        leader.s.cancellations_known_until = leader.known;
+        leader.s.authority.set_cancellations_known_until(leader.known);
         let answer = leader.s.heartbeat(now, heartbeat);
         transcript::answer("forwarded", &heartbeat.machine, answer.as_ref());
         let (token, calls) = answer?;
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -8,15 +8,15 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use serde_json::{json, Value};
-use walnutlug_scheduler::command::{Command, MessageOutcome, TransactionOutcome};
+use serde_json::json;
+use walnutlug_scheduler::command::{Command, MessageOutcome, ReadOutcome, TransactionOutcome};
 use walnutlug_scheduler::model::job_spec::{JobEnd, JobSpec};
 use walnutlug_scheduler::protocol::cloud::{CloudMachineState, ListedMachine};
 use walnutlug_scheduler::protocol::key_value::{Operation, Transaction};
 use walnutlug_scheduler::protocol::workers::{ExitReason, Heartbeat, TaskState, WorkerCommand};
 use walnutlug_scheduler::reconciliation::repeated_heartbeats::{CachedHeartbeat, OWN_NODE};
 use walnutlug_scheduler::scheduler::Scheduler;
-use walnutlug_scheduler::storage::keys;
+use walnutlug_scheduler::storage::keys::{self, RunKey};
 use walnutlug_scheduler::storage::records::description_record;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 use walnutlug_scheduler::tunables::{Site, Tunables};
@@ -140,7 +140,7 @@
     cached: &mut Option<(Heartbeat, CachedHeartbeat)>,
     heartbeat: &Heartbeat,
 ) -> Option<(u64, Vec<WorkerCommand>)> {
-    leader.s.cancellations_known_until = leader.known;
+    leader.s.authority.set_cancellations_known_until(leader.known);
     if let Some(cache_entry) = repeats(cached, heartbeat) {
         if let Some(token) =
             leader.s.answer_repeated_heartbeat(now, cache_entry, heartbeat.sequence)
@@ -173,7 +173,7 @@
     Read {
         term: u64,
         id: u64,
-        answer: Option<(Value, u64)>,
+        outcome: ReadOutcome,
     },
     Direct {
         term: u64,
@@ -501,9 +501,10 @@
         let wall = world::WALL + (self.now.0 - START.0);
         for key_value in self.store.key_values(keys::TODO) {
             let name = key_value.key.strip_prefix(keys::TODO).expect("a description").to_owned();
-            s.add_job(self.now, &name, &key_value.value, wall);
+            // Damaged descriptions are passed over, as by the program.
+            let _ = s.add_job(self.now, &name, &key_value.value, wall);
         }
-        let strange = s.load_runs(self.now, &self.store.key_values(keys::RUN));
+        let strange = s.load_chunks(self.now, &self.store.key_values(keys::RUN));
         assert!(strange.is_empty(), "{}: {strange:?}", self.what);
         // In one order, whatever that of the table: a transcript holds what comes of it.
         let mut names: Vec<String> = s.cluster.jobs_by_name.keys().cloned().collect();
@@ -575,7 +576,7 @@
             assert!(guarded, "{}: written by a deposed leader: {transaction:?}", self.what);
             for change in &transaction.operations {
                 let Operation::Put { put, .. } = change else { continue };
-                let Some((job, ..)) = keys::split_run(put) else { continue };
+                let Some(RunKey { job, .. }) = RunKey::parse(put) else { continue };
                 let ended = self.store.keys.contains_key(&keys::end(job));
                 assert!(!ended, "{}: {put} written after its job's end", self.what);
             }
@@ -594,8 +595,8 @@
             Event::Answer { term, id, outcome } => {
                 by_term(self, term, &mut |s| s.transaction_answered(now, id, outcome.clone()));
             }
-            Event::Read { term, id, answer } => {
-                by_term(self, term, &mut |s| s.read_answered(now, id, answer.clone()));
+            Event::Read { term, id, outcome } => {
+                by_term(self, term, &mut |s| s.read_answered(now, id, outcome.clone()));
             }
             Event::Direct { term, machine, outcome } => {
                 by_term(self, term, &mut |s| s.message_answered(now, machine, outcome.clone()));
@@ -736,7 +737,7 @@
                 let wall = world::WALL + (now.0 - START.0);
                 for key_value in self.store.key_values(keys::TODO) {
                     let name = key_value.key.strip_prefix(keys::TODO).expect("a description");
-                    l.s.add_job(now, name, &key_value.value, wall);
+                    let _ = l.s.add_job(now, name, &key_value.value, wall);
                 }
                 for name in l.s.cluster.open_jobs() {
                     if let Some((end, _)) = self.store.keys.get(&keys::end(&name)) {
@@ -748,8 +749,8 @@
         } else if peers && now >= l.no_peers {
             l.known = l.known.max(now - TimeDelta::from_secs(1));
         }
-        l.s.cancellations_known_until = l.known;
-        l.s.holds_lease = now.since(l.served) < TimeDelta::from_millis(2_400);
+        l.s.authority.set_cancellations_known_until(l.known);
+        l.s.authority.set_holds_lease(now.since(l.served) < TimeDelta::from_millis(2_400));
         l.s.tick(now);
         l.s.autoscale(now);
         let shared = l.s.fair_share.is_active();
@@ -818,10 +819,9 @@
                 self.events.push(answer(soon, outcome));
             }
             Command::Read { id, key } => {
-                let stored = self.store.keys.get(&key).cloned().unwrap_or((Value::Null, 0));
-                let answer = served.then_some(stored);
+                let outcome = if served { self.store.read(&key) } else { ReadOutcome::Unavailable };
                 let at = self.in_ms(10, 150);
-                self.events.push((at, Event::Read { term, id, answer }));
+                self.events.push((at, Event::Read { term, id, outcome }));
             }
             Command::SendToWorker { machine, token, agent_epoch, calls, .. } => {
                 let name = self.leaders[i].s.cluster.machines[machine as usize].name.clone();
--- a/crates/scheduler/tests/storage_limits.rs
+++ b/crates/scheduler/tests/storage_limits.rs
@@ -10,6 +10,7 @@
 use walnutlug_scheduler::model::job_spec::JobSpec;
 use walnutlug_scheduler::model::task::TaskPhase;
 use walnutlug_scheduler::storage::keys;
+use walnutlug_scheduler::storage::transactions::TransactionLimits;
 use world::{spec, World};
 
 const JOB: &str = "req-000001";
@@ -25,7 +26,7 @@
 
 fn fall(w: &mut World) {
     w.store.limits = Some(SMALL);
-    w.leader.set_limits(SMALL.0, SMALL.1);
+    w.leader.set_limits(TransactionLimits { value_bytes: SMALL.0, operations: SMALL.1 });
 }
 
 fn run_keys(w: &World) -> BTreeSet<String> {
@@ -169,7 +170,7 @@
     ] {
         w.store.put(key, value);
     }
-    let strange = w.leader.load_runs(w.now, &w.store.key_values(keys::RUN));
+    let strange = w.leader.load_chunks(w.now, &w.store.key_values(keys::RUN));
     assert_eq!(strange.len(), 5, "{strange:?}");
     let tasks = &w.leader.cluster.job(w.leader.cluster.jobs_by_name[JOB]).expect("job").tasks;
     let seen: Vec<(TaskPhase, u32)> = tasks.iter().map(|t| (t.phase, t.attempt)).collect();
@@ -182,7 +183,7 @@
     let mut w = long_named(70);
     w.submit_in_chunks(JOB, &spec(200), walnutlug_scheduler::storage::records::chunk_size(SMALL.0));
     w.store.limits = Some(SMALL);
-    w.leader.set_limits(8_192, SMALL.1);
+    w.leader.set_limits(TransactionLimits { value_bytes: 8_192, operations: SMALL.1 });
     w.run_out();
     assert_eq!(w.end(JOB), Some(&json!("done")));
 }
--- a/crates/scheduler/tests/transcripts/scripts.rs
+++ b/crates/scheduler/tests/transcripts/scripts.rs
@@ -14,6 +14,7 @@
 use walnutlug_scheduler::protocol::key_value::KeyValue;
 use walnutlug_scheduler::protocol::workers::{ExitReason, TaskState};
 use walnutlug_scheduler::storage::keys;
+use walnutlug_scheduler::storage::transactions::TransactionLimits;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 use walnutlug_scheduler::tunables::{Objective, Site};
 
@@ -499,7 +500,7 @@
     world.settle();
     let fall = |world: &mut World, bytes: usize, operations: usize| {
         world.store.limits = Some((bytes, operations));
-        world.leader.set_limits(bytes, operations);
+        world.leader.set_limits(TransactionLimits { value_bytes: bytes, operations });
     };
     fall(&mut world, 2_048, 4);
     for round in 0..10 {
--- a/crates/scheduler/tests/untrusted_reports.rs
+++ b/crates/scheduler/tests/untrusted_reports.rs
@@ -221,7 +221,7 @@
     w.tick();
     let (id, transaction) = w.take_commit();
     let outcome = w.store.apply(&transaction);
-    w.leader.holds_lease = false;
+    w.leader.authority.set_holds_lease(false);
     // Written before the cut, and not sent any more.
     w.leader.transaction_answered(w.now, id, outcome);
     w.submit("req-000003", &spec(40));
--- a/crates/scheduler/tests/version_compatibility.rs
+++ b/crates/scheduler/tests/version_compatibility.rs
@@ -9,7 +9,7 @@
 use walnutlug_scheduler::model::job_spec::{JobSpec, Priority};
 use walnutlug_scheduler::model::task::TaskPhase;
 use walnutlug_scheduler::protocol::key_value::KeyValue;
-use walnutlug_scheduler::storage::keys;
+use walnutlug_scheduler::storage::keys::{self, RunKey};
 use walnutlug_scheduler::storage::records::{chunk_size, description_record};
 use world::{spec, World};
 
@@ -114,7 +114,8 @@
     let part = keys::part("req-000001", 3, 40);
     let place = part.rsplit_once('/').expect("a place").1;
     assert!(place.parse::<usize>().is_err(), "{place}");
-    assert_eq!(keys::split_run(&part), Some(("req-000001", 3, Some(40))));
+    let key = RunKey { job: "req-000001", chunk: 3, part: Some(40) };
+    assert_eq!(RunKey::parse(&part), Some(key));
 }
 
 /// Either takes over from the other, and again within moments, while a chain is under way.
--- a/crates/scheduler/tests/world/mod.rs
+++ b/crates/scheduler/tests/world/mod.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use serde_json::{json, Value};
-use walnutlug_scheduler::command::{Command, MessageOutcome, TransactionOutcome};
+use walnutlug_scheduler::command::{Command, MessageOutcome, ReadOutcome, TransactionOutcome};
 use walnutlug_scheduler::leadership::election::token;
 use walnutlug_scheduler::model::job_spec::{JobEnd, JobSpec, Priority};
 use walnutlug_scheduler::model::team::Team;
@@ -19,6 +19,7 @@
 use walnutlug_scheduler::scheduler::Scheduler;
 use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::storage::records::{chunk_size, description_record};
+use walnutlug_scheduler::storage::transactions::TransactionLimits;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 use walnutlug_scheduler::tunables::{Site, Tunables};
 
@@ -39,6 +40,14 @@
 }
 
 impl Store {
+    /// The answer to the reading of a key.
+    pub fn read(&self, key: &str) -> ReadOutcome {
+        match self.keys.get(key).cloned() {
+            Some((value, revision)) => ReadOutcome::Found { value, revision },
+            None => ReadOutcome::Missing,
+        }
+    }
+
     pub fn apply(&mut self, transaction: &Transaction) -> TransactionOutcome {
         let outcome = self.decide(transaction);
         transcript::applied(transaction, &outcome);
@@ -331,7 +340,7 @@
     pub fn submit_in_chunks(&mut self, name: &str, spec: &JobSpec, chunk: u32) {
         let value = self.store_job(name, spec, chunk);
         let wall = self.wall_us();
-        self.leader.add_job(self.now, name, &value, wall);
+        self.leader.add_job(self.now, name, &value, wall).expect("a readable description");
     }
 
     /// Accepted, with nobody told.
@@ -350,7 +359,7 @@
     pub fn wait(&mut self, ms: u64) {
         self.now = self.now + TimeDelta::from_millis(ms);
         if !self.cut_off {
-            self.leader.cancellations_known_until = self.now;
+            self.leader.authority.set_cancellations_known_until(self.now);
         }
     }
 
@@ -463,9 +472,8 @@
                     self.leader.job_ends_found(self.now, &found);
                 }
                 Command::Read { id, key } => {
-                    let found = self.store.keys.get(&key).cloned();
-                    let answer = found.unwrap_or((Value::Null, 0));
-                    self.leader.read_answered(self.now, id, Some(answer));
+                    let outcome = self.store.read(&key);
+                    self.leader.read_answered(self.now, id, outcome);
                 }
                 _ => {}
             }
@@ -517,14 +525,15 @@
         for (key, (value, _)) in &self.store.keys {
             if let Some(name) = keys::described(key) {
                 if !former || key.starts_with(keys::TODO) {
-                    s.add_job(self.now, name, value, self.wall_us());
+                    // Damaged descriptions are passed over, as by the program.
+                    let _ = s.add_job(self.now, name, value, self.wall_us());
                 }
             }
         }
-        let strange = s.load_runs(self.now, &self.store.key_values(keys::RUN));
+        let strange = s.load_chunks(self.now, &self.store.key_values(keys::RUN));
         assert!(former || strange.is_empty(), "{strange:?}");
         if let Some((value_bytes, ops)) = self.store.limits {
-            s.set_limits(value_bytes, ops);
+            s.set_limits(TransactionLimits { value_bytes, operations: ops });
         }
         // In one order, whatever that of the table: a transcript holds what comes of it.
         let mut names: Vec<String> = s.cluster.jobs_by_name.keys().cloned().collect();
