--- a/crates/admission/src/deal.rs
+++ b/crates/admission/src/deal.rs
@@ -25,6 +25,7 @@
 pub struct Waiting {
     /// The higher goes first.
     pub tier: u8,
+    /// Whose share it counts for.
     pub class: ClassId,
     /// What one task takes.
     pub task: Resources,
@@ -123,6 +124,14 @@
     used: Resources,
 }
 
+/// A portion that was offered, and where its job stands.
+#[derive(Debug, Clone, Copy)]
+struct Offered {
+    tier: u8,
+    class: ClassId,
+    portion: Portion,
+}
+
 /// One round of dealing. It reckons with the shares as they were at its start and the portions taken
 /// since.
 #[derive(Debug)]
@@ -134,8 +143,8 @@
     tiers: BTreeMap<u8, Tier>,
     team_states: HashMap<TeamId, TeamState>,
     class_states: HashMap<ClassId, ClassState>,
-    /// The portion that was offered last, and where it stands.
-    offered: Option<(u8, ClassId, Portion)>,
+    /// The portion that was offered last and not answered yet.
+    offered: Option<Offered>,
 }
 
 impl Deal {
@@ -306,14 +315,14 @@
         }
         let for_floor = self.stage == Stage::Floors;
         let portion = Portion { job, tasks, for_floor };
-        self.offered = Some((tier, class, portion));
+        self.offered = Some(Offered { tier, class, portion });
         portion
     }
 
     /// How many tasks of the portion offered last were placed. With fewer than offered, nothing more
     /// of the job finds room in this round.
     pub fn taken(&mut self, placed: u32) {
-        let Some((tier, class, portion)) = self.offered.take() else { return };
+        let Some(Offered { tier, class, portion }) = self.offered.take() else { return };
         self.lift_out(class);
         let waiting = &mut self.jobs[portion.job];
         let taken = waiting.task.times(f64::from(placed));
--- a/crates/admission/src/resources.rs
+++ b/crates/admission/src/resources.rs
@@ -5,12 +5,16 @@
 /// Processors, accelerators and gigabytes of memory.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Resources {
+    /// Processors.
     pub cpus: f64,
+    /// Accelerators.
     pub gpus: f64,
+    /// Gigabytes of memory.
     pub memory_gb: f64,
 }
 
 impl Resources {
+    /// Nothing of any of them.
     pub const NONE: Resources = Resources { cpus: 0.0, gpus: 0.0, memory_gb: 0.0 };
 
     /// The same amount several times.
--- a/crates/admission/src/saturation.rs
+++ b/crates/admission/src/saturation.rs
@@ -25,15 +25,18 @@
     Room,
     /// Work has waited since then, which may be a passing lack of machines.
     Filling(Timestamp),
+    /// Work has waited for long enough.
     Saturated,
     /// Saturated, but there has been room since then.
     Clearing(Timestamp),
 }
 
-/// A change that is worth telling.
+/// A change that is worth a line in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
+    /// The fleet is saturated from now on.
     Entered,
+    /// The fleet is no longer saturated.
     Left,
 }
 
@@ -50,6 +53,7 @@
 }
 
 impl Saturation {
+    /// Whether the fleet counts as saturated, by the observations so far.
     pub fn is_saturated(&self) -> bool {
         matches!(self.phase, Phase::Saturated | Phase::Clearing(_))
     }
--- a/crates/admission/src/shares.rs
+++ b/crates/admission/src/shares.rs
@@ -14,6 +14,7 @@
 /// Weights outside of these would leave a team all of the fleet, or nothing of it.
 pub const WEIGHTS: std::ops::RangeInclusive<f64> = 0.01..=100.0;
 
+/// A team.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TeamId(pub(crate) u32);
 
@@ -57,6 +58,17 @@
     name: Option<String>,
 }
 
+/// What a class holds of the fleet.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct HeldShare<'a> {
+    /// The team's name.
+    pub team: &'a str,
+    /// The class's name; `None` for the entry that a team's further classes share.
+    pub class: Option<&'a str>,
+    /// Its dominant share: the largest part of the fleet that it uses of any resource.
+    pub share: f64,
+}
+
 /// Shares of the fleet by team and class.
 #[derive(Debug, Clone, Default)]
 pub struct Shares {
@@ -83,6 +95,7 @@
         self.fleet = fleet;
     }
 
+    /// What all machines have together, as far as it was told.
     pub fn fleet(&self) -> Resources {
         self.fleet
     }
@@ -194,6 +207,7 @@
         class.stopping = class.stopping.less(task);
     }
 
+    /// The team of the class.
     pub fn team_of(&self, id: ClassId) -> TeamId {
         self.classes[id.0 as usize].team
     }
@@ -232,18 +246,20 @@
         team.used.dominant_share(self.fleet) >= part
     }
 
-    /// The classes that hold most of the fleet, `most` at most: team, class and dominant share. The
-    /// entry that a team's further classes share has no name.
-    pub fn largest(&self, most: usize) -> Vec<(&str, Option<&str>, f64)> {
-        let held = self.classes.iter().filter(|class| class.jobs > 0);
-        let mut held: Vec<_> = held
-            .map(|class| {
-                let team = self.teams[class.team.0 as usize].name.as_str();
-                (team, class.name.as_deref(), class.used.dominant_share(self.fleet))
+    /// The classes that hold most of the fleet, `max` at most, the largest share first.
+    pub fn largest(&self, max: usize) -> Vec<HeldShare<'_>> {
+        let with_jobs = self.classes.iter().filter(|class| class.jobs > 0);
+        let mut held: Vec<HeldShare> = with_jobs
+            .map(|class| HeldShare {
+                team: &self.teams[class.team.0 as usize].name,
+                class: class.name.as_deref(),
+                share: class.used.dominant_share(self.fleet),
             })
             .collect();
-        held.sort_by(|a, b| b.2.total_cmp(&a.2).then((a.0, a.1).cmp(&(b.0, b.1))));
-        held.truncate(most);
+        held.sort_by(|a, b| {
+            b.share.total_cmp(&a.share).then((a.team, a.class).cmp(&(b.team, b.class)))
+        });
+        held.truncate(max);
         held
     }
 
--- a/crates/admission/src/turns.rs
+++ b/crates/admission/src/turns.rs
@@ -20,6 +20,7 @@
 }
 
 impl<Lane: Ord + Clone, Entry> TurnQueue<Lane, Entry> {
+    /// Adds an entry behind those of its lane.
     pub fn push(&mut self, lane: Lane, entry: Entry) {
         self.lanes.entry(lane).or_default().push_back(entry);
     }
--- a/crates/admission/tests/transcripts.rs
+++ b/crates/admission/tests/transcripts.rs
@@ -14,7 +14,7 @@
 use walnutlug_admission::deal::{Deal, Rules, Waiting};
 use walnutlug_admission::resources::Resources;
 use walnutlug_admission::saturation::{Change, Saturation, Thresholds};
-use walnutlug_admission::shares::{ClassId, Entitlement, Shares};
+use walnutlug_admission::shares::{ClassId, Entitlement, HeldShare, Shares};
 use walnutlug_admission::turns::TurnQueue;
 use walnutlug_time::{TimeDelta, Timestamp};
 
@@ -122,7 +122,9 @@
         let largest = self.shares.largest(20);
         let told: Vec<String> = largest
             .into_iter()
-            .map(|(team, class, share)| format!("{team}/{} {}", class.unwrap_or("-"), exact(share)))
+            .map(|HeldShare { team, class, share }| {
+                format!("{team}/{} {}", class.unwrap_or("-"), exact(share))
+            })
             .collect();
         self.transcript.line("largest shares", &told.join("; "));
         for at in 0..self.held.len().min(12) {
--- a/crates/fencing/src/fence.rs
+++ b/crates/fencing/src/fence.rs
@@ -1,10 +1,10 @@
-//! Writes that take effect only while the writer still holds its duty.
+//! Writes that take effect only while the writer still holds its role.
 
 use walnutlug_scheduler::protocol::key_value::{Compare, Operation, Transaction};
 
 use crate::leased_role::{Epoch, LeasedRole};
 
-/// What every write of a duty's holder is conditional on. There is none without an epoch.
+/// What every write of a role's holder is conditional on. There is none without an epoch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fence {
     role: LeasedRole,
@@ -12,7 +12,7 @@
 }
 
 impl Fence {
-    /// The fence of the duty, held under that epoch.
+    /// The fence of the role, held under that epoch.
     pub fn new(role: LeasedRole, epoch: Epoch) -> Fence {
         Fence { role, epoch }
     }
@@ -22,7 +22,7 @@
         self.epoch
     }
 
-    /// The duty whose writes these are.
+    /// The role whose writes these are.
     pub fn role(&self) -> LeasedRole {
         self.role
     }
@@ -31,13 +31,13 @@
         Compare { key: self.role.key(), revision: self.epoch.revision() }
     }
 
-    /// Whether one of these failed conditions means that the duty is another's now.
+    /// Whether one of these failed conditions means that the role is another's now.
     pub fn is_broken_by(&self, failed: &[String]) -> bool {
         failed.contains(&self.role.key())
     }
 }
 
-/// A transaction in the making, under a fence. Nothing else makes a duty's writes, so none goes round it.
+/// A transaction in the making, under a fence. Nothing else makes a role's writes, so none goes round it.
 #[derive(Debug)]
 pub struct FencedWrite {
     transaction: Transaction,
@@ -57,7 +57,7 @@
         self.transaction.operations.push(change);
     }
 
-    /// Adds a change to a key that nobody but the duty's holder writes.
+    /// Adds a change to a key that nobody but the role's holder writes.
     pub fn change(&mut self, change: Operation) {
         self.transaction.operations.push(change);
     }
--- a/crates/fencing/src/intent.rs
+++ b/crates/fencing/src/intent.rs
@@ -1,7 +1,7 @@
 //! Outside actions, written down before they are sent.
 //!
 //! A record holds a few actions of one kind and is created once, under a fence, by the holder that decided
-//! them. It is dropped when all of them are settled. Whoever holds the duty next finds what is left.
+//! them. It is dropped when all of them are settled. Whoever holds the role next finds what is left.
 
 use serde::{Deserialize, Serialize};
 use walnutlug_scheduler::protocol::cloud::ScaleOutRequest;
@@ -83,7 +83,7 @@
     }
 }
 
-/// Where a record is kept: below the duty and the epoch that decided it.
+/// Where a record is kept: below the role and the epoch that decided it.
 pub fn intent_key(role: LeasedRole, epoch: Epoch, number: u64) -> String {
     format!("{INTENT_PREFIX}{}/{:020}/{number:06}", role.name(), epoch.revision())
 }
--- a/crates/fencing/src/intent_log.rs
+++ b/crates/fencing/src/intent_log.rs
@@ -29,14 +29,14 @@
 /// thousands has a few dozen.
 const MAX_OPEN: usize = 4_096;
 
-/// Names an action for as long as the ledger lives.
+/// Names an action for as long as the intent log lives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ActionId {
     record: u64,
     index: usize,
 }
 
-/// What the ledger wants done.
+/// What the intent log wants done.
 #[derive(Debug, Clone, PartialEq)]
 pub enum IntentLogCommand {
     /// Send the transaction and answer with [`IntentLog::written`].
@@ -68,11 +68,11 @@
     Unknown,
 }
 
-/// Why the ledger does nothing any more.
+/// Why the intent log does nothing any more.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Stopped {
-    /// A write found that the duty is another's.
-    #[error("the duty is held under another epoch now")]
+    /// A write found that the role is another's.
+    #[error("the role is held under another epoch now")]
     Fenced,
     /// A stored intent is of this epoch or a later one, though this one is the newest.
     #[error(transparent)]
@@ -96,7 +96,7 @@
         /// Earlier sends whose outcome isn't known.
         unknown: u32,
     },
-    /// A rental that was carried out. Its record stays until the machines are on the cloud's list for certain:
+    /// A scale-out that was carried out. Its record stays until the machines are on the cloud's list for certain:
     /// until then the request's name is how a successor learns of them.
     Unlisted {
         /// When they are listed.
@@ -208,18 +208,18 @@
     pub faults: Vec<RecordError>,
 }
 
-/// The outside actions of one holding of a duty.
+/// The outside actions of one holding of a role.
 #[derive(Debug)]
 pub struct IntentLog {
     fence: Fence,
     limits: WriteLimits,
-    /// How long after a rental its machines are on the cloud's list for certain.
+    /// How long after a scale-out its machines are on the cloud's list for certain.
     listed_within: TimeDelta,
     requested: Vec<Action>,
     records: BTreeMap<u64, Record>,
     /// Machines named by a return that is not settled, with the action.
     returning: BTreeMap<String, ActionId>,
-    /// Machines of rentals whose records stay until they are listed.
+    /// Machines of scale-outs whose records stay until they are listed.
     unlisted: BTreeMap<String, ActionId>,
     write: Option<PendingWrite>,
     next_record: u64,
@@ -531,7 +531,7 @@
         }
     }
 
-    /// The answer to [`IntentLogCommand::Send`]; of a rental, with the machines that were rented.
+    /// The answer to [`IntentLogCommand::Send`]; of a scale-out, with the machines that were rented.
     pub fn answered(
         &mut self,
         now: Timestamp,
@@ -563,7 +563,7 @@
         self.settle_record(now, id.record);
     }
 
-    /// Machines that are gone: a successor that asked for their rental again would count on them.
+    /// Machines that are gone: a successor that asked for their scale-out again would count on them.
     fn forget_returned(&mut self, now: Timestamp, id: ActionId) {
         let Some(Action::ScaleIn(machines)) = self.action(id).map(|t| t.action.clone()) else {
             return;
--- a/crates/fencing/src/lease.rs
+++ b/crates/fencing/src/lease.rs
@@ -1,4 +1,4 @@
-//! A node's own view of a lease that it holds a duty by. [`RoleLease::step`] makes every change.
+//! A node's own view of a lease that it holds a role by. [`RoleLease::step`] makes every change.
 //!
 //! The key-value store ends a lease a full `ttl` after the last renewal that it carried out, which is after the
 //! renewal was sent. So a holder that counts from the sending, and allows for its clock being slow, stops
@@ -19,12 +19,12 @@
     ttl - ttl.mul_f64(DRIFT) - CLOCK_STEP
 }
 
-/// How a duty stands at this node.
+/// How a role stands at this node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseState {
     /// Not held here.
     Idle,
-    /// A lease was granted on a request sent then; the duty's key is being created.
+    /// A lease was granted on a request sent then; the role's key is being created.
     Acquiring {
         /// When the lease was asked for.
         sent: Timestamp,
@@ -37,7 +37,7 @@
         /// Up to when the lease can't have ended.
         until: Timestamp,
     },
-    /// Something is wrong with the epochs: this node doesn't hold the duty again in this life.
+    /// Something is wrong with the epochs: this node doesn't hold the role again in this life.
     Stopped {
         /// What is wrong.
         error: EpochError,
@@ -52,7 +52,7 @@
         /// When it was asked for.
         sent: Timestamp,
     },
-    /// The duty's key was created, or read back as this node's own, with this revision.
+    /// The role's key was created, or read back as this node's own, with this revision.
     Won {
         /// The key's revision.
         revision: u64,
@@ -64,7 +64,7 @@
         /// When it was sent.
         sent: Timestamp,
     },
-    /// The lease ended, the key is another's, or the duty is given up.
+    /// The lease ended, the key is another's, or the role is given up.
     Ended,
 }
 
@@ -81,7 +81,7 @@
     }
 }
 
-/// One duty's lease at one node.
+/// One role's lease at one node.
 #[derive(Debug)]
 pub struct RoleLease {
     ttl: TimeDelta,
@@ -96,7 +96,7 @@
         RoleLease { ttl, state: LeaseState::Idle, highest: None }
     }
 
-    /// How the duty stands.
+    /// How the role stands.
     pub fn state(&self) -> LeaseState {
         self.state
     }
@@ -142,7 +142,7 @@
         }
     }
 
-    /// The epoch, if the duty is this node's as far as it knows.
+    /// The epoch, if the role is this node's as far as it knows.
     pub fn epoch(&self) -> Option<Epoch> {
         match self.state {
             LeaseState::Held { epoch, .. } => Some(epoch),
--- a/crates/fencing/src/leased_role.rs
+++ b/crates/fencing/src/leased_role.rs
@@ -1,4 +1,4 @@
-//! Which duties there are, who holds one, and the epoch under which it is held.
+//! Which roles there are, who holds one, and the epoch under which it is held.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -15,8 +15,8 @@
 /// Work with one owner at a time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LeasedRole {
-    /// Renting and returning machines, and adopting those that nobody expected. What it decides follows
-    /// from the registry of the leader, so it goes with the lead: one key, one lease, and the term is the
+    /// Scaling out and in, and adopting those that nobody expected. What it decides follows
+    /// from the scheduler's tables of the leader, so it goes with the lead: one key, one lease, and the term is the
     /// epoch.
     Fleet,
     /// Reading the machine types and prices from the cloud and sharing them with all nodes.
@@ -35,12 +35,12 @@
         }
     }
 
-    /// The duty of that name, if this version knows it.
+    /// The role of that name, if this version knows it.
     pub fn from_name(name: &str) -> Option<LeasedRole> {
         LeasedRole::ALL.into_iter().find(|role| role.name() == name)
     }
 
-    /// The key that exists for as long as somebody holds the duty. Its revision is the epoch.
+    /// The key that exists for as long as somebody holds the role. Its revision is the epoch.
     pub fn key(self) -> String {
         match self {
             LeasedRole::Fleet => keys::LEADER.to_owned(),
@@ -49,12 +49,12 @@
     }
 }
 
-/// Tells one holding of a duty from all others. It is the revision of the duty's key, as the term is the
+/// Tells one holding of a role from all others. It is the revision of the role's key, as the term is the
 /// revision of the leader's: revisions of the key-value store only rise.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Epoch(u64);
 
-/// Why a revision can't serve as an epoch. Each stops the duty at this node.
+/// Why a revision can't serve as an epoch. Each stops the role at this node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum EpochError {
     /// No key has this revision.
@@ -108,7 +108,7 @@
     }
 }
 
-/// The stored record of who holds a duty.
+/// The stored record of who holds a role.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HolderRecord {
     /// The record's format.
@@ -143,8 +143,8 @@
         /// The newest format that this version reads.
         newest: u64,
     },
-    /// Of a duty that this version doesn't have.
-    #[error("{key}: no such duty is known")]
+    /// Of a role that this version doesn't have.
+    #[error("{key}: no such role is known")]
     UnknownRole {
         /// Where it is stored.
         key: String,
@@ -180,10 +180,10 @@
     }
 }
 
-/// Who holds which duty under what epoch.
+/// Who holds which role under what epoch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeldRole {
-    /// The duty.
+    /// The role.
     pub role: LeasedRole,
     /// Its epoch.
     pub epoch: Epoch,
@@ -209,7 +209,7 @@
         Ok(HeldRole { role, epoch, holder })
     }
 
-    /// The transaction that takes the duty, if nobody holds it. Its revision becomes the epoch.
+    /// The transaction that takes the role, if nobody holds it. Its revision becomes the epoch.
     pub fn claim(role: LeasedRole, holder: &HolderRecord) -> Transaction {
         let key = role.key();
         let put = Operation::Put {
--- a/crates/fencing/src/lib.rs
+++ b/crates/fencing/src/lib.rs
@@ -1,7 +1,7 @@
-//! Duties that one node at a time may carry out, each under a lease and an epoch, and the fence around what
+//! Roles that one node at a time may carry out, each under a lease and an epoch, and the fence around what
 //! their holder does outside.
 //!
-//! Like the core, this crate has no clock and no input or output: times, answers and stored records come in,
+//! Like the scheduler, this crate has no clock and no input or output: times, answers and stored records come in,
 //! transactions and requests go out. `docs/fencing.md` gives the argument.
 
 #![warn(missing_docs)]
--- a/crates/fencing/src/role_balancer.rs
+++ b/crates/fencing/src/role_balancer.rs
@@ -1,14 +1,14 @@
-//! Which node should hold a duty that any node may hold.
+//! Which node should hold a role that any node may hold.
 //!
-//! The leader has the most to do, so such a duty is better held by another node. A change of hands costs some
+//! The leader has the most to do, so such a role is better held by another node. A change of hands costs some
 //! seconds without a holder, so it is made only when there has been a better node for a while. Nothing but
-//! cost depends on this: whoever holds a duty, its epoch fences all others.
+//! cost depends on this: whoever holds a role, its epoch fences all others.
 
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 
-/// For how long another node has to be the better holder before the duty is handed over.
+/// For how long another node has to be the better holder before the role is handed over.
 const HAND_OVER_AFTER: TimeDelta = TimeDelta::from_secs(30);
-/// How much later than others the leader tries to take a duty that nobody holds.
+/// How much later than others the leader tries to take a role that nobody holds.
 const LEADER_WAITS: TimeDelta = TimeDelta::from_secs(3);
 
 /// How a node stands, as far as the balance looks at it.
@@ -20,7 +20,7 @@
     pub store_reachable: bool,
 }
 
-/// Decides at one node when to take and when to give up a duty.
+/// Decides at one node when to take and when to give up a role.
 #[derive(Debug, Default)]
 pub struct RoleBalancer {
     vacant_since: Option<Timestamp>,
@@ -28,7 +28,7 @@
 }
 
 impl RoleBalancer {
-    /// Nobody holds the duty. Whether this node should try to take it now.
+    /// Nobody holds the role. Whether this node should try to take it now.
     pub fn should_take(&mut self, now: Timestamp, own: NodeLoad) -> bool {
         self.better_since = None;
         let since = *self.vacant_since.get_or_insert(now);
@@ -36,12 +36,12 @@
         own.store_reachable && now.since(since) >= wait
     }
 
-    /// Somebody holds the duty.
+    /// Somebody holds the role.
     pub fn taken(&mut self) {
         self.vacant_since = None;
     }
 
-    /// This node holds the duty. Whether it should give it up for one of the others.
+    /// This node holds the role. Whether it should give it up for one of the others.
     pub fn should_hand_over(&mut self, now: Timestamp, own: NodeLoad, others: &[NodeLoad]) -> bool {
         self.vacant_since = None;
         let better = own.leads && others.iter().any(|other| other.store_reachable && !other.leads);
--- a/crates/fencing/tests/golden_bytes.rs
+++ b/crates/fencing/tests/golden_bytes.rs
@@ -1,4 +1,4 @@
-//! The stored records of duties, to the byte: holders, intents, and the writes under a fence. As they
+//! The stored records of roles, to the byte: holders, intents, and the writes under a fence. As they
 //! are written, read, and written again; kept in `golden/records.txt`.
 
 #[path = "../../scheduler/tests/golden_file/mod.rs"]
@@ -108,7 +108,7 @@
     }
 }
 
-/// What the ledger writes and sends, as it goes out.
+/// What the intent log writes and sends, as it goes out.
 fn noted(intent_log: &mut IntentLog, now: Timestamp, lines: &mut Vec<String>) {
     intent_log.tick(now, true);
     for command in intent_log.take_commands() {
--- a/crates/fencing/tests/model.rs
+++ b/crates/fencing/tests/model.rs
@@ -1,7 +1,7 @@
 //! An exhaustive check of the protocol of leases, intents and settlement, on a small model of it.
 //!
-//! Bounds: two nodes, three epochs, one machine that is used and returned, rentals by the first epoch. A node
-//! may stand still between any two steps, and a message may arrive at any time after it was sent. Writes are applied at any time after they were sent, if their fence still holds. Left out: refused rentals,
+//! Bounds: two nodes, three epochs, one machine that is used and returned, scale-outs by the first epoch. A node
+//! may stand still between any two steps, and a message may arrive at any time after it was sent. Writes are applied at any time after they were sent, if their fence still holds. Left out: refused scale-outs,
 //! batches, clocks (a lease that is certainly held is one that the store still keeps) and the machine list.
 
 use std::collections::{BTreeSet, HashMap};
@@ -18,7 +18,7 @@
 
 type Epoch = u8;
 
-/// An outside action: the return of the one machine, or the rental that an epoch asked for.
+/// An outside action: the return of the one machine, or the scale-out that an epoch asked for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Action {
     Return,
@@ -141,7 +141,7 @@
             return;
         }
         if node.epoch != self.epoch {
-            // It learns that another holds the duty, sooner or later.
+            // It learns that another holds the role, sooner or later.
             all.push(self.with(|w| w.nodes[n] = Node::default()));
         }
         if !node.loaded {
--- a/crates/fencing/tests/random_interleavings.rs
+++ b/crates/fencing/tests/random_interleavings.rs
@@ -1,4 +1,4 @@
-//! The ledger under messages that are delayed, lost and repeated, holders that stand still, and a store and a
+//! The intent log under messages that are delayed, lost and repeated, holders that stand still, and a store and a
 //! cloud that answer late: whatever the order, no action without a record, none of a replaced holder that
 //! nobody adopted, no machine returned while it is in use, and all settled once trouble ends.
 
--- a/crates/fencing/tests/transcripts.rs
+++ b/crates/fencing/tests/transcripts.rs
@@ -1,8 +1,8 @@
-//! Transcripts of the duties: fixed scripts with every transaction, every action and every answer, held against
+//! Transcripts of the roles: fixed scripts with every transaction, every action and every answer, held against
 //! the files in `transcripts/`. `UPDATE_TRANSCRIPTS=1` writes the files anew, which only a change that is
 //! meant to change behaviour may do.
 //!
-//! What the scripts reach: `intent_log`, `intent` and `fence` (ledger), `lease` and `role` (leases), `balancer`
+//! What the scripts reach: `intent_log`, `intent` and `fence` (intent log), `lease` and `role` (leases), `balancer`
 //! (balance), and the reading of stored records (records).
 
 #[path = "../../scheduler/tests/transcripts/golden.rs"]
@@ -108,7 +108,7 @@
     Action { id: ActionId, action: Action },
 }
 
-/// A holder of the fleet's duty, with its store and its cloud.
+/// A holder of the fleet's role, with its store and its cloud.
 struct Play {
     transcript: Transcript,
     dice: Dice,
@@ -295,7 +295,7 @@
         TransactionOutcome::Committed { revision: self.revision }
     }
 
-    /// Another holds the duty from now on; at times the store tells the former one so first.
+    /// Another holds the role from now on; at times the store tells the former one so first.
     fn replace(&mut self) {
         self.revision += 1;
         self.keys.insert(LeasedRole::Fleet.key(), (Value::Null, self.revision));
@@ -330,7 +330,7 @@
     fn change_limits(&mut self) {
         let (value_bytes, txn_ops) = [(400, 3), (200, 2), (900, 8)][self.dice.below(3)];
         self.limits = WriteLimits { value_bytes, txn_ops };
-        // At times the ledger hears of it only by a refusal.
+        // At times the intent log hears of it only by a refusal.
         if self.dice.chance(70) {
             self.intent_log.set_limits(self.limits);
         }
--- a/crates/scheduler/src/queue/fair_share.rs
+++ b/crates/scheduler/src/queue/fair_share.rs
@@ -248,10 +248,10 @@
             return;
         }
         let held = self.cluster.shares.largest(MAX_TOLD).into_iter();
-        let shares = held.map(|(team, class, share)| HeldShare {
-            team: team.to_owned(),
-            class: class.map(str::to_owned),
-            share,
+        let shares = held.map(|held| HeldShare {
+            team: held.team.to_owned(),
+            class: held.class.map(str::to_owned),
+            share: held.share,
         });
         let shares = shares.collect();
         self.log(Event::Shares { shares });
--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -1,9 +1,11 @@
 //! Whole microseconds, as two types that cannot be mixed up.
 //!
-//! The core has no clock: every call is told what time it is. A [`Timestamp`] is a point on the node's
+//! The scheduler has no clock: the time is an argument of every call. A [`Timestamp`] is a point on the node's
 //! steady clock, a [`TimeDelta`] a length of time. The protocol speaks of decimal seconds and
 //! milliseconds; they are converted at the edge and nowhere else.
 
+#![warn(missing_docs)]
+
 use std::ops::{Add, Sub};
 
 /// A point on this process's steady clock, in microseconds.
@@ -22,12 +24,15 @@
 }
 
 impl TimeDelta {
+    /// No time at all.
     pub const ZERO: TimeDelta = TimeDelta(0);
 
+    /// From whole milliseconds.
     pub const fn from_millis(ms: u64) -> TimeDelta {
         TimeDelta(ms.saturating_mul(1_000))
     }
 
+    /// From whole seconds.
     pub const fn from_secs(s: u64) -> TimeDelta {
         TimeDelta(s.saturating_mul(1_000_000))
     }
@@ -43,10 +48,12 @@
         }
     }
 
+    /// In decimal seconds.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
+    /// Multiplied by a factor, bounded as [`TimeDelta::from_secs_f64`] is.
     pub fn mul_f64(self, by: f64) -> TimeDelta {
         TimeDelta::from_secs_f64(self.as_secs_f64() * by)
     }
