--- a/crates/scheduler/tests/fair_share.rs
+++ b/crates/scheduler/tests/fair_share.rs
@@ -257,7 +257,7 @@
     let (with, overloaded) = play(true, false);
     let (without, _) = play(false, false);
     assert!(!overloaded, "this load is no overload");
-    assert!(without.iter().any(|c| c.contains("gives way")), "somebody had to wait");
+    assert!(without.iter().any(|c| c.contains("TaskPreempted")), "somebody had to wait");
     assert_eq!(with, without);
     let (with, overloaded) = play(true, true);
     assert!(overloaded && with != play(false, true).0, "an overload is shared");
