--- a/crates/controller/src/node/fleet_role.rs
+++ b/crates/controller/src/node/fleet_role.rs
@@ -5,11 +5,11 @@
 
 use tokio::time::Instant;
 use tracing::{debug, error, info, warn};
+use walnutlug_fencing::action_state::{ActionAnswer, ActionId};
+use walnutlug_fencing::adoption::Adopted;
 use walnutlug_fencing::fence::Fence;
 use walnutlug_fencing::intent::{Action, ScaleOut, TerminatedMachine, INTENT_PREFIX};
-use walnutlug_fencing::intent_log::{
-    ActionAnswer, ActionId, Adopted, IntentLog, IntentLogCommand, WriteLimits,
-};
+use walnutlug_fencing::intent_log::{IntentLog, IntentLogCommand, WriteLimits};
 use walnutlug_fencing::leased_role::{Epoch, EpochError, LeasedRole};
 use walnutlug_scheduler::protocol::cloud::ScaleOutRequest;
 use walnutlug_scheduler::scheduler::Scheduler;
--- a/crates/fencing/src/intent_log.rs
+++ b/crates/fencing/src/intent_log.rs
@@ -1,7 +1,6 @@
 //! The holder's list of outside actions: what it wants done, what is recorded, what was sent, what is settled.
 //!
-//! An action passes through named states, and [`ActionState::next`] is the one place that says which may
-//! follow which. Nothing is sent before its record is stored. A record goes when all of its actions are
+//! An action passes through the states of [`crate::action_state`]. Nothing is sent before its record is stored. A record goes when all of its actions are
 //! settled; what a former holder left is taken over as it was recorded and settled like the holder's own.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,31 +10,22 @@
 use walnutlug_scheduler::storage::document::Document;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 
+use crate::action_state::{
+    ActionAnswer, ActionEvent, ActionId, ActionState, ACTION_RETRY, WRITE_RETRY,
+};
+use crate::adoption::Adopted;
 use crate::fence::{Fence, FencedWrite};
 use crate::intent::{intent_key, Action, IntentRecord, ScaleOut, StoredIntent, TerminatedMachine};
-use crate::leased_role::{EpochError, RecordError};
+use crate::leased_role::EpochError;
 
 /// How long settled records wait for a write to go along with.
-const DROP_DELAY: TimeDelta = TimeDelta::from_secs(2);
-/// Pause before a write that was refused or whose answer was lost is sent again.
-const WRITE_RETRY: TimeDelta = TimeDelta::from_millis(300);
-/// Pause before an action whose outcome isn't known is sent again; it doubles up to four times.
-const ACTION_RETRY: TimeDelta = TimeDelta::from_secs(2);
-/// Doublings of [`ACTION_RETRY`].
-const MAX_DOUBLINGS: u32 = 3;
+const DELETE_DELAY: TimeDelta = TimeDelta::from_secs(2);
 /// Bytes of a stored record beside its actions.
 const RECORD_OVERHEAD: usize = 64;
 /// Actions that may wait or be open at once; beyond this many nothing more is taken on. A fleet of some
 /// thousands has a few dozen.
 const MAX_OPEN: usize = 4_096;
 
-/// Names an action for as long as the intent log lives.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ActionId {
-    record: u64,
-    index: usize,
-}
-
 /// What the intent log wants done.
 #[derive(Debug, Clone, PartialEq)]
 pub enum IntentLogCommand {
@@ -55,19 +45,6 @@
     },
 }
 
-/// What became of an action that was given out to be sent.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ActionAnswer {
-    /// Carried out.
-    Done,
-    /// Refused, so this copy of it is not carried out, now or later.
-    Refused,
-    /// It never left.
-    NotSent,
-    /// No usable answer: it may be carried out at any time.
-    Unknown,
-}
-
 /// Why the intent log does nothing any more.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Stopped {
@@ -79,78 +56,6 @@
     Epoch(#[from] EpochError),
 }
 
-/// How an action stands.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ActionState {
-    /// Its record isn't stored yet.
-    Unrecorded,
-    /// Recorded, and to be sent from then on.
-    Due {
-        /// When it may be sent.
-        at: Timestamp,
-        /// Sends whose outcome isn't known.
-        unknown: u32,
-    },
-    /// Given out to be sent.
-    Sent {
-        /// Earlier sends whose outcome isn't known.
-        unknown: u32,
-    },
-    /// A scale-out that was carried out. Its record stays until the machines are on the cloud's list for certain:
-    /// until then the request's name is how a successor learns of them.
-    Unlisted {
-        /// When they are listed.
-        until: Timestamp,
-    },
-    /// Nothing is left to do.
-    Settled,
-}
-
-/// What happens to an action.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum ActionInput {
-    Recorded { now: Timestamp },
-    GivenOut,
-    Carried { keep_until: Option<Timestamp> },
-    Refused { retry_at: Option<Timestamp> },
-    NotSent { now: Timestamp },
-    Unknown { now: Timestamp },
-    AskedAgain { now: Timestamp },
-    Listed,
-}
-
-impl ActionState {
-    /// The state that follows, or `None` where the input means nothing.
-    fn next(self, input: ActionInput) -> Option<ActionState> {
-        match (self, input) {
-            (ActionState::Unrecorded, ActionInput::Recorded { now }) => {
-                Some(ActionState::Due { at: now, unknown: 0 })
-            }
-            (ActionState::Due { unknown, .. }, ActionInput::GivenOut) => {
-                Some(ActionState::Sent { unknown })
-            }
-            (ActionState::Due { unknown, .. }, ActionInput::AskedAgain { now }) => {
-                Some(ActionState::Due { at: now, unknown })
-            }
-            (ActionState::Sent { .. }, ActionInput::Carried { keep_until }) => Some(
-                keep_until.map_or(ActionState::Settled, |until| ActionState::Unlisted { until }),
-            ),
-            (ActionState::Sent { unknown }, ActionInput::Refused { retry_at }) => {
-                Some(retry_at.map_or(ActionState::Settled, |at| ActionState::Due { at, unknown }))
-            }
-            (ActionState::Sent { unknown }, ActionInput::NotSent { now }) => {
-                Some(ActionState::Due { at: now + WRITE_RETRY, unknown })
-            }
-            (ActionState::Sent { unknown }, ActionInput::Unknown { now }) => {
-                let pause = TimeDelta(ACTION_RETRY.0 << unknown.min(MAX_DOUBLINGS));
-                Some(ActionState::Due { at: now + pause, unknown: unknown + 1 })
-            }
-            (ActionState::Unlisted { .. }, ActionInput::Listed) => Some(ActionState::Settled),
-            _ => None,
-        }
-    }
-}
-
 #[derive(Debug)]
 struct Tracked {
     action: Action,
@@ -162,11 +67,11 @@
     /// Its write is under way, or has to be sent again.
     Writing,
     Stored,
-    /// All of its actions are settled; since then it waits to be dropped.
+    /// All of its actions are settled; since then it waits to be deleted.
     Settled {
         since: Timestamp,
     },
-    Dropping,
+    Deleting,
 }
 
 #[derive(Debug)]
@@ -181,7 +86,7 @@
     id: u64,
     transaction: Transaction,
     created: Vec<u64>,
-    dropped: Vec<u64>,
+    deleted: Vec<u64>,
     retry_at: Option<Timestamp>,
 }
 
@@ -194,20 +99,6 @@
     pub txn_ops: usize,
 }
 
-/// What a new holder takes over.
-#[derive(Debug, Default)]
-pub struct Adopted {
-    /// Rentals that will be asked for again under their names.
-    pub scale_outs: Vec<ScaleOut>,
-    /// Machines whose recorded return is carried out.
-    pub returns: Vec<TerminatedMachine>,
-    /// Machines whose recorded return is not carried out, since work was recorded on them after it, which
-    /// only a version without fences does.
-    pub overruled: Vec<String>,
-    /// Records that were left as they are.
-    pub faults: Vec<RecordError>,
-}
-
 /// The outside actions of one holding of a role.
 #[derive(Debug)]
 pub struct IntentLog {
@@ -298,7 +189,7 @@
             }
             let mut actions = Vec::new();
             for action in intent.record.actions {
-                actions.extend(adopted.take_over(action, &has_tasks));
+                actions.extend(adopted.adopt(action, &has_tasks));
             }
             self.add_record(now, key_value.key.clone(), actions, RecordState::Stored);
         }
@@ -356,7 +247,7 @@
             }
         }
         let resent = again.into_iter().filter(|&id| {
-            self.step(id, ActionInput::AskedAgain { now }) // Not while it is under way.
+            self.apply(id, ActionEvent::RequestedAgain { now }) // Not while it is under way.
         });
         let resent = resent.count();
         let more = usize::from(!new.is_empty());
@@ -367,7 +258,7 @@
     }
 
     fn is_scale_in_requested(&self, machine: &str) -> bool {
-        self.requested.iter().any(|wish| match wish {
+        self.requested.iter().any(|request| match request {
             Action::ScaleIn(machines) => machines.iter().any(|m| m.machine == machine),
             Action::ScaleOut(_) => false,
         })
@@ -378,7 +269,7 @@
         self.returning.contains_key(machine) || self.is_scale_in_requested(machine)
     }
 
-    /// Writes what is to be recorded or dropped, and, while the lease is certainly held, gives out what may
+    /// Writes what is to be recorded or deleted, and, while the lease is certainly held, gives out what may
     /// be sent. (It is looked at again directly before sending.)
     pub fn tick(&mut self, now: Timestamp, holds_lease: bool) {
         if self.stopped.is_some() {
@@ -409,7 +300,7 @@
             }
         }
         for (id, action) in due {
-            if self.step(id, ActionInput::GivenOut) {
+            if self.apply(id, ActionEvent::SendStarted) {
                 self.commands.push(IntentLogCommand::Send { id, action });
             }
         }
@@ -419,18 +310,18 @@
     fn start_write(&mut self, now: Timestamp) {
         let mut write = FencedWrite::new(&self.fence);
         let created = self.create_records(now, &mut write);
-        let overdue = |record: &Record| matches!(record.state, RecordState::Settled { since } if now.since(since) >= DROP_DELAY);
+        let overdue = |record: &Record| matches!(record.state, RecordState::Settled { since } if now.since(since) >= DELETE_DELAY);
         // Drops go along with what has to be written anyway, or wait for each other.
-        let mut dropped = Vec::new();
+        let mut deleted = Vec::new();
         if !created.is_empty() || self.records.values().any(overdue) {
             for (&number, record) in &mut self.records {
                 if write.len() >= self.limits.txn_ops {
                     break;
                 }
                 if matches!(record.state, RecordState::Settled { .. }) {
-                    record.state = RecordState::Dropping;
+                    record.state = RecordState::Deleting;
                     write.change(Operation::delete(&record.key));
-                    dropped.push(number);
+                    deleted.push(number);
                 }
             }
         }
@@ -440,7 +331,7 @@
         let (id, transaction) = (self.next_write, write.into_transaction());
         self.next_write += 1;
         self.commands.push(IntentLogCommand::Write { id, transaction: transaction.clone() });
-        self.write = Some(PendingWrite { id, transaction, created, dropped, retry_at: None });
+        self.write = Some(PendingWrite { id, transaction, created, deleted, retry_at: None });
     }
 
     fn create_records(&mut self, now: Timestamp, write: &mut FencedWrite) -> Vec<u64> {
@@ -460,16 +351,16 @@
         created
     }
 
-    /// As many wishes of one kind as fit into a record.
+    /// As many requests of one kind as fit into a record.
     fn take_requested(&mut self) -> Vec<Action> {
         let room = self.limits.value_bytes.saturating_sub(RECORD_OVERHEAD);
         self.split_first_request(room);
         let Some(first) = self.requested.first() else { return Vec::new() };
         let kind = std::mem::discriminant(first);
         let mut bytes = 0;
-        let fits = |wish: &&Action| {
-            bytes += Document::new(wish).size() + 1;
-            std::mem::discriminant(*wish) == kind && bytes <= room
+        let fits = |request: &&Action| {
+            bytes += Document::new(request).size() + 1;
+            std::mem::discriminant(*request) == kind && bytes <= room
         };
         let count = self.requested.iter().take_while(fits).count().max(1);
         self.requested.drain(..count).collect()
@@ -500,31 +391,31 @@
                 write.retry_at = Some(now + WRITE_RETRY);
                 self.write = Some(write);
             }
-            TransactionOutcome::TooLarge => self.plan_anew(now, &write),
+            TransactionOutcome::TooLarge => self.request_again(now, &write),
         }
     }
 
     fn stored(&mut self, now: Timestamp, write: &PendingWrite) {
-        for number in &write.dropped {
+        for number in &write.deleted {
             self.records.remove(number);
         }
         for &number in &write.created {
             let Some(record) = self.records.get_mut(&number) else { continue };
             record.state = RecordState::Stored;
             for index in 0..record.actions.len() {
-                self.step(ActionId { record: number, index }, ActionInput::Recorded { now });
+                self.apply(ActionId { record: number, index }, ActionEvent::Recorded { now });
             }
         }
     }
 
-    /// The transaction is over the limits and certainly not carried out: its actions are wishes again.
-    fn plan_anew(&mut self, now: Timestamp, write: &PendingWrite) {
+    /// The transaction is over the limits and certainly not carried out: its actions are requests again.
+    fn request_again(&mut self, now: Timestamp, write: &PendingWrite) {
         for number in &write.created {
             let Some(record) = self.records.remove(number) else { continue };
             self.returning.retain(|_, id| id.record != *number);
             self.requested.extend(record.actions.into_iter().map(|tracked| tracked.action));
         }
-        for number in &write.dropped {
+        for number in &write.deleted {
             if let Some(record) = self.records.get_mut(number) {
                 record.state = RecordState::Settled { since: now };
             }
@@ -543,20 +434,20 @@
         let rents = matches!(action, Action::ScaleOut(_));
         let input = match answer {
             ActionAnswer::Done if rents && !rented.is_empty() => {
-                ActionInput::Carried { keep_until: Some(now + self.listed_within) }
+                ActionEvent::Completed { keep_until: Some(now + self.listed_within) }
             }
-            ActionAnswer::Done => ActionInput::Carried { keep_until: None },
+            ActionAnswer::Done => ActionEvent::Completed { keep_until: None },
             // A machine has to go all the same; what can't be rented now is asked for anew, if it is
             // still wanted then.
-            ActionAnswer::Refused if rents => ActionInput::Refused { retry_at: None },
-            ActionAnswer::Refused => ActionInput::Refused { retry_at: Some(now + ACTION_RETRY) },
-            ActionAnswer::NotSent => ActionInput::NotSent { now },
-            ActionAnswer::Unknown => ActionInput::Unknown { now },
+            ActionAnswer::Refused if rents => ActionEvent::Refused { retry_at: None },
+            ActionAnswer::Refused => ActionEvent::Refused { retry_at: Some(now + ACTION_RETRY) },
+            ActionAnswer::NotSent => ActionEvent::NotSent { now },
+            ActionAnswer::Unknown => ActionEvent::Unknown { now },
         };
-        if !self.step(id, input) {
+        if !self.apply(id, input) {
             return;
         }
-        if matches!(input, ActionInput::Carried { .. }) {
+        if matches!(input, ActionEvent::Completed { .. }) {
             self.unlisted.extend(rented.iter().map(|machine| (machine.clone(), id)));
             self.forget_returned(now, id);
         }
@@ -577,7 +468,7 @@
     }
 
     fn listed(&mut self, now: Timestamp, scale_out: ActionId) {
-        if self.step(scale_out, ActionInput::Listed) {
+        if self.apply(scale_out, ActionEvent::Listed) {
             self.unlisted.retain(|_, id| *id != scale_out);
             self.settle_record(now, scale_out.record);
         }
@@ -597,12 +488,12 @@
         self.records.get(&id.record)?.actions.get(id.index)
     }
 
-    fn step(&mut self, id: ActionId, input: ActionInput) -> bool {
+    fn apply(&mut self, id: ActionId, event: ActionEvent) -> bool {
         let record = self.records.get_mut(&id.record);
         let Some(tracked) = record.and_then(|record| record.actions.get_mut(id.index)) else {
             return false;
         };
-        let next = tracked.state.next(input);
+        let next = tracked.state.next(event);
         tracked.state = next.unwrap_or(tracked.state);
         next.is_some()
     }
@@ -615,24 +506,3 @@
         }
     }
 }
-
-impl Adopted {
-    /// What is left to do of an action that another epoch recorded.
-    fn take_over(&mut self, action: Action, has_tasks: &impl Fn(&str) -> bool) -> Option<Action> {
-        match action {
-            Action::ScaleOut(scale_out) => {
-                self.scale_outs.push(scale_out.clone());
-                Some(Action::ScaleOut(scale_out))
-            }
-            Action::ScaleIn(machines) => {
-                // No holder puts work on a machine whose return is recorded. Work that is there now and
-                // was not when the return was recorded was put there by a version that reads no intents.
-                let in_use = |m: &TerminatedMachine| !m.holds_tasks && has_tasks(&m.machine);
-                let (used, gone): (Vec<_>, Vec<_>) = machines.into_iter().partition(in_use);
-                self.overruled.extend(used.into_iter().map(|m| m.machine));
-                self.returns.extend(gone.iter().cloned());
-                (!gone.is_empty()).then_some(Action::ScaleIn(gone))
-            }
-        }
-    }
-}
--- a/crates/fencing/src/lib.rs
+++ b/crates/fencing/src/lib.rs
@@ -6,6 +6,8 @@
 
 #![warn(missing_docs)]
 
+pub mod action_state;
+pub mod adoption;
 pub mod fence;
 pub mod intent;
 pub mod intent_log;
--- a/crates/fencing/tests/golden_bytes.rs
+++ b/crates/fencing/tests/golden_bytes.rs
@@ -7,11 +7,12 @@
 use golden_file::Golden;
 use serde::Serialize;
 use serde_json::{json, Value};
+use walnutlug_fencing::action_state::ActionAnswer;
 use walnutlug_fencing::fence::{Fence, FencedWrite};
 use walnutlug_fencing::intent::{
     intent_key, Action, IntentRecord, ScaleOut, StoredIntent, TerminatedMachine,
 };
-use walnutlug_fencing::intent_log::{ActionAnswer, IntentLog, IntentLogCommand, WriteLimits};
+use walnutlug_fencing::intent_log::{IntentLog, IntentLogCommand, WriteLimits};
 use walnutlug_fencing::leased_role::{Epoch, HeldRole, HolderRecord, LeasedRole, HOLDER_FORMAT};
 use walnutlug_scheduler::command::TransactionOutcome;
 use walnutlug_scheduler::protocol::key_value::{KeyValue, Operation, Transaction};
--- a/crates/fencing/tests/random_interleavings.rs
+++ b/crates/fencing/tests/random_interleavings.rs
@@ -7,11 +7,10 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use serde_json::Value;
+use walnutlug_fencing::action_state::{ActionAnswer, ActionId};
 use walnutlug_fencing::fence::Fence;
 use walnutlug_fencing::intent::{Action, ScaleOut, TerminatedMachine, INTENT_PREFIX};
-use walnutlug_fencing::intent_log::{
-    ActionAnswer, ActionId, IntentLog, IntentLogCommand, WriteLimits,
-};
+use walnutlug_fencing::intent_log::{IntentLog, IntentLogCommand, WriteLimits};
 use walnutlug_fencing::leased_role::{Epoch, LeasedRole};
 use walnutlug_scheduler::command::TransactionOutcome;
 use walnutlug_scheduler::protocol::key_value::{KeyValue, Operation, Transaction};
--- a/crates/fencing/tests/transcripts.rs
+++ b/crates/fencing/tests/transcripts.rs
@@ -12,11 +12,10 @@
 
 use golden::{Dice, Transcript};
 use serde_json::{json, Value};
+use walnutlug_fencing::action_state::{ActionAnswer, ActionId};
 use walnutlug_fencing::fence::Fence;
 use walnutlug_fencing::intent::{Action, ScaleOut, StoredIntent, TerminatedMachine, INTENT_PREFIX};
-use walnutlug_fencing::intent_log::{
-    ActionAnswer, ActionId, IntentLog, IntentLogCommand, Stopped, WriteLimits,
-};
+use walnutlug_fencing::intent_log::{IntentLog, IntentLogCommand, Stopped, WriteLimits};
 use walnutlug_fencing::lease::{LeaseInput, LeaseState, RoleLease};
 use walnutlug_fencing::leased_role::{
     Epoch, EpochError, HeldRole, HolderRecord, LeasedRole, RecordError,
