--- a/crates/fencing/tests/golden_bytes.rs
+++ b/crates/fencing/tests/golden_bytes.rs
@@ -1,4 +1,4 @@
-//! The stored records of duties, to the byte: holders, intents, and the writes under a fence. As they
+//! The stored records of roles, to the byte: holders, intents, and the writes under a fence. As they
 //! are written, read, and written again; kept in `golden/records.txt`.
 
 #[path = "../../scheduler/tests/golden_file/mod.rs"]
@@ -7,11 +7,12 @@
 use golden_file::Golden;
 use serde::Serialize;
 use serde_json::{json, Value};
+use walnutlug_fencing::action_state::ActionAnswer;
 use walnutlug_fencing::fence::{Fence, FencedWrite};
 use walnutlug_fencing::intent::{
     intent_key, Action, IntentRecord, ScaleOut, StoredIntent, TerminatedMachine,
 };
-use walnutlug_fencing::intent_log::{ActionAnswer, IntentLog, IntentLogCommand, WriteLimits};
+use walnutlug_fencing::intent_log::{IntentLog, IntentLogCommand, WriteLimits};
 use walnutlug_fencing::leased_role::{Epoch, HeldRole, HolderRecord, LeasedRole, HOLDER_FORMAT};
 use walnutlug_scheduler::command::TransactionOutcome;
 use walnutlug_scheduler::protocol::key_value::{KeyValue, Operation, Transaction};
@@ -108,7 +109,7 @@
     }
 }
 
-/// What the ledger writes and sends, as it goes out.
+/// What the intent log writes and sends, as it goes out.
 fn noted(intent_log: &mut IntentLog, now: Timestamp, lines: &mut Vec<String>) {
     intent_log.tick(now, true);
     for command in intent_log.take_commands() {
