--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -20,8 +20,11 @@
 use tracing::{debug, info, warn};
 use walnutlug_fencing::intent_log::IntentLog;
 use walnutlug_fencing::leased_role::Epoch;
+use walnutlug_scheduler::leadership::cancellation_log::{
+    CancellationLog, Incarnation, LogEntries, LogIndex,
+};
 use walnutlug_scheduler::leadership::election::{ElectionEvent, Leadership, Role};
-use walnutlug_scheduler::leadership::watermark::{CancellationLog, Watermark};
+use walnutlug_scheduler::leadership::watermark::{RequestId, Watermark};
 use walnutlug_scheduler::model::job_spec::JobEnd;
 use walnutlug_scheduler::protocol::cloud::MachineType;
 use walnutlug_scheduler::protocol::users::is_job_id;
@@ -270,7 +273,8 @@
             Role::Follower | Role::Candidate => (0, false),
         };
         if leading {
-            self.watermark.borrow_mut().ask(self.now(), self.statuses.get());
+            let request = RequestId(self.statuses.get());
+            self.watermark.borrow_mut().request_sent(self.now(), request);
         }
         self.broadcast(&Frame::Status {
             name: self.settings.node_name.clone(),
@@ -293,8 +297,8 @@
     fn send_cancellations(&self) {
         let now = self.now();
         for peer in &self.settings.peers {
-            let told = self.cancellation_log.borrow_mut().to_tell(now, &peer.name);
-            if let Some((first, jobs)) = told {
+            let entries = self.cancellation_log.borrow_mut().entries_to_send(now, &peer.name);
+            if let Some(LogEntries { first: LogIndex(first), jobs }) = entries {
                 let node = self.settings.node_name.clone();
                 self.send_to_peer(
                     &peer.name,
@@ -318,7 +322,7 @@
 
     /// Up to when every cancellation that any node told is known here.
     pub fn cancellations_known_until(&self) -> Timestamp {
-        self.watermark.borrow().until(self.now())
+        self.watermark.borrow().known_until(self.now())
     }
 
     /// The job has ended, for certain: from the key-value store. Told to the other nodes before any
@@ -374,7 +378,7 @@
                 if leading {
                     self.learn_leader(&name, term);
                     heartbeat_delegation::ask_new_leader(self, term);
-                    let last = self.cancellation_log.borrow().last();
+                    let last = self.cancellation_log.borrow().last().0;
                     let vouch = Frame::CancellationLogEnd {
                         node: self.settings.node_name.clone(),
                         incarnation: self.incarnation,
@@ -384,7 +388,7 @@
                     };
                     self.send_to_peer(&name, &vouch);
                 }
-                self.cancellation_log.borrow_mut().heard(&name, incarnation);
+                self.cancellation_log.borrow_mut().peer_seen(&name, Incarnation(incarnation));
                 self.send_cancellations();
                 let heard = Instant::now();
                 let state = PeerState { heard, store_reachable, redirected, incarnation, count };
@@ -402,7 +406,7 @@
                     }
                     return;
                 }
-                self.watermark.borrow_mut().heard(self.now(), &name, incarnation);
+                self.watermark.borrow_mut().peer_seen(self.now(), &name, Incarnation(incarnation));
                 if states.len() < 64 || states.contains_key(&name) {
                     states.insert(name, state);
                 }
@@ -422,9 +426,14 @@
                 for job in &jobs {
                     self.take_end(job, JobEnd::Cancelled);
                 }
-                let (now, n) = (self.now(), jobs.len() as u64);
-                let up_to = self.watermark.borrow_mut().told(now, &node, incarnation, first, n);
-                if let Some(up_to) = up_to {
+                let up_to = self.watermark.borrow_mut().entries_received(
+                    self.now(),
+                    &node,
+                    Incarnation(incarnation),
+                    LogIndex(first),
+                    jobs.len(),
+                );
+                if let Some(LogIndex(up_to)) = up_to {
                     let ack = Frame::CancellationsAck {
                         node: self.settings.node_name.clone(),
                         incarnation: self.incarnation,
@@ -436,12 +445,22 @@
             }
             Frame::CancellationsAck { node, incarnation, log_incarnation, up_to } => {
                 if log_incarnation == self.incarnation {
-                    self.cancellation_log.borrow_mut().acknowledged(&node, incarnation, up_to);
+                    self.cancellation_log.borrow_mut().acknowledged(
+                        &node,
+                        Incarnation(incarnation),
+                        LogIndex(up_to),
+                    );
                 }
             }
             Frame::CancellationLogEnd { node, incarnation, last, asker_incarnation, asked } => {
                 if asker_incarnation == self.incarnation {
-                    self.watermark.borrow_mut().vouch(self.now(), &node, incarnation, last, asked);
+                    self.watermark.borrow_mut().request_answered(
+                        self.now(),
+                        &node,
+                        Incarnation(incarnation),
+                        LogIndex(last),
+                        RequestId(asked),
+                    );
                 }
             }
             Frame::ForwardedHeartbeat(_)
--- a/crates/controller/src/node/broadcast.rs
+++ b/crates/controller/src/node/broadcast.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::{sleep, Duration};
 use tracing::{info, warn};
-use walnutlug_scheduler::leadership::watermark::ask_every;
+use walnutlug_scheduler::leadership::watermark::request_interval;
 use walnutlug_scheduler::model::machine::MachineState;
 
 use super::{Node, ADDRESS_TURN};
@@ -25,7 +25,7 @@
         }
         let probe = node.clone();
         tokio::task::spawn_local(async move { probe.key_value.probe().await });
-        sleep(Duration::from_micros(ask_every(&node.site).0)).await;
+        sleep(Duration::from_micros(request_interval(&node.site).0)).await;
     }
 }
 
--- a/crates/controller/src/node/leader.rs
+++ b/crates/controller/src/node/leader.rs
@@ -261,7 +261,7 @@
         "records read: leading"
     );
     install(node, s);
-    node.watermark.borrow_mut().read(asked);
+    node.watermark.borrow_mut().records_read(asked);
     if !node.leadership.borrow_mut().step(node.now(), ElectionEvent::Loaded { term }) {
         return Err(KeyValueError::Expired);
     }
@@ -458,7 +458,7 @@
                 }
                 if prefix == keys::END {
                     // All that was stored when it was opened is in this answer or an earlier one.
-                    node.watermark.borrow_mut().read(asked);
+                    node.watermark.borrow_mut().records_read(asked);
                 }
                 node.wake_leader();
             }
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -175,7 +175,7 @@
             node.broadcast_status();
         }
         c.deliver(|_, _| true).await;
-        node.watermark.borrow_mut().read(node.now());
+        node.watermark.borrow_mut().records_read(node.now());
     }
     tokio::time::advance(Duration::from_millis(10)).await;
     c
@@ -236,7 +236,7 @@
             assert!(!remembers(&last, 2, token), "the worker hadn't seen the token");
             for sequence in 2..40 {
                 tokio::time::advance(Duration::from_secs(1)).await;
-                leader.watermark.borrow_mut().read(leader.now());
+                leader.watermark.borrow_mut().records_read(leader.now());
                 assert_eq!(
                     report_on(&leader, &last, sequence, token),
                     (200, token, vec![]),
@@ -347,7 +347,7 @@
             // The service is back, and its watch tells the end: killed, and renewed again.
             store.fault(Fault::None);
             leader.learn_end(JOB, JobEnd::Cancelled);
-            leader.watermark.borrow_mut().read(leader.now());
+            leader.watermark.borrow_mut().records_read(leader.now());
             let (status, calls) = report_once(&leader, 50);
             assert_eq!((status, calls.len()), (200, 1));
         })
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -14,7 +14,7 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 use tracing::debug;
-use walnutlug_scheduler::leadership::watermark::MAX_TOLD;
+use walnutlug_scheduler::leadership::cancellation_log::MAX_ENTRIES_PER_MESSAGE;
 use walnutlug_scheduler::model::job_spec::JobEnd;
 use walnutlug_scheduler::model::task::MachineIndex;
 use walnutlug_scheduler::protocol::users::is_job_id;
@@ -270,7 +270,7 @@
                     first: (*first).into(),
                 };
                 let mut body = head.as_bytes().to_vec();
-                for job in jobs.iter().take(MAX_TOLD) {
+                for job in jobs.iter().take(MAX_ENTRIES_PER_MESSAGE) {
                     body.extend_from_slice(&name_field::<JOB_BYTES>(job));
                 }
                 (KIND_CANCELLATIONS, body)
--- a/crates/scheduler/src/leadership.rs
+++ b/crates/scheduler/src/leadership.rs
@@ -1,5 +1,6 @@
-//! Who leads, and how far a leader's knowledge of cancellations goes.
+//! Who leads, and up to when a leader knows every cancellation.
 
 pub mod authority;
+pub mod cancellation_log;
 pub mod election;
 pub mod watermark;
--- a/crates/scheduler/src/leadership/election.rs
+++ b/crates/scheduler/src/leadership/election.rs
@@ -1,41 +1,56 @@
 //! Who leads. One state machine per node; [`Leadership::step`] is the only place where it changes.
 //!
-//! The term is the mark of the `leader` key, which the protocol lets only rise. Nothing here keeps
-//! the rules: every write of a leader guards its term, so a leader that doesn't know it is deposed
-//! can write nothing. Leadership only keeps two nodes from doing the same work.
+//! The term is the revision of the `leader` key, which only rises. Safety does not depend on anything
+//! here: every write of a leader is conditional on its term, so a leader that doesn't know that it is
+//! deposed can write nothing. The election only keeps two nodes from doing the same work.
 
 use crate::time::{TimeDelta, Timestamp};
 
+/// A node's part in the cluster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// Somebody else leads, or nobody: waiting to see the key gone.
+    /// Another node leads, or none: waits for the leader key to be deleted.
     Follower,
-    /// Getting a lease and creating the key.
+    /// Requests a lease and creates the leader key.
     Candidate,
-    /// Holds the key; reads the records before it decides anything.
-    Loading { term: u64 },
-    /// Decides.
-    Leader { term: u64 },
+    /// Holds the leader key; reads the records before it decides anything.
+    Loading {
+        /// Its term.
+        term: u64,
+    },
+    /// Holds the leader key, and decides.
+    Leader {
+        /// Its term.
+        term: u64,
+    },
 }
 
+/// What can happen to a node's role.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ElectionEvent {
-    /// The leader key is gone.
+    /// The leader key was deleted, or its lease expired.
     Vacant,
     /// This node created the key.
-    Won { term: u64 },
-    /// Somebody else did, or the attempt failed.
+    Won {
+        /// The key's revision.
+        term: u64,
+    },
+    /// Another node created it, or the attempt failed.
     Failed,
     /// The records have been read.
-    Loaded { term: u64 },
-    /// The lease ran out, the key is another's, or this node gives way.
+    Loaded {
+        /// The term under which they were read.
+        term: u64,
+    },
+    /// The lease expired, the key is another node's, or this node steps down.
     Lost,
 }
 
+/// A node's role, and when it may be a candidate again.
 #[derive(Debug)]
 pub struct Leadership {
     role: Role,
-    /// Until when this node leaves the lead to others, having just given way.
+    /// Until when this node is no candidate, having just stepped down.
     backing_off_until: Timestamp,
 }
 
@@ -46,10 +61,12 @@
 }
 
 impl Leadership {
+    /// The node's role.
     pub fn role(&self) -> Role {
         self.role
     }
 
+    /// The term of which this node holds the leader key.
     pub fn term(&self) -> Option<u64> {
         match self.role {
             Role::Loading { term } | Role::Leader { term } => Some(term),
@@ -57,13 +74,14 @@
         }
     }
 
-    /// Lets others lead for a while.
+    /// Leaves the lead to others for that long: this node is no candidate until then.
     pub fn back_off(&mut self, now: Timestamp, span: TimeDelta) {
         self.backing_off_until = now + span;
     }
 
-    pub fn step(&mut self, now: Timestamp, input: ElectionEvent) -> bool {
-        let next = match (self.role, input) {
+    /// Changes the role, if the event means anything in it; returns whether it did.
+    pub fn step(&mut self, now: Timestamp, event: ElectionEvent) -> bool {
+        let next = match (self.role, event) {
             (Role::Follower, ElectionEvent::Vacant) if now >= self.backing_off_until => {
                 Role::Candidate
             }
--- a/crates/scheduler/src/leadership/watermark.rs
+++ b/crates/scheduler/src/leadership/watermark.rs
@@ -1,224 +1,173 @@
-//! Which cancellations the users were told of, who has to hear of them, and up to when a leader knows
-//! them all.
+//! Up to when a leader knows every cancellation that any node has confirmed to a user.
 //!
 //! A worker's lease is renewed by the answers to its heartbeats, and a task of a cancelled job that is
-//! renewed unknowingly lives on. So each node keeps a [`CancellationLog`] of the cancellations that it told,
-//! numbered, and repeats them to every other node until that acknowledges them. A leader asks the
-//! others again and again how far their logs go; from the answers, and from what it reads itself, its
-//! [`Watermark`] works out the time up to which no cancellation can have escaped it. Both are exact
-//! about lives: a process that came back vouches for nothing that its former self told.
+//! renewed unknowingly lives on. So each node replicates its
+//! [`CancellationLog`](crate::leadership::cancellation_log::CancellationLog) to the others. A leader
+//! requests the ends of their logs again and again; from the answers, and from what it reads itself, its
+//! [`Watermark`] works out the time before which no cancellation can have escaped it. Both tell
+//! incarnations apart: a restarted process answers for nothing that the last one confirmed.
 
 use std::collections::{BTreeMap, VecDeque};
 
+use crate::leadership::cancellation_log::{Incarnation, LogIndex};
 use crate::time::{TimeDelta, Timestamp};
 use crate::tunables::Site;
 
-/// A cancellation is worth telling until its tasks must be gone, and half that again.
-const KEEP: f64 = 1.5;
-/// Cancellations kept at most, at some hundred bytes each. What a node drops unacknowledged it can't
-/// vouch for any more, which the reader sees by the gap.
-const MAX_KEPT: usize = 4_096;
-/// Cancellations in one message.
-pub const MAX_TOLD: usize = 100;
-/// How long an acknowledgement may take before the rest is told again.
-const TELL_AGAIN: TimeDelta = TimeDelta::from_secs(1);
-/// Questions whose answers are still of use.
-const MAX_ASKED: usize = 64;
-
-/// Beyond the drift of two clocks, what an answer takes to be written after the time was looked at.
+/// Requests whose answers still count.
+const MAX_OPEN_REQUESTS: usize = 64;
+
+/// Beyond the drift of two clocks, how long after its time was read an answer may be written.
 const MARGIN: TimeDelta = TimeDelta::from_millis(250);
-/// Drift of two steady clocks against each other, doubled.
+/// Drift of two monotonic clocks against each other, doubled.
 const DRIFT: f64 = 0.002;
 /// The least window, for sites whose leases outlast the time that a cancellation may take. There the
 /// lease can't be the last resort, whoever renews it.
 const LEAST_WINDOW: TimeDelta = TimeDelta::from_millis(300);
 
+/// Requests in one window.
+const REQUESTS_PER_WINDOW: f64 = 6.0;
+/// The longest time between two requests.
+const MAX_REQUEST_INTERVAL: TimeDelta = TimeDelta::from_secs(1);
+/// The shortest time between two requests.
+const MIN_REQUEST_INTERVAL: TimeDelta = TimeDelta::from_millis(50);
+
 /// For how long after its watermark a leader may go on renewing leases: a cancellation that it doesn't
-/// know of was told after the watermark, and a lease renewed now must have ended `cancel` after that.
+/// know of was confirmed after the watermark, and a lease renewed now must have ended
+/// [`Site::cancel_within`] after that.
 pub fn window(site: &Site) -> TimeDelta {
     let drift = (site.worker_lease + site.cancel_within).mul_f64(DRIFT);
     let window = site.cancel_within - site.worker_lease - MARGIN - drift;
     window.max(LEAST_WINDOW)
 }
 
-/// How often a leader asks the others, so that the watermark stays well inside the window.
-pub fn ask_every(site: &Site) -> TimeDelta {
-    window(site).mul_f64(1.0 / 6.0).min(TimeDelta::from_secs(1)).max(TimeDelta::from_millis(50))
+/// How often a leader requests the ends of the others' logs, so that the watermark stays well inside
+/// the window.
+pub fn request_interval(site: &Site) -> TimeDelta {
+    let interval = window(site).mul_f64(1.0 / REQUESTS_PER_WINDOW);
+    interval.min(MAX_REQUEST_INTERVAL).max(MIN_REQUEST_INTERVAL)
 }
 
-/// How far another node has acknowledged this one's log.
-#[derive(Debug, Default, Clone, Copy)]
-struct Reader {
-    incarnation: u64,
-    acked: u64,
-    told: u64,
-    told_at: Timestamp,
-}
+/// The number of a leader's request.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct RequestId(pub u64);
 
-/// The cancellations that this node told in this life, numbered from 1.
 #[derive(Debug)]
-pub struct CancellationLog {
-    keep: TimeDelta,
-    /// The number of the first that is still kept.
-    first: u64,
-    kept: VecDeque<(Timestamp, String)>,
-    readers: BTreeMap<String, Reader>,
-}
-
-impl CancellationLog {
-    pub fn new(site: &Site) -> CancellationLog {
-        let keep = site.cancel_within.mul_f64(KEEP);
-        CancellationLog { keep, first: 1, kept: VecDeque::new(), readers: BTreeMap::new() }
-    }
-
-    /// Before a user is told: the end is stored, and this node is about to say so.
-    pub fn append(&mut self, now: Timestamp, job: &str) {
-        self.trim(now);
-        self.kept.push_back((now, job.to_owned()));
-    }
-
-    /// The number of the last; 0: none yet.
-    pub fn last(&self) -> u64 {
-        self.first + self.kept.len() as u64 - 1
-    }
-
-    fn trim(&mut self, now: Timestamp) {
-        while self.kept.len() >= MAX_KEPT
-            || self.kept.front().is_some_and(|(told, _)| now.since(*told) > self.keep)
-        {
-            self.kept.pop_front();
-            self.first += 1;
-        }
-    }
-
-    /// The other node is heard, in that life of it: a new one knows nothing of what the last was told.
-    pub fn heard(&mut self, reader: &str, incarnation: u64) {
-        let known = self.readers.entry(reader.to_owned()).or_default();
-        if known.incarnation != incarnation {
-            *known = Reader { incarnation, ..Reader::default() };
-        }
-    }
-
-    /// The other node has all up to that number.
-    pub fn acknowledged(&mut self, reader: &str, incarnation: u64, up_to: u64) {
-        let last = self.last();
-        if let Some(known) = self.readers.get_mut(reader).filter(|r| r.incarnation == incarnation) {
-            known.acked = known.acked.max(up_to.min(last));
-        }
-    }
-
-    /// What is to be told to the other node now, with the number of its first.
-    pub fn to_tell(&mut self, now: Timestamp, reader: &str) -> Option<(u64, Vec<String>)> {
-        self.trim(now);
-        let (first, last) = (self.first, self.last());
-        let known = self.readers.get_mut(reader)?;
-        let waiting = now.since(known.told_at) < TELL_AGAIN;
-        let from = if waiting { known.told.max(known.acked) } else { known.acked } + 1;
-        let from = from.max(first);
-        if from > last {
-            return None;
-        }
-        let skip = (from - first) as usize;
-        let jobs: Vec<String> =
-            self.kept.iter().skip(skip).take(MAX_TOLD).map(|(_, job)| job.clone()).collect();
-        known.told = from + jobs.len() as u64 - 1;
-        known.told_at = now;
-        Some((from, jobs))
-    }
+struct OpenRequest {
+    id: RequestId,
+    sent_at: Timestamp,
 }
 
-/// One other node's log, as far as it arrived here.
+/// One other node's log, as far as it has arrived here.
 #[derive(Debug, Default)]
-struct Stream {
-    incarnation: u64,
-    received: u64,
-    /// All that it told before this is known here.
-    vouched: Timestamp,
-    /// Something that it, or its former self, told before this may have been missed: it vouches for
-    /// nothing until the key-value store was read later than that.
-    gap: Option<Timestamp>,
+struct PeerLog {
+    incarnation: Incarnation,
+    /// The number of the last entry that has arrived.
+    received: LogIndex,
+    /// All that the node confirmed before this is known here.
+    complete_until: Timestamp,
+    /// Something that it, or its last incarnation, confirmed before this may have been missed: its
+    /// answers count for nothing until the records were read later than that.
+    gap_at: Option<Timestamp>,
 }
 
-/// Up to when every cancellation that any node told is known here.
+/// Up to when every cancellation that any node has confirmed is known here.
 #[derive(Debug)]
 pub struct Watermark {
     /// All ends that were stored before this have been read.
-    read: Timestamp,
-    streams: BTreeMap<String, Stream>,
-    /// When which question was asked.
-    asked: VecDeque<(u64, Timestamp)>,
+    records_read_at: Timestamp,
+    peers: BTreeMap<String, PeerLog>,
+    requests: VecDeque<OpenRequest>,
 }
 
 impl Watermark {
-    pub fn new(others: impl IntoIterator<Item = String>) -> Watermark {
-        let streams = others.into_iter().map(|name| (name, Stream::default())).collect();
-        Watermark { read: Timestamp(0), streams, asked: VecDeque::new() }
+    /// Of a node with these peers, of which nothing is known yet.
+    pub fn new(peers: impl IntoIterator<Item = String>) -> Watermark {
+        let peers = peers.into_iter().map(|name| (name, PeerLog::default())).collect();
+        Watermark { records_read_at: Timestamp(0), peers, requests: VecDeque::new() }
     }
 
     /// All ends that were stored by then have been read from the key-value store.
-    pub fn read(&mut self, by: Timestamp) {
-        self.read = self.read.max(by);
+    pub fn records_read(&mut self, as_of: Timestamp) {
+        self.records_read_at = self.records_read_at.max(as_of);
     }
 
-    /// The others are asked how far their logs go.
-    pub fn ask(&mut self, now: Timestamp, number: u64) {
-        if self.asked.len() >= MAX_ASKED {
-            self.asked.pop_front();
+    /// The ends of the others' logs are requested now.
+    pub fn request_sent(&mut self, now: Timestamp, id: RequestId) {
+        if self.requests.len() >= MAX_OPEN_REQUESTS {
+            self.requests.pop_front();
         }
-        self.asked.push_back((number, now));
+        self.requests.push_back(OpenRequest { id, sent_at: now });
     }
 
-    fn stream(&mut self, now: Timestamp, node: &str, incarnation: u64) -> Option<&mut Stream> {
-        let stream = self.streams.get_mut(node)?;
-        if stream.incarnation != incarnation {
-            // What the former self told last may never have been sent.
-            *stream = Stream { incarnation, received: 0, gap: Some(now), vouched: stream.vouched };
+    /// The peer's log, from its start if this is a new incarnation of the peer.
+    fn peer_log(
+        &mut self,
+        now: Timestamp,
+        peer: &str,
+        incarnation: Incarnation,
+    ) -> Option<&mut PeerLog> {
+        let log = self.peers.get_mut(peer)?;
+        if log.incarnation != incarnation {
+            // What the last incarnation confirmed at its end may never have been sent.
+            let (received, complete_until) = (LogIndex(0), log.complete_until);
+            *log = PeerLog { incarnation, received, complete_until, gap_at: Some(now) };
         }
-        Some(stream)
+        Some(log)
     }
 
-    /// Another node is heard, in that life of it. A node that comes to lead has to know the lives of the
-    /// others from before it reads the records. (Met first with their first vouches, after the records
-    /// were read, they vouched for nothing until the next read; a leader elected just before an outage
-    /// let all leases run out in it.)
-    pub fn heard(&mut self, now: Timestamp, node: &str, incarnation: u64) {
-        self.stream(now, node, incarnation);
+    /// A message of that incarnation of the peer has arrived. A node that comes to lead has to know the
+    /// others' incarnations from before it reads the records. (Met first with their first answers,
+    /// after the records were read, they answered for nothing until the next read; a leader elected just
+    /// before an outage let all leases run out in it.)
+    pub fn peer_seen(&mut self, now: Timestamp, peer: &str, incarnation: Incarnation) {
+        self.peer_log(now, peer, incarnation);
     }
 
-    /// A part of another node's log has come, beginning with that number. What to acknowledge.
-    pub fn told(
+    /// Successive entries of the peer's log have arrived. Returns up to which they are to be
+    /// acknowledged, or `None` if the node is no peer.
+    pub fn entries_received(
         &mut self,
         now: Timestamp,
-        node: &str,
-        incarnation: u64,
-        first: u64,
-        n: u64,
-    ) -> Option<u64> {
-        let stream = self.stream(now, node, incarnation)?;
-        if first > stream.received + 1 {
-            stream.gap = Some(now);
+        peer: &str,
+        incarnation: Incarnation,
+        first: LogIndex,
+        count: usize,
+    ) -> Option<LogIndex> {
+        let log = self.peer_log(now, peer, incarnation)?;
+        if first.0 > log.received.0 + 1 {
+            log.gap_at = Some(now);
         }
-        stream.received = stream.received.max((first + n).saturating_sub(1));
-        Some(stream.received)
+        let last = LogIndex((first.0 + count as u64).saturating_sub(1));
+        log.received = log.received.max(last);
+        Some(log.received)
     }
 
-    /// Another node answers a question: all that it has told by now has numbers up to `last`.
-    pub fn vouch(&mut self, now: Timestamp, node: &str, incarnation: u64, last: u64, number: u64) {
-        let read = self.read;
-        let asked = self.asked.iter().find(|a| a.0 == number).map(|a| a.1);
-        let Some(stream) = self.stream(now, node, incarnation) else { return };
-        if stream.gap.is_some_and(|gap| gap <= read) {
-            stream.gap = None;
+    /// The peer has answered a request: all that it has confirmed by now has numbers up to `last`.
+    pub fn request_answered(
+        &mut self,
+        now: Timestamp,
+        peer: &str,
+        incarnation: Incarnation,
+        last: LogIndex,
+        id: RequestId,
+    ) {
+        let records_read_at = self.records_read_at;
+        let sent_at = self.requests.iter().find(|r| r.id == id).map(|request| request.sent_at);
+        let Some(log) = self.peer_log(now, peer, incarnation) else { return };
+        if log.gap_at.is_some_and(|gap| gap <= records_read_at) {
+            log.gap_at = None;
         }
-        // It answered after it was asked, so what it told before that is among those.
-        if let Some(asked) = asked.filter(|_| stream.gap.is_none() && stream.received >= last) {
-            stream.vouched = stream.vouched.max(asked);
+        let complete = log.gap_at.is_none() && log.received >= last;
+        // It answered after the request was sent, so what it confirmed before that is among those.
+        if let Some(sent_at) = sent_at.filter(|_| complete) {
+            log.complete_until = log.complete_until.max(sent_at);
         }
     }
 
-    /// Every cancellation told before this is known. Its own are, at any time.
-    pub fn until(&self, now: Timestamp) -> Timestamp {
-        let others = self.streams.values().map(|s| s.vouched).min().unwrap_or(now);
-        others.max(self.read)
+    /// Every cancellation that was confirmed before this is known here. This node's own are at any
+    /// time.
+    pub fn known_until(&self, now: Timestamp) -> Timestamp {
+        let peers = self.peers.values().map(|log| log.complete_until).min().unwrap_or(now);
+        peers.max(self.records_read_at)
     }
 }
--- a/crates/scheduler/tests/cancellations.rs
+++ b/crates/scheduler/tests/cancellations.rs
@@ -3,7 +3,10 @@
 
 mod world;
 
-use walnutlug_scheduler::leadership::watermark::{ask_every, window, CancellationLog, Watermark};
+use walnutlug_scheduler::leadership::cancellation_log::{
+    CancellationLog, Incarnation, LogEntries, LogIndex,
+};
+use walnutlug_scheduler::leadership::watermark::{request_interval, window, RequestId, Watermark};
 use walnutlug_scheduler::model::job_spec::JobEnd;
 use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
@@ -43,7 +46,7 @@
 
 struct Peer {
     name: &'static str,
-    incarnation: u64,
+    incarnation: Incarnation,
     up: bool,
     log: CancellationLog,
 }
@@ -60,8 +63,8 @@
 
 #[derive(Debug, Clone)]
 enum Frame {
-    Told { node: usize, incarnation: u64, first: u64, jobs: Vec<String> },
-    Vouch { node: usize, incarnation: u64, last: u64, number: u64 },
+    Entries { node: usize, incarnation: Incarnation, entries: LogEntries },
+    LogEnd { node: usize, incarnation: Incarnation, last: LogIndex, request: RequestId },
 }
 
 fn site(lease: u64, cancel: u64) -> Site {
@@ -72,9 +75,9 @@
     }
 }
 
-fn new_peer(name: &'static str, incarnation: u64, site: &Site) -> Peer {
+fn new_peer(name: &'static str, incarnation: Incarnation, site: &Site) -> Peer {
     let mut log = CancellationLog::new(site);
-    log.heard("leader", 1);
+    log.peer_seen("leader", Incarnation(1));
     Peer { name, incarnation, up: true, log }
 }
 
@@ -89,11 +92,11 @@
         let mut watermark = Watermark::new(["p".to_owned(), "q".to_owned()]);
         // Both are known, and the key-value store was read since.
         for node in ["p", "q"] {
-            watermark.vouch(w.now, node, 7, 0, 0);
+            watermark.request_answered(w.now, node, Incarnation(7), LogIndex(0), RequestId(0));
         }
-        watermark.read(w.now);
+        watermark.records_read(w.now);
         let renewed = w.now;
-        let peers = vec![new_peer("p", 7, site), new_peer("q", 7, site)];
+        let peers = vec![new_peer("p", Incarnation(7), site), new_peer("q", Incarnation(7), site)];
         Play { w, watermark, asked: 0, peers, messages_in_flight: Vec::new(), renewed }
     }
 
@@ -104,25 +107,27 @@
     fn frame(&mut self, frame: Frame) {
         let now = self.w.now;
         match frame {
-            Frame::Told { node, incarnation, first, jobs } => {
+            Frame::Entries { node, incarnation, entries: LogEntries { first, jobs } } => {
                 for job in &jobs {
                     self.w.leader.job_ended(now, job, JobEnd::Cancelled);
                 }
                 let name = self.peers[node].name;
-                let up_to = self.watermark.told(now, name, incarnation, first, jobs.len() as u64);
+                let up_to =
+                    self.watermark.entries_received(now, name, incarnation, first, jobs.len());
                 if let Some(up_to) = up_to.filter(|_| self.peers[node].incarnation == incarnation) {
-                    self.peers[node].log.acknowledged("leader", 1, up_to);
+                    self.peers[node].log.acknowledged("leader", Incarnation(1), up_to);
                 }
             }
-            Frame::Vouch { node, incarnation, last, number } => {
-                self.watermark.vouch(now, self.peers[node].name, incarnation, last, number);
+            Frame::LogEnd { node, incarnation, last, request } => {
+                let name = self.peers[node].name;
+                self.watermark.request_answered(now, name, incarnation, last, request);
             }
         }
     }
 
     /// Plays on to the given time after `began`; whether the task was live at all steps.
     fn play(&mut self, began: Timestamp, to: u64, m: &Meeting) {
-        let every = ask_every(&self.w.leader.site).0.div_ceil(1_000).max(1);
+        let every = request_interval(&self.w.leader.site).0.div_ceil(1_000).max(1);
         let mut since_ask = 0;
         while self.w.now.since(began) < TimeDelta::from_millis(to) {
             self.w.wait(STEP);
@@ -139,14 +144,14 @@
             }
             if let Frames::EndsAndReturns(after) = m.frames {
                 if !self.peers[0].up && now.since(told) >= TimeDelta::from_millis(after) {
-                    self.peers[0] = new_peer("p", 8, &self.w.leader.site);
+                    self.peers[0] = new_peer("p", Incarnation(8), &self.w.leader.site);
                 }
             }
             since_ask += STEP;
             if since_ask >= every {
                 since_ask = 0;
                 self.asked += 1;
-                self.watermark.ask(now, self.asked);
+                self.watermark.request_sent(now, RequestId(self.asked));
                 self.exchange(now, told, m);
             }
             let (due, rest): (Vec<_>, Vec<_>) =
@@ -171,17 +176,17 @@
             let peer = &mut self.peers[node];
             if lost || !peer.up {
                 // What was sent and lost is told again.
-                let _ = peer.log.to_tell(now, "leader");
+                let _ = peer.log.entries_to_send(now, "leader");
                 continue;
             }
-            let mut sent = vec![Frame::Vouch {
+            let mut sent = vec![Frame::LogEnd {
                 node,
                 incarnation: peer.incarnation,
                 last: peer.log.last(),
-                number: self.asked,
+                request: RequestId(self.asked),
             }];
-            if let Some((first, jobs)) = peer.log.to_tell(now, "leader") {
-                sent.push(Frame::Told { node, incarnation: peer.incarnation, first, jobs });
+            if let Some(entries) = peer.log.entries_to_send(now, "leader") {
+                sent.push(Frame::Entries { node, incarnation: peer.incarnation, entries });
             }
             for frame in sent {
                 match m.frames {
@@ -198,7 +203,7 @@
 
     /// The worker reports every three seconds and drops all when its lease ends.
     fn work(&mut self, now: Timestamp, at: u64) {
-        self.w.leader.authority.set_cancellations_known_until(self.watermark.until(now));
+        self.w.leader.authority.set_cancellations_known_until(self.watermark.known_until(now));
         let lease = self.w.leader.site.worker_lease.mul_f64(SLOW);
         if now.since(self.renewed) > lease {
             self.w.workers.get_mut("n-1").expect("worker").lease_ends();
@@ -322,83 +327,88 @@
     p.play(began, 18_000 + 24_000 + 3 * STEP, &far);
     assert!(!p.live());
     // Heard of again, the machine is open for work as before.
-    p.watermark.read(p.w.now);
+    p.watermark.records_read(p.w.now);
     p.w.leader.authority.set_cancellations_known_until(p.w.now);
     assert!(p.w.leader.authority.may_renew_leases(p.w.now));
 }
 
 #[test]
-fn a_log_is_told_until_it_is_acknowledged_by_that_life_of_its_reader() {
+fn a_log_is_sent_until_that_incarnation_of_the_peer_acknowledges_it() {
     let site = site(24_000, 44_000);
     let mut log = CancellationLog::new(&site);
     let now = Timestamp(1 << 40);
     let at = |ms: u64| now + TimeDelta::from_millis(ms);
     log.append(now, "req-1");
-    assert_eq!(log.to_tell(now, "q"), None, "nobody of that name was heard");
-    log.heard("q", 3);
+    assert_eq!(log.entries_to_send(now, "q"), None, "nobody of that name was heard");
+    log.peer_seen("q", Incarnation(3));
     let told = |first: u64, jobs: &[&str]| {
-        Some((first, jobs.iter().map(|j| (*j).to_owned()).collect::<Vec<_>>()))
+        let jobs = jobs.iter().map(|j| (*j).to_owned()).collect();
+        Some(LogEntries { first: LogIndex(first), jobs })
     };
-    assert_eq!(log.to_tell(now, "q"), told(1, &["req-1"]));
-    assert_eq!(log.to_tell(at(10), "q"), None, "it may be on its way");
+    assert_eq!(log.entries_to_send(now, "q"), told(1, &["req-1"]));
+    assert_eq!(log.entries_to_send(at(10), "q"), None, "it may be on its way");
     log.append(at(20), "req-2");
-    assert_eq!(log.to_tell(at(20), "q"), told(2, &["req-2"]), "what is new goes at once");
-    assert_eq!(log.to_tell(at(1_100), "q"), told(1, &["req-1", "req-2"]), "and all again");
-    log.acknowledged("q", 2, 2);
-    assert!(log.to_tell(at(2_200), "q").is_some(), "a receipt of a former life");
-    log.acknowledged("q", 3, 2);
-    assert_eq!(log.to_tell(at(3_300), "q"), None);
-    log.heard("q", 4);
-    assert_eq!(log.to_tell(at(3_300), "q"), told(1, &["req-1", "req-2"]), "a new life knows none");
+    assert_eq!(log.entries_to_send(at(20), "q"), told(2, &["req-2"]), "what is new goes at once");
+    assert_eq!(log.entries_to_send(at(1_100), "q"), told(1, &["req-1", "req-2"]), "and all again");
+    log.acknowledged("q", Incarnation(2), LogIndex(2));
+    assert!(log.entries_to_send(at(2_200), "q").is_some(), "a receipt of a former life");
+    log.acknowledged("q", Incarnation(3), LogIndex(2));
+    assert_eq!(log.entries_to_send(at(3_300), "q"), None);
+    log.peer_seen("q", Incarnation(4));
+    assert_eq!(
+        log.entries_to_send(at(3_300), "q"),
+        told(1, &["req-1", "req-2"]),
+        "a new life knows none"
+    );
     log.append(at(80_000), "req-3");
-    log.heard("q", 5);
-    assert_eq!(log.to_tell(at(80_000), "q"), told(3, &["req-3"]), "the old are over");
+    log.peer_seen("q", Incarnation(5));
+    assert_eq!(log.entries_to_send(at(80_000), "q"), told(3, &["req-3"]), "the old are over");
 }
 
-/// Each line is an order of events in which a vouch must not count, and what makes it count.
+/// Each line is an order of events in which an answer must not count, and what makes it count.
 #[test]
-fn a_vouch_counts_only_for_what_arrived_without_a_gap() {
+fn an_answer_counts_only_for_what_arrived_without_a_gap() {
     let now = Timestamp(1 << 40);
     let at = |ms: u64| now + TimeDelta::from_millis(ms);
     let mut w = Watermark::new(["p".to_owned()]);
-    w.ask(at(10), 1);
-    w.vouch(at(11), "p", 7, 0, 1);
-    assert_eq!(w.until(at(11)), Timestamp(0), "what its former self told is not known");
-    w.read(at(12));
-    w.ask(at(20), 2);
-    w.vouch(at(21), "p", 7, 1, 2);
-    assert_eq!(w.until(at(21)), at(12), "its first cancellation has not come");
-    assert_eq!(w.told(at(22), "p", 7, 1, 1), Some(1));
-    w.vouch(at(23), "p", 7, 1, 2);
-    assert_eq!(w.until(at(23)), at(20), "known up to when it was asked, not answered");
-    w.vouch(at(24), "p", 7, 1, 99);
-    assert_eq!(w.until(at(24)), at(20), "nobody asked that");
+    w.request_sent(at(10), RequestId(1));
+    w.request_answered(at(11), "p", Incarnation(7), LogIndex(0), RequestId(1));
+    assert_eq!(w.known_until(at(11)), Timestamp(0), "what its former self told is not known");
+    w.records_read(at(12));
+    w.request_sent(at(20), RequestId(2));
+    w.request_answered(at(21), "p", Incarnation(7), LogIndex(1), RequestId(2));
+    assert_eq!(w.known_until(at(21)), at(12), "its first cancellation has not come");
+    assert_eq!(w.entries_received(at(22), "p", Incarnation(7), LogIndex(1), 1), Some(LogIndex(1)));
+    w.request_answered(at(23), "p", Incarnation(7), LogIndex(1), RequestId(2));
+    assert_eq!(w.known_until(at(23)), at(20), "known up to when it was asked, not answered");
+    w.request_answered(at(24), "p", Incarnation(7), LogIndex(1), RequestId(99));
+    assert_eq!(w.known_until(at(24)), at(20), "nobody asked that");
     // One that it dropped before it arrived.
-    w.ask(at(30), 3);
-    assert_eq!(w.told(at(31), "p", 7, 3, 1), Some(3));
-    w.vouch(at(32), "p", 7, 3, 3);
-    assert_eq!(w.until(at(32)), at(20), "the second is missing");
-    w.read(at(30));
-    w.vouch(at(33), "p", 7, 3, 3);
-    assert_eq!(w.until(at(33)), at(30), "read, but before the gap was noticed");
-    w.read(at(40));
-    w.ask(at(50), 4);
-    w.vouch(at(51), "p", 7, 3, 4);
-    assert_eq!(w.until(at(51)), at(50));
+    w.request_sent(at(30), RequestId(3));
+    assert_eq!(w.entries_received(at(31), "p", Incarnation(7), LogIndex(3), 1), Some(LogIndex(3)));
+    w.request_answered(at(32), "p", Incarnation(7), LogIndex(3), RequestId(3));
+    assert_eq!(w.known_until(at(32)), at(20), "the second is missing");
+    w.records_read(at(30));
+    w.request_answered(at(33), "p", Incarnation(7), LogIndex(3), RequestId(3));
+    assert_eq!(w.known_until(at(33)), at(30), "read, but before the gap was noticed");
+    w.records_read(at(40));
+    w.request_sent(at(50), RequestId(4));
+    w.request_answered(at(51), "p", Incarnation(7), LogIndex(3), RequestId(4));
+    assert_eq!(w.known_until(at(51)), at(50));
     // A new life, then a late frame of the old one.
-    w.ask(at(60), 5);
-    w.vouch(at(61), "p", 8, 0, 5);
-    assert_eq!(w.until(at(61)), at(50));
-    w.read(at(62));
-    w.vouch(at(63), "p", 8, 0, 5);
-    assert_eq!(w.until(at(63)), at(62).max(at(60)));
-    w.told(at(70), "p", 7, 1, 1);
-    w.ask(at(80), 6);
-    w.vouch(at(81), "p", 8, 0, 6);
-    assert_eq!(w.until(at(81)), at(62), "a gap again, until the state service is read");
-    w.told(at(82), "stranger", 1, 1, 1);
-    assert_eq!(w.until(at(82)), at(62), "a node that is not in the settings says nothing");
-    assert_eq!(Watermark::new([]).until(at(90)), at(90), "alone it knows all");
+    w.request_sent(at(60), RequestId(5));
+    w.request_answered(at(61), "p", Incarnation(8), LogIndex(0), RequestId(5));
+    assert_eq!(w.known_until(at(61)), at(50));
+    w.records_read(at(62));
+    w.request_answered(at(63), "p", Incarnation(8), LogIndex(0), RequestId(5));
+    assert_eq!(w.known_until(at(63)), at(62).max(at(60)));
+    w.entries_received(at(70), "p", Incarnation(7), LogIndex(1), 1);
+    w.request_sent(at(80), RequestId(6));
+    w.request_answered(at(81), "p", Incarnation(8), LogIndex(0), RequestId(6));
+    assert_eq!(w.known_until(at(81)), at(62), "a gap again, until the state service is read");
+    w.entries_received(at(82), "stranger", Incarnation(1), LogIndex(1), 1);
+    assert_eq!(w.known_until(at(82)), at(62), "a node that is not in the settings says nothing");
+    assert_eq!(Watermark::new([]).known_until(at(90)), at(90), "alone it knows all");
 }
 
 /// Written before an outage, and found to be committed only after it: the job was cancelled meanwhile
@@ -494,28 +504,34 @@
 
 /// A leader elected just before an outage for all has read its records, and its watch has not returned yet.
 #[test]
-fn lives_known_before_the_records_were_read_vouch_at_once() {
+fn answers_of_incarnations_known_before_the_records_were_read_count_at_once() {
     let at = |s: u64| Timestamp((1 << 40) + s * 1_000_000);
     for (heard_at, counts) in [(Some(1), true), (None, false), (Some(4), false)] {
         let mut watermark = Watermark::new(["b".to_owned()]);
         if let Some(s) = heard_at {
-            watermark.heard(at(s), "b", 7);
+            watermark.peer_seen(at(s), "b", Incarnation(7));
         }
-        watermark.read(at(3));
+        watermark.records_read(at(3));
         for (number, s) in (5..25).enumerate() {
-            watermark.ask(at(s), number as u64);
-            watermark.vouch(at(s), "b", 7, 0, number as u64);
+            watermark.request_sent(at(s), RequestId(number as u64));
+            watermark.request_answered(
+                at(s),
+                "b",
+                Incarnation(7),
+                LogIndex(0),
+                RequestId(number as u64),
+            );
         }
         let until = if counts { at(24) } else { at(3) };
-        assert_eq!(watermark.until(at(25)), until, "first heard at {heard_at:?}");
+        assert_eq!(watermark.known_until(at(25)), until, "first heard at {heard_at:?}");
         // A new life vouches for nothing before the next read, however it is met.
-        watermark.heard(at(26), "b", 8);
-        watermark.ask(at(27), 100);
-        watermark.vouch(at(27), "b", 8, 0, 100);
-        assert_eq!(watermark.until(at(28)), until, "a new life");
-        watermark.read(at(26));
-        watermark.ask(at(29), 101);
-        watermark.vouch(at(29), "b", 8, 0, 101);
-        assert_eq!(watermark.until(at(30)), at(29), "after the next read");
+        watermark.peer_seen(at(26), "b", Incarnation(8));
+        watermark.request_sent(at(27), RequestId(100));
+        watermark.request_answered(at(27), "b", Incarnation(8), LogIndex(0), RequestId(100));
+        assert_eq!(watermark.known_until(at(28)), until, "a new life");
+        watermark.records_read(at(26));
+        watermark.request_sent(at(29), RequestId(101));
+        watermark.request_answered(at(29), "b", Incarnation(8), LogIndex(0), RequestId(101));
+        assert_eq!(watermark.known_until(at(30)), at(29), "after the next read");
     }
 }
--- a/crates/scheduler/tests/transcripts/scripts.rs
+++ b/crates/scheduler/tests/transcripts/scripts.rs
@@ -6,8 +6,11 @@
 
 use serde_json::json;
 use walnutlug_scheduler::command::{Command, MessageOutcome, TransactionOutcome};
+use walnutlug_scheduler::leadership::cancellation_log::{
+    CancellationLog, Incarnation, LogEntries, LogIndex,
+};
 use walnutlug_scheduler::leadership::election::{ElectionEvent, Leadership, Role};
-use walnutlug_scheduler::leadership::watermark::{CancellationLog, Watermark};
+use walnutlug_scheduler::leadership::watermark::{RequestId, Watermark};
 use walnutlug_scheduler::model::job_spec::{JobEnd, JobSpec, Priority};
 use walnutlug_scheduler::model::team::Team;
 use walnutlug_scheduler::protocol::cloud::{CloudMachineState, ListedMachine};
@@ -629,32 +632,32 @@
         };
         transcript::line("role", &format!("{role} changed={changed}"));
         let node = ["p", "q"][dice.below(2)];
-        let incarnation = 1 + step / 400 + u64::from(dice.chance(10));
+        let incarnation = Incarnation(1 + step / 400 + u64::from(dice.chance(10)));
         match dice.below(8) {
             0 => log.append(now, &job_name(step as usize)),
-            1 => log.heard(node, incarnation),
-            2 => log.acknowledged(node, incarnation, dice.below(60) as u64),
-            3 => watermark.ask(now, step),
-            4 => watermark.vouch(
+            1 => log.peer_seen(node, incarnation),
+            2 => log.acknowledged(node, incarnation, LogIndex(dice.below(60) as u64)),
+            3 => watermark.request_sent(now, RequestId(step)),
+            4 => watermark.request_answered(
                 now,
                 node,
                 incarnation,
-                dice.below(40) as u64,
-                step.saturating_sub(2),
+                LogIndex(dice.below(40) as u64),
+                RequestId(step.saturating_sub(2)),
             ),
-            5 => watermark.read(now),
-            6 => watermark.heard(now, node, incarnation),
+            5 => watermark.records_read(now),
+            6 => watermark.peer_seen(now, node, incarnation),
             _ => {
-                let first = dice.below(40) as u64;
-                let up_to = watermark.told(now, node, incarnation, first, 3);
-                transcript::line("acknowledge", &up_to.map_or("-".into(), |n| n.to_string()));
+                let first = LogIndex(dice.below(40) as u64);
+                let up_to = watermark.entries_received(now, node, incarnation, first, 3);
+                transcript::line("acknowledge", &up_to.map_or("-".into(), |n| n.0.to_string()));
             }
         }
-        if let Some((first, jobs)) = log.to_tell(now, node) {
+        if let Some(LogEntries { first: LogIndex(first), jobs }) = log.entries_to_send(now, node) {
             transcript::line("tell", &format!("{node} from {first}: {}", jobs.join(" ")));
         }
-        let until = watermark.until(now).0;
-        transcript::line("known", &format!("last={} until={until}", log.last()));
+        let until = watermark.known_until(now).0;
+        transcript::line("known", &format!("last={} until={until}", log.last().0));
     }
 }
 
