--- a/crates/controller/src/node/leader.rs
+++ b/crates/controller/src/node/leader.rs
@@ -238,7 +238,7 @@
         match find_ended_jobs(node, open.clone()).await {
             Ok(ended) => {
                 for name in &ended {
-                    s.job_over(now, name);
+                    s.mark_job_ended(now, name);
                 }
                 break;
             }
--- a/crates/scheduler/src/autoscaling.rs
+++ b/crates/scheduler/src/autoscaling.rs
@@ -282,7 +282,7 @@
             }
             let count = count.min(MAX_MACHINES_PER_REQUEST);
             self.autoscaler.asking.insert(offer.clone(), count);
-            self.out.push(Command::ScaleOut {
+            self.commands.push(Command::ScaleOut {
                 kind: self.cluster.machine_types[offer.0].name.clone(),
                 zone: offer.1,
                 spot: offer.2,
@@ -487,7 +487,7 @@
         if !names.is_empty() {
             self.autoscaler.returning += 1;
             self.log(Event::ScaleIn { machines: scaled_in });
-            self.out.push(Command::ScaleIn { machines: names });
+            self.commands.push(Command::ScaleIn { machines: names });
         }
     }
 
--- a/crates/scheduler/src/command.rs
+++ b/crates/scheduler/src/command.rs
@@ -1,56 +1,115 @@
 //! What the scheduler wants done, and what became of it.
 
+use std::collections::BTreeSet;
 use std::fmt;
 
 use serde_json::Value;
 
-use crate::event::Event;
+use crate::event::{Anomaly, Event};
 use crate::model::task::MachineIndex;
 use crate::protocol::key_value::Transaction;
 use crate::protocol::workers::{Heartbeat, WorkerCommand};
 
-/// Something for the sockets to do.
+/// Something for the program to do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Command {
-    /// Send the transaction and answer with [`Scheduler::transaction_answered`].
+    /// Send the transaction and answer with [`Scheduler::transaction_answered`](crate::scheduler::Scheduler::transaction_answered).
     Commit {
+        /// Of the transaction, in this term.
         id: u64,
+        /// What to send.
         transaction: Transaction,
     },
-    /// Read one key and answer with [`Scheduler::read_answered`].
+    /// Read one key and answer with [`Scheduler::read_answered`](crate::scheduler::Scheduler::read_answered).
     Read {
+        /// Of the transaction whose outcome it decides.
         id: u64,
+        /// The key.
         key: String,
     },
-    /// Find out which of the jobs have ended, and answer with [`Scheduler::job_ends_found`].
+    /// Find out which of the jobs have ended, and answer with [`Scheduler::job_ends_found`](crate::scheduler::Scheduler::job_ends_found).
     FindJobEnds {
+        /// The jobs.
         names: Vec<String>,
     },
-    /// Post the calls once, never again, and answer with [`Scheduler::message_answered`].
+    /// Send the commands to a worker once, never again, and answer with
+    /// [`Scheduler::message_answered`](crate::scheduler::Scheduler::message_answered).
     SendToWorker {
+        /// The worker's machine.
         machine: MachineIndex,
+        /// Where the worker can be reached.
         address: String,
+        /// The fencing token of the message.
         token: u64,
+        /// The agent epoch of the worker that it is for.
         agent_epoch: u64,
+        /// The commands; none if only an answer is wanted.
         calls: Vec<WorkerCommand>,
     },
+    /// Request machines from the cloud.
     ScaleOut {
+        /// Their type.
         kind: String,
+        /// Their zone.
         zone: String,
+        /// Whether spot machines.
         spot: bool,
+        /// How many.
         count: u32,
     },
+    /// Return machines to the cloud.
     ScaleIn {
+        /// Their names.
         machines: Vec<String>,
     },
-    /// Worth a line in the log.
+    /// Write an event to the log.
     Log(Event),
-    /// A worker claims a newer term: worth a look at the leader key, and no more.
+    /// Read the leader key: a worker reports a newer term, which alone proves nothing.
     VerifyLeadership,
-    /// The term is over.
+    /// End the term.
     StepDown(StepDownReason),
 }
 
+/// How many anomalies are remembered as logged: several for each machine of any fleet.
+const MAX_ANOMALIES: usize = 20_000;
+
+/// The commands that were decided and not yet taken, in their order.
+#[derive(Debug, Default)]
+pub(crate) struct CommandQueue {
+    commands: Vec<Command>,
+    /// Anomalies that were logged, each once.
+    logged: BTreeSet<(String, Anomaly)>,
+}
+
+impl CommandQueue {
+    /// Adds a command.
+    pub(crate) fn push(&mut self, command: Command) {
+        self.commands.push(command);
+    }
+
+    /// Adds commands.
+    pub(crate) fn extend(&mut self, commands: impl IntoIterator<Item = Command>) {
+        self.commands.extend(commands);
+    }
+
+    /// Logs an event.
+    pub(crate) fn log(&mut self, event: Event) {
+        self.push(Command::Log(event));
+    }
+
+    /// Logs an anomaly, once for each machine or job and kind.
+    pub(crate) fn log_once(&mut self, name: &str, kind: Anomaly) {
+        if self.logged.len() < MAX_ANOMALIES && self.logged.insert((name.to_owned(), kind)) {
+            self.log(Event::Anomaly { name: name.to_owned(), kind });
+        }
+    }
+
+    /// Takes all commands.
+    pub(crate) fn take(&mut self) -> Vec<Command> {
+        std::mem::take(&mut self.commands)
+    }
+}
+
 /// Why a leader ends its own term.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StepDownReason {
@@ -88,10 +147,14 @@
 /// What became of a transaction.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TransactionOutcome {
+    /// Executed.
     Committed {
+        /// The store's revision of it.
         revision: u64,
     },
+    /// Not executed: these keys have other revisions than it expects.
     Conflict {
+        /// The keys.
         failed: Vec<String>,
     },
     /// Certainly not executed.
@@ -103,7 +166,7 @@
     Indeterminate,
 }
 
-/// What became of a direct command.
+/// What became of a message to a worker.
 #[derive(Debug, Clone)]
 pub enum MessageOutcome {
     /// 200 or 409: the worker's heartbeat after it.
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -140,7 +140,7 @@
         m.in_message = ids;
         let mut calls = std::mem::take(&mut m.outbox);
         calls.extend(starts);
-        self.out.push(Command::SendToWorker {
+        self.commands.push(Command::SendToWorker {
             machine: ix,
             address: m.address.clone(),
             token: m.token(term),
--- a/crates/scheduler/src/model/cluster.rs
+++ b/crates/scheduler/src/model/cluster.rs
@@ -1,6 +1,6 @@
 //! The jobs, tasks and machines of a term, and the one way to change what connects them.
 //!
-//! Every change of a task goes through [`Cluster::apply`], so that the sums of its job, its machine, its team
+//! Every change of a task goes through `Cluster::apply`, so that the sums of its job, its machine, its team
 //! and its class always agree with it.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -9,9 +9,11 @@
 
 use crate::model::job::{Job, JobIndex, TaskId};
 use crate::model::job_spec::Priority;
+use crate::model::job_state::JobEvent;
 use crate::model::machine::{Machine, MachineState};
 use crate::model::task::{MachineIndex, Task, TaskEvent, TaskPhase};
 use crate::protocol::cloud::MachineType;
+use crate::protocol::workers::WorkerCommand;
 use crate::reconciliation::repeated_heartbeats::{
     CacheRecord, CachedHeartbeat, Invalidated, OWN_NODE,
 };
@@ -31,6 +33,15 @@
     pub gpus: f64,
 }
 
+/// What a planned start means for the writes.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) struct StartPlanned {
+    /// Whether no other start of its chunk waits to be written.
+    pub(crate) first_of_chunk: bool,
+    /// Whether the machine is known to have the job's image.
+    pub(crate) image_cached: bool,
+}
+
 /// Jobs, tasks and machines as the leader of one term knows them.
 #[derive(Debug)]
 pub struct Cluster {
@@ -109,6 +120,78 @@
         }
     }
 
+    /// Marks the job as ended, whichever its end. Returns it, unless it was marked before or is
+    /// unknown.
+    pub(crate) fn end_job(&mut self, name: &str) -> Option<JobIndex> {
+        let &index = self.jobs_by_name.get(name)?;
+        if !self.jobs.get_mut(&index)?.apply(JobEvent::Ended) {
+            return None;
+        }
+        self.placement_needed = true;
+        Some(index)
+    }
+
+    /// The job's tasks that are not proven absent.
+    pub(crate) fn placed_tasks(&self, index: JobIndex) -> Vec<TaskId> {
+        let Some(job) = self.job(index) else { return Vec::new() };
+        let tasks = (0..).zip(&job.tasks);
+        tasks.filter(|(_, task)| task.phase.placed()).map(|(task, _)| (index, task)).collect()
+    }
+
+    /// Plans a task's start on a machine, to be written before it is sent. `None` if the task is not
+    /// pending.
+    pub(crate) fn plan_start(
+        &mut self,
+        now: Timestamp,
+        id: TaskId,
+        machine: MachineIndex,
+    ) -> Option<StartPlanned> {
+        let agent_epoch = self.machines[machine as usize].agent_epoch;
+        if !self.apply(now, id, TaskEvent::Dispatch { machine, agent_epoch }) {
+            return None;
+        }
+        let job = self.jobs.get_mut(&id.0)?;
+        let image = job.spec.image.clone();
+        let chunk = job.chunk_of(id.1);
+        let start_due = &mut job.chunks[chunk].start_due;
+        let planned = StartPlanned {
+            first_of_chunk: start_due.is_none(),
+            image_cached: self.machines[machine as usize].images.contains(&image),
+        };
+        start_due.get_or_insert(now);
+        // It will be there once fetched; the next task for it need not fetch it elsewhere.
+        self.has_image(machine, image);
+        Some(planned)
+    }
+
+    /// Commands a task's machine to stop it; the command is repeated with every heartbeat until the
+    /// task is gone. Returns the machine if the command waits to be sent there.
+    pub(crate) fn stop_task(
+        &mut self,
+        now: Timestamp,
+        id: TaskId,
+        grace_s: f64,
+    ) -> Option<MachineIndex> {
+        let job = self.jobs.get(&id.0)?;
+        let task = job.tasks[id.1 as usize];
+        if task.phase == TaskPhase::Dispatching && task.token == 0 {
+            // Not sent yet, and with the job ended or the task wanted elsewhere it never will be:
+            // the commit's answer takes it back.
+            return None;
+        }
+        let name = format!("{}/{}", job.name, id.1);
+        if !self.apply(now, id, TaskEvent::Stop) {
+            return None;
+        }
+        let machine = &mut self.machines[task.machine as usize];
+        if machine.state != MachineState::Up {
+            return None;
+        }
+        let attempt = u64::from(task.attempt);
+        machine.outbox.push(WorkerCommand::Kill { task: name, attempt, grace_s });
+        Some(task.machine)
+    }
+
     /// The machine of that name, made up as silent if nothing is known of it.
     pub fn machine_named(&mut self, now: Timestamp, name: &str) -> MachineIndex {
         if let Some(&ix) = self.machines_by_name.get(name) {
@@ -223,7 +306,7 @@
         self.shares.task_placed(job.share_class, job.spec.task());
     }
 
-    /// The reverse of [`Scheduler::attach`]; only called on proof.
+    /// The reverse of [`Cluster::attach`]; only called on proof.
     pub(crate) fn detach(&mut self, now: Timestamp, id: TaskId) {
         let Some(job) = self.jobs.get_mut(&id.0) else { return };
         let machine = &mut self.machines[job.tasks[id.1 as usize].machine as usize];
--- a/crates/scheduler/src/model/job_spec.rs
+++ b/crates/scheduler/src/model/job_spec.rs
@@ -67,6 +67,14 @@
         Resources { cpus: self.cpus, gpus: self.gpus, memory_gb: self.memory_gb }
     }
 
+    /// How many seconds a task that is stopped may take to save a checkpoint; 0 if it makes none.
+    pub fn stop_grace_s(&self) -> f64 {
+        match self.checkpoint_s > 0.0 {
+            true => self.save_s,
+            false => 0.0,
+        }
+    }
+
     pub fn allows_type(&self, name: &str) -> bool {
         self.types.as_ref().is_none_or(|types| types.iter().any(|t| t == name))
     }
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -11,7 +11,7 @@
 use crate::model::task::{MachineIndex, TaskPhase};
 use crate::model::EPSILON;
 use crate::queue::order::{Aging, QueueKey};
-use crate::scheduler::{grace_of, Scheduler, OVERDUE};
+use crate::scheduler::{Scheduler, OVERDUE};
 use crate::time::{TimeDelta, Timestamp};
 
 /// Without a job of a class for this long, no room is kept for its next one.
@@ -404,7 +404,7 @@
                 machines.next();
                 continue;
             }
-            self.dispatch(now, (ix, index), m);
+            self.plan_start(now, (ix, index), m);
             placed += 1;
             index += 1;
         }
@@ -578,7 +578,7 @@
             return; // What was stopped before it in this look brought its class down there.
         }
         room.free.add(&other.spec);
-        let grace = grace_of(&other.spec);
+        let grace = other.spec.stop_grace_s();
         let task = format!("{}/{}", other.name, id.1);
         self.log(Event::TaskPreempted { task });
         self.stop(now, id, grace);
--- a/crates/scheduler/src/queue/dependencies.rs
+++ b/crates/scheduler/src/queue/dependencies.rs
@@ -141,7 +141,7 @@
 
     /// A job's end as it is stored. Nothing else may be told here.
     pub fn job_ended(&mut self, now: Timestamp, name: &str, end: JobEnd) {
-        self.job_over(now, name);
+        self.mark_job_ended(now, name);
         self.dependency_graph.unread.remove(name);
         let Some(dependency) = self.dependency_graph.dependencies.remove(name) else { return };
         match end {
@@ -209,12 +209,12 @@
         }
         self.dependency_graph.asking = true;
         let names = self.dependency_graph.unread.iter().take(MAX_ASKED).cloned().collect();
-        self.out.push(Command::FindJobEnds { names });
+        self.commands.push(Command::FindJobEnds { names });
     }
 
     /// The end of a job is known to be written, but not which: a write met it.
     pub(crate) fn job_ended_unknown_how(&mut self, now: Timestamp, name: &str) {
-        self.job_over(now, name);
+        self.mark_job_ended(now, name);
         if self.dependency_graph.dependencies.contains_key(name) {
             self.dependency_graph.unread.insert(name.to_owned());
         }
--- a/crates/scheduler/src/reconciliation/health.rs
+++ b/crates/scheduler/src/reconciliation/health.rs
@@ -168,7 +168,7 @@
                     continue;
                 }
                 room -= job.spec.cpus;
-                leave.push((id, crate::scheduler::grace_of(&job.spec)));
+                leave.push((id, job.spec.stop_grace_s()));
             }
         }
         for (id, grace) in leave {
--- a/crates/scheduler/src/reconciliation/heartbeats.rs
+++ b/crates/scheduler/src/reconciliation/heartbeats.rs
@@ -9,7 +9,7 @@
 use crate::model::task::{MachineIndex, TaskEvent, TaskPhase};
 use crate::protocol;
 use crate::protocol::workers::{ExitReason, Heartbeat, TaskState, WorkerCommand};
-use crate::scheduler::{grace_of, Scheduler};
+use crate::scheduler::Scheduler;
 use crate::time::{TimeDelta, Timestamp};
 
 /// A start counts for the job's users if it is not stopped again within half a minute.
@@ -63,7 +63,7 @@
             // Most likely true: then the leader key tells. A token that came from nowhere must not
             // end a term.
             self.log_once(&heartbeat.machine, Anomaly::NewerTerm);
-            self.out.push(Command::VerifyLeadership);
+            self.commands.push(Command::VerifyLeadership);
             return None;
         }
         let known = self
@@ -127,7 +127,7 @@
                 None => Some(0.0),
                 Some((job, _)) if job.is_ended() => Some(0.0),
                 Some((job, index)) if job.tasks[index].phase == TaskPhase::Stopping => {
-                    Some(grace_of(&job.spec))
+                    Some(job.spec.stop_grace_s())
                 }
                 Some(_) => None,
             };
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -1,15 +1,16 @@
-//! The leader's registry: jobs, tasks and machines, what is known of each, and the one way to change it.
+//! The leader's scheduler: holds the owners of its state and routes each event to them.
 //!
-//! A [`Scheduler`] lives for one term. It is built from the stored records, told what happens, and
-//! asked for commands; when the term is lost it is thrown away. Rounds and their writes are in
-//! [`crate::storage::transactions`], what workers tell in [`crate::reconciliation::heartbeats`].
+//! A [`Scheduler`] lives for one term. It is built from the stored records, takes events, and returns
+//! commands; when the term is lost it is discarded. Rounds of writes are in
+//! `storage::write_round`, heartbeats in [`crate::reconciliation::heartbeats`].
 
-use std::collections::BTreeSet;
+use std::rc::Rc;
 
 use serde_json::Value;
 use walnutlug_admission::shares::Shares;
 
-use crate::command::{Command, ReadOutcome, TransactionOutcome};
+use crate::autoscaling::Autoscaler;
+use crate::command::{Command, CommandQueue, ReadOutcome, TransactionOutcome};
 use crate::dispatch::starts::{self, ReleasedStarts};
 use crate::dispatch::Messages;
 use crate::event::{Anomaly, Event};
@@ -17,15 +18,12 @@
 use crate::leadership::election::token;
 use crate::model::cluster::Cluster;
 use crate::model::job::{JobIndex, TaskId};
-use crate::model::job_spec::JobSpec;
-use crate::model::job_state::JobEvent;
-use crate::model::machine::MachineState;
 use crate::model::run_times::RunTimes;
-use crate::model::task::{MachineIndex, TaskEvent, TaskPhase};
+use crate::model::task::MachineIndex;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::key_value::KeyValue;
-use crate::protocol::workers::WorkerCommand;
 use crate::queue::dependencies::DependencyGraph;
+use crate::queue::fair_share::{self, FairShare};
 use crate::storage::batch::{CommitEffects, StoredEnd};
 use crate::storage::loader::{self, DescriptionError, LoadedJob};
 use crate::storage::transactions::{Resolution, TransactionLimits, Transactions, WriteAllowance};
@@ -35,33 +33,38 @@
 
 /// The leader's table of jobs and machines, and the decisions about them; lives for one term.
 pub struct Scheduler {
-    pub site: std::rc::Rc<Site>,
-    pub tunables: std::rc::Rc<Tunables>,
+    /// The platform's settings.
+    pub site: Rc<Site>,
+    /// The operators' settings.
+    pub tunables: Rc<Tunables>,
+    /// The term for which it decides.
     pub term: u64,
+    /// When it began to decide.
     pub started_at: Timestamp,
     /// Jobs, tasks and machines.
     pub cluster: Cluster,
     pub(crate) dependency_graph: DependencyGraph,
     /// Whether the fleet is overloaded, and what each class keeps of it then.
-    pub fair_share: crate::queue::fair_share::FairShare,
+    pub fair_share: FairShare,
     pub(crate) run_times: RunTimes,
-    pub autoscaler: crate::autoscaling::Autoscaler,
+    /// The machines that were requested and returned.
+    pub autoscaler: Autoscaler,
     pub(crate) transactions: Transactions,
     pub(crate) messages: Messages,
     /// What this leader may do by what it knows of its lease and of cancellations.
     pub authority: LeaderAuthority,
+    /// When the last round was.
     pub(crate) last_round: Timestamp,
+    /// When preemption was last considered.
     pub(crate) last_preempt: Timestamp,
     /// Processors of the machines that are up, as of the last round.
     pub(crate) fleet_cpus: f64,
-    /// What was logged of anomalies, each once.
-    pub(crate) anomalies: BTreeSet<(String, Anomaly)>,
-    pub(crate) out: Vec<Command>,
+    pub(crate) commands: CommandQueue,
     /// What decisions cost, for tests.
     pub examined: Examined,
 }
 
-/// How much was looked at to decide, counted for tests of what a round or a heartbeat costs.
+/// How many entries were looked at to decide, counted for tests of what a round or a heartbeat costs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Examined {
     /// Machines looked at for placing.
@@ -72,40 +75,39 @@
     pub send_checks: u64,
 }
 
-/// Report intervals, each up to a quarter longer than told, after which a worker is overdue.
+/// Heartbeat intervals after which a worker is overdue. (Each is up to a quarter longer than the one
+/// that the worker is given.)
 pub const OVERDUE: f64 = 1.4;
 /// How often every machine is looked at for what time alone brings: an overdue heartbeat, a deadline,
 /// the end of a pause. What events bring is looked at when they come.
 const SWEEP_EVERY: TimeDelta = TimeDelta::from_millis(200);
-/// Odd things to remember as logged: several for each machine of any fleet.
-const MAX_ANOMALIES: usize = 20_000;
 
 impl Scheduler {
+    /// Without jobs and machines: the stored records are to be added next.
     pub fn new(
-        site: std::rc::Rc<Site>,
-        tunables: std::rc::Rc<Tunables>,
+        site: Rc<Site>,
+        tunables: Rc<Tunables>,
         term: u64,
         types: Vec<MachineType>,
         now: Timestamp,
     ) -> Scheduler {
-        let shares = Shares::new(crate::queue::fair_share::entitlements(&site, &tunables));
+        let shares = Shares::new(fair_share::entitlements(&site, &tunables));
         let limits = TransactionLimits { value_bytes: site.value_bytes, operations: site.txn_ops };
         Scheduler {
             term,
             started_at: now,
             cluster: Cluster::new(term, token(term, 0) - 1, types, shares),
             dependency_graph: DependencyGraph::default(),
-            fair_share: crate::queue::fair_share::FairShare::default(),
+            fair_share: FairShare::default(),
             run_times: RunTimes::default(),
-            autoscaler: crate::autoscaling::Autoscaler::default(),
+            autoscaler: Autoscaler::default(),
             transactions: Transactions::new(term, limits),
             messages: Messages::new(now),
             authority: LeaderAuthority::new(&site, now),
             last_round: Timestamp(0),
             last_preempt: Timestamp(0),
             fleet_cpus: 0.0,
-            anomalies: BTreeSet::new(),
-            out: Vec::new(),
+            commands: CommandQueue::default(),
             examined: Examined::default(),
             tunables,
             site,
@@ -163,7 +165,7 @@
 
     /// Called often: starts a round if there is something to do, and sends what is due.
     pub fn tick(&mut self, now: Timestamp) {
-        self.out.extend(self.transactions.resend_due(now));
+        self.commands.extend(self.transactions.resend_due(now));
         let sweep = now.since(self.messages.last_sweep) >= SWEEP_EVERY;
         if sweep {
             self.messages.last_sweep = now;
@@ -193,7 +195,7 @@
             tunables: &self.tunables,
             now,
         };
-        self.out.extend(round.run());
+        self.commands.extend(round.run());
     }
 
     /// The answer to a [`Command::Commit`].
@@ -214,7 +216,7 @@
             Resolution::Unknown | Resolution::Open => {}
             Resolution::ReadBack { read, ended } => {
                 self.jobs_ended_unknown_how(now, &ended);
-                self.out.push(read);
+                self.commands.push(read);
             }
             Resolution::Committed { batch, revision } => {
                 let effects = batch.committed(&mut self.cluster, now, revision);
@@ -225,7 +227,7 @@
                 batch.not_executed(&mut self.cluster, now);
             }
             Resolution::StepDown { batch, reason } => {
-                self.out.push(Command::StepDown(reason));
+                self.commands.push(Command::StepDown(reason));
                 batch.not_executed(&mut self.cluster, now);
             }
         }
@@ -262,98 +264,52 @@
         starts::release_starts(&mut self.cluster, &self.authority, now, machine, sending)
     }
 
+    /// Takes the commands that were decided since the last call, in the order in which they are to be
+    /// carried out.
     pub fn take_commands(&mut self) -> Vec<Command> {
-        std::mem::take(&mut self.out)
+        self.commands.take()
     }
 
+    /// Logs an event.
     pub(crate) fn log(&mut self, event: Event) {
-        self.out.push(Command::Log(event));
+        self.commands.log(event);
     }
 
-    /// Logs what should not be, once for each machine or job and kind.
+    /// Logs an anomaly, once for each machine or job and kind.
     pub(crate) fn log_once(&mut self, name: &str, kind: Anomaly) {
-        if self.anomalies.len() < MAX_ANOMALIES && self.anomalies.insert((name.to_owned(), kind)) {
-            self.log(Event::Anomaly { name: name.to_owned(), kind });
-        }
+        self.commands.log_once(name, kind);
     }
 
-    /// The job has ended for its users: nothing of it is started any more. How it ended isn't told
-    /// here, so nothing is released by it; see [`Scheduler::job_ended`].
-    pub fn job_over(&mut self, now: Timestamp, name: &str) {
-        let Some(&ix) = self.cluster.jobs_by_name.get(name) else { return };
-        let Some(job) = self.cluster.jobs.get_mut(&ix) else { return };
-        if !job.apply(JobEvent::Ended) {
-            return;
-        }
-        self.cluster.placement_needed = true;
-        self.remove_dependencies(now, ix);
-        let Some(job) = self.cluster.jobs.get(&ix) else { return };
-        let all: Vec<u32> =
-            (0..job.spec.tasks).filter(|&i| job.tasks[i as usize].phase.placed()).collect();
-        for index in all {
-            self.stop(now, (ix, index), 0.0);
+    /// The job's end is stored, but not known: nothing of it is started any more, what is placed is
+    /// stopped, and no other job is released by it; see [`Scheduler::job_ended`].
+    pub fn mark_job_ended(&mut self, now: Timestamp, name: &str) {
+        let Some(index) = self.cluster.end_job(name) else { return };
+        self.remove_dependencies(now, index);
+        for id in self.cluster.placed_tasks(index) {
+            self.stop(now, id, 0.0);
         }
     }
 
-    // ---- the registry -------------------------------------------------------------------------
-
     /// Plans a start: written with the next transactions, sent after they are committed.
-    pub(crate) fn dispatch(&mut self, now: Timestamp, id: TaskId, machine: MachineIndex) {
-        let agent_epoch = self.cluster.machines[machine as usize].agent_epoch;
-        if self.cluster.apply(now, id, TaskEvent::Dispatch { machine, agent_epoch }) {
-            if let Some(job) = self.cluster.jobs.get_mut(&id.0) {
-                let chunk = job.chunk_of(id.1);
-                let due = &mut job.chunks[chunk].start_due;
-                if due.is_none() {
-                    self.transactions.chunk_planned();
-                }
-                due.get_or_insert(now);
-                let images = &self.cluster.machines[machine as usize].images;
-                let counts = self.transactions.counts_mut();
-                counts.tasks_placed += 1;
-                counts.image_cached += usize::from(images.contains(&job.spec.image));
-                // It will be there once fetched; the next task for it need not fetch it elsewhere.
-                let image = job.spec.image.clone();
-                self.cluster.has_image(machine, image);
-            }
+    pub(crate) fn plan_start(&mut self, now: Timestamp, id: TaskId, machine: MachineIndex) {
+        if let Some(planned) = self.cluster.plan_start(now, id, machine) {
+            self.transactions.start_planned(planned);
         }
     }
 
-    /// Tells a task's machine to stop it; repeated with every heartbeat until it is gone.
+    /// Commands a task's machine to stop it, with that many seconds to save its work.
     pub(crate) fn stop(&mut self, now: Timestamp, id: TaskId, grace_s: f64) {
-        let Some(job) = self.cluster.jobs.get(&id.0) else { return };
-        let task = job.tasks[id.1 as usize];
-        if task.phase == TaskPhase::Dispatching && task.token == 0 {
-            // Not sent yet, and with the job over or the task wanted elsewhere it never will be:
-            // the commit's answer takes it back.
-            return;
-        }
-        let name = format!("{}/{}", job.name, id.1);
-        if self.cluster.apply(now, id, TaskEvent::Stop) {
-            let attempt = u64::from(task.attempt);
-            let call = WorkerCommand::Kill { task: name, attempt, grace_s };
-            let machine = &mut self.cluster.machines[task.machine as usize];
-            if machine.state == MachineState::Up {
-                machine.outbox.push(call);
-                self.enqueue_send(task.machine);
-            }
+        if let Some(machine) = self.cluster.stop_task(now, id, grace_s) {
+            self.enqueue_send(machine);
         }
     }
 
     /// Something may have to be sent to the machine.
-    pub(crate) fn enqueue_send(&mut self, m: MachineIndex) {
-        let machine = &mut self.cluster.machines[m as usize];
+    pub(crate) fn enqueue_send(&mut self, machine_index: MachineIndex) {
+        let machine = &mut self.cluster.machines[machine_index as usize];
         if !machine.in_send_queue {
             machine.in_send_queue = true;
-            self.messages.send_queue.push(m);
+            self.messages.send_queue.push(machine_index);
         }
     }
 }
-/// What a stopped task may take to save itself.
-pub fn grace_of(spec: &JobSpec) -> f64 {
-    if spec.checkpoint_s > 0.0 {
-        spec.save_s
-    } else {
-        0.0
-    }
-}
--- a/crates/scheduler/src/storage/loader.rs
+++ b/crates/scheduler/src/storage/loader.rs
@@ -13,7 +13,9 @@
 use crate::protocol::key_value::KeyValue;
 use crate::protocol::users::MAX_TASKS;
 use crate::storage::keys::RunKey;
-use crate::storage::records::{DescriptionRecord, StoredChunk, StoredProgress, StoredTask};
+use crate::storage::records::{
+    DescriptionRecord, StoredChunk, StoredProgress, StoredTask, TaskState,
+};
 use crate::time::{TimeDelta, Timestamp};
 
 /// Why a job's stored description was not taken over.
@@ -174,7 +176,7 @@
     job: &mut Job,
     now: Timestamp,
     index: u32,
-    state: crate::storage::records::TaskState<'a>,
+    state: TaskState<'a>,
     loaded_token: u64,
 ) -> Option<&'a str> {
     let task = &mut job.tasks[index as usize];
--- a/crates/scheduler/src/storage/records.rs
+++ b/crates/scheduler/src/storage/records.rs
@@ -207,3 +207,6 @@
     }
     Writer::deserialize(value).is_ok_and(|writer| writer.nonce == nonce)
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/scheduler/src/storage/transactions.rs
+++ b/crates/scheduler/src/storage/transactions.rs
@@ -6,6 +6,7 @@
 
 use crate::command::{Command, ReadOutcome, StepDownReason, TransactionOutcome};
 use crate::event::WriteCounts;
+use crate::model::cluster::StartPlanned;
 use crate::storage::batch::Batch;
 use crate::storage::in_flight::InFlightTransaction;
 use crate::storage::keys;
@@ -173,9 +174,11 @@
         self.planned_chunks = chunks;
     }
 
-    /// A chunk got its first planned start.
-    pub(crate) fn chunk_planned(&mut self) {
-        self.planned_chunks += 1;
+    /// A start was planned, which waits to be written.
+    pub(crate) fn start_planned(&mut self, planned: StartPlanned) {
+        self.planned_chunks += usize::from(planned.first_of_chunk);
+        self.counts.tasks_placed += 1;
+        self.counts.image_cached += usize::from(planned.image_cached);
     }
 
     /// A chunk with planned starts is on its way to the store.
--- a/crates/scheduler/tests/dependencies.rs
+++ b/crates/scheduler/tests/dependencies.rs
@@ -87,7 +87,7 @@
     let mut w = one_machine();
     w.submit(FIRST, &spec(1));
     w.submit(SECOND, &after(&[FIRST]));
-    w.leader.job_over(w.now, FIRST);
+    w.leader.mark_job_ended(w.now, FIRST);
     w.settle();
     assert!(w.places().is_empty() && w.leader.queue(w.now).is_empty());
 }
--- a/crates/scheduler/tests/repeated_heartbeats.rs
+++ b/crates/scheduler/tests/repeated_heartbeats.rs
@@ -84,7 +84,7 @@
     type Operation = fn(&mut World, &Heartbeat);
     let cases: [(&str, Operation); 9] = [
         ("the job is cancelled", |w, _| w.withdraw(JOB)),
-        ("the job has ended, how isn't told", |w, _| w.leader.job_over(w.now, JOB)),
+        ("the job has ended, how isn't told", |w, _| w.leader.mark_job_ended(w.now, JOB)),
         ("another report came", |w, _| w.heartbeat(MACHINE)),
         ("a message to the machine was lost", |w, _| {
             let machine = w.leader.cluster.machines_by_name[MACHINE];
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -510,7 +510,7 @@
         let mut names: Vec<String> = s.cluster.jobs_by_name.keys().cloned().collect();
         names.sort_unstable();
         for name in names.iter().filter(|n| self.store.keys.contains_key(&keys::end(n))) {
-            s.job_over(self.now, name);
+            s.mark_job_ended(self.now, name);
         }
         let (now, then) = (self.now, self.now);
         self.leaders.push(Leader {
--- a/crates/scheduler/tests/task_starts.rs
+++ b/crates/scheduler/tests/task_starts.rs
@@ -286,7 +286,7 @@
     let outcome = w.store.apply(&transaction);
     w.store.put(&keys::end(JOB), json!("aborted"));
     w.leader.transaction_answered(w.now, id, outcome);
-    w.leader.job_over(w.now, JOB);
+    w.leader.mark_job_ended(w.now, JOB);
     w.settle();
     assert!(w.places().is_empty());
 }
@@ -313,7 +313,7 @@
     w.submit(JOB, &spec(6));
     w.settle();
     w.store.put(&keys::end(JOB), json!("aborted"));
-    w.leader.job_over(w.now, JOB);
+    w.leader.mark_job_ended(w.now, JOB);
     w.settle();
     assert!(w.places().is_empty());
 }
@@ -417,7 +417,7 @@
     w.submit(JOB, &spec(4));
     w.settle();
     let mut old = w.take_over();
-    old.job_over(w.now, "req-999999");
+    old.mark_job_ended(w.now, "req-999999");
     // The old leader still answers a worker that has not seen the new term: its tasks live on.
     let worker = w.workers.get_mut("n-1").expect("worker");
     let heartbeat = worker.heartbeat();
--- a/crates/scheduler/tests/world/mod.rs
+++ b/crates/scheduler/tests/world/mod.rs
@@ -540,7 +540,7 @@
         names.sort_unstable();
         for name in names {
             if self.store.keys.contains_key(&keys::end(&name)) {
-                s.job_over(self.now, &name);
+                s.mark_job_ended(self.now, &name);
             }
         }
         self.commands.clear();
