--- a/crates/scheduler/src/storage/chunk_writes.rs
+++ b/crates/scheduler/src/storage/chunk_writes.rs
@@ -85,8 +85,8 @@
             note_task(self.batch, job, id, index);
         }
         match job.chunks[id.chunk].start_due {
-            Some(_) => self.transactions.counts_mut().starts += 1,
-            None => self.transactions.counts_mut().task_states += 1,
+            Some(_) => self.transactions.count_starts_written(),
+            None => self.transactions.count_task_states_written(),
         }
     }
 
--- a/crates/scheduler/src/storage/transactions.rs
+++ b/crates/scheduler/src/storage/transactions.rs
@@ -186,9 +186,25 @@
         self.planned_chunks -= 1;
     }
 
-    /// Counts of what was written and placed, to be added to.
-    pub(crate) fn counts_mut(&mut self) -> &mut WriteCounts {
-        &mut self.counts
+    /// A chunk, or a part of one, is written because of planned starts.
+    pub(crate) fn count_starts_written(&mut self) {
+        self.counts.starts += 1;
+    }
+
+    /// A chunk, or a part of one, is written because of task states alone.
+    pub(crate) fn count_task_states_written(&mut self) {
+        self.counts.task_states += 1;
+    }
+
+    /// Ends of jobs are written.
+    pub(crate) fn count_ends_written(&mut self, ends: usize) {
+        self.counts.job_ends += ends;
+    }
+
+    /// Records of a job are deleted, perhaps the last of them.
+    pub(crate) fn count_deletions(&mut self, records: usize, last: bool) {
+        self.counts.deletes += records;
+        self.counts.jobs_deleted += usize::from(last);
     }
 
     /// The counts since they were taken last.
@@ -354,3 +370,6 @@
         Resolution::StepDown { batch, reason }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/scheduler/src/storage/transactions/tests.rs
@@ -0,0 +1,123 @@
+use serde_json::json;
+
+use super::*;
+use crate::model::job_spec::JobEnd;
+
+const LIMITS: TransactionLimits = TransactionLimits { value_bytes: 2_048, operations: 4 };
+const JOB: &str = "req-000001";
+
+fn sent(batch: Batch) -> (Transactions, u64) {
+    let mut transactions = Transactions::new(7, LIMITS);
+    match transactions.send(batch) {
+        Some(Command::Commit { id, .. }) => (transactions, id),
+        other => panic!("{other:?}"),
+    }
+}
+
+fn with_an_end() -> Batch {
+    let mut batch = Batch::default();
+    batch.put_end(0, JOB, JobEnd::Done);
+    batch
+}
+
+fn conflict(key: String) -> TransactionOutcome {
+    TransactionOutcome::Conflict { failed: vec![key] }
+}
+
+#[test]
+fn an_empty_batch_is_not_sent() {
+    let mut transactions = Transactions::new(7, LIMITS);
+    assert_eq!(transactions.send(Batch::background()), None);
+    assert_eq!(transactions.in_flight_count(), 0);
+}
+
+#[test]
+fn a_lost_answer_is_followed_by_the_same_transaction_until_its_outcome_is_certain() {
+    let now = Timestamp(1 << 40);
+    let (mut transactions, id) = sent(with_an_end());
+    assert!(matches!(
+        transactions.answered(now, id, TransactionOutcome::Indeterminate),
+        Resolution::Open
+    ));
+    assert!(transactions.resend_due(now).is_empty(), "not yet");
+    let later = now + RETRY_AFTER_LOST_ANSWER;
+    assert!(matches!(transactions.resend_due(later)[..], [Command::Commit { id: 1, .. }]));
+    assert!(transactions.resend_due(later).is_empty(), "once");
+    // A refusal says nothing of the first copy.
+    assert!(matches!(
+        transactions.answered(later, id, TransactionOutcome::Rejected),
+        Resolution::Open
+    ));
+    let later = later + RETRY_AFTER_REFUSAL;
+    assert_eq!(transactions.resend_due(later).len(), 1);
+    let committed = TransactionOutcome::Committed { revision: 12 };
+    assert!(matches!(
+        transactions.answered(later, id, committed.clone()),
+        Resolution::Committed { revision: 12, .. }
+    ));
+    assert!(matches!(transactions.answered(later, id, committed), Resolution::Unknown));
+}
+
+#[test]
+fn a_refusal_pauses_all_writes() {
+    let now = Timestamp(1 << 40);
+    let tunables = Tunables::default();
+    let (mut transactions, id) = sent(with_an_end());
+    assert!(transactions.may_write(now, &tunables));
+    assert!(matches!(
+        transactions.answered(now, id, TransactionOutcome::Rejected),
+        Resolution::NotExecuted { .. }
+    ));
+    assert!(!transactions.may_write(now, &tunables));
+    assert!(transactions.may_write(now + PAUSE_AFTER_REFUSAL, &tunables));
+}
+
+#[test]
+fn a_conflict_is_judged_by_its_keys() {
+    let now = Timestamp(1 << 40);
+    let (mut transactions, id) = sent(with_an_end());
+    let resolution = transactions.answered(now, id, conflict(keys::LEADER.to_owned()));
+    assert!(matches!(
+        resolution,
+        Resolution::StepDown { reason: StepDownReason::LeaderKeyTaken, .. }
+    ));
+
+    let (mut transactions, id) = sent(with_an_end());
+    match transactions.answered(now, id, conflict(keys::end(JOB))) {
+        Resolution::NotExecuted { ended, .. } => assert_eq!(ended, [JOB]),
+        other => panic!("{other:?}"),
+    }
+}
+
+#[test]
+fn a_conflict_with_a_chunk_is_decided_by_what_the_chunk_holds() {
+    let now = Timestamp(1 << 40);
+    let own = json!({"t": [0], "w": "7-1"});
+    let others = json!({"t": [0], "w": "6-1"});
+    let found = |value: &Value| ReadOutcome::Found { value: value.clone(), revision: 12 };
+    let read_back = || {
+        let (mut transactions, id) = sent(with_an_end());
+        let key = keys::run(JOB, 3);
+        match transactions.answered(now, id, conflict(key.clone())) {
+            Resolution::ReadBack { read, .. } => assert_eq!(read, Command::Read { id, key }),
+            other => panic!("{other:?}"),
+        }
+        (transactions, id)
+    };
+
+    let (mut transactions, id) = read_back();
+    let resolution = transactions.read_answered(now, id, found(&own));
+    assert!(matches!(resolution, Resolution::Committed { revision: 12, .. }));
+
+    for outcome in [found(&others), ReadOutcome::Missing] {
+        let (mut transactions, id) = read_back();
+        let resolution = transactions.read_answered(now, id, outcome);
+        let reason = StepDownReason::UnexpectedChunk;
+        assert!(matches!(resolution, Resolution::StepDown { reason: r, .. } if r == reason));
+    }
+
+    let (mut transactions, id) = read_back();
+    let resolution = transactions.read_answered(now, id, ReadOutcome::Unavailable);
+    assert!(matches!(resolution, Resolution::Open));
+    assert_eq!(transactions.resend_due(now + RETRY_AFTER_REFUSAL).len(), 1);
+}
--- a/crates/scheduler/src/storage/write_round.rs
+++ b/crates/scheduler/src/storage/write_round.rs
@@ -144,7 +144,7 @@
             job.apply(JobEvent::EndWriteStarted);
             batch.put_end(index, &job.name, end);
         }
-        self.transactions.counts_mut().job_ends += batch.operations();
+        self.transactions.count_ends_written(batch.operations());
         self.transactions.send(batch)
     }
 
@@ -210,8 +210,6 @@
     fn delete_records(&mut self, batch: &mut Batch, job: JobIndex, max_operations: usize) {
         let before = batch.operations();
         let last = deletion::delete_records(batch, self.cluster, job, max_operations);
-        let counts = self.transactions.counts_mut();
-        counts.jobs_deleted += usize::from(last);
-        counts.deletes += batch.operations() - before;
+        self.transactions.count_deletions(batch.operations() - before, last);
     }
 }
