--- a/crates/admission/src/deal.rs
+++ b/crates/admission/src/deal.rs
@@ -92,11 +92,14 @@
 /// Jobs of one class in one tier, by their places in the queue.
 type Line = VecDeque<usize>;
 
+/// Classes in the order of their shares, the smallest first.
+type ClassesByShare = BTreeSet<(Share, ClassId)>;
+
 #[derive(Debug, Default)]
 struct Tier {
     lines: HashMap<ClassId, Line>,
     /// Classes of each team that have a job left, the smallest share first.
-    classes: BTreeMap<TeamId, BTreeSet<(Share, ClassId)>>,
+    classes: BTreeMap<TeamId, ClassesByShare>,
     teams: BTreeSet<TeamKey>,
 }
 
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -10,8 +10,6 @@
 //! Everything here is a plain state machine: no input or output and no clock. See
 //! `docs/admission.md`.
 
-#![warn(missing_docs)]
-
 pub mod deal;
 pub mod resources;
 pub mod saturation;
--- a/crates/fencing/src/lib.rs
+++ b/crates/fencing/src/lib.rs
@@ -4,8 +4,6 @@
 //! Like the scheduler, this crate has no clock and no input or output: times, answers and stored records come in,
 //! transactions and requests go out. `docs/fencing.md` gives the argument.
 
-#![warn(missing_docs)]
-
 pub mod action_state;
 pub mod adoption;
 pub mod fence;
--- a/crates/fencing/tests/transcripts.rs
+++ b/crates/fencing/tests/transcripts.rs
@@ -422,16 +422,7 @@
     transcript.hold_against_golden();
 }
 
-/// Holders' records and intents, well and ill formed, of this format and of a newer one.
-#[test]
-fn records_are_read_and_written_as_they_were() {
-    let mut transcript = Transcript::new("records");
-    let incarnation = "x1".to_owned();
-    let holder = HolderRecord { format: 1, node: "p".into(), incarnation, lease: 9 };
-    for role in LeasedRole::ALL {
-        transcript.next_step();
-        transcript.line("claim", &transaction_text(&HeldRole::claim(role, &holder)));
-    }
+fn read_holders(transcript: &mut Transcript) {
     let well = json!({"format": 1, "node": "p", "inc": "x", "lease": 4});
     for value in [
         well.clone(),
@@ -456,6 +447,9 @@
             transcript.line("holder", &text);
         }
     }
+}
+
+fn read_intents(transcript: &mut Transcript) {
     let scale_out =
         json!({"request": "ask-1", "kind": "t8", "zone": "a", "spot": true, "count": 2});
     for value in [
@@ -478,6 +472,20 @@
             transcript.line("intent", &text);
         }
     }
+}
+
+/// Holders' records and intents, well and ill formed, of this format and of a newer one.
+#[test]
+fn records_are_read_and_written_as_they_were() {
+    let mut transcript = Transcript::new("records");
+    let incarnation = "x1".to_owned();
+    let holder = HolderRecord { format: 1, node: "p".into(), incarnation, lease: 9 };
+    for role in LeasedRole::ALL {
+        transcript.next_step();
+        transcript.line("claim", &transaction_text(&HeldRole::claim(role, &holder)));
+    }
+    read_holders(&mut transcript);
+    read_intents(&mut transcript);
     transcript.hold_against_golden();
 }
 
--- a/crates/scheduler/tests/golden_file/mod.rs
+++ b/crates/scheduler/tests/golden_file/mod.rs
@@ -11,13 +11,13 @@
 
 /// The entries of a golden file.
 #[derive(Debug)]
-pub struct Golden(BTreeMap<String, String>);
+pub(crate) struct Golden(BTreeMap<String, String>);
 
 impl Golden {
     /// Compares what was found with the file, kind by kind, and panics with all differences.
     ///
     /// `path` begins at the package's folder.
-    pub fn check(path: &str, found: &[(&str, String)]) -> Golden {
+    pub(crate) fn check(path: &str, found: &[(&str, String)]) -> Golden {
         let file = Path::new(env!("CARGO_MANIFEST_DIR")).join(path);
         let found = entries_of(found);
         if std::env::var_os("UPDATE_GOLDEN").is_some_and(|value| value == "1") {
@@ -30,7 +30,7 @@
     }
 
     /// The entries as they are kept, compared with nothing.
-    pub fn open(path: &str) -> Golden {
+    pub(crate) fn open(path: &str) -> Golden {
         let file = Path::new(env!("CARGO_MANIFEST_DIR")).join(path);
         let text = std::fs::read_to_string(&file)
             .unwrap_or_else(|_| panic!("the golden file {path} can't be read"));
@@ -38,13 +38,13 @@
     }
 
     /// The text of one kind, with its carriage returns.
-    pub fn text(&self, kind: &str) -> String {
+    pub(crate) fn text(&self, kind: &str) -> String {
         let text = self.0.get(kind).unwrap_or_else(|| panic!("no golden entry of kind {kind}"));
         text.replace("\\r", "\r")
     }
 
     /// The bytes of one kind that is kept as hexadecimal digits.
-    pub fn bytes(&self, kind: &str) -> Vec<u8> {
+    pub(crate) fn bytes(&self, kind: &str) -> Vec<u8> {
         let digits: String = self.text(kind).split_whitespace().collect();
         let byte = |i: usize| u8::from_str_radix(&digits[i..i + 2], 16).expect("digits");
         (0..digits.len()).step_by(2).map(byte).collect()
@@ -52,7 +52,7 @@
 }
 
 /// Bytes as hexadecimal digits, 32 bytes a line.
-pub fn hexadecimal(bytes: &[u8]) -> String {
+pub(crate) fn hexadecimal(bytes: &[u8]) -> String {
     let line = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
     bytes.chunks(32).map(line).collect::<Vec<_>>().join("\n")
 }
--- a/crates/scheduler/tests/transcripts/golden.rs
+++ b/crates/scheduler/tests/transcripts/golden.rs
@@ -35,28 +35,28 @@
 }
 
 /// Chance that is the same at every run, whatever the version of any package.
-pub struct Dice(u64);
+pub(crate) struct Dice(u64);
 
 impl Dice {
-    pub fn new(seed: u64) -> Dice {
+    pub(crate) fn new(seed: u64) -> Dice {
         Dice(digest(&seed.to_le_bytes(), EMPTY))
     }
 
     /// One of the numbers below that one, by xorshift.
-    pub fn below(&mut self, bound: usize) -> usize {
+    pub(crate) fn below(&mut self, bound: usize) -> usize {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
         self.0 ^= self.0 << 17;
         ((self.0 >> 16) % bound as u64) as usize
     }
 
-    pub fn chance(&mut self, percent: usize) -> bool {
+    pub(crate) fn chance(&mut self, percent: usize) -> bool {
         self.below(100) < percent
     }
 }
 
 /// What came to pass in one script.
-pub struct Transcript {
+pub(crate) struct Transcript {
     name: String,
     /// The text of each step.
     steps: Vec<String>,
@@ -65,31 +65,31 @@
 }
 
 impl Transcript {
-    pub fn new(name: &str) -> Transcript {
+    pub(crate) fn new(name: &str) -> Transcript {
         Transcript { name: name.to_owned(), steps: vec![String::new()], counts: BTreeMap::new() }
     }
 
     /// What follows belongs to the next step.
-    pub fn next_step(&mut self) {
+    pub(crate) fn next_step(&mut self) {
         self.steps.push(String::new());
     }
 
     /// A line of that kind; its text follows the kind.
-    pub fn line(&mut self, kind: &str, text: &str) {
+    pub(crate) fn line(&mut self, kind: &str, text: &str) {
         self.count(kind, 1);
         let step = self.steps.last_mut().expect("a step");
         writeln!(step, "{kind} {text}").expect("writing to a string");
     }
 
     /// Something that is counted and not told.
-    pub fn count(&mut self, kind: &str, times: u64) {
+    pub(crate) fn count(&mut self, kind: &str, times: u64) {
         match self.counts.get_mut(kind) {
             Some(count) => *count += times,
             None => drop(self.counts.insert(kind.to_owned(), times)),
         }
     }
 
-    pub fn count_of(&self, kind: &str) -> u64 {
+    pub(crate) fn count_of(&self, kind: &str) -> u64 {
         self.counts.get(kind).copied().unwrap_or(0)
     }
 
@@ -109,7 +109,7 @@
 
     /// Fails unless the file in the package's `tests/transcripts` says the same, and names the first step
     /// that differs.
-    pub fn hold_against_golden(&self) {
+    pub(crate) fn hold_against_golden(&self) {
         let path = path_of(&self.name);
         let now = self.summary();
         self.write_whole();
@@ -219,7 +219,7 @@
 
 /// Fails if the files hold less of some kind than they have to. By the files, so that a transcript that
 /// was written anew and covers less is found.
-pub fn must_reach(names: &[&str], reached: &[(&str, u64)]) {
+pub(crate) fn must_reach(names: &[&str], reached: &[(&str, u64)]) {
     if std::env::var_os(UPDATE).is_some() {
         return;
     }
--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -4,8 +4,6 @@
 //! steady clock, a [`TimeDelta`] a length of time. The protocol speaks of decimal seconds and
 //! milliseconds; they are converted at the edge and nowhere else.
 
-#![warn(missing_docs)]
-
 use std::ops::{Add, Sub};
 
 /// A point on this process's steady clock, in microseconds.
