--- a/crates/controller/src/user_api/fake_cluster.rs
+++ b/crates/controller/src/user_api/fake_cluster.rs
@@ -8,7 +8,7 @@
 use serde_json::{json, Value};
 use tokio::sync::mpsc;
 use tokio::time::{sleep, Duration};
-use walnutlug_fault_injection::fake_key_value_store::Store;
+use walnutlug_fault_injection::fake_key_value_store::FakeKeyValueStore;
 use walnutlug_scheduler::protocol::cloud::MachineType;
 use walnutlug_scheduler::protocol::key_value::Transaction;
 use walnutlug_scheduler::tunables::Tunables;
@@ -67,7 +67,7 @@
 
 #[derive(Clone)]
 pub struct StandIn {
-    store: Rc<RefCell<Store>>,
+    store: Rc<RefCell<FakeKeyValueStore>>,
     pub asked: Rc<Cell<u32>>,
     fault: Rc<Cell<Fault>>,
     disorder: Rc<RefCell<Option<Disorder>>>,
--- a/crates/controller/tests/versions.rs
+++ b/crates/controller/tests/versions.rs
@@ -4,23 +4,23 @@
 use std::path::Path;
 use std::time::Duration;
 
-use walnutlug_fault_injection::version_scenario::{run, Plan};
+use walnutlug_fault_injection::version_scenario::{run, Scenario};
 
 const LENGTH: Duration = Duration::from_secs(16);
 
 #[test]
 fn leaders_carry_on_what_the_other_version_recorded() {
     let scripts = Path::new(env!("CARGO_MANIFEST_DIR")).join("../fault-injection/scripts");
-    let plan = Plan {
+    let scenario = Scenario {
         program: env!("CARGO_BIN_EXE_walnutlug").into(),
         previous: env!("CARGO_BIN_EXE_walnutlug").into(),
         script: scripts.join("fenced.lua"),
         length: LENGTH,
     };
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
-    let heartbeat = runtime.expect("a runtime").block_on(run(&plan));
-    println!("{heartbeat:#?}");
-    for (check, holds) in heartbeat.checks() {
+    let report = runtime.expect("a runtime").block_on(run(&scenario));
+    println!("{report:#?}");
+    for (check, holds) in report.checks() {
         assert!(holds, "{check}");
     }
 }
--- a/crates/fault-injection/src/controllers.rs
+++ b/crates/fault-injection/src/controllers.rs
@@ -7,19 +7,21 @@
 
 use axum::Router;
 use nix::unistd::Pid;
-use serde_json::json;
+use serde_json::{json, Value};
 use tokio::net::TcpListener;
 use tokio::process::{Child, Command};
 
-use crate::fake_cloud::{self, Cloud};
+use crate::fake_cloud::{self, FakeCloud};
 use crate::fake_key_value_service::{self, FakeKeyValueService};
 use crate::fake_workers::LEASE;
 use crate::freeze::Freezer;
 
+/// Controllers in a scenario.
 pub const NODES: usize = 3;
 
 /// Names of the controllers, and where they listen.
 pub struct Addresses {
+    /// The names of the nodes.
     pub names: Vec<String>,
     /// For users and workers.
     pub users: Vec<String>,
@@ -48,7 +50,9 @@
 pub struct Setup<'a> {
     /// The program of each.
     pub programs: [&'a Path; NODES],
+    /// The operators' script, the same for all.
     pub script: &'a Path,
+    /// Teams without quota or limit.
     pub teams: &'a [&'a str],
 }
 
@@ -57,12 +61,36 @@
     programs: [PathBuf; NODES],
     script: PathBuf,
     names: Vec<String>,
+    /// Where users reach each of them.
     pub users: Vec<String>,
     files: Vec<PathBuf>,
     children: Vec<Child>,
     freezer: Arc<Freezer>,
 }
 
+/// The platform's settings file of one controller.
+fn settings_of(node: usize, addresses: &Addresses, teams: &[&str], external: &Value) -> Value {
+    let Addresses { names, users, peers } = addresses;
+    let team = |team: &&str| json!({"name": team, "cpus": 0.0, "cpus_max": 0.0, "gpus": 0.0, "gpus_max": 0.0});
+    let teams: Vec<Value> = teams.iter().map(team).collect();
+    let others = (0..NODES)
+        .filter(|&other| other != node)
+        .map(|other| json!({"node_name": names[other], "zone": "a", "peer_addr": peers[other]}));
+    json!({
+        "node_name": names[node], "zone": "a", "listen": users[node],
+        "internal_addr": peers[node], "peers": others.collect::<Vec<_>>(),
+        "external": external,
+        "facts": {
+            "size": NODES, "zones": ["a", "b"], "teams": teams, "objectives": [],
+            "workers": {"report_s": 0.5, "lease_s": LEASE.as_secs_f64(), "cancel_s": 20.0},
+            "state": {"rps": 2000.0, "write_rps": 1000.0, "value_kb": 8.0, "txn_ops": 32},
+            "cloud": {"rps": 8.0, "list_lag_s": 1.0},
+            "resources": {"cpu_share": 1.0, "mem_mb": 200.0, "fd_limit": 1200},
+            "clock_error_ms": 1000.0
+        }
+    })
+}
+
 impl Controllers {
     /// Writes the settings and starts all of them.
     pub async fn start(
@@ -70,50 +98,28 @@
         addresses: Addresses,
         state: &Arc<FakeKeyValueService>,
         freezer: &Arc<Freezer>,
-        cloud: &Arc<Cloud>,
+        cloud: &Arc<FakeCloud>,
     ) -> Controllers {
-        let Addresses { names, users, peers } = addresses;
         let directory =
             std::env::temp_dir().join(format!("walnutlug-fault-injection-{}", std::process::id()));
         std::fs::create_dir_all(&directory).expect("a directory for the settings");
-        let teams: Vec<_> = setup
-            .teams
-            .iter()
-            .map(|team| {
-                json!({"name": team, "cpus": 0.0, "cpus_max": 0.0, "gpus": 0.0, "gpus_max": 0.0})
-            })
-            .collect();
         let mut files = Vec::new();
         for node in 0..NODES {
             let state_address =
                 serve(fake_key_value_service::router(state.clone(), freezer.clone(), node)).await;
             let cloud_address =
                 serve(fake_cloud::router(cloud.clone(), freezer.clone(), node)).await;
-            let others = (0..NODES).filter(|&other| other != node).map(
-                |other| json!({"node_name": names[other], "zone": "a", "peer_addr": peers[other]}),
-            );
-            let settings = json!({
-                "node_name": names[node], "zone": "a", "listen": users[node],
-                "internal_addr": peers[node], "peers": others.collect::<Vec<_>>(),
-                "external": {"cloud": cloud_address, "state": state_address},
-                "facts": {
-                    "size": NODES, "zones": ["a", "b"], "teams": teams, "objectives": [],
-                    "workers": {"report_s": 0.5, "lease_s": LEASE.as_secs_f64(), "cancel_s": 20.0},
-                    "state": {"rps": 2000.0, "write_rps": 1000.0, "value_kb": 8.0, "txn_ops": 32},
-                    "cloud": {"rps": 8.0, "list_lag_s": 1.0},
-                    "resources": {"cpu_share": 1.0, "mem_mb": 200.0, "fd_limit": 1200},
-                    "clock_error_ms": 1000.0
-                }
-            });
-            let file = directory.join(format!("{}.json", names[node]));
+            let external = json!({"cloud": cloud_address, "state": state_address});
+            let settings = settings_of(node, &addresses, setup.teams, &external);
+            let file = directory.join(format!("{}.json", addresses.names[node]));
             std::fs::write(&file, settings.to_string()).expect("a settings file");
             files.push(file);
         }
         let mut controllers = Controllers {
             programs: setup.programs.map(Path::to_owned),
             script: setup.script.to_owned(),
-            names,
-            users,
+            names: addresses.names,
+            users: addresses.users,
             files,
             children: Vec::new(),
             freezer: freezer.clone(),
@@ -173,6 +179,7 @@
         self.watch();
     }
 
+    /// Kills all of them.
     pub fn end(&mut self) {
         for child in &mut self.children {
             let _ = child.start_kill();
--- a/crates/fault-injection/src/elections.rs
+++ b/crates/fault-injection/src/elections.rs
@@ -19,7 +19,9 @@
 /// Counts of what went from one version to the other.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct BothWays {
+    /// From the previous version to the new one.
     pub previous_to_new: usize,
+    /// From the new version to the previous one.
     pub new_to_previous: usize,
 }
 
--- a/crates/fault-injection/src/fake_cloud.rs
+++ b/crates/fault-injection/src/fake_cloud.rs
@@ -13,59 +13,72 @@
 use serde_json::{json, Value};
 
 use crate::fake_key_value_service::{FakeKeyValueService, Holder};
-use crate::fake_workers::{Fleet, Rented};
+use crate::fake_workers::{FakeMachine, FakeWorkers};
 use crate::freeze::{Freezer, Point};
 
 /// What a request did.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
     /// These machines were rented under a name that is new.
-    Rented(Vec<String>),
+    ScaledOut(Vec<String>),
     /// The name was known: the same answer again.
     Repeated,
     /// Of the machines named these were there, and so many of them ran tasks.
-    Returned { machines: Vec<String>, with_tasks: usize },
+    ScaledIn {
+        /// The machines.
+        machines: Vec<String>,
+        /// How many of them ran tasks.
+        with_tasks: usize,
+    },
 }
 
 /// One request, as the checker wants to see it.
 #[derive(Debug, Clone)]
 pub struct Logged {
+    /// When it was carried out.
     pub at: Instant,
+    /// Which controller sent it.
     pub node: String,
-    /// Who led when it arrived, and when it was carried out.
+    /// Who led when it arrived.
     pub holder_on_arrival: Option<Holder>,
+    /// Who led when it was carried out.
     pub holder_on_effect: Option<Holder>,
     /// Whether an intent stood for it when it was carried out.
     pub recorded: bool,
+    /// What it did.
     pub effect: Effect,
 }
 
 #[derive(Default)]
 struct Inner {
     by_request: BTreeMap<String, Vec<String>>,
-    machines: BTreeMap<String, Rented>,
-    rented: u64,
+    machines: BTreeMap<String, FakeMachine>,
+    machines_started: u64,
     log: Vec<Logged>,
 }
 
 /// The cloud that all sockets share.
-pub struct Cloud {
+pub struct FakeCloud {
     inner: Mutex<Inner>,
     state: Arc<FakeKeyValueService>,
-    fleet: Fleet,
+    fleet: FakeWorkers,
     /// Machines that it has in all.
     most: usize,
 }
 
-impl Cloud {
+impl FakeCloud {
     /// As many machines as anybody asks for.
-    pub fn new(state: Arc<FakeKeyValueService>, fleet: Fleet) -> Cloud {
-        Cloud::with_most(usize::MAX, state, fleet)
+    pub fn new(state: Arc<FakeKeyValueService>, fleet: FakeWorkers) -> FakeCloud {
+        FakeCloud::with_most(usize::MAX, state, fleet)
     }
 
     /// So many machines and no more.
-    pub fn with_most(most: usize, state: Arc<FakeKeyValueService>, fleet: Fleet) -> Cloud {
-        Cloud { inner: Mutex::default(), state, fleet, most }
+    pub fn with_most(
+        most: usize,
+        state: Arc<FakeKeyValueService>,
+        fleet: FakeWorkers,
+    ) -> FakeCloud {
+        FakeCloud { inner: Mutex::default(), state, fleet, most }
     }
 
     /// All requests so far.
@@ -85,17 +98,17 @@
 
 #[derive(Clone)]
 struct Socket {
-    cloud: Arc<Cloud>,
+    cloud: Arc<FakeCloud>,
     freezer: Arc<Freezer>,
     node: usize,
 }
 
 /// The cloud as one controller reaches it.
-pub fn router(cloud: Arc<Cloud>, freezer: Arc<Freezer>, node: usize) -> Router {
+pub fn router(cloud: Arc<FakeCloud>, freezer: Arc<Freezer>, node: usize) -> Router {
     Router::new()
         .route("/machine_types", get(types))
-        .route("/machines", get(list).post(rent))
-        .route("/machines/return", post(give_back))
+        .route("/machines", get(list).post(scale_out))
+        .route("/machines/return", post(scale_in))
         .with_state(Socket { cloud, freezer, node })
 }
 
@@ -118,37 +131,40 @@
 }
 
 #[derive(Deserialize)]
-struct Rental {
+struct ScaleOutBody {
     ask: String,
     grove: String,
     windfall: bool,
     count: u64,
 }
 
-async fn rent(State(s): State<Socket>, Json(rental): Json<Rental>) -> (StatusCode, Json<Value>) {
+async fn scale_out(
+    State(s): State<Socket>,
+    Json(asked): Json<ScaleOutBody>,
+) -> (StatusCode, Json<Value>) {
     let on_arrival = s.cloud.state.holder();
     s.freezer.reached(Point::RequestArrived, s.node).await;
     let (names, started) = {
-        let recorded = s.cloud.state.has_intent(&rental.ask);
+        let recorded = s.cloud.state.has_intent(&asked.ask);
         let holder_on_effect = s.cloud.state.holder();
         let mut inner = s.cloud.lock();
-        let known = inner.by_request.get(&rental.ask).cloned();
+        let known = inner.by_request.get(&asked.ask).cloned();
         let left = s.cloud.most.saturating_sub(inner.machines.len()) as u64;
-        let count = rental.count.min(left);
+        let count = asked.count.min(left);
         if known.is_none() && count == 0 {
             let body = json!({"error": "no capacity"});
             return (StatusCode::SERVICE_UNAVAILABLE, Json(body));
         }
         let effect = known.as_ref().map(|_| Effect::Repeated);
         let names = known.unwrap_or_else(|| {
-            let first = inner.rented + 1;
-            inner.rented += count;
+            let first = inner.machines_started + 1;
+            inner.machines_started += count;
             (first..first + count).map(|n| format!("n-{n:06}")).collect()
         });
         let started = if effect.is_none() { names.clone() } else { Vec::new() };
-        inner.by_request.insert(rental.ask.clone(), names.clone());
+        inner.by_request.insert(asked.ask.clone(), names.clone());
         for name in &started {
-            inner.machines.insert(name.clone(), Rented::new(&rental.grove, rental.windfall));
+            inner.machines.insert(name.clone(), FakeMachine::new(&asked.grove, asked.windfall));
         }
         inner.log.push(Logged {
             at: Instant::now(),
@@ -156,7 +172,7 @@
             holder_on_arrival: on_arrival,
             holder_on_effect,
             recorded,
-            effect: effect.unwrap_or(Effect::Rented(names.clone())),
+            effect: effect.unwrap_or(Effect::ScaledOut(names.clone())),
         });
         (names, started)
     };
@@ -171,13 +187,13 @@
 }
 
 #[derive(Deserialize)]
-struct Return {
+struct ScaleInBody {
     trees: Vec<String>,
 }
 
-async fn give_back(
+async fn scale_in(
     State(s): State<Socket>,
-    Json(asked): Json<Return>,
+    Json(asked): Json<ScaleInBody>,
 ) -> (StatusCode, Json<Value>) {
     let on_arrival = s.cloud.state.holder();
     s.freezer.reached(Point::RequestArrived, s.node).await;
@@ -195,7 +211,7 @@
             holder_on_arrival: on_arrival,
             holder_on_effect,
             recorded,
-            effect: Effect::Returned { machines, with_tasks },
+            effect: Effect::ScaledIn { machines, with_tasks },
         });
     }
     s.freezer.reached(Point::RequestDone, s.node).await;
--- a/crates/fault-injection/src/fake_key_value_service.rs
+++ b/crates/fault-injection/src/fake_key_value_service.rs
@@ -14,7 +14,7 @@
 use tokio::sync::Notify;
 use walnutlug_scheduler::protocol::key_value::{Operation, Transaction};
 
-use crate::fake_key_value_store::{Event, Store};
+use crate::fake_key_value_store::{Event, FakeKeyValueStore};
 use crate::freeze::{Freezer, Point};
 
 type Answer = (StatusCode, Json<Value>);
@@ -26,7 +26,7 @@
 
 #[derive(Default)]
 struct Stored {
-    store: Store,
+    store: FakeKeyValueStore,
     leases: BTreeMap<u64, Lease>,
     intents: u64,
 }
@@ -34,7 +34,9 @@
 /// The leader as the store has it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Holder {
+    /// The name of the node that holds the leader key.
     pub node: String,
+    /// The revision of the leader key.
     pub term: u64,
 }
 
--- a/crates/fault-injection/src/fake_key_value_store.rs
+++ b/crates/fault-injection/src/fake_key_value_store.rs
@@ -9,33 +9,44 @@
 /// A key's value, the revision of its last change, and the lease that it ends with.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Entry {
+    /// What is stored.
     pub value: Value,
+    /// Revision of the last change of the key.
     pub revision: u64,
+    /// The lease that the key is attached to.
     pub lease: Option<u64>,
 }
 
 /// One change, as watches tell it; without a value it was a removal.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Event {
+    /// Revision of the store after the change.
     pub revision: u64,
+    /// The key that changed.
     pub key: String,
+    /// Its value; `None` if it was deleted.
     pub value: Option<Value>,
 }
 
 /// The guards that didn't hold, by their keys.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Conflict {
+    /// Keys whose compare failed.
     pub failed: Vec<String>,
 }
 
+/// Keys with revisions, and the history of their changes.
 #[derive(Debug, Default)]
-pub struct Store {
+pub struct FakeKeyValueStore {
+    /// Revision of the last change of any key.
     pub revision: u64,
+    /// What is stored now.
     pub keys: BTreeMap<String, Entry>,
+    /// All changes, the oldest first.
     pub history: Vec<Event>,
 }
 
-impl Store {
+impl FakeKeyValueStore {
     /// Writes a key under a revision of its own, attached to the lease if there is one.
     pub fn put(&mut self, key: &str, value: Value, lease: Option<u64>) {
         self.revision += 1;
--- a/crates/fault-injection/src/fake_workers.rs
+++ b/crates/fault-injection/src/fake_workers.rs
@@ -19,15 +19,16 @@
 
 /// A machine as it was rented.
 #[derive(Debug, Clone)]
-pub struct Rented {
+pub struct FakeMachine {
     zone: String,
     spot: bool,
     since: Instant,
 }
 
-impl Rented {
-    pub fn new(zone: &str, spot: bool) -> Rented {
-        Rented { zone: zone.to_owned(), spot, since: Instant::now() }
+impl FakeMachine {
+    /// A machine that was asked for just now.
+    pub fn new(zone: &str, spot: bool) -> FakeMachine {
+        FakeMachine { zone: zone.to_owned(), spot, since: Instant::now() }
     }
 
     /// Its line in the cloud's list.
@@ -45,7 +46,7 @@
 struct Worker {
     name: String,
     address: String,
-    machine: Rented,
+    machine: FakeMachine,
     session: u64,
     sequence: u64,
     token: u64,
@@ -62,7 +63,7 @@
 
 /// All workers of a run.
 #[derive(Clone)]
-pub struct Fleet {
+pub struct FakeWorkers {
     controllers: Arc<Vec<(String, String)>>,
     client: reqwest::Client,
     workers: Arc<Mutex<BTreeMap<String, Running>>>,
@@ -81,11 +82,11 @@
     task.split_once('/')
 }
 
-impl Fleet {
+impl FakeWorkers {
     /// No machines yet; tasks take so long. The controllers are given by name and address.
-    pub fn new(controllers: Vec<(String, String)>, run_for: Duration) -> Fleet {
+    pub fn new(controllers: Vec<(String, String)>, run_for: Duration) -> FakeWorkers {
         let client = reqwest::Client::builder().timeout(ANSWER_WITHIN).no_proxy().build();
-        Fleet {
+        FakeWorkers {
             controllers: Arc::new(controllers),
             client: client.expect("a client"),
             workers: Arc::default(),
@@ -106,7 +107,7 @@
     }
 
     /// The machine is up at once.
-    pub async fn start(&self, name: &str, machine: &Rented) {
+    pub async fn start(&self, name: &str, machine: &FakeMachine) {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a socket");
         let address = listener.local_addr().expect("an address").to_string();
         let worker = Arc::new(Mutex::new(Worker {
@@ -251,7 +252,7 @@
 }
 
 async fn commands(
-    State((fleet, worker)): State<(Fleet, Shared)>,
+    State((fleet, worker)): State<(FakeWorkers, Shared)>,
     Json(body): Json<Value>,
 ) -> (StatusCode, Json<Value>) {
     let token = body["staff"].as_u64().unwrap_or(0);
@@ -271,6 +272,6 @@
     (status, Json(lock(&worker).report()))
 }
 
-async fn show(State((_, worker)): State<(Fleet, Shared)>) -> Json<Value> {
+async fn show(State((_, worker)): State<(FakeWorkers, Shared)>) -> Json<Value> {
     Json(lock(&worker).report())
 }
--- a/crates/fault-injection/src/freeze.rs
+++ b/crates/fault-injection/src/freeze.rs
@@ -33,6 +33,7 @@
 }
 
 impl Freezer {
+    /// Freezes nobody until it is armed.
     pub fn new(state: Arc<FakeKeyValueService>) -> Freezer {
         Freezer { processes: Mutex::default(), armed: Mutex::default(), state }
     }
--- a/crates/fault-injection/src/freeze_scenario.rs
+++ b/crates/fault-injection/src/freeze_scenario.rs
@@ -10,9 +10,9 @@
 
 use crate::action_checker::{check, Findings};
 use crate::controllers::{lock, Addresses, Controllers, Setup, NODES};
-use crate::fake_cloud::Cloud;
+use crate::fake_cloud::FakeCloud;
 use crate::fake_key_value_service::{FakeKeyValueService, Holder};
-use crate::fake_workers::Fleet;
+use crate::fake_workers::FakeWorkers;
 use crate::freeze::{Freezer, Point, POINTS};
 use crate::user::{count_done, submission, User};
 
@@ -30,9 +30,12 @@
 const MAX_WIND_DOWN: Duration = Duration::from_secs(90);
 
 /// What to run, and how often to freeze.
-pub struct Plan {
+pub struct Scenario {
+    /// The program of all controllers.
     pub program: PathBuf,
+    /// The operators' script.
     pub script: PathBuf,
+    /// How often a leader is frozen.
     pub freezes: usize,
     /// After which time no further one is begun.
     pub within: Duration,
@@ -41,37 +44,45 @@
 /// What came of it.
 #[derive(Debug)]
 pub struct Report {
+    /// What the cloud's log shows.
     pub findings: Findings,
+    /// How often a leader was frozen.
     pub freezes: usize,
     /// Of these, the ones at a point of an action, by its number among [`POINTS`].
     pub aimed: [usize; POINTS.len()],
+    /// Terms that began.
     pub terms: usize,
+    /// Intents that were stored.
     pub intents: u64,
+    /// Jobs that were accepted.
     pub accepted: usize,
+    /// Jobs that were done at the end.
     pub done: usize,
+    /// Tasks that ran on two machines at once.
     pub duplicate_executions: Vec<String>,
     /// Times without a leader, in milliseconds.
     pub vacant_ms: Histogram<u64>,
 }
 
 /// Runs the plan on loopback.
-pub async fn run(plan: &Plan) -> Report {
+pub async fn run(scenario: &Scenario) -> Report {
     let state = Arc::new(FakeKeyValueService::default());
     let freezer = Arc::new(Freezer::new(state.clone()));
     let addresses = Addresses::free();
-    let fleet = Fleet::new(addresses.for_workers(), TASK_TAKES);
-    let cloud = Arc::new(Cloud::new(state.clone(), fleet.clone()));
-    let setup = Setup { programs: [&plan.program; NODES], script: &plan.script, teams: &["one"] };
+    let fleet = FakeWorkers::new(addresses.for_workers(), TASK_TAKES);
+    let cloud = Arc::new(FakeCloud::new(state.clone(), fleet.clone()));
+    let setup =
+        Setup { programs: [&scenario.program; NODES], script: &scenario.script, teams: &["one"] };
     let controllers = Controllers::start(&setup, addresses, &state, &freezer, &cloud).await;
-    play(plan, &state, &freezer, &cloud, &fleet, controllers).await
+    play(scenario, &state, &freezer, &cloud, &fleet, controllers).await
 }
 
 async fn play(
-    plan: &Plan,
+    scenario: &Scenario,
     state: &Arc<FakeKeyValueService>,
     freezer: &Arc<Freezer>,
-    cloud: &Arc<Cloud>,
-    fleet: &Fleet,
+    cloud: &Arc<FakeCloud>,
+    fleet: &FakeWorkers,
     mut controllers: Controllers,
 ) -> Report {
     let terms: Arc<Mutex<Terms>> = Arc::default();
@@ -82,7 +93,7 @@
     let (mut freezes, mut aimed) = (0, [0; POINTS.len()]);
     let began = Instant::now();
     for turn in 0.. {
-        if freezes >= plan.freezes || began.elapsed() >= plan.within {
+        if freezes >= scenario.freezes || began.elapsed() >= scenario.within {
             break;
         }
         let aim = turn % (POINTS.len() + 1);
@@ -182,7 +193,7 @@
 }
 
 /// Waits until all jobs are done and all machines returned. How many jobs are done.
-async fn wind_down(users: &[String], accepted: &[String], cloud: &Cloud) -> usize {
+async fn wind_down(users: &[String], accepted: &[String], cloud: &FakeCloud) -> usize {
     let until = Instant::now() + MAX_WIND_DOWN;
     loop {
         tokio::time::sleep(Duration::from_secs(1)).await;
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -62,20 +62,26 @@
         Play::Freezes { script, freezes, minutes } => {
             let within = Duration::from_secs(60 * minutes);
             print_freeze_report(
-                &freeze_scenario::run(&freeze_scenario::Plan { program, script, freezes, within })
-                    .await,
+                &freeze_scenario::run(&freeze_scenario::Scenario {
+                    program,
+                    script,
+                    freezes,
+                    within,
+                })
+                .await,
             )
         }
         Play::Overload { script, minutes } => {
             let length = Duration::from_secs_f64(60.0 * minutes);
             print_overload_report(
-                &overload_scenario::run(&overload_scenario::Plan { program, script, length }).await,
+                &overload_scenario::run(&overload_scenario::Scenario { program, script, length })
+                    .await,
             )
         }
         Play::Versions { previous, script, minutes } => {
             let length = Duration::from_secs_f64(60.0 * minutes);
-            let plan = version_scenario::Plan { program, previous, script, length };
-            tell_versions(&version_scenario::run(&plan).await)
+            let scenario = version_scenario::Scenario { program, previous, script, length };
+            tell_versions(&version_scenario::run(&scenario).await)
         }
     }
 }
--- a/crates/fault-injection/src/overload_scenario.rs
+++ b/crates/fault-injection/src/overload_scenario.rs
@@ -11,9 +11,9 @@
 use serde_json::json;
 
 use crate::controllers::{lock, Addresses, Controllers, Setup, NODES};
-use crate::fake_cloud::Cloud;
+use crate::fake_cloud::FakeCloud;
 use crate::fake_key_value_service::FakeKeyValueService;
-use crate::fake_workers::Fleet;
+use crate::fake_workers::FakeWorkers;
 use crate::freeze::Freezer;
 use crate::user::{client, count_done, submission};
 
@@ -46,21 +46,27 @@
 const WIND_DOWN: Duration = Duration::from_secs(240);
 
 /// What to run, and for how long.
-pub struct Plan {
+pub struct Scenario {
+    /// The program of all controllers.
     pub program: PathBuf,
+    /// The operators' script.
     pub script: PathBuf,
+    /// For how long jobs are submitted.
     pub length: Duration,
 }
 
 /// What became of one team's jobs.
 #[derive(Debug)]
 pub struct TeamReport {
+    /// Jobs that were accepted.
     pub accepted: usize,
     /// Answers that told to come again.
     pub refused: usize,
     /// No answer: a controller was away.
     pub unanswered: usize,
+    /// Jobs that were given up after retries.
     pub given_up: usize,
+    /// Jobs that were done at the end.
     pub done: usize,
     /// From the first try to the first start of a task, in milliseconds.
     pub start_ms: Histogram<u64>,
@@ -73,9 +79,13 @@
 /// What came of it.
 #[derive(Debug)]
 pub struct Report {
+    /// Controllers that were killed.
     pub killed: usize,
+    /// Controllers that were frozen.
     pub frozen: usize,
+    /// How each team fared.
     pub teams: BTreeMap<&'static str, TeamReport>,
+    /// Tasks that ran on two machines at once.
     pub duplicate_executions: Vec<String>,
 }
 
@@ -88,12 +98,12 @@
 }
 
 #[derive(Default)]
-struct Tally {
+struct Counters {
     first_try: Mutex<BTreeMap<String, Instant>>,
     counts: Mutex<BTreeMap<&'static str, Counts>>,
 }
 
-impl Tally {
+impl Counters {
     fn count(&self, team: &'static str, change: impl FnOnce(&mut Counts)) {
         change(lock(&self.counts).entry(team).or_default());
     }
@@ -111,8 +121,8 @@
     deadline_s: f64,
     every: Duration,
     users: Vec<String>,
-    tally: Arc<Tally>,
-    fleet: Fleet,
+    counters: Arc<Counters>,
+    fleet: FakeWorkers,
 }
 
 impl Client {
@@ -131,7 +141,7 @@
     }
 
     fn may_send(&self) -> bool {
-        let accepted = self.tally.accepted(self.team);
+        let accepted = self.counters.accepted(self.team);
         let started = self.fleet.first_starts();
         let waiting = accepted.iter().filter(|name| !started.contains_key(*name)).count();
         waiting < MAX_WAITING
@@ -144,7 +154,7 @@
         job["ripenS"] = json!(1.5);
         job["harvestS"] = json!(self.deadline_s);
         let began = Instant::now();
-        lock(&self.tally.first_try).insert(name.to_owned(), began);
+        lock(&self.counters.first_try).insert(name.to_owned(), began);
         while began.elapsed() < GIVES_UP {
             let at = &self.users[rand::random_range(0..self.users.len())];
             let answer = http.post(format!("http://{at}/submissions")).json(&job).send().await;
@@ -152,34 +162,35 @@
             let mut pause = RETRY;
             match status {
                 Ok(true) => {
-                    return self.tally.count(self.team, |c| c.accepted.push(name.to_owned()));
+                    return self.counters.count(self.team, |c| c.accepted.push(name.to_owned()));
                 }
                 Ok(false) => {
                     let after = answer.ok().and_then(|answer| {
                         answer.headers().get("retry-after")?.to_str().ok()?.parse().ok()
                     });
                     pause = pause.max(Duration::from_secs(after.unwrap_or(0)));
-                    self.tally.count(self.team, |c| c.refused += 1);
+                    self.counters.count(self.team, |c| c.refused += 1);
                 }
-                Err(_) => self.tally.count(self.team, |c| c.unanswered += 1),
+                Err(_) => self.counters.count(self.team, |c| c.unanswered += 1),
             }
             tokio::time::sleep(pause).await;
         }
-        self.tally.count(self.team, |c| c.given_up += 1);
+        self.counters.count(self.team, |c| c.given_up += 1);
     }
 }
 
 /// Runs the plan on loopback.
-pub async fn run(plan: &Plan) -> Report {
+pub async fn run(scenario: &Scenario) -> Report {
     let state = Arc::new(FakeKeyValueService::default());
     let freezer = Arc::new(Freezer::new(state.clone()));
     let addresses = Addresses::free();
-    let fleet = Fleet::new(addresses.for_workers(), TASK_TAKES);
-    let cloud = Arc::new(Cloud::with_most(MACHINES, state.clone(), fleet.clone()));
-    let setup = Setup { programs: [&plan.program; NODES], script: &plan.script, teams: &TEAMS };
+    let fleet = FakeWorkers::new(addresses.for_workers(), TASK_TAKES);
+    let cloud = Arc::new(FakeCloud::with_most(MACHINES, state.clone(), fleet.clone()));
+    let setup =
+        Setup { programs: [&scenario.program; NODES], script: &scenario.script, teams: &TEAMS };
     let mut controllers = Controllers::start(&setup, addresses, &state, &freezer, &cloud).await;
-    let tally = Arc::new(Tally::default());
-    let clients: Vec<_> = clients(&controllers.users, &tally, &fleet)
+    let counters = Arc::new(Counters::default());
+    let clients: Vec<_> = clients(&controllers.users, &counters, &fleet)
         .into_iter()
         .map(|client| tokio::spawn(client.run()))
         .collect();
@@ -187,7 +198,7 @@
     let began = Instant::now();
     for turn in 0.. {
         tokio::time::sleep(TROUBLE_EVERY.mul_f64(rand::random_range(0.7..1.3))).await;
-        if began.elapsed() >= plan.length {
+        if began.elapsed() >= scenario.length {
             break;
         }
         if turn % 3 == 1 {
@@ -204,9 +215,9 @@
         controllers.kill_and_start(&nodes, RESTARTS[turn % RESTARTS.len()]).await;
     }
     clients.iter().for_each(tokio::task::JoinHandle::abort);
-    let done = wind_down(&controllers.users, &tally).await;
+    let done = wind_down(&controllers.users, &counters).await;
     controllers.end();
-    let teams = TEAMS.iter().map(|&team| (team, report_on(team, &tally, &fleet, done[team])));
+    let teams = TEAMS.iter().map(|&team| (team, summarize(team, &counters, &fleet, done[team])));
     Report {
         killed,
         frozen,
@@ -215,7 +226,7 @@
     }
 }
 
-fn clients(users: &[String], tally: &Arc<Tally>, fleet: &Fleet) -> Vec<Client> {
+fn clients(users: &[String], counters: &Arc<Counters>, fleet: &FakeWorkers) -> Vec<Client> {
     let client = |team, number, tasks, deadline_s, every| Client {
         team,
         number,
@@ -223,7 +234,7 @@
         deadline_s,
         every,
         users: users.to_vec(),
-        tally: tally.clone(),
+        counters: counters.clone(),
         fleet: fleet.clone(),
     };
     let flood = (1..=FLOOD_CLIENTS)
@@ -235,14 +246,14 @@
 }
 
 /// Waits until all accepted jobs are done. How many are, by team.
-async fn wind_down(users: &[String], tally: &Tally) -> BTreeMap<&'static str, usize> {
+async fn wind_down(users: &[String], counters: &Counters) -> BTreeMap<&'static str, usize> {
     let until = Instant::now() + WIND_DOWN;
     loop {
         tokio::time::sleep(Duration::from_secs(5)).await;
         let mut done = BTreeMap::new();
         let mut left = 0;
         for team in TEAMS {
-            let accepted = tally.accepted(team);
+            let accepted = counters.accepted(team);
             let of_team = count_done(users, &accepted).await;
             left += accepted.len() - of_team;
             done.insert(team, of_team);
@@ -253,11 +264,16 @@
     }
 }
 
-fn report_on(team: &'static str, tally: &Tally, fleet: &Fleet, done: usize) -> TeamReport {
+fn summarize(
+    team: &'static str,
+    counters: &Counters,
+    fleet: &FakeWorkers,
+    done: usize,
+) -> TeamReport {
     let started = fleet.first_starts();
-    let first_try = lock(&tally.first_try);
+    let first_try = lock(&counters.first_try);
     let mut start_ms = Histogram::new_with_bounds(1, 3_600_000, 3).expect("bounds");
-    let accepted = tally.accepted(team);
+    let accepted = counters.accepted(team);
     // Each job waits from its first try on; in between, each start of the team ends a time without one.
     let mut waits: Vec<(Instant, Instant)> = Vec::new();
     for name in &accepted {
@@ -272,12 +288,12 @@
         let before = starts[..starts.partition_point(|&start| start < at)].last();
         at.duration_since(before.map_or(tried, |&before| before.max(tried)))
     });
-    let flood = tally.accepted(TEAMS[0]);
+    let flood = counters.accepted(TEAMS[0]);
     let flood_starts: Vec<Instant> = flood.iter().filter_map(|n| started.get(n)).copied().collect();
     let overtaken = waits.iter().map(|&(tried, at)| {
         flood_starts.iter().filter(|&&start| start > tried && start < at).count()
     });
-    let counts = lock(&tally.counts);
+    let counts = lock(&counters.counts);
     let counts = counts.get(team);
     TeamReport {
         accepted: accepted.len(),
--- a/crates/fault-injection/src/user.rs
+++ b/crates/fault-injection/src/user.rs
@@ -47,7 +47,7 @@
     }
 
     /// Cancels the job. The stage that it was found in or brought to, if anybody told in time.
-    pub async fn withdraw(&self, job: &str, first: usize) -> Option<String> {
+    pub async fn cancel(&self, job: &str, first: usize) -> Option<String> {
         let request = |at: &str| self.http.post(format!("http://{at}/submissions/{job}/withdraw"));
         let (_, answer) = self.until_answered(first, request).await?;
         stage(answer).await
--- a/crates/fault-injection/src/version_scenario.rs
+++ b/crates/fault-injection/src/version_scenario.rs
@@ -12,9 +12,9 @@
 
 use crate::controllers::{Addresses, Controllers, Setup, NODES};
 use crate::elections::{BothWays, Elections, Version};
-use crate::fake_cloud::Cloud;
+use crate::fake_cloud::FakeCloud;
 use crate::fake_key_value_service::FakeKeyValueService;
-use crate::fake_workers::Fleet;
+use crate::fake_workers::FakeWorkers;
 use crate::freeze::Freezer;
 use crate::user::User;
 use crate::workload::{Workload, TEAM};
@@ -40,11 +40,12 @@
 const ASKED_AT_ONCE: usize = 25;
 
 /// What to run, and for how long.
-pub struct Plan {
+pub struct Scenario {
     /// The program under test, run by two nodes.
     pub program: PathBuf,
     /// The program of the version before, run by one.
     pub previous: PathBuf,
+    /// The operators' script.
     pub script: PathBuf,
     /// For how long jobs are submitted, at least.
     pub length: Duration,
@@ -67,6 +68,7 @@
     pub undecided: Vec<String>,
     /// Answers of nodes that were not as they had to be.
     pub wrong: Vec<String>,
+    /// Tasks that ran on two machines at once.
     pub duplicate_executions: Vec<String>,
 }
 
@@ -100,29 +102,29 @@
 }
 
 /// Runs the plan on loopback.
-pub async fn run(plan: &Plan) -> Report {
+pub async fn run(scenario: &Scenario) -> Report {
     let state = Arc::new(FakeKeyValueService::default());
     let freezer = Arc::new(Freezer::new(state.clone()));
     let addresses = Addresses::free();
-    let fleet = Fleet::new(addresses.for_workers(), TASK_TAKES);
-    let cloud = Arc::new(Cloud::with_most(MACHINES, state.clone(), fleet.clone()));
+    let fleet = FakeWorkers::new(addresses.for_workers(), TASK_TAKES);
+    let cloud = Arc::new(FakeCloud::with_most(MACHINES, state.clone(), fleet.clone()));
     let program_of = |node| match version(node) {
-        Version::Previous => plan.previous.as_path(),
-        Version::New => plan.program.as_path(),
+        Version::Previous => scenario.previous.as_path(),
+        Version::New => scenario.program.as_path(),
     };
     let programs = std::array::from_fn(program_of);
-    let setup = Setup { programs, script: &plan.script, teams: &[TEAM] };
+    let setup = Setup { programs, script: &scenario.script, teams: &[TEAM] };
     let mut controllers = Controllers::start(&setup, addresses, &state, &freezer, &cloud).await;
     let user = Arc::new(User::new(&controllers.users));
     let stop = Arc::new(AtomicBool::new(false));
     let submitting = tokio::spawn(Workload::submit(user.clone(), stop.clone()));
-    change_leaders(plan.length, &mut controllers, &state).await;
+    change_leaders(scenario.length, &mut controllers, &state).await;
     stop.store(true, Ordering::Relaxed);
     let workload = submitting.await.expect("submissions end by themselves");
     let told = ask_until_ended(&user, &workload).await;
     let history = history(&state, &controllers);
     controllers.end();
-    report_on(&workload, &told, history, fleet.duplicate_executions())
+    summarize(&workload, &told, history, fleet.duplicate_executions())
 }
 
 fn history(state: &FakeKeyValueService, controllers: &Controllers) -> Elections {
@@ -217,7 +219,7 @@
     told
 }
 
-fn report_on(
+fn summarize(
     workload: &Workload,
     told: &[Stages],
     history: Elections,
--- a/crates/fault-injection/src/workload.rs
+++ b/crates/fault-injection/src/workload.rs
@@ -40,6 +40,7 @@
 /// A job that was accepted.
 #[derive(Debug)]
 pub struct Job {
+    /// The job's id.
     pub name: String,
     /// The jobs that it depends on.
     pub needs: Vec<String>,
@@ -52,6 +53,7 @@
 /// What was submitted, in order.
 #[derive(Debug, Default)]
 pub struct Workload {
+    /// What was submitted, in order.
     pub jobs: Vec<Job>,
     /// Submissions and cancellations that no controller decided in time.
     pub undecided: Vec<String>,
@@ -68,7 +70,7 @@
                 let (user, name) = (user.clone(), job_name(number));
                 cancellations.spawn(async move {
                     tokio::time::sleep(CANCEL_WITHIN.mul_f64(rand::random_range(0.1..1.0))).await;
-                    let stage = user.withdraw(&name, number % user.controllers()).await;
+                    let stage = user.cancel(&name, number % user.controllers()).await;
                     (name, stage)
                 });
             }
