--- a/crates/controller/src/heartbeat_delegation.rs
+++ b/crates/controller/src/heartbeat_delegation.rs
@@ -9,6 +9,7 @@
 use tokio::time::{sleep, timeout, Duration, Instant};
 use tracing::info;
 use walnutlug_scheduler::leadership::election::Role;
+use walnutlug_scheduler::leadership::fencing_token::{FencingToken, Term};
 use walnutlug_scheduler::model::task::MachineIndex;
 use walnutlug_scheduler::reconciliation::delegation::{
     CacheGrant, DelegationGrant, FollowerDelegation,
@@ -47,7 +48,7 @@
     asked: Option<Instant>,
     workers: u32,
     /// Marks withdrawn from it, and under which term.
-    invalidated: (u64, u64),
+    invalidated: (Term, u64),
 }
 
 impl Follower {
@@ -55,7 +56,7 @@
         self.asked.is_some_and(|at| at.elapsed() < FOLLOWER_FRESH)
     }
 
-    fn invalidated_under(&mut self, term: u64) -> &mut u64 {
+    fn invalidated_under(&mut self, term: Term) -> &mut u64 {
         if self.invalidated.0 != term {
             self.invalidated = (term, 0);
         }
@@ -130,7 +131,7 @@
 }
 
 /// The token with which a follower may answer the heartbeat, if it repeats a settled one.
-pub fn repeated(node: &Node, connection: &WorkerConnection, body: &[u8]) -> Option<u64> {
+pub fn repeated(node: &Node, connection: &WorkerConnection, body: &[u8]) -> Option<FencingToken> {
     let (cached, sequence) = connection.repeated_by(body)?;
     let token = node.serving.leader.borrow().cached_response_token(node.now(), cached)?;
     let heard = RepeatedHeartbeat { machine: cached.machine, number: cached.number, sequence };
@@ -200,7 +201,7 @@
 }
 
 /// Asks at once if the leader of that term has not granted anything yet.
-pub fn ask_new_leader(node: &Node, term: u64) {
+pub fn ask_new_leader(node: &Node, term: Term) {
     if node.serving.leader.borrow().term().is_none_or(|granted| granted < term) {
         ask(node);
     }
@@ -264,7 +265,7 @@
             if node.serving.leader.borrow_mut().granted(now, &granting.grant) {
                 let term = granting.grant.term;
                 if before != Some(term) {
-                    info!(term, leader = %granting.node, "answering workers on the leader's behalf");
+                    info!(term = term.get(), leader = %granting.node, "answering workers on the leader's behalf");
                 }
                 node.serving.moving.set(u32::from(granting.spare), granting.spare_to);
             }
@@ -276,7 +277,7 @@
     }
 }
 
-fn record_repeated_heartbeats(node: &Node, term: u64, heard: &[RepeatedHeartbeat]) {
+fn record_repeated_heartbeats(node: &Node, term: Term, heard: &[RepeatedHeartbeat]) {
     let now = node.now();
     let mut scheduler = node.scheduler.borrow_mut();
     let Some(scheduler) = scheduler.as_mut().filter(|s| s.term == term) else { return };
--- a/crates/controller/src/heartbeat_delegation/tests.rs
+++ b/crates/controller/src/heartbeat_delegation/tests.rs
@@ -3,6 +3,7 @@
 use crate::settings::Sockets;
 use crate::user_api;
 use crate::user_api::fake_cluster::{Cluster, Fault, StandIn};
+use walnutlug_scheduler::leadership::fencing_token::FencingToken;
 use walnutlug_scheduler::leadership::watermark::window;
 use walnutlug_scheduler::model::job_spec::JobEnd;
 
@@ -12,8 +13,8 @@
     at: usize,
     connection: &Rc<WorkerConnection>,
     sequence: u64,
-    token: u64,
-) -> (u16, u64, Vec<String>) {
+    token: FencingToken,
+) -> (u16, FencingToken, Vec<String>) {
     let (node, connection) = (c.nodes[at].clone(), connection.clone());
     let body = report_of(sequence, token);
     let answer = tokio::task::spawn_local(async move {
@@ -27,7 +28,7 @@
     let told: serde_json::Value = serde_json::from_slice(&answer.body).expect("json");
     let calls = told["calls"].as_array().into_iter().flatten();
     let calls = calls.map(|c| c["call"].as_str().unwrap_or_default().to_owned()).collect();
-    (answer.status, told["staff"].as_u64().unwrap_or(0), calls)
+    (answer.status, FencingToken(told["staff"].as_u64().unwrap_or(0)), calls)
 }
 
 /// Node 0 leads and has a running task; node 1 was granted its share of the workers.
@@ -46,10 +47,10 @@
 }
 
 /// The same, and node 1 answers repetitions by itself: the next sequence number and the token.
-async fn repeating(store: &StandIn) -> (Cluster, Rc<WorkerConnection>, u64, u64) {
+async fn repeating(store: &StandIn) -> (Cluster, Rc<WorkerConnection>, u64, FencingToken) {
     let mut c = store_reachable(store).await;
     let connection = Rc::new(WorkerConnection::default());
-    let (status, token, calls) = heartbeat(&mut c, 1, &connection, 1, 0).await;
+    let (status, token, calls) = heartbeat(&mut c, 1, &connection, 1, FencingToken(0)).await;
     assert_eq!((status, calls), (200, vec![]), "the leader's answer");
     assert_eq!(heartbeat(&mut c, 1, &connection, 2, token).await, (200, token, vec![]));
     assert!(repeats(&c, &connection, 3, token), "a settled report");
@@ -57,7 +58,7 @@
 }
 
 /// Whether the follower would answer the heartbeat by itself.
-fn repeats(c: &Cluster, connection: &WorkerConnection, sequence: u64, token: u64) -> bool {
+fn repeats(c: &Cluster, connection: &WorkerConnection, sequence: u64, token: FencingToken) -> bool {
     repeated(&c.nodes[1], connection, report_of(sequence, token).as_bytes()).is_some()
 }
 
@@ -165,7 +166,7 @@
         let store = StandIn::default();
         let mut c = store_reachable(&store).await;
         let (node, connection) = (c.nodes[1].clone(), WorkerConnection::default());
-        let body = report_of(1, 0);
+        let body = report_of(1, FencingToken(0));
         let began = Instant::now();
         let answer = worker_api::heartbeat(&node, &connection, body.as_bytes()).await;
         assert_eq!(answer.status, 421);
@@ -194,7 +195,7 @@
         let node = c.nodes[1].clone();
         let most = Sockets::share(node.settings.fd_limit).inbound as usize;
         let ask = |node: Rc<Node>| async move {
-            let body = report_of(1, 0);
+            let body = report_of(1, FencingToken(0));
             worker_api::heartbeat(&node, &WorkerConnection::default(), body.as_bytes()).await
         };
         let waiting: Vec<_> =
@@ -211,7 +212,7 @@
         }
         assert!(node.serving.waiting.borrow().is_empty(), "what was refused can come again");
         // A heartbeat longer than a frame goes to the leader itself.
-        let long = format!("{}{}", report_of(1, 0), " ".repeat(MAX_CARRIED));
+        let long = format!("{}{}", report_of(1, FencingToken(0)), " ".repeat(MAX_CARRIED));
         let answer =
             worker_api::heartbeat(&node, &WorkerConnection::default(), long.as_bytes()).await;
         assert_eq!(answer.status, 421);
@@ -301,9 +302,9 @@
         c.nodes[0].serving.workers.set(300);
         balance(&c.nodes[0]);
         let (node, connection) = (c.nodes[0].clone(), WorkerConnection::default());
-        let body = report_of(1, 0);
+        let body = report_of(1, FencingToken(0));
         assert_eq!(worker_api::heartbeat(&node, &connection, body.as_bytes()).await.status, 200);
-        let body = report_of(2, 0);
+        let body = report_of(2, FencingToken(0));
         let answer = worker_api::heartbeat(&node, &connection, body.as_bytes()).await;
         let to = format!("{{\"keeper\":\"{}\"}}", c.nodes[1].settings.node_name);
         assert_eq!((answer.status, String::from_utf8_lossy(&answer.body).as_ref()), (421, &*to));
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -21,6 +21,7 @@
 use walnutlug_fencing::intent_log::IntentLog;
 use walnutlug_fencing::leased_role::Epoch;
 use walnutlug_scheduler::leadership::election::{ElectionEvent, Leadership, Role};
+use walnutlug_scheduler::leadership::fencing_token::Term;
 use walnutlug_scheduler::leadership::watermark::{CancellationLog, Watermark};
 use walnutlug_scheduler::model::job_spec::JobEnd;
 use walnutlug_scheduler::protocol::cloud::MachineType;
@@ -71,7 +72,7 @@
 /// Who leads, as far as a node knows, and under which term.
 struct KnownLeader {
     name: String,
-    term: u64,
+    term: Term,
 }
 
 /// One controller: what it knows, and the conversations that it takes part in.
@@ -217,15 +218,15 @@
     }
 
     /// The other node that leads under that very term, as far as this one knows.
-    pub fn leader_under(&self, term: u64) -> Option<String> {
+    pub fn leader_under(&self, term: Term) -> Option<String> {
         let leader = self.known_leader.borrow();
         let leader = leader.as_ref().filter(|leader| leader.term == term)?;
         (leader.name != self.settings.node_name).then(|| leader.name.clone())
     }
 
-    fn learn_leader(&self, name: &str, term: u64) {
+    fn learn_leader(&self, name: &str, term: Term) {
         if name != self.settings.node_name {
-            let epoch = Epoch::from_revision(term).ok();
+            let epoch = Epoch::from_revision(term.get()).ok();
             self.highest_term.set(self.highest_term.get().max(epoch));
         }
         let mut leader = self.known_leader.borrow_mut();
@@ -241,7 +242,7 @@
 
     /// The leader of that term leads no more. Workers aren't sent to it: it may be dead, and a
     /// connection to it may hang.
-    fn forget_leader(&self, term: u64) {
+    fn forget_leader(&self, term: Term) {
         let mut leader = self.known_leader.borrow_mut();
         if leader.as_ref().is_some_and(|known| known.term <= term) {
             *leader = None;
@@ -267,7 +268,7 @@
         let role = self.leadership.borrow().role();
         let (term, leading) = match role {
             Role::Leader { term } | Role::Loading { term } => (term, true),
-            Role::Follower | Role::Candidate => (0, false),
+            Role::Follower | Role::Candidate => (Term::NONE, false),
         };
         if leading {
             self.watermark.borrow_mut().ask(self.now(), self.statuses.get());
--- a/crates/controller/src/node/fleet_role.rs
+++ b/crates/controller/src/node/fleet_role.rs
@@ -11,6 +11,7 @@
     ActionAnswer, ActionId, Adopted, IntentLog, IntentLogCommand, WriteLimits,
 };
 use walnutlug_fencing::leased_role::{Epoch, EpochError, LeasedRole};
+use walnutlug_scheduler::leadership::fencing_token::Term;
 use walnutlug_scheduler::protocol::cloud::ScaleOutRequest;
 use walnutlug_scheduler::scheduler::Scheduler;
 
@@ -27,7 +28,7 @@
 /// Takes the duty over with the lead: reads what former holders recorded and were not seen to settle.
 pub(super) async fn take_over(
     node: &Rc<Node>,
-    term: u64,
+    term: Term,
     scheduler: &mut Scheduler,
 ) -> Result<(), KeyValueError> {
     if !node.tunables.fenced_duties {
@@ -36,7 +37,7 @@
     let epoch = match next_epoch(node, term) {
         Ok(epoch) => epoch,
         Err(fault) => {
-            error!(term, "the fleet duty stops at this node: {fault}");
+            error!(term = term.get(), "the fleet duty stops at this node: {fault}");
             *node.fleet.borrow_mut() = None;
             return Ok(());
         }
@@ -73,8 +74,8 @@
 }
 
 /// The term as an epoch, if it is above all that are known.
-fn next_epoch(node: &Node, term: u64) -> Result<Epoch, EpochError> {
-    let epoch = Epoch::from_revision(term)?.must_follow(node.highest_term.get())?;
+fn next_epoch(node: &Node, term: Term) -> Result<Epoch, EpochError> {
+    let epoch = Epoch::from_revision(term.get())?.must_follow(node.highest_term.get())?;
     node.highest_term.set(Some(epoch));
     Ok(epoch)
 }
@@ -84,10 +85,13 @@
     WriteLimits { value_bytes: limits.value_bytes, txn_ops: limits.txn_ops }
 }
 
-fn log_adopted(term: u64, adopted: &Adopted) {
+fn log_adopted(term: Term, adopted: &Adopted) {
     if !adopted.scale_outs.is_empty() || !adopted.returns.is_empty() {
         let (scale_outs, returns) = (adopted.scale_outs.len(), adopted.returns.len());
-        info!(term, scale_outs, returns, "settling what former holders of the fleet duty recorded");
+        info!(
+            term = term.get(),
+            scale_outs, returns, "settling what former holders of the fleet duty recorded"
+        );
     }
     for machine in &adopted.overruled {
         warn!(machine, "its recorded return is dropped: work was recorded there after it");
@@ -161,11 +165,11 @@
 }
 
 /// Carries on with what is to be recorded, sent and dropped.
-pub(super) fn advance(node: &Rc<Node>, term: u64) {
+pub(super) fn advance(node: &Rc<Node>, term: Term) {
     let commands = {
         let mut fleet = node.fleet.borrow_mut();
         let Some(intent_log) = fleet.as_mut() else { return };
-        if intent_log.fence().epoch().revision() != term {
+        if intent_log.fence().epoch().revision() != term.get() {
             return;
         }
         intent_log.set_limits(write_limits(node));
@@ -194,11 +198,11 @@
 }
 
 /// Tells the ledger of that term what happened, and carries on.
-fn with_intent_log(node: &Rc<Node>, term: u64, tell: impl FnOnce(&mut IntentLog)) {
+fn with_intent_log(node: &Rc<Node>, term: Term, tell: impl FnOnce(&mut IntentLog)) {
     let stopped = {
         let mut fleet = node.fleet.borrow_mut();
         let intent_log =
-            fleet.as_mut().filter(|intent_log| intent_log.fence().epoch().revision() == term);
+            fleet.as_mut().filter(|intent_log| intent_log.fence().epoch().revision() == term.get());
         let Some(intent_log) = intent_log else { return };
         tell(intent_log);
         intent_log.stopped().map(ToString::to_string)
@@ -210,11 +214,11 @@
 }
 
 /// Whether this node still holds the duty under that epoch, for certain and right now.
-fn holds(node: &Node, term: u64) -> bool {
+fn holds(node: &Node, term: Term) -> bool {
     node.leadership.borrow().term() == Some(term) && Instant::now() < node.lease_until.get()
 }
 
-async fn send_scale_out(node: Rc<Node>, term: u64, id: ActionId, scale_out: ScaleOut) {
+async fn send_scale_out(node: Rc<Node>, term: Term, id: ActionId, scale_out: ScaleOut) {
     let answer = node.cloud.scale_out(&scale_out.request(), &|| holds(&node, term)).await;
     let outcome = match &answer {
         Ok(_) => ActionAnswer::Done,
@@ -240,7 +244,7 @@
     });
 }
 
-async fn send_scale_in(node: Rc<Node>, term: u64, id: ActionId, machines: Vec<TerminatedMachine>) {
+async fn send_scale_in(node: Rc<Node>, term: Term, id: ActionId, machines: Vec<TerminatedMachine>) {
     let names: Vec<String> = machines.into_iter().map(|machine| machine.machine).collect();
     let answer = node.cloud.terminate(&names, &|| holds(&node, term)).await;
     let outcome = match answer {
--- a/crates/controller/src/node/golden_tests.rs
+++ b/crates/controller/src/node/golden_tests.rs
@@ -4,6 +4,7 @@
 use serde_json::{json, Value};
 use tokio::task::LocalSet;
 use walnutlug_scheduler::command::MessageOutcome;
+use walnutlug_scheduler::leadership::fencing_token::FencingToken;
 use walnutlug_scheduler::protocol::cloud::MachineType;
 use walnutlug_scheduler::protocol::workers::WorkerCommand;
 use walnutlug_scheduler::storage::keys;
@@ -202,7 +203,7 @@
 }
 
 /// The heartbeat of a worker on which the task has ended.
-fn finished_report(sequence: u64, token: u64) -> String {
+fn finished_report(sequence: u64, token: FencingToken) -> String {
     let mut heartbeat: Value = serde_json::from_str(&report_of(sequence, token)).expect("json");
     heartbeat["nuts"][0]["stage"] = json!("exited");
     heartbeat["nuts"][0]["cause"] = json!("done");
@@ -214,23 +215,29 @@
     let play = async {
         let store = StandIn::default();
         let follower = store.node();
-        let mut found = vec![("421", heartbeat(&follower, &report_of(1, 0)).await)];
-        follower.learn_leader("kernel-1", 9);
-        found.push(("421 with a leader", heartbeat(&follower, &report_of(1, 0)).await));
+        let mut found = vec![("421", heartbeat(&follower, &report_of(1, FencingToken(0))).await)];
+        follower.learn_leader("kernel-1", Term(9));
+        found.push((
+            "421 with a leader",
+            heartbeat(&follower, &report_of(1, FencingToken(0))).await,
+        ));
         let cluster = leader_with_a_task(&store).await;
         let leader = cluster.nodes[0].clone();
-        found.push(("200", heartbeat(&leader, &report_of(1, 0)).await));
+        found.push(("200", heartbeat(&leader, &report_of(1, FencingToken(0))).await));
         found.push(("200, idle", heartbeat(&leader, &idle_report("n-2", 1)).await));
         found.push(("400", heartbeat(&leader, "{").await));
         found.push(("400, machine", heartbeat(&leader, &idle_report("", 1)).await));
         let no_address = idle_report("n-3", 1).replace("10.0.0.1:1", "here");
         found.push(("400, address", heartbeat(&leader, &no_address).await));
         leader.learn_end(JOB, JobEnd::Cancelled);
-        found.push(("200 with kill", heartbeat(&leader, &report_of(2, 0)).await));
-        found.push(("200, finished", heartbeat(&leader, &finished_report(3, 0)).await));
+        found.push(("200 with kill", heartbeat(&leader, &report_of(2, FencingToken(0))).await));
+        found.push((
+            "200, finished",
+            heartbeat(&leader, &finished_report(3, FencingToken(0))).await,
+        ));
         found.push((
             "200, finished and known",
-            heartbeat(&leader, &finished_report(4, 5 << 20)).await,
+            heartbeat(&leader, &finished_report(4, FencingToken(5 << 20))).await,
         ));
         Golden::check(WORKERS, &found);
     };
@@ -261,10 +268,12 @@
         let script = move |method: &str, path: &str, body: &[u8]| {
             let body = String::from_utf8(body.to_vec()).expect("text");
             *noted.borrow_mut() = format!("{method} {path}\n{body}");
-            Ok(Response { status, body: report_of(88, 41).into_bytes() })
+            Ok(Response { status, body: report_of(88, FencingToken(41)).into_bytes() })
         };
         let client = Client::scripted(Box::new(script));
-        let outcome = worker_api::send_commands(&client, "10.1.0.232:9000", 41, 7, &calls).await;
+        let outcome =
+            worker_api::send_commands(&client, "10.1.0.232:9000", FencingToken(41), 7, &calls)
+                .await;
         match outcome {
             MessageOutcome::Answered(heartbeat) => {
                 assert!(status == 200 || status == 409, "{kind}: the status was read otherwise");
@@ -272,7 +281,10 @@
                     heartbeat.machine == "n-1" && heartbeat.sequence == 88,
                     "{kind}: the report"
                 );
-                assert!(heartbeat.token == 41 && heartbeat.tasks.len() == 1, "{kind}: the report");
+                assert!(
+                    heartbeat.token == FencingToken(41) && heartbeat.tasks.len() == 1,
+                    "{kind}: the report"
+                );
             }
             MessageOutcome::Indeterminate => assert!(status == 400, "{kind}: taken for lost"),
             MessageOutcome::NotSent => panic!("{kind}: not sent"),
@@ -367,7 +379,7 @@
             let election = tokio::task::spawn_local(leader::election(node.clone()));
             tokio::time::sleep(ELECTION).await;
             election.abort();
-            assert!(node.leadership.borrow().term() == Some(432), "elected");
+            assert!(node.leadership.borrow().term() == Some(Term(432)), "elected");
             found.push((kind, steady(&node, &distinct(&asked))));
         }
         let asked = Rc::default();
--- a/crates/controller/src/node/leader.rs
+++ b/crates/controller/src/node/leader.rs
@@ -8,6 +8,7 @@
 use walnutlug_fencing::lease;
 use walnutlug_scheduler::command::{Command, TransactionOutcome};
 use walnutlug_scheduler::leadership::election::{ElectionEvent, Role};
+use walnutlug_scheduler::leadership::fencing_token::Term;
 use walnutlug_scheduler::leadership::watermark;
 use walnutlug_scheduler::model::job_spec::JobEnd;
 use walnutlug_scheduler::protocol::cloud::ScaleOutRequest;
@@ -44,7 +45,7 @@
                 if name == node.settings.node_name {
                     release_former_lease(&node, &key_value).await;
                 }
-                node.learn_leader(&name, key_value.revision);
+                node.learn_leader(&name, Term(key_value.revision));
                 let hold = Duration::from_secs(10);
                 match node
                     .key_value
@@ -57,7 +58,7 @@
                         );
                         if vacant {
                             info!("the leader key is gone");
-                            node.forget_leader(key_value.revision);
+                            node.forget_leader(Term(key_value.revision));
                         }
                     }
                     Err(_) => sleep(Duration::from_millis(300)).await,
@@ -121,7 +122,7 @@
     if !node.leadership.borrow_mut().step(node.now(), ElectionEvent::Won { term }) {
         return;
     }
-    info!(term, "elected");
+    info!(term = term.get(), "elected");
     node.key_value.lead(true);
     node.learn_leader(&node.settings.node_name, term);
     lead(node, term, lease, asked).await;
@@ -134,12 +135,14 @@
     state: &KeyValueClient,
     transaction: &Transaction,
     election_nonce: &str,
-) -> Option<u64> {
+) -> Option<Term> {
     match state.commit(RequestClass::Leadership, transaction).await {
-        TransactionOutcome::Committed { revision } => Some(revision),
+        TransactionOutcome::Committed { revision } => Some(Term(revision)),
         TransactionOutcome::Conflict { .. } | TransactionOutcome::Indeterminate => {
             match state.get(RequestClass::Leadership, keys::LEADER).await {
-                Ok(Some(p)) if p.value["inc"].as_str() == Some(election_nonce) => Some(p.revision),
+                Ok(Some(p)) if p.value["inc"].as_str() == Some(election_nonce) => {
+                    Some(Term(p.revision))
+                }
                 _ => None,
             }
         }
@@ -148,7 +151,7 @@
 }
 
 /// Everything that a leader does, until it is one no more.
-async fn lead(node: &Rc<Node>, term: u64, lease: u64, touched: Instant) {
+async fn lead(node: &Rc<Node>, term: Term, lease: u64, touched: Instant) {
     let mut children = Vec::new();
     let lease_node = node.clone();
     children.push(tokio::task::spawn_local(async move {
@@ -203,7 +206,7 @@
 }
 
 /// Reads the records of the term before, whole, before anything is decided.
-async fn load(node: &Rc<Node>, term: u64) -> Result<(), KeyValueError> {
+async fn load(node: &Rc<Node>, term: Term) -> Result<(), KeyValueError> {
     let (began, asked) = (Instant::now(), node.now());
     node.ends_while_loading.borrow_mut().clear();
     if node.types.borrow().is_empty() {
@@ -250,7 +253,7 @@
     }
     let placed: usize = s.cluster.machines.iter().map(|m| m.tasks.len()).sum();
     info!(
-        term,
+        term = term.get(),
         jobs = s.cluster.jobs_by_name.len(),
         placed,
         ms = began.elapsed().as_millis() as u64,
@@ -334,7 +337,7 @@
 
 /// Reads the truth again, now and then: jobs that are to be done, and which of them have ended. The
 /// watches tell the same sooner; but no job may hang on one message that was lost.
-async fn reconcile(node: Rc<Node>, term: u64) {
+async fn reconcile(node: Rc<Node>, term: Term) {
     loop {
         sleep(RECONCILE_EVERY).await;
         if !is_leading_under(&node, term) {
@@ -349,7 +352,7 @@
     }
 }
 
-async fn reconcile_once(node: &Rc<Node>, term: u64) -> Result<(), KeyValueError> {
+async fn reconcile_once(node: &Rc<Node>, term: Term) -> Result<(), KeyValueError> {
     let (todo, _) = node.key_value.list(RequestClass::Poll, keys::DESCRIPTIONS).await?;
     let (now, wall) = (node.now(), node.wall_us());
     let open = {
@@ -411,7 +414,7 @@
     }
 }
 
-fn is_leading_under(node: &Node, term: u64) -> bool {
+fn is_leading_under(node: &Node, term: Term) -> bool {
     node.leadership.borrow().role() == Role::Leader { term }
 }
 
@@ -426,7 +429,7 @@
 }
 
 /// Hears of new jobs and of ends. Opened again at a bounded pace, since every opening counts.
-async fn watch(node: Rc<Node>, term: u64, prefix: &'static str, mut from: u64) {
+async fn watch(node: Rc<Node>, term: Term, prefix: &'static str, mut from: u64) {
     // The watch on ends moves the watermark each time it returns, so it returns often.
     let sixth = Duration::from_micros(watermark::window(&node.site).0 / 6);
     let hold = sixth.clamp(Duration::from_millis(100), Duration::from_secs(10));
@@ -471,7 +474,7 @@
     }
 }
 
-async fn list_machines(node: Rc<Node>, term: u64) {
+async fn list_machines(node: Rc<Node>, term: Term) {
     let every = Duration::from_micros(node.site.list_lag.0 / 2)
         .clamp(Duration::from_secs(3), Duration::from_secs(10));
     while is_leading_under(&node, term) {
@@ -505,7 +508,7 @@
 }
 
 /// The leader's loop: whenever something happened, and now and then, the core decides.
-async fn run_scheduler(node: &Rc<Node>, term: u64) {
+async fn run_scheduler(node: &Rc<Node>, term: Term) {
     let mut last = Instant::now();
     while is_leading_under(node, term) {
         let began = Instant::now();
@@ -552,7 +555,7 @@
 
 pub(super) fn with_scheduler(
     node: &Rc<Node>,
-    term: u64,
+    term: Term,
     f: impl FnOnce(&mut Scheduler, Timestamp),
 ) {
     let now = node.now();
@@ -565,7 +568,7 @@
     node.wake_leader();
 }
 
-fn execute(node: &Rc<Node>, term: u64, command: Command) {
+fn execute(node: &Rc<Node>, term: Term, command: Command) {
     let node = node.clone();
     match command {
         Command::Log(event) => event_log::write(&event),
@@ -576,7 +579,7 @@
                     if let Ok(found) =
                         node.key_value.get(RequestClass::Leadership, keys::LEADER).await
                     {
-                        if found.is_none_or(|key_value| key_value.revision != term) {
+                        if found.is_none_or(|key_value| key_value.revision != term.get()) {
                             node.step_down("the leader key is not this term's any more");
                         }
                     }
@@ -634,7 +637,7 @@
 }
 
 /// Rents without a record, as all versions did before there were fenced duties.
-async fn scale_out_unfenced(node: Rc<Node>, term: u64, scale_out: ScaleOutRequest) {
+async fn scale_out_unfenced(node: Rc<Node>, term: Term, scale_out: ScaleOutRequest) {
     let answer = match node.cloud.scale_out(&scale_out, &|| true).await {
         Ok(names) => Ok(names),
         Err(CloudError::NoCapacity) => Ok(Vec::new()),
@@ -652,7 +655,7 @@
     });
 }
 
-async fn scale_in_unfenced(node: Rc<Node>, term: u64, machines: Vec<String>) {
+async fn scale_in_unfenced(node: Rc<Node>, term: Term, machines: Vec<String>) {
     let gone = node.cloud.terminate(&machines, &|| true).await.is_ok();
     with_scheduler(&node, term, |s, now| s.scale_in_answered(now, &machines, gone));
 }
--- a/crates/controller/src/node/leader/tests.rs
+++ b/crates/controller/src/node/leader/tests.rs
@@ -14,7 +14,7 @@
     let node = store.node();
     store.fault(Fault::AppliedButLost);
     let own = create_leader_key(&node.key_value, &key_for("mine"), "mine").await;
-    assert_eq!(own, Some(1), "elected after all");
+    assert_eq!(own, Some(Term(1)), "elected after all");
     let other = create_leader_key(&node.key_value, &key_for("theirs"), "theirs").await;
     assert_eq!(other, None, "the key is taken");
     store.fault(Fault::NotApplied);
@@ -25,7 +25,7 @@
 async fn types_that_came_while_the_records_were_read_reach_the_book() {
     let node = StandIn::default().node();
     let (site, tunables) = (node.site.clone(), node.tunables.clone());
-    install(&node, Scheduler::new(site, tunables, 7, Vec::new(), node.now()));
+    install(&node, Scheduler::new(site, tunables, Term(7), Vec::new(), node.now()));
     let registry = node.scheduler.borrow();
     assert_eq!(registry.as_ref().map(|s| s.cluster.machine_types.len()), Some(1));
 }
@@ -58,16 +58,16 @@
     *node.scheduler.borrow_mut() = Some(Scheduler::new(
         node.site.clone(),
         node.tunables.clone(),
-        7,
+        Term(7),
         node.types.borrow().clone(),
         node.now(),
     ));
-    reconcile_once(&node, 7).await.expect("read");
+    reconcile_once(&node, Term(7)).await.expect("read");
     let open =
         || node.scheduler.borrow().as_ref().map(|s| s.cluster.open_jobs()).unwrap_or_default();
     assert_eq!(open(), ["req-1"]);
     store.put(&keys::end("req-1"), serde_json::json!("aborted"));
-    reconcile_once(&node, 7).await.expect("read");
+    reconcile_once(&node, Term(7)).await.expect("read");
     assert!(open().is_empty());
 }
 
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 use crate::key_value_client::RequestClass;
 use crate::user_api::fake_cluster::{Cluster, Fault, StandIn};
+use walnutlug_scheduler::leadership::fencing_token::FencingToken;
 use walnutlug_scheduler::storage::keys;
 
 #[tokio::test(start_paused = true)]
@@ -9,7 +10,7 @@
     let node = store.node();
     let status = |store_reachable| Frame::Status {
         name: "kernel-1".into(),
-        term: 3,
+        term: Term(3),
         leading: false,
         store_reachable,
         redirected: 0,
@@ -78,7 +79,7 @@
     let node = StandIn::default().node();
     let status = |incarnation, count, store_reachable| Frame::Status {
         name: "kernel-1".into(),
-        term: 0,
+        term: Term(0),
         leading: false,
         store_reachable,
         redirected: 0,
@@ -113,7 +114,7 @@
 async fn a_newer_term_ends_the_lead_and_an_older_one_does_not() {
     let node = StandIn::default().node();
     node.leadership.borrow_mut().step(node.now(), ElectionEvent::Vacant);
-    node.leadership.borrow_mut().step(node.now(), ElectionEvent::Won { term: 5 });
+    node.leadership.borrow_mut().step(node.now(), ElectionEvent::Won { term: Term(5) });
     let status = |term| Frame::Status {
         name: "kernel-1".into(),
         term,
@@ -121,11 +122,11 @@
         store_reachable: true,
         redirected: 0,
         incarnation: 1,
-        count: term,
+        count: term.get(),
     };
-    node.peer_frame(status(4));
-    assert_eq!(node.leadership.borrow().term(), Some(5));
-    node.peer_frame(status(6));
+    node.peer_frame(status(Term(4)));
+    assert_eq!(node.leadership.borrow().term(), Some(Term(5)));
+    node.peer_frame(status(Term(6)));
     assert_eq!(node.leadership.borrow().term(), None);
     assert_eq!(node.other_leader().as_deref(), Some("kernel-1"));
 }
@@ -144,7 +145,7 @@
     let mut s = Scheduler::new(
         node.site.clone(),
         node.tunables.clone(),
-        5,
+        Term(5),
         node.types.borrow().clone(),
         node.now(),
     );
@@ -164,9 +165,11 @@
             revision: 1,
         }],
     );
-    for input in
-        [ElectionEvent::Vacant, ElectionEvent::Won { term: 5 }, ElectionEvent::Loaded { term: 5 }]
-    {
+    for input in [
+        ElectionEvent::Vacant,
+        ElectionEvent::Won { term: Term(5) },
+        ElectionEvent::Loaded { term: Term(5) },
+    ] {
         node.leadership.borrow_mut().step(node.now(), input);
     }
     *node.scheduler.borrow_mut() = Some(s);
@@ -183,7 +186,8 @@
 
 /// The worker reports its task. The answer's status and calls.
 fn report_once(node: &Node, sequence: u64) -> (u16, Vec<String>) {
-    let (status, _, calls) = report_on(node, &WorkerConnection::default(), sequence, 0);
+    let (status, _, calls) =
+        report_on(node, &WorkerConnection::default(), sequence, FencingToken(0));
     (status, calls)
 }
 
@@ -196,7 +200,7 @@
 }
 
 /// The heartbeat of a worker that runs the task and has seen the token.
-pub fn report_of(sequence: u64, token: u64) -> String {
+pub fn report_of(sequence: u64, token: FencingToken) -> String {
     let heartbeat = serde_json::json!({"tree": "n-1", "address": "10.0.0.1:1", "breed": "t8",
         "grove": "east", "windfall": true, "season": 1, "ring": sequence, "staff": token, "shakeS": null,
         "nuts": [{"nut": format!("{JOB}/0"), "try": 1, "stage": "running"}]});
@@ -209,17 +213,17 @@
     node: &Node,
     last: &WorkerConnection,
     sequence: u64,
-    token: u64,
-) -> (u16, u64, Vec<String>) {
+    token: FencingToken,
+) -> (u16, FencingToken, Vec<String>) {
     let answer = worker_api::answer_heartbeat(node, last, report_of(sequence, token).as_bytes());
     let told: serde_json::Value = serde_json::from_slice(&answer.body).expect("json");
     let calls = told["calls"].as_array().into_iter().flatten();
     let calls = calls.map(|c| c["call"].to_string()).collect();
-    (answer.status, told["staff"].as_u64().unwrap_or(0), calls)
+    (answer.status, FencingToken(told["staff"].as_u64().unwrap_or(0)), calls)
 }
 
 /// Whether the connection takes a heartbeat for its last one again.
-fn remembers(last: &WorkerConnection, sequence: u64, token: u64) -> bool {
+fn remembers(last: &WorkerConnection, sequence: u64, token: FencingToken) -> bool {
     last.repeated_by(report_of(sequence, token).as_bytes())
         .is_some_and(|(_, found)| found == sequence)
 }
@@ -231,7 +235,7 @@
             let store = StandIn::default();
             let c = leader_with_a_task(&store).await;
             let (leader, last) = (c.nodes[0].clone(), WorkerConnection::default());
-            let (status, token, calls) = report_on(&leader, &last, 1, 0);
+            let (status, token, calls) = report_on(&leader, &last, 1, FencingToken(0));
             assert_eq!((status, calls), (200, vec![]));
             assert!(!remembers(&last, 2, token), "the worker hadn't seen the token");
             for sequence in 2..40 {
@@ -245,7 +249,7 @@
             }
             assert!(remembers(&last, 40, token), "most of these were repetitions");
             assert!(
-                !remembers(&last, 40, token + 1)
+                !remembers(&last, 40, FencingToken(token.get() + 1))
                     && !remembers(&WorkerConnection::default(), 40, token)
             );
             let scheduler = leader.scheduler.borrow();
@@ -358,7 +362,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_leader_that_reads_its_records_renews_no_lease() {
     let node = StandIn::default().node();
-    for input in [ElectionEvent::Vacant, ElectionEvent::Won { term: 5 }] {
+    for input in [ElectionEvent::Vacant, ElectionEvent::Won { term: Term(5) }] {
         node.leadership.borrow_mut().step(node.now(), input);
     }
     assert_eq!(report_once(&node, 1).0, 421);
@@ -372,7 +376,7 @@
     let node = c.nodes[0].clone();
     let registry = node.scheduler.borrow_mut().take().expect("a registry");
     node.leadership.borrow_mut().step(node.now(), ElectionEvent::Lost);
-    for input in [ElectionEvent::Vacant, ElectionEvent::Won { term: 6 }] {
+    for input in [ElectionEvent::Vacant, ElectionEvent::Won { term: Term(6) }] {
         node.leadership.borrow_mut().step(node.now(), input);
     }
     node.peer_frame(Frame::Cancellations {
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -14,6 +14,7 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 use tracing::debug;
+use walnutlug_scheduler::leadership::fencing_token::Term;
 use walnutlug_scheduler::leadership::watermark::MAX_TOLD;
 use walnutlug_scheduler::model::job_spec::JobEnd;
 use walnutlug_scheduler::model::task::MachineIndex;
@@ -139,7 +140,7 @@
     /// Who speaks, whether it leads under what term, and whether the key-value store serves it.
     Status {
         name: String,
-        term: u64,
+        term: Term,
         leading: bool,
         store_reachable: bool,
         redirected: u16,
@@ -189,14 +190,14 @@
     ForwardedResponse(ForwardedResponse),
     /// Machines that repeated their settled reports to a follower, under that leader's term.
     RepeatedHeartbeats {
-        term: u64,
+        term: Term,
         heard: Vec<RepeatedHeartbeat>,
     },
     DelegationRequest(DelegationRequest),
     DelegationGranted(DelegationGranted),
     /// Marks of settled reports that hold no more, with the number of the first.
     Invalidated {
-        term: u64,
+        term: Term,
         first: u64,
         cache_entries: Vec<(MachineIndex, u64)>,
     },
@@ -233,7 +234,7 @@
                 count,
             } => {
                 let body = StatusBody {
-                    term: (*term).into(),
+                    term: term.get().into(),
                     name: name_field(name),
                     leading: u8::from(*leading),
                     store_reachable: u8::from(*store_reachable),
@@ -325,7 +326,7 @@
                 let (b, _) = StatusBody::read_from_prefix(body).map_err(|_| "short status")?;
                 Ok(Some(Frame::Status {
                     name: name_of(&b.name).ok_or("bad name")?,
-                    term: b.term.get(),
+                    term: Term(b.term.get()),
                     leading: b.leading != 0,
                     store_reachable: b.store_reachable != 0,
                     redirected: b.redirected.get(),
--- a/crates/controller/src/peers/golden_tests.rs
+++ b/crates/controller/src/peers/golden_tests.rs
@@ -1,6 +1,7 @@
 //! Every kind of frame between nodes, byte by byte as it is kept in `golden/frames.txt`: written,
 //! read field by field, and written again.
 
+use walnutlug_scheduler::leadership::fencing_token::FencingToken;
 use walnutlug_scheduler::reconciliation::delegation::{CacheGrant, DelegationGrant};
 use walnutlug_scheduler::reconciliation::repeated_heartbeats::CachedHeartbeat;
 use walnutlug_scheduler::time::TimeDelta;
@@ -92,7 +93,7 @@
 fn node_frames() -> Vec<(&'static str, Frame)> {
     let status = |leading, store_reachable| Frame::Status {
         name: "kernel-1".into(),
-        term: 0x0102_0304_0506_0708,
+        term: Term(0x0102_0304_0506_0708),
         leading,
         store_reachable,
         redirected: 0x1112,
@@ -117,13 +118,13 @@
 
 fn heartbeat_frames() -> Vec<(&'static str, Frame)> {
     let cached = CachedHeartbeat {
-        term: 0x2122_2324_2526_2728,
+        term: Term(0x2122_2324_2526_2728),
         machine: 0x3132_3334,
         number: 0x4142_4344_4546_4748,
     };
     let cache_entry = CacheGrant {
         cached,
-        token: 0x5152_5354_5556_5758,
+        token: FencingToken(0x5152_5354_5556_5758),
         valid_for: TimeDelta(0x6162_6364_6566_6768),
         invalidated: 0x7172_7374_7576_7778,
     };
@@ -156,7 +157,7 @@
         (
             "heard",
             Frame::RepeatedHeartbeats {
-                term: 0x0102_0304_0506_0708,
+                term: Term(0x0102_0304_0506_0708),
                 heard: vec![heard(1, 2, 3), heard(0x1112_1314, 1 << 40, 1 << 50)],
             },
         ),
@@ -169,7 +170,7 @@
             node: "kernel-0".into(),
             asker_incarnation: 0x0102_0304_0506_0708,
             grant: DelegationGrant {
-                term: 0x1112_1314_1516_1718,
+                term: Term(0x1112_1314_1516_1718),
                 asked: 0x2122_2324_2526_2728,
                 unknown_for: TimeDelta(0x3132_3334_3536_3738),
                 invalidated: 0x4142_4344_4546_4748,
@@ -193,7 +194,7 @@
         (
             "withdrawn",
             Frame::Invalidated {
-                term: 0x0102_0304_0506_0708,
+                term: Term(0x0102_0304_0506_0708),
                 first: 0x1112_1314_1516_1718,
                 cache_entries: vec![(3, 4), (0x2122_2324, 1 << 40)],
             },
--- a/crates/controller/src/peers/heartbeat_frames.rs
+++ b/crates/controller/src/peers/heartbeat_frames.rs
@@ -1,6 +1,7 @@
 //! The frames with which followers answer workers on the leader's behalf; what they mean is told in
 //! `walnutlug_scheduler::reconciliation::delegation`. A version that doesn't know them passes them over.
 
+use walnutlug_scheduler::leadership::fencing_token::{FencingToken, Term};
 use walnutlug_scheduler::model::task::MachineIndex;
 use walnutlug_scheduler::reconciliation::delegation::{CacheGrant, DelegationGrant};
 use walnutlug_scheduler::reconciliation::repeated_heartbeats::CachedHeartbeat;
@@ -174,10 +175,10 @@
             number: self.number.into(),
             answered: u8::from(self.answer.is_some()),
             cached: u8::from(cache_entry.is_some()),
-            term: cached.map_or(0, |s| s.term).into(),
+            term: cached.map_or(0, |s| s.term.get()).into(),
             machine: cached.map_or(0, |s| s.machine).into(),
             settled_number: cached.map_or(0, |s| s.number).into(),
-            token: cache_entry.map_or(0, |m| m.token).into(),
+            token: cache_entry.map_or(0, |m| m.token.get()).into(),
             valid_for_us: cache_entry.map_or(0, |m| m.valid_for.0).into(),
             invalidated: cache_entry.map_or(0, |m| m.invalidated).into(),
         };
@@ -188,11 +189,11 @@
         let (head, answer) = AnswerBody::read_from_prefix(body).map_err(|_| "short answer")?;
         let cache_entry = CacheGrant {
             cached: CachedHeartbeat {
-                term: head.term.get(),
+                term: Term(head.term.get()),
                 machine: head.machine.get(),
                 number: head.settled_number.get(),
             },
-            token: head.token.get(),
+            token: FencingToken(head.token.get()),
             valid_for: TimeDelta(head.valid_for_us.get()),
             invalidated: head.invalidated.get(),
         };
@@ -206,8 +207,8 @@
 }
 
 /// The body of a frame of machines that were heard under the term.
-pub(super) fn encode_repeated_heartbeats(term: u64, heard: &[RepeatedHeartbeat]) -> Vec<u8> {
-    let mut body = RepeatedHeartbeatsBody { term: term.into() }.as_bytes().to_vec();
+pub(super) fn encode_repeated_heartbeats(term: Term, heard: &[RepeatedHeartbeat]) -> Vec<u8> {
+    let mut body = RepeatedHeartbeatsBody { term: term.get().into() }.as_bytes().to_vec();
     for one in heard.iter().take(MAX_ENTRIES) {
         let entry = RepeatedHeartbeatEntry {
             machine: one.machine.into(),
@@ -221,7 +222,7 @@
 
 pub(super) fn decode_repeated_heartbeats(
     body: &[u8],
-) -> Result<(u64, Vec<RepeatedHeartbeat>), &'static str> {
+) -> Result<(Term, Vec<RepeatedHeartbeat>), &'static str> {
     let (head, rest) =
         RepeatedHeartbeatsBody::read_from_prefix(body).map_err(|_| "short list of machines")?;
     let entries = entries::<RepeatedHeartbeatEntry>(rest)?;
@@ -230,16 +231,16 @@
         number: entry.number.get(),
         sequence: entry.sequence.get(),
     });
-    Ok((head.term.get(), heard.collect()))
+    Ok((Term(head.term.get()), heard.collect()))
 }
 
 /// The body of a frame of withdrawn marks, with the number of the first.
 pub(super) fn encode_invalidated(
-    term: u64,
+    term: Term,
     first: u64,
     cache_entries: &[(MachineIndex, u64)],
 ) -> Vec<u8> {
-    let head = InvalidatedBody { term: term.into(), first: first.into() };
+    let head = InvalidatedBody { term: term.get().into(), first: first.into() };
     let mut body = head.as_bytes().to_vec();
     for &(machine, number) in cache_entries.iter().take(MAX_ENTRIES) {
         let entry = InvalidatedEntry { machine: machine.into(), number: number.into() };
@@ -249,7 +250,7 @@
 }
 
 /// The term, the number of the first, and the marks.
-type InvalidatedEntries = (u64, u64, Vec<(MachineIndex, u64)>);
+type InvalidatedEntries = (Term, u64, Vec<(MachineIndex, u64)>);
 
 pub(super) fn decode_invalidated(body: &[u8]) -> Result<InvalidatedEntries, &'static str> {
     let (head, rest) =
@@ -257,7 +258,7 @@
     let cache_entries = entries::<InvalidatedEntry>(rest)?;
     let cache_entries =
         cache_entries.map(|entry| (entry.machine.get(), entry.number.get())).collect();
-    Ok((head.term.get(), head.first.get(), cache_entries))
+    Ok((Term(head.term.get()), head.first.get(), cache_entries))
 }
 
 impl DelegationRequest {
@@ -287,7 +288,7 @@
         let body = GrantBody {
             node: name_field(&self.node),
             asker_incarnation: self.asker_incarnation.into(),
-            term: self.grant.term.into(),
+            term: self.grant.term.get().into(),
             asked: self.grant.asked.into(),
             unknown_for_us: self.grant.unknown_for.0.into(),
             invalidated: self.grant.invalidated.into(),
@@ -303,7 +304,7 @@
             node: name_of(&body.node).ok_or("bad name")?,
             asker_incarnation: body.asker_incarnation.get(),
             grant: DelegationGrant {
-                term: body.term.get(),
+                term: Term(body.term.get()),
                 asked: body.asked.get(),
                 unknown_for: TimeDelta(body.unknown_for_us.get()),
                 invalidated: body.invalidated.get(),
--- a/crates/controller/src/peers/tests.rs
+++ b/crates/controller/src/peers/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use walnutlug_scheduler::leadership::fencing_token::FencingToken;
 use walnutlug_scheduler::reconciliation::delegation::{CacheGrant, DelegationGrant};
 use walnutlug_scheduler::reconciliation::repeated_heartbeats::CachedHeartbeat;
 use walnutlug_scheduler::time::TimeDelta;
@@ -7,7 +8,7 @@
     vec![
         Frame::Status {
             name: "kernel-1".into(),
-            term: 1 << 40,
+            term: Term(1 << 40),
             leading: true,
             store_reachable: false,
             redirected: 7,
@@ -29,13 +30,17 @@
 }
 
 fn heartbeat_frames() -> Vec<Frame> {
-    let cached = CachedHeartbeat { term: 1 << 40, machine: 700, number: 1 << 33 };
-    let cache_entry =
-        CacheGrant { cached, token: 1 << 60, valid_for: TimeDelta(u64::MAX), invalidated: 90_000 };
+    let cached = CachedHeartbeat { term: Term(1 << 40), machine: 700, number: 1 << 33 };
+    let cache_entry = CacheGrant {
+        cached,
+        token: FencingToken(1 << 60),
+        valid_for: TimeDelta(u64::MAX),
+        invalidated: 90_000,
+    };
     let answer =
         ForwardedResponse { asker_incarnation: 3, number: 9, answer: None, cache_entry: None };
     let grant = DelegationGrant {
-        term: 1 << 40,
+        term: Term(1 << 40),
         asked: 17,
         unknown_for: TimeDelta::from_millis(900),
         invalidated: 4,
@@ -62,7 +67,7 @@
             ..answer
         }),
         Frame::RepeatedHeartbeats {
-            term: 1 << 40,
+            term: Term(1 << 40),
             heard: (0..MAX_ENTRIES as u32).map(heard).collect(),
         },
         Frame::DelegationRequest(DelegationRequest {
@@ -73,7 +78,7 @@
         }),
         Frame::DelegationGranted(granting.clone()),
         Frame::DelegationGranted(DelegationGranted { spare_to: None, ..granting }),
-        Frame::Invalidated { term: 1 << 40, first: 8, cache_entries: vec![(3, 4), (5, 6)] },
+        Frame::Invalidated { term: Term(1 << 40), first: 8, cache_entries: vec![(3, 4), (5, 6)] },
     ]
 }
 
@@ -88,7 +93,7 @@
         assert!(short.is_err(), "{frame:?}");
         assert!(read_frame(&mut &bytes[..bytes.len() - 1]).await.is_err(), "{frame:?}");
     }
-    let list = Frame::Invalidated { term: 1, first: 1, cache_entries: vec![(3, 4)] }.encode();
+    let list = Frame::Invalidated { term: Term(1), first: 1, cache_entries: vec![(3, 4)] }.encode();
     let body = &list[size_of::<Header>()..list.len() - 1];
     assert!(Frame::decode(KIND_INVALIDATED, body).is_err(), "an entry that is cut");
 }
--- a/crates/controller/src/worker_api.rs
+++ b/crates/controller/src/worker_api.rs
@@ -5,6 +5,7 @@
 
 use walnutlug_scheduler::command::MessageOutcome;
 use walnutlug_scheduler::leadership::election::Role;
+use walnutlug_scheduler::leadership::fencing_token::FencingToken;
 use walnutlug_scheduler::protocol::workers::{
     CommandsRequest, Heartbeat, HeartbeatResponse, Redirect, WorkerCommand,
 };
@@ -77,7 +78,11 @@
 
 /// The token to answer with, if the heartbeat is the connection's last one again and that left nothing
 /// to do. Nothing is to be decided then either, so the leader isn't woken.
-fn cached_response_token(node: &Node, connection: &WorkerConnection, body: &[u8]) -> Option<u64> {
+fn cached_response_token(
+    node: &Node,
+    connection: &WorkerConnection,
+    body: &[u8],
+) -> Option<FencingToken> {
     let (cached, sequence) = connection.repeated_by(body)?;
     if !matches!(node.leadership.borrow().role(), Role::Leader { .. }) {
         return None;
@@ -91,7 +96,7 @@
 
 /// The leader's answer to a heartbeat, and the mark if it left nothing to do.
 struct HandledHeartbeat {
-    token: u64,
+    token: FencingToken,
     calls: Vec<WorkerCommand>,
     cached: Option<CachedHeartbeat>,
 }
@@ -125,7 +130,7 @@
     /// The body for the worker.
     pub body: Vec<u8>,
     /// If repetitions mean nothing: the mark, the token to answer with, and for how long.
-    pub cache_entry: Option<(CachedHeartbeat, u64, TimeDelta)>,
+    pub cache_entry: Option<(CachedHeartbeat, FencingToken, TimeDelta)>,
 }
 
 /// Reads a heartbeat that a follower passed on. `None`: the worker should come itself, or go elsewhere.
@@ -145,7 +150,7 @@
     Some(HandledForwardedHeartbeat { body, cache_entry })
 }
 
-fn accepted(token: u64, calls: Vec<WorkerCommand>) -> Answer {
+fn accepted(token: FencingToken, calls: Vec<WorkerCommand>) -> Answer {
     match serde_json::to_vec(&HeartbeatResponse { token, calls }) {
         Ok(body) => Answer { status: 200, body, retry_after: None, close: false, idle: None },
         Err(e) => Answer::error(503, e.to_string()),
@@ -169,7 +174,7 @@
 pub async fn send_commands(
     client: &Client,
     address: &str,
-    token: u64,
+    token: FencingToken,
     agent_epoch: u64,
     calls: &[WorkerCommand],
 ) -> MessageOutcome {
--- a/crates/scheduler/src/command.rs
+++ b/crates/scheduler/src/command.rs
@@ -1,6 +1,7 @@
 //! What the scheduler wants done, and what became of it.
 
 use crate::event::Event;
+use crate::leadership::fencing_token::FencingToken;
 use crate::model::task::MachineIndex;
 use crate::protocol::key_value::Transaction;
 use crate::protocol::workers::{Heartbeat, WorkerCommand};
@@ -26,7 +27,7 @@
     SendToWorker {
         machine: MachineIndex,
         address: String,
-        token: u64,
+        token: FencingToken,
         agent_epoch: u64,
         calls: Vec<WorkerCommand>,
     },
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -2,7 +2,7 @@
 //! is for the worker's heartbeats to tell.
 
 use crate::command::{Command, MessageOutcome};
-use crate::leadership::election::token;
+use crate::leadership::fencing_token::FencingToken;
 use crate::model::job::TaskId;
 use crate::model::machine::MachineState;
 use crate::model::task::{MachineIndex, TaskEvent, TaskPhase};
@@ -81,7 +81,7 @@
             // next heartbeat doesn't come. (Each reap raises the fence: a question after each of them was a
             // third of all messages.)
             let just_told = now.since(m.token_sent_at) < ANSWER_SHOWS_WITHIN;
-            let unseen = m.acknowledged_token < token(term, 0).max(m.required_token)
+            let unseen = m.acknowledged_token < FencingToken::first_of(term).max(m.required_token)
                 || (m.acknowledged_token < m.token(term) && !m.tasks.is_empty() && !just_told);
             // One that missed a heartbeat is asked: if it answers it is not silent, and if it doesn't
             // it can be given up sooner.
--- a/crates/scheduler/src/leadership/election.rs
+++ b/crates/scheduler/src/leadership/election.rs
@@ -4,6 +4,7 @@
 //! the rules: every write of a leader guards its term, so a leader that doesn't know it is deposed
 //! can write nothing. Leadership only keeps two nodes from doing the same work.
 
+use crate::leadership::fencing_token::Term;
 use crate::time::{TimeDelta, Timestamp};
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -13,9 +14,9 @@
     /// Getting a lease and creating the key.
     Candidate,
     /// Holds the key; reads the records before it decides anything.
-    Loading { term: u64 },
+    Loading { term: Term },
     /// Decides.
-    Leader { term: u64 },
+    Leader { term: Term },
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -23,11 +24,11 @@
     /// The leader key is gone.
     Vacant,
     /// This node created the key.
-    Won { term: u64 },
+    Won { term: Term },
     /// Somebody else did, or the attempt failed.
     Failed,
     /// The records have been read.
-    Loaded { term: u64 },
+    Loaded { term: Term },
     /// The lease ran out, the key is another's, or this node gives way.
     Lost,
 }
@@ -50,7 +51,7 @@
         self.role
     }
 
-    pub fn term(&self) -> Option<u64> {
+    pub fn term(&self) -> Option<Term> {
         match self.role {
             Role::Loading { term } | Role::Leader { term } => Some(term),
             Role::Follower | Role::Candidate => None,
@@ -80,18 +81,5 @@
     }
 }
 
-/// Bits of a token below the term: the worker's fence number.
-const FENCING_COUNTER_BITS: u32 = 20;
-
-/// The token for a worker: the term above, the worker's fence below. A new term or a raised fence
-/// each make a worker refuse everything sent before.
-pub fn token(term: u64, fencing_counter: u64) -> u64 {
-    (term << FENCING_COUNTER_BITS) | fencing_counter.min((1 << FENCING_COUNTER_BITS) - 1)
-}
-
-pub fn term_of(token: u64) -> u64 {
-    token >> FENCING_COUNTER_BITS
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/scheduler/src/model/cluster.rs
+++ b/crates/scheduler/src/model/cluster.rs
@@ -7,6 +7,7 @@
 
 use walnutlug_admission::shares::Shares;
 
+use crate::leadership::fencing_token::{FencingToken, Term};
 use crate::model::job::{Job, JobIndex, TaskId};
 use crate::model::job_spec::Priority;
 use crate::model::machine::{Machine, MachineState};
@@ -34,9 +35,9 @@
 /// Jobs, tasks and machines as the leader of one term knows them.
 #[derive(Debug)]
 pub struct Cluster {
-    pub(crate) term: u64,
+    pub(crate) term: Term,
     /// Stands for the unknown token of a start that an earlier term sent.
-    pub(crate) loaded_token: u64,
+    pub(crate) loaded_token: FencingToken,
     /// By a number that is never used again, so that a late answer can't mean another job.
     pub jobs: BTreeMap<JobIndex, Job>,
     pub(crate) next_job: JobIndex,
@@ -63,8 +64,8 @@
 impl Cluster {
     /// Without jobs and machines.
     pub(crate) fn new(
-        term: u64,
-        loaded_token: u64,
+        term: Term,
+        loaded_token: FencingToken,
         machine_types: Vec<MachineType>,
         shares: Shares,
     ) -> Cluster {
@@ -105,14 +106,14 @@
             state: MachineState::Booting,
             agent_epoch: 0,
             sequence: 0,
-            acknowledged_token: 0,
+            acknowledged_token: FencingToken::NONE,
             token_sent_at: Timestamp(0),
-            required_token: 0,
+            required_token: FencingToken::NONE,
             unacknowledged_since: None,
             consecutive_losses: 0,
             expected: false,
             fencing_counter: 0,
-            start_token: 0,
+            start_token: FencingToken::NONE,
             hinted_up_at: None,
             last_heartbeat: now,
             requested_at: now,
--- a/crates/scheduler/src/model/machine.rs
+++ b/crates/scheduler/src/model/machine.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::leadership::election::token;
+use crate::leadership::fencing_token::{FencingToken, Term};
 use crate::model::job::{JobIndex, TaskId};
 use crate::model::job_spec::Priority;
 use crate::protocol::workers::WorkerCommand;
@@ -32,12 +32,12 @@
     pub agent_epoch: u64,
     pub sequence: u64,
     /// The token that the worker knew by its newest report.
-    pub acknowledged_token: u64,
+    pub acknowledged_token: FencingToken,
     /// When an answer to its heartbeat last carried a token that it had not seen.
     pub token_sent_at: Timestamp,
     /// The token that it has to show before anything more is started there: raised when a message
     /// to it was lost, or when its lease ran out though its heartbeats arrive.
-    pub required_token: u64,
+    pub required_token: FencingToken,
     /// Since when it has owed that. A machine that is heard and doesn't hear looks alive by its
     /// reports; this is what gives it away.
     pub unacknowledged_since: Option<Timestamp>,
@@ -48,7 +48,7 @@
     pub expected: bool,
     pub fencing_counter: u64,
     /// Highest token with which a start was sent; a reap needs a higher one.
-    pub start_token: u64,
+    pub start_token: FencingToken,
     /// Since when it is said to be running, by the cloud, another node or a heartbeat that may be a
     /// late copy: worth asking directly.
     pub hinted_up_at: Option<Timestamp>,
@@ -136,8 +136,8 @@
 }
 
 impl Machine {
-    pub fn token(&self, term: u64) -> u64 {
-        token(term, self.fencing_counter)
+    pub fn token(&self, term: Term) -> FencingToken {
+        FencingToken::new(term, self.fencing_counter)
     }
 
     /// The lowest priority that a job gave to one of its tasks.
@@ -147,9 +147,9 @@
     }
 
     /// Nothing more is started there until it shows that it heard of this.
-    pub(crate) fn raise_fencing_counter(&mut self, now: Timestamp, term: u64) {
+    pub(crate) fn raise_fencing_counter(&mut self, now: Timestamp, term: Term) {
         self.fencing_counter += 1;
-        self.required_token = token(term, self.fencing_counter);
+        self.required_token = FencingToken::new(term, self.fencing_counter);
         self.unacknowledged_since.get_or_insert(now);
     }
 }
--- a/crates/scheduler/src/model/task.rs
+++ b/crates/scheduler/src/model/task.rs
@@ -11,6 +11,7 @@
 //! A task leaves its machine only on proof ([`TaskEvent::ProvenAbsent`]); no state knows a time-out that
 //! frees it. `unknown` is the paper's: it may have started, and is never resent under its attempt.
 
+use crate::leadership::fencing_token::FencingToken;
 use crate::time::Timestamp;
 
 /// Index of a machine in the scheduler's table.
@@ -70,9 +71,9 @@
     pub machine: MachineIndex,
     /// The worker's agent epoch that the start was sent to.
     pub agent_epoch: u64,
-    /// The token that the start was sent with; 0 until it is sent. Proof of absence needs a
+    /// The token that the start was sent with; [`FencingToken::NONE`] until it is sent. Proof of absence needs a
     /// report that had already seen a higher one.
-    pub token: u64,
+    pub token: FencingToken,
     /// When the phase was entered.
     pub since: Timestamp,
     /// When it was placed where it is, by whichever leader did. Stored, so that a new leader knows
@@ -88,7 +89,7 @@
     /// The round's write is certain to have failed: nothing was sent.
     Retract,
     /// The start goes out, once, with this token.
-    Sent { token: u64 },
+    Sent { token: FencingToken },
     /// A heartbeat shows the attempt on the machine, with its image.
     Observed,
     /// A command to stop it goes out.
@@ -108,7 +109,7 @@
             attempt: 1,
             machine: 0,
             agent_epoch: 0,
-            token: 0,
+            token: FencingToken::NONE,
             since: now,
             placed_at: now,
         }
@@ -123,13 +124,13 @@
             (P::Pending, I::Dispatch { machine, agent_epoch }) => {
                 self.machine = machine;
                 self.agent_epoch = agent_epoch;
-                self.token = 0;
+                self.token = FencingToken::NONE;
                 self.placed_at = now;
                 P::Dispatching
             }
             // Only a start that was never sent may go back under the same attempt.
-            (P::Dispatching, I::Retract) if self.token == 0 => P::Pending,
-            (P::Dispatching, I::Sent { token }) if self.token == 0 => {
+            (P::Dispatching, I::Retract) if self.token == FencingToken::NONE => P::Pending,
+            (P::Dispatching, I::Sent { token }) if self.token == FencingToken::NONE => {
                 self.token = token;
                 P::Dispatching
             }
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -3,7 +3,7 @@
 use walnutlug_admission::resources::Resources;
 
 use crate::event::Event;
-use crate::leadership::election::token;
+use crate::leadership::fencing_token::FencingToken;
 use crate::model::cluster::TeamUsage;
 use crate::model::job::{Job, JobIndex, TaskId};
 use crate::model::job_spec::{JobSpec, Priority};
@@ -108,7 +108,7 @@
         // last leader left on it. One that has been silent for a while is not trusted either.
         m.state == MachineState::Up
             && m.kind.is_some()
-            && m.acknowledged_token >= token(self.term, 0).max(m.required_token)
+            && m.acknowledged_token >= FencingToken::first_of(self.term).max(m.required_token)
             && m.interruption_at.is_none()
             && m.drain_reason.is_none()
             && m.unexpected_tasks == 0
--- a/crates/scheduler/src/protocol/workers.rs
+++ b/crates/scheduler/src/protocol/workers.rs
@@ -2,6 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
+use crate::leadership::fencing_token::FencingToken;
 use crate::protocol::users::is_job_id;
 
 /// One task in a worker's heartbeat.
@@ -59,7 +60,7 @@
     #[serde(rename = "ring")]
     pub sequence: u64,
     #[serde(rename = "staff")]
-    pub token: u64,
+    pub token: FencingToken,
     #[serde(rename = "shakeS", default)]
     pub interruption_notice_s: Option<f64>,
     #[serde(rename = "nuts", default)]
@@ -125,7 +126,7 @@
 #[derive(Debug, Serialize)]
 pub struct HeartbeatResponse {
     #[serde(rename = "staff")]
-    pub token: u64,
+    pub token: FencingToken,
     pub calls: Vec<WorkerCommand>,
 }
 
@@ -141,7 +142,7 @@
 #[derive(Debug, Serialize)]
 pub struct CommandsRequest<'a> {
     #[serde(rename = "staff")]
-    pub token: u64,
+    pub token: FencingToken,
     #[serde(rename = "season")]
     pub agent_epoch: u64,
     pub calls: &'a [WorkerCommand],
--- a/crates/scheduler/src/reconciliation/delegation.rs
+++ b/crates/scheduler/src/reconciliation/delegation.rs
@@ -17,6 +17,7 @@
 
 use std::collections::{HashMap, VecDeque};
 
+use crate::leadership::fencing_token::{FencingToken, Term};
 use crate::leadership::watermark;
 use crate::model::task::MachineIndex;
 use crate::reconciliation::repeated_heartbeats::CachedHeartbeat;
@@ -34,7 +35,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DelegationGrant {
     /// The leader's term.
-    pub term: u64,
+    pub term: Term,
     /// The question's number.
     pub asked: u64,
     /// For how long, as the leader answered, cancellations might have escaped it.
@@ -49,7 +50,7 @@
     /// The heartbeat that left nothing to do.
     pub cached: CachedHeartbeat,
     /// The token to answer repetitions with.
-    pub token: u64,
+    pub token: FencingToken,
     /// For how long they mean nothing.
     pub valid_for: TimeDelta,
     /// The number of the last mark withdrawn before the leader answered.
@@ -59,13 +60,13 @@
 #[derive(Debug, Clone, Copy)]
 struct CacheEntry {
     number: u64,
-    token: u64,
+    token: FencingToken,
     until: Timestamp,
 }
 
 #[derive(Debug)]
 struct GrantedDelegation {
-    term: u64,
+    term: Term,
     at: Timestamp,
     /// Every cancellation told before this has withdrawn its marks.
     cancellations_known_until: Timestamp,
@@ -132,7 +133,7 @@
     }
 
     /// Marks that the leader withdraws, with the number of the first.
-    pub fn invalidate(&mut self, term: u64, first: u64, cache_entries: &[(MachineIndex, u64)]) {
+    pub fn invalidate(&mut self, term: Term, first: u64, cache_entries: &[(MachineIndex, u64)]) {
         let Some(granted) = self.granted.as_mut().filter(|g| g.term == term) else { return };
         granted.catch_up(first.saturating_sub(1));
         granted.invalidated =
@@ -165,7 +166,11 @@
     }
 
     /// The token with which a repetition of the settled report may be answered now.
-    pub fn cached_response_token(&self, now: Timestamp, cached: CachedHeartbeat) -> Option<u64> {
+    pub fn cached_response_token(
+        &self,
+        now: Timestamp,
+        cached: CachedHeartbeat,
+    ) -> Option<FencingToken> {
         let granted = self.granted.as_ref().filter(|g| g.term == cached.term)?;
         let cache_entry = granted.cache_entries.get(&cached.machine)?;
         let in_window = now.since(granted.cancellations_known_until) <= self.window;
@@ -174,12 +179,12 @@
     }
 
     /// The term of the leader to which reports may be passed on now.
-    pub fn forwarding_term(&self, now: Timestamp) -> Option<u64> {
+    pub fn forwarding_term(&self, now: Timestamp) -> Option<Term> {
         self.granted.as_ref().filter(|g| now.since(g.at) <= FRESH).map(|g| g.term)
     }
 
     /// The term of the last grant.
-    pub fn term(&self) -> Option<u64> {
+    pub fn term(&self) -> Option<Term> {
         self.granted.as_ref().map(|g| g.term)
     }
 }
--- a/crates/scheduler/src/reconciliation/health.rs
+++ b/crates/scheduler/src/reconciliation/health.rs
@@ -1,6 +1,7 @@
 //! Which machines are well: silent, deaf, overdue, slow or about to be taken, each alone and all together.
 
 use crate::event::Event;
+use crate::leadership::fencing_token::FencingToken;
 use crate::model::machine::DrainReason;
 use crate::model::machine::MachineState;
 use crate::model::task::TaskPhase;
@@ -163,7 +164,7 @@
                 let task = &job.tasks[id.1 as usize];
                 let started = job.started.get(&id.1);
                 let ran = started.map_or(0.0, |&t| now.since(t).as_secs_f64());
-                let sent = task.token != 0 && task.phase != TaskPhase::Stopping;
+                let sent = task.token != FencingToken::NONE && task.phase != TaskPhase::Stopping;
                 if !sent || ran + left >= self.run_times.expected_run(job) || room < job.spec.cpus {
                     continue;
                 }
--- a/crates/scheduler/src/reconciliation/heartbeats.rs
+++ b/crates/scheduler/src/reconciliation/heartbeats.rs
@@ -2,7 +2,7 @@
 
 use crate::command::Command;
 use crate::event::{Anomaly, Event};
-use crate::leadership::election::token;
+use crate::leadership::fencing_token::FencingToken;
 use crate::model::job::TaskId;
 use crate::model::machine::DrainReason;
 use crate::model::machine::MachineState;
@@ -58,8 +58,8 @@
         &mut self,
         now: Timestamp,
         heartbeat: &Heartbeat,
-    ) -> Option<(u64, Vec<WorkerCommand>)> {
-        if crate::leadership::election::term_of(heartbeat.token) > self.term {
+    ) -> Option<(FencingToken, Vec<WorkerCommand>)> {
+        if heartbeat.token.term() > self.term {
             // Most likely true: then the leader key tells. A token that came from nowhere must not
             // end a term.
             self.log_once(&heartbeat.machine, Anomaly::NewerTerm);
@@ -195,7 +195,7 @@
             return m;
         }
         self.cluster.invalidate_cached_heartbeat(m);
-        if crate::leadership::election::term_of(heartbeat.token) > self.term {
+        if heartbeat.token.term() > self.term {
             return m; // Another leader's to judge.
         }
         self.adopt(now, m, heartbeat, direct);
@@ -249,7 +249,7 @@
                     // An absent task proves nothing while its start may still be under way:
                     // the worker must have moved on to a later agent epoch, or have seen a token
                     // above the one that the start carries.
-                    let proven = task.token != 0
+                    let proven = task.token != FencingToken::NONE
                         && (heartbeat.agent_epoch > task.agent_epoch
                             || heartbeat.token > task.token);
                     if proven {
@@ -265,7 +265,7 @@
         let doubt = machine.tasks.iter().any(|id| {
             self.cluster.job(id.0).is_some_and(|j| {
                 let t = &j.tasks[id.1 as usize];
-                t.token != 0
+                t.token != FencingToken::NONE
                     && t.token == machine.token(self.term)
                     && !machine.request_in_flight
                     && by_task.newest(*id).is_none()
@@ -286,7 +286,7 @@
         // Only a worker that has heard of this term, or answers right now, shows that its machine
         // lives. Anything else may be a copy, minutes old, that reached a leader which never saw
         // the newer ones: the machine is asked, and nothing else comes of it.
-        let live = direct || heartbeat.token >= token(term, 0);
+        let live = direct || heartbeat.token >= FencingToken::first_of(term);
         if heartbeat.agent_epoch > machine.agent_epoch {
             // A new agent epoch begins without tasks, and without messages meant for the old one.
             machine.outbox.clear();
@@ -295,7 +295,7 @@
                 machine.raise_fencing_counter(now, term);
             }
         }
-        let first = machine.acknowledged_token < token(term, 0);
+        let first = machine.acknowledged_token < FencingToken::first_of(term);
         machine.agent_epoch = heartbeat.agent_epoch;
         machine.sequence = heartbeat.sequence;
         machine.acknowledged_token = heartbeat.token;
@@ -343,7 +343,7 @@
             self.log(Event::MachineInterruptionNotice { machine });
         }
         let machine = &self.cluster.machines[m as usize];
-        if first && machine.acknowledged_token >= token(term, 0) {
+        if first && machine.acknowledged_token >= FencingToken::first_of(term) {
             self.cluster.placement_needed = true;
         }
     }
@@ -358,7 +358,7 @@
         if task.phase.placed() && !here {
             // An older attempt finished after all. The newer one is of no use: it is stopped
             // first, and only its proven absence lets the registry forget it.
-            if task.token != 0 || task.phase != TaskPhase::Dispatching {
+            if task.token != FencingToken::NONE || task.phase != TaskPhase::Dispatching {
                 self.stop(now, id, 0.0);
             }
             return;
@@ -455,7 +455,7 @@
                 if let Some(job) = self.cluster.job(id.0) {
                     let t = &job.tasks[id.1 as usize];
                     if t.phase == TaskPhase::Dispatching
-                        && t.token != 0
+                        && t.token != FencingToken::NONE
                         && now.since(t.since) >= limit
                     {
                         late.push(id);
@@ -497,7 +497,7 @@
         for &id in tasks {
             let unsent = self.cluster.job(id.0).is_some_and(|j| {
                 let t = &j.tasks[id.1 as usize];
-                t.phase == TaskPhase::Dispatching && t.token == 0
+                t.phase == TaskPhase::Dispatching && t.token == FencingToken::NONE
             });
             // An unsent start is settled by the answer to its own write.
             if !unsent {
--- a/crates/scheduler/src/reconciliation/repeated_heartbeats.rs
+++ b/crates/scheduler/src/reconciliation/repeated_heartbeats.rs
@@ -15,7 +15,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::leadership::election::token;
+use crate::leadership::fencing_token::{FencingToken, Term};
 use crate::model::job::TaskId;
 use crate::model::machine::MachineState;
 use crate::model::task::{MachineIndex, TaskPhase};
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CachedHeartbeat {
     /// The term of the scheduler.
-    pub term: u64,
+    pub term: Term,
     /// The machine's place in that scheduler's table.
     pub machine: MachineIndex,
     /// Never given twice in a term.
@@ -78,7 +78,7 @@
         // The answer raises no token, and the machine owes none.
         let token_agrees = heartbeat.token == known.acknowledged_token
             && heartbeat.token == known.token(self.term)
-            && heartbeat.token >= token(self.term, 0).max(known.required_token);
+            && heartbeat.token >= FencingToken::first_of(self.term).max(known.required_token);
         let machine_is_well = known.state == MachineState::Up
             && known.kind.is_some()
             && known.interruption_at.is_none()
@@ -150,7 +150,7 @@
         now: Timestamp,
         cached: CachedHeartbeat,
         sequence: u64,
-    ) -> Option<u64> {
+    ) -> Option<FencingToken> {
         if !self.may_renew_leases(now) || !self.record_repeated_heartbeat(now, cached, sequence) {
             return None;
         }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -11,7 +11,7 @@
 use crate::command::Command;
 use crate::dispatch::Messages;
 use crate::event::{Anomaly, Event};
-use crate::leadership::election::token;
+use crate::leadership::fencing_token::{FencingToken, Term};
 use crate::leadership::watermark;
 use crate::model::cluster::Cluster;
 use crate::model::job::TaskId;
@@ -31,7 +31,7 @@
 pub struct Scheduler {
     pub site: std::rc::Rc<Site>,
     pub tunables: std::rc::Rc<Tunables>,
-    pub term: u64,
+    pub term: Term,
     pub started_at: Timestamp,
     /// Jobs, tasks and machines.
     pub cluster: Cluster,
@@ -81,7 +81,7 @@
     pub fn new(
         site: std::rc::Rc<Site>,
         tunables: std::rc::Rc<Tunables>,
-        term: u64,
+        term: Term,
         types: Vec<MachineType>,
         now: Timestamp,
     ) -> Scheduler {
@@ -90,7 +90,7 @@
         Scheduler {
             term,
             started_at: now,
-            cluster: Cluster::new(term, token(term, 0) - 1, types, shares),
+            cluster: Cluster::new(term, FencingToken::last_before(term), types, shares),
             dependency_graph: DependencyGraph::default(),
             fair_share: crate::queue::fair_share::FairShare::default(),
             run_times: RunTimes::default(),
@@ -195,7 +195,7 @@
     pub(crate) fn stop(&mut self, now: Timestamp, id: TaskId, grace_s: f64) {
         let Some(job) = self.cluster.jobs.get(&id.0) else { return };
         let task = job.tasks[id.1 as usize];
-        if task.phase == TaskPhase::Dispatching && task.token == 0 {
+        if task.phase == TaskPhase::Dispatching && task.token == FencingToken::NONE {
             // Not sent yet, and with the job over or the task wanted elsewhere it never will be:
             // the commit's answer takes it back.
             return;
--- a/crates/scheduler/src/storage/transactions.rs
+++ b/crates/scheduler/src/storage/transactions.rs
@@ -1,6 +1,7 @@
 //! Rounds: what was decided is written before anything is sent, and sent once it is written.
 
 use crate::command::{Command, TransactionOutcome};
+use crate::leadership::fencing_token::FencingToken;
 use std::collections::BTreeMap;
 
 use serde_json::Value;
@@ -355,7 +356,7 @@
             if task.phase == TaskPhase::Done && !job.recorded.contains(index) {
                 batch.finishes.push((ix, index));
             }
-            if task.phase == TaskPhase::Dispatching && task.token == 0 {
+            if task.phase == TaskPhase::Dispatching && task.token == FencingToken::NONE {
                 batch.starts.push((ix, index));
             }
             if job.changed.remove(index) {
@@ -402,7 +403,7 @@
         batch
             .transaction
             .compares
-            .insert(0, Compare { key: keys::LEADER.into(), revision: self.term });
+            .insert(0, Compare { key: keys::LEADER.into(), revision: self.term.get() });
         self.out.push(Command::Commit { id, transaction: batch.transaction.clone() });
         let (retry_at, indeterminate, too_large) = (None, false, false);
         self.transactions
@@ -635,7 +636,7 @@
     fn send_start(&mut self, id: TaskId) {
         let Some(job) = self.cluster.job(id.0) else { return };
         let task = job.tasks[id.1 as usize];
-        if task.phase == TaskPhase::Dispatching && task.token == 0 {
+        if task.phase == TaskPhase::Dispatching && task.token == FencingToken::NONE {
             self.cluster.machines[task.machine as usize].starting.push(id);
             self.enqueue_send(task.machine);
         }
@@ -662,7 +663,10 @@
         for id in std::mem::take(&mut self.cluster.machines[m as usize].starting) {
             let Some(job) = self.cluster.job(id.0) else { continue };
             let task = job.tasks[id.1 as usize];
-            if task.phase != TaskPhase::Dispatching || task.token != 0 || task.machine != m {
+            if task.phase != TaskPhase::Dispatching
+                || task.token != FencingToken::NONE
+                || task.machine != m
+            {
                 continue;
             }
             if job.is_ended() || !open || task.agent_epoch != agent_epoch {
--- a/crates/scheduler/tests/autoscaling.rs
+++ b/crates/scheduler/tests/autoscaling.rs
@@ -5,6 +5,7 @@
 use serde_json::json;
 use walnutlug_scheduler::command::{Command, MessageOutcome};
 use walnutlug_scheduler::event::Event;
+use walnutlug_scheduler::leadership::fencing_token::FencingToken;
 use walnutlug_scheduler::model::job_spec::{JobSpec, Priority};
 use walnutlug_scheduler::model::machine::DrainReason;
 use walnutlug_scheduler::protocol::cloud::{CloudMachineState, ListedMachine, MachineType};
@@ -201,8 +202,9 @@
         w.leader.cluster.hint_address(w.now, name, "10.0.0.1:1");
     }
     let mut rounds = 0;
-    let seen =
-        |w: &World| w.leader.cluster.machines.iter().filter(|m| m.acknowledged_token > 0).count();
+    let seen = |w: &World| {
+        w.leader.cluster.machines.iter().filter(|m| m.acknowledged_token > FencingToken(0)).count()
+    };
     while seen(&w) < 2_060 {
         rounds += 1;
         assert!(rounds < 90, "{} of 2,060 asked after 90 rounds", seen(&w));
--- a/crates/scheduler/tests/delegation.rs
+++ b/crates/scheduler/tests/delegation.rs
@@ -7,6 +7,7 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
+use walnutlug_scheduler::leadership::fencing_token::{FencingToken, Term};
 use walnutlug_scheduler::leadership::watermark;
 use walnutlug_scheduler::reconciliation::delegation::{
     CacheGrant, DelegationGrant, FollowerDelegation,
@@ -15,7 +16,7 @@
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 use walnutlug_scheduler::tunables::Site;
 
-const TERM: u64 = 7;
+const TERM: Term = Term(7);
 const START: Timestamp = Timestamp(1 << 40);
 
 fn site(lease_s: u64, cancel_s: u64) -> Site {
@@ -28,7 +29,12 @@
 
 fn cache_entry(machine: u32, number: u64, invalidated: u64) -> CacheGrant {
     let cached = CachedHeartbeat { term: TERM, machine, number };
-    CacheGrant { cached, token: 70 + number, valid_for: TimeDelta::from_secs(1_000), invalidated }
+    CacheGrant {
+        cached,
+        token: FencingToken(70 + number),
+        valid_for: TimeDelta::from_secs(1_000),
+        invalidated,
+    }
 }
 
 /// A follower that was granted its share at the start, with a mark for machine 1.
@@ -46,7 +52,7 @@
     follower: &mut FollowerDelegation,
     asked_at: Timestamp,
     now: Timestamp,
-    term: u64,
+    term: Term,
     invalidated: u64,
 ) -> bool {
     let asked = follower.ask(asked_at);
@@ -98,9 +104,9 @@
             |f| assert!(grant(f, START, START, TERM, 1)),
             false,
         ),
-        ("an older term withdraws", |f| f.invalidate(TERM - 1, 1, &[(1, 1)]), true),
-        ("a newer term grants", |f| assert!(grant(f, START, START, TERM + 1, 0)), false),
-        ("an older term grants", |f| assert!(!grant(f, START, START, TERM - 1, 5)), true),
+        ("an older term withdraws", |f| f.invalidate(Term(6), 1, &[(1, 1)]), true),
+        ("a newer term grants", |f| assert!(grant(f, START, START, Term(8), 0)), false),
+        ("an older term grants", |f| assert!(!grant(f, START, START, Term(6), 5)), true),
     ];
     for (case, change, holds) in cases {
         let (mut follower, new) = granted(&site(24, 44));
--- a/crates/scheduler/tests/golden_bytes.rs
+++ b/crates/scheduler/tests/golden_bytes.rs
@@ -9,6 +9,7 @@
 use serde::Serialize;
 use serde_json::{json, Value};
 use walnutlug_scheduler::command::Command;
+use walnutlug_scheduler::leadership::fencing_token::FencingToken;
 use walnutlug_scheduler::model::job_spec::{JobEnd, JobSpec, Priority};
 use walnutlug_scheduler::model::task::TaskPhase;
 use walnutlug_scheduler::protocol::key_value::{KeyValue, Operation};
@@ -437,7 +438,7 @@
         spot: true,
         agent_epoch: 3,
         sequence: 88,
-        token: 41,
+        token: FencingToken(41),
         interruption_notice_s: Some(27.5),
         tasks: vec![
             task(0, TaskState::Fetching, None),
@@ -467,9 +468,18 @@
     let answers = stages.map(|stage| job_response(JOB, stage, None).to_string()).join("\n");
     let found = [
         ("report", text(&full_report())),
-        ("answer to a report", text(&HeartbeatResponse { token: 41, calls: calls() })),
-        ("answer without calls", text(&HeartbeatResponse { token: 41, calls: Vec::new() })),
-        ("commands", text(&CommandsRequest { token: 41, agent_epoch: 7, calls: &calls() })),
+        (
+            "answer to a report",
+            text(&HeartbeatResponse { token: FencingToken(41), calls: calls() }),
+        ),
+        (
+            "answer without calls",
+            text(&HeartbeatResponse { token: FencingToken(41), calls: Vec::new() }),
+        ),
+        (
+            "commands",
+            text(&CommandsRequest { token: FencingToken(41), agent_epoch: 7, calls: &calls() }),
+        ),
         ("redirect", text(&Redirect { node: Some("kernel-2".into()) })),
         ("redirect to none", text(&Redirect { node: None })),
         ("job", answers),
@@ -482,7 +492,10 @@
     assert!(read.machine == full.machine && read.address == full.address, "report: names");
     assert!(read.kind == full.kind && read.zone == full.zone, "report: type and zone");
     assert!(read.spot && read.interruption_notice_s == Some(27.5), "report: spot and notice");
-    assert!((read.agent_epoch, read.sequence, read.token) == (3, 88, 41), "report: numbers");
+    assert!(
+        (read.agent_epoch, read.sequence, read.token) == (3, 88, FencingToken(41)),
+        "report: numbers"
+    );
     assert!(read.tasks == full.tasks, "report: tasks");
     assert!(text(&read) == heartbeat, "report: written again it differs");
     let commands: Value = serde_json::from_str(&golden.text("commands")).expect("commands");
--- a/crates/scheduler/tests/random_interleavings.rs
+++ b/crates/scheduler/tests/random_interleavings.rs
@@ -7,6 +7,7 @@
 use proptest::test_runner::{Config, RngSeed};
 use serde_json::json;
 use walnutlug_scheduler::command::{Command, MessageOutcome, TransactionOutcome};
+use walnutlug_scheduler::leadership::fencing_token::{FencingToken, Term};
 use walnutlug_scheduler::protocol::workers::{Heartbeat, WorkerCommand};
 use walnutlug_scheduler::scheduler::Scheduler;
 use world::{spec, World};
@@ -14,16 +15,16 @@
 /// A message that the test holds.
 enum Held {
     /// To the state store; `None`: a copy nobody waits for.
-    Commit(u64, Option<u64>, walnutlug_scheduler::protocol::key_value::Transaction),
-    Read(u64, u64, String),
+    Commit(Term, Option<u64>, walnutlug_scheduler::protocol::key_value::Transaction),
+    Read(Term, u64, String),
     /// A leader's question about ends.
-    Ends(u64, Vec<String>),
+    Ends(Term, Vec<String>),
     /// To a worker: term of the sender, whether its answer still matters.
     Direct {
-        term: u64,
+        term: Term,
         waits: bool,
         name: String,
-        token: u64,
+        token: FencingToken,
         agent_epoch: u64,
         calls: Vec<WorkerCommand>,
     },
@@ -46,7 +47,7 @@
     /// Whether processes of the former version may still come to lead.
     former: bool,
     /// Terms under which one leads, or thinks it does.
-    former_terms: std::collections::BTreeSet<u64>,
+    former_terms: std::collections::BTreeSet<Term>,
 }
 
 /// The jobs, each with those that it needs. The first two are there before the upgrade, in chunks of the
@@ -79,14 +80,14 @@
         }
     }
 
-    fn scheduler(&mut self, term: u64) -> Option<&mut Scheduler> {
+    fn scheduler(&mut self, term: Term) -> Option<&mut Scheduler> {
         if self.w.leader.term == term {
             return Some(&mut self.w.leader);
         }
         self.old.iter_mut().find(|s| s.term == term)
     }
 
-    fn hold(&mut self, term: u64, commands: Vec<Command>) {
+    fn hold(&mut self, term: Term, commands: Vec<Command>) {
         for command in commands {
             match command {
                 Command::Commit { id, transaction } => {
@@ -316,7 +317,7 @@
                 if pick.is_multiple_of(8) {
                     worker.agent_epoch += 1;
                     worker.sequence = 0;
-                    worker.token = 0;
+                    worker.token = FencingToken(0);
                 }
             }
             _ => self.w.wait(700),
--- a/crates/scheduler/tests/sim/follower.rs
+++ b/crates/scheduler/tests/sim/follower.rs
@@ -1,6 +1,7 @@
 //! A node that answers workers on the leader's behalf, in the simulation: the other side of a stream of
 //! frames that are late by up to a third of a second, and lost while the nodes don't hear each other.
 
+use walnutlug_scheduler::leadership::fencing_token::{FencingToken, Term};
 use walnutlug_scheduler::protocol::workers::{Heartbeat, WorkerCommand};
 use walnutlug_scheduler::reconciliation::delegation::{
     CacheGrant, DelegationGrant, FollowerDelegation,
@@ -17,7 +18,7 @@
 
 enum ToFollower {
     DelegationGrant(DelegationGrant),
-    Invalidated { term: u64, first: u64, cached: CachedHeartbeat },
+    Invalidated { term: Term, first: u64, cached: CachedHeartbeat },
 }
 
 pub(super) struct Follower {
@@ -26,7 +27,7 @@
     last_frame: Timestamp,
     heard: Vec<(CachedHeartbeat, u64)>,
     /// Marks withdrawn by the leader of a term.
-    invalidated: (u64, u64),
+    invalidated: (Term, u64),
     asks_at: Timestamp,
     /// Repetitions that it answered by itself.
     pub(super) repeated: u64,
@@ -39,7 +40,7 @@
             frames: Vec::new(),
             last_frame: Timestamp(0),
             heard: Vec::new(),
-            invalidated: (0, 0),
+            invalidated: (Term(0), 0),
             asks_at: Timestamp(0),
             repeated: 0,
         }
@@ -116,7 +117,7 @@
         linked: bool,
         cached: &mut Option<(Heartbeat, CachedHeartbeat)>,
         heartbeat: &Heartbeat,
-    ) -> Option<(u64, Vec<WorkerCommand>)> {
+    ) -> Option<(FencingToken, Vec<WorkerCommand>)> {
         if let Some(cache_entry) = super::repeats(cached, heartbeat) {
             if let Some(token) = self.served.cached_response_token(now, cache_entry) {
                 self.heard.push((cache_entry, heartbeat.sequence));
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -10,6 +10,7 @@
 use rand::{RngExt, SeedableRng};
 use serde_json::{json, Value};
 use walnutlug_scheduler::command::{Command, MessageOutcome, TransactionOutcome};
+use walnutlug_scheduler::leadership::fencing_token::{FencingToken, Term};
 use walnutlug_scheduler::model::job_spec::{JobEnd, JobSpec};
 use walnutlug_scheduler::protocol::cloud::{CloudMachineState, ListedMachine};
 use walnutlug_scheduler::protocol::key_value::{Operation, Transaction};
@@ -116,7 +117,7 @@
     deaf: Timestamp,
     hung: Timestamp,
     /// Messages that came while it hung or that were held up.
-    held: Vec<(Timestamp, u64, u64, Vec<WorkerCommand>)>,
+    held: Vec<(Timestamp, FencingToken, u64, Vec<WorkerCommand>)>,
     ran: BTreeMap<(String, u64), TimeDelta>,
     gone: bool,
     /// Its last heartbeat, if that left nothing to do.
@@ -139,7 +140,7 @@
     now: Timestamp,
     cached: &mut Option<(Heartbeat, CachedHeartbeat)>,
     heartbeat: &Heartbeat,
-) -> Option<(u64, Vec<WorkerCommand>)> {
+) -> Option<(FencingToken, Vec<WorkerCommand>)> {
     leader.s.cancellations_known_until = leader.known;
     if let Some(cache_entry) = repeats(cached, heartbeat) {
         if let Some(token) =
@@ -166,17 +167,17 @@
 
 enum Event {
     Answer {
-        term: u64,
+        term: Term,
         id: u64,
         outcome: TransactionOutcome,
     },
     Read {
-        term: u64,
+        term: Term,
         id: u64,
         answer: Option<(Value, u64)>,
     },
     Direct {
-        term: u64,
+        term: Term,
         machine: u32,
         outcome: MessageOutcome,
     },
@@ -497,7 +498,8 @@
         self.saw("elected");
         let term = self.store.put(keys::LEADER, json!(self.now.0));
         let tunables = Rc::new(Tunables::default());
-        let mut s = Scheduler::new(self.site.clone(), tunables, term, world::types(), self.now);
+        let mut s =
+            Scheduler::new(self.site.clone(), tunables, Term(term), world::types(), self.now);
         let wall = world::WALL + (self.now.0 - START.0);
         for key_value in self.store.key_values(keys::TODO) {
             let name = key_value.key.strip_prefix(keys::TODO).expect("a description").to_owned();
@@ -585,7 +587,7 @@
 
     fn happen(&mut self, event: Event) {
         let now = self.now;
-        let by_term = |sim: &mut Sim, term: u64, f: &mut dyn FnMut(&mut Scheduler)| {
+        let by_term = |sim: &mut Sim, term: Term, f: &mut dyn FnMut(&mut Scheduler)| {
             if let Some(l) = sim.leaders.iter_mut().find(|l| l.s.term == term) {
                 f(&mut l.s);
             }
@@ -785,15 +787,15 @@
         }
     }
 
-    fn carry_out(&mut self, i: usize, term: u64, served: bool, command: Command) {
+    fn carry_out(&mut self, i: usize, term: Term, served: bool, command: Command) {
         match command {
             Command::Log(_) | Command::FindJobEnds { .. } => {}
             Command::VerifyLeadership | Command::StepDown(_) => {
                 let cache_entry = self.store.keys.get(keys::LEADER).map_or(0, |k| k.1);
                 let down = matches!(command, Command::StepDown(_));
-                if served && (down || cache_entry != term) {
+                if served && (down || cache_entry != term.get()) {
                     self.leaders[i].served = Timestamp(0);
-                    if cache_entry == term {
+                    if cache_entry == term.get() {
                         self.elect_at.get_or_insert(self.now + TimeDelta::from_millis(500));
                     }
                 }
--- a/crates/scheduler/tests/task_starts.rs
+++ b/crates/scheduler/tests/task_starts.rs
@@ -24,7 +24,7 @@
     assert!(transaction
         .compares
         .iter()
-        .any(|g| g.key == keys::LEADER && g.revision == w.leader.term));
+        .any(|g| g.key == keys::LEADER && g.revision == w.leader.term.get()));
     assert!(transaction.compares.iter().any(|g| g.key == keys::end(JOB) && g.revision == 0));
     let outcome = w.store.apply(&transaction);
     assert!(w.store.keys.contains_key(&keys::run(JOB, 0)));
--- a/crates/scheduler/tests/transcripts/scripts.rs
+++ b/crates/scheduler/tests/transcripts/scripts.rs
@@ -7,6 +7,7 @@
 use serde_json::json;
 use walnutlug_scheduler::command::{Command, MessageOutcome, TransactionOutcome};
 use walnutlug_scheduler::leadership::election::{ElectionEvent, Leadership, Role};
+use walnutlug_scheduler::leadership::fencing_token::Term;
 use walnutlug_scheduler::leadership::watermark::{CancellationLog, Watermark};
 use walnutlug_scheduler::model::job_spec::{JobEnd, JobSpec, Priority};
 use walnutlug_scheduler::model::team::Team;
@@ -608,7 +609,7 @@
     for step in 0..1_500u64 {
         transcript::next_step();
         now = now + TimeDelta::from_millis(dice.below(900) as u64);
-        let term = 1 + dice.below(3) as u64;
+        let term = Term(1 + dice.below(3) as u64);
         let changed = match dice.below(7) {
             0 => leadership.step(now, ElectionEvent::Vacant),
             1 => leadership.step(now, ElectionEvent::Won { term }),
--- a/crates/scheduler/tests/untrusted_reports.rs
+++ b/crates/scheduler/tests/untrusted_reports.rs
@@ -5,7 +5,7 @@
 
 use walnutlug_scheduler::command::{Command, MessageOutcome};
 use walnutlug_scheduler::event::{Anomaly, Event};
-use walnutlug_scheduler::leadership::election::token;
+use walnutlug_scheduler::leadership::fencing_token::{FencingToken, Term};
 use walnutlug_scheduler::model::job_spec::{JobSpec, Priority};
 use walnutlug_scheduler::model::machine::MachineState;
 use walnutlug_scheduler::model::task::TaskPhase;
@@ -198,7 +198,7 @@
 fn a_token_from_the_future_makes_the_leader_look_and_not_leave() {
     let mut w = World::new(&[("n-1", "a")]);
     let mut odd = report_of(&mut w, "n-1");
-    odd.token = token(w.leader.term + 1_000, 0);
+    odd.token = FencingToken::first_of(Term(w.leader.term.get() + 1_000));
     let before = machine(&w, "n-1").clone();
     for _ in 0..3 {
         assert!(w.leader.heartbeat(w.now, &odd).is_none(), "the worker goes elsewhere");
--- a/crates/scheduler/tests/world/mod.rs
+++ b/crates/scheduler/tests/world/mod.rs
@@ -7,7 +7,7 @@
 
 use serde_json::{json, Value};
 use walnutlug_scheduler::command::{Command, MessageOutcome, TransactionOutcome};
-use walnutlug_scheduler::leadership::election::token;
+use walnutlug_scheduler::leadership::fencing_token::{FencingToken, Term};
 use walnutlug_scheduler::model::job_spec::{JobEnd, JobSpec, Priority};
 use walnutlug_scheduler::model::team::Team;
 use walnutlug_scheduler::protocol::cloud::MachineType;
@@ -121,7 +121,7 @@
     pub zone: String,
     pub agent_epoch: u64,
     pub sequence: u64,
-    pub token: u64,
+    pub token: FencingToken,
     pub tasks: BTreeMap<(String, u64), (TaskState, Option<ExitReason>)>,
     pub alive: bool,
     pub interruption_at: Option<f64>,
@@ -135,7 +135,7 @@
             zone: zone.to_owned(),
             agent_epoch: 1,
             sequence: 0,
-            token: 0,
+            token: FencingToken(0),
             tasks: BTreeMap::new(),
             alive: true,
             interruption_at: None,
@@ -204,7 +204,12 @@
     }
 
     /// `/commands`: the heartbeat after them, executed or not.
-    pub fn direct(&mut self, token: u64, agent_epoch: u64, calls: &[WorkerCommand]) -> Heartbeat {
+    pub fn direct(
+        &mut self,
+        token: FencingToken,
+        agent_epoch: u64,
+        calls: &[WorkerCommand],
+    ) -> Heartbeat {
         if token >= self.token && agent_epoch == self.agent_epoch {
             self.token = token;
             self.execute(calls);
@@ -213,7 +218,7 @@
     }
 
     /// The answer to a heartbeat of the given agent epoch.
-    pub fn answered(&mut self, agent_epoch: u64, token: u64, calls: &[WorkerCommand]) {
+    pub fn answered(&mut self, agent_epoch: u64, token: FencingToken, calls: &[WorkerCommand]) {
         if token >= self.token && agent_epoch == self.agent_epoch {
             self.token = token;
             self.execute(calls);
@@ -316,7 +321,7 @@
         let now = Timestamp(START);
         let workers = machines.iter().map(|(n, z)| ((*n).to_owned(), Worker::new(n, z))).collect();
         let leader =
-            Scheduler::new(Rc::new(site), Rc::new(Tunables::default()), term, types(), now);
+            Scheduler::new(Rc::new(site), Rc::new(Tunables::default()), Term(term), types(), now);
         let mut world = World { now, store, workers, leader, commands: Vec::new(), cut_off: false };
         world.all_report();
         world.all_report();
@@ -382,7 +387,7 @@
         }
     }
 
-    pub fn take_direct(&mut self) -> (u32, u64, u64, Vec<WorkerCommand>) {
+    pub fn take_direct(&mut self) -> (u32, FencingToken, u64, Vec<WorkerCommand>) {
         let with_calls =
             |c: &Command| matches!(c, Command::SendToWorker { calls, .. } if !calls.is_empty());
         let at = self.commands.iter().position(with_calls);
@@ -404,7 +409,10 @@
     }
 
     /// A job of one task whose start is on its way: the machine's name and the message.
-    pub fn start_under_way(&mut self, job: &str) -> (String, (u32, u64, u64, Vec<WorkerCommand>)) {
+    pub fn start_under_way(
+        &mut self,
+        job: &str,
+    ) -> (String, (u32, FencingToken, u64, Vec<WorkerCommand>)) {
         self.submit(job, &spec(1));
         self.place_and_commit();
         let message = self.take_direct();
@@ -472,7 +480,13 @@
         }
     }
 
-    pub fn deliver(&mut self, machine: u32, token: u64, agent_epoch: u64, calls: &[WorkerCommand]) {
+    pub fn deliver(
+        &mut self,
+        machine: u32,
+        token: FencingToken,
+        agent_epoch: u64,
+        calls: &[WorkerCommand],
+    ) {
         let name = self.leader.cluster.machines[machine as usize].name.clone();
         let outcome = match self.workers.get_mut(&name) {
             Some(worker) if worker.alive => {
@@ -513,7 +527,7 @@
     pub fn take_over_as(&mut self, former: bool) -> Scheduler {
         let term = self.store.put(keys::LEADER, json!("next"));
         let (site, tunables) = (self.leader.site.clone(), self.leader.tunables.clone());
-        let mut s = Scheduler::new(site, tunables, term, types(), self.now);
+        let mut s = Scheduler::new(site, tunables, Term(term), types(), self.now);
         for (key, (value, _)) in &self.store.keys {
             if let Some(name) = keys::described(key) {
                 if !former || key.starts_with(keys::TODO) {
@@ -580,7 +594,7 @@
         self.leader.cluster.job(ix).expect("job").tasks[index].attempt
     }
 
-    pub fn token_now(&self) -> u64 {
-        token(self.leader.term, 0)
+    pub fn token_now(&self) -> FencingToken {
+        FencingToken::first_of(self.leader.term)
     }
 }
--- a/crates/scheduler/tests/world/transcript.rs
+++ b/crates/scheduler/tests/world/transcript.rs
@@ -9,6 +9,7 @@
 use serde::Serialize;
 use serde_json::Value;
 use walnutlug_scheduler::command::{Command, TransactionOutcome};
+use walnutlug_scheduler::leadership::fencing_token::{FencingToken, Term};
 use walnutlug_scheduler::protocol::key_value::{Operation, Transaction};
 use walnutlug_scheduler::protocol::workers::WorkerCommand;
 
@@ -55,11 +56,11 @@
 }
 
 /// What the leader of that term wants done now.
-pub fn commands(term: u64, commands: &[Command]) {
+pub fn commands(term: Term, commands: &[Command]) {
     with(|transcript| commands.iter().for_each(|c| command(transcript, term, c)));
 }
 
-fn command(transcript: &mut Transcript, term: u64, command: &Command) {
+fn command(transcript: &mut Transcript, term: Term, command: &Command) {
     match command {
         // Text for the log.
         Command::Log(_) => {}
@@ -130,7 +131,7 @@
 }
 
 /// How a heartbeat of that kind (whole, repeated, repeated at another node, late) was answered.
-pub fn answer(kind: &str, machine: &str, answer: Option<&(u64, Vec<WorkerCommand>)>) {
+pub fn answer(kind: &str, machine: &str, answer: Option<&(FencingToken, Vec<WorkerCommand>)>) {
     with(|transcript| {
         let text = match answer {
             Some((token, calls)) => {
