--- a/crates/controller/src/node/golden_tests.rs
+++ b/crates/controller/src/node/golden_tests.rs
@@ -5,6 +5,7 @@
 use tokio::task::LocalSet;
 use walnutlug_scheduler::command::MessageOutcome;
 use walnutlug_scheduler::leadership::fencing_token::FencingToken;
+use walnutlug_scheduler::model::ids::AgentEpoch;
 use walnutlug_scheduler::protocol::cloud::MachineType;
 use walnutlug_scheduler::protocol::workers::WorkerCommand;
 use walnutlug_scheduler::storage::keys;
@@ -271,9 +272,14 @@
             Ok(Response { status, body: report_of(88, FencingToken(41)).into_bytes() })
         };
         let client = Client::scripted(Box::new(script));
-        let outcome =
-            worker_api::send_commands(&client, "10.1.0.232:9000", FencingToken(41), 7, &calls)
-                .await;
+        let outcome = worker_api::send_commands(
+            &client,
+            "10.1.0.232:9000",
+            FencingToken(41),
+            AgentEpoch(7),
+            &calls,
+        )
+        .await;
         match outcome {
             MessageOutcome::Answered(heartbeat) => {
                 assert!(status == 200 || status == 409, "{kind}: the status was read otherwise");
--- a/crates/controller/src/worker_api.rs
+++ b/crates/controller/src/worker_api.rs
@@ -6,6 +6,7 @@
 use walnutlug_scheduler::command::MessageOutcome;
 use walnutlug_scheduler::leadership::election::Role;
 use walnutlug_scheduler::leadership::fencing_token::FencingToken;
+use walnutlug_scheduler::model::ids::AgentEpoch;
 use walnutlug_scheduler::protocol::workers::{
     CommandsRequest, Heartbeat, HeartbeatResponse, Redirect, WorkerCommand,
 };
@@ -175,7 +176,7 @@
     client: &Client,
     address: &str,
     token: FencingToken,
-    agent_epoch: u64,
+    agent_epoch: AgentEpoch,
     calls: &[WorkerCommand],
 ) -> MessageOutcome {
     let Ok(addr) = address.parse::<SocketAddrV4>() else { return MessageOutcome::NotSent };
--- a/crates/scheduler/src/command.rs
+++ b/crates/scheduler/src/command.rs
@@ -2,6 +2,7 @@
 
 use crate::event::Event;
 use crate::leadership::fencing_token::FencingToken;
+use crate::model::ids::AgentEpoch;
 use crate::model::task::MachineIndex;
 use crate::protocol::key_value::Transaction;
 use crate::protocol::workers::{Heartbeat, WorkerCommand};
@@ -28,7 +29,7 @@
         machine: MachineIndex,
         address: String,
         token: FencingToken,
-        agent_epoch: u64,
+        agent_epoch: AgentEpoch,
         calls: Vec<WorkerCommand>,
     },
     ScaleOut {
--- a/crates/scheduler/src/model.rs
+++ b/crates/scheduler/src/model.rs
@@ -1,6 +1,7 @@
 //! What the scheduler reasons about: jobs, tasks, machines and teams, each with its states.
 
 pub mod cluster;
+pub mod ids;
 pub mod job;
 pub mod job_spec;
 pub mod job_state;
--- a/crates/scheduler/src/model/cluster.rs
+++ b/crates/scheduler/src/model/cluster.rs
@@ -8,6 +8,7 @@
 use walnutlug_admission::shares::Shares;
 
 use crate::leadership::fencing_token::{FencingToken, Term};
+use crate::model::ids::AgentEpoch;
 use crate::model::job::{Job, JobIndex, TaskId};
 use crate::model::job_spec::Priority;
 use crate::model::machine::{Machine, MachineState};
@@ -104,7 +105,7 @@
             zone: String::new(),
             spot: false,
             state: MachineState::Booting,
-            agent_epoch: 0,
+            agent_epoch: AgentEpoch::NONE,
             sequence: 0,
             acknowledged_token: FencingToken::NONE,
             token_sent_at: Timestamp(0),
--- a/crates/scheduler/src/model/machine.rs
+++ b/crates/scheduler/src/model/machine.rs
@@ -3,6 +3,7 @@
 use std::collections::BTreeSet;
 
 use crate::leadership::fencing_token::{FencingToken, Term};
+use crate::model::ids::AgentEpoch;
 use crate::model::job::{JobIndex, TaskId};
 use crate::model::job_spec::Priority;
 use crate::protocol::workers::WorkerCommand;
@@ -29,7 +30,7 @@
     pub zone: String,
     pub spot: bool,
     pub state: MachineState,
-    pub agent_epoch: u64,
+    pub agent_epoch: AgentEpoch,
     pub sequence: u64,
     /// The token that the worker knew by its newest report.
     pub acknowledged_token: FencingToken,
--- a/crates/scheduler/src/model/task.rs
+++ b/crates/scheduler/src/model/task.rs
@@ -12,6 +12,7 @@
 //! frees it. `unknown` is the paper's: it may have started, and is never resent under its attempt.
 
 use crate::leadership::fencing_token::FencingToken;
+use crate::model::ids::AgentEpoch;
 use crate::time::Timestamp;
 
 /// Index of a machine in the scheduler's table.
@@ -70,7 +71,7 @@
     pub attempt: u32,
     pub machine: MachineIndex,
     /// The worker's agent epoch that the start was sent to.
-    pub agent_epoch: u64,
+    pub agent_epoch: AgentEpoch,
     /// The token that the start was sent with; [`FencingToken::NONE`] until it is sent. Proof of absence needs a
     /// report that had already seen a higher one.
     pub token: FencingToken,
@@ -85,7 +86,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskEvent {
     /// Placed by a round, to be written before it is sent.
-    Dispatch { machine: MachineIndex, agent_epoch: u64 },
+    Dispatch { machine: MachineIndex, agent_epoch: AgentEpoch },
     /// The round's write is certain to have failed: nothing was sent.
     Retract,
     /// The start goes out, once, with this token.
@@ -108,7 +109,7 @@
             phase: TaskPhase::Pending,
             attempt: 1,
             machine: 0,
-            agent_epoch: 0,
+            agent_epoch: AgentEpoch::NONE,
             token: FencingToken::NONE,
             since: now,
             placed_at: now,
--- a/crates/scheduler/src/protocol/workers.rs
+++ b/crates/scheduler/src/protocol/workers.rs
@@ -3,6 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::leadership::fencing_token::FencingToken;
+use crate::model::ids::AgentEpoch;
 use crate::protocol::users::is_job_id;
 
 /// One task in a worker's heartbeat.
@@ -56,7 +57,7 @@
     #[serde(rename = "windfall")]
     pub spot: bool,
     #[serde(rename = "season")]
-    pub agent_epoch: u64,
+    pub agent_epoch: AgentEpoch,
     #[serde(rename = "ring")]
     pub sequence: u64,
     #[serde(rename = "staff")]
@@ -144,6 +145,6 @@
     #[serde(rename = "staff")]
     pub token: FencingToken,
     #[serde(rename = "season")]
-    pub agent_epoch: u64,
+    pub agent_epoch: AgentEpoch,
     pub calls: &'a [WorkerCommand],
 }
--- a/crates/scheduler/src/reconciliation/heartbeats.rs
+++ b/crates/scheduler/src/reconciliation/heartbeats.rs
@@ -3,6 +3,7 @@
 use crate::command::Command;
 use crate::event::{Anomaly, Event};
 use crate::leadership::fencing_token::FencingToken;
+use crate::model::ids::AgentEpoch;
 use crate::model::job::TaskId;
 use crate::model::machine::DrainReason;
 use crate::model::machine::MachineState;
@@ -71,7 +72,7 @@
             .machines_by_name
             .get(&heartbeat.machine)
             .map(|&m| &self.cluster.machines[m as usize]);
-        let newest = known.map_or((0, 0), |k| (k.agent_epoch, k.sequence));
+        let newest = known.map_or((AgentEpoch::NONE, 0), |k| (k.agent_epoch, k.sequence));
         let entries = self.resolve(heartbeat);
         let m = self.reconcile_heartbeat(now, heartbeat, &entries, false);
         // What it proves counts at any time; an answer renews its lease.
@@ -290,7 +291,7 @@
         if heartbeat.agent_epoch > machine.agent_epoch {
             // A new agent epoch begins without tasks, and without messages meant for the old one.
             machine.outbox.clear();
-            if machine.agent_epoch > 0 && !direct {
+            if machine.agent_epoch > AgentEpoch::NONE && !direct {
                 // Its lease ran out though its heartbeats arrive: answers may not reach it.
                 machine.raise_fencing_counter(now, term);
             }
--- a/crates/scheduler/src/storage/records.rs
+++ b/crates/scheduler/src/storage/records.rs
@@ -9,6 +9,7 @@
 use serde_json::{json, Value};
 
 use crate::event::Anomaly;
+use crate::model::ids::AgentEpoch;
 use crate::model::job::{Job, JobIndex, TaskId};
 use crate::model::job_spec::JobSpec;
 use crate::model::task::{Task, TaskPhase};
@@ -50,25 +51,26 @@
     /// Phase and attempt.
     Off(u8, u32),
     /// Phase, attempt, machine, its agent epoch, and when it was placed.
-    Placed(u8, u32, &'a str, u64, u64),
+    Placed(u8, u32, &'a str, AgentEpoch, u64),
 }
 
 /// Phase, attempt, machine, agent epoch, and when it was placed, if the record tells.
-type Record<'a> = (TaskPhase, u32, &'a str, u64, Option<u64>);
+type Record<'a> = (TaskPhase, u32, &'a str, AgentEpoch, Option<u64>);
 
 fn read_record(record: &Value) -> Option<Record<'_>> {
     let items = match record {
-        Value::Number(_) => return Some((TaskPhase::Pending, 1, "", 0, None)),
+        Value::Number(_) => return Some((TaskPhase::Pending, 1, "", AgentEpoch::NONE, None)),
         Value::Array(items) => items,
         _ => return None,
     };
     let phase = TaskPhase::from_code(items.first()?.as_u64()?)?;
     let attempt = u32::try_from(items.get(1)?.as_u64()?).ok()?;
     if !phase.placed() {
-        return Some((phase, attempt, "", 0, None));
+        return Some((phase, attempt, "", AgentEpoch::NONE, None));
     }
     let placed = items.get(4).and_then(Value::as_u64);
-    Some((phase, attempt, items.get(2)?.as_str()?, items.get(3)?.as_u64()?, placed))
+    let agent_epoch = AgentEpoch(items.get(3)?.as_u64()?);
+    Some((phase, attempt, items.get(2)?.as_str()?, agent_epoch, placed))
 }
 
 impl Scheduler {
--- a/crates/scheduler/tests/cancellations.rs
+++ b/crates/scheduler/tests/cancellations.rs
@@ -4,6 +4,7 @@
 mod world;
 
 use walnutlug_scheduler::leadership::watermark::{ask_every, window, CancellationLog, Watermark};
+use walnutlug_scheduler::model::ids::AgentEpoch;
 use walnutlug_scheduler::model::job_spec::JobEnd;
 use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
@@ -302,7 +303,7 @@
         let began = p.w.now;
         p.play(began, 5 * cancel, &quiet);
         assert!(p.live(), "lease {lease}, cancel {cancel}");
-        assert_eq!(p.w.workers["n-1"].agent_epoch, 1, "lease {lease}, cancel {cancel}");
+        assert_eq!(p.w.workers["n-1"].agent_epoch, AgentEpoch(1), "lease {lease}, cancel {cancel}");
     }
 }
 
@@ -488,7 +489,7 @@
     );
     w.withdraw(JOB);
     let (token, calls) = w.leader.heartbeat(w.now, &overtaken).expect("an answer");
-    w.workers.get_mut("n-1").expect("worker").answered(1, token, &calls);
+    w.workers.get_mut("n-1").expect("worker").answered(AgentEpoch(1), token, &calls);
     assert!(w.places_of(&format!("{JOB}/0")).is_empty(), "renewed without a kill");
 }
 
--- a/crates/scheduler/tests/golden_bytes.rs
+++ b/crates/scheduler/tests/golden_bytes.rs
@@ -10,6 +10,7 @@
 use serde_json::{json, Value};
 use walnutlug_scheduler::command::Command;
 use walnutlug_scheduler::leadership::fencing_token::FencingToken;
+use walnutlug_scheduler::model::ids::AgentEpoch;
 use walnutlug_scheduler::model::job_spec::{JobEnd, JobSpec, Priority};
 use walnutlug_scheduler::model::task::TaskPhase;
 use walnutlug_scheduler::protocol::key_value::{KeyValue, Operation};
@@ -436,7 +437,7 @@
         kind: "g8".into(),
         zone: "a".into(),
         spot: true,
-        agent_epoch: 3,
+        agent_epoch: AgentEpoch(3),
         sequence: 88,
         token: FencingToken(41),
         interruption_notice_s: Some(27.5),
@@ -478,7 +479,11 @@
         ),
         (
             "commands",
-            text(&CommandsRequest { token: FencingToken(41), agent_epoch: 7, calls: &calls() }),
+            text(&CommandsRequest {
+                token: FencingToken(41),
+                agent_epoch: AgentEpoch(7),
+                calls: &calls(),
+            }),
         ),
         ("redirect", text(&Redirect { node: Some("kernel-2".into()) })),
         ("redirect to none", text(&Redirect { node: None })),
@@ -493,7 +498,7 @@
     assert!(read.kind == full.kind && read.zone == full.zone, "report: type and zone");
     assert!(read.spot && read.interruption_notice_s == Some(27.5), "report: spot and notice");
     assert!(
-        (read.agent_epoch, read.sequence, read.token) == (3, 88, FencingToken(41)),
+        (read.agent_epoch, read.sequence, read.token) == (AgentEpoch(3), 88, FencingToken(41)),
         "report: numbers"
     );
     assert!(read.tasks == full.tasks, "report: tasks");
--- a/crates/scheduler/tests/random_interleavings.rs
+++ b/crates/scheduler/tests/random_interleavings.rs
@@ -8,6 +8,7 @@
 use serde_json::json;
 use walnutlug_scheduler::command::{Command, MessageOutcome, TransactionOutcome};
 use walnutlug_scheduler::leadership::fencing_token::{FencingToken, Term};
+use walnutlug_scheduler::model::ids::AgentEpoch;
 use walnutlug_scheduler::protocol::workers::{Heartbeat, WorkerCommand};
 use walnutlug_scheduler::scheduler::Scheduler;
 use world::{spec, World};
@@ -25,7 +26,7 @@
         waits: bool,
         name: String,
         token: FencingToken,
-        agent_epoch: u64,
+        agent_epoch: AgentEpoch,
         calls: Vec<WorkerCommand>,
     },
     Heartbeat(Heartbeat),
@@ -315,7 +316,7 @@
                 let worker = self.w.workers.get_mut(name).expect("worker");
                 worker.tasks.clear();
                 if pick.is_multiple_of(8) {
-                    worker.agent_epoch += 1;
+                    worker.agent_epoch.0 += 1;
                     worker.sequence = 0;
                     worker.token = FencingToken(0);
                 }
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -11,6 +11,7 @@
 use serde_json::{json, Value};
 use walnutlug_scheduler::command::{Command, MessageOutcome, TransactionOutcome};
 use walnutlug_scheduler::leadership::fencing_token::{FencingToken, Term};
+use walnutlug_scheduler::model::ids::AgentEpoch;
 use walnutlug_scheduler::model::job_spec::{JobEnd, JobSpec};
 use walnutlug_scheduler::protocol::cloud::{CloudMachineState, ListedMachine};
 use walnutlug_scheduler::protocol::key_value::{Operation, Transaction};
@@ -117,7 +118,7 @@
     deaf: Timestamp,
     hung: Timestamp,
     /// Messages that came while it hung or that were held up.
-    held: Vec<(Timestamp, FencingToken, u64, Vec<WorkerCommand>)>,
+    held: Vec<(Timestamp, FencingToken, AgentEpoch, Vec<WorkerCommand>)>,
     ran: BTreeMap<(String, u64), TimeDelta>,
     gone: bool,
     /// Its last heartbeat, if that left nothing to do.
--- a/crates/scheduler/tests/task_starts.rs
+++ b/crates/scheduler/tests/task_starts.rs
@@ -4,6 +4,7 @@
 
 use serde_json::json;
 use walnutlug_scheduler::command::{Command, MessageOutcome, TransactionOutcome};
+use walnutlug_scheduler::model::ids::AgentEpoch;
 use walnutlug_scheduler::model::machine::MachineState;
 use walnutlug_scheduler::model::task::TaskPhase;
 use walnutlug_scheduler::protocol::cloud::{CloudMachineState, ListedMachine};
@@ -595,7 +596,7 @@
     let (token, calls) = w.leader.heartbeat(w.now, &heartbeat).expect("an answer");
     w.settle();
     assert_eq!(w.places_of(&task), [other], "not started beside it");
-    w.workers.get_mut(other).expect("worker").answered(1, token, &calls);
+    w.workers.get_mut(other).expect("worker").answered(AgentEpoch(1), token, &calls);
     w.all_report();
     w.settle();
     assert_eq!(w.places_of(&task), [planned.as_str()], "started once it was stopped");
--- a/crates/scheduler/tests/transcripts/scripts.rs
+++ b/crates/scheduler/tests/transcripts/scripts.rs
@@ -779,7 +779,7 @@
                     worker.alive = left < -9.0;
                     worker.interruption_at = (!worker.alive).then_some(left - 1.0);
                     worker.tasks.clear();
-                    worker.agent_epoch += u64::from(worker.alive);
+                    worker.agent_epoch.0 += u64::from(worker.alive);
                 }
                 Some(left) => worker.interruption_at = Some(left - 1.0),
                 None => {}
--- a/crates/scheduler/tests/untrusted_reports.rs
+++ b/crates/scheduler/tests/untrusted_reports.rs
@@ -6,6 +6,7 @@
 use walnutlug_scheduler::command::{Command, MessageOutcome};
 use walnutlug_scheduler::event::{Anomaly, Event};
 use walnutlug_scheduler::leadership::fencing_token::{FencingToken, Term};
+use walnutlug_scheduler::model::ids::AgentEpoch;
 use walnutlug_scheduler::model::job_spec::{JobSpec, Priority};
 use walnutlug_scheduler::model::machine::MachineState;
 use walnutlug_scheduler::model::task::TaskPhase;
@@ -259,7 +260,7 @@
     assert_eq!(w.places().len(), 3);
     assert_eq!(w.attempt(JOB, 0), 2);
     // With a new agent epoch, and having forgotten every token.
-    let fresh = Worker { agent_epoch: 2, sequence: 0, ..Worker::new("n-1", "a") };
+    let fresh = Worker { agent_epoch: AgentEpoch(2), sequence: 0, ..Worker::new("n-1", "a") };
     w.workers.insert("n-1".into(), fresh);
     w.all_report();
     w.settle();
--- a/crates/scheduler/tests/world/mod.rs
+++ b/crates/scheduler/tests/world/mod.rs
@@ -8,6 +8,7 @@
 use serde_json::{json, Value};
 use walnutlug_scheduler::command::{Command, MessageOutcome, TransactionOutcome};
 use walnutlug_scheduler::leadership::fencing_token::{FencingToken, Term};
+use walnutlug_scheduler::model::ids::AgentEpoch;
 use walnutlug_scheduler::model::job_spec::{JobEnd, JobSpec, Priority};
 use walnutlug_scheduler::model::team::Team;
 use walnutlug_scheduler::protocol::cloud::MachineType;
@@ -119,7 +120,7 @@
 pub struct Worker {
     pub name: String,
     pub zone: String,
-    pub agent_epoch: u64,
+    pub agent_epoch: AgentEpoch,
     pub sequence: u64,
     pub token: FencingToken,
     pub tasks: BTreeMap<(String, u64), (TaskState, Option<ExitReason>)>,
@@ -133,7 +134,7 @@
         Worker {
             name: name.to_owned(),
             zone: zone.to_owned(),
-            agent_epoch: 1,
+            agent_epoch: AgentEpoch(1),
             sequence: 0,
             token: FencingToken(0),
             tasks: BTreeMap::new(),
@@ -207,7 +208,7 @@
     pub fn direct(
         &mut self,
         token: FencingToken,
-        agent_epoch: u64,
+        agent_epoch: AgentEpoch,
         calls: &[WorkerCommand],
     ) -> Heartbeat {
         if token >= self.token && agent_epoch == self.agent_epoch {
@@ -218,7 +219,12 @@
     }
 
     /// The answer to a heartbeat of the given agent epoch.
-    pub fn answered(&mut self, agent_epoch: u64, token: FencingToken, calls: &[WorkerCommand]) {
+    pub fn answered(
+        &mut self,
+        agent_epoch: AgentEpoch,
+        token: FencingToken,
+        calls: &[WorkerCommand],
+    ) {
         if token >= self.token && agent_epoch == self.agent_epoch {
             self.token = token;
             self.execute(calls);
@@ -227,7 +233,7 @@
 
     pub fn lease_ends(&mut self) {
         self.tasks.clear();
-        self.agent_epoch += 1;
+        self.agent_epoch.0 += 1;
     }
 
     pub fn live(&self) -> BTreeSet<String> {
@@ -387,7 +393,7 @@
         }
     }
 
-    pub fn take_direct(&mut self) -> (u32, FencingToken, u64, Vec<WorkerCommand>) {
+    pub fn take_direct(&mut self) -> (u32, FencingToken, AgentEpoch, Vec<WorkerCommand>) {
         let with_calls =
             |c: &Command| matches!(c, Command::SendToWorker { calls, .. } if !calls.is_empty());
         let at = self.commands.iter().position(with_calls);
@@ -412,7 +418,7 @@
     pub fn start_under_way(
         &mut self,
         job: &str,
-    ) -> (String, (u32, FencingToken, u64, Vec<WorkerCommand>)) {
+    ) -> (String, (u32, FencingToken, AgentEpoch, Vec<WorkerCommand>)) {
         self.submit(job, &spec(1));
         self.place_and_commit();
         let message = self.take_direct();
@@ -484,7 +490,7 @@
         &mut self,
         machine: u32,
         token: FencingToken,
-        agent_epoch: u64,
+        agent_epoch: AgentEpoch,
         calls: &[WorkerCommand],
     ) {
         let name = self.leader.cluster.machines[machine as usize].name.clone();
