--- a/crates/controller/src/node/golden_tests.rs
+++ b/crates/controller/src/node/golden_tests.rs
@@ -5,7 +5,7 @@
 use tokio::task::LocalSet;
 use walnutlug_scheduler::command::MessageOutcome;
 use walnutlug_scheduler::leadership::fencing_token::FencingToken;
-use walnutlug_scheduler::model::ids::AgentEpoch;
+use walnutlug_scheduler::model::ids::{AgentEpoch, Attempt};
 use walnutlug_scheduler::protocol::cloud::MachineType;
 use walnutlug_scheduler::protocol::workers::WorkerCommand;
 use walnutlug_scheduler::storage::keys;
@@ -246,12 +246,13 @@
 }
 
 fn calls() -> Vec<WorkerCommand> {
-    let kill = |grace_s| WorkerCommand::Kill { task: "req-000377/1".into(), attempt: 1, grace_s };
+    let kill =
+        |grace_s| WorkerCommand::Kill { task: "req-000377/1".into(), attempt: Attempt(1), grace_s };
     vec![
-        WorkerCommand::Run { task: "req-000412/4".into(), attempt: 2 },
+        WorkerCommand::Run { task: "req-000412/4".into(), attempt: Attempt(2) },
         kill(10.0),
         kill(0.0),
-        WorkerCommand::Reap { task: "req-000398/0".into(), attempt: 3 },
+        WorkerCommand::Reap { task: "req-000398/0".into(), attempt: Attempt(3) },
     ]
 }
 
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -3,6 +3,7 @@
 
 use crate::command::{Command, MessageOutcome};
 use crate::leadership::fencing_token::FencingToken;
+use crate::model::ids::Attempt;
 use crate::model::job::TaskId;
 use crate::model::machine::MachineState;
 use crate::model::task::{MachineIndex, TaskEvent, TaskPhase};
@@ -126,7 +127,7 @@
     fn send_message(
         &mut self,
         ix: MachineIndex,
-        ids: Vec<(TaskId, u32)>,
+        ids: Vec<(TaskId, Attempt)>,
         starts: Vec<WorkerCommand>,
     ) {
         let term = self.term;
@@ -218,7 +219,7 @@
             let task = &job.tasks[id.1 as usize];
             if task.phase == TaskPhase::Stopping {
                 let name = format!("{}/{}", job.name, id.1);
-                let attempt = u64::from(task.attempt);
+                let attempt = task.attempt;
                 calls.push(WorkerCommand::Kill { task: name, attempt, grace_s: 0.0 });
             }
         }
--- a/crates/scheduler/src/model/cluster.rs
+++ b/crates/scheduler/src/model/cluster.rs
@@ -8,7 +8,7 @@
 use walnutlug_admission::shares::Shares;
 
 use crate::leadership::fencing_token::{FencingToken, Term};
-use crate::model::ids::AgentEpoch;
+use crate::model::ids::{AgentEpoch, Attempt};
 use crate::model::job::{Job, JobIndex, TaskId};
 use crate::model::job_spec::Priority;
 use crate::model::machine::{Machine, MachineState};
@@ -313,12 +313,10 @@
     }
 
     /// Whether that attempt of the task is on the machine as far as is known here.
-    pub(crate) fn is_placed(&self, m: MachineIndex, id: TaskId, attempt: u64) -> bool {
+    pub(crate) fn is_placed(&self, m: MachineIndex, id: TaskId, attempt: Attempt) -> bool {
         self.job(id.0).is_some_and(|job| {
             let task = &job.tasks[id.1 as usize];
-            u64::from(task.attempt) == attempt
-                && task.machine == m
-                && task.phase != TaskPhase::Pending
+            task.attempt == attempt && task.machine == m && task.phase != TaskPhase::Pending
         })
     }
 
--- a/crates/scheduler/src/model/machine.rs
+++ b/crates/scheduler/src/model/machine.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use crate::leadership::fencing_token::{FencingToken, Term};
-use crate::model::ids::AgentEpoch;
+use crate::model::ids::{AgentEpoch, Attempt};
 use crate::model::job::{JobIndex, TaskId};
 use crate::model::job_spec::Priority;
 use crate::protocol::workers::WorkerCommand;
@@ -76,7 +76,7 @@
     /// Is on the list of those that something may have to be sent to.
     pub in_send_queue: bool,
     /// Starts in the message under way, with their attempts.
-    pub in_message: Vec<(TaskId, u32)>,
+    pub in_message: Vec<(TaskId, Attempt)>,
     pub retry_at: Timestamp,
     pub idle_since: Timestamp,
     /// Jobs that failed here since anything completed here, each counted once.
--- a/crates/scheduler/src/model/task.rs
+++ b/crates/scheduler/src/model/task.rs
@@ -12,7 +12,7 @@
 //! frees it. `unknown` is the paper's: it may have started, and is never resent under its attempt.
 
 use crate::leadership::fencing_token::FencingToken;
-use crate::model::ids::AgentEpoch;
+use crate::model::ids::{AgentEpoch, Attempt};
 use crate::time::Timestamp;
 
 /// Index of a machine in the scheduler's table.
@@ -68,7 +68,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Task {
     pub phase: TaskPhase,
-    pub attempt: u32,
+    pub attempt: Attempt,
     pub machine: MachineIndex,
     /// The worker's agent epoch that the start was sent to.
     pub agent_epoch: AgentEpoch,
@@ -107,7 +107,7 @@
     pub fn new(now: Timestamp) -> Task {
         Task {
             phase: TaskPhase::Pending,
-            attempt: 1,
+            attempt: Attempt::FIRST,
             machine: 0,
             agent_epoch: AgentEpoch::NONE,
             token: FencingToken::NONE,
@@ -139,7 +139,7 @@
             (P::Dispatching | P::Running | P::Unknown, I::Stop) => P::Stopping,
             (P::Dispatching, I::ConfirmationExpired) => P::Unknown,
             (P::Dispatching | P::Running | P::Stopping | P::Unknown, I::ProvenAbsent) => {
-                self.attempt += 1;
+                self.attempt = self.attempt.next();
                 P::Pending
             }
             (P::Pending | P::Dispatching | P::Running | P::Stopping | P::Unknown, I::Completed) => {
--- a/crates/scheduler/src/model/task/tests.rs
+++ b/crates/scheduler/src/model/task/tests.rs
@@ -10,7 +10,7 @@
     assert!(t.step(Timestamp(4), TaskEvent::ConfirmationExpired));
     assert!(!t.step(Timestamp(5), TaskEvent::Dispatch { machine: 4, agent_epoch: AgentEpoch(1) }));
     assert!(t.step(Timestamp(6), TaskEvent::ProvenAbsent));
-    assert_eq!((t.phase, t.attempt), (TaskPhase::Pending, 2));
+    assert_eq!((t.phase, t.attempt), (TaskPhase::Pending, Attempt(2)));
 }
 
 #[test]
--- a/crates/scheduler/src/protocol/tests.rs
+++ b/crates/scheduler/src/protocol/tests.rs
@@ -2,6 +2,7 @@
 
 use super::users::*;
 use super::workers::*;
+use crate::model::ids::Attempt;
 use crate::model::job_spec::Priority;
 
 fn sample() -> Value {
@@ -84,7 +85,7 @@
 
 #[test]
 fn commands_use_the_words_of_the_protocol() {
-    let call = WorkerCommand::Kill { task: "req-1/0".into(), attempt: 2, grace_s: 10.0 };
+    let call = WorkerCommand::Kill { task: "req-1/0".into(), attempt: Attempt(2), grace_s: 10.0 };
     assert_eq!(
         serde_json::to_value(&call).expect("json"),
         json!({"call":"kill","nut":"req-1/0","try":2,"dropS":10.0})
--- a/crates/scheduler/src/protocol/workers.rs
+++ b/crates/scheduler/src/protocol/workers.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::leadership::fencing_token::FencingToken;
-use crate::model::ids::AgentEpoch;
+use crate::model::ids::{AgentEpoch, Attempt};
 use crate::protocol::users::is_job_id;
 
 /// One task in a worker's heartbeat.
@@ -12,7 +12,7 @@
     #[serde(rename = "nut")]
     pub task: String,
     #[serde(rename = "try")]
-    pub attempt: u64,
+    pub attempt: Attempt,
     #[serde(rename = "stage")]
     pub state: TaskState,
     #[serde(rename = "cause", default)]
@@ -105,7 +105,7 @@
         #[serde(rename = "nut")]
         task: String,
         #[serde(rename = "try")]
-        attempt: u64,
+        attempt: Attempt,
         #[serde(rename = "dropS")]
         grace_s: f64,
     },
@@ -113,13 +113,13 @@
         #[serde(rename = "nut")]
         task: String,
         #[serde(rename = "try")]
-        attempt: u64,
+        attempt: Attempt,
     },
     Run {
         #[serde(rename = "nut")]
         task: String,
         #[serde(rename = "try")]
-        attempt: u64,
+        attempt: Attempt,
     },
 }
 
--- a/crates/scheduler/src/reconciliation/heartbeats.rs
+++ b/crates/scheduler/src/reconciliation/heartbeats.rs
@@ -3,7 +3,7 @@
 use crate::command::Command;
 use crate::event::{Anomaly, Event};
 use crate::leadership::fencing_token::FencingToken;
-use crate::model::ids::AgentEpoch;
+use crate::model::ids::{AgentEpoch, Attempt};
 use crate::model::job::TaskId;
 use crate::model::machine::DrainReason;
 use crate::model::machine::MachineState;
@@ -224,7 +224,7 @@
         for id in mine {
             let Some(job) = self.cluster.job(id.0) else { continue };
             let task = job.tasks[id.1 as usize];
-            let entry = by_task.newest(id).filter(|e| e.attempt == u64::from(task.attempt));
+            let entry = by_task.newest(id).filter(|e| e.attempt == task.attempt);
             match entry {
                 // An attempt that was refused since another is there says that the task is there. (Taken
                 // for absent, it was started a second time elsewhere.)
@@ -349,13 +349,13 @@
         }
     }
 
-    fn finish(&mut self, now: Timestamp, id: TaskId, m: MachineIndex, attempt: u64) {
+    fn finish(&mut self, now: Timestamp, id: TaskId, m: MachineIndex, attempt: Attempt) {
         let Some(job) = self.cluster.job(id.0) else { return };
         let Some(task) = job.tasks.get(id.1 as usize) else { return };
-        if task.phase == TaskPhase::Done || attempt > u64::from(task.attempt) {
+        if task.phase == TaskPhase::Done || attempt > task.attempt {
             return;
         }
-        let here = task.machine == m && u64::from(task.attempt) == attempt;
+        let here = task.machine == m && task.attempt == attempt;
         if task.phase.placed() && !here {
             // An older attempt finished after all. The newer one is of no use: it is stopped
             // first, and only its proven absence lets the registry forget it.
--- a/crates/scheduler/src/reconciliation/repeated_heartbeats.rs
+++ b/crates/scheduler/src/reconciliation/repeated_heartbeats.rs
@@ -122,7 +122,7 @@
         let task = job.tasks.get(index as usize)?;
         let as_known = task.phase == TaskPhase::Running
             && task.machine == machine
-            && u64::from(task.attempt) == entry.attempt
+            && task.attempt == entry.attempt
             && !job.is_ended();
         if !as_known {
             return None;
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -202,7 +202,7 @@
         }
         let name = format!("{}/{}", job.name, id.1);
         if self.cluster.apply(now, id, TaskEvent::Stop) {
-            let attempt = u64::from(task.attempt);
+            let attempt = task.attempt;
             let call = WorkerCommand::Kill { task: name, attempt, grace_s };
             let machine = &mut self.cluster.machines[task.machine as usize];
             if machine.state == MachineState::Up {
--- a/crates/scheduler/src/storage/records.rs
+++ b/crates/scheduler/src/storage/records.rs
@@ -9,7 +9,7 @@
 use serde_json::{json, Value};
 
 use crate::event::Anomaly;
-use crate::model::ids::AgentEpoch;
+use crate::model::ids::{AgentEpoch, Attempt};
 use crate::model::job::{Job, JobIndex, TaskId};
 use crate::model::job_spec::JobSpec;
 use crate::model::task::{Task, TaskPhase};
@@ -49,22 +49,24 @@
     /// Pending, and never placed before.
     Untouched(u8),
     /// Phase and attempt.
-    Off(u8, u32),
+    Off(u8, Attempt),
     /// Phase, attempt, machine, its agent epoch, and when it was placed.
-    Placed(u8, u32, &'a str, AgentEpoch, u64),
+    Placed(u8, Attempt, &'a str, AgentEpoch, u64),
 }
 
 /// Phase, attempt, machine, agent epoch, and when it was placed, if the record tells.
-type Record<'a> = (TaskPhase, u32, &'a str, AgentEpoch, Option<u64>);
+type Record<'a> = (TaskPhase, Attempt, &'a str, AgentEpoch, Option<u64>);
 
 fn read_record(record: &Value) -> Option<Record<'_>> {
     let items = match record {
-        Value::Number(_) => return Some((TaskPhase::Pending, 1, "", AgentEpoch::NONE, None)),
+        Value::Number(_) => {
+            return Some((TaskPhase::Pending, Attempt::FIRST, "", AgentEpoch::NONE, None))
+        }
         Value::Array(items) => items,
         _ => return None,
     };
     let phase = TaskPhase::from_code(items.first()?.as_u64()?)?;
-    let attempt = u32::try_from(items.get(1)?.as_u64()?).ok()?;
+    let attempt = Attempt(u32::try_from(items.get(1)?.as_u64()?).ok()?.into());
     if !phase.placed() {
         return Some((phase, attempt, "", AgentEpoch::NONE, None));
     }
@@ -211,7 +213,7 @@
     pub(crate) fn records(&self, ix: JobIndex, from: u32, to: u32) -> Document {
         let Some(job) = self.cluster.jobs.get(&ix) else { return Document::new(&()) };
         let record = |task: &Task| match task.phase {
-            TaskPhase::Pending if task.attempt == 1 => TaskRecord::Untouched(0),
+            TaskPhase::Pending if task.attempt == Attempt::FIRST => TaskRecord::Untouched(0),
             TaskPhase::Pending | TaskPhase::Done => {
                 TaskRecord::Off(task.phase.code(), task.attempt)
             }
--- a/crates/scheduler/src/storage/transactions.rs
+++ b/crates/scheduler/src/storage/transactions.rs
@@ -2,6 +2,7 @@
 
 use crate::command::{Command, TransactionOutcome};
 use crate::leadership::fencing_token::FencingToken;
+use crate::model::ids::Attempt;
 use std::collections::BTreeMap;
 
 use serde_json::Value;
@@ -650,7 +651,7 @@
         now: Timestamp,
         m: MachineIndex,
         sending: bool,
-    ) -> (Vec<(TaskId, u32)>, Vec<WorkerCommand>) {
+    ) -> (Vec<(TaskId, Attempt)>, Vec<WorkerCommand>) {
         let machine = &self.cluster.machines[m as usize];
         let open = machine.state == MachineState::Up
             && machine.interruption_at.is_none()
@@ -682,7 +683,7 @@
                 continue;
             }
             let name = format!("{}/{}", job.name, id.1);
-            calls.push(WorkerCommand::Run { task: name, attempt: u64::from(task.attempt) });
+            calls.push(WorkerCommand::Run { task: name, attempt: Attempt::from(task.attempt) });
             ids.push((id, task.attempt));
             self.cluster.apply(now, id, TaskEvent::Sent { token });
         }
--- a/crates/scheduler/tests/golden_bytes.rs
+++ b/crates/scheduler/tests/golden_bytes.rs
@@ -10,7 +10,7 @@
 use serde_json::{json, Value};
 use walnutlug_scheduler::command::Command;
 use walnutlug_scheduler::leadership::fencing_token::FencingToken;
-use walnutlug_scheduler::model::ids::AgentEpoch;
+use walnutlug_scheduler::model::ids::{AgentEpoch, Attempt};
 use walnutlug_scheduler::model::job_spec::{JobEnd, JobSpec, Priority};
 use walnutlug_scheduler::model::task::TaskPhase;
 use walnutlug_scheduler::protocol::key_value::{KeyValue, Operation};
@@ -426,7 +426,7 @@
 fn full_report() -> Heartbeat {
     let task = |index: u64, state, cause| TaskStatus {
         task: format!("req-000412/{index}"),
-        attempt: 10 + index,
+        attempt: Attempt(10 + index),
         state,
         cause,
     };
@@ -457,9 +457,9 @@
 
 fn calls() -> Vec<WorkerCommand> {
     vec![
-        WorkerCommand::Run { task: "req-000412/4".into(), attempt: 2 },
-        WorkerCommand::Kill { task: "req-000377/1".into(), attempt: 1, grace_s: 10.0 },
-        WorkerCommand::Reap { task: "req-000398/0".into(), attempt: 3 },
+        WorkerCommand::Run { task: "req-000412/4".into(), attempt: Attempt(2) },
+        WorkerCommand::Kill { task: "req-000377/1".into(), attempt: Attempt(1), grace_s: 10.0 },
+        WorkerCommand::Reap { task: "req-000398/0".into(), attempt: Attempt(3) },
     ]
 }
 
--- a/crates/scheduler/tests/repeated_heartbeats.rs
+++ b/crates/scheduler/tests/repeated_heartbeats.rs
@@ -4,6 +4,7 @@
 mod world;
 
 use walnutlug_scheduler::command::{Command, MessageOutcome};
+use walnutlug_scheduler::model::ids::Attempt;
 use walnutlug_scheduler::model::job_spec::JobSpec;
 use walnutlug_scheduler::protocol::workers::{sequence_digits, Heartbeat, TaskState};
 use walnutlug_scheduler::reconciliation::repeated_heartbeats::{CachedHeartbeat, OWN_NODE};
@@ -65,7 +66,7 @@
             w.workers.get_mut(MACHINE).expect("worker").tasks.pop_first();
         }),
         ("an unknown task", |w| {
-            let unknown = (("req-000009/0".to_owned(), 1), (TaskState::Running, None));
+            let unknown = (("req-000009/0".to_owned(), Attempt(1)), (TaskState::Running, None));
             w.workers.get_mut(MACHINE).expect("worker").tasks.extend([unknown]);
         }),
         ("a notice", |w| w.workers.get_mut(MACHINE).expect("worker").interruption_at = Some(20.0)),
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -11,7 +11,7 @@
 use serde_json::{json, Value};
 use walnutlug_scheduler::command::{Command, MessageOutcome, TransactionOutcome};
 use walnutlug_scheduler::leadership::fencing_token::{FencingToken, Term};
-use walnutlug_scheduler::model::ids::AgentEpoch;
+use walnutlug_scheduler::model::ids::{AgentEpoch, Attempt};
 use walnutlug_scheduler::model::job_spec::{JobEnd, JobSpec};
 use walnutlug_scheduler::protocol::cloud::{CloudMachineState, ListedMachine};
 use walnutlug_scheduler::protocol::key_value::{Operation, Transaction};
@@ -119,7 +119,7 @@
     hung: Timestamp,
     /// Messages that came while it hung or that were held up.
     held: Vec<(Timestamp, FencingToken, AgentEpoch, Vec<WorkerCommand>)>,
-    ran: BTreeMap<(String, u64), TimeDelta>,
+    ran: BTreeMap<(String, Attempt), TimeDelta>,
     gone: bool,
     /// Its last heartbeat, if that left nothing to do.
     cached: Option<(Heartbeat, CachedHeartbeat)>,
@@ -479,8 +479,8 @@
     }
 
     /// Live tasks with their attempts, and where.
-    fn live(&self) -> BTreeMap<(String, u64), Vec<String>> {
-        let mut live: BTreeMap<(String, u64), Vec<String>> = BTreeMap::new();
+    fn live(&self) -> BTreeMap<(String, Attempt), Vec<String>> {
+        let mut live: BTreeMap<(String, Attempt), Vec<String>> = BTreeMap::new();
         for (name, m) in self.machines.iter().filter(|(_, m)| !m.gone) {
             for (key, state) in &m.worker.tasks {
                 if state.0 != TaskState::Exited {
--- a/crates/scheduler/tests/storage_limits.rs
+++ b/crates/scheduler/tests/storage_limits.rs
@@ -7,6 +7,7 @@
 
 use serde_json::json;
 use walnutlug_scheduler::command::{Command, TransactionOutcome};
+use walnutlug_scheduler::model::ids::Attempt;
 use walnutlug_scheduler::model::job_spec::JobSpec;
 use walnutlug_scheduler::model::task::TaskPhase;
 use walnutlug_scheduler::storage::keys;
@@ -143,7 +144,7 @@
         assert_eq!(w.places().len(), 160, "applied: {applied}");
         let ix = w.leader.cluster.jobs_by_name[JOB];
         let attempts = w.leader.cluster.job(ix).expect("job").tasks.iter().map(|t| t.attempt);
-        assert_eq!(attempts.max(), Some(1), "applied: {applied}");
+        assert_eq!(attempts.max(), Some(Attempt(1)), "applied: {applied}");
         w.run_out();
         assert_eq!(w.end(JOB), Some(&json!("done")));
     }
@@ -172,9 +173,17 @@
     let strange = w.leader.load_runs(w.now, &w.store.key_values(keys::RUN));
     assert_eq!(strange.len(), 5, "{strange:?}");
     let tasks = &w.leader.cluster.job(w.leader.cluster.jobs_by_name[JOB]).expect("job").tasks;
-    let seen: Vec<(TaskPhase, u32)> = tasks.iter().map(|t| (t.phase, t.attempt)).collect();
+    let seen: Vec<(TaskPhase, Attempt)> = tasks.iter().map(|t| (t.phase, t.attempt)).collect();
     let done = TaskPhase::Done;
-    assert_eq!(seen, [(done, 2), (done, 3), (done, 1), (TaskPhase::Pending, 8)]);
+    assert_eq!(
+        seen,
+        [
+            (done, Attempt(2)),
+            (done, Attempt(3)),
+            (done, Attempt(1)),
+            (TaskPhase::Pending, Attempt(8))
+        ]
+    );
 }
 
 #[test]
--- a/crates/scheduler/tests/task_starts.rs
+++ b/crates/scheduler/tests/task_starts.rs
@@ -4,7 +4,7 @@
 
 use serde_json::json;
 use walnutlug_scheduler::command::{Command, MessageOutcome, TransactionOutcome};
-use walnutlug_scheduler::model::ids::AgentEpoch;
+use walnutlug_scheduler::model::ids::{AgentEpoch, Attempt};
 use walnutlug_scheduler::model::machine::MachineState;
 use walnutlug_scheduler::model::task::TaskPhase;
 use walnutlug_scheduler::protocol::cloud::{CloudMachineState, ListedMachine};
@@ -32,7 +32,7 @@
     w.leader.transaction_answered(w.now, id, outcome);
     w.tick();
     let (_, _, _, calls) = w.take_direct();
-    assert_eq!(calls, [WorkerCommand::Run { task: format!("{JOB}/0"), attempt: 1 }]);
+    assert_eq!(calls, [WorkerCommand::Run { task: format!("{JOB}/0"), attempt: Attempt(1) }]);
 }
 
 #[test]
@@ -83,10 +83,10 @@
     // This report's sender has not seen the new fence yet.
     let old = w.workers.get_mut(&name).expect("worker").heartbeat();
     w.leader.heartbeat(w.now, &old);
-    assert_eq!(w.attempt(JOB, 0), 1);
+    assert_eq!(w.attempt(JOB, 0), Attempt(1));
     w.wait(2_000);
     w.settle();
-    assert_eq!(w.attempt(JOB, 0), 2);
+    assert_eq!(w.attempt(JOB, 0), Attempt(2));
     assert_eq!(w.places().len(), 1);
     // The old message comes through at last, and is refused.
     w.workers.get_mut(&name).expect("worker").direct(token, agent_epoch, &calls);
@@ -106,10 +106,10 @@
     w.leader.cluster.machines[0].fencing_counter += 1;
     w.heartbeat("n-1");
     w.heartbeat("n-1");
-    assert_eq!((w.phase(JOB, 0), w.attempt(JOB, 0)), (TaskPhase::Dispatching, 1));
+    assert_eq!((w.phase(JOB, 0), w.attempt(JOB, 0)), (TaskPhase::Dispatching, Attempt(1)));
     w.settle();
     assert_eq!(w.places().len(), 1);
-    assert_eq!(w.attempt(JOB, 0), 1);
+    assert_eq!(w.attempt(JOB, 0), Attempt(1));
 }
 
 #[test]
@@ -123,7 +123,7 @@
     let outcome = w.store.apply(&transaction);
     w.leader.transaction_answered(w.now, id, outcome);
     w.settle();
-    assert_eq!(w.attempt(JOB, 0), 2);
+    assert_eq!(w.attempt(JOB, 0), Attempt(2));
     assert_eq!(w.places().len(), 1);
 }
 
@@ -132,7 +132,7 @@
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
     let (_, (machine, ..)) = w.start_under_way(JOB);
     w.leader.message_answered(w.now, machine, MessageOutcome::NotSent);
-    assert_eq!((w.phase(JOB, 0), w.attempt(JOB, 0)), (TaskPhase::Pending, 2));
+    assert_eq!((w.phase(JOB, 0), w.attempt(JOB, 0)), (TaskPhase::Pending, Attempt(2)));
     w.settle();
     assert_eq!(w.places().len(), 1);
 }
@@ -146,9 +146,9 @@
     w.workers.get_mut(&name).expect("worker").alive = false;
     w.leader.machine_gone(w.now, &name);
     w.settle();
-    assert_eq!((w.phase(JOB, 0), w.attempt(JOB, 0)), (TaskPhase::Running, 2));
+    assert_eq!((w.phase(JOB, 0), w.attempt(JOB, 0)), (TaskPhase::Running, Attempt(2)));
     w.leader.message_answered(w.now, machine, MessageOutcome::NotSent);
-    assert_eq!((w.phase(JOB, 0), w.attempt(JOB, 0)), (TaskPhase::Running, 2));
+    assert_eq!((w.phase(JOB, 0), w.attempt(JOB, 0)), (TaskPhase::Running, Attempt(2)));
 }
 
 #[test]
@@ -161,7 +161,7 @@
         w.wait(1_000);
         w.settle();
     }
-    assert_eq!((w.phase(JOB, 0), w.attempt(JOB, 0)), (TaskPhase::Unknown, 1));
+    assert_eq!((w.phase(JOB, 0), w.attempt(JOB, 0)), (TaskPhase::Unknown, Attempt(1)));
 }
 
 #[test]
@@ -178,15 +178,15 @@
         w.settle();
         w.leader.autoscale(w.now);
     }
-    assert_eq!(w.attempt(JOB, 0), 1, "silent for two minutes, and still there");
+    assert_eq!(w.attempt(JOB, 0), Attempt(1), "silent for two minutes, and still there");
     let state = |w: &World| {
         w.leader.cluster.machines[w.leader.cluster.machines_by_name[&machine] as usize].state
     };
     assert_eq!(state(&w), MachineState::Terminating, "given back, since nothing else settles it");
     w.leader.scale_in_answered(w.now, std::slice::from_ref(&machine), false);
-    assert_eq!(w.attempt(JOB, 0), 1, "an unanswered return is no proof");
+    assert_eq!(w.attempt(JOB, 0), Attempt(1), "an unanswered return is no proof");
     w.leader.scale_in_answered(w.now, std::slice::from_ref(&machine), true);
-    assert_eq!((w.phase(JOB, 0), w.attempt(JOB, 0)), (TaskPhase::Pending, 2));
+    assert_eq!((w.phase(JOB, 0), w.attempt(JOB, 0)), (TaskPhase::Pending, Attempt(2)));
 }
 
 #[test]
@@ -195,7 +195,7 @@
     w.submit(JOB, &spec(1));
     w.settle();
     w.leader.machine_list(w.now, &[]);
-    assert_eq!(w.attempt(JOB, 0), 1);
+    assert_eq!(w.attempt(JOB, 0), Attempt(1));
     w.workers.get_mut("n-1").expect("worker").alive = false;
     let failed = ListedMachine {
         name: "n-1".into(),
@@ -207,7 +207,7 @@
         age_s: 9.0,
     };
     w.leader.machine_list(w.now, &[failed]);
-    assert_eq!(w.attempt(JOB, 0), 2);
+    assert_eq!(w.attempt(JOB, 0), Attempt(2));
 }
 
 #[test]
@@ -333,7 +333,7 @@
     w.wait(300);
     w.settle();
     assert_eq!(w.places().len(), 2);
-    assert_eq!(w.attempt(JOB, 0), 1);
+    assert_eq!(w.attempt(JOB, 0), Attempt(1));
 }
 
 #[test]
@@ -381,7 +381,7 @@
     w.take_over();
     let before = w.workers.get_mut(&name).expect("worker").heartbeat();
     w.leader.heartbeat(w.now, &before);
-    assert_eq!(w.attempt(JOB, 0), 1);
+    assert_eq!(w.attempt(JOB, 0), Attempt(1));
     w.heartbeat(other);
     w.heartbeat(other);
     w.tick();
@@ -392,7 +392,7 @@
     w.heartbeat(&name);
     w.settle();
     assert_eq!(w.places().len(), 1);
-    assert_eq!(w.attempt(JOB, 0), 1);
+    assert_eq!(w.attempt(JOB, 0), Attempt(1));
 }
 
 #[test]
@@ -409,7 +409,7 @@
     w.settle();
     assert_eq!(w.places().len(), 8);
     assert!(w.places().values().all(|m| m.len() == 1));
-    assert_eq!(w.attempt(JOB, 0), 2, "its own start was never confirmed");
+    assert_eq!(w.attempt(JOB, 0), Attempt(2), "its own start was never confirmed");
 }
 
 #[test]
@@ -530,7 +530,7 @@
     assert!(machines.iter().all(|m| m.state == MachineState::Up && m.drain_reason.is_none()));
     let job = w.leader.cluster.job(w.leader.cluster.jobs_by_name[JOB]).expect("job");
     let tries = job.tasks.iter().map(|t| t.attempt).max();
-    assert!(tries < Some(12), "tried at growing intervals, not {tries:?} times in 80 s");
+    assert!(tries < Some(Attempt(12)), "tried at growing intervals, not {tries:?} times in 80 s");
 }
 
 #[test]
@@ -561,18 +561,18 @@
     // Against the registry, an earlier attempt is there, and the registry's own was refused for it.
     let task = format!("{JOB}/0");
     let worker = w.workers.get_mut(&place).expect("worker");
-    worker.tasks.insert((task.clone(), 1), (TaskState::Exited, Some(ExitReason::InUse)));
-    worker.tasks.insert((task.clone(), 0), (TaskState::Running, None));
+    worker.tasks.insert((task.clone(), Attempt(1)), (TaskState::Exited, Some(ExitReason::InUse)));
+    worker.tasks.insert((task.clone(), Attempt(0)), (TaskState::Running, None));
     let heartbeat = worker.heartbeat();
     w.leader.heartbeat(w.now, &heartbeat);
-    assert_eq!(w.attempt(JOB, 0), 1, "it is there");
+    assert_eq!(w.attempt(JOB, 0), Attempt(1), "it is there");
     // Once that attempt was stopped, it goes on elsewhere or there, once.
     for _ in 0..6 {
         w.all_report();
         w.settle();
         assert!(w.places_of(&task).len() <= 1);
     }
-    assert_eq!((w.places_of(&task).len(), w.attempt(JOB, 0)), (1, 2));
+    assert_eq!((w.places_of(&task).len(), w.attempt(JOB, 0)), (1, Attempt(2)));
 }
 
 /// A machine shows a task live that the registry takes for pending: whatever led to that, the start waits.
@@ -591,7 +591,7 @@
     let planned = w.leader.cluster.machines[planned as usize].name.clone();
     let other = if planned == "n-1" { "n-2" } else { "n-1" };
     let worker = w.workers.get_mut(other).expect("worker");
-    worker.tasks.insert((task.clone(), 7), (TaskState::Running, None));
+    worker.tasks.insert((task.clone(), Attempt(7)), (TaskState::Running, None));
     let heartbeat = worker.heartbeat();
     let (token, calls) = w.leader.heartbeat(w.now, &heartbeat).expect("an answer");
     w.settle();
--- a/crates/scheduler/tests/transcripts/scripts.rs
+++ b/crates/scheduler/tests/transcripts/scripts.rs
@@ -9,6 +9,7 @@
 use walnutlug_scheduler::leadership::election::{ElectionEvent, Leadership, Role};
 use walnutlug_scheduler::leadership::fencing_token::Term;
 use walnutlug_scheduler::leadership::watermark::{CancellationLog, Watermark};
+use walnutlug_scheduler::model::ids::Attempt;
 use walnutlug_scheduler::model::job_spec::{JobEnd, JobSpec, Priority};
 use walnutlug_scheduler::model::team::Team;
 use walnutlug_scheduler::protocol::cloud::{CloudMachineState, ListedMachine};
@@ -540,7 +541,7 @@
         ("n-000001", "req-000002/1"),
     ] {
         let worker = world.workers.get_mut(machine).expect("worker");
-        worker.tasks.insert((task.to_owned(), 1), (TaskState::Running, None));
+        worker.tasks.insert((task.to_owned(), Attempt(1)), (TaskState::Running, None));
     }
     world.take_over();
     world.all_report();
--- a/crates/scheduler/tests/untrusted_reports.rs
+++ b/crates/scheduler/tests/untrusted_reports.rs
@@ -6,7 +6,7 @@
 use walnutlug_scheduler::command::{Command, MessageOutcome};
 use walnutlug_scheduler::event::{Anomaly, Event};
 use walnutlug_scheduler::leadership::fencing_token::{FencingToken, Term};
-use walnutlug_scheduler::model::ids::AgentEpoch;
+use walnutlug_scheduler::model::ids::{AgentEpoch, Attempt};
 use walnutlug_scheduler::model::job_spec::{JobSpec, Priority};
 use walnutlug_scheduler::model::machine::MachineState;
 use walnutlug_scheduler::model::task::TaskPhase;
@@ -57,11 +57,11 @@
                 _ => {}
             }
         }
-        assert_eq!(w.attempt(JOB, 0), 1, "its reports prove nothing");
+        assert_eq!(w.attempt(JOB, 0), Attempt(1), "its reports prove nothing");
     }
     assert!(given_back.is_some_and(|s| (5..20).contains(&s)), "{given_back:?}");
     w.leader.scale_in_answered(w.now, &["n-1".to_owned()], true);
-    assert_eq!(w.attempt(JOB, 0), 2);
+    assert_eq!(w.attempt(JOB, 0), Attempt(2));
 }
 
 #[test]
@@ -74,7 +74,7 @@
     w.workers.get_mut("n-1").expect("worker").lease_ends();
     let heartbeat = report_of(&mut w, "n-1");
     w.leader.heartbeat(w.now, &heartbeat);
-    assert_eq!(w.attempt(JOB, 0), 2, "a later session is proof");
+    assert_eq!(w.attempt(JOB, 0), Attempt(2), "a later session is proof");
     w.tick();
     let starts = |w: &World| w.commands.iter().any(|c| matches!(c, Command::Commit { .. }));
     assert!(!starts(&w), "and opens nothing");
@@ -258,7 +258,7 @@
     w.all_report();
     w.settle();
     assert_eq!(w.places().len(), 3);
-    assert_eq!(w.attempt(JOB, 0), 2);
+    assert_eq!(w.attempt(JOB, 0), Attempt(2));
     // With a new agent epoch, and having forgotten every token.
     let fresh = Worker { agent_epoch: AgentEpoch(2), sequence: 0, ..Worker::new("n-1", "a") };
     w.workers.insert("n-1".into(), fresh);
@@ -267,7 +267,7 @@
     w.all_report();
     w.settle();
     assert_eq!(w.places().len(), 3);
-    assert_eq!(w.attempt(JOB, 0), 3);
+    assert_eq!(w.attempt(JOB, 0), Attempt(3));
 }
 
 /// A task that needs half a machine among small ones that take every bit that gets free, and whose
@@ -364,7 +364,7 @@
     heartbeat.tasks = (0..3_000)
         .map(|i| TaskStatus {
             task: format!("req-999999/{i}"),
-            attempt: 4_000_000,
+            attempt: Attempt(4_000_000),
             state: TaskState::Running,
             cause: None,
         })
--- a/crates/scheduler/tests/version_compatibility.rs
+++ b/crates/scheduler/tests/version_compatibility.rs
@@ -6,6 +6,7 @@
 use std::collections::BTreeMap;
 
 use serde_json::{json, Value};
+use walnutlug_scheduler::model::ids::Attempt;
 use walnutlug_scheduler::model::job_spec::{JobSpec, Priority};
 use walnutlug_scheduler::model::task::TaskPhase;
 use walnutlug_scheduler::protocol::key_value::KeyValue;
@@ -38,7 +39,7 @@
     ] {
         let worker = w.workers.get_mut(machine).expect("worker");
         let running = (walnutlug_scheduler::protocol::workers::TaskState::Running, None);
-        worker.tasks.insert((task.to_owned(), 1), running);
+        worker.tasks.insert((task.to_owned(), Attempt(1)), running);
     }
     w.take_over();
     let phases: Vec<TaskPhase> = (0..5).map(|i| w.phase("req-000001", i)).collect();
--- a/crates/scheduler/tests/world/mod.rs
+++ b/crates/scheduler/tests/world/mod.rs
@@ -8,7 +8,7 @@
 use serde_json::{json, Value};
 use walnutlug_scheduler::command::{Command, MessageOutcome, TransactionOutcome};
 use walnutlug_scheduler::leadership::fencing_token::{FencingToken, Term};
-use walnutlug_scheduler::model::ids::AgentEpoch;
+use walnutlug_scheduler::model::ids::{AgentEpoch, Attempt};
 use walnutlug_scheduler::model::job_spec::{JobEnd, JobSpec, Priority};
 use walnutlug_scheduler::model::team::Team;
 use walnutlug_scheduler::protocol::cloud::MachineType;
@@ -123,7 +123,7 @@
     pub agent_epoch: AgentEpoch,
     pub sequence: u64,
     pub token: FencingToken,
-    pub tasks: BTreeMap<(String, u64), (TaskState, Option<ExitReason>)>,
+    pub tasks: BTreeMap<(String, Attempt), (TaskState, Option<ExitReason>)>,
     pub alive: bool,
     pub interruption_at: Option<f64>,
     pub spot: bool,
@@ -173,9 +173,10 @@
         for call in calls {
             match call {
                 WorkerCommand::Run { task, attempt } => {
-                    let here = |(t, (s, _)): (&(String, u64), &(TaskState, Option<ExitReason>))| {
-                        t.0 == *task && *s != TaskState::Exited
-                    };
+                    let here =
+                        |(t, (s, _)): (&(String, Attempt), &(TaskState, Option<ExitReason>))| {
+                            t.0 == *task && *s != TaskState::Exited
+                        };
                     let key = (task.clone(), *attempt);
                     if self.tasks.contains_key(&key) {
                         continue;
@@ -595,7 +596,7 @@
         self.leader.cluster.job(ix).expect("job").tasks[index].phase
     }
 
-    pub fn attempt(&self, name: &str, index: usize) -> u32 {
+    pub fn attempt(&self, name: &str, index: usize) -> Attempt {
         let ix = self.leader.cluster.jobs_by_name[name];
         self.leader.cluster.job(ix).expect("job").tasks[index].attempt
     }
