--- a/crates/controller/src/key_value_client.rs
+++ b/crates/controller/src/key_value_client.rs
@@ -13,6 +13,7 @@
 use walnutlug_scheduler::protocol::key_value::{
     Committed, Conflict, KeyValue, LeaseGrant, Page, Transaction, Watched,
 };
+use walnutlug_scheduler::storage::revision::Revision;
 
 use crate::http::client::{Client, Failure, Response};
 
@@ -398,7 +399,7 @@
         &self,
         class: RequestClass,
         prefix: &str,
-    ) -> Result<(Vec<KeyValue>, u64), KeyValueError> {
+    ) -> Result<(Vec<KeyValue>, Revision), KeyValueError> {
         let mut key_values: Vec<KeyValue> = Vec::new();
         let mut store_revision = None;
         loop {
@@ -486,7 +487,7 @@
         &self,
         class: RequestClass,
         prefix: &str,
-        from: u64,
+        from: Revision,
         hold: Duration,
     ) -> Result<Watched, KeyValueError> {
         let path = format!("/watch?starts={prefix}&from={from}&holdMs={}", hold.as_millis());
--- a/crates/controller/src/key_value_client/golden_tests.rs
+++ b/crates/controller/src/key_value_client/golden_tests.rs
@@ -40,8 +40,8 @@
     let leader = leader_record("kernel-1", "00ff00ff00ff00ff", 7);
     Transaction {
         compares: vec![
-            Compare { key: "leader".into(), revision: 412 },
-            Compare { key: "end/req-000412".into(), revision: 0 },
+            Compare { key: "leader".into(), revision: Revision(412) },
+            Compare { key: "end/req-000412".into(), revision: Revision::NONE },
         ],
         operations: vec![
             Operation::Put {
@@ -59,7 +59,7 @@
     let found = Scripted::new(&[(200, r#"{"key":"a/b","value":{"x":1.5},"mark":412,"hold":7}"#)]);
     let key_value =
         found.state.get(RequestClass::Poll, "a/b").await.expect("an answer").expect("a key");
-    assert!(key_value.key == "a/b" && key_value.revision == 412, "get: key and mark");
+    assert!(key_value.key == "a/b" && key_value.revision == Revision(412), "get: key and mark");
     assert!(key_value.value == json!({"x": 1.5}), "get: value");
     let absent = Scripted::new(&[(404, r#"{"growth":431}"#)]);
     let answer = absent.state.get(RequestClass::Poll, "todo/req-000412").await.expect("an answer");
@@ -70,18 +70,25 @@
     ]);
     let (key_values, store_revision) =
         listed.state.list(RequestClass::Poll, "c/").await.expect("a list");
-    let marks: Vec<(&str, u64)> = key_values.iter().map(|p| (p.key.as_str(), p.revision)).collect();
-    assert!(marks == [("c/7", 3), ("c/8", 4)] && store_revision == 431, "list");
+    let marks: Vec<(&str, Revision)> =
+        key_values.iter().map(|p| (p.key.as_str(), p.revision)).collect();
+    assert!(
+        marks == [("c/7", Revision(3)), ("c/8", Revision(4))] && store_revision == Revision(431),
+        "list"
+    );
     vec![("get", found.asked()), ("get, absent", absent.asked()), ("list", listed.asked())]
 }
 
 async fn transaction_requests() -> Vec<(&'static str, String)> {
     let committed = Scripted::new(&[(200, r#"{"growth":432}"#)]);
     let outcome = committed.state.commit(RequestClass::Dispatch, &transaction()).await;
-    assert!(outcome == TransactionOutcome::Committed { revision: 432 }, "transaction: committed");
+    assert!(
+        outcome == TransactionOutcome::Committed { revision: Revision(432) },
+        "transaction: committed"
+    );
     let compared = Scripted::new(&[(409, r#"{"failed":["a/b"],"growth":431}"#)]);
     let only = Transaction {
-        compares: vec![Compare { key: "a/b".into(), revision: 0 }],
+        compares: vec![Compare { key: "a/b".into(), revision: Revision::NONE }],
         operations: Vec::new(),
     };
     let outcome = compared.state.commit(RequestClass::Poll, &only).await;
@@ -133,17 +140,23 @@
         r#"{"growth":433,"events":[{"put":"c/9","value":{"x":1},"mark":433},{"drop":"c/d","mark":432}]}"#,
     )]);
     let hold = Duration::from_millis(10_000);
-    let watched =
-        changed.state.watch(RequestClass::Watch, "c/", 431, hold).await.expect("an answer");
-    assert!(watched.store_revision == 433 && watched.events.len() == 2, "watch");
+    let watched = changed
+        .state
+        .watch(RequestClass::Watch, "c/", Revision(431), hold)
+        .await
+        .expect("an answer");
+    assert!(watched.store_revision == Revision(433) && watched.events.len() == 2, "watch");
     let WatchEvent::Put { put, value, revision } = &watched.events[0] else {
         panic!("watch: a put")
     };
-    assert!(put == "c/9" && *revision == 433 && *value == json!({"x": 1}), "watch: the put");
+    assert!(
+        put == "c/9" && *revision == Revision(433) && *value == json!({"x": 1}),
+        "watch: the put"
+    );
     let WatchEvent::Delete { drop, revision } = &watched.events[1] else { panic!("watch: a drop") };
-    assert!(drop == "c/d" && *revision == 432, "watch: the drop");
+    assert!(drop == "c/d" && *revision == Revision(432), "watch: the drop");
     let old = Scripted::new(&[(410, "{}")]);
-    let answer = old.state.watch(RequestClass::Watch, "todo", 1, hold).await;
+    let answer = old.state.watch(RequestClass::Watch, "todo", Revision(1), hold).await;
     assert!(matches!(answer, Err(KeyValueError::Expired)), "watch: too old");
     vec![("watch", changed.asked()), ("watch, too old", old.asked())]
 }
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -226,7 +226,7 @@
 
     fn learn_leader(&self, name: &str, term: Term) {
         if name != self.settings.node_name {
-            let epoch = Epoch::from_revision(term.get()).ok();
+            let epoch = Epoch::try_from(term).ok();
             self.highest_term.set(self.highest_term.get().max(epoch));
         }
         let mut leader = self.known_leader.borrow_mut();
--- a/crates/controller/src/node/fleet_role.rs
+++ b/crates/controller/src/node/fleet_role.rs
@@ -75,7 +75,7 @@
 
 /// The term as an epoch, if it is above all that are known.
 fn next_epoch(node: &Node, term: Term) -> Result<Epoch, EpochError> {
-    let epoch = Epoch::from_revision(term.get())?.must_follow(node.highest_term.get())?;
+    let epoch = Epoch::try_from(term)?.must_follow(node.highest_term.get())?;
     node.highest_term.set(Some(epoch));
     Ok(epoch)
 }
@@ -169,7 +169,7 @@
     let commands = {
         let mut fleet = node.fleet.borrow_mut();
         let Some(intent_log) = fleet.as_mut() else { return };
-        if intent_log.fence().epoch().revision() != term.get() {
+        if intent_log.fence().epoch().revision() != term.into() {
             return;
         }
         intent_log.set_limits(write_limits(node));
@@ -201,8 +201,9 @@
 fn with_intent_log(node: &Rc<Node>, term: Term, tell: impl FnOnce(&mut IntentLog)) {
     let stopped = {
         let mut fleet = node.fleet.borrow_mut();
-        let intent_log =
-            fleet.as_mut().filter(|intent_log| intent_log.fence().epoch().revision() == term.get());
+        let intent_log = fleet
+            .as_mut()
+            .filter(|intent_log| intent_log.fence().epoch().revision() == term.into());
         let Some(intent_log) = intent_log else { return };
         tell(intent_log);
         intent_log.stopped().map(ToString::to_string)
--- a/crates/controller/src/node/leader.rs
+++ b/crates/controller/src/node/leader.rs
@@ -17,6 +17,7 @@
 use walnutlug_scheduler::scheduler::Scheduler;
 use walnutlug_scheduler::storage::document::Document;
 use walnutlug_scheduler::storage::keys;
+use walnutlug_scheduler::storage::revision::Revision;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 
 use super::{event_log, fleet_role, Node, ADDRESS_FRESH};
@@ -45,7 +46,7 @@
                 if name == node.settings.node_name {
                     release_former_lease(&node, &key_value).await;
                 }
-                node.learn_leader(&name, Term(key_value.revision));
+                node.learn_leader(&name, key_value.revision.into());
                 let hold = Duration::from_secs(10);
                 match node
                     .key_value
@@ -58,7 +59,7 @@
                         );
                         if vacant {
                             info!("the leader key is gone");
-                            node.forget_leader(Term(key_value.revision));
+                            node.forget_leader(key_value.revision.into());
                         }
                     }
                     Err(_) => sleep(Duration::from_millis(300)).await,
@@ -86,7 +87,10 @@
     key_value: &walnutlug_scheduler::protocol::key_value::KeyValue,
 ) {
     if let Some(lease) = key_value.value["lease"].as_u64() {
-        info!(term = key_value.revision, "this node led when it ended: its lease is given up");
+        info!(
+            term = key_value.revision.get(),
+            "this node led when it ended: its lease is given up"
+        );
         let _ = node.key_value.release(lease).await;
     }
 }
@@ -105,7 +109,7 @@
     node.lease_until.set(asked + safe_lease_duration(ttl));
     let value = leader_record(&node.settings.node_name, &node.election_nonce, lease);
     let transaction = Transaction {
-        compares: vec![Compare { key: keys::LEADER.into(), revision: 0 }],
+        compares: vec![Compare { key: keys::LEADER.into(), revision: Revision::NONE }],
         operations: vec![Operation::Put {
             put: keys::LEADER.into(),
             value: Document::new(&value),
@@ -137,11 +141,11 @@
     election_nonce: &str,
 ) -> Option<Term> {
     match state.commit(RequestClass::Leadership, transaction).await {
-        TransactionOutcome::Committed { revision } => Some(Term(revision)),
+        TransactionOutcome::Committed { revision } => Some(revision.into()),
         TransactionOutcome::Conflict { .. } | TransactionOutcome::Indeterminate => {
             match state.get(RequestClass::Leadership, keys::LEADER).await {
                 Ok(Some(p)) if p.value["inc"].as_str() == Some(election_nonce) => {
-                    Some(Term(p.revision))
+                    Some(p.revision.into())
                 }
                 _ => None,
             }
@@ -281,7 +285,10 @@
         let most = node.key_value.max_compares();
         let batch = &open[open.len().saturating_sub(most)..];
         let transaction = Transaction {
-            compares: batch.iter().map(|n| Compare { key: keys::end(n), revision: 0 }).collect(),
+            compares: batch
+                .iter()
+                .map(|n| Compare { key: keys::end(n), revision: Revision::NONE })
+                .collect(),
             operations: Vec::new(),
         };
         let keep = open.len() - batch.len();
@@ -400,7 +407,7 @@
 pub(super) async fn retry(
     node: &Rc<Node>,
     prefix: &str,
-) -> Result<(Vec<walnutlug_scheduler::protocol::key_value::KeyValue>, u64), KeyValueError> {
+) -> Result<(Vec<walnutlug_scheduler::protocol::key_value::KeyValue>, Revision), KeyValueError> {
     let mut tries = 0;
     loop {
         match node.key_value.list(RequestClass::Dispatch, prefix).await {
@@ -429,7 +436,7 @@
 }
 
 /// Hears of new jobs and of ends. Opened again at a bounded pace, since every opening counts.
-async fn watch(node: Rc<Node>, term: Term, prefix: &'static str, mut from: u64) {
+async fn watch(node: Rc<Node>, term: Term, prefix: &'static str, mut from: Revision) {
     // The watch on ends moves the watermark each time it returns, so it returns often.
     let sixth = Duration::from_micros(watermark::window(&node.site).0 / 6);
     let hold = sixth.clamp(Duration::from_millis(100), Duration::from_secs(10));
@@ -579,7 +586,7 @@
                     if let Ok(found) =
                         node.key_value.get(RequestClass::Leadership, keys::LEADER).await
                     {
-                        if found.is_none_or(|key_value| key_value.revision != term.get()) {
+                        if found.is_none_or(|key_value| key_value.revision != term.into()) {
                             node.step_down("the leader key is not this term's any more");
                         }
                     }
@@ -598,7 +605,7 @@
             tokio::task::spawn_local(async move {
                 let answer = match node.key_value.get(RequestClass::Dispatch, &key).await {
                     Ok(Some(key_value)) => Some((key_value.value, key_value.revision)),
-                    Ok(None) => Some((serde_json::Value::Null, 0)),
+                    Ok(None) => Some((serde_json::Value::Null, Revision::NONE)),
                     Err(_) => None,
                 };
                 with_scheduler(&node, term, |s, now| s.read_answered(now, id, answer));
--- a/crates/controller/src/node/leader/tests.rs
+++ b/crates/controller/src/node/leader/tests.rs
@@ -3,7 +3,7 @@
 
 fn key_for(incarnation: &str) -> Transaction {
     Transaction {
-        compares: vec![Compare { key: keys::LEADER.into(), revision: 0 }],
+        compares: vec![Compare { key: keys::LEADER.into(), revision: Revision::NONE }],
         operations: vec![Operation::put(keys::LEADER, leader_record("kernel-0", incarnation, 5))],
     }
 }
--- a/crates/controller/src/node/machine_types_role.rs
+++ b/crates/controller/src/node/machine_types_role.rs
@@ -16,6 +16,7 @@
 use walnutlug_scheduler::protocol::cloud::MachineType;
 use walnutlug_scheduler::protocol::key_value::{KeyValue, Operation};
 use walnutlug_scheduler::storage::keys;
+use walnutlug_scheduler::storage::revision::Revision;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 
 use super::{Node, PEER_FRESH};
@@ -197,7 +198,7 @@
 }
 
 /// Creates the duty's key, and tells its revision if this node did, also where only the answer was lost.
-async fn create_key(node: &Node, lease: u64) -> Option<u64> {
+async fn create_key(node: &Node, lease: u64) -> Option<Revision> {
     let holder = HolderRecord {
         format: HOLDER_FORMAT,
         node: node.settings.node_name.clone(),
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -3,6 +3,7 @@
 use crate::user_api::fake_cluster::{Cluster, Fault, StandIn};
 use walnutlug_scheduler::leadership::fencing_token::FencingToken;
 use walnutlug_scheduler::storage::keys;
+use walnutlug_scheduler::storage::revision::Revision;
 
 #[tokio::test(start_paused = true)]
 async fn a_node_alone_refused_is_not_ready_and_one_among_all_is() {
@@ -162,7 +163,7 @@
         &[walnutlug_scheduler::protocol::key_value::KeyValue {
             key: keys::run(JOB, 0),
             value,
-            revision: 1,
+            revision: Revision(1),
         }],
     );
     for input in [
--- a/crates/controller/src/user_api.rs
+++ b/crates/controller/src/user_api.rs
@@ -23,6 +23,7 @@
 use walnutlug_scheduler::storage::document::Document;
 use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::storage::records::{chunk_size, description_record};
+use walnutlug_scheduler::storage::revision::Revision;
 
 use job_checks::check;
 
@@ -385,7 +386,9 @@
                 continue; // The same job twice at once: one record serves both.
             }
             names.push(&w.name);
-            transaction.compares.push(Compare { key: keys::job(&w.name), revision: 0 });
+            transaction
+                .compares
+                .push(Compare { key: keys::job(&w.name), revision: Revision::NONE });
             transaction.operations.push(Operation::put(keys::job(&w.name), serde_json::json!(1)));
             if w.aborted {
                 // Accepted and over at once: there is nothing to do about it.
@@ -553,7 +556,7 @@
         // told; and every start guards this key's absence.
         let key = keys::end(name);
         let transaction = Transaction {
-            compares: vec![Compare { key: key.clone(), revision: 0 }],
+            compares: vec![Compare { key: key.clone(), revision: Revision::NONE }],
             operations: vec![Operation::put(key, serde_json::json!("aborted"))],
         };
         match node.key_value.commit(RequestClass::Submission, &transaction).await {
--- a/crates/controller/src/user_api/concurrent_failures_tests.rs
+++ b/crates/controller/src/user_api/concurrent_failures_tests.rs
@@ -171,7 +171,7 @@
             let node = node(&mut rng);
             let key = keys::end(&job);
             let transaction = Transaction {
-                compares: vec![Compare { key: key.clone(), revision: 0 }],
+                compares: vec![Compare { key: key.clone(), revision: Revision::NONE }],
                 operations: vec![Operation::put(key, json!("done"))],
             };
             let accepted = store.holds(&keys::job(&job));
--- a/crates/controller/src/user_api/job_checks.rs
+++ b/crates/controller/src/user_api/job_checks.rs
@@ -9,6 +9,7 @@
 use walnutlug_scheduler::model::job_spec::JobEnd;
 use walnutlug_scheduler::protocol::key_value::{Compare, Operation, Transaction};
 use walnutlug_scheduler::storage::keys;
+use walnutlug_scheduler::storage::revision::Revision;
 
 use super::{Known, Status};
 use crate::key_value_client::{KeyValueError, RequestClass};
@@ -107,7 +108,8 @@
     while !left.is_empty() {
         let n = left.len().min(node.key_value.max_compares());
         let batch = &left[left.len() - n..];
-        let compares = batch.iter().map(|k| Compare { key: k.clone(), revision: 0 }).collect();
+        let compares =
+            batch.iter().map(|k| Compare { key: k.clone(), revision: Revision::NONE }).collect();
         match node.key_value.commit(class, &Transaction { compares, operations: Vec::new() }).await
         {
             TransactionOutcome::Committed { .. } => {
@@ -184,7 +186,10 @@
     let mut any = false;
     for some in names.chunks(node.key_value.limits().txn_ops.max(1)) {
         let transaction = Transaction {
-            compares: some.iter().map(|n| Compare { key: keys::end(n), revision: 0 }).collect(),
+            compares: some
+                .iter()
+                .map(|n| Compare { key: keys::end(n), revision: Revision::NONE })
+                .collect(),
             operations: some
                 .iter()
                 .map(|n| Operation::put(keys::end(n), serde_json::json!(JobEnd::Cancelled)))
--- a/crates/fault-injection/src/fake_key_value_store.rs
+++ b/crates/fault-injection/src/fake_key_value_store.rs
@@ -66,8 +66,10 @@
     /// Carries a transaction out, all of it or nothing. Returns the revision after it.
     pub fn commit(&mut self, transaction: &Transaction) -> Result<u64, Conflict> {
         let revision = |key: &str| self.keys.get(key).map_or(0, |entry| entry.revision);
-        let wrong =
-            transaction.compares.iter().filter(|guard| revision(&guard.key) != guard.revision);
+        let wrong = transaction
+            .compares
+            .iter()
+            .filter(|guard| revision(&guard.key) != guard.revision.get());
         let failed: Vec<String> = wrong.map(|guard| guard.key.clone()).collect();
         if !failed.is_empty() {
             return Err(Conflict { failed });
--- a/crates/fencing/src/fence.rs
+++ b/crates/fencing/src/fence.rs
@@ -1,6 +1,7 @@
 //! Writes that take effect only while the writer still holds its duty.
 
 use walnutlug_scheduler::protocol::key_value::{Compare, Operation, Transaction};
+use walnutlug_scheduler::storage::revision::Revision;
 
 use crate::leased_role::{Epoch, LeasedRole};
 
@@ -53,7 +54,7 @@
 
     /// Adds a key that must not exist yet.
     pub fn create(&mut self, key: &str, change: Operation) {
-        self.transaction.compares.push(Compare { key: key.to_owned(), revision: 0 });
+        self.transaction.compares.push(Compare { key: key.to_owned(), revision: Revision::NONE });
         self.transaction.operations.push(change);
     }
 
--- a/crates/fencing/src/intent.rs
+++ b/crates/fencing/src/intent.rs
@@ -6,6 +6,7 @@
 use serde::{Deserialize, Serialize};
 use walnutlug_scheduler::protocol::cloud::ScaleOutRequest;
 use walnutlug_scheduler::protocol::key_value::KeyValue;
+use walnutlug_scheduler::storage::revision::Revision;
 
 use crate::leased_role::{check_format, Epoch, EpochError, LeasedRole, RecordError};
 
@@ -111,7 +112,7 @@
         check_format(&key_value.key, &key_value.value, INTENT_FORMAT)?;
         let epoch = place.split_once('/').and_then(|(epoch, _)| epoch.parse().ok());
         let epoch = epoch.ok_or_else(|| unreadable("its key names no epoch"))?;
-        let epoch = Epoch::from_revision(epoch)
+        let epoch = Epoch::try_from(Revision(epoch))
             .map_err(|error: EpochError| RecordError::Epoch { key: key(), error })?;
         let record: IntentRecord = serde_json::from_value(key_value.value.clone())
             .map_err(|e| unreadable(&e.to_string()))?;
--- a/crates/fencing/src/lease.rs
+++ b/crates/fencing/src/lease.rs
@@ -4,6 +4,7 @@
 //! renewal was sent. So a holder that counts from the sending, and allows for its clock being slow, stops
 //! before the service lets anybody else in, and needs no message for that.
 
+use walnutlug_scheduler::storage::revision::Revision;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 
 use crate::leased_role::{Epoch, EpochError};
@@ -55,7 +56,7 @@
     /// The duty's key was created, or read back as this node's own, with this revision.
     Won {
         /// The key's revision.
-        revision: u64,
+        revision: Revision,
     },
     /// Somebody else was first, or the attempt failed.
     Failed,
@@ -131,8 +132,8 @@
         true
     }
 
-    fn won(&mut self, sent: Timestamp, revision: u64) -> LeaseState {
-        let epoch = Epoch::from_revision(revision).and_then(|e| e.must_follow(self.highest));
+    fn won(&mut self, sent: Timestamp, revision: Revision) -> LeaseState {
+        let epoch = Epoch::try_from(revision).and_then(|e| e.must_follow(self.highest));
         match epoch {
             Ok(epoch) => {
                 self.highest = Some(epoch);
--- a/crates/fencing/src/leased_role.rs
+++ b/crates/fencing/src/leased_role.rs
@@ -2,9 +2,11 @@
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
+use walnutlug_scheduler::leadership::fencing_token::Term;
 use walnutlug_scheduler::protocol::key_value::{Compare, KeyValue, Operation, Transaction};
 use walnutlug_scheduler::storage::document::Document;
 use walnutlug_scheduler::storage::keys;
+use walnutlug_scheduler::storage::revision::Revision;
 
 /// Prefix of the keys that name the holders.
 pub const ROLE_KEY_PREFIX: &str = "duty/";
@@ -77,18 +79,9 @@
     /// The largest epoch. Workers' tokens keep 44 bits for a term, which is a revision too.
     pub const LIMIT: u64 = (1 << 44) - 1;
 
-    /// The epoch of a key with that revision.
-    pub fn from_revision(revision: u64) -> Result<Epoch, EpochError> {
-        match revision {
-            0 => Err(EpochError::Zero),
-            1..=Epoch::LIMIT => Ok(Epoch(revision)),
-            _ => Err(EpochError::AtLimit(revision)),
-        }
-    }
-
     /// As a revision of the key-value store.
-    pub fn revision(self) -> u64 {
-        self.0
+    pub fn revision(self) -> Revision {
+        Revision(self.0)
     }
 
     /// Refuses an epoch that is not above one known to have been in use.
@@ -102,6 +95,28 @@
     }
 }
 
+/// The epoch of a key with that revision.
+impl TryFrom<Revision> for Epoch {
+    type Error = EpochError;
+
+    fn try_from(revision: Revision) -> Result<Epoch, EpochError> {
+        match revision.get() {
+            0 => Err(EpochError::Zero),
+            found @ 1..=Epoch::LIMIT => Ok(Epoch(found)),
+            found => Err(EpochError::AtLimit(found)),
+        }
+    }
+}
+
+/// A leader's term as an epoch.
+impl TryFrom<Term> for Epoch {
+    type Error = EpochError;
+
+    fn try_from(term: Term) -> Result<Epoch, EpochError> {
+        Epoch::try_from(Revision::from(term))
+    }
+}
+
 impl std::fmt::Display for Epoch {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         self.0.fmt(f)
@@ -204,7 +219,7 @@
         if !nodes.contains(&holder.node.as_str()) {
             return Err(RecordError::UnknownHolder { key: key(), node: holder.node });
         }
-        let epoch = Epoch::from_revision(key_value.revision)
+        let epoch = Epoch::try_from(key_value.revision)
             .map_err(|error| RecordError::Epoch { key: key(), error })?;
         Ok(HeldRole { role, epoch, holder })
     }
@@ -217,6 +232,9 @@
             value: Document::new(holder),
             lease: Some(holder.lease),
         };
-        Transaction { compares: vec![Compare { key, revision: 0 }], operations: vec![put] }
+        Transaction {
+            compares: vec![Compare { key, revision: Revision::NONE }],
+            operations: vec![put],
+        }
     }
 }
--- a/crates/fencing/tests/components.rs
+++ b/crates/fencing/tests/components.rs
@@ -6,6 +6,7 @@
 use walnutlug_fencing::leased_role::{Epoch, EpochError, LeasedRole, RecordError};
 use walnutlug_fencing::role_balancer::{NodeLoad, RoleBalancer};
 use walnutlug_scheduler::protocol::key_value::KeyValue;
+use walnutlug_scheduler::storage::revision::Revision;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 
 const TTL: TimeDelta = TimeDelta::from_secs(10);
@@ -14,7 +15,7 @@
 fn held() -> RoleLease {
     let mut lease = RoleLease::new(TTL);
     assert!(lease.step(LeaseInput::Granted { sent: START }));
-    assert!(lease.step(LeaseInput::Won { revision: 7 }));
+    assert!(lease.step(LeaseInput::Won { revision: Revision(7) }));
     lease
 }
 
@@ -49,9 +50,9 @@
         (Epoch::LIMIT + 1, EpochError::AtLimit(Epoch::LIMIT + 1)),
     ] {
         let mut lease = RoleLease::new(TTL);
-        lease.observe(Epoch::from_revision(7).expect("an epoch"));
+        lease.observe(Epoch::try_from(Revision(7)).expect("an epoch"));
         lease.step(LeaseInput::Granted { sent: START });
-        assert!(lease.step(LeaseInput::Won { revision }));
+        assert!(lease.step(LeaseInput::Won { revision: Revision(revision) }));
         assert_eq!(lease.state(), LeaseState::Stopped { error });
         assert!(lease.permit(START).is_none());
         assert!(!lease.step(LeaseInput::Granted { sent: START }), "not again in this life");
@@ -77,10 +78,11 @@
 
 #[test]
 fn stored_intents_that_cannot_be_acted_on_are_named() {
-    let epoch = Epoch::from_revision(9).expect("an epoch");
+    let epoch = Epoch::try_from(Revision(9)).expect("an epoch");
     let key = intent_key(LeasedRole::Fleet, epoch, 1);
     let read = |key: &str, value| {
-        StoredIntent::read(&KeyValue { key: key.to_owned(), value, revision: 1 }).map(|i| i.epoch)
+        StoredIntent::read(&KeyValue { key: key.to_owned(), value, revision: Revision(1) })
+            .map(|i| i.epoch)
     };
     let scale_out =
         json!({"rent": {"request": "r", "kind": "t8", "zone": "a", "spot": true, "count": 2}});
--- a/crates/fencing/tests/golden_bytes.rs
+++ b/crates/fencing/tests/golden_bytes.rs
@@ -16,6 +16,7 @@
 use walnutlug_scheduler::command::TransactionOutcome;
 use walnutlug_scheduler::protocol::key_value::{KeyValue, Operation, Transaction};
 use walnutlug_scheduler::storage::keys;
+use walnutlug_scheduler::storage::revision::Revision;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 
 const RECORDS: &str = "tests/golden/records.txt";
@@ -28,7 +29,7 @@
 }
 
 fn epoch() -> Epoch {
-    Epoch::from_revision(412).expect("an epoch")
+    Epoch::try_from(Revision(412)).expect("an epoch")
 }
 
 fn holder() -> HolderRecord {
@@ -71,7 +72,11 @@
 
 fn key_value(entry: &str, revision: u64) -> KeyValue {
     let (key, value) = entry.split_once('\n').expect("a key and a value");
-    KeyValue { key: key.to_owned(), value: serde_json::from_str(value).expect("a value"), revision }
+    KeyValue {
+        key: key.to_owned(),
+        value: serde_json::from_str(value).expect("a value"),
+        revision: Revision(revision),
+    }
 }
 
 fn types_write() -> Transaction {
@@ -115,7 +120,11 @@
         match command {
             IntentLogCommand::Write { id, transaction } => {
                 lines.push(text(&transaction));
-                intent_log.written(now, id, &TransactionOutcome::Committed { revision: 500 });
+                intent_log.written(
+                    now,
+                    id,
+                    &TransactionOutcome::Committed { revision: Revision(500) },
+                );
             }
             IntentLogCommand::Send { id, action } => {
                 lines.push(format!("send {}", sent(&action)));
@@ -175,9 +184,9 @@
 }
 
 fn left_by_the_former() -> KeyValue {
-    let former = Epoch::from_revision(300).expect("an epoch");
+    let former = Epoch::try_from(Revision(300)).expect("an epoch");
     let actions: Value = json!([{"rent": {"request": "w-300-1", "kind": "t8", "zone": "b",
         "spot": false, "count": 3}}, {"return": [{"name": "n-000100", "tasks": true}]}]);
     let value = json!({"format": 1, "actions": actions});
-    KeyValue { key: intent_key(LeasedRole::Fleet, former, 2), value, revision: 301 }
+    KeyValue { key: intent_key(LeasedRole::Fleet, former, 2), value, revision: Revision(301) }
 }
--- a/crates/fencing/tests/random_interleavings.rs
+++ b/crates/fencing/tests/random_interleavings.rs
@@ -16,6 +16,7 @@
 use walnutlug_scheduler::command::TransactionOutcome;
 use walnutlug_scheduler::protocol::key_value::{KeyValue, Operation, Transaction};
 use walnutlug_scheduler::storage::keys;
+use walnutlug_scheduler::storage::revision::Revision;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 
 const LIMITS: WriteLimits = WriteLimits { value_bytes: 400, txn_ops: 3 };
@@ -105,7 +106,7 @@
 }
 
 fn holder(epoch: u64) -> Holder {
-    let fence = Fence::new(LeasedRole::Fleet, Epoch::from_revision(epoch).expect("an epoch"));
+    let fence = Fence::new(LeasedRole::Fleet, Epoch::try_from(Revision(epoch)).expect("an epoch"));
     let intent_log = IntentLog::new(fence, LIMITS, TimeDelta::from_secs(12));
     Holder { epoch, intent_log, about_to: Vec::new() }
 }
@@ -235,8 +236,10 @@
 
     fn commit(&mut self, transaction: &Transaction) -> TransactionOutcome {
         let revision = |key: &str| self.keys.get(key).map_or(0, |(_, revision)| *revision);
-        let failed =
-            transaction.compares.iter().filter(|guard| revision(&guard.key) != guard.revision);
+        let failed = transaction
+            .compares
+            .iter()
+            .filter(|guard| revision(&guard.key) != guard.revision.get());
         let failed: Vec<String> = failed.map(|guard| guard.key.clone()).collect();
         if !failed.is_empty() {
             return TransactionOutcome::Conflict { failed };
@@ -255,7 +258,7 @@
                 }
             }
         }
-        TransactionOutcome::Committed { revision: self.revision }
+        TransactionOutcome::Committed { revision: Revision(self.revision) }
     }
 
     fn record(&mut self, value: &Value) {
@@ -269,7 +272,7 @@
         let key_value = |(key, (value, revision)): (&String, &(Value, u64))| KeyValue {
             key: key.clone(),
             value: value.clone(),
-            revision: *revision,
+            revision: Revision(*revision),
         };
         intents.map(key_value).collect()
     }
--- a/crates/fencing/tests/transcripts.rs
+++ b/crates/fencing/tests/transcripts.rs
@@ -24,6 +24,7 @@
 use walnutlug_fencing::role_balancer::{NodeLoad, RoleBalancer};
 use walnutlug_scheduler::command::TransactionOutcome;
 use walnutlug_scheduler::protocol::key_value::{KeyValue, Operation, Transaction};
+use walnutlug_scheduler::storage::revision::Revision;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 
 const START: Timestamp = Timestamp(1 << 40);
@@ -122,7 +123,7 @@
 }
 
 fn intent_log(epoch: u64, limits: WriteLimits) -> IntentLog {
-    let fence = Fence::new(LeasedRole::Fleet, Epoch::from_revision(epoch).expect("an epoch"));
+    let fence = Fence::new(LeasedRole::Fleet, Epoch::try_from(Revision(epoch)).expect("an epoch"));
     IntentLog::new(fence, limits, TimeDelta::from_secs(12))
 }
 
@@ -275,8 +276,10 @@
             return TransactionOutcome::TooLarge;
         }
         let revision = |key: &str| self.keys.get(key).map_or(0, |(_, revision)| *revision);
-        let failed =
-            transaction.compares.iter().filter(|guard| revision(&guard.key) != guard.revision);
+        let failed = transaction
+            .compares
+            .iter()
+            .filter(|guard| revision(&guard.key) != guard.revision.get());
         let failed: Vec<String> = failed.map(|guard| guard.key.clone()).collect();
         if !failed.is_empty() {
             return TransactionOutcome::Conflict { failed };
@@ -292,7 +295,7 @@
                 }
             }
         }
-        TransactionOutcome::Committed { revision: self.revision }
+        TransactionOutcome::Committed { revision: Revision(self.revision) }
     }
 
     /// Another holds the duty from now on; at times the store tells the former one so first.
@@ -312,7 +315,7 @@
             .map(|(key, (value, revision))| KeyValue {
                 key: key.clone(),
                 value: value.clone(),
-                revision: *revision,
+                revision: Revision(*revision),
             })
             .collect();
         let adopted = self.intent_log.adopt(self.now, &stored, |name| name.ends_with('7'));
@@ -362,14 +365,14 @@
             let revision = [rising, rising, 0, 5, Epoch::LIMIT + 1][dice.below(5)];
             let (input, name) = match dice.below(10) {
                 0 | 1 => (LeaseInput::Granted { sent }, "granted"),
-                2 | 3 => (LeaseInput::Won { revision }, "won"),
+                2 | 3 => (LeaseInput::Won { revision: Revision(revision) }, "won"),
                 4 => (LeaseInput::Failed, "failed"),
                 5..9 => (LeaseInput::Renewed { sent }, "renewed"),
                 _ => (LeaseInput::Ended, "ended"),
             };
             let changed = lease.step(input);
             if dice.chance(3) {
-                lease.observe(Epoch::from_revision(rising).expect("an epoch"));
+                lease.observe(Epoch::try_from(Revision(rising)).expect("an epoch"));
             }
             let state = match lease.state() {
                 LeaseState::Idle => "idle".to_owned(),
@@ -379,9 +382,9 @@
                 }
                 LeaseState::Stopped { error } => format!("stopped: {}", epoch_error(error)),
             };
-            let permit = lease.permit(now).map_or(0, |permit| permit.epoch().revision());
+            let permit = lease.permit(now).map_or(0, |permit| permit.epoch().revision().get());
             let until = lease.held_until().map_or(0, |until| until.0);
-            let epoch = lease.epoch().map_or(0, Epoch::revision);
+            let epoch = lease.epoch().map_or(0, |epoch| epoch.revision().get());
             let text = format!("changed={changed} {state}; {permit} {until} {epoch}");
             transcript.line(&format!("lease {name}"), &text);
         }
@@ -447,7 +450,11 @@
             [("duty/machine-types", 7), ("duty/else", 7), ("duty/fleet", 1 << 50)]
         {
             transcript.next_step();
-            let key_value = KeyValue { key: key.to_owned(), value: value.clone(), revision };
+            let key_value = KeyValue {
+                key: key.to_owned(),
+                value: value.clone(),
+                revision: Revision(revision),
+            };
             let text = match HeldRole::read(&key_value, &["p", "q"]) {
                 Ok(found) => {
                     format!("{} {} {}", found.role.name(), found.epoch, json_of(&found.holder))
@@ -469,13 +476,16 @@
         for place in ["fleet/00000000000000000007/000001", "fleet/x/1", "fleet/0/1", "other/7/1"] {
             transcript.next_step();
             let key = format!("{INTENT_PREFIX}{place}");
-            let text =
-                match StoredIntent::read(&KeyValue { key, value: value.clone(), revision: 3 }) {
-                    Ok(found) => {
-                        format!("{} {} {}", found.role.name(), found.epoch, json_of(&found.record))
-                    }
-                    Err(error) => record_error(&error),
-                };
+            let text = match StoredIntent::read(&KeyValue {
+                key,
+                value: value.clone(),
+                revision: Revision(3),
+            }) {
+                Ok(found) => {
+                    format!("{} {} {}", found.role.name(), found.epoch, json_of(&found.record))
+                }
+                Err(error) => record_error(&error),
+            };
             transcript.line("intent", &text);
         }
     }
--- a/crates/scheduler/src/command.rs
+++ b/crates/scheduler/src/command.rs
@@ -6,6 +6,7 @@
 use crate::model::task::MachineIndex;
 use crate::protocol::key_value::Transaction;
 use crate::protocol::workers::{Heartbeat, WorkerCommand};
+use crate::storage::revision::Revision;
 
 /// Something for the sockets to do.
 #[derive(Debug, Clone, PartialEq)]
@@ -53,7 +54,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum TransactionOutcome {
     Committed {
-        revision: u64,
+        revision: Revision,
     },
     Conflict {
         failed: Vec<String>,
--- a/crates/scheduler/src/model/job.rs
+++ b/crates/scheduler/src/model/job.rs
@@ -9,6 +9,7 @@
 use crate::model::job_state::{JobEvent, JobState};
 use crate::model::task::{MachineIndex, Task};
 use crate::queue::dependencies::EffectiveDeadline;
+use crate::storage::revision::Revision;
 use crate::time::{TimeDelta, Timestamp};
 
 pub type JobIndex = u32;
@@ -17,7 +18,7 @@
 
 #[derive(Debug, Clone, Default)]
 pub struct Chunk {
-    pub revision: u64,
+    pub revision: Revision,
     pub in_flight: bool,
     /// Since when a planned start waits for its write.
     pub start_due: Option<Timestamp>,
@@ -46,7 +47,7 @@
     pub chunk_size: u32,
     pub chunks: Vec<Chunk>,
     /// Marks of the parts of its chunks that are kept apart, by chunk and first task.
-    pub parts: BTreeMap<(usize, u32), u64>,
+    pub parts: BTreeMap<(usize, u32), Revision>,
     /// Tasks that changed since their records were written last.
     pub changed: RoaringBitmap,
     pub tasks: Vec<Task>,
--- a/crates/scheduler/src/protocol/key_value.rs
+++ b/crates/scheduler/src/protocol/key_value.rs
@@ -4,13 +4,14 @@
 use serde_json::Value;
 
 use crate::storage::document::Document;
+use crate::storage::revision::Revision;
 
 /// A condition of a transaction: the key has this version (0: it does not exist).
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Compare {
     pub key: String,
     #[serde(rename = "mark")]
-    pub revision: u64,
+    pub revision: Revision,
 }
 
 /// A change made by a transaction.
@@ -51,7 +52,7 @@
 #[derive(Debug, Deserialize)]
 pub struct Committed {
     #[serde(rename = "growth")]
-    pub store_revision: u64,
+    pub store_revision: Revision,
 }
 
 #[derive(Debug, Deserialize)]
@@ -65,7 +66,7 @@
     pub key: String,
     pub value: Value,
     #[serde(rename = "mark")]
-    pub revision: u64,
+    pub revision: Revision,
 }
 
 #[derive(Debug, Deserialize, Serialize)]
@@ -75,7 +76,7 @@
     #[serde(rename = "hasNext", default)]
     pub more: bool,
     #[serde(rename = "growth")]
-    pub store_revision: u64,
+    pub store_revision: Revision,
 }
 
 #[derive(Debug, Deserialize)]
@@ -90,18 +91,18 @@
         put: String,
         value: Value,
         #[serde(rename = "mark")]
-        revision: u64,
+        revision: Revision,
     },
     Delete {
         drop: String,
         #[serde(rename = "mark")]
-        revision: u64,
+        revision: Revision,
     },
 }
 
 #[derive(Debug, Deserialize)]
 pub struct Watched {
     #[serde(rename = "growth")]
-    pub store_revision: u64,
+    pub store_revision: Revision,
     pub events: Vec<WatchEvent>,
 }
--- a/crates/scheduler/src/storage.rs
+++ b/crates/scheduler/src/storage.rs
@@ -3,4 +3,5 @@
 pub mod document;
 pub mod keys;
 pub mod records;
+pub mod revision;
 pub mod transactions;
--- a/crates/scheduler/src/storage/transactions.rs
+++ b/crates/scheduler/src/storage/transactions.rs
@@ -3,6 +3,7 @@
 use crate::command::{Command, TransactionOutcome};
 use crate::leadership::fencing_token::FencingToken;
 use crate::model::ids::Attempt;
+use crate::storage::revision::Revision;
 use std::collections::BTreeMap;
 
 use serde_json::Value;
@@ -78,7 +79,7 @@
 
 impl InFlightTransaction {
     /// Whether the mark is the one that a record of it had before.
-    fn expects(&self, revision: u64) -> bool {
+    fn expects(&self, revision: Revision) -> bool {
         self.batch
             .transaction
             .compares
@@ -379,14 +380,14 @@
         let key = match part {
             Some(from) => {
                 let key = keys::part(&job.name, chunk, from);
-                compare(key.clone(), job.parts.get(&(chunk, from)).copied().unwrap_or(0));
+                compare(key.clone(), job.parts.get(&(chunk, from)).copied().unwrap_or(Revision(0)));
                 key
             }
             None => whole,
         };
         // After an acknowledged withdrawal nothing can be dispatched: the end's absence is part
         // of the write itself.
-        compare(keys::end(&job.name), 0);
+        compare(keys::end(&job.name), Revision(0));
         batch.bytes += value.size() + key.len() * 2 + 64;
         batch.transaction.operations.push(Operation::put_document(key, value));
         batch.written.push((ix, chunk, part));
@@ -404,7 +405,7 @@
         batch
             .transaction
             .compares
-            .insert(0, Compare { key: keys::LEADER.into(), revision: self.term.get() });
+            .insert(0, Compare { key: keys::LEADER.into(), revision: self.term.into() });
         self.out.push(Command::Commit { id, transaction: batch.transaction.clone() });
         let (retry_at, indeterminate, too_large) = (None, false, false);
         self.transactions
@@ -435,7 +436,7 @@
             let Some(job) = self.cluster.jobs.get_mut(&ix) else { continue };
             job.apply(JobEvent::EndWriteStarted);
             let key = keys::end(&job.name);
-            batch.transaction.compares.push(Compare { key: key.clone(), revision: 0 });
+            batch.transaction.compares.push(Compare { key: key.clone(), revision: Revision::NONE });
             batch.transaction.operations.push(Operation::put(key, end));
             batch.ends.push((ix, end));
         }
@@ -453,9 +454,9 @@
         job.apply(JobEvent::DeletionStarted);
         let before = batch.transaction.operations.len();
         for (i, chunk) in job.chunks.iter_mut().enumerate() {
-            if chunk.revision > 0 && !batch.full(most) {
+            if chunk.revision > Revision::NONE && !batch.full(most) {
                 batch.transaction.operations.push(Operation::delete(keys::run(&job.name, i)));
-                chunk.revision = 0;
+                chunk.revision = Revision::NONE;
             }
         }
         let mut parts = Vec::new();
@@ -467,7 +468,7 @@
                 .push(Operation::delete(keys::part(&job.name, chunk, from)));
             parts.push((chunk, from));
         }
-        let left = !job.parts.is_empty() || job.chunks.iter().any(|c| c.revision > 0);
+        let left = !job.parts.is_empty() || job.chunks.iter().any(|c| c.revision > Revision::NONE);
         let last = !left && !batch.full(most);
         if last {
             let key = keys::description(&job.name, !job.spec.dependencies.is_empty());
@@ -553,7 +554,7 @@
     }
 
     /// The answer to a [`Command::Read`]: the value and mark (0: no such key), or nothing.
-    pub fn read_answered(&mut self, now: Timestamp, id: u64, answer: Option<(Value, u64)>) {
+    pub fn read_answered(&mut self, now: Timestamp, id: u64, answer: Option<(Value, Revision)>) {
         let Some(mut pending) = self.transactions.in_flight.remove(&id) else { return };
         match answer {
             None => {
@@ -576,7 +577,7 @@
         }
     }
 
-    fn committed(&mut self, now: Timestamp, done: Batch, revision: u64) {
+    fn committed(&mut self, now: Timestamp, done: Batch, revision: Revision) {
         self.transactions.paused_until = Timestamp(0);
         for &(ix, chunk) in &done.chunks {
             if let Some(job) = self.cluster.jobs.get_mut(&ix) {
@@ -719,11 +720,11 @@
         for RecordCleanup { job: ix, parts, .. } in failed.cleanups {
             if let Some(job) = self.cluster.jobs.get_mut(&ix) {
                 job.apply(JobEvent::DeletionIncomplete);
-                job.parts.extend(parts.into_iter().map(|part| (part, 1)));
+                job.parts.extend(parts.into_iter().map(|part| (part, Revision::UNKNOWN)));
                 // Which chunks still exist is not known any more; dropping a key that does not
                 // exist does no harm.
                 for chunk in &mut job.chunks {
-                    chunk.revision = chunk.revision.max(1);
+                    chunk.revision = chunk.revision.max(Revision::UNKNOWN);
                 }
             }
         }
--- a/crates/scheduler/tests/autoscaling.rs
+++ b/crates/scheduler/tests/autoscaling.rs
@@ -132,7 +132,7 @@
     }
     assert_eq!(w.end(JOB), Some(&json!("done")));
     // Four chunks, every four seconds, and 30 + 300 * 1.0 s of settling.
-    let writes = puts(&w).0 - before;
+    let writes = puts(&w).0.get() - before.get();
     assert!(writes < 330 / 4 + 10, "{writes} transactions for 300 finishes");
 
     // With room for two changes, they go to the start of the more urgent job.
--- a/crates/scheduler/tests/fleet_size.rs
+++ b/crates/scheduler/tests/fleet_size.rs
@@ -153,7 +153,7 @@
         world.settle();
     }
     let chunks: usize = world.leader.cluster.jobs.values().map(|job| job.chunks.len()).sum();
-    let written = (world.store.store_revision - written) as usize;
+    let written = (world.store.store_revision.get() - written.get()) as usize;
     assert!(written <= 2 * chunks, "{written} transactions for {chunks} records");
     let recorded: usize =
         world.leader.cluster.jobs.values().map(|job| job.done as usize).sum::<usize>();
@@ -194,6 +194,6 @@
         job.tasks.iter().all(|task| task.phase == TaskPhase::Done)
     };
     assert!(world.leader.cluster.jobs.values().all(all_done));
-    let written = (world.store.store_revision - written) as usize;
+    let written = (world.store.store_revision.get() - written.get()) as usize;
     assert!(written <= 2 * chunks + 2 * JOBS, "{written} transactions for {chunks} records");
 }
--- a/crates/scheduler/tests/golden_bytes.rs
+++ b/crates/scheduler/tests/golden_bytes.rs
@@ -21,6 +21,7 @@
 };
 use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::storage::records::{chunk_size, description_record};
+use walnutlug_scheduler::storage::revision::Revision;
 use world::{spec, types, World};
 
 const RECORDS: &str = "tests/golden/records.txt";
@@ -214,8 +215,8 @@
     let strange = world.leader.load_runs(
         world.now,
         &[
-            key_value(keys::run(JOB, 0), chunk_of_every_phase(), 8),
-            key_value(keys::part(JOB, 1, 8), part, 9),
+            key_value(keys::run(JOB, 0), chunk_of_every_phase(), Revision(8)),
+            key_value(keys::part(JOB, 1, 8), part, Revision(9)),
         ],
     );
     assert!(strange.is_empty(), "all of them are read");
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -20,6 +20,7 @@
 use walnutlug_scheduler::scheduler::Scheduler;
 use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::storage::records::description_record;
+use walnutlug_scheduler::storage::revision::Revision;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 use walnutlug_scheduler::tunables::{Site, Tunables};
 
@@ -175,7 +176,7 @@
     Read {
         term: Term,
         id: u64,
-        answer: Option<(Value, u64)>,
+        answer: Option<(Value, Revision)>,
     },
     Direct {
         term: Term,
@@ -500,7 +501,7 @@
         let term = self.store.put(keys::LEADER, json!(self.now.0));
         let tunables = Rc::new(Tunables::default());
         let mut s =
-            Scheduler::new(self.site.clone(), tunables, Term(term), world::types(), self.now);
+            Scheduler::new(self.site.clone(), tunables, term.into(), world::types(), self.now);
         let wall = world::WALL + (self.now.0 - START.0);
         for key_value in self.store.key_values(keys::TODO) {
             let name = key_value.key.strip_prefix(keys::TODO).expect("a description").to_owned();
@@ -572,7 +573,7 @@
     fn apply(&mut self, transaction: &Transaction) -> TransactionOutcome {
         let outcome = self.store.apply(transaction);
         if matches!(outcome, TransactionOutcome::Committed { .. }) {
-            let term = self.store.keys.get(keys::LEADER).map_or(0, |k| k.1);
+            let term = self.store.keys.get(keys::LEADER).map_or(Revision::NONE, |k| k.1);
             let guarded =
                 transaction.compares.iter().any(|g| g.key == keys::LEADER && g.revision == term);
             assert!(guarded, "{}: written by a deposed leader: {transaction:?}", self.what);
@@ -792,11 +793,11 @@
         match command {
             Command::Log(_) | Command::FindJobEnds { .. } => {}
             Command::VerifyLeadership | Command::StepDown(_) => {
-                let cache_entry = self.store.keys.get(keys::LEADER).map_or(0, |k| k.1);
+                let cache_entry = self.store.keys.get(keys::LEADER).map_or(Revision::NONE, |k| k.1);
                 let down = matches!(command, Command::StepDown(_));
-                if served && (down || cache_entry != term.get()) {
+                if served && (down || cache_entry != term.into()) {
                     self.leaders[i].served = Timestamp(0);
-                    if cache_entry == term.get() {
+                    if cache_entry == term.into() {
                         self.elect_at.get_or_insert(self.now + TimeDelta::from_millis(500));
                     }
                 }
@@ -821,7 +822,8 @@
                 self.events.push(answer(soon, outcome));
             }
             Command::Read { id, key } => {
-                let stored = self.store.keys.get(&key).cloned().unwrap_or((Value::Null, 0));
+                let stored =
+                    self.store.keys.get(&key).cloned().unwrap_or((Value::Null, Revision(0)));
                 let answer = served.then_some(stored);
                 let at = self.in_ms(10, 150);
                 self.events.push((at, Event::Read { term, id, answer }));
--- a/crates/scheduler/tests/task_starts.rs
+++ b/crates/scheduler/tests/task_starts.rs
@@ -10,6 +10,7 @@
 use walnutlug_scheduler::protocol::cloud::{CloudMachineState, ListedMachine};
 use walnutlug_scheduler::protocol::workers::WorkerCommand;
 use walnutlug_scheduler::storage::keys;
+use walnutlug_scheduler::storage::revision::Revision;
 use world::{one_machine, spec, World};
 
 const JOB: &str = "req-000001";
@@ -25,8 +26,11 @@
     assert!(transaction
         .compares
         .iter()
-        .any(|g| g.key == keys::LEADER && g.revision == w.leader.term.get()));
-    assert!(transaction.compares.iter().any(|g| g.key == keys::end(JOB) && g.revision == 0));
+        .any(|g| g.key == keys::LEADER && g.revision == Revision(w.leader.term.get())));
+    assert!(transaction
+        .compares
+        .iter()
+        .any(|g| g.key == keys::end(JOB) && g.revision == Revision(0)));
     let outcome = w.store.apply(&transaction);
     assert!(w.store.keys.contains_key(&keys::run(JOB, 0)));
     w.leader.transaction_answered(w.now, id, outcome);
--- a/crates/scheduler/tests/version_compatibility.rs
+++ b/crates/scheduler/tests/version_compatibility.rs
@@ -25,7 +25,7 @@
     let mut w = World::new(&[("n-000001", "a"), ("n-000002", "b")]);
     for key_value in production() {
         if key_value.key != keys::LEADER {
-            w.store.store_revision += 1;
+            w.store.store_revision.0 += 1;
             w.store.keys.insert(key_value.key, (key_value.value, w.store.store_revision));
         }
     }
--- a/crates/scheduler/tests/world/mod.rs
+++ b/crates/scheduler/tests/world/mod.rs
@@ -7,7 +7,7 @@
 
 use serde_json::{json, Value};
 use walnutlug_scheduler::command::{Command, MessageOutcome, TransactionOutcome};
-use walnutlug_scheduler::leadership::fencing_token::{FencingToken, Term};
+use walnutlug_scheduler::leadership::fencing_token::FencingToken;
 use walnutlug_scheduler::model::ids::{AgentEpoch, Attempt};
 use walnutlug_scheduler::model::job_spec::{JobEnd, JobSpec, Priority};
 use walnutlug_scheduler::model::team::Team;
@@ -20,6 +20,7 @@
 use walnutlug_scheduler::scheduler::Scheduler;
 use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::storage::records::{chunk_size, description_record};
+use walnutlug_scheduler::storage::revision::Revision;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 use walnutlug_scheduler::tunables::{Site, Tunables};
 
@@ -33,8 +34,8 @@
 
 #[derive(Debug, Default)]
 pub struct Store {
-    pub keys: BTreeMap<String, (Value, u64)>,
-    pub store_revision: u64,
+    pub keys: BTreeMap<String, (Value, Revision)>,
+    pub store_revision: Revision,
     /// The largest value and the most changes that it takes.
     pub limits: Option<(usize, usize)>,
 }
@@ -57,7 +58,7 @@
                 return TransactionOutcome::TooLarge;
             }
         }
-        let revision = |k: &str| self.keys.get(k).map_or(0, |v| v.1);
+        let revision = |k: &str| self.keys.get(k).map_or(Revision::NONE, |v| v.1);
         let failed: Vec<String> = transaction
             .compares
             .iter()
@@ -67,7 +68,7 @@
         if !failed.is_empty() {
             return TransactionOutcome::Conflict { failed };
         }
-        self.store_revision += 1;
+        self.store_revision.0 += 1;
         for change in &transaction.operations {
             match change {
                 Operation::Put { put, value, .. } => {
@@ -107,9 +108,9 @@
         names.iter().map(|n| (n.clone(), find(n))).collect()
     }
 
-    pub fn put(&mut self, key: &str, value: Value) -> u64 {
+    pub fn put(&mut self, key: &str, value: Value) -> Revision {
         transcript::put(key, &value);
-        self.store_revision += 1;
+        self.store_revision.0 += 1;
         self.keys.insert(key.to_owned(), (value, self.store_revision));
         self.store_revision
     }
@@ -328,7 +329,7 @@
         let now = Timestamp(START);
         let workers = machines.iter().map(|(n, z)| ((*n).to_owned(), Worker::new(n, z))).collect();
         let leader =
-            Scheduler::new(Rc::new(site), Rc::new(Tunables::default()), Term(term), types(), now);
+            Scheduler::new(Rc::new(site), Rc::new(Tunables::default()), term.into(), types(), now);
         let mut world = World { now, store, workers, leader, commands: Vec::new(), cut_off: false };
         world.all_report();
         world.all_report();
@@ -479,7 +480,7 @@
                 }
                 Command::Read { id, key } => {
                     let found = self.store.keys.get(&key).cloned();
-                    let answer = found.unwrap_or((Value::Null, 0));
+                    let answer = found.unwrap_or((Value::Null, Revision::NONE));
                     self.leader.read_answered(self.now, id, Some(answer));
                 }
                 _ => {}
@@ -534,7 +535,7 @@
     pub fn take_over_as(&mut self, former: bool) -> Scheduler {
         let term = self.store.put(keys::LEADER, json!("next"));
         let (site, tunables) = (self.leader.site.clone(), self.leader.tunables.clone());
-        let mut s = Scheduler::new(site, tunables, Term(term), types(), self.now);
+        let mut s = Scheduler::new(site, tunables, term.into(), types(), self.now);
         for (key, (value, _)) in &self.store.keys {
             if let Some(name) = keys::described(key) {
                 if !former || key.starts_with(keys::TODO) {
