--- a/crates/controller/src/heartbeat_delegation.rs
+++ b/crates/controller/src/heartbeat_delegation.rs
@@ -10,7 +10,7 @@
 use tracing::info;
 use walnutlug_scheduler::leadership::election::Role;
 use walnutlug_scheduler::leadership::fencing_token::{FencingToken, Term};
-use walnutlug_scheduler::model::task::MachineIndex;
+use walnutlug_scheduler::model::ids::MachineIndex;
 use walnutlug_scheduler::reconciliation::delegation::{
     CacheGrant, DelegationGrant, FollowerDelegation,
 };
--- a/crates/controller/src/node/broadcast.rs
+++ b/crates/controller/src/node/broadcast.rs
@@ -5,6 +5,7 @@
 use tokio::time::{sleep, Duration};
 use tracing::{info, warn};
 use walnutlug_scheduler::leadership::watermark::ask_every;
+use walnutlug_scheduler::model::ids::MachineIndex;
 use walnutlug_scheduler::model::machine::MachineState;
 
 use super::{Node, ADDRESS_TURN};
@@ -49,11 +50,11 @@
     let scheduler = node.scheduler.borrow();
     let Some(s) = scheduler.as_ref() else { return };
     let mut told = node.addresses_told.borrow_mut();
-    let mut names: Vec<(&String, &u32)> = s
+    let mut names: Vec<(&String, &MachineIndex)> = s
         .cluster
         .machines_by_name
         .iter()
-        .filter(|(n, &ix)| **n > *told && s.cluster.machines[ix as usize].state == MachineState::Up)
+        .filter(|(n, &ix)| **n > *told && s.cluster.machines[ix].state == MachineState::Up)
         .collect();
     names.sort_unstable();
     let most = s.cluster.machines_by_name.len().div_ceil(ADDRESS_TURN).max(peers::MAX_MACHINES);
@@ -64,7 +65,7 @@
     names.truncate(most);
     for some in names.chunks(peers::MAX_MACHINES) {
         let list = some.iter().filter_map(|(name, &ix)| {
-            let addr = s.cluster.machines[ix as usize].address.parse().ok()?;
+            let addr = s.cluster.machines[ix].address.parse().ok()?;
             Some(((*name).clone(), addr))
         });
         node.broadcast(&Frame::Machines(list.collect()));
--- a/crates/controller/src/node/fleet_role.rs
+++ b/crates/controller/src/node/fleet_role.rs
@@ -49,11 +49,8 @@
     let mut intent_log = IntentLog::new(fence, write_limits(node), listed_within);
     let now = node.now();
     let has_tasks = |name: &str| {
-        let machine = scheduler
-            .cluster
-            .machines_by_name
-            .get(name)
-            .map(|&ix| &scheduler.cluster.machines[ix as usize]);
+        let machine =
+            scheduler.cluster.machines_by_name.get(name).map(|&ix| &scheduler.cluster.machines[ix]);
         machine.is_some_and(|machine| !machine.tasks.is_empty())
     };
     let adopted = intent_log.adopt(now, &stored, has_tasks);
@@ -146,11 +143,8 @@
     let mut scheduler = node.scheduler.borrow_mut();
     let Some(scheduler) = scheduler.as_mut() else { return true };
     let with_tasks = |name: &String| {
-        let known = scheduler
-            .cluster
-            .machines_by_name
-            .get(name)
-            .map(|&ix| &scheduler.cluster.machines[ix as usize]);
+        let known =
+            scheduler.cluster.machines_by_name.get(name).map(|&ix| &scheduler.cluster.machines[ix]);
         let holds_tasks = known.is_some_and(|machine| !machine.tasks.is_empty());
         TerminatedMachine { machine: name.clone(), holds_tasks }
     };
--- a/crates/controller/src/peers/golden_tests.rs
+++ b/crates/controller/src/peers/golden_tests.rs
@@ -119,7 +119,7 @@
 fn heartbeat_frames() -> Vec<(&'static str, Frame)> {
     let cached = CachedHeartbeat {
         term: Term(0x2122_2324_2526_2728),
-        machine: 0x3132_3334,
+        machine: MachineIndex(0x3132_3334),
         number: 0x4142_4344_4546_4748,
     };
     let cache_entry = CacheGrant {
@@ -158,7 +158,10 @@
             "heard",
             Frame::RepeatedHeartbeats {
                 term: Term(0x0102_0304_0506_0708),
-                heard: vec![heard(1, 2, 3), heard(0x1112_1314, 1 << 40, 1 << 50)],
+                heard: vec![
+                    heard(MachineIndex(1), 2, 3),
+                    heard(MachineIndex(0x1112_1314), 1 << 40, 1 << 50),
+                ],
             },
         ),
     ]
@@ -196,7 +199,7 @@
             Frame::Invalidated {
                 term: Term(0x0102_0304_0506_0708),
                 first: 0x1112_1314_1516_1718,
-                cache_entries: vec![(3, 4), (0x2122_2324, 1 << 40)],
+                cache_entries: vec![(MachineIndex(3), 4), (MachineIndex(0x2122_2324), 1 << 40)],
             },
         ),
     ]
--- a/crates/controller/src/peers/heartbeat_frames.rs
+++ b/crates/controller/src/peers/heartbeat_frames.rs
@@ -2,7 +2,7 @@
 //! `walnutlug_scheduler::reconciliation::delegation`. A version that doesn't know them passes them over.
 
 use walnutlug_scheduler::leadership::fencing_token::{FencingToken, Term};
-use walnutlug_scheduler::model::task::MachineIndex;
+use walnutlug_scheduler::model::ids::MachineIndex;
 use walnutlug_scheduler::reconciliation::delegation::{CacheGrant, DelegationGrant};
 use walnutlug_scheduler::reconciliation::repeated_heartbeats::CachedHeartbeat;
 use walnutlug_scheduler::time::TimeDelta;
@@ -176,7 +176,7 @@
             answered: u8::from(self.answer.is_some()),
             cached: u8::from(cache_entry.is_some()),
             term: cached.map_or(0, |s| s.term.get()).into(),
-            machine: cached.map_or(0, |s| s.machine).into(),
+            machine: cached.map_or(0, |s| s.machine.get()).into(),
             settled_number: cached.map_or(0, |s| s.number).into(),
             token: cache_entry.map_or(0, |m| m.token.get()).into(),
             valid_for_us: cache_entry.map_or(0, |m| m.valid_for.0).into(),
@@ -190,7 +190,7 @@
         let cache_entry = CacheGrant {
             cached: CachedHeartbeat {
                 term: Term(head.term.get()),
-                machine: head.machine.get(),
+                machine: MachineIndex(head.machine.get()),
                 number: head.settled_number.get(),
             },
             token: FencingToken(head.token.get()),
@@ -211,7 +211,7 @@
     let mut body = RepeatedHeartbeatsBody { term: term.get().into() }.as_bytes().to_vec();
     for one in heard.iter().take(MAX_ENTRIES) {
         let entry = RepeatedHeartbeatEntry {
-            machine: one.machine.into(),
+            machine: one.machine.get().into(),
             number: one.number.into(),
             sequence: one.sequence.into(),
         };
@@ -227,7 +227,7 @@
         RepeatedHeartbeatsBody::read_from_prefix(body).map_err(|_| "short list of machines")?;
     let entries = entries::<RepeatedHeartbeatEntry>(rest)?;
     let heard = entries.map(|entry| RepeatedHeartbeat {
-        machine: entry.machine.get(),
+        machine: MachineIndex(entry.machine.get()),
         number: entry.number.get(),
         sequence: entry.sequence.get(),
     });
@@ -243,7 +243,7 @@
     let head = InvalidatedBody { term: term.get().into(), first: first.into() };
     let mut body = head.as_bytes().to_vec();
     for &(machine, number) in cache_entries.iter().take(MAX_ENTRIES) {
-        let entry = InvalidatedEntry { machine: machine.into(), number: number.into() };
+        let entry = InvalidatedEntry { machine: machine.get().into(), number: number.into() };
         body.extend_from_slice(entry.as_bytes());
     }
     body
@@ -256,8 +256,9 @@
     let (head, rest) =
         InvalidatedBody::read_from_prefix(body).map_err(|_| "short list of marks")?;
     let cache_entries = entries::<InvalidatedEntry>(rest)?;
-    let cache_entries =
-        cache_entries.map(|entry| (entry.machine.get(), entry.number.get())).collect();
+    let cache_entries = cache_entries
+        .map(|entry| (MachineIndex(entry.machine.get()), entry.number.get()))
+        .collect();
     Ok((Term(head.term.get()), head.first.get(), cache_entries))
 }
 
--- a/crates/controller/src/peers/tests.rs
+++ b/crates/controller/src/peers/tests.rs
@@ -30,7 +30,8 @@
 }
 
 fn heartbeat_frames() -> Vec<Frame> {
-    let cached = CachedHeartbeat { term: Term(1 << 40), machine: 700, number: 1 << 33 };
+    let cached =
+        CachedHeartbeat { term: Term(1 << 40), machine: MachineIndex(700), number: 1 << 33 };
     let cache_entry = CacheGrant {
         cached,
         token: FencingToken(1 << 60),
@@ -68,7 +69,7 @@
         }),
         Frame::RepeatedHeartbeats {
             term: Term(1 << 40),
-            heard: (0..MAX_ENTRIES as u32).map(heard).collect(),
+            heard: (0..MAX_ENTRIES as u32).map(MachineIndex).map(heard).collect(),
         },
         Frame::DelegationRequest(DelegationRequest {
             node: "kernel-1".into(),
@@ -78,7 +79,11 @@
         }),
         Frame::DelegationGranted(granting.clone()),
         Frame::DelegationGranted(DelegationGranted { spare_to: None, ..granting }),
-        Frame::Invalidated { term: Term(1 << 40), first: 8, cache_entries: vec![(3, 4), (5, 6)] },
+        Frame::Invalidated {
+            term: Term(1 << 40),
+            first: 8,
+            cache_entries: vec![(MachineIndex(3), 4), (MachineIndex(5), 6)],
+        },
     ]
 }
 
@@ -93,7 +98,9 @@
         assert!(short.is_err(), "{frame:?}");
         assert!(read_frame(&mut &bytes[..bytes.len() - 1]).await.is_err(), "{frame:?}");
     }
-    let list = Frame::Invalidated { term: Term(1), first: 1, cache_entries: vec![(3, 4)] }.encode();
+    let list =
+        Frame::Invalidated { term: Term(1), first: 1, cache_entries: vec![(MachineIndex(3), 4)] }
+            .encode();
     let body = &list[size_of::<Header>()..list.len() - 1];
     assert!(Frame::decode(KIND_INVALIDATED, body).is_err(), "an entry that is cut");
 }
--- a/crates/scheduler/src/autoscaling.rs
+++ b/crates/scheduler/src/autoscaling.rs
@@ -12,7 +12,8 @@
 use crate::command::Command;
 use crate::event::{Event, FleetCost, MachineScaledIn};
 use crate::model::cluster::TeamUsage;
-use crate::model::job::{Job, JobIndex};
+use crate::model::ids::{JobIndex, MachineIndex};
+use crate::model::job::Job;
 use crate::model::machine::DrainReason;
 use crate::model::machine::MachineState;
 use crate::model::EPSILON;
@@ -482,7 +483,7 @@
             }
         }
         for ix in returning {
-            self.cluster.invalidate_cached_heartbeat(ix);
+            self.cluster.invalidate_cached_heartbeat(MachineIndex(ix));
         }
         if !names.is_empty() {
             self.autoscaler.returning += 1;
@@ -499,7 +500,7 @@
                 self.reopen_offer(name);
                 self.machine_gone(now, name);
             } else if let Some(&m) = self.cluster.machines_by_name.get(name) {
-                self.cluster.machines[m as usize].termination_sent_at =
+                self.cluster.machines[m].termination_sent_at =
                     Some(now - TERMINATION_RETRY + TimeDelta::from_millis(1_500));
             }
         }
@@ -509,7 +510,7 @@
     /// is there until the return is answered.
     pub fn adopt_scale_in(&mut self, now: Timestamp, name: &str) {
         let ix = self.cluster.machine_named(now, name);
-        let machine = &mut self.cluster.machines[ix as usize];
+        let machine = &mut self.cluster.machines[ix];
         machine.state = MachineState::Terminating;
         machine.termination_sent_at = Some(now);
         self.cluster.invalidate_cached_heartbeat(ix);
@@ -531,7 +532,7 @@
     /// half the fleet had been given back, and nothing was rented there for half a minute.)
     fn reopen_offer(&mut self, name: &str) {
         let Some(&m) = self.cluster.machines_by_name.get(name) else { return };
-        let machine = &self.cluster.machines[m as usize];
+        let machine = &self.cluster.machines[m];
         if let Some(kind) = machine.kind {
             let offer = (kind, machine.zone.clone(), machine.spot);
             self.autoscaler.refused.remove(&offer);
@@ -577,7 +578,7 @@
         });
         for name in got {
             let m = self.cluster.machine_named(now, &name);
-            let machine = &mut self.cluster.machines[m as usize];
+            let machine = &mut self.cluster.machines[m];
             machine.expected = true;
             if machine.state == MachineState::Booting {
                 machine.kind = Some(k);
@@ -599,7 +600,7 @@
         for entry in list {
             let m = self.cluster.machine_named(now, &entry.name);
             let kind = self.cluster.machine_types.iter().position(|t| t.name == entry.kind);
-            let machine = &mut self.cluster.machines[m as usize];
+            let machine = &mut self.cluster.machines[m];
             if machine.state == MachineState::Terminated {
                 continue;
             }
@@ -614,7 +615,7 @@
                 let tasks: Vec<_> = machine.tasks.iter().copied().collect();
                 self.cluster.rezone(&tasks, "", &entry.zone);
             }
-            let machine = &mut self.cluster.machines[m as usize];
+            let machine = &mut self.cluster.machines[m];
             if machine.address.is_empty() {
                 if let Some(address) = &entry.address {
                     machine.address.clone_from(address);
@@ -630,7 +631,7 @@
                     && machine.state != MachineState::Terminating
                 {
                     let tasks: Vec<_> = machine.tasks.iter().copied().collect();
-                    self.drain(m as usize, DrainReason::Failed);
+                    self.drain(m.as_usize(), DrainReason::Failed);
                     self.lost_with_machine(now, &tasks);
                 }
             }
--- a/crates/scheduler/src/command.rs
+++ b/crates/scheduler/src/command.rs
@@ -2,8 +2,7 @@
 
 use crate::event::Event;
 use crate::leadership::fencing_token::FencingToken;
-use crate::model::ids::AgentEpoch;
-use crate::model::task::MachineIndex;
+use crate::model::ids::{AgentEpoch, MachineIndex};
 use crate::protocol::key_value::Transaction;
 use crate::protocol::workers::{Heartbeat, WorkerCommand};
 use crate::storage::revision::Revision;
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -3,10 +3,10 @@
 
 use crate::command::{Command, MessageOutcome};
 use crate::leadership::fencing_token::FencingToken;
-use crate::model::ids::Attempt;
+use crate::model::ids::{Attempt, MachineIndex};
 use crate::model::job::TaskId;
 use crate::model::machine::MachineState;
-use crate::model::task::{MachineIndex, TaskEvent, TaskPhase};
+use crate::model::task::{TaskEvent, TaskPhase};
 use crate::protocol::workers::WorkerCommand;
 use crate::reconciliation::heartbeats::MAX_COMMANDS;
 use crate::scheduler::{Scheduler, OVERDUE};
@@ -56,10 +56,10 @@
         let most_questions = self.site.most_messages / 3 + 1;
         let noted = std::mem::take(&mut self.messages.send_queue);
         for &ix in &noted {
-            self.cluster.machines[ix as usize].in_send_queue = false;
+            self.cluster.machines[ix].in_send_queue = false;
         }
         let all = if sweep { 0..self.cluster.machines.len() } else { 0..0 };
-        let noted = noted.into_iter().map(|ix| ix as usize).filter(|_| !sweep);
+        let noted = noted.into_iter().map(|ix| ix.as_usize()).filter(|_| !sweep);
         let mut overdue_machines = Vec::new();
         for ix in all.chain(noted) {
             self.examined.send_checks += 1;
@@ -88,7 +88,7 @@
             // it can be given up sooner.
             let missed = m.state == MachineState::Up && now.since(m.last_heartbeat) > overdue;
             let may_start = can_send && self.holds_lease;
-            let (ids, starts) = self.release_starts(now, ix as MachineIndex, may_start);
+            let (ids, starts) = self.release_starts(now, ix.into(), may_start);
             let m = &mut self.cluster.machines[ix];
             // Mere questions are paced: at a failover the whole fleet is asked.
             let ask_later = m.outbox.is_empty()
@@ -101,10 +101,10 @@
                 continue;
             }
             if m.outbox.is_empty() && starts.is_empty() && !unseen {
-                overdue_machines.push(ix as MachineIndex);
+                overdue_machines.push(ix.into());
                 continue;
             }
-            self.send_message(ix as MachineIndex, ids, starts);
+            self.send_message(ix.into(), ids, starts);
         }
         self.ask_overdue(overdue_machines, most_questions);
     }
@@ -115,7 +115,7 @@
     fn ask_overdue(&mut self, mut machines: Vec<MachineIndex>, most_questions: usize) {
         let room = most_questions.saturating_sub(self.messages.in_flight);
         if machines.len() > room {
-            machines.sort_unstable_by_key(|&ix| self.cluster.machines[ix as usize].last_heartbeat);
+            machines.sort_unstable_by_key(|&ix| self.cluster.machines[ix].last_heartbeat);
             machines.truncate(room);
         }
         for ix in machines {
@@ -131,7 +131,7 @@
         starts: Vec<WorkerCommand>,
     ) {
         let term = self.term;
-        let m = &mut self.cluster.machines[ix as usize];
+        let m = &mut self.cluster.machines[ix];
         m.request_in_flight = true;
         self.messages.in_flight += 1;
         m.in_message = ids;
@@ -148,7 +148,7 @@
 
     /// The answer to a [`Command::SendToWorker`].
     pub fn message_answered(&mut self, now: Timestamp, m: MachineIndex, outcome: MessageOutcome) {
-        let Some(machine) = self.cluster.machines.get_mut(m as usize) else { return };
+        let Some(machine) = self.cluster.machines.get_mut(m.as_usize()) else { return };
         if std::mem::take(&mut machine.request_in_flight) {
             self.messages.in_flight = self.messages.in_flight.saturating_sub(1);
         }
@@ -158,7 +158,7 @@
         if !matches!(outcome, MessageOutcome::Answered(_)) {
             self.cluster.invalidate_cached_heartbeat(m);
         }
-        let machine = &mut self.cluster.machines[m as usize];
+        let machine = &mut self.cluster.machines[m];
         match outcome {
             MessageOutcome::Answered(_) => {
                 (self.messages.last_answered, self.messages.lost_in_a_row) = (now, 0)
@@ -212,7 +212,7 @@
     /// The message may have held the command to stop a cancelled job's tasks: the next one holds it
     /// again. The answers to the worker's heartbeats do so too, where there are any.
     fn repeat_stops(&mut self, m: MachineIndex) {
-        let machine = &self.cluster.machines[m as usize];
+        let machine = &self.cluster.machines[m];
         let mut calls = Vec::new();
         for id in &machine.tasks {
             let Some(job) = self.cluster.job(id.0).filter(|j| j.is_ended()) else { continue };
@@ -224,7 +224,7 @@
             }
         }
         calls.truncate(MAX_COMMANDS);
-        let machine = &mut self.cluster.machines[m as usize];
+        let machine = &mut self.cluster.machines[m];
         if machine.state == MachineState::Up {
             calls.retain(|call| !machine.outbox.contains(call));
             machine.outbox.extend(calls);
--- a/crates/scheduler/src/model/cluster.rs
+++ b/crates/scheduler/src/model/cluster.rs
@@ -8,11 +8,11 @@
 use walnutlug_admission::shares::Shares;
 
 use crate::leadership::fencing_token::{FencingToken, Term};
-use crate::model::ids::{AgentEpoch, Attempt};
-use crate::model::job::{Job, JobIndex, TaskId};
+use crate::model::ids::{AgentEpoch, Attempt, JobIndex, MachineIndex};
+use crate::model::job::{Job, TaskId};
 use crate::model::job_spec::Priority;
 use crate::model::machine::{Machine, MachineState};
-use crate::model::task::{MachineIndex, Task, TaskEvent, TaskPhase};
+use crate::model::task::{Task, TaskEvent, TaskPhase};
 use crate::protocol::cloud::MachineType;
 use crate::reconciliation::repeated_heartbeats::{
     CacheRecord, CachedHeartbeat, Invalidated, OWN_NODE,
@@ -74,7 +74,7 @@
             term,
             loaded_token,
             jobs: BTreeMap::new(),
-            next_job: 0,
+            next_job: JobIndex(0),
             jobs_by_name: HashMap::new(),
             machines: Vec::new(),
             machines_by_name: HashMap::new(),
@@ -142,13 +142,13 @@
         };
         let ix = match self.free_place(now) {
             Some(ix) => {
-                self.machines_by_name.remove(&self.machines[ix as usize].name);
-                self.machines[ix as usize] = machine;
+                self.machines_by_name.remove(&self.machines[ix].name);
+                self.machines[ix] = machine;
                 ix
             }
             None => {
                 self.machines.push(machine);
-                self.machines.len() as MachineIndex - 1
+                MachineIndex::from(self.machines.len() - 1)
             }
         };
         self.machines_by_name.insert(name.to_owned(), ix);
@@ -164,7 +164,7 @@
             return None;
         }
         self.terminated.pop_front();
-        let m = &self.machines[ix as usize];
+        let m = &self.machines[ix];
         if m.state == MachineState::Terminated && m.tasks.is_empty() && !m.request_in_flight {
             return Some(ix);
         }
@@ -175,7 +175,7 @@
     /// Another node tells where a machine can be reached: only worth asking there.
     pub fn hint_address(&mut self, now: Timestamp, name: &str, address: &str) {
         let m = self.machine_named(now, name);
-        let machine = &mut self.machines[m as usize];
+        let machine = &mut self.machines[m];
         if machine.state == MachineState::Booting && machine.address.is_empty() {
             machine.address = address.to_owned();
             machine.hinted_up_at.get_or_insert(now);
@@ -190,7 +190,7 @@
     /// Counts a placed task on its machine, for its team and its zone.
     pub(crate) fn attach(&mut self, id: TaskId, m: MachineIndex) {
         let Some(job) = self.jobs.get_mut(&id.0) else { return };
-        let machine = &mut self.machines[m as usize];
+        let machine = &mut self.machines[m];
         if !machine.tasks.insert(id) {
             return;
         }
@@ -210,7 +210,7 @@
     /// The reverse of [`Scheduler::attach`]; only called on proof.
     pub(crate) fn detach(&mut self, now: Timestamp, id: TaskId) {
         let Some(job) = self.jobs.get_mut(&id.0) else { return };
-        let machine = &mut self.machines[job.tasks[id.1 as usize].machine as usize];
+        let machine = &mut self.machines[job.tasks[id.1 as usize].machine];
         if !machine.tasks.remove(&id) {
             return;
         }
@@ -273,7 +273,7 @@
             job.done += 1;
             job.errors = 0;
         }
-        if let Some(machine) = self.machines.get_mut(machine as usize) {
+        if let Some(machine) = self.machines.get_mut(machine.as_usize()) {
             machine.stopping += u32::from(after == TaskPhase::Stopping);
             machine.stopping -=
                 u32::from(before == TaskPhase::Stopping && after != TaskPhase::Stopping);
@@ -335,7 +335,7 @@
     }
 
     pub(crate) fn has_image(&mut self, m: MachineIndex, image: String) {
-        let images = &mut self.machines[m as usize].images;
+        let images = &mut self.machines[m].images;
         if images.last() != Some(&image) {
             images.retain(|i| *i != image);
             images.push(image);
@@ -348,7 +348,7 @@
     /// A repetition of the machine's last heartbeat may mean something from now on. The only place where
     /// a mark ends, so that its holder is always told.
     pub(crate) fn invalidate_cached_heartbeat(&mut self, machine: MachineIndex) {
-        let known = self.machines.get_mut(machine as usize);
+        let known = self.machines.get_mut(machine.as_usize());
         let Some(CacheRecord { number, holder, .. }) = known.and_then(|m| m.cached.take()) else {
             return;
         };
--- a/crates/scheduler/src/model/job.rs
+++ b/crates/scheduler/src/model/job.rs
@@ -5,15 +5,14 @@
 use roaring::RoaringBitmap;
 use walnutlug_admission::shares::ClassId;
 
+use crate::model::ids::{JobIndex, MachineIndex};
 use crate::model::job_spec::{JobSpec, Priority};
 use crate::model::job_state::{JobEvent, JobState};
-use crate::model::task::{MachineIndex, Task};
+use crate::model::task::Task;
 use crate::queue::dependencies::EffectiveDeadline;
 use crate::storage::revision::Revision;
 use crate::time::{TimeDelta, Timestamp};
 
-pub type JobIndex = u32;
-
 pub type TaskId = (JobIndex, u32);
 
 #[derive(Debug, Clone, Default)]
--- a/crates/scheduler/src/model/machine.rs
+++ b/crates/scheduler/src/model/machine.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use crate::leadership::fencing_token::{FencingToken, Term};
-use crate::model::ids::{AgentEpoch, Attempt};
-use crate::model::job::{JobIndex, TaskId};
+use crate::model::ids::{AgentEpoch, Attempt, JobIndex};
+use crate::model::job::TaskId;
 use crate::model::job_spec::Priority;
 use crate::protocol::workers::WorkerCommand;
 use crate::reconciliation::repeated_heartbeats::CacheRecord;
--- a/crates/scheduler/src/model/task.rs
+++ b/crates/scheduler/src/model/task.rs
@@ -12,12 +12,9 @@
 //! frees it. `unknown` is the paper's: it may have started, and is never resent under its attempt.
 
 use crate::leadership::fencing_token::FencingToken;
-use crate::model::ids::{AgentEpoch, Attempt};
+use crate::model::ids::{AgentEpoch, Attempt, MachineIndex};
 use crate::time::Timestamp;
 
-/// Index of a machine in the scheduler's table.
-pub type MachineIndex = u32;
-
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskPhase {
     /// To be placed, under the attempt given.
@@ -108,7 +105,7 @@
         Task {
             phase: TaskPhase::Pending,
             attempt: Attempt::FIRST,
-            machine: 0,
+            machine: MachineIndex(0),
             agent_epoch: AgentEpoch::NONE,
             token: FencingToken::NONE,
             since: now,
--- a/crates/scheduler/src/model/task/tests.rs
+++ b/crates/scheduler/src/model/task/tests.rs
@@ -3,12 +3,18 @@
 #[test]
 fn a_sent_start_is_never_taken_back_without_proof() {
     let mut t = Task::new(Timestamp(0));
-    assert!(t.step(Timestamp(1), TaskEvent::Dispatch { machine: 3, agent_epoch: AgentEpoch(1) }));
+    assert!(t.step(
+        Timestamp(1),
+        TaskEvent::Dispatch { machine: MachineIndex(3), agent_epoch: AgentEpoch(1) }
+    ));
     assert!(t.step(Timestamp(2), TaskEvent::Sent { token: FencingToken(9) }));
     assert!(!t.step(Timestamp(3), TaskEvent::Sent { token: FencingToken(9) }), "sent once");
     assert!(!t.step(Timestamp(3), TaskEvent::Retract));
     assert!(t.step(Timestamp(4), TaskEvent::ConfirmationExpired));
-    assert!(!t.step(Timestamp(5), TaskEvent::Dispatch { machine: 4, agent_epoch: AgentEpoch(1) }));
+    assert!(!t.step(
+        Timestamp(5),
+        TaskEvent::Dispatch { machine: MachineIndex(4), agent_epoch: AgentEpoch(1) }
+    ));
     assert!(t.step(Timestamp(6), TaskEvent::ProvenAbsent));
     assert_eq!((t.phase, t.attempt), (TaskPhase::Pending, Attempt(2)));
 }
@@ -16,7 +22,10 @@
 #[test]
 fn a_finish_is_final() {
     let mut t = Task::new(Timestamp(0));
-    t.step(Timestamp(1), TaskEvent::Dispatch { machine: 3, agent_epoch: AgentEpoch(1) });
+    t.step(
+        Timestamp(1),
+        TaskEvent::Dispatch { machine: MachineIndex(3), agent_epoch: AgentEpoch(1) },
+    );
     t.step(Timestamp(2), TaskEvent::Sent { token: FencingToken(9) });
     t.step(Timestamp(3), TaskEvent::Completed);
     for input in [
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -5,10 +5,11 @@
 use crate::event::Event;
 use crate::leadership::fencing_token::FencingToken;
 use crate::model::cluster::TeamUsage;
-use crate::model::job::{Job, JobIndex, TaskId};
+use crate::model::ids::{JobIndex, MachineIndex};
+use crate::model::job::{Job, TaskId};
 use crate::model::job_spec::{JobSpec, Priority};
 use crate::model::machine::{Machine, MachineState};
-use crate::model::task::{MachineIndex, TaskPhase};
+use crate::model::task::TaskPhase;
 use crate::model::EPSILON;
 use crate::queue::order::{Aging, QueueKey};
 use crate::scheduler::{grace_of, Scheduler, OVERDUE};
@@ -169,7 +170,7 @@
         let quick = self.has_short_start_objective(&job.spec.class);
         let mut found: Vec<(Fitness, f64, MachineIndex)> = Vec::new();
         for &ix in open {
-            let m = &self.cluster.machines[ix as usize];
+            let m = &self.cluster.machines[ix];
             if !self.fits(job, m) || job.avoids(now, ix) {
                 continue;
             }
@@ -195,7 +196,7 @@
     /// is placed.
     fn zone_for(&self, job: &Job, open: &[MachineIndex]) -> Option<String> {
         let mut room: std::collections::BTreeMap<&str, u32> = Default::default();
-        for m in open.iter().map(|&ix| &self.cluster.machines[ix as usize]) {
+        for m in open.iter().map(|&ix| &self.cluster.machines[ix]) {
             if !self.fits(job, m) {
                 continue;
             }
@@ -233,7 +234,7 @@
                 .and_then(|k| self.cluster.machine_types.get(k))
                 .map_or(Resources::NONE, |k| k.room());
             if self.has_room(m, least) && self.open_for_work(now, m) {
-                open.push(ix);
+                open.push(MachineIndex(ix));
             }
         }
         self.fleet_cpus = fleet.cpus;
@@ -305,7 +306,7 @@
             if self.place_job(now, ix, &open, u32::MAX).1 {
                 blocked.push((queue_key, ix));
             }
-            open.retain(|&ix| self.has_room(&self.cluster.machines[ix as usize], least));
+            open.retain(|&ix| self.has_room(&self.cluster.machines[ix], least));
         }
         blocked
     }
@@ -342,10 +343,10 @@
                 && self.zone_allows(job, &m.zone)
                 && self.open_for_work(now, m)
         };
-        let mut nearest: Vec<(f64, MachineIndex)> = (0..self.cluster.machines.len()
-            as MachineIndex)
+        let mut nearest: Vec<(f64, MachineIndex)> = (0..self.cluster.machines.len())
+            .map(MachineIndex::from)
             .filter(|m| !taken.contains(m) && !job.avoids(now, *m))
-            .map(|ix| (ix, &self.cluster.machines[ix as usize]))
+            .map(|ix| (ix, &self.cluster.machines[ix]))
             .filter(|(_, m)| usable(m))
             .map(|(ix, m)| (free(m), ix))
             .collect();
@@ -396,7 +397,7 @@
                 stuck = true;
                 break;
             };
-            let machine = &self.cluster.machines[m as usize];
+            let machine = &self.cluster.machines[m];
             if zone.as_ref().is_some_and(|z| *z != machine.zone)
                 || !self.fits(job, machine)
                 || !self.zone_allows(job, &machine.zone)
@@ -445,7 +446,7 @@
             let mut need = job.pending();
             let mut offers: Vec<(f64, usize, Vec<usize>)> = Vec::new();
             for (at, room) in rooms.iter_mut().enumerate() {
-                let m = &self.cluster.machines[room.machine as usize];
+                let m = &self.cluster.machines[room.machine];
                 if !m
                     .kind
                     .and_then(|k| self.cluster.machine_types.get(k))
@@ -502,7 +503,7 @@
                 continue;
             };
             let mut room = PreemptableMachine {
-                machine: machine as MachineIndex,
+                machine: machine.into(),
                 free: Amount {
                     cpus: kind.cpus - m.cpus,
                     gpus: kind.gpus - m.gpus,
--- a/crates/scheduler/src/queue/dependencies.rs
+++ b/crates/scheduler/src/queue/dependencies.rs
@@ -10,7 +10,8 @@
 
 use crate::command::Command;
 use crate::event::{Anomaly, Event};
-use crate::model::job::{Job, JobIndex};
+use crate::model::ids::JobIndex;
+use crate::model::job::Job;
 use crate::model::job_spec::{JobEnd, JobSpec};
 use crate::model::job_state::JobEvent;
 use crate::model::task::TaskPhase;
--- a/crates/scheduler/src/queue/fair_share.rs
+++ b/crates/scheduler/src/queue/fair_share.rs
@@ -12,9 +12,9 @@
 
 use crate::event::{Event, HeldShare};
 use crate::model::cluster::TeamUsage;
-use crate::model::job::{Job, JobIndex};
+use crate::model::ids::{JobIndex, MachineIndex};
+use crate::model::job::Job;
 use crate::model::machine::{Machine, MachineState};
-use crate::model::task::MachineIndex;
 use crate::model::EPSILON;
 use crate::placement::MAX_PREEMPTING_JOBS;
 use crate::protocol::cloud::MachineType;
@@ -166,7 +166,7 @@
                 }
             }
             if placed > 0 {
-                open.retain(|&m| self.has_room(&self.cluster.machines[m as usize], least));
+                open.retain(|&m| self.has_room(&self.cluster.machines[m], least));
             }
         }
         blocked.sort_by_key(|entry| std::cmp::Reverse(entry.0.priority));
--- a/crates/scheduler/src/queue/order.rs
+++ b/crates/scheduler/src/queue/order.rs
@@ -3,7 +3,8 @@
 use std::cmp::Ordering;
 
 use crate::model::cluster::TeamUsage;
-use crate::model::job::{Job, JobIndex};
+use crate::model::ids::JobIndex;
+use crate::model::job::Job;
 use crate::model::job_spec::Priority;
 use crate::model::EPSILON;
 use crate::scheduler::Scheduler;
--- a/crates/scheduler/src/reconciliation/delegation.rs
+++ b/crates/scheduler/src/reconciliation/delegation.rs
@@ -19,7 +19,7 @@
 
 use crate::leadership::fencing_token::{FencingToken, Term};
 use crate::leadership::watermark;
-use crate::model::task::MachineIndex;
+use crate::model::ids::MachineIndex;
 use crate::reconciliation::repeated_heartbeats::CachedHeartbeat;
 use crate::time::{TimeDelta, Timestamp};
 use crate::tunables::Site;
--- a/crates/scheduler/src/reconciliation/heartbeats.rs
+++ b/crates/scheduler/src/reconciliation/heartbeats.rs
@@ -3,11 +3,11 @@
 use crate::command::Command;
 use crate::event::{Anomaly, Event};
 use crate::leadership::fencing_token::FencingToken;
-use crate::model::ids::{AgentEpoch, Attempt};
+use crate::model::ids::{AgentEpoch, Attempt, MachineIndex};
 use crate::model::job::TaskId;
 use crate::model::machine::DrainReason;
 use crate::model::machine::MachineState;
-use crate::model::task::{MachineIndex, TaskEvent, TaskPhase};
+use crate::model::task::{TaskEvent, TaskPhase};
 use crate::protocol;
 use crate::protocol::workers::{ExitReason, Heartbeat, TaskState, WorkerCommand};
 use crate::scheduler::{grace_of, Scheduler};
@@ -71,7 +71,7 @@
             .cluster
             .machines_by_name
             .get(&heartbeat.machine)
-            .map(|&m| &self.cluster.machines[m as usize]);
+            .map(|&m| &self.cluster.machines[m]);
         let newest = known.map_or((AgentEpoch::NONE, 0), |k| (k.agent_epoch, k.sequence));
         let entries = self.resolve(heartbeat);
         let m = self.reconcile_heartbeat(now, heartbeat, &entries, false);
@@ -79,7 +79,7 @@
         if !self.may_renew_leases(now) {
             return None;
         }
-        let machine = &self.cluster.machines[m as usize];
+        let machine = &self.cluster.machines[m];
         if machine.state == MachineState::Terminated {
             let token = machine.token(self.term);
             self.log_once(&heartbeat.machine, Anomaly::HeartbeatAfterTermination);
@@ -87,13 +87,13 @@
         }
         if heartbeat.agent_epoch < newest.0 {
             self.log_once(&heartbeat.machine, Anomaly::LateHeartbeat);
-            let machine = &self.cluster.machines[m as usize];
+            let machine = &self.cluster.machines[m];
             return Some((machine.token(self.term), Vec::new()));
         }
         // Also one that the answer to a direct command has overtaken: its answer renews the lease, so
         // it has to stop what is to be stopped. In a copy of the past it says nothing new.
         let calls = self.commands_for(m, &entries);
-        let machine = &mut self.cluster.machines[m as usize];
+        let machine = &mut self.cluster.machines[m];
         let token = machine.token(self.term);
         if token > heartbeat.token {
             machine.token_sent_at = now;
@@ -138,7 +138,7 @@
             }
         }
         if !reaps.is_empty() {
-            let machine = &mut self.cluster.machines[m as usize];
+            let machine = &mut self.cluster.machines[m];
             // After a reap the worker has forgotten the attempt, so a copy of its start that is
             // still under way somewhere would run it again. A reap therefore always travels with
             // a token above that of every start sent before.
@@ -178,10 +178,10 @@
     ) -> MachineIndex {
         let m = self.cluster.machine_named(now, &heartbeat.machine);
         let newer = {
-            let known = &self.cluster.machines[m as usize];
+            let known = &self.cluster.machines[m];
             (heartbeat.agent_epoch, heartbeat.sequence) > (known.agent_epoch, known.sequence)
         };
-        if self.cluster.machines[m as usize].state == MachineState::Terminated {
+        if self.cluster.machines[m].state == MachineState::Terminated {
             return m;
         }
         // A finish is a finish, however late the heartbeat that tells it.
@@ -218,9 +218,9 @@
         if unexpected_tasks > 0 {
             self.log_once(&heartbeat.machine, Anomaly::UnexpectedTasks);
         }
-        let mine: Vec<TaskId> = self.cluster.machines[m as usize].tasks.iter().copied().collect();
-        let mut changed = unexpected_tasks != self.cluster.machines[m as usize].unexpected_tasks;
-        self.cluster.machines[m as usize].unexpected_tasks = unexpected_tasks;
+        let mine: Vec<TaskId> = self.cluster.machines[m].tasks.iter().copied().collect();
+        let mut changed = unexpected_tasks != self.cluster.machines[m].unexpected_tasks;
+        self.cluster.machines[m].unexpected_tasks = unexpected_tasks;
         for id in mine {
             let Some(job) = self.cluster.job(id.0) else { continue };
             let task = job.tasks[id.1 as usize];
@@ -262,7 +262,7 @@
         }
         // A confirmed task that is missing under the very token it was sent with is strange;
         // a raised fence turns the next heartbeat into proof.
-        let machine = &self.cluster.machines[m as usize];
+        let machine = &self.cluster.machines[m];
         let doubt = machine.tasks.iter().any(|id| {
             self.cluster.job(id.0).is_some_and(|j| {
                 let t = &j.tasks[id.1 as usize];
@@ -273,7 +273,7 @@
             })
         });
         if doubt {
-            self.cluster.machines[m as usize].fencing_counter += 1;
+            self.cluster.machines[m].fencing_counter += 1;
         }
         self.cluster.placement_needed |= changed;
         m
@@ -283,7 +283,7 @@
     fn adopt(&mut self, now: Timestamp, m: MachineIndex, heartbeat: &Heartbeat, direct: bool) {
         let kind = self.cluster.machine_types.iter().position(|t| t.name == heartbeat.kind);
         let term = self.term;
-        let machine = &mut self.cluster.machines[m as usize];
+        let machine = &mut self.cluster.machines[m];
         // Only a worker that has heard of this term, or answers right now, shows that its machine
         // lives. Anything else may be a copy, minutes old, that reached a leader which never saw
         // the newer ones: the machine is asked, and nothing else comes of it.
@@ -322,7 +322,7 @@
         if !live {
             return;
         }
-        let machine = &mut self.cluster.machines[m as usize];
+        let machine = &mut self.cluster.machines[m];
         machine.last_heartbeat = now;
         machine.expected = true;
         if machine.state == MachineState::Booting {
@@ -330,7 +330,7 @@
             machine.idle_since = now;
             self.cluster.placement_needed = true;
         }
-        let machine = &mut self.cluster.machines[m as usize];
+        let machine = &mut self.cluster.machines[m];
         let interruption_at =
             heartbeat.interruption_notice_s.map(|s| now + TimeDelta::from_secs_f64(s));
         let new = interruption_at.is_some() && machine.interruption_at.is_none();
@@ -343,7 +343,7 @@
             self.cluster.placement_needed = true;
             self.log(Event::MachineInterruptionNotice { machine });
         }
-        let machine = &self.cluster.machines[m as usize];
+        let machine = &self.cluster.machines[m];
         if first && machine.acknowledged_token >= FencingToken::first_of(term) {
             self.cluster.placement_needed = true;
         }
@@ -380,14 +380,14 @@
         }
         // What completes anything isn't sick; and a job that comes off somewhere was not at fault
         // where it failed.
-        let machine = &mut self.cluster.machines[m as usize];
+        let machine = &mut self.cluster.machines[m];
         machine.failures.clear();
         machine.completed_at = now;
         let first = self.cluster.job(id.0).filter(|j| j.done == 0);
         let failed: Vec<(MachineIndex, Timestamp)> = first
             .map_or(Vec::new(), |j| j.error_machines.iter().map(|(&m, &at)| (m, at)).collect());
         for (other, at) in failed {
-            if self.cluster.machines[other as usize].completed_at < at {
+            if self.cluster.machines[other].completed_at < at {
                 self.attribute_failure(other, id.0);
             }
         }
@@ -395,13 +395,13 @@
     }
 
     /// The job failed on the machine, and not by its own fault as far as can be told.
-    fn attribute_failure(&mut self, m: MachineIndex, job: crate::model::job::JobIndex) {
-        let machine = &mut self.cluster.machines[m as usize];
+    fn attribute_failure(&mut self, m: MachineIndex, job: crate::model::ids::JobIndex) {
+        let machine = &mut self.cluster.machines[m];
         machine.failures.insert(job);
         if machine.failures.len() as u32 >= self.tunables.sick_after
             && machine.drain_reason.is_none()
         {
-            self.drain(m as usize, DrainReason::FailsTasks);
+            self.drain(m.as_usize(), DrainReason::FailsTasks);
         }
     }
 
@@ -428,9 +428,9 @@
                     false => Vec::new(),
                 };
                 for other in cleared {
-                    self.cluster.machines[other as usize].failures.remove(&id.0);
+                    self.cluster.machines[other].failures.remove(&id.0);
                 }
-                let machine = self.cluster.machines[m as usize].name.clone();
+                let machine = self.cluster.machines[m].name.clone();
                 self.log(Event::TaskFailed { task: format!("{name}/{}", id.1), machine });
                 if !suspect {
                     self.attribute_failure(m, id.0);
@@ -476,7 +476,7 @@
     /// The machine and all that was on it are certainly gone.
     pub fn machine_gone(&mut self, now: Timestamp, name: &str) {
         let Some(&m) = self.cluster.machines_by_name.get(name) else { return };
-        let machine = &mut self.cluster.machines[m as usize];
+        let machine = &mut self.cluster.machines[m];
         if machine.state == MachineState::Terminated {
             return;
         }
@@ -487,7 +487,7 @@
         self.cluster.terminated.push_back((now, m));
         // Starts that waited for the next message to it are never sent.
         self.release_starts(now, m, false);
-        let machine = &self.cluster.machines[m as usize];
+        let machine = &self.cluster.machines[m];
         let tasks: Vec<TaskId> = machine.tasks.iter().copied().collect();
         self.lost_with_machine(now, &tasks);
         self.cluster.placement_needed = true;
--- a/crates/scheduler/src/reconciliation/repeated_heartbeats.rs
+++ b/crates/scheduler/src/reconciliation/repeated_heartbeats.rs
@@ -16,9 +16,10 @@
 use std::collections::BTreeSet;
 
 use crate::leadership::fencing_token::{FencingToken, Term};
+use crate::model::ids::MachineIndex;
 use crate::model::job::TaskId;
 use crate::model::machine::MachineState;
-use crate::model::task::{MachineIndex, TaskPhase};
+use crate::model::task::TaskPhase;
 use crate::protocol;
 use crate::protocol::workers::{Heartbeat, TaskState, TaskStatus};
 use crate::reconciliation::heartbeats::STARTED_AFTER;
@@ -72,7 +73,7 @@
         holder: CacheHolder,
     ) -> Option<CachedHeartbeat> {
         let &machine = self.cluster.machines_by_name.get(&heartbeat.machine)?;
-        let known = &self.cluster.machines[machine as usize];
+        let known = &self.cluster.machines[machine];
         let is_newest =
             (heartbeat.agent_epoch, heartbeat.sequence) == (known.agent_epoch, known.sequence);
         // The answer raises no token, and the machine owes none.
@@ -105,8 +106,7 @@
         self.cluster.invalidate_cached_heartbeat(machine);
         self.cluster.last_cached_number += 1;
         let number = self.cluster.last_cached_number;
-        self.cluster.machines[machine as usize].cached =
-            Some(CacheRecord { number, holder, until });
+        self.cluster.machines[machine].cached = Some(CacheRecord { number, holder, until });
         Some(CachedHeartbeat { term: self.term, machine, number })
     }
 
@@ -138,7 +138,7 @@
 
     /// For how long repetitions of the settled report mean nothing, if nothing happens.
     pub fn cached_for(&self, now: Timestamp, cached: CachedHeartbeat) -> TimeDelta {
-        let machine = self.cluster.machines.get(cached.machine as usize);
+        let machine = self.cluster.machines.get(cached.machine.as_usize());
         let known = machine.and_then(|m| m.cached).filter(|s| s.number == cached.number);
         known.map_or(TimeDelta::ZERO, |s| s.until.since(now))
     }
@@ -154,7 +154,7 @@
         if !self.may_renew_leases(now) || !self.record_repeated_heartbeat(now, cached, sequence) {
             return None;
         }
-        let machine = self.cluster.machines.get(cached.machine as usize)?;
+        let machine = self.cluster.machines.get(cached.machine.as_usize())?;
         Some(machine.token(self.term))
     }
 
@@ -168,7 +168,7 @@
         if cached.term != self.term {
             return false;
         }
-        let Some(machine) = self.cluster.machines.get_mut(cached.machine as usize) else {
+        let Some(machine) = self.cluster.machines.get_mut(cached.machine.as_usize()) else {
             return false;
         };
         let holds = machine.cached.is_some_and(|s| s.number == cached.number && now < s.until);
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -14,12 +14,13 @@
 use crate::leadership::fencing_token::{FencingToken, Term};
 use crate::leadership::watermark;
 use crate::model::cluster::Cluster;
+use crate::model::ids::MachineIndex;
 use crate::model::job::TaskId;
 use crate::model::job_spec::JobSpec;
 use crate::model::job_state::JobEvent;
 use crate::model::machine::MachineState;
 use crate::model::run_times::RunTimes;
-use crate::model::task::{MachineIndex, TaskEvent, TaskPhase};
+use crate::model::task::{TaskEvent, TaskPhase};
 use crate::protocol::cloud::MachineType;
 use crate::protocol::workers::WorkerCommand;
 use crate::queue::dependencies::DependencyGraph;
@@ -173,7 +174,7 @@
 
     /// Plans a start: written with the next transactions, sent after they are committed.
     pub(crate) fn dispatch(&mut self, now: Timestamp, id: TaskId, machine: MachineIndex) {
-        let agent_epoch = self.cluster.machines[machine as usize].agent_epoch;
+        let agent_epoch = self.cluster.machines[machine].agent_epoch;
         if self.cluster.apply(now, id, TaskEvent::Dispatch { machine, agent_epoch }) {
             if let Some(job) = self.cluster.jobs.get_mut(&id.0) {
                 let chunk = job.chunk_of(id.1);
@@ -181,7 +182,7 @@
                 self.transactions.planned_chunks += usize::from(due.is_none());
                 due.get_or_insert(now);
                 self.transactions.counts.tasks_placed += 1;
-                let images = &self.cluster.machines[machine as usize].images;
+                let images = &self.cluster.machines[machine].images;
                 self.transactions.counts.image_cached +=
                     usize::from(images.contains(&job.spec.image));
                 // It will be there once fetched; the next task for it need not fetch it elsewhere.
@@ -204,7 +205,7 @@
         if self.cluster.apply(now, id, TaskEvent::Stop) {
             let attempt = task.attempt;
             let call = WorkerCommand::Kill { task: name, attempt, grace_s };
-            let machine = &mut self.cluster.machines[task.machine as usize];
+            let machine = &mut self.cluster.machines[task.machine];
             if machine.state == MachineState::Up {
                 machine.outbox.push(call);
                 self.enqueue_send(task.machine);
@@ -214,7 +215,7 @@
 
     /// Something may have to be sent to the machine.
     pub(crate) fn enqueue_send(&mut self, m: MachineIndex) {
-        let machine = &mut self.cluster.machines[m as usize];
+        let machine = &mut self.cluster.machines[m];
         if !machine.in_send_queue {
             machine.in_send_queue = true;
             self.messages.send_queue.push(m);
--- a/crates/scheduler/src/storage/records.rs
+++ b/crates/scheduler/src/storage/records.rs
@@ -9,8 +9,8 @@
 use serde_json::{json, Value};
 
 use crate::event::Anomaly;
-use crate::model::ids::{AgentEpoch, Attempt};
-use crate::model::job::{Job, JobIndex, TaskId};
+use crate::model::ids::{AgentEpoch, Attempt, JobIndex};
+use crate::model::job::{Job, TaskId};
 use crate::model::job_spec::JobSpec;
 use crate::model::task::{Task, TaskPhase};
 use crate::protocol;
@@ -103,7 +103,7 @@
         let class = self.cluster.shares.job_came(&spec.team, &spec.class);
         let job = Job::new(now, name, spec, accepted, chunk_size, class);
         let ix = self.cluster.next_job;
-        self.cluster.next_job += 1;
+        self.cluster.next_job = ix.next();
         self.cluster.jobs.insert(ix, job);
         self.cluster.jobs_by_name.insert(name.to_owned(), ix);
         self.cluster.placement_needed = true;
@@ -218,7 +218,7 @@
                 TaskRecord::Off(task.phase.code(), task.attempt)
             }
             phase => {
-                let name = &self.cluster.machines[task.machine as usize].name;
+                let name = &self.cluster.machines[task.machine].name;
                 let placed = task.placed_at.since(job.accepted).0 / PLACED_UNIT.0;
                 TaskRecord::Placed(phase.code(), task.attempt, name, task.agent_epoch, placed)
             }
--- a/crates/scheduler/src/storage/transactions.rs
+++ b/crates/scheduler/src/storage/transactions.rs
@@ -2,18 +2,18 @@
 
 use crate::command::{Command, TransactionOutcome};
 use crate::leadership::fencing_token::FencingToken;
-use crate::model::ids::Attempt;
+use crate::model::ids::{Attempt, JobIndex, MachineIndex};
 use crate::storage::revision::Revision;
 use std::collections::BTreeMap;
 
 use serde_json::Value;
 
 use crate::event::{Event, JobDone, WriteCounts};
-use crate::model::job::{JobIndex, TaskId};
+use crate::model::job::TaskId;
 use crate::model::job_spec::JobEnd;
 use crate::model::job_state::JobEvent;
 use crate::model::machine::MachineState;
-use crate::model::task::{MachineIndex, TaskEvent, TaskPhase};
+use crate::model::task::{TaskEvent, TaskPhase};
 use crate::protocol::key_value::{Compare, Operation, Transaction};
 use crate::protocol::workers::WorkerCommand;
 use crate::scheduler::Scheduler;
@@ -639,7 +639,7 @@
         let Some(job) = self.cluster.job(id.0) else { return };
         let task = job.tasks[id.1 as usize];
         if task.phase == TaskPhase::Dispatching && task.token == FencingToken::NONE {
-            self.cluster.machines[task.machine as usize].starting.push(id);
+            self.cluster.machines[task.machine].starting.push(id);
             self.enqueue_send(task.machine);
         }
     }
@@ -653,7 +653,7 @@
         m: MachineIndex,
         sending: bool,
     ) -> (Vec<(TaskId, Attempt)>, Vec<WorkerCommand>) {
-        let machine = &self.cluster.machines[m as usize];
+        let machine = &self.cluster.machines[m];
         let open = machine.state == MachineState::Up
             && machine.interruption_at.is_none()
             && machine.drain_reason.is_none();
@@ -662,7 +662,7 @@
         }
         let (token, agent_epoch) = (machine.token(self.term), machine.agent_epoch);
         let (mut ids, mut calls, mut wait) = (Vec::new(), Vec::new(), Vec::new());
-        for id in std::mem::take(&mut self.cluster.machines[m as usize].starting) {
+        for id in std::mem::take(&mut self.cluster.machines[m].starting) {
             let Some(job) = self.cluster.job(id.0) else { continue };
             let task = job.tasks[id.1 as usize];
             if task.phase != TaskPhase::Dispatching
@@ -684,13 +684,13 @@
                 continue;
             }
             let name = format!("{}/{}", job.name, id.1);
-            calls.push(WorkerCommand::Run { task: name, attempt: Attempt::from(task.attempt) });
+            calls.push(WorkerCommand::Run { task: name, attempt: task.attempt });
             ids.push((id, task.attempt));
             self.cluster.apply(now, id, TaskEvent::Sent { token });
         }
-        self.cluster.machines[m as usize].starting = wait;
+        self.cluster.machines[m].starting = wait;
         if !ids.is_empty() {
-            let machine = &mut self.cluster.machines[m as usize];
+            let machine = &mut self.cluster.machines[m];
             machine.start_token = machine.start_token.max(token);
         }
         (ids, calls)
--- a/crates/scheduler/tests/delegation.rs
+++ b/crates/scheduler/tests/delegation.rs
@@ -9,6 +9,7 @@
 use rand::{RngExt, SeedableRng};
 use walnutlug_scheduler::leadership::fencing_token::{FencingToken, Term};
 use walnutlug_scheduler::leadership::watermark;
+use walnutlug_scheduler::model::ids::MachineIndex;
 use walnutlug_scheduler::reconciliation::delegation::{
     CacheGrant, DelegationGrant, FollowerDelegation,
 };
@@ -27,7 +28,7 @@
     }
 }
 
-fn cache_entry(machine: u32, number: u64, invalidated: u64) -> CacheGrant {
+fn cache_entry(machine: MachineIndex, number: u64, invalidated: u64) -> CacheGrant {
     let cached = CachedHeartbeat { term: TERM, machine, number };
     CacheGrant {
         cached,
@@ -43,7 +44,7 @@
     let asked = follower.ask(START);
     let grant = DelegationGrant { term: TERM, asked, unknown_for: TimeDelta::ZERO, invalidated: 0 };
     assert!(follower.granted(START, &grant));
-    let new = cache_entry(1, 1, 0);
+    let new = cache_entry(MachineIndex(1), 1, 0);
     assert!(follower.add(START, &new));
     (follower, new)
 }
@@ -95,16 +96,28 @@
     type Operation = fn(&mut FollowerDelegation);
     let cases: [(&str, Operation, bool); 9] = [
         ("nothing happens", |_| {}, true),
-        ("it is withdrawn", |f| f.invalidate(TERM, 1, &[(1, 1)]), false),
-        ("another machine's is withdrawn", |f| f.invalidate(TERM, 1, &[(2, 1)]), true),
-        ("an older one of the machine is withdrawn", |f| f.invalidate(TERM, 1, &[(1, 0)]), true),
-        ("a withdrawal is missing before this one", |f| f.invalidate(TERM, 2, &[(2, 1)]), false),
+        ("it is withdrawn", |f| f.invalidate(TERM, 1, &[(MachineIndex(1), 1)]), false),
+        (
+            "another machine's is withdrawn",
+            |f| f.invalidate(TERM, 1, &[(MachineIndex(2), 1)]),
+            true,
+        ),
+        (
+            "an older one of the machine is withdrawn",
+            |f| f.invalidate(TERM, 1, &[(MachineIndex(1), 0)]),
+            true,
+        ),
+        (
+            "a withdrawal is missing before this one",
+            |f| f.invalidate(TERM, 2, &[(MachineIndex(2), 1)]),
+            false,
+        ),
         (
             "a grant tells of a withdrawal that is missing",
             |f| assert!(grant(f, START, START, TERM, 1)),
             false,
         ),
-        ("an older term withdraws", |f| f.invalidate(Term(6), 1, &[(1, 1)]), true),
+        ("an older term withdraws", |f| f.invalidate(Term(6), 1, &[(MachineIndex(1), 1)]), true),
         ("a newer term grants", |f| assert!(grant(f, START, START, Term(8), 0)), false),
         ("an older term grants", |f| assert!(!grant(f, START, START, Term(6), 5)), true),
     ];
@@ -121,13 +134,13 @@
 #[test]
 fn a_mark_that_its_withdrawal_has_overtaken_is_not_taken() {
     let (mut follower, _) = granted(&site(24, 44));
-    follower.invalidate(TERM, 1, &[(5, 9)]);
-    let new = cache_entry(5, 9, 0);
+    follower.invalidate(TERM, 1, &[(MachineIndex(5), 9)]);
+    let new = cache_entry(MachineIndex(5), 9, 0);
     assert!(!follower.add(START, &new));
     assert_eq!(follower.cached_response_token(START, new.cached), None);
     // Nor one with a withdrawal before it that hasn't come.
-    assert!(!follower.add(START, &cache_entry(6, 10, 2)));
-    assert!(follower.add(START, &cache_entry(6, 10, 1)));
+    assert!(!follower.add(START, &cache_entry(MachineIndex(6), 10, 2)));
+    assert!(follower.add(START, &cache_entry(MachineIndex(6), 10, 1)));
 }
 
 #[test]
@@ -141,7 +154,7 @@
         unknown_for: TimeDelta::ZERO,
         invalidated,
     };
-    follower.invalidate(TERM, 1, &[(8, 1)]);
+    follower.invalidate(TERM, 1, &[(MachineIndex(8), 1)]);
     assert!(follower.granted(START + TimeDelta::from_secs(11), &at(second, 1)));
     assert!(!follower.granted(START + TimeDelta::from_secs(12), &at(first, 0)));
     assert!(follower.cached_response_token(START + TimeDelta::from_secs(12), new.cached).is_some());
@@ -158,7 +171,8 @@
 #[test]
 fn a_mark_ends_when_time_alone_gives_the_report_a_meaning() {
     let (mut follower, _) = granted(&site(24, 44));
-    let new = CacheGrant { valid_for: TimeDelta::from_secs(2), ..cache_entry(3, 4, 0) };
+    let new =
+        CacheGrant { valid_for: TimeDelta::from_secs(2), ..cache_entry(MachineIndex(3), 4, 0) };
     assert!(follower.add(START, &new));
     assert!(follower
         .cached_response_token(START + TimeDelta::from_secs(2) - TimeDelta(1), new.cached)
@@ -173,7 +187,7 @@
 fn no_mark_is_answered_beyond_the_window_after_its_withdrawal() {
     enum ToFollower {
         DelegationGrant(DelegationGrant),
-        Invalidated(u64, Vec<(u32, u64)>),
+        Invalidated(u64, Vec<(MachineIndex, u64)>),
         CacheEntry(CacheGrant),
     }
     for seed in 0..24 {
@@ -188,9 +202,9 @@
         let mut sent = 0;
         let mut last_number = 0;
         // The leader's marks by machine, and when each that it withdrew was.
-        let mut valid: BTreeMap<u32, u64> = BTreeMap::new();
-        let mut invalidated: BTreeMap<(u32, u64), Timestamp> = BTreeMap::new();
-        let mut given: Vec<(u32, u64)> = Vec::new();
+        let mut valid: BTreeMap<MachineIndex, u64> = BTreeMap::new();
+        let mut invalidated: BTreeMap<(MachineIndex, u64), Timestamp> = BTreeMap::new();
+        let mut given: Vec<(MachineIndex, u64)> = Vec::new();
         let (mut answered, mut troubled) = (0, false);
         for step in 0u64..1_500 {
             now = now + TimeDelta::from_millis(50);
@@ -211,13 +225,13 @@
                 }
             };
             for _ in 0..2 {
-                let machine = rng.random_range(0..30);
+                let machine = MachineIndex(rng.random_range(0..30));
                 if let Some(number) = valid.remove(&machine) {
                     sent += 1;
                     invalidated.insert((machine, number), now);
                     send(&mut rng, ToFollower::Invalidated(sent, vec![(machine, number)]));
                 }
-                let machine = rng.random_range(0..30);
+                let machine = MachineIndex(rng.random_range(0..30));
                 if let std::collections::btree_map::Entry::Vacant(free) = valid.entry(machine) {
                     last_number += 1;
                     free.insert(last_number);
--- a/crates/scheduler/tests/golden_bytes.rs
+++ b/crates/scheduler/tests/golden_bytes.rs
@@ -184,7 +184,7 @@
     let job = world.leader.cluster.job(world.leader.cluster.jobs_by_name[name]).expect("the job");
     let line = |task: &walnutlug_scheduler::model::task::Task| {
         let place = match task.phase.placed() {
-            true => world.leader.cluster.machines[task.machine as usize].name.as_str(),
+            true => world.leader.cluster.machines[task.machine].name.as_str(),
             false => "nowhere",
         };
         let after = task.placed_at.since(job.accepted).0;
--- a/crates/scheduler/tests/random_interleavings.rs
+++ b/crates/scheduler/tests/random_interleavings.rs
@@ -99,7 +99,7 @@
                 Command::SendToWorker { machine, token, agent_epoch, calls, .. } => {
                     let name = self
                         .scheduler(term)
-                        .map(|s| s.cluster.machines[machine as usize].name.clone())
+                        .map(|s| s.cluster.machines[machine].name.clone())
                         .expect("the sender");
                     let direct =
                         Held::Direct { term, waits: true, name, token, agent_epoch, calls };
--- a/crates/scheduler/tests/repeated_heartbeats.rs
+++ b/crates/scheduler/tests/repeated_heartbeats.rs
@@ -43,8 +43,7 @@
         w.wait(3_000);
         let token = w.leader.answer_repeated_heartbeat(w.now, cached, heartbeat.sequence + n);
         assert_eq!(token, Some(w.token_now()));
-        let machine =
-            &w.leader.cluster.machines[w.leader.cluster.machines_by_name[MACHINE] as usize];
+        let machine = &w.leader.cluster.machines[w.leader.cluster.machines_by_name[MACHINE]];
         assert_eq!((machine.last_heartbeat, machine.sequence), (w.now, heartbeat.sequence + n));
     }
     assert!(w.leader.take_commands().is_empty());
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -11,7 +11,7 @@
 use serde_json::{json, Value};
 use walnutlug_scheduler::command::{Command, MessageOutcome, TransactionOutcome};
 use walnutlug_scheduler::leadership::fencing_token::{FencingToken, Term};
-use walnutlug_scheduler::model::ids::{AgentEpoch, Attempt};
+use walnutlug_scheduler::model::ids::{AgentEpoch, Attempt, MachineIndex};
 use walnutlug_scheduler::model::job_spec::{JobEnd, JobSpec};
 use walnutlug_scheduler::protocol::cloud::{CloudMachineState, ListedMachine};
 use walnutlug_scheduler::protocol::key_value::{Operation, Transaction};
@@ -180,7 +180,7 @@
     },
     Direct {
         term: Term,
-        machine: u32,
+        machine: MachineIndex,
         outcome: MessageOutcome,
     },
     /// A transaction that nobody waits for any more.
@@ -829,7 +829,7 @@
                 self.events.push((at, Event::Read { term, id, answer }));
             }
             Command::SendToWorker { machine, token, agent_epoch, calls, .. } => {
-                let name = self.leaders[i].s.cluster.machines[machine as usize].name.clone();
+                let name = self.leaders[i].s.cluster.machines[machine].name.clone();
                 let answer = |at, outcome| (at, Event::Direct { term, machine, outcome });
                 let late = self.now + TimeDelta::from_secs(2);
                 let now = self.now;
--- a/crates/scheduler/tests/task_starts.rs
+++ b/crates/scheduler/tests/task_starts.rs
@@ -183,9 +183,8 @@
         w.leader.autoscale(w.now);
     }
     assert_eq!(w.attempt(JOB, 0), Attempt(1), "silent for two minutes, and still there");
-    let state = |w: &World| {
-        w.leader.cluster.machines[w.leader.cluster.machines_by_name[&machine] as usize].state
-    };
+    let state =
+        |w: &World| w.leader.cluster.machines[w.leader.cluster.machines_by_name[&machine]].state;
     assert_eq!(state(&w), MachineState::Terminating, "given back, since nothing else settles it");
     w.leader.scale_in_answered(w.now, std::slice::from_ref(&machine), false);
     assert_eq!(w.attempt(JOB, 0), Attempt(1), "an unanswered return is no proof");
@@ -592,7 +591,7 @@
     let task = format!("{JOB}/0");
     let ix = w.leader.cluster.jobs_by_name[JOB];
     let planned = w.leader.cluster.job(ix).expect("job").tasks[0].machine;
-    let planned = w.leader.cluster.machines[planned as usize].name.clone();
+    let planned = w.leader.cluster.machines[planned].name.clone();
     let other = if planned == "n-1" { "n-2" } else { "n-1" };
     let worker = w.workers.get_mut(other).expect("worker");
     worker.tasks.insert((task.clone(), Attempt(7)), (TaskState::Running, None));
--- a/crates/scheduler/tests/transcripts/scripts.rs
+++ b/crates/scheduler/tests/transcripts/scripts.rs
@@ -71,7 +71,7 @@
                 if dice.chance(percent) =>
             {
                 transcript::count("direct lost", 1);
-                let name = world.leader.cluster.machines[machine as usize].name.clone();
+                let name = world.leader.cluster.machines[machine].name.clone();
                 if dice.chance(50) {
                     if let Some(worker) = world.workers.get_mut(&name) {
                         worker.direct(token, agent_epoch, &calls);
--- a/crates/scheduler/tests/untrusted_reports.rs
+++ b/crates/scheduler/tests/untrusted_reports.rs
@@ -17,7 +17,7 @@
 const JOB: &str = "req-000001";
 
 fn machine<'a>(w: &'a World, name: &str) -> &'a walnutlug_scheduler::model::machine::Machine {
-    &w.leader.cluster.machines[w.leader.cluster.machines_by_name[name] as usize]
+    &w.leader.cluster.machines[w.leader.cluster.machines_by_name[name]]
 }
 
 fn report_of(w: &mut World, name: &str) -> Heartbeat {
--- a/crates/scheduler/tests/world/mod.rs
+++ b/crates/scheduler/tests/world/mod.rs
@@ -8,7 +8,7 @@
 use serde_json::{json, Value};
 use walnutlug_scheduler::command::{Command, MessageOutcome, TransactionOutcome};
 use walnutlug_scheduler::leadership::fencing_token::FencingToken;
-use walnutlug_scheduler::model::ids::{AgentEpoch, Attempt};
+use walnutlug_scheduler::model::ids::{AgentEpoch, Attempt, MachineIndex};
 use walnutlug_scheduler::model::job_spec::{JobEnd, JobSpec, Priority};
 use walnutlug_scheduler::model::team::Team;
 use walnutlug_scheduler::protocol::cloud::MachineType;
@@ -395,7 +395,7 @@
         }
     }
 
-    pub fn take_direct(&mut self) -> (u32, FencingToken, AgentEpoch, Vec<WorkerCommand>) {
+    pub fn take_direct(&mut self) -> (MachineIndex, FencingToken, AgentEpoch, Vec<WorkerCommand>) {
         let with_calls =
             |c: &Command| matches!(c, Command::SendToWorker { calls, .. } if !calls.is_empty());
         let at = self.commands.iter().position(with_calls);
@@ -420,11 +420,11 @@
     pub fn start_under_way(
         &mut self,
         job: &str,
-    ) -> (String, (u32, FencingToken, AgentEpoch, Vec<WorkerCommand>)) {
+    ) -> (String, (MachineIndex, FencingToken, AgentEpoch, Vec<WorkerCommand>)) {
         self.submit(job, &spec(1));
         self.place_and_commit();
         let message = self.take_direct();
-        (self.leader.cluster.machines[message.0 as usize].name.clone(), message)
+        (self.leader.cluster.machines[message.0].name.clone(), message)
     }
 
     /// The job has ended for its user: the end is stored, and told to the leader.
@@ -490,12 +490,12 @@
 
     pub fn deliver(
         &mut self,
-        machine: u32,
+        machine: MachineIndex,
         token: FencingToken,
         agent_epoch: AgentEpoch,
         calls: &[WorkerCommand],
     ) {
-        let name = self.leader.cluster.machines[machine as usize].name.clone();
+        let name = self.leader.cluster.machines[machine].name.clone();
         let outcome = match self.workers.get_mut(&name) {
             Some(worker) if worker.alive => {
                 MessageOutcome::Answered(Box::new(worker.direct(token, agent_epoch, calls)))
