--- a/crates/controller/src/node/leader.rs
+++ b/crates/controller/src/node/leader.rs
@@ -8,6 +8,7 @@
 use walnutlug_fencing::lease;
 use walnutlug_scheduler::command::{Command, TransactionOutcome};
 use walnutlug_scheduler::leadership::election::{ElectionEvent, Role};
+use walnutlug_scheduler::leadership::fencing_token::Term;
 use walnutlug_scheduler::leadership::watermark;
 use walnutlug_scheduler::model::job_spec::JobEnd;
 use walnutlug_scheduler::protocol::cloud::ScaleOutRequest;
@@ -16,6 +17,7 @@
 use walnutlug_scheduler::scheduler::Scheduler;
 use walnutlug_scheduler::storage::document::Document;
 use walnutlug_scheduler::storage::keys;
+use walnutlug_scheduler::storage::revision::Revision;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 
 use super::{event_log, fleet_role, Node, ADDRESS_FRESH};
@@ -44,7 +46,7 @@
                 if name == node.settings.node_name {
                     release_former_lease(&node, &key_value).await;
                 }
-                node.learn_leader(&name, key_value.revision);
+                node.learn_leader(&name, key_value.revision.into());
                 let hold = Duration::from_secs(10);
                 match node
                     .key_value
@@ -57,7 +59,7 @@
                         );
                         if vacant {
                             info!("the leader key is gone");
-                            node.forget_leader(key_value.revision);
+                            node.forget_leader(key_value.revision.into());
                         }
                     }
                     Err(_) => sleep(Duration::from_millis(300)).await,
@@ -85,7 +87,10 @@
     key_value: &walnutlug_scheduler::protocol::key_value::KeyValue,
 ) {
     if let Some(lease) = key_value.value["lease"].as_u64() {
-        info!(term = key_value.revision, "this node led when it ended: its lease is given up");
+        info!(
+            term = key_value.revision.get(),
+            "this node led when it ended: its lease is given up"
+        );
         let _ = node.key_value.release(lease).await;
     }
 }
@@ -104,7 +109,7 @@
     node.lease_until.set(asked + safe_lease_duration(ttl));
     let value = leader_record(&node.settings.node_name, &node.election_nonce, lease);
     let transaction = Transaction {
-        compares: vec![Compare { key: keys::LEADER.into(), revision: 0 }],
+        compares: vec![Compare { key: keys::LEADER.into(), revision: Revision::NONE }],
         operations: vec![Operation::Put {
             put: keys::LEADER.into(),
             value: Document::new(&value),
@@ -121,7 +126,7 @@
     if !node.leadership.borrow_mut().step(node.now(), ElectionEvent::Won { term }) {
         return;
     }
-    info!(term, "elected");
+    info!(term = term.get(), "elected");
     node.key_value.lead(true);
     node.learn_leader(&node.settings.node_name, term);
     lead(node, term, lease, asked).await;
@@ -134,12 +139,14 @@
     state: &KeyValueClient,
     transaction: &Transaction,
     election_nonce: &str,
-) -> Option<u64> {
+) -> Option<Term> {
     match state.commit(RequestClass::Leadership, transaction).await {
-        TransactionOutcome::Committed { revision } => Some(revision),
+        TransactionOutcome::Committed { revision } => Some(revision.into()),
         TransactionOutcome::Conflict { .. } | TransactionOutcome::Indeterminate => {
             match state.get(RequestClass::Leadership, keys::LEADER).await {
-                Ok(Some(p)) if p.value["inc"].as_str() == Some(election_nonce) => Some(p.revision),
+                Ok(Some(p)) if p.value["inc"].as_str() == Some(election_nonce) => {
+                    Some(p.revision.into())
+                }
                 _ => None,
             }
         }
@@ -148,7 +155,7 @@
 }
 
 /// Everything that a leader does, until it is one no more.
-async fn lead(node: &Rc<Node>, term: u64, lease: u64, touched: Instant) {
+async fn lead(node: &Rc<Node>, term: Term, lease: u64, touched: Instant) {
     let mut children = Vec::new();
     let lease_node = node.clone();
     children.push(tokio::task::spawn_local(async move {
@@ -203,7 +210,7 @@
 }
 
 /// Reads the records of the term before, whole, before anything is decided.
-async fn load(node: &Rc<Node>, term: u64) -> Result<(), KeyValueError> {
+async fn load(node: &Rc<Node>, term: Term) -> Result<(), KeyValueError> {
     let (began, asked) = (Instant::now(), node.now());
     node.ends_while_loading.borrow_mut().clear();
     if node.types.borrow().is_empty() {
@@ -250,7 +257,7 @@
     }
     let placed: usize = s.cluster.machines.iter().map(|m| m.tasks.len()).sum();
     info!(
-        term,
+        term = term.get(),
         jobs = s.cluster.jobs_by_name.len(),
         placed,
         ms = began.elapsed().as_millis() as u64,
@@ -278,7 +285,10 @@
         let most = node.key_value.max_compares();
         let batch = &open[open.len().saturating_sub(most)..];
         let transaction = Transaction {
-            compares: batch.iter().map(|n| Compare { key: keys::end(n), revision: 0 }).collect(),
+            compares: batch
+                .iter()
+                .map(|n| Compare { key: keys::end(n), revision: Revision::NONE })
+                .collect(),
             operations: Vec::new(),
         };
         let keep = open.len() - batch.len();
@@ -334,7 +344,7 @@
 
 /// Reads the truth again, now and then: jobs that are to be done, and which of them have ended. The
 /// watches tell the same sooner; but no job may hang on one message that was lost.
-async fn reconcile(node: Rc<Node>, term: u64) {
+async fn reconcile(node: Rc<Node>, term: Term) {
     loop {
         sleep(RECONCILE_EVERY).await;
         if !is_leading_under(&node, term) {
@@ -349,7 +359,7 @@
     }
 }
 
-async fn reconcile_once(node: &Rc<Node>, term: u64) -> Result<(), KeyValueError> {
+async fn reconcile_once(node: &Rc<Node>, term: Term) -> Result<(), KeyValueError> {
     let (todo, _) = node.key_value.list(RequestClass::Poll, keys::DESCRIPTIONS).await?;
     let (now, wall) = (node.now(), node.wall_us());
     let open = {
@@ -397,7 +407,7 @@
 pub(super) async fn retry(
     node: &Rc<Node>,
     prefix: &str,
-) -> Result<(Vec<walnutlug_scheduler::protocol::key_value::KeyValue>, u64), KeyValueError> {
+) -> Result<(Vec<walnutlug_scheduler::protocol::key_value::KeyValue>, Revision), KeyValueError> {
     let mut tries = 0;
     loop {
         match node.key_value.list(RequestClass::Dispatch, prefix).await {
@@ -411,7 +421,7 @@
     }
 }
 
-fn is_leading_under(node: &Node, term: u64) -> bool {
+fn is_leading_under(node: &Node, term: Term) -> bool {
     node.leadership.borrow().role() == Role::Leader { term }
 }
 
@@ -426,7 +436,7 @@
 }
 
 /// Hears of new jobs and of ends. Opened again at a bounded pace, since every opening counts.
-async fn watch(node: Rc<Node>, term: u64, prefix: &'static str, mut from: u64) {
+async fn watch(node: Rc<Node>, term: Term, prefix: &'static str, mut from: Revision) {
     // The watch on ends moves the watermark each time it returns, so it returns often.
     let sixth = Duration::from_micros(watermark::window(&node.site).0 / 6);
     let hold = sixth.clamp(Duration::from_millis(100), Duration::from_secs(10));
@@ -471,7 +481,7 @@
     }
 }
 
-async fn list_machines(node: Rc<Node>, term: u64) {
+async fn list_machines(node: Rc<Node>, term: Term) {
     let every = Duration::from_micros(node.site.list_lag.0 / 2)
         .clamp(Duration::from_secs(3), Duration::from_secs(10));
     while is_leading_under(&node, term) {
@@ -505,7 +515,7 @@
 }
 
 /// The leader's loop: whenever something happened, and now and then, the core decides.
-async fn run_scheduler(node: &Rc<Node>, term: u64) {
+async fn run_scheduler(node: &Rc<Node>, term: Term) {
     let mut last = Instant::now();
     while is_leading_under(node, term) {
         let began = Instant::now();
@@ -552,7 +562,7 @@
 
 pub(super) fn with_scheduler(
     node: &Rc<Node>,
-    term: u64,
+    term: Term,
     f: impl FnOnce(&mut Scheduler, Timestamp),
 ) {
     let now = node.now();
@@ -565,7 +575,7 @@
     node.wake_leader();
 }
 
-fn execute(node: &Rc<Node>, term: u64, command: Command) {
+fn execute(node: &Rc<Node>, term: Term, command: Command) {
     let node = node.clone();
     match command {
         Command::Log(event) => event_log::write(&event),
@@ -576,7 +586,7 @@
                     if let Ok(found) =
                         node.key_value.get(RequestClass::Leadership, keys::LEADER).await
                     {
-                        if found.is_none_or(|key_value| key_value.revision != term) {
+                        if found.is_none_or(|key_value| key_value.revision != term.into()) {
                             node.step_down("the leader key is not this term's any more");
                         }
                     }
@@ -595,7 +605,7 @@
             tokio::task::spawn_local(async move {
                 let answer = match node.key_value.get(RequestClass::Dispatch, &key).await {
                     Ok(Some(key_value)) => Some((key_value.value, key_value.revision)),
-                    Ok(None) => Some((serde_json::Value::Null, 0)),
+                    Ok(None) => Some((serde_json::Value::Null, Revision::NONE)),
                     Err(_) => None,
                 };
                 with_scheduler(&node, term, |s, now| s.read_answered(now, id, answer));
@@ -634,7 +644,7 @@
 }
 
 /// Rents without a record, as all versions did before there were fenced duties.
-async fn scale_out_unfenced(node: Rc<Node>, term: u64, scale_out: ScaleOutRequest) {
+async fn scale_out_unfenced(node: Rc<Node>, term: Term, scale_out: ScaleOutRequest) {
     let answer = match node.cloud.scale_out(&scale_out, &|| true).await {
         Ok(names) => Ok(names),
         Err(CloudError::NoCapacity) => Ok(Vec::new()),
@@ -652,7 +662,7 @@
     });
 }
 
-async fn scale_in_unfenced(node: Rc<Node>, term: u64, machines: Vec<String>) {
+async fn scale_in_unfenced(node: Rc<Node>, term: Term, machines: Vec<String>) {
     let gone = node.cloud.terminate(&machines, &|| true).await.is_ok();
     with_scheduler(&node, term, |s, now| s.scale_in_answered(now, &machines, gone));
 }
--- a/crates/scheduler/src/model/task.rs
+++ b/crates/scheduler/src/model/task.rs
@@ -11,11 +11,10 @@
 //! A task leaves its machine only on proof ([`TaskEvent::ProvenAbsent`]); no state knows a time-out that
 //! frees it. `unknown` is the paper's: it may have started, and is never resent under its attempt.
 
+use crate::leadership::fencing_token::FencingToken;
+use crate::model::ids::{AgentEpoch, Attempt, MachineIndex};
 use crate::time::Timestamp;
 
-/// Index of a machine in the scheduler's table.
-pub type MachineIndex = u32;
-
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskPhase {
     /// To be placed, under the attempt given.
@@ -66,13 +65,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Task {
     pub phase: TaskPhase,
-    pub attempt: u32,
+    pub attempt: Attempt,
     pub machine: MachineIndex,
     /// The worker's agent epoch that the start was sent to.
-    pub agent_epoch: u64,
-    /// The token that the start was sent with; 0 until it is sent. Proof of absence needs a
+    pub agent_epoch: AgentEpoch,
+    /// The token that the start was sent with; [`FencingToken::NONE`] until it is sent. Proof of absence needs a
     /// report that had already seen a higher one.
-    pub token: u64,
+    pub token: FencingToken,
     /// When the phase was entered.
     pub since: Timestamp,
     /// When it was placed where it is, by whichever leader did. Stored, so that a new leader knows
@@ -84,11 +83,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskEvent {
     /// Placed by a round, to be written before it is sent.
-    Dispatch { machine: MachineIndex, agent_epoch: u64 },
+    Dispatch { machine: MachineIndex, agent_epoch: AgentEpoch },
     /// The round's write is certain to have failed: nothing was sent.
     Retract,
     /// The start goes out, once, with this token.
-    Sent { token: u64 },
+    Sent { token: FencingToken },
     /// A heartbeat shows the attempt on the machine, with its image.
     Observed,
     /// A command to stop it goes out.
@@ -105,10 +104,10 @@
     pub fn new(now: Timestamp) -> Task {
         Task {
             phase: TaskPhase::Pending,
-            attempt: 1,
-            machine: 0,
-            agent_epoch: 0,
-            token: 0,
+            attempt: Attempt::FIRST,
+            machine: MachineIndex(0),
+            agent_epoch: AgentEpoch::NONE,
+            token: FencingToken::NONE,
             since: now,
             placed_at: now,
         }
@@ -123,13 +122,13 @@
             (P::Pending, I::Dispatch { machine, agent_epoch }) => {
                 self.machine = machine;
                 self.agent_epoch = agent_epoch;
-                self.token = 0;
+                self.token = FencingToken::NONE;
                 self.placed_at = now;
                 P::Dispatching
             }
             // Only a start that was never sent may go back under the same attempt.
-            (P::Dispatching, I::Retract) if self.token == 0 => P::Pending,
-            (P::Dispatching, I::Sent { token }) if self.token == 0 => {
+            (P::Dispatching, I::Retract) if self.token == FencingToken::NONE => P::Pending,
+            (P::Dispatching, I::Sent { token }) if self.token == FencingToken::NONE => {
                 self.token = token;
                 P::Dispatching
             }
@@ -137,7 +136,7 @@
             (P::Dispatching | P::Running | P::Unknown, I::Stop) => P::Stopping,
             (P::Dispatching, I::ConfirmationExpired) => P::Unknown,
             (P::Dispatching | P::Running | P::Stopping | P::Unknown, I::ProvenAbsent) => {
-                self.attempt += 1;
+                self.attempt = self.attempt.next();
                 P::Pending
             }
             (P::Pending | P::Dispatching | P::Running | P::Stopping | P::Unknown, I::Completed) => {
--- a/crates/scheduler/tests/golden_bytes.rs
+++ b/crates/scheduler/tests/golden_bytes.rs
@@ -9,6 +9,8 @@
 use serde::Serialize;
 use serde_json::{json, Value};
 use walnutlug_scheduler::command::Command;
+use walnutlug_scheduler::leadership::fencing_token::FencingToken;
+use walnutlug_scheduler::model::ids::{AgentEpoch, Attempt};
 use walnutlug_scheduler::model::job_spec::{JobEnd, JobSpec, Priority};
 use walnutlug_scheduler::model::task::TaskPhase;
 use walnutlug_scheduler::protocol::key_value::{KeyValue, Operation};
@@ -19,6 +21,7 @@
 };
 use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::storage::records::{chunk_size, description_record};
+use walnutlug_scheduler::storage::revision::Revision;
 use world::{spec, types, World};
 
 const RECORDS: &str = "tests/golden/records.txt";
@@ -181,7 +184,7 @@
     let job = world.leader.cluster.job(world.leader.cluster.jobs_by_name[name]).expect("the job");
     let line = |task: &walnutlug_scheduler::model::task::Task| {
         let place = match task.phase.placed() {
-            true => world.leader.cluster.machines[task.machine as usize].name.as_str(),
+            true => world.leader.cluster.machines[task.machine].name.as_str(),
             false => "nowhere",
         };
         let after = task.placed_at.since(job.accepted).0;
@@ -212,8 +215,8 @@
     let strange = world.leader.load_runs(
         world.now,
         &[
-            key_value(keys::run(JOB, 0), chunk_of_every_phase(), 8),
-            key_value(keys::part(JOB, 1, 8), part, 9),
+            key_value(keys::run(JOB, 0), chunk_of_every_phase(), Revision(8)),
+            key_value(keys::part(JOB, 1, 8), part, Revision(9)),
         ],
     );
     assert!(strange.is_empty(), "all of them are read");
@@ -424,7 +427,7 @@
 fn full_report() -> Heartbeat {
     let task = |index: u64, state, cause| TaskStatus {
         task: format!("req-000412/{index}"),
-        attempt: 10 + index,
+        attempt: Attempt(10 + index),
         state,
         cause,
     };
@@ -435,9 +438,9 @@
         kind: "g8".into(),
         zone: "a".into(),
         spot: true,
-        agent_epoch: 3,
+        agent_epoch: AgentEpoch(3),
         sequence: 88,
-        token: 41,
+        token: FencingToken(41),
         interruption_notice_s: Some(27.5),
         tasks: vec![
             task(0, TaskState::Fetching, None),
@@ -455,9 +458,9 @@
 
 fn calls() -> Vec<WorkerCommand> {
     vec![
-        WorkerCommand::Run { task: "req-000412/4".into(), attempt: 2 },
-        WorkerCommand::Kill { task: "req-000377/1".into(), attempt: 1, grace_s: 10.0 },
-        WorkerCommand::Reap { task: "req-000398/0".into(), attempt: 3 },
+        WorkerCommand::Run { task: "req-000412/4".into(), attempt: Attempt(2) },
+        WorkerCommand::Kill { task: "req-000377/1".into(), attempt: Attempt(1), grace_s: 10.0 },
+        WorkerCommand::Reap { task: "req-000398/0".into(), attempt: Attempt(3) },
     ]
 }
 
@@ -467,9 +470,22 @@
     let answers = stages.map(|stage| job_response(JOB, stage, None).to_string()).join("\n");
     let found = [
         ("report", text(&full_report())),
-        ("answer to a report", text(&HeartbeatResponse { token: 41, calls: calls() })),
-        ("answer without calls", text(&HeartbeatResponse { token: 41, calls: Vec::new() })),
-        ("commands", text(&CommandsRequest { token: 41, agent_epoch: 7, calls: &calls() })),
+        (
+            "answer to a report",
+            text(&HeartbeatResponse { token: FencingToken(41), calls: calls() }),
+        ),
+        (
+            "answer without calls",
+            text(&HeartbeatResponse { token: FencingToken(41), calls: Vec::new() }),
+        ),
+        (
+            "commands",
+            text(&CommandsRequest {
+                token: FencingToken(41),
+                agent_epoch: AgentEpoch(7),
+                calls: &calls(),
+            }),
+        ),
         ("redirect", text(&Redirect { node: Some("kernel-2".into()) })),
         ("redirect to none", text(&Redirect { node: None })),
         ("job", answers),
@@ -482,7 +498,10 @@
     assert!(read.machine == full.machine && read.address == full.address, "report: names");
     assert!(read.kind == full.kind && read.zone == full.zone, "report: type and zone");
     assert!(read.spot && read.interruption_notice_s == Some(27.5), "report: spot and notice");
-    assert!((read.agent_epoch, read.sequence, read.token) == (3, 88, 41), "report: numbers");
+    assert!(
+        (read.agent_epoch, read.sequence, read.token) == (AgentEpoch(3), 88, FencingToken(41)),
+        "report: numbers"
+    );
     assert!(read.tasks == full.tasks, "report: tasks");
     assert!(text(&read) == heartbeat, "report: written again it differs");
     let commands: Value = serde_json::from_str(&golden.text("commands")).expect("commands");
--- a/crates/scheduler/tests/repeated_heartbeats.rs
+++ b/crates/scheduler/tests/repeated_heartbeats.rs
@@ -4,6 +4,7 @@
 mod world;
 
 use walnutlug_scheduler::command::{Command, MessageOutcome};
+use walnutlug_scheduler::model::ids::Attempt;
 use walnutlug_scheduler::model::job_spec::JobSpec;
 use walnutlug_scheduler::protocol::workers::{sequence_digits, Heartbeat, TaskState};
 use walnutlug_scheduler::reconciliation::repeated_heartbeats::{CachedHeartbeat, OWN_NODE};
@@ -42,8 +43,7 @@
         w.wait(3_000);
         let token = w.leader.answer_repeated_heartbeat(w.now, cached, heartbeat.sequence + n);
         assert_eq!(token, Some(w.token_now()));
-        let machine =
-            &w.leader.cluster.machines[w.leader.cluster.machines_by_name[MACHINE] as usize];
+        let machine = &w.leader.cluster.machines[w.leader.cluster.machines_by_name[MACHINE]];
         assert_eq!((machine.last_heartbeat, machine.sequence), (w.now, heartbeat.sequence + n));
     }
     assert!(w.leader.take_commands().is_empty());
@@ -65,7 +65,7 @@
             w.workers.get_mut(MACHINE).expect("worker").tasks.pop_first();
         }),
         ("an unknown task", |w| {
-            let unknown = (("req-000009/0".to_owned(), 1), (TaskState::Running, None));
+            let unknown = (("req-000009/0".to_owned(), Attempt(1)), (TaskState::Running, None));
             w.workers.get_mut(MACHINE).expect("worker").tasks.extend([unknown]);
         }),
         ("a notice", |w| w.workers.get_mut(MACHINE).expect("worker").interruption_at = Some(20.0)),
