--- a/crates/scheduler/src/command.rs
+++ b/crates/scheduler/src/command.rs
@@ -6,9 +6,11 @@
 use serde_json::Value;
 
 use crate::event::{Anomaly, Event};
-use crate::model::task::MachineIndex;
+use crate::leadership::fencing_token::FencingToken;
+use crate::model::ids::{AgentEpoch, MachineIndex};
 use crate::protocol::key_value::Transaction;
 use crate::protocol::workers::{Heartbeat, WorkerCommand};
+use crate::storage::revision::Revision;
 
 /// Something for the program to do.
 #[derive(Debug, Clone, PartialEq)]
@@ -40,9 +42,9 @@
         /// Where the worker can be reached.
         address: String,
         /// The fencing token of the message.
-        token: u64,
+        token: FencingToken,
         /// The agent epoch of the worker that it is for.
-        agent_epoch: u64,
+        agent_epoch: AgentEpoch,
         /// The commands; none if only an answer is wanted.
         calls: Vec<WorkerCommand>,
     },
@@ -136,7 +138,7 @@
         /// The value.
         value: Value,
         /// The key's revision.
-        revision: u64,
+        revision: Revision,
     },
     /// There is no such key.
     Missing,
@@ -150,7 +152,7 @@
     /// Executed.
     Committed {
         /// The store's revision of it.
-        revision: u64,
+        revision: Revision,
     },
     /// Not executed: these keys have other revisions than it expects.
     Conflict {
--- a/crates/scheduler/src/dispatch/starts.rs
+++ b/crates/scheduler/src/dispatch/starts.rs
@@ -1,10 +1,12 @@
 //! Starts between their commit and their message: the last check before they are sent.
 
 use crate::leadership::authority::LeaderAuthority;
+use crate::leadership::fencing_token::FencingToken;
 use crate::model::cluster::Cluster;
+use crate::model::ids::{Attempt, MachineIndex};
 use crate::model::job::TaskId;
 use crate::model::machine::MachineState;
-use crate::model::task::{MachineIndex, TaskEvent, TaskPhase};
+use crate::model::task::{TaskEvent, TaskPhase};
 use crate::protocol::workers::WorkerCommand;
 use crate::time::Timestamp;
 
@@ -12,7 +14,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct ReleasedStarts {
     /// The tasks, each with the attempt that is started.
-    pub(crate) ids: Vec<(TaskId, u32)>,
+    pub(crate) ids: Vec<(TaskId, Attempt)>,
     /// The commands that start them.
     pub(crate) commands: Vec<WorkerCommand>,
 }
@@ -20,7 +22,7 @@
 /// What is done with a start that waits for its machine's next message.
 enum Decision {
     Send {
-        attempt: u32,
+        attempt: Attempt,
         command: WorkerCommand,
     },
     Wait,
@@ -33,10 +35,10 @@
 /// A committed start joins its machine's next message. Returns the machine.
 pub(crate) fn queue_start(cluster: &mut Cluster, id: TaskId) -> Option<MachineIndex> {
     let task = cluster.job(id.0)?.tasks[id.1 as usize];
-    if task.phase != TaskPhase::Dispatching || task.token != 0 {
+    if task.phase != TaskPhase::Dispatching || task.token != FencingToken::NONE {
         return None;
     }
-    cluster.machines[task.machine as usize].starting.push(id);
+    cluster.machines[task.machine].starting.push(id);
     Some(task.machine)
 }
 
@@ -51,7 +53,7 @@
     machine_index: MachineIndex,
     sending: bool,
 ) -> ReleasedStarts {
-    let machine = &mut cluster.machines[machine_index as usize];
+    let machine = &mut cluster.machines[machine_index];
     let accepts_starts = machine.state == MachineState::Up
         && machine.interruption_at.is_none()
         && machine.drain_reason.is_none();
@@ -76,7 +78,7 @@
             Decision::Forget => {}
         }
     }
-    let machine = &mut cluster.machines[machine_index as usize];
+    let machine = &mut cluster.machines[machine_index];
     machine.starting = still_waiting;
     if !released.ids.is_empty() {
         machine.start_token = machine.start_token.max(token);
@@ -94,10 +96,13 @@
 ) -> Decision {
     let Some(job) = cluster.job(id.0) else { return Decision::Forget };
     let task = job.tasks[id.1 as usize];
-    if task.phase != TaskPhase::Dispatching || task.token != 0 || task.machine != machine_index {
+    if task.phase != TaskPhase::Dispatching
+        || task.token != FencingToken::NONE
+        || task.machine != machine_index
+    {
         return Decision::Forget;
     }
-    let agent_epoch = cluster.machines[machine_index as usize].agent_epoch;
+    let agent_epoch = cluster.machines[machine_index].agent_epoch;
     if job.is_ended() || !accepts_starts || task.agent_epoch != agent_epoch {
         return Decision::Withdraw;
     }
@@ -108,6 +113,6 @@
     }
     let name = format!("{}/{}", job.name, id.1);
     let attempt = task.attempt;
-    let command = WorkerCommand::Run { task: name, attempt: u64::from(attempt) };
+    let command = WorkerCommand::Run { task: name, attempt: attempt };
     Decision::Send { attempt, command }
 }
--- a/crates/scheduler/src/leadership.rs
+++ b/crates/scheduler/src/leadership.rs
@@ -3,4 +3,5 @@
 pub mod authority;
 pub mod cancellation_log;
 pub mod election;
+pub mod fencing_token;
 pub mod watermark;
--- a/crates/scheduler/src/leadership/election.rs
+++ b/crates/scheduler/src/leadership/election.rs
@@ -4,6 +4,7 @@
 //! here: every write of a leader is conditional on its term, so a leader that doesn't know that it is
 //! deposed can write nothing. The election only keeps two nodes from doing the same work.
 
+use crate::leadership::fencing_token::Term;
 use crate::time::{TimeDelta, Timestamp};
 
 /// A node's part in the cluster.
@@ -16,12 +17,12 @@
     /// Holds the leader key; reads the records before it decides anything.
     Loading {
         /// Its term.
-        term: u64,
+        term: Term,
     },
     /// Holds the leader key, and decides.
     Leader {
         /// Its term.
-        term: u64,
+        term: Term,
     },
 }
 
@@ -33,14 +34,14 @@
     /// This node created the key.
     Won {
         /// The key's revision.
-        term: u64,
+        term: Term,
     },
     /// Another node created it, or the attempt failed.
     Failed,
     /// The records have been read.
     Loaded {
         /// The term under which they were read.
-        term: u64,
+        term: Term,
     },
     /// The lease expired, the key is another node's, or this node steps down.
     Lost,
@@ -67,7 +68,7 @@
     }
 
     /// The term of which this node holds the leader key.
-    pub fn term(&self) -> Option<u64> {
+    pub fn term(&self) -> Option<Term> {
         match self.role {
             Role::Loading { term } | Role::Leader { term } => Some(term),
             Role::Follower | Role::Candidate => None,
@@ -98,18 +99,5 @@
     }
 }
 
-/// Bits of a token below the term: the worker's fence number.
-const FENCING_COUNTER_BITS: u32 = 20;
-
-/// The token for a worker: the term above, the worker's fence below. A new term or a raised fence
-/// each make a worker refuse everything sent before.
-pub fn token(term: u64, fencing_counter: u64) -> u64 {
-    (term << FENCING_COUNTER_BITS) | fencing_counter.min((1 << FENCING_COUNTER_BITS) - 1)
-}
-
-pub fn term_of(token: u64) -> u64 {
-    token >> FENCING_COUNTER_BITS
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/scheduler/src/model/job.rs
+++ b/crates/scheduler/src/model/job.rs
@@ -6,19 +6,19 @@
 use roaring::RoaringBitmap;
 use walnutlug_admission::shares::ClassId;
 
+use crate::model::ids::{JobIndex, MachineIndex};
 use crate::model::job_spec::{JobSpec, Priority};
 use crate::model::job_state::{JobEvent, JobState};
-use crate::model::task::{MachineIndex, Task};
+use crate::model::task::Task;
 use crate::queue::dependencies::EffectiveDeadline;
+use crate::storage::revision::Revision;
 use crate::time::{TimeDelta, Timestamp};
 
-pub type JobIndex = u32;
-
 pub type TaskId = (JobIndex, u32);
 
 #[derive(Debug, Clone, Default)]
 pub struct Chunk {
-    pub revision: u64,
+    pub revision: Revision,
     pub in_flight: bool,
     /// Since when a planned start waits for its write.
     pub start_due: Option<Timestamp>,
@@ -47,7 +47,7 @@
     pub chunk_size: u32,
     pub chunks: Vec<Chunk>,
     /// Marks of the parts of its chunks that are kept apart, by chunk and first task.
-    pub parts: BTreeMap<(usize, u32), u64>,
+    pub parts: BTreeMap<(usize, u32), Revision>,
     /// Tasks that changed since their records were written last.
     pub changed: RoaringBitmap,
     pub tasks: Vec<Task>,
--- a/crates/scheduler/src/protocol/workers.rs
+++ b/crates/scheduler/src/protocol/workers.rs
@@ -2,6 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 
+use crate::leadership::fencing_token::FencingToken;
+use crate::model::ids::{AgentEpoch, Attempt};
 use crate::protocol::users::is_job_id;
 
 /// One task in a worker's heartbeat.
@@ -10,7 +12,7 @@
     #[serde(rename = "nut")]
     pub task: String,
     #[serde(rename = "try")]
-    pub attempt: u64,
+    pub attempt: Attempt,
     #[serde(rename = "stage")]
     pub state: TaskState,
     #[serde(rename = "cause", default)]
@@ -55,11 +57,11 @@
     #[serde(rename = "windfall")]
     pub spot: bool,
     #[serde(rename = "season")]
-    pub agent_epoch: u64,
+    pub agent_epoch: AgentEpoch,
     #[serde(rename = "ring")]
     pub sequence: u64,
     #[serde(rename = "staff")]
-    pub token: u64,
+    pub token: FencingToken,
     #[serde(rename = "shakeS", default)]
     pub interruption_notice_s: Option<f64>,
     #[serde(rename = "nuts", default)]
@@ -103,7 +105,7 @@
         #[serde(rename = "nut")]
         task: String,
         #[serde(rename = "try")]
-        attempt: u64,
+        attempt: Attempt,
         #[serde(rename = "dropS")]
         grace_s: f64,
     },
@@ -111,13 +113,13 @@
         #[serde(rename = "nut")]
         task: String,
         #[serde(rename = "try")]
-        attempt: u64,
+        attempt: Attempt,
     },
     Run {
         #[serde(rename = "nut")]
         task: String,
         #[serde(rename = "try")]
-        attempt: u64,
+        attempt: Attempt,
     },
 }
 
@@ -125,7 +127,7 @@
 #[derive(Debug, Serialize)]
 pub struct HeartbeatResponse {
     #[serde(rename = "staff")]
-    pub token: u64,
+    pub token: FencingToken,
     pub calls: Vec<WorkerCommand>,
 }
 
@@ -141,8 +143,8 @@
 #[derive(Debug, Serialize)]
 pub struct CommandsRequest<'a> {
     #[serde(rename = "staff")]
-    pub token: u64,
+    pub token: FencingToken,
     #[serde(rename = "season")]
-    pub agent_epoch: u64,
+    pub agent_epoch: AgentEpoch,
     pub calls: &'a [WorkerCommand],
 }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -15,11 +15,11 @@
 use crate::dispatch::Messages;
 use crate::event::{Anomaly, Event};
 use crate::leadership::authority::LeaderAuthority;
-use crate::leadership::election::token;
+use crate::leadership::fencing_token::{FencingToken, Term};
 use crate::model::cluster::Cluster;
-use crate::model::job::{JobIndex, TaskId};
+use crate::model::ids::{JobIndex, MachineIndex};
+use crate::model::job::TaskId;
 use crate::model::run_times::RunTimes;
-use crate::model::task::MachineIndex;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::key_value::KeyValue;
 use crate::queue::dependencies::DependencyGraph;
@@ -38,7 +38,7 @@
     /// The operators' settings.
     pub tunables: Rc<Tunables>,
     /// The term for which it decides.
-    pub term: u64,
+    pub term: Term,
     /// When it began to decide.
     pub started_at: Timestamp,
     /// Jobs, tasks and machines.
@@ -87,7 +87,7 @@
     pub fn new(
         site: Rc<Site>,
         tunables: Rc<Tunables>,
-        term: u64,
+        term: Term,
         types: Vec<MachineType>,
         now: Timestamp,
     ) -> Scheduler {
@@ -96,7 +96,7 @@
         Scheduler {
             term,
             started_at: now,
-            cluster: Cluster::new(term, token(term, 0) - 1, types, shares),
+            cluster: Cluster::new(term, FencingToken::last_before(term), types, shares),
             dependency_graph: DependencyGraph::default(),
             fair_share: FairShare::default(),
             run_times: RunTimes::default(),
@@ -306,7 +306,7 @@
 
     /// Something may have to be sent to the machine.
     pub(crate) fn enqueue_send(&mut self, machine_index: MachineIndex) {
-        let machine = &mut self.cluster.machines[machine_index as usize];
+        let machine = &mut self.cluster.machines[machine_index];
         if !machine.in_send_queue {
             machine.in_send_queue = true;
             self.messages.send_queue.push(machine_index);
--- a/crates/scheduler/src/storage.rs
+++ b/crates/scheduler/src/storage.rs
@@ -14,5 +14,6 @@
 pub mod keys;
 pub mod loader;
 pub mod records;
+pub mod revision;
 pub mod transactions;
 pub(crate) mod write_round;
--- a/crates/scheduler/src/storage/batch.rs
+++ b/crates/scheduler/src/storage/batch.rs
@@ -1,8 +1,10 @@
 //! What one transaction writes, and what its outcome changes in the cluster.
 
 use crate::event::{Event, JobDone};
+use crate::leadership::fencing_token::Term;
 use crate::model::cluster::Cluster;
-use crate::model::job::{Job, JobIndex, TaskId};
+use crate::model::ids::JobIndex;
+use crate::model::job::{Job, TaskId};
 use crate::model::job_spec::JobEnd;
 use crate::model::job_state::JobEvent;
 use crate::model::task::TaskEvent;
@@ -10,6 +12,7 @@
 use crate::storage::deletion::RecordDeletion;
 use crate::storage::document::Document;
 use crate::storage::keys;
+use crate::storage::revision::Revision;
 use crate::time::Timestamp;
 
 /// Operations are added to a batch until its transaction is larger than this.
@@ -105,13 +108,13 @@
     }
 
     /// Makes everything depend on this node's leadership.
-    pub(crate) fn compare_term(&mut self, term: u64) {
-        let compare = Compare { key: keys::LEADER.to_owned(), revision: term };
+    pub(crate) fn compare_term(&mut self, term: Term) {
+        let compare = Compare { key: keys::LEADER.to_owned(), revision: term.into() };
         self.transaction.compares.insert(0, compare);
     }
 
     /// Makes everything depend on the key's revision (0: no such key).
-    fn compare(&mut self, key: &str, revision: u64) {
+    fn compare(&mut self, key: &str, revision: Revision) {
         if !self.transaction.compares.iter().any(|compare| compare.key == key) {
             self.transaction.compares.push(Compare { key: key.to_owned(), revision });
         }
@@ -125,14 +128,17 @@
         let key = match part {
             Some(from) => {
                 let key = keys::part(&job.name, chunk, from);
-                self.compare(&key, job.parts.get(&(chunk, from)).copied().unwrap_or(0));
+                self.compare(
+                    &key,
+                    job.parts.get(&(chunk, from)).copied().unwrap_or(Revision::NONE),
+                );
                 key
             }
             None => whole,
         };
         // After an acknowledged cancellation nothing can be dispatched: the end's absence is part
         // of the write itself.
-        self.compare(&keys::end(&job.name), 0);
+        self.compare(&keys::end(&job.name), Revision::NONE);
         self.bytes += value.size() + key.len() * 2 + OPERATION_OVERHEAD_BYTES;
         self.transaction.operations.push(Operation::put_document(key, value));
         self.records.push(record);
@@ -141,7 +147,7 @@
     /// Adds a job's end, which is written only if it has none.
     pub(crate) fn put_end(&mut self, job_index: JobIndex, job_name: &str, end: JobEnd) {
         let key = keys::end(job_name);
-        self.transaction.compares.push(Compare { key: key.clone(), revision: 0 });
+        self.transaction.compares.push(Compare { key: key.clone(), revision: Revision::NONE });
         self.transaction.operations.push(Operation::put(key, end));
         self.ends.push(JobEnding { job: job_index, end });
     }
@@ -181,7 +187,7 @@
         self,
         cluster: &mut Cluster,
         now: Timestamp,
-        revision: u64,
+        revision: Revision,
     ) -> CommitEffects {
         for ChunkId { job, chunk } in &self.chunks {
             if let Some(job) = cluster.jobs.get_mut(job) {
--- a/crates/scheduler/src/storage/chunk_writes.rs
+++ b/crates/scheduler/src/storage/chunk_writes.rs
@@ -9,6 +9,7 @@
 use std::collections::BTreeSet;
 use std::ops::Range;
 
+use crate::leadership::fencing_token::FencingToken;
 use crate::model::cluster::Cluster;
 use crate::model::job::{Chunk, Job};
 use crate::model::task::TaskPhase;
@@ -119,7 +120,7 @@
     if task.phase == TaskPhase::Done && !job.recorded.contains(index) {
         batch.note_completion(id);
     }
-    if task.phase == TaskPhase::Dispatching && task.token == 0 {
+    if task.phase == TaskPhase::Dispatching && task.token == FencingToken::NONE {
         batch.note_start(id);
     }
     if job.changed.remove(index) {
--- a/crates/scheduler/src/storage/deletion.rs
+++ b/crates/scheduler/src/storage/deletion.rs
@@ -4,10 +4,12 @@
 //! outlives it.
 
 use crate::model::cluster::Cluster;
-use crate::model::job::{Job, JobIndex};
+use crate::model::ids::JobIndex;
+use crate::model::job::Job;
 use crate::model::job_state::JobEvent;
 use crate::storage::batch::Batch;
 use crate::storage::keys;
+use crate::storage::revision::Revision;
 
 /// A part of a chunk, by the chunk's number and the part's first task.
 type PartId = (usize, u32);
@@ -35,7 +37,8 @@
     job.apply(JobEvent::DeletionStarted);
     delete_chunks(batch, job, max_operations);
     let parts = delete_parts(batch, job, max_operations);
-    let some_left = !job.parts.is_empty() || job.chunks.iter().any(|chunk| chunk.revision > 0);
+    let some_left =
+        !job.parts.is_empty() || job.chunks.iter().any(|chunk| chunk.revision > Revision::NONE);
     let last = !some_left && !batch.is_full(max_operations);
     if last {
         batch.delete(keys::description(&job.name, !job.spec.dependencies.is_empty()));
@@ -50,9 +53,9 @@
 
 fn delete_chunks(batch: &mut Batch, job: &mut Job, max_operations: usize) {
     for (number, chunk) in job.chunks.iter_mut().enumerate() {
-        if chunk.revision > 0 && !batch.is_full(max_operations) {
+        if chunk.revision > Revision::NONE && !batch.is_full(max_operations) {
             batch.delete(keys::run(&job.name, number));
-            chunk.revision = 0;
+            chunk.revision = Revision::NONE;
         }
     }
 }
@@ -82,11 +85,11 @@
     pub(crate) fn not_executed(self, cluster: &mut Cluster) {
         let Some(job) = cluster.jobs.get_mut(&self.job) else { return };
         job.apply(JobEvent::DeletionIncomplete);
-        job.parts.extend(self.parts.into_iter().map(|part| (part, 1)));
+        job.parts.extend(self.parts.into_iter().map(|part| (part, Revision::UNKNOWN)));
         // Which chunks still exist is not known any more; deleting a key that does not exist does no
         // harm.
         for chunk in &mut job.chunks {
-            chunk.revision = chunk.revision.max(1);
+            chunk.revision = chunk.revision.max(Revision::UNKNOWN);
         }
     }
 }
--- a/crates/scheduler/src/storage/in_flight.rs
+++ b/crates/scheduler/src/storage/in_flight.rs
@@ -12,6 +12,7 @@
 use crate::protocol::key_value::{Operation, Transaction};
 use crate::storage::batch::Batch;
 use crate::storage::keys;
+use crate::storage::revision::Revision;
 use crate::time::Timestamp;
 
 /// What the transaction waits for.
@@ -116,7 +117,7 @@
     }
 
     /// Whether a record that it writes had this revision before.
-    pub(crate) fn expects_revision(&self, revision: u64) -> bool {
+    pub(crate) fn expects_revision(&self, revision: Revision) -> bool {
         let compares = &self.batch.transaction().compares;
         compares.iter().any(|c| c.key.starts_with(keys::RUN) && c.revision == revision)
     }
--- a/crates/scheduler/src/storage/loader.rs
+++ b/crates/scheduler/src/storage/loader.rs
@@ -7,9 +7,11 @@
 use serde_json::Value;
 
 use crate::event::Anomaly;
+use crate::leadership::fencing_token::FencingToken;
 use crate::model::cluster::Cluster;
-use crate::model::job::{Job, JobIndex, TaskId};
-use crate::model::task::{MachineIndex, TaskPhase};
+use crate::model::ids::{JobIndex, MachineIndex};
+use crate::model::job::{Job, TaskId};
+use crate::model::task::TaskPhase;
 use crate::protocol::key_value::KeyValue;
 use crate::protocol::users::MAX_TASKS;
 use crate::storage::keys::RunKey;
@@ -177,7 +179,7 @@
     now: Timestamp,
     index: u32,
     state: TaskState<'a>,
-    loaded_token: u64,
+    loaded_token: FencingToken,
 ) -> Option<&'a str> {
     let task = &mut job.tasks[index as usize];
     task.attempt = state.attempt;
--- a/crates/scheduler/src/storage/records.rs
+++ b/crates/scheduler/src/storage/records.rs
@@ -12,6 +12,7 @@
 use serde_json::Value;
 
 use crate::model::cluster::Cluster;
+use crate::model::ids::{AgentEpoch, Attempt};
 use crate::model::job::Job;
 use crate::model::job_spec::JobSpec;
 use crate::model::task::{Task, TaskPhase};
@@ -68,19 +69,19 @@
     /// Pending, and never placed before.
     Untouched(u8),
     /// Phase and attempt.
-    NotPlaced(u8, u32),
+    NotPlaced(u8, Attempt),
     /// Phase, attempt, machine, its agent epoch, and when it was placed.
-    Placed(u8, u32, &'a str, u64, u64),
+    Placed(u8, Attempt, &'a str, AgentEpoch, u64),
 }
 
 impl<'a> TaskRecord<'a> {
     fn new(cluster: &'a Cluster, job: &Job, task: &Task) -> TaskRecord<'a> {
         let code = task.phase.code();
         match task.phase {
-            TaskPhase::Pending if task.attempt == 1 => TaskRecord::Untouched(0),
+            TaskPhase::Pending if task.attempt == Attempt::FIRST => TaskRecord::Untouched(0),
             TaskPhase::Pending | TaskPhase::Done => TaskRecord::NotPlaced(code, task.attempt),
             _ => {
-                let machine = &cluster.machines[task.machine as usize].name;
+                let machine = &cluster.machines[task.machine].name;
                 let placed_at = task.placed_at.since(job.accepted).0 / PLACED_UNIT.0;
                 TaskRecord::Placed(code, task.attempt, machine, task.agent_epoch, placed_at)
             }
@@ -131,7 +132,7 @@
 /// What a record says of one task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct TaskState<'a> {
-    pub(crate) attempt: u32,
+    pub(crate) attempt: Attempt,
     pub(crate) progress: StoredProgress<'a>,
 }
 
@@ -148,7 +149,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct StoredPlacement<'a> {
     pub(crate) machine: &'a str,
-    pub(crate) agent_epoch: u64,
+    pub(crate) agent_epoch: AgentEpoch,
     /// From the job's acceptance; `None` in records of a version that did not store it.
     pub(crate) after_acceptance: Option<TimeDelta>,
 }
@@ -165,7 +166,10 @@
     pub(crate) fn state(&self) -> Option<TaskState<'a>> {
         let fields = match self {
             StoredTask::Untouched(_) => {
-                return Some(TaskState { attempt: 1, progress: StoredProgress::Pending })
+                return Some(TaskState {
+                    attempt: Attempt::FIRST,
+                    progress: StoredProgress::Pending,
+                })
             }
             StoredTask::Fields(fields) => fields.as_slice(),
             StoredTask::Unreadable(_) => return None,
@@ -174,7 +178,7 @@
         else {
             return None;
         };
-        let attempt = u32::try_from(*attempt).ok()?;
+        let attempt = Attempt(u32::try_from(*attempt).ok()?.into());
         let progress = match TaskPhase::from_code(*code)? {
             TaskPhase::Pending => StoredProgress::Pending,
             TaskPhase::Done => StoredProgress::Done,
@@ -195,7 +199,7 @@
         Some(StoredField::Number(units)) => Some(TimeDelta(units.saturating_mul(PLACED_UNIT.0))),
         _ => None,
     };
-    Some(StoredPlacement { machine, agent_epoch: *agent_epoch, after_acceptance })
+    Some(StoredPlacement { machine, agent_epoch: AgentEpoch(*agent_epoch), after_acceptance })
 }
 
 /// Whether the stored value was written by the transaction with that nonce.
--- a/crates/scheduler/src/storage/records/tests.rs
+++ b/crates/scheduler/src/storage/records/tests.rs
@@ -6,16 +6,19 @@
     StoredTask::deserialize(record).expect("any value").state()
 }
 
-fn placed(attempt: u32, machine: &str, after_ms: Option<u64>) -> Option<TaskState<'_>> {
+fn placed(attempt: u64, machine: &str, after_ms: Option<u64>) -> Option<TaskState<'_>> {
     let after_acceptance = after_ms.map(TimeDelta::from_millis);
-    let placement = StoredPlacement { machine, agent_epoch: 9, after_acceptance };
-    Some(TaskState { attempt, progress: StoredProgress::Placed(placement) })
+    let placement = StoredPlacement { machine, agent_epoch: AgentEpoch(9), after_acceptance };
+    let progress = StoredProgress::Placed(placement);
+    Some(TaskState { attempt: Attempt(attempt), progress })
 }
 
 #[test]
 fn a_task_is_read_whichever_version_wrote_it() {
-    let pending = |attempt| Some(TaskState { attempt, progress: StoredProgress::Pending });
-    let done = |attempt| Some(TaskState { attempt, progress: StoredProgress::Done });
+    let pending =
+        |attempt| Some(TaskState { attempt: Attempt(attempt), progress: StoredProgress::Pending });
+    let done =
+        |attempt| Some(TaskState { attempt: Attempt(attempt), progress: StoredProgress::Done });
     assert_eq!(read(&json!(0)), pending(1));
     assert_eq!(read(&json!(1.5)), pending(1), "any number");
     assert_eq!(read(&json!(-1)), pending(1), "any number");
--- a/crates/scheduler/src/storage/transactions.rs
+++ b/crates/scheduler/src/storage/transactions.rs
@@ -6,11 +6,13 @@
 
 use crate::command::{Command, ReadOutcome, StepDownReason, TransactionOutcome};
 use crate::event::WriteCounts;
+use crate::leadership::fencing_token::Term;
 use crate::model::cluster::StartPlanned;
 use crate::storage::batch::Batch;
 use crate::storage::in_flight::InFlightTransaction;
 use crate::storage::keys;
 use crate::storage::records;
+use crate::storage::revision::Revision;
 use crate::time::{TimeDelta, Timestamp};
 use crate::tunables::Tunables;
 
@@ -59,7 +61,7 @@
         /// What it wrote.
         batch: Batch,
         /// The store's revision of it.
-        revision: u64,
+        revision: Revision,
     },
     /// It was not executed, and will not be.
     NotExecuted {
@@ -87,7 +89,7 @@
 #[derive(Debug)]
 pub(crate) struct Transactions {
     /// The leader's term, on which every transaction depends.
-    term: u64,
+    term: Term,
     in_flight: BTreeMap<u64, InFlightTransaction>,
     next_id: u64,
     /// The store refused the last write: nothing is decided until it answers again.
@@ -103,7 +105,7 @@
 
 impl Transactions {
     /// With nothing in flight, and no limit to the rate.
-    pub(crate) fn new(term: u64, limits: TransactionLimits) -> Transactions {
+    pub(crate) fn new(term: Term, limits: TransactionLimits) -> Transactions {
         Transactions {
             term,
             in_flight: BTreeMap::new(),
@@ -290,7 +292,7 @@
                 self.keep_open(id, transaction)
             }
             ReadOutcome::Found { value, revision } => self.read_back(transaction, &value, revision),
-            ReadOutcome::Missing => self.read_back(transaction, &Value::Null, 0),
+            ReadOutcome::Missing => self.read_back(transaction, &Value::Null, Revision::NONE),
         }
     }
 
@@ -311,7 +313,7 @@
         Resolution::ReadBack { read: Command::Read { id, key }, ended }
     }
 
-    fn committed(&mut self, transaction: InFlightTransaction, revision: u64) -> Resolution {
+    fn committed(&mut self, transaction: InFlightTransaction, revision: Revision) -> Resolution {
         self.paused_until = Timestamp(0);
         Resolution::Committed { batch: transaction.into_batch(), revision }
     }
@@ -356,7 +358,7 @@
         &mut self,
         transaction: InFlightTransaction,
         value: &Value,
-        revision: u64,
+        revision: Revision,
     ) -> Resolution {
         if records::was_written_by(value, transaction.nonce()) {
             return self.committed(transaction, revision);
--- a/crates/scheduler/src/storage/transactions/tests.rs
+++ b/crates/scheduler/src/storage/transactions/tests.rs
@@ -1,13 +1,14 @@
 use serde_json::json;
 
 use super::*;
+use crate::model::ids::JobIndex;
 use crate::model::job_spec::JobEnd;
 
 const LIMITS: TransactionLimits = TransactionLimits { value_bytes: 2_048, operations: 4 };
 const JOB: &str = "req-000001";
 
 fn sent(batch: Batch) -> (Transactions, u64) {
-    let mut transactions = Transactions::new(7, LIMITS);
+    let mut transactions = Transactions::new(Term(7), LIMITS);
     match transactions.send(batch) {
         Some(Command::Commit { id, .. }) => (transactions, id),
         other => panic!("{other:?}"),
@@ -16,7 +17,7 @@
 
 fn with_an_end() -> Batch {
     let mut batch = Batch::default();
-    batch.put_end(0, JOB, JobEnd::Done);
+    batch.put_end(JobIndex(0), JOB, JobEnd::Done);
     batch
 }
 
@@ -26,7 +27,7 @@
 
 #[test]
 fn an_empty_batch_is_not_sent() {
-    let mut transactions = Transactions::new(7, LIMITS);
+    let mut transactions = Transactions::new(Term(7), LIMITS);
     assert_eq!(transactions.send(Batch::background()), None);
     assert_eq!(transactions.in_flight_count(), 0);
 }
@@ -50,10 +51,10 @@
     ));
     let later = later + RETRY_AFTER_REFUSAL;
     assert_eq!(transactions.resend_due(later).len(), 1);
-    let committed = TransactionOutcome::Committed { revision: 12 };
+    let committed = TransactionOutcome::Committed { revision: Revision(12) };
     assert!(matches!(
         transactions.answered(later, id, committed.clone()),
-        Resolution::Committed { revision: 12, .. }
+        Resolution::Committed { revision: Revision(12), .. }
     ));
     assert!(matches!(transactions.answered(later, id, committed), Resolution::Unknown));
 }
@@ -94,7 +95,7 @@
     let now = Timestamp(1 << 40);
     let own = json!({"t": [0], "w": "7-1"});
     let others = json!({"t": [0], "w": "6-1"});
-    let found = |value: &Value| ReadOutcome::Found { value: value.clone(), revision: 12 };
+    let found = |value: &Value| ReadOutcome::Found { value: value.clone(), revision: Revision(12) };
     let read_back = || {
         let (mut transactions, id) = sent(with_an_end());
         let key = keys::run(JOB, 3);
@@ -107,7 +108,7 @@
 
     let (mut transactions, id) = read_back();
     let resolution = transactions.read_answered(now, id, found(&own));
-    assert!(matches!(resolution, Resolution::Committed { revision: 12, .. }));
+    assert!(matches!(resolution, Resolution::Committed { revision: Revision(12), .. }));
 
     for outcome in [found(&others), ReadOutcome::Missing] {
         let (mut transactions, id) = read_back();
--- a/crates/scheduler/src/storage/write_round.rs
+++ b/crates/scheduler/src/storage/write_round.rs
@@ -8,7 +8,8 @@
 
 use crate::command::Command;
 use crate::model::cluster::Cluster;
-use crate::model::job::{Job, JobIndex};
+use crate::model::ids::JobIndex;
+use crate::model::job::Job;
 use crate::model::job_spec::{JobEnd, Priority};
 use crate::model::job_state::JobEvent;
 use crate::queue::dependencies::DependencyGraph;
--- a/crates/scheduler/tests/transcripts/scripts.rs
+++ b/crates/scheduler/tests/transcripts/scripts.rs
@@ -10,7 +10,9 @@
     CancellationLog, Incarnation, LogEntries, LogIndex,
 };
 use walnutlug_scheduler::leadership::election::{ElectionEvent, Leadership, Role};
+use walnutlug_scheduler::leadership::fencing_token::Term;
 use walnutlug_scheduler::leadership::watermark::{RequestId, Watermark};
+use walnutlug_scheduler::model::ids::Attempt;
 use walnutlug_scheduler::model::job_spec::{JobEnd, JobSpec, Priority};
 use walnutlug_scheduler::model::team::Team;
 use walnutlug_scheduler::protocol::cloud::{CloudMachineState, ListedMachine};
@@ -73,7 +75,7 @@
                 if dice.chance(percent) =>
             {
                 transcript::count("direct lost", 1);
-                let name = world.leader.cluster.machines[machine as usize].name.clone();
+                let name = world.leader.cluster.machines[machine].name.clone();
                 if dice.chance(50) {
                     if let Some(worker) = world.workers.get_mut(&name) {
                         worker.direct(token, agent_epoch, &calls);
@@ -543,7 +545,7 @@
         ("n-000001", "req-000002/1"),
     ] {
         let worker = world.workers.get_mut(machine).expect("worker");
-        worker.tasks.insert((task.to_owned(), 1), (TaskState::Running, None));
+        worker.tasks.insert((task.to_owned(), Attempt(1)), (TaskState::Running, None));
     }
     world.take_over();
     world.all_report();
@@ -612,7 +614,7 @@
     for step in 0..1_500u64 {
         transcript::next_step();
         now = now + TimeDelta::from_millis(dice.below(900) as u64);
-        let term = 1 + dice.below(3) as u64;
+        let term = Term(1 + dice.below(3) as u64);
         let changed = match dice.below(7) {
             0 => leadership.step(now, ElectionEvent::Vacant),
             1 => leadership.step(now, ElectionEvent::Won { term }),
@@ -782,7 +784,7 @@
                     worker.alive = left < -9.0;
                     worker.interruption_at = (!worker.alive).then_some(left - 1.0);
                     worker.tasks.clear();
-                    worker.agent_epoch += u64::from(worker.alive);
+                    worker.agent_epoch.0 += u64::from(worker.alive);
                 }
                 Some(left) => worker.interruption_at = Some(left - 1.0),
                 None => {}
