--- a/crates/scheduler/src/dispatch/starts.rs
+++ b/crates/scheduler/src/dispatch/starts.rs
@@ -113,6 +113,6 @@
     }
     let name = format!("{}/{}", job.name, id.1);
     let attempt = task.attempt;
-    let command = WorkerCommand::Run { task: name, attempt: attempt };
+    let command = WorkerCommand::Run { task: name, attempt };
     Decision::Send { attempt, command }
 }
--- a/crates/scheduler/src/leadership/fencing_token.rs
+++ b/crates/scheduler/src/leadership/fencing_token.rs
@@ -15,6 +15,7 @@
     /// On the wire, of a node that does not lead.
     pub const NONE: Term = Term(0);
 
+    /// The number, as on the wire.
     pub const fn get(self) -> u64 {
         self.0
     }
@@ -62,6 +63,7 @@
         Term(self.0 >> FENCING_COUNTER_BITS)
     }
 
+    /// The number, as on the wire.
     pub const fn get(self) -> u64 {
         self.0
     }
--- a/crates/scheduler/src/storage/revision.rs
+++ b/crates/scheduler/src/storage/revision.rs
@@ -20,6 +20,7 @@
     /// Stands for that of a key of which it is only known that it may exist.
     pub const UNKNOWN: Revision = Revision(1);
 
+    /// The number, as on the wire.
     pub const fn get(self) -> u64 {
         self.0
     }
