--- a/crates/controller/src/heartbeat_delegation.rs
+++ b/crates/controller/src/heartbeat_delegation.rs
@@ -13,7 +13,7 @@
 use walnutlug_scheduler::reconciliation::delegation::{
     CacheGrant, DelegationGrant, FollowerDelegation,
 };
-use walnutlug_scheduler::reconciliation::repeated_heartbeats::CacheHolder;
+use walnutlug_scheduler::reconciliation::heartbeat_cache::CacheHolder;
 use walnutlug_scheduler::tunables::Site;
 
 use crate::http::server::Answer;
@@ -222,7 +222,7 @@
     let (term, invalidated) = {
         let mut scheduler = node.scheduler.borrow_mut();
         let Some(scheduler) = scheduler.as_mut() else { return };
-        (scheduler.term, scheduler.cluster.take_invalidated())
+        (scheduler.term, scheduler.cluster.take_invalidations())
     };
     if invalidated.is_empty() {
         return;
@@ -281,7 +281,7 @@
     let mut scheduler = node.scheduler.borrow_mut();
     let Some(scheduler) = scheduler.as_mut().filter(|s| s.term == term) else { return };
     for one in heard {
-        let cached = walnutlug_scheduler::reconciliation::repeated_heartbeats::CachedHeartbeat {
+        let cached = walnutlug_scheduler::reconciliation::heartbeat_cache::CachedHeartbeat {
             term,
             machine: one.machine,
             number: one.number,
--- a/crates/controller/src/peers/golden_tests.rs
+++ b/crates/controller/src/peers/golden_tests.rs
@@ -2,7 +2,7 @@
 //! read field by field, and written again.
 
 use walnutlug_scheduler::reconciliation::delegation::{CacheGrant, DelegationGrant};
-use walnutlug_scheduler::reconciliation::repeated_heartbeats::CachedHeartbeat;
+use walnutlug_scheduler::reconciliation::heartbeat_cache::CachedHeartbeat;
 use walnutlug_scheduler::time::TimeDelta;
 
 use super::*;
--- a/crates/controller/src/peers/heartbeat_frames.rs
+++ b/crates/controller/src/peers/heartbeat_frames.rs
@@ -3,7 +3,7 @@
 
 use walnutlug_scheduler::model::task::MachineIndex;
 use walnutlug_scheduler::reconciliation::delegation::{CacheGrant, DelegationGrant};
-use walnutlug_scheduler::reconciliation::repeated_heartbeats::CachedHeartbeat;
+use walnutlug_scheduler::reconciliation::heartbeat_cache::CachedHeartbeat;
 use walnutlug_scheduler::time::TimeDelta;
 use zerocopy::little_endian::{U16, U32, U64};
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
--- a/crates/controller/src/peers/tests.rs
+++ b/crates/controller/src/peers/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use walnutlug_scheduler::reconciliation::delegation::{CacheGrant, DelegationGrant};
-use walnutlug_scheduler::reconciliation::repeated_heartbeats::CachedHeartbeat;
+use walnutlug_scheduler::reconciliation::heartbeat_cache::CachedHeartbeat;
 use walnutlug_scheduler::time::TimeDelta;
 
 fn frames() -> Vec<Frame> {
--- a/crates/controller/src/worker_api.rs
+++ b/crates/controller/src/worker_api.rs
@@ -8,9 +8,10 @@
 use walnutlug_scheduler::protocol::workers::{
     CommandsRequest, Heartbeat, HeartbeatResponse, Redirect, WorkerCommand,
 };
-use walnutlug_scheduler::reconciliation::repeated_heartbeats::{
+use walnutlug_scheduler::reconciliation::heartbeat_cache::{
     CacheHolder, CachedHeartbeat, OWN_NODE,
 };
+use walnutlug_scheduler::reconciliation::heartbeats::HeartbeatAnswer;
 use walnutlug_scheduler::time::TimeDelta;
 
 use crate::heartbeat_delegation;
@@ -113,7 +114,8 @@
     let scheduler = scheduler.as_mut()?;
     scheduler.cancellations_known_until = node.cancellations_known_until();
     node.log_lease_renewal(scheduler.may_renew_leases(now));
-    let (token, calls) = scheduler.heartbeat(now, heartbeat)?;
+    let HeartbeatAnswer { token, commands: calls } =
+        scheduler.handle_heartbeat(now, heartbeat).ok()?;
     // The number found in the text has to be the one that was read.
     let may_settle = calls.is_empty() && sequence_in(body) == Some(heartbeat.sequence);
     let cached = may_settle.then(|| scheduler.cache_heartbeat(now, heartbeat, holder)).flatten();
--- a/crates/controller/src/worker_api/connection.rs
+++ b/crates/controller/src/worker_api/connection.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use walnutlug_scheduler::protocol::workers::sequence_digits;
-use walnutlug_scheduler::reconciliation::repeated_heartbeats::CachedHeartbeat;
+use walnutlug_scheduler::reconciliation::heartbeat_cache::CachedHeartbeat;
 
 /// Longer reports are read in full each time: some thousand connections remember one each.
 const MAX_REMEMBERED: usize = 4 * 1024;
--- a/crates/scheduler/src/autoscaling.rs
+++ b/crates/scheduler/src/autoscaling.rs
@@ -18,6 +18,7 @@
 use crate::model::EPSILON;
 use crate::protocol::cloud::{CloudMachineState, ListedMachine};
 use crate::queue::order::QueueKey;
+use crate::reconciliation::machine_loss::tasks_lost;
 use crate::scheduler::Scheduler;
 use crate::time::{TimeDelta, Timestamp};
 
@@ -630,8 +631,8 @@
                     && machine.state != MachineState::Terminating
                 {
                     let tasks: Vec<_> = machine.tasks.iter().copied().collect();
-                    self.drain(m as usize, DrainReason::Failed);
-                    self.lost_with_machine(now, &tasks);
+                    self.drain(m, DrainReason::Failed);
+                    tasks_lost(&mut self.cluster, now, &tasks);
                 }
             }
         }
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -1,36 +1,79 @@
-//! Commands sent to workers directly: one message under way per worker, each sent once. Whether it arrived
-//! is for the worker's heartbeats to tell.
+//! Requests to workers: at most one in flight for each worker, each sent once. Whether one arrived is
+//! shown by the worker's later heartbeats.
+
+pub mod channel;
+pub(crate) mod starts;
 
 use crate::command::{Command, MessageOutcome};
+use crate::dispatch::channel::SentStart;
+use crate::dispatch::starts::{ReleasedStarts, StartGate};
 use crate::leadership::election::token;
+use crate::model::cluster::Cluster;
 use crate::model::job::TaskId;
-use crate::model::machine::MachineState;
+use crate::model::machine::{Machine, MachineState};
 use crate::model::task::{MachineIndex, TaskEvent, TaskPhase};
-use crate::protocol::workers::WorkerCommand;
-use crate::reconciliation::heartbeats::MAX_COMMANDS;
-use crate::scheduler::{Scheduler, OVERDUE};
+use crate::protocol::workers::{Heartbeat, WorkerCommand};
+use crate::reconciliation::response::MAX_COMMANDS;
+use crate::scheduler::OVERDUE;
 use crate::time::{TimeDelta, Timestamp};
+use crate::tunables::Site;
 
 /// A worker reports a higher token that an answer showed it within half a second, if the answer arrived.
 const ANSWER_SHOWS_WITHIN: TimeDelta = TimeDelta::from_millis(1_500);
+/// How often all machines are examined for what time alone brings: an overdue heartbeat, a deadline,
+/// the end of a pause. What events bring is examined when they come.
+const SWEEP_EVERY: TimeDelta = TimeDelta::from_millis(200);
+/// The first pause after a refused connection.
+const REFUSED_PAUSE: TimeDelta = TimeDelta::from_secs(1);
+/// The first pause after a request whose outcome is indeterminate.
+const INDETERMINATE_PAUSE: TimeDelta = TimeDelta::from_millis(1_500);
+/// The pause after the answer of another machine's worker.
+const WRONG_MACHINE_PAUSE: TimeDelta = TimeDelta::from_secs(1);
 
-/// Ever longer, up to sixteen times the first, while messages to a machine go on being lost.
-fn pause(first: TimeDelta, consecutive_losses: u32) -> TimeDelta {
-    TimeDelta(first.0 << consecutive_losses.saturating_sub(1).min(4))
-}
+/// Requests lost in a row, to any machines, that are more than the bad luck of some of them.
+const MANY_LOST: u32 = 12;
 
-/// Messages to workers: which machines may need one, and what became of the last ones.
+/// Requests to workers: which machines may need one, and the outcomes of the last ones. What waits for
+/// one worker is in its machine's [`channel::WorkerChannel`].
 #[derive(Debug)]
 pub(crate) struct Messages {
-    /// Machines to be looked at for something to send, each once.
-    pub(crate) send_queue: Vec<MachineIndex>,
-    /// How many have an open outcome.
-    pub(crate) in_flight: usize,
+    /// Machines to be examined for something to send, each once.
+    send_queue: Vec<MachineIndex>,
+    /// Requests without an outcome.
+    in_flight: usize,
     /// When a worker last answered one.
-    pub(crate) last_answered: Timestamp,
+    last_answered: Timestamp,
     /// How many were lost since.
-    pub(crate) lost_in_a_row: u32,
-    pub(crate) last_sweep: Timestamp,
+    lost_in_a_row: u32,
+    last_sweep: Timestamp,
+}
+
+/// Requests to send now.
+#[derive(Debug, Default)]
+pub(crate) struct DueMessages {
+    /// One [`Command::SendToWorker`] for each request.
+    pub(crate) commands: Vec<Command>,
+    /// How many machines were examined for them.
+    pub(crate) machines_examined: u64,
+}
+
+/// What one pass over the machines goes by.
+#[derive(Debug, Clone, Copy)]
+struct SendPass<'a> {
+    site: &'a Site,
+    gate: &'a StartGate,
+    /// A request that only asks for a heartbeat is sent while fewer are in flight: at a failover the
+    /// whole fleet is asked.
+    max_questions: usize,
+}
+
+/// What a machine needs.
+enum Need {
+    Nothing,
+    /// A request, with the starts that were released for it.
+    Request(ReleasedStarts),
+    /// To be asked for the heartbeat that is missing.
+    OverdueHeartbeat,
 }
 
 impl Messages {
@@ -44,189 +87,293 @@
             last_sweep: Timestamp(0),
         }
     }
-}
 
-impl Scheduler {
-    /// Sends what waits for workers: one message under way per worker. Without a sweep only those
-    /// machines are looked at that something happened to.
-    pub(crate) fn send_messages(&mut self, now: Timestamp, sweep: bool) {
-        let term = self.term;
-        let overdue = self.site.heartbeat_interval.mul_f64(OVERDUE);
-        let most_questions = self.site.most_messages / 3 + 1;
-        let noted = std::mem::take(&mut self.messages.send_queue);
-        for &ix in &noted {
-            self.cluster.machines[ix as usize].in_send_queue = false;
-        }
-        let all = if sweep { 0..self.cluster.machines.len() } else { 0..0 };
-        let noted = noted.into_iter().map(|ix| ix as usize).filter(|_| !sweep);
-        let mut overdue_machines = Vec::new();
-        for ix in all.chain(noted) {
-            self.examined.send_checks += 1;
-            let m = &self.cluster.machines[ix];
-            // A machine of the last leader's that has not reported yet is asked at the address that
-            // the cloud or another node tells, so that a failover doesn't wait for its next heartbeat.
-            let asked = m.state == MachineState::Booting
-                && (m.hinted_up_at.is_some() || !m.tasks.is_empty());
-            let known = m.state == MachineState::Up || asked;
-            let can_send = known
-                && !m.request_in_flight
-                && now >= m.retry_at
-                && !m.address.is_empty()
-                && self.messages.in_flight < self.site.most_messages;
-            // A fence that was raised for a lost send, or a new term, is shown to the worker at
-            // once instead of with its next heartbeat.
-            // (The first answer of a worker whose agent epoch wasn't known shows the agent epoch only; the
-            // second shows that it has seen the term.)
-            // A fence that an answer to its own heartbeat has just shown it is asked about only if its
-            // next heartbeat doesn't come. (Each reap raises the fence: a question after each of them was a
-            // third of all messages.)
-            let just_told = now.since(m.token_sent_at) < ANSWER_SHOWS_WITHIN;
-            let unseen = m.acknowledged_token < token(term, 0).max(m.required_token)
-                || (m.acknowledged_token < m.token(term) && !m.tasks.is_empty() && !just_told);
-            // One that missed a heartbeat is asked: if it answers it is not silent, and if it doesn't
-            // it can be given up sooner.
-            let missed = m.state == MachineState::Up && now.since(m.last_heartbeat) > overdue;
-            let may_start = can_send && self.holds_lease;
-            let (ids, starts) = self.release_starts(now, ix as MachineIndex, may_start);
-            let m = &mut self.cluster.machines[ix];
-            // Mere questions are paced: at a failover the whole fleet is asked.
-            let ask_later = m.outbox.is_empty()
-                && starts.is_empty()
-                && self.messages.in_flight >= most_questions;
-            if ask_later
-                || !can_send
-                || (m.outbox.is_empty() && starts.is_empty() && !unseen && !missed)
-            {
-                continue;
-            }
-            if m.outbox.is_empty() && starts.is_empty() && !unseen {
-                overdue_machines.push(ix as MachineIndex);
-                continue;
+    /// Whether it is time to examine all machines; if so, the next time counts from now.
+    pub(crate) fn begin_sweep(&mut self, now: Timestamp) -> bool {
+        let is_due = now.since(self.last_sweep) >= SWEEP_EVERY;
+        if is_due {
+            self.last_sweep = now;
+        }
+        is_due
+    }
+
+    /// Whether many requests in a row were lost, and none was answered for that long.
+    pub(crate) fn all_lost_for(&self, now: Timestamp, interval: TimeDelta) -> bool {
+        self.lost_in_a_row >= MANY_LOST && now.since(self.last_answered) > interval
+    }
+
+    /// Something may have to be sent to the machine.
+    pub(crate) fn enqueue(&mut self, cluster: &mut Cluster, machine: MachineIndex) {
+        if cluster.machines[machine as usize].channel.mark_queued() {
+            self.send_queue.push(machine);
+        }
+    }
+
+    /// Tells a task's machine to stop it; repeated in the answer to each heartbeat until it is gone.
+    pub(crate) fn stop_task(
+        &mut self,
+        cluster: &mut Cluster,
+        now: Timestamp,
+        id: TaskId,
+        grace_s: f64,
+    ) {
+        let Some(job) = cluster.job(id.0) else { return };
+        let task = job.tasks[id.1 as usize];
+        if task.phase == TaskPhase::Dispatching && task.token == 0 {
+            // Not sent yet, and with the job over or the task wanted elsewhere it never will be:
+            // the outcome of its transaction takes it back.
+            return;
+        }
+        let name = format!("{}/{}", job.name, id.1);
+        if !cluster.apply(now, id, TaskEvent::Stop) {
+            return;
+        }
+        let machine = &mut cluster.machines[task.machine as usize];
+        if machine.state == MachineState::Up {
+            let attempt = u64::from(task.attempt);
+            machine.channel.push(WorkerCommand::Kill { task: name, attempt, grace_s });
+            self.enqueue(cluster, task.machine);
+        }
+    }
+
+    /// A start was stored: it joins its machine's next request.
+    pub(crate) fn start_stored(&mut self, cluster: &mut Cluster, id: TaskId) {
+        let Some(job) = cluster.job(id.0) else { return };
+        let task = job.tasks[id.1 as usize];
+        if task.phase == TaskPhase::Dispatching && task.token == 0 {
+            cluster.machines[task.machine as usize].channel.push_start(id);
+            self.enqueue(cluster, task.machine);
+        }
+    }
+
+    /// The machine is gone: nothing that waits for it is ever sent.
+    pub(crate) fn discard(&mut self, cluster: &mut Cluster, now: Timestamp, machine: MachineIndex) {
+        cluster.machines[machine as usize].channel.discard_commands();
+        starts::retract_all(cluster, now, machine);
+    }
+
+    /// The requests to send now. In a sweep all machines are examined, otherwise those in the send
+    /// queue.
+    pub(crate) fn take_due(
+        &mut self,
+        cluster: &mut Cluster,
+        site: &Site,
+        gate: &StartGate,
+        is_sweep: bool,
+    ) -> DueMessages {
+        let pass = SendPass { site, gate, max_questions: site.most_messages / 3 + 1 };
+        let mut due = DueMessages::default();
+        let mut overdue = Vec::new();
+        for index in self.take_candidates(cluster, is_sweep) {
+            due.machines_examined += 1;
+            match self.examine(cluster, &pass, index) {
+                Need::Nothing => {}
+                Need::Request(released) => due.commands.push(self.send(cluster, index, released)),
+                Need::OverdueHeartbeat => overdue.push(index),
             }
-            self.send_message(ix as MachineIndex, ids, starts);
         }
-        self.ask_overdue(overdue_machines, most_questions);
+        for index in self.most_overdue(cluster, overdue, pass.max_questions) {
+            due.commands.push(self.send(cluster, index, ReleasedStarts::default()));
+        }
+        due
     }
 
-    /// Asks machines of which a heartbeat is missing, after all that a message is more urgent for, and those first
-    /// that were heard longest ago. (In the order of the table, the first two thousand were overdue again
-    /// before the others were asked at all.)
-    fn ask_overdue(&mut self, mut machines: Vec<MachineIndex>, most_questions: usize) {
-        let room = most_questions.saturating_sub(self.messages.in_flight);
+    /// The machines to examine; the send queue is empty afterwards.
+    fn take_candidates(&mut self, cluster: &mut Cluster, is_sweep: bool) -> Vec<MachineIndex> {
+        let queued = std::mem::take(&mut self.send_queue);
+        for &index in &queued {
+            cluster.machines[index as usize].channel.mark_dequeued();
+        }
+        if is_sweep {
+            (0..cluster.machines.len() as MachineIndex).collect()
+        } else {
+            queued
+        }
+    }
+
+    fn examine(&self, cluster: &mut Cluster, pass: &SendPass, index: MachineIndex) -> Need {
+        let now = pass.gate.now;
+        let machine = &cluster.machines[index as usize];
+        let can_send = self.can_send(machine, now, pass.site);
+        let owes_token = owes_token(machine, cluster.term, now);
+        // One whose heartbeat is overdue is asked: if it answers it is not silent, and if it doesn't
+        // it can be given up sooner.
+        let overdue_after = pass.site.heartbeat_interval.mul_f64(OVERDUE);
+        let is_overdue =
+            machine.state == MachineState::Up && now.since(machine.last_heartbeat) > overdue_after;
+        let is_sending = can_send && pass.gate.holds_lease;
+        let released = starts::release(cluster, pass.gate, index, is_sending);
+        if !can_send {
+            return Need::Nothing;
+        }
+        let has_commands = cluster.machines[index as usize].channel.has_commands();
+        if has_commands || !released.starts.is_empty() {
+            return Need::Request(released);
+        }
+        match (owes_token, is_overdue) {
+            _ if self.in_flight >= pass.max_questions => Need::Nothing,
+            (true, _) => Need::Request(released),
+            (false, true) => Need::OverdueHeartbeat,
+            (false, false) => Need::Nothing,
+        }
+    }
+
+    /// Whether a request may be sent to the machine now.
+    fn can_send(&self, machine: &Machine, now: Timestamp, site: &Site) -> bool {
+        // A machine of the last leader's that has not reported yet is asked at the address that the
+        // cloud or another node gave, so that a failover doesn't wait for its next heartbeat.
+        let may_be_up = machine.state == MachineState::Booting
+            && (machine.hinted_up_at.is_some() || !machine.tasks.is_empty());
+        (machine.state == MachineState::Up || may_be_up)
+            && !machine.channel.has_request_in_flight()
+            && !machine.channel.is_paused(now)
+            && !machine.address.is_empty()
+            && self.in_flight < site.most_messages
+    }
+
+    /// Those of the machines whose heartbeat is overdue that are asked now, after all that a request is
+    /// more urgent for: the ones with the oldest heartbeats. (In the order of the table, the first two
+    /// thousand were overdue again before the others were asked at all.)
+    fn most_overdue(
+        &self,
+        cluster: &Cluster,
+        mut machines: Vec<MachineIndex>,
+        max_questions: usize,
+    ) -> Vec<MachineIndex> {
+        let room = max_questions.saturating_sub(self.in_flight);
         if machines.len() > room {
-            machines.sort_unstable_by_key(|&ix| self.cluster.machines[ix as usize].last_heartbeat);
+            machines.sort_unstable_by_key(|&ix| cluster.machines[ix as usize].last_heartbeat);
             machines.truncate(room);
         }
-        for ix in machines {
-            self.send_message(ix, Vec::new(), Vec::new());
-        }
+        machines
     }
 
     /// Sends the machine what waits for it, with these starts.
-    fn send_message(
+    fn send(
         &mut self,
-        ix: MachineIndex,
-        ids: Vec<(TaskId, u32)>,
-        starts: Vec<WorkerCommand>,
-    ) {
-        let term = self.term;
-        let m = &mut self.cluster.machines[ix as usize];
-        m.request_in_flight = true;
-        self.messages.in_flight += 1;
-        m.in_message = ids;
-        let mut calls = std::mem::take(&mut m.outbox);
-        calls.extend(starts);
-        self.out.push(Command::SendToWorker {
-            machine: ix,
-            address: m.address.clone(),
-            token: m.token(term),
-            agent_epoch: m.agent_epoch,
+        cluster: &mut Cluster,
+        index: MachineIndex,
+        released: ReleasedStarts,
+    ) -> Command {
+        self.in_flight += 1;
+        let machine = &mut cluster.machines[index as usize];
+        let mut calls = machine.channel.begin_request(released.starts);
+        calls.extend(released.commands);
+        Command::SendToWorker {
+            machine: index,
+            address: machine.address.clone(),
+            token: machine.token(cluster.term),
+            agent_epoch: machine.agent_epoch,
             calls,
-        });
+        }
     }
 
-    /// The answer to a [`Command::SendToWorker`].
-    pub fn message_answered(&mut self, now: Timestamp, m: MachineIndex, outcome: MessageOutcome) {
-        let Some(machine) = self.cluster.machines.get_mut(m as usize) else { return };
-        if std::mem::take(&mut machine.request_in_flight) {
-            self.messages.in_flight = self.messages.in_flight.saturating_sub(1);
-        }
-        let starts = std::mem::take(&mut machine.in_message);
-        let term = self.term;
-        self.enqueue_send(m);
-        if !matches!(outcome, MessageOutcome::Answered(_)) {
-            self.cluster.invalidate_cached_heartbeat(m);
-        }
-        let machine = &mut self.cluster.machines[m as usize];
-        match outcome {
-            MessageOutcome::Answered(_) => {
-                (self.messages.last_answered, self.messages.lost_in_a_row) = (now, 0)
-            }
-            MessageOutcome::NotSent | MessageOutcome::Indeterminate => {
-                self.messages.lost_in_a_row += 1
-            }
+    /// A request has an outcome. If the machine's own worker answered, the heartbeat to reconcile.
+    pub(crate) fn request_ended(
+        &mut self,
+        cluster: &mut Cluster,
+        now: Timestamp,
+        index: MachineIndex,
+        outcome: MessageOutcome,
+    ) -> Option<Box<Heartbeat>> {
+        let request = cluster.machines.get_mut(index as usize)?.channel.end_request();
+        if request.is_some() {
+            self.in_flight = self.in_flight.saturating_sub(1);
         }
+        self.enqueue(cluster, index);
         match outcome {
             MessageOutcome::Answered(heartbeat) => {
+                (self.last_answered, self.lost_in_a_row) = (now, 0);
+                let machine = &mut cluster.machines[index as usize];
                 if heartbeat.machine == machine.name {
-                    machine.consecutive_losses = 0;
-                    let entries = self.resolve(&heartbeat);
-                    self.reconcile_heartbeat(now, &heartbeat, &entries, true);
-                } else {
-                    machine.retry_at = now + TimeDelta::from_secs(1);
+                    machine.channel.request_answered();
+                    return Some(heartbeat);
                 }
+                machine.channel.pause(now, WRONG_MACHINE_PAUSE);
             }
             MessageOutcome::NotSent => {
-                machine.consecutive_losses += 1;
-                machine.retry_at = now + pause(TimeDelta::from_secs(1), machine.consecutive_losses);
-                machine.raise_fencing_counter(now, term);
-                self.repeat_stops(m);
-                // There was no connection, so nothing left this process and nothing ever will:
-                // these starts are absent by this registry's own doing.
-                // Only the attempt that the message held, though: the machine may have been returned
-                // meanwhile and the task be running elsewhere under its next attempt. (Seen on a
-                // rough day: such a task was taken for absent and started a second time.)
-                for (id, attempt) in starts {
-                    let same = self.cluster.job(id.0).is_some_and(|j| {
-                        let t = &j.tasks[id.1 as usize];
-                        t.attempt == attempt && t.machine == m
-                    });
-                    if same {
-                        self.cluster.apply(now, id, TaskEvent::ProvenAbsent);
-                    }
-                }
+                self.request_lost(cluster, now, index, REFUSED_PAUSE);
+                retract_unsent(cluster, now, index, &request.unwrap_or_default());
             }
+            // The request may be executed minutes later. Raising the fencing counter makes sure that
+            // a heartbeat which has seen the new token proves that the old request never will be.
             MessageOutcome::Indeterminate => {
-                // The message may be executed minutes later. Raising the fence makes sure that a
-                // report that has seen the new number proves that the old message never will be.
-                machine.consecutive_losses += 1;
-                machine.retry_at =
-                    now + pause(TimeDelta::from_millis(1_500), machine.consecutive_losses);
-                machine.raise_fencing_counter(now, term);
-                self.repeat_stops(m);
+                self.request_lost(cluster, now, index, INDETERMINATE_PAUSE);
             }
         }
+        None
     }
 
-    /// The message may have held the command to stop a cancelled job's tasks: the next one holds it
-    /// again. The answers to the worker's heartbeats do so too, where there are any.
-    fn repeat_stops(&mut self, m: MachineIndex) {
-        let machine = &self.cluster.machines[m as usize];
-        let mut calls = Vec::new();
-        for id in &machine.tasks {
-            let Some(job) = self.cluster.job(id.0).filter(|j| j.is_ended()) else { continue };
-            let task = &job.tasks[id.1 as usize];
-            if task.phase == TaskPhase::Stopping {
-                let name = format!("{}/{}", job.name, id.1);
-                let attempt = u64::from(task.attempt);
-                calls.push(WorkerCommand::Kill { task: name, attempt, grace_s: 0.0 });
-            }
-        }
-        calls.truncate(MAX_COMMANDS);
-        let machine = &mut self.cluster.machines[m as usize];
-        if machine.state == MachineState::Up {
-            calls.retain(|call| !machine.outbox.contains(call));
-            machine.outbox.extend(calls);
+    fn request_lost(
+        &mut self,
+        cluster: &mut Cluster,
+        now: Timestamp,
+        index: MachineIndex,
+        first_pause: TimeDelta,
+    ) {
+        self.lost_in_a_row += 1;
+        cluster.invalidate_cached_heartbeat(index);
+        let term = cluster.term;
+        let machine = &mut cluster.machines[index as usize];
+        machine.channel.request_lost(now, first_pause);
+        machine.raise_fencing_counter(now, term);
+        repeat_stops(cluster, index);
+    }
+}
+
+/// Whether the machine is asked since it has not acknowledged its token. A fencing counter that was
+/// raised for a lost request, or a new term, is shown to the worker at once instead of with its next
+/// heartbeat. (The first answer of a worker whose agent epoch wasn't known shows the agent epoch only;
+/// the second shows that it has seen the term.)
+fn owes_token(machine: &Machine, term: u64, now: Timestamp) -> bool {
+    // A token that the answer to its own heartbeat has just shown it is asked about only if its next
+    // heartbeat doesn't come. (Each reap raises the fencing counter: a question after each of them was
+    // a third of all requests.)
+    let was_just_sent = now.since(machine.token_sent_at) < ANSWER_SHOWS_WITHIN;
+    machine.acknowledged_token < token(term, 0).max(machine.required_token)
+        || (machine.acknowledged_token < machine.token(term)
+            && !machine.tasks.is_empty()
+            && !was_just_sent)
+}
+
+/// There was no connection, so nothing left this process and nothing ever will: these starts are
+/// absent by this scheduler's own doing. Only the attempt that the request held, though: the machine
+/// may have been returned meanwhile and the task be running elsewhere under its next attempt. (Seen on
+/// a rough day: such a task was taken for absent and started a second time.)
+fn retract_unsent(
+    cluster: &mut Cluster,
+    now: Timestamp,
+    index: MachineIndex,
+    starts: &[SentStart],
+) {
+    for start in starts {
+        let is_same_attempt = cluster.job(start.task.0).is_some_and(|job| {
+            let task = &job.tasks[start.task.1 as usize];
+            task.attempt == start.attempt && task.machine == index
+        });
+        if is_same_attempt {
+            cluster.apply(now, start.task, TaskEvent::ProvenAbsent);
         }
     }
 }
+
+/// The request may have held the command to stop a cancelled job's tasks: the next one holds it
+/// again. The answers to the worker's heartbeats do so too, where there are any.
+fn repeat_stops(cluster: &mut Cluster, index: MachineIndex) {
+    let machine = &cluster.machines[index as usize];
+    if machine.state != MachineState::Up {
+        return;
+    }
+    let stop_command = |id: &TaskId| {
+        let job = cluster.job(id.0).filter(|job| job.is_ended())?;
+        let task = &job.tasks[id.1 as usize];
+        let command = WorkerCommand::Kill {
+            task: format!("{}/{}", job.name, id.1),
+            attempt: u64::from(task.attempt),
+            grace_s: 0.0,
+        };
+        (task.phase == TaskPhase::Stopping).then_some(command)
+    };
+    let stops = machine.tasks.iter().filter_map(stop_command).take(MAX_COMMANDS).collect();
+    cluster.machines[index as usize].channel.push_missing(stops);
+}
--- a/crates/scheduler/src/model/cluster.rs
+++ b/crates/scheduler/src/model/cluster.rs
@@ -7,14 +7,13 @@
 
 use walnutlug_admission::shares::Shares;
 
+use crate::dispatch::channel::WorkerChannel;
 use crate::model::job::{Job, JobIndex, TaskId};
 use crate::model::job_spec::Priority;
 use crate::model::machine::{Machine, MachineState};
 use crate::model::task::{MachineIndex, Task, TaskEvent, TaskPhase};
 use crate::protocol::cloud::MachineType;
-use crate::reconciliation::repeated_heartbeats::{
-    CacheRecord, CachedHeartbeat, Invalidated, OWN_NODE,
-};
+use crate::reconciliation::heartbeat_cache::{CacheInvalidation, HeartbeatCache};
 use crate::time::{TimeDelta, Timestamp};
 
 /// How long a machine that is gone is remembered, against late heartbeats of it.
@@ -54,10 +53,8 @@
     pub(crate) conflicting_replicas: BTreeMap<TaskId, MachineIndex>,
     /// Something changed that a round of placement may act on.
     pub placement_needed: bool,
-    /// Numbers the heartbeats that left nothing to do.
-    pub(crate) last_cached_number: u64,
-    /// Those whose holders have to be told that they hold no more.
-    pub(crate) invalidated: Vec<Invalidated>,
+    /// The machines' last heartbeats, as far as repetitions of them mean nothing.
+    pub(crate) heartbeat_cache: HeartbeatCache,
 }
 
 impl Cluster {
@@ -82,8 +79,7 @@
             shares,
             conflicting_replicas: BTreeMap::new(),
             placement_needed: true,
-            last_cached_number: 0,
-            invalidated: Vec::new(),
+            heartbeat_cache: HeartbeatCache::new(term),
         }
     }
 
@@ -109,7 +105,6 @@
             token_sent_at: Timestamp(0),
             required_token: 0,
             unacknowledged_since: None,
-            consecutive_losses: 0,
             expected: false,
             fencing_counter: 0,
             start_token: 0,
@@ -125,18 +120,12 @@
             gpus: 0.0,
             memory: 0.0,
             images: Vec::new(),
-            outbox: Vec::new(),
-            starting: Vec::new(),
-            request_in_flight: false,
-            in_send_queue: false,
-            in_message: Vec::new(),
-            retry_at: Timestamp(0),
+            channel: WorkerChannel::default(),
             idle_since: now,
             failures: BTreeSet::new(),
             completed_at: Timestamp(0),
             drain_reason: None,
             termination_sent_at: None,
-            cached: None,
         };
         let ix = match self.free_place(now) {
             Some(ix) => {
@@ -163,7 +152,10 @@
         }
         self.terminated.pop_front();
         let m = &self.machines[ix as usize];
-        if m.state == MachineState::Terminated && m.tasks.is_empty() && !m.request_in_flight {
+        if m.state == MachineState::Terminated
+            && m.tasks.is_empty()
+            && !m.channel.has_request_in_flight()
+        {
             return Some(ix);
         }
         self.terminated.push_back((now, ix));
@@ -346,21 +338,14 @@
     }
 
     /// A repetition of the machine's last heartbeat may mean something from now on. The only place where
-    /// a mark ends, so that its holder is always told.
+    /// a cache entry is ended, so that its holder is always told.
     pub(crate) fn invalidate_cached_heartbeat(&mut self, machine: MachineIndex) {
-        let known = self.machines.get_mut(machine as usize);
-        let Some(CacheRecord { number, holder, .. }) = known.and_then(|m| m.cached.take()) else {
-            return;
-        };
-        if holder != OWN_NODE {
-            let cached = CachedHeartbeat { term: self.term, machine, number };
-            self.invalidated.push(Invalidated { holder, cached });
-        }
+        self.heartbeat_cache.invalidate(machine);
     }
 
-    /// The marks of other holders that ended since this was asked last, in their order.
-    pub fn take_invalidated(&mut self) -> Vec<Invalidated> {
-        std::mem::take(&mut self.invalidated)
+    /// The cache entries of other holders that were invalidated since the last call, in their order.
+    pub fn take_invalidations(&mut self) -> Vec<CacheInvalidation> {
+        self.heartbeat_cache.take_invalidations()
     }
 
     /// What the team's tasks use.
--- a/crates/scheduler/src/model/machine.rs
+++ b/crates/scheduler/src/model/machine.rs
@@ -2,11 +2,10 @@
 
 use std::collections::BTreeSet;
 
+use crate::dispatch::channel::WorkerChannel;
 use crate::leadership::election::token;
 use crate::model::job::{JobIndex, TaskId};
 use crate::model::job_spec::Priority;
-use crate::protocol::workers::WorkerCommand;
-use crate::reconciliation::repeated_heartbeats::CacheRecord;
 use crate::time::Timestamp;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -41,8 +40,6 @@
     /// Since when it has owed that. A machine that is heard and doesn't hear looks alive by its
     /// reports; this is what gives it away.
     pub unacknowledged_since: Option<Timestamp>,
-    /// Messages to it that were lost in a row.
-    pub consecutive_losses: u32,
     /// Rented by this leader or listed by the cloud, so that it can be counted on to come. What a
     /// late heartbeat alone tells of may be long gone.
     pub expected: bool,
@@ -68,15 +65,8 @@
     pub gpus: f64,
     pub memory: f64,
     pub images: Vec<String>,
-    pub outbox: Vec<WorkerCommand>,
-    /// The tasks whose starts are in the outbox.
-    pub starting: Vec<TaskId>,
-    pub request_in_flight: bool,
-    /// Is on the list of those that something may have to be sent to.
-    pub in_send_queue: bool,
-    /// Starts in the message under way, with their attempts.
-    pub in_message: Vec<(TaskId, u32)>,
-    pub retry_at: Timestamp,
+    /// What is being sent to it.
+    pub channel: WorkerChannel,
     pub idle_since: Timestamp,
     /// Jobs that failed here since anything completed here, each counted once.
     pub failures: BTreeSet<JobIndex>,
@@ -85,8 +75,6 @@
     /// Nothing more is placed on it, and it is returned to the cloud.
     pub drain_reason: Option<DrainReason>,
     pub termination_sent_at: Option<Timestamp>,
-    /// Its last heartbeat, if a repetition of that would mean nothing; see [`crate::reconciliation::repeated_heartbeats`].
-    pub(crate) cached: Option<CacheRecord>,
 }
 
 /// Why a machine is returned to the cloud.
@@ -146,6 +134,26 @@
         Priority::ALL.get(lowest).copied()
     }
 
+    /// Takes over the token that its worker has seen. Whether the machine no longer owes one.
+    pub(crate) fn acknowledge(&mut self, now: Timestamp, token: u64) -> bool {
+        self.acknowledged_token = token;
+        if token < self.required_token {
+            return false;
+        }
+        self.channel.acknowledged(now);
+        self.unacknowledged_since.take().is_some()
+    }
+
+    /// Its last heartbeat came again under that sequence number. Whether that is a later one.
+    pub(crate) fn record_repeated_heartbeat(&mut self, now: Timestamp, sequence: u64) -> bool {
+        let is_later = sequence > self.sequence;
+        if is_later {
+            self.sequence = sequence;
+            self.last_heartbeat = now;
+        }
+        is_later
+    }
+
     /// Nothing more is started there until it shows that it heard of this.
     pub(crate) fn raise_fencing_counter(&mut self, now: Timestamp, term: u64) {
         self.fencing_counter += 1;
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -112,7 +112,7 @@
             && m.interruption_at.is_none()
             && m.drain_reason.is_none()
             && m.unexpected_tasks == 0
-            && now >= m.retry_at
+            && !m.channel.is_paused(now)
             && now.since(m.last_heartbeat)
                 <= self.site.heartbeat_interval.mul_f64(OVERDUE) + TimeDelta::from_millis(300)
     }
--- a/crates/scheduler/src/reconciliation/delegation.rs
+++ b/crates/scheduler/src/reconciliation/delegation.rs
@@ -2,7 +2,7 @@
 //!
 //! A follower holds a share of the workers' connections. A heartbeat that may say something new goes to the
 //! leader, whose answer it passes on. A repetition of a heartbeat that left nothing to do
-//! ([`crate::reconciliation::repeated_heartbeats`]) it answers itself, and tells the leader later that the machine was heard.
+//! ([`crate::reconciliation::heartbeat_cache`]) it answers itself, and tells the leader later that the machine was heard.
 //!
 //! Such an answer renews the leases of the machine's tasks, so the bound of [`crate::leadership::watermark`] holds for
 //! it: whoever renews knows of every cancellation that was told before the watermark. The follower knows
@@ -19,7 +19,7 @@
 
 use crate::leadership::watermark;
 use crate::model::task::MachineIndex;
-use crate::reconciliation::repeated_heartbeats::CachedHeartbeat;
+use crate::reconciliation::heartbeat_cache::CachedHeartbeat;
 use crate::time::{TimeDelta, Timestamp};
 use crate::tunables::Site;
 
--- /dev/null
+++ b/crates/scheduler/src/reconciliation/expiry.rs
@@ -0,0 +1,47 @@
+//! Starts that were sent and that no heartbeat confirmed.
+
+use crate::event::Event;
+use crate::model::cluster::Cluster;
+use crate::model::job::TaskId;
+use crate::model::task::{TaskEvent, TaskPhase};
+use crate::time::{TimeDelta, Timestamp};
+use crate::tunables::{Site, Tunables};
+
+/// Marks starts as unknown that no heartbeat confirmed by their deadline. That frees no task: only
+/// proof of absence does.
+pub(crate) fn expire_unconfirmed_starts(
+    cluster: &mut Cluster,
+    now: Timestamp,
+    site: &Site,
+    tunables: &Tunables,
+) -> Vec<Event> {
+    let confirmation_timeout = site.worker_lease + tunables.settle_margin;
+    let mut events = Vec::new();
+    for id in unconfirmed_starts(cluster, now, site.heartbeat_interval, confirmation_timeout) {
+        if cluster.apply(now, id, TaskEvent::ConfirmationExpired) {
+            let Some(job) = cluster.job(id.0) else { continue };
+            events.push(Event::StartUnconfirmed { task: format!("{}/{}", job.name, id.1) });
+        }
+    }
+    events
+}
+
+/// Starts sent at least the timeout ago, on machines whose heartbeat is due.
+fn unconfirmed_starts(
+    cluster: &Cluster,
+    now: Timestamp,
+    heartbeat_interval: TimeDelta,
+    timeout: TimeDelta,
+) -> Vec<TaskId> {
+    let is_due = |last_heartbeat| now.since(last_heartbeat) >= heartbeat_interval;
+    let silent = cluster.machines.iter().filter(|machine| is_due(machine.last_heartbeat));
+    let placed = silent.flat_map(|machine| machine.tasks.iter().copied());
+    let unconfirmed = placed.filter(|id| {
+        cluster.job(id.0).is_some_and(|job| {
+            let task = &job.tasks[id.1 as usize];
+            let is_sent = task.phase == TaskPhase::Dispatching && task.token != 0;
+            is_sent && now.since(task.since) >= timeout
+        })
+    });
+    unconfirmed.collect()
+}
--- /dev/null
+++ b/crates/scheduler/src/reconciliation/machine_loss.rs
@@ -0,0 +1,45 @@
+//! Machines that are certainly gone.
+
+use crate::dispatch::Messages;
+use crate::model::cluster::Cluster;
+use crate::model::job::TaskId;
+use crate::model::machine::MachineState;
+use crate::model::task::{TaskEvent, TaskPhase};
+use crate::time::Timestamp;
+
+/// The machine is certainly gone, and all that was on it is proven absent.
+pub(crate) fn machine_terminated(
+    cluster: &mut Cluster,
+    messages: &mut Messages,
+    now: Timestamp,
+    name: &str,
+) {
+    let Some(&index) = cluster.machines_by_name.get(name) else { return };
+    let machine = &mut cluster.machines[index as usize];
+    if machine.state == MachineState::Terminated {
+        return;
+    }
+    machine.state = MachineState::Terminated;
+    cluster.invalidate_cached_heartbeat(index);
+    cluster.conflicting_replicas.retain(|_, on| *on != index);
+    cluster.terminated.push_back((now, index));
+    // Starts that waited for the next message to it are never sent.
+    messages.discard(cluster, now, index);
+    let tasks: Vec<TaskId> = cluster.machines[index as usize].tasks.iter().copied().collect();
+    tasks_lost(cluster, now, &tasks);
+    cluster.placement_needed = true;
+}
+
+/// The tasks' machine has certainly stopped, and they with it.
+pub(crate) fn tasks_lost(cluster: &mut Cluster, now: Timestamp, tasks: &[TaskId]) {
+    for &id in tasks {
+        let is_unsent = cluster.job(id.0).is_some_and(|job| {
+            let task = &job.tasks[id.1 as usize];
+            task.phase == TaskPhase::Dispatching && task.token == 0
+        });
+        // An unsent start is settled by the outcome of its own transaction.
+        if !is_unsent {
+            cluster.apply(now, id, TaskEvent::ProvenAbsent);
+        }
+    }
+}
--- /dev/null
+++ b/crates/scheduler/src/reconciliation/machine_status.rs
@@ -0,0 +1,112 @@
+//! What a newer heartbeat says of its machine: agent epoch, acknowledged token, address, zone, and
+//! whether the cloud will take it.
+
+use crate::event::Event;
+use crate::leadership::election::token;
+use crate::model::cluster::Cluster;
+use crate::model::job::TaskId;
+use crate::model::machine::{Machine, MachineState};
+use crate::model::task::MachineIndex;
+use crate::protocol::workers::Heartbeat;
+use crate::reconciliation::heartbeats::HeartbeatSource;
+use crate::time::{TimeDelta, Timestamp};
+
+/// Updates what is known of the machine. An interruption notice that is new is returned for the log.
+pub(crate) fn update(
+    cluster: &mut Cluster,
+    now: Timestamp,
+    index: MachineIndex,
+    heartbeat: &Heartbeat,
+    source: HeartbeatSource,
+) -> Option<Event> {
+    let first_token = token(cluster.term, 0);
+    // Only a worker that has seen this term, or answers right now, shows that its machine lives.
+    // Anything else may be a copy, minutes old, that reached a leader which never saw the newer ones:
+    // the machine is asked, and nothing else is concluded.
+    let proves_alive = source == HeartbeatSource::DirectAnswer || heartbeat.token >= first_token;
+    let had_seen_term = cluster.machines[index as usize].acknowledged_token >= first_token;
+    update_agent(cluster, now, index, heartbeat, source);
+    update_description(cluster, now, index, heartbeat, proves_alive);
+    if !proves_alive {
+        return None;
+    }
+    let machine = &mut cluster.machines[index as usize];
+    machine.last_heartbeat = now;
+    machine.expected = true;
+    let came_up = machine.state == MachineState::Booting;
+    if came_up {
+        machine.state = MachineState::Up;
+        machine.idle_since = now;
+    }
+    let notice = update_interruption(machine, now, heartbeat.interruption_notice_s);
+    let sees_term_first = !had_seen_term && heartbeat.token >= first_token;
+    cluster.placement_needed |= came_up || notice.is_some() || sees_term_first;
+    notice
+}
+
+/// Takes over the agent epoch and what it acknowledges.
+fn update_agent(
+    cluster: &mut Cluster,
+    now: Timestamp,
+    index: MachineIndex,
+    heartbeat: &Heartbeat,
+    source: HeartbeatSource,
+) {
+    let term = cluster.term;
+    let machine = &mut cluster.machines[index as usize];
+    if heartbeat.agent_epoch > machine.agent_epoch {
+        // A new agent epoch begins without tasks, and without commands meant for the old one.
+        machine.channel.discard_commands();
+        if machine.agent_epoch > 0 && source == HeartbeatSource::Connection {
+            // Its lease ran out though its heartbeats arrive: answers may not reach it.
+            machine.raise_fencing_counter(now, term);
+        }
+    }
+    machine.agent_epoch = heartbeat.agent_epoch;
+    machine.sequence = heartbeat.sequence;
+    if machine.acknowledge(now, heartbeat.token) {
+        // Open again: there may be work that waited for it.
+        cluster.placement_needed = true;
+    }
+}
+
+/// Takes over where the machine is and of what type.
+fn update_description(
+    cluster: &mut Cluster,
+    now: Timestamp,
+    index: MachineIndex,
+    heartbeat: &Heartbeat,
+    proves_alive: bool,
+) {
+    let kind = cluster.machine_types.iter().position(|known| known.name == heartbeat.kind);
+    let machine = &mut cluster.machines[index as usize];
+    if proves_alive || machine.address.is_empty() {
+        machine.address.clone_from(&heartbeat.address);
+    }
+    machine.kind = kind;
+    machine.spot = heartbeat.spot;
+    machine.hinted_up_at.get_or_insert(now);
+    if machine.zone != heartbeat.zone {
+        // Tasks loaded before the machine was known were counted under no zone.
+        let old = std::mem::replace(&mut machine.zone, heartbeat.zone.clone());
+        let tasks: Vec<TaskId> = machine.tasks.iter().copied().collect();
+        cluster.rezone(&tasks, &old, &heartbeat.zone);
+    }
+}
+
+/// The first notice counts until it is withdrawn: a later one tells of the same interruption.
+fn update_interruption(
+    machine: &mut Machine,
+    now: Timestamp,
+    notice_s: Option<f64>,
+) -> Option<Event> {
+    let Some(notice_s) = notice_s else {
+        machine.interruption_at = None;
+        return None;
+    };
+    if machine.interruption_at.is_some() {
+        return None;
+    }
+    machine.interruption_at = Some(now + TimeDelta::from_secs_f64(notice_s));
+    Some(Event::MachineInterruptionNotice { machine: machine.name.clone() })
+}
--- /dev/null
+++ b/crates/scheduler/src/reconciliation/response.rs
@@ -0,0 +1,129 @@
+//! The commands that answer a heartbeat.
+
+use crate::event::Anomaly;
+use crate::model::cluster::Cluster;
+use crate::model::job::Job;
+use crate::model::machine::{Machine, MachineState};
+use crate::model::task::{MachineIndex, TaskPhase};
+use crate::protocol::workers::{Heartbeat, WorkerCommand};
+use crate::reconciliation::heartbeats::HeartbeatAnswer;
+use crate::reconciliation::reported_tasks::{ReportedTask, ReportedTasks};
+use crate::scheduler::grace_of;
+use crate::time::Timestamp;
+
+/// Commands in one answer, which is one line of at most 64 KiB; further ones go with the next answer.
+/// (A heartbeat may list as many tasks as fit into its own 64 KiB, and a command is longer than a task.)
+pub(crate) const MAX_COMMANDS: usize = 500;
+
+/// Answers a heartbeat that has been reconciled; with it, what is wrong with the heartbeat, if anything.
+pub(crate) fn answer(
+    cluster: &mut Cluster,
+    now: Timestamp,
+    index: MachineIndex,
+    heartbeat: &Heartbeat,
+    reported: &ReportedTasks,
+) -> (HeartbeatAnswer, Option<Anomaly>) {
+    let term = cluster.term;
+    if let Some(anomaly) = anomaly_of(&cluster.machines[index as usize], heartbeat) {
+        let token = cluster.machines[index as usize].token(term);
+        return (HeartbeatAnswer { token, commands: Vec::new() }, Some(anomaly));
+    }
+    // Also one that the answer to a direct request has overtaken: its answer renews the lease, so it
+    // has to stop what is to be stopped. In a copy of the past it does no harm.
+    let commands = commands_for(cluster, index, reported);
+    let machine = &mut cluster.machines[index as usize];
+    let token = machine.token(term);
+    if token > heartbeat.token {
+        machine.token_sent_at = now;
+    }
+    (HeartbeatAnswer { token, commands }, None)
+}
+
+/// Why the heartbeat is answered without commands, if it is.
+fn anomaly_of(machine: &Machine, heartbeat: &Heartbeat) -> Option<Anomaly> {
+    if machine.state == MachineState::Terminated {
+        Some(Anomaly::HeartbeatAfterTermination)
+    } else if heartbeat.agent_epoch < machine.agent_epoch {
+        Some(Anomaly::LateHeartbeat)
+    } else {
+        None
+    }
+}
+
+/// What the worker should still do about the tasks it reports: kill those that are not placed there
+/// and reap those whose end is stored. Both are idempotent.
+fn commands_for(
+    cluster: &mut Cluster,
+    machine: MachineIndex,
+    reported: &ReportedTasks,
+) -> Vec<WorkerCommand> {
+    let mut commands = Vec::new();
+    let mut reaps = Vec::new();
+    for entry in reported.iter() {
+        if entry.is_live() {
+            commands.extend(kill_command(cluster, machine, entry));
+        } else {
+            reaps.extend(reap_command(cluster, machine, entry));
+        }
+    }
+    if !reaps.is_empty() && fence_starts(cluster, machine) {
+        commands.extend(reaps);
+    }
+    commands.truncate(MAX_COMMANDS);
+    commands
+}
+
+/// The job and the task's index, if the reported attempt is placed on the machine.
+fn placed_task<'a>(
+    cluster: &'a Cluster,
+    machine: MachineIndex,
+    entry: &ReportedTask,
+) -> Option<(&'a Job, u32)> {
+    let id = entry.id.filter(|&id| cluster.is_placed(machine, id, entry.status.attempt))?;
+    Some((cluster.job(id.0)?, id.1))
+}
+
+/// Kills an attempt that is not placed on the machine, or whose task or job is being stopped.
+fn kill_command(
+    cluster: &Cluster,
+    machine: MachineIndex,
+    entry: &ReportedTask,
+) -> Option<WorkerCommand> {
+    let grace_s = match placed_task(cluster, machine, entry) {
+        None => 0.0,
+        Some((job, _)) if job.is_ended() => 0.0,
+        Some((job, index)) if job.tasks[index as usize].phase == TaskPhase::Stopping => {
+            grace_of(&job.spec)
+        }
+        Some(_) => return None,
+    };
+    let (task, attempt) = (entry.status.task.clone(), entry.status.attempt);
+    Some(WorkerCommand::Kill { task, attempt, grace_s })
+}
+
+/// Lets the worker forget an attempt that exited, unless its completion is not stored yet.
+fn reap_command(
+    cluster: &Cluster,
+    machine: MachineIndex,
+    entry: &ReportedTask,
+) -> Option<WorkerCommand> {
+    let keep = placed_task(cluster, machine, entry).is_some_and(|(job, index)| {
+        let completion_stored =
+            job.tasks[index as usize].phase == TaskPhase::Done && job.recorded.contains(index);
+        !job.is_ended() && !completion_stored
+    });
+    let (task, attempt) = (entry.status.task.clone(), entry.status.attempt);
+    (!keep).then_some(WorkerCommand::Reap { task, attempt })
+}
+
+/// Whether the machine's token is above that of every start sent to it, raised for it if it may be.
+/// After a reap the worker has forgotten the attempt, so a copy of its start that is still under way
+/// somewhere would run it again. A reap therefore always travels with such a token.
+fn fence_starts(cluster: &mut Cluster, machine: MachineIndex) -> bool {
+    let term = cluster.term;
+    let machine = &mut cluster.machines[machine as usize];
+    if machine.token(term) <= machine.start_token && !machine.channel.has_request_in_flight() {
+        machine.fencing_counter += 1;
+    }
+    machine.token(term) > machine.start_token
+}
--- /dev/null
+++ b/crates/scheduler/src/reconciliation/task_ends.rs
@@ -0,0 +1,134 @@
+//! What it means that an attempt ended: completions, failures, and which machine or job a failure is
+//! attributed to.
+
+use crate::dispatch::Messages;
+use crate::event::Event;
+use crate::model::cluster::Cluster;
+use crate::model::job::{JobIndex, TaskId};
+use crate::model::machine::DrainReason;
+use crate::model::run_times::RunTimes;
+use crate::model::task::{MachineIndex, TaskEvent, TaskPhase};
+use crate::protocol::workers::ExitReason;
+use crate::reconciliation::health::drain;
+use crate::time::{TimeDelta, Timestamp};
+
+/// How long a job waits after a worker refused a start of it.
+const REFUSED_START_PAUSE: TimeDelta = TimeDelta::from_millis(500);
+/// The pause of a job that fails on machine after machine doubles up to 2 to this power, in seconds.
+const MAX_FAILURE_BACKOFF_EXPONENT: u32 = 5;
+
+/// Applies the ends of attempts to the tables, at one point in time.
+pub(crate) struct TaskEnds<'a> {
+    pub(crate) now: Timestamp,
+    /// Jobs that fail on a machine, before anything completes there, until it is drained.
+    pub(crate) sick_after: u32,
+    pub(crate) cluster: &'a mut Cluster,
+    pub(crate) messages: &'a mut Messages,
+    pub(crate) run_times: &'a mut RunTimes,
+    /// What happened, for the log.
+    pub(crate) events: Vec<Event>,
+}
+
+impl TaskEnds<'_> {
+    /// The attempt ran to its end on the machine.
+    pub(crate) fn completed(&mut self, id: TaskId, machine: MachineIndex, attempt: u64) {
+        let Some(job) = self.cluster.job(id.0) else { return };
+        let Some(task) = job.tasks.get(id.1 as usize) else { return };
+        if task.phase == TaskPhase::Done || attempt > u64::from(task.attempt) {
+            return;
+        }
+        let is_current = task.machine == machine && u64::from(task.attempt) == attempt;
+        if task.phase.placed() && !is_current {
+            // An older attempt completed after all. The newer one is of no use: it is stopped
+            // first, and the task is free only on proof of its absence.
+            if task.token != 0 || task.phase != TaskPhase::Dispatching {
+                self.messages.stop_task(self.cluster, self.now, id, 0.0);
+            }
+            return;
+        }
+        if is_current {
+            self.learn_run_time(id);
+        }
+        if let Some(job) = self.cluster.jobs.get_mut(&id.0) {
+            job.has_started = true;
+        }
+        self.clear_failures(id.0, machine);
+        self.cluster.apply(self.now, id, TaskEvent::Completed);
+    }
+
+    /// The attempt ended on its machine for another reason than completion.
+    pub(crate) fn exited(&mut self, id: TaskId, machine: MachineIndex, reason: ExitReason) {
+        if reason == ExitReason::Done {
+            return;
+        }
+        self.cluster.apply(self.now, id, TaskEvent::ProvenAbsent);
+        match reason {
+            ExitReason::Error | ExitReason::Unknown | ExitReason::Other => self.failed(id, machine),
+            ExitReason::NoRoom | ExitReason::InUse => {
+                if let Some(job) = self.cluster.jobs.get_mut(&id.0) {
+                    job.not_before = self.now + REFUSED_START_PAUSE;
+                }
+            }
+            ExitReason::Stopped | ExitReason::Done => {}
+        }
+    }
+
+    fn learn_run_time(&mut self, id: TaskId) {
+        let Some(job) = self.cluster.jobs.get_mut(&id.0) else { return };
+        let Some(&began) = job.started.get(&id.1) else { return };
+        let ran_s = self.now.since(began).as_secs_f64();
+        self.run_times.learn_ratio(job.spec.class.clone(), ran_s, job.spec.estimate_s);
+        job.run_times.0 += ran_s;
+        job.run_times.1 += 1;
+    }
+
+    /// A machine that completes anything isn't sick; and a job whose first task completes somewhere
+    /// was not at fault where it failed before.
+    fn clear_failures(&mut self, job_index: JobIndex, machine: MachineIndex) {
+        let completed_on = &mut self.cluster.machines[machine as usize];
+        completed_on.failures.clear();
+        completed_on.completed_at = self.now;
+        let Some(job) = self.cluster.job(job_index).filter(|job| job.done == 0) else { return };
+        let failed_on: Vec<(MachineIndex, Timestamp)> =
+            job.error_machines.iter().map(|(&other, &at)| (other, at)).collect();
+        for (other, failed_at) in failed_on {
+            if self.cluster.machines[other as usize].completed_at < failed_at {
+                self.attribute_to_machine(other, job_index);
+            }
+        }
+    }
+
+    /// The attempt ended with an error.
+    fn failed(&mut self, id: TaskId, machine: MachineIndex) {
+        let Some(job) = self.cluster.jobs.get_mut(&id.0) else { return };
+        job.error_machines.insert(machine, self.now);
+        // A job that fails on machine after machine, and completes nowhere, is at fault itself: it
+        // is tried at ever longer intervals and its failures are attributed to no machine.
+        let job_is_suspect = job.suspect();
+        if job_is_suspect && self.now >= job.not_before {
+            job.errors += 1;
+            let backoff_s = 1u64 << job.errors.min(MAX_FAILURE_BACKOFF_EXPONENT);
+            job.not_before = self.now + TimeDelta::from_secs(backoff_s);
+        }
+        let task = format!("{}/{}", job.name, id.1);
+        if job_is_suspect {
+            for &other in job.error_machines.keys() {
+                self.cluster.machines[other as usize].failures.remove(&id.0);
+            }
+        }
+        let machine_name = self.cluster.machines[machine as usize].name.clone();
+        self.events.push(Event::TaskFailed { task, machine: machine_name });
+        if !job_is_suspect {
+            self.attribute_to_machine(machine, id.0);
+        }
+    }
+
+    /// The job failed on the machine, and not by its own fault as far as is known.
+    fn attribute_to_machine(&mut self, index: MachineIndex, job: JobIndex) {
+        let machine = &mut self.cluster.machines[index as usize];
+        machine.failures.insert(job);
+        if machine.failures.len() as u32 >= self.sick_after && machine.drain_reason.is_none() {
+            self.events.push(drain(machine, DrainReason::FailsTasks));
+        }
+    }
+}
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -2,13 +2,17 @@
 //!
 //! A [`Scheduler`] lives for one term. It is built from the stored records, told what happens, and
 //! asked for commands; when the term is lost it is thrown away. Rounds and their writes are in
-//! [`crate::storage::transactions`], what workers tell in [`crate::reconciliation::heartbeats`].
+//! [`crate::storage::transactions`], what workers' heartbeats prove in [`crate::reconciliation`].
+
+mod machine_health;
+mod worker_events;
 
 use std::collections::BTreeSet;
 
 use walnutlug_admission::shares::Shares;
 
 use crate::command::Command;
+use crate::dispatch::starts::StartGate;
 use crate::dispatch::Messages;
 use crate::event::{Anomaly, Event};
 use crate::leadership::election::token;
@@ -17,11 +21,9 @@
 use crate::model::job::TaskId;
 use crate::model::job_spec::JobSpec;
 use crate::model::job_state::JobEvent;
-use crate::model::machine::MachineState;
 use crate::model::run_times::RunTimes;
-use crate::model::task::{MachineIndex, TaskEvent, TaskPhase};
+use crate::model::task::{MachineIndex, TaskEvent};
 use crate::protocol::cloud::MachineType;
-use crate::protocol::workers::WorkerCommand;
 use crate::queue::dependencies::DependencyGraph;
 use crate::storage::transactions::{Limits, Transactions};
 use crate::time::Timestamp;
@@ -142,13 +144,23 @@
         now.since(self.cancellations_known_until) <= watermark::window(&self.site)
     }
 
-    /// Whether a start that was placed then may still be sent. Its write was guarded by the absence of
-    /// the job's end, but since then the end may have been written: after an outage a start that had
-    /// waited through it, or whose write was only then found to be committed, would come long after a
-    /// user was told that the job is cancelled.
-    pub(crate) fn may_start(&self, now: Timestamp, placed: Timestamp) -> bool {
-        now.since(placed.max(self.cancellations_known_until))
-            <= watermark::window(&self.site).mul_f64(0.5)
+    /// What decides whether a stored start may be sent now.
+    fn start_gate(&self, now: Timestamp) -> StartGate {
+        StartGate {
+            now,
+            holds_lease: self.holds_lease,
+            cancellations_known_until: self.cancellations_known_until,
+            max_age: watermark::window(&self.site).mul_f64(0.5),
+        }
+    }
+
+    /// Sends what waits for workers. In a sweep all machines are examined, otherwise those that
+    /// something happened to.
+    pub(crate) fn send_messages(&mut self, now: Timestamp, is_sweep: bool) {
+        let gate = self.start_gate(now);
+        let due = self.messages.take_due(&mut self.cluster, &self.site, &gate, is_sweep);
+        self.examined.send_checks += due.machines_examined;
+        self.out.extend(due.commands);
     }
 
     /// The job has ended for its users: nothing of it is started any more. How it ended isn't told
@@ -193,34 +205,10 @@
 
     /// Tells a task's machine to stop it; repeated with every heartbeat until it is gone.
     pub(crate) fn stop(&mut self, now: Timestamp, id: TaskId, grace_s: f64) {
-        let Some(job) = self.cluster.jobs.get(&id.0) else { return };
-        let task = job.tasks[id.1 as usize];
-        if task.phase == TaskPhase::Dispatching && task.token == 0 {
-            // Not sent yet, and with the job over or the task wanted elsewhere it never will be:
-            // the commit's answer takes it back.
-            return;
-        }
-        let name = format!("{}/{}", job.name, id.1);
-        if self.cluster.apply(now, id, TaskEvent::Stop) {
-            let attempt = u64::from(task.attempt);
-            let call = WorkerCommand::Kill { task: name, attempt, grace_s };
-            let machine = &mut self.cluster.machines[task.machine as usize];
-            if machine.state == MachineState::Up {
-                machine.outbox.push(call);
-                self.enqueue_send(task.machine);
-            }
-        }
-    }
-
-    /// Something may have to be sent to the machine.
-    pub(crate) fn enqueue_send(&mut self, m: MachineIndex) {
-        let machine = &mut self.cluster.machines[m as usize];
-        if !machine.in_send_queue {
-            machine.in_send_queue = true;
-            self.messages.send_queue.push(m);
-        }
+        self.messages.stop_task(&mut self.cluster, now, id, grace_s);
     }
 }
+
 /// What a stopped task may take to save itself.
 pub fn grace_of(spec: &JobSpec) -> f64 {
     if spec.checkpoint_s > 0.0 {
--- /dev/null
+++ b/crates/scheduler/src/scheduler/worker_events.rs
@@ -0,0 +1,143 @@
+//! Routes what comes from workers to its owners: heartbeats, their repetitions, and the outcomes of
+//! requests.
+
+use crate::command::{Command, MessageOutcome};
+use crate::event::{Anomaly, Event};
+use crate::leadership::election::term_of;
+use crate::model::task::MachineIndex;
+use crate::protocol::workers::Heartbeat;
+use crate::reconciliation::heartbeat_cache::{CacheHolder, CachedHeartbeat};
+use crate::reconciliation::heartbeats::{
+    reconcile, HeartbeatAnswer, HeartbeatRefusal, HeartbeatSource,
+};
+use crate::reconciliation::reported_tasks::ReportedTasks;
+use crate::reconciliation::task_ends::TaskEnds;
+use crate::reconciliation::{machine_loss, repeated_heartbeats, response};
+use crate::scheduler::Scheduler;
+use crate::time::{TimeDelta, Timestamp};
+
+impl Scheduler {
+    /// Reconciles a worker's heartbeat and answers it.
+    ///
+    /// # Errors
+    ///
+    /// This node may not answer, since another leads or since it can't renew a lease safely. In the
+    /// second case what the heartbeat proves counts all the same.
+    pub fn handle_heartbeat(
+        &mut self,
+        now: Timestamp,
+        heartbeat: &Heartbeat,
+    ) -> Result<HeartbeatAnswer, HeartbeatRefusal> {
+        let acknowledged = term_of(heartbeat.token);
+        if acknowledged > self.term {
+            // Most likely true: then the leader key shows it. A token that came from nowhere must not
+            // end a term.
+            self.log_once(&heartbeat.machine, Anomaly::NewerTerm);
+            self.out.push(Command::VerifyLeadership);
+            return Err(HeartbeatRefusal::NewerTerm { acknowledged, term: self.term });
+        }
+        let reported = ReportedTasks::resolve(&self.cluster, heartbeat);
+        let machine =
+            self.reconcile_heartbeat(now, heartbeat, &reported, HeartbeatSource::Connection);
+        if !self.may_renew_leases(now) {
+            return Err(HeartbeatRefusal::CancellationsUnknown);
+        }
+        let (answer, anomaly) =
+            response::answer(&mut self.cluster, now, machine, heartbeat, &reported);
+        if let Some(anomaly) = anomaly {
+            self.log_once(&heartbeat.machine, anomaly);
+        }
+        Ok(answer)
+    }
+
+    /// The outcome of a [`Command::SendToWorker`].
+    pub fn message_answered(
+        &mut self,
+        now: Timestamp,
+        machine: MachineIndex,
+        outcome: MessageOutcome,
+    ) {
+        let heartbeat = self.messages.request_ended(&mut self.cluster, now, machine, outcome);
+        if let Some(heartbeat) = heartbeat {
+            let reported = ReportedTasks::resolve(&self.cluster, &heartbeat);
+            self.reconcile_heartbeat(now, &heartbeat, &reported, HeartbeatSource::DirectAnswer);
+        }
+    }
+
+    fn reconcile_heartbeat(
+        &mut self,
+        now: Timestamp,
+        heartbeat: &Heartbeat,
+        reported: &ReportedTasks,
+        source: HeartbeatSource,
+    ) -> MachineIndex {
+        let mut ends = TaskEnds {
+            now,
+            sick_after: self.tunables.sick_after,
+            cluster: &mut self.cluster,
+            messages: &mut self.messages,
+            run_times: &mut self.run_times,
+            events: Vec::new(),
+        };
+        let machine = reconcile(&mut ends, heartbeat, reported, source);
+        let events = ends.events;
+        self.log_all(events);
+        machine
+    }
+
+    /// Logs the events in their order, an anomaly once for each name and kind.
+    pub(crate) fn log_all(&mut self, events: Vec<Event>) {
+        for event in events {
+            match event {
+                Event::Anomaly { name, kind } => self.log_once(&name, kind),
+                event => self.log(event),
+            }
+        }
+    }
+
+    /// To be called right after a heartbeat was answered without commands. `None`: a repetition of it
+    /// has to be read in full.
+    pub fn cache_heartbeat(
+        &mut self,
+        now: Timestamp,
+        heartbeat: &Heartbeat,
+        holder: CacheHolder,
+    ) -> Option<CachedHeartbeat> {
+        repeated_heartbeats::cache(&mut self.cluster, now, heartbeat, holder)
+    }
+
+    /// For how long repetitions of the cached heartbeat mean nothing, if nothing happens.
+    pub fn cached_for(&self, now: Timestamp, cached: CachedHeartbeat) -> TimeDelta {
+        self.cluster.heartbeat_cache.valid_for(now, cached)
+    }
+
+    /// The cached heartbeat came again, the same but for its sequence number. The token to answer with,
+    /// and no commands; `None`: the heartbeat has to be read in full.
+    pub fn answer_repeated_heartbeat(
+        &mut self,
+        now: Timestamp,
+        cached: CachedHeartbeat,
+        sequence: u64,
+    ) -> Option<u64> {
+        if !self.may_renew_leases(now) || !self.record_repeated_heartbeat(now, cached, sequence) {
+            return None;
+        }
+        let machine = self.cluster.machines.get(cached.machine as usize)?;
+        Some(machine.token(self.term))
+    }
+
+    /// The cached heartbeat came again, here or at its holder, who answered it. Whether it was of use.
+    pub fn record_repeated_heartbeat(
+        &mut self,
+        now: Timestamp,
+        cached: CachedHeartbeat,
+        sequence: u64,
+    ) -> bool {
+        repeated_heartbeats::record_repetition(&mut self.cluster, now, cached, sequence)
+    }
+
+    /// The machine and all that was on it are certainly gone.
+    pub fn machine_gone(&mut self, now: Timestamp, name: &str) {
+        machine_loss::machine_terminated(&mut self.cluster, &mut self.messages, now, name);
+    }
+}
--- a/crates/scheduler/src/storage/transactions.rs
+++ b/crates/scheduler/src/storage/transactions.rs
@@ -9,10 +9,9 @@
 use crate::model::job::{JobIndex, TaskId};
 use crate::model::job_spec::JobEnd;
 use crate::model::job_state::JobEvent;
-use crate::model::machine::MachineState;
-use crate::model::task::{MachineIndex, TaskEvent, TaskPhase};
+use crate::model::task::{TaskEvent, TaskPhase};
 use crate::protocol::key_value::{Compare, Operation, Transaction};
-use crate::protocol::workers::WorkerCommand;
+use crate::reconciliation::expiry::expire_unconfirmed_starts;
 use crate::scheduler::Scheduler;
 use crate::storage::document::Document;
 use crate::storage::keys;
@@ -24,10 +23,6 @@
 /// Times its delay after which unpersisted_since waits for nothing any more.
 const OVERDUE_STATUS_WRITE: u64 = 5;
 
-/// How often every machine is looked at for what time alone brings: an overdue report, a deadline,
-/// the end of a pause. What events bring is looked at when they come.
-const SWEEP_EVERY: TimeDelta = TimeDelta::from_millis(200);
-
 /// What one transaction writes, and what its outcome decides.
 #[derive(Default)]
 struct Batch {
@@ -172,10 +167,11 @@
                 self.out.push(Command::Commit { id, transaction });
             }
         }
-        let sweep = now.since(self.messages.last_sweep) >= SWEEP_EVERY;
+        let sweep = self.messages.begin_sweep(now);
         if sweep {
-            self.messages.last_sweep = now;
-            self.settle(now);
+            let events =
+                expire_unconfirmed_starts(&mut self.cluster, now, &self.site, &self.tunables);
+            self.log_all(events);
         }
         if self.holds_lease
             && now >= self.transactions.paused_until
@@ -597,7 +593,7 @@
             }
         }
         for &id in &done.starts {
-            self.send_start(id);
+            self.messages.start_stored(&mut self.cluster, id);
         }
         for (ix, end) in done.ends {
             let Some(name) = self.cluster.job(ix).map(|j| j.name.clone()) else { continue };
@@ -631,65 +627,6 @@
         self.cluster.placement_needed = true;
     }
 
-    /// A written start joins its machine's next message.
-    fn send_start(&mut self, id: TaskId) {
-        let Some(job) = self.cluster.job(id.0) else { return };
-        let task = job.tasks[id.1 as usize];
-        if task.phase == TaskPhase::Dispatching && task.token == 0 {
-            self.cluster.machines[task.machine as usize].starting.push(id);
-            self.enqueue_send(task.machine);
-        }
-    }
-
-    /// The last look at the starts that wait for a machine's next message. Those that may still
-    /// go are marked as sent with the very token of the message; a start that is given its token
-    /// any earlier could be proven absent by a heartbeat while it still waits here.
-    pub(crate) fn release_starts(
-        &mut self,
-        now: Timestamp,
-        m: MachineIndex,
-        sending: bool,
-    ) -> (Vec<(TaskId, u32)>, Vec<WorkerCommand>) {
-        let machine = &self.cluster.machines[m as usize];
-        let open = machine.state == MachineState::Up
-            && machine.interruption_at.is_none()
-            && machine.drain_reason.is_none();
-        if machine.starting.is_empty() || (open && !sending) {
-            return (Vec::new(), Vec::new());
-        }
-        let (token, agent_epoch) = (machine.token(self.term), machine.agent_epoch);
-        let (mut ids, mut calls, mut wait) = (Vec::new(), Vec::new(), Vec::new());
-        for id in std::mem::take(&mut self.cluster.machines[m as usize].starting) {
-            let Some(job) = self.cluster.job(id.0) else { continue };
-            let task = job.tasks[id.1 as usize];
-            if task.phase != TaskPhase::Dispatching || task.token != 0 || task.machine != m {
-                continue;
-            }
-            if job.is_ended() || !open || task.agent_epoch != agent_epoch {
-                // Recorded, never sent and never to be sent: absent by this registry's own doing.
-                self.cluster.apply(now, id, TaskEvent::ProvenAbsent);
-                continue;
-            }
-            // One that a machine shows live against the registry is stopped there first.
-            if !self.may_start(now, task.since)
-                || self.cluster.conflicting_replicas.contains_key(&id)
-            {
-                wait.push(id);
-                continue;
-            }
-            let name = format!("{}/{}", job.name, id.1);
-            calls.push(WorkerCommand::Run { task: name, attempt: u64::from(task.attempt) });
-            ids.push((id, task.attempt));
-            self.cluster.apply(now, id, TaskEvent::Sent { token });
-        }
-        self.cluster.machines[m as usize].starting = wait;
-        if !ids.is_empty() {
-            let machine = &mut self.cluster.machines[m as usize];
-            machine.start_token = machine.start_token.max(token);
-        }
-        (ids, calls)
-    }
-
     /// The transaction certainly had no effect: what it would have started is pending again.
     fn failed(&mut self, now: Timestamp, failed: Batch) {
         for &(ix, chunk) in &failed.chunks {
--- a/crates/scheduler/tests/cancellations.rs
+++ b/crates/scheduler/tests/cancellations.rs
@@ -5,6 +5,7 @@
 
 use walnutlug_scheduler::leadership::watermark::{ask_every, window, CancellationLog, Watermark};
 use walnutlug_scheduler::model::job_spec::JobEnd;
+use walnutlug_scheduler::reconciliation::heartbeats::HeartbeatAnswer;
 use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 use walnutlug_scheduler::tunables::Site;
@@ -207,7 +208,9 @@
         if at.is_multiple_of(3_000) {
             let worker = self.w.workers.get_mut("n-1").expect("worker");
             let heartbeat = worker.heartbeat();
-            if let Some((token, calls)) = self.w.leader.heartbeat(now, &heartbeat) {
+            if let Ok(HeartbeatAnswer { token, commands: calls }) =
+                self.w.leader.handle_heartbeat(now, &heartbeat)
+            {
                 let worker = self.w.workers.get_mut("n-1").expect("worker");
                 worker.answered(heartbeat.agent_epoch, token, &calls);
                 self.renewed = now;
@@ -487,7 +490,8 @@
         walnutlug_scheduler::command::MessageOutcome::Answered(Box::new(newer)),
     );
     w.withdraw(JOB);
-    let (token, calls) = w.leader.heartbeat(w.now, &overtaken).expect("an answer");
+    let HeartbeatAnswer { token, commands: calls } =
+        w.leader.handle_heartbeat(w.now, &overtaken).expect("an answer");
     w.workers.get_mut("n-1").expect("worker").answered(1, token, &calls);
     assert!(w.places_of(&format!("{JOB}/0")).is_empty(), "renewed without a kill");
 }
--- a/crates/scheduler/tests/delegation.rs
+++ b/crates/scheduler/tests/delegation.rs
@@ -11,7 +11,7 @@
 use walnutlug_scheduler::reconciliation::delegation::{
     CacheGrant, DelegationGrant, FollowerDelegation,
 };
-use walnutlug_scheduler::reconciliation::repeated_heartbeats::CachedHeartbeat;
+use walnutlug_scheduler::reconciliation::heartbeat_cache::CachedHeartbeat;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 use walnutlug_scheduler::tunables::Site;
 
--- a/crates/scheduler/tests/random_interleavings.rs
+++ b/crates/scheduler/tests/random_interleavings.rs
@@ -8,6 +8,7 @@
 use serde_json::json;
 use walnutlug_scheduler::command::{Command, MessageOutcome, TransactionOutcome};
 use walnutlug_scheduler::protocol::workers::{Heartbeat, WorkerCommand};
+use walnutlug_scheduler::reconciliation::heartbeats::HeartbeatAnswer;
 use walnutlug_scheduler::scheduler::Scheduler;
 use world::{spec, World};
 
@@ -220,9 +221,11 @@
                     0 if n > 0 => &mut self.old[fate / 5 % n],
                     _ => &mut self.w.leader,
                 };
-                let answer = s.heartbeat(now, &heartbeat);
+                let answer = s.handle_heartbeat(now, &heartbeat);
                 let deaf = self.deaf.contains(&heartbeat.machine);
-                if let (Some((token, calls)), true) = (answer, !fate.is_multiple_of(3) && !deaf) {
+                if let (Ok(HeartbeatAnswer { token, commands: calls }), true) =
+                    (answer, !fate.is_multiple_of(3) && !deaf)
+                {
                     let worker = self.w.workers.get_mut(&heartbeat.machine).expect("worker");
                     if worker.alive {
                         worker.answered(heartbeat.agent_epoch, token, &calls);
--- a/crates/scheduler/tests/repeated_heartbeats.rs
+++ b/crates/scheduler/tests/repeated_heartbeats.rs
@@ -6,7 +6,8 @@
 use walnutlug_scheduler::command::{Command, MessageOutcome};
 use walnutlug_scheduler::model::job_spec::JobSpec;
 use walnutlug_scheduler::protocol::workers::{sequence_digits, Heartbeat, TaskState};
-use walnutlug_scheduler::reconciliation::repeated_heartbeats::{CachedHeartbeat, OWN_NODE};
+use walnutlug_scheduler::reconciliation::heartbeat_cache::{CachedHeartbeat, OWN_NODE};
+use walnutlug_scheduler::reconciliation::heartbeats::HeartbeatAnswer;
 use walnutlug_scheduler::time::TimeDelta;
 use world::{one_machine, spec, World};
 
@@ -16,7 +17,8 @@
 /// Lets the machine report, and settles the heartbeat if it left nothing to do.
 fn heartbeat(w: &mut World) -> (Heartbeat, Option<CachedHeartbeat>) {
     let heartbeat = w.workers.get_mut(MACHINE).expect("worker").heartbeat();
-    let (token, calls) = w.leader.heartbeat(w.now, &heartbeat).expect("an answer");
+    let HeartbeatAnswer { token, commands: calls } =
+        w.leader.handle_heartbeat(w.now, &heartbeat).expect("an answer");
     let cached =
         calls.is_empty().then(|| w.leader.cache_heartbeat(w.now, &heartbeat, OWN_NODE)).flatten();
     w.workers.get_mut(MACHINE).expect("worker").answered(heartbeat.agent_epoch, token, &calls);
@@ -102,7 +104,7 @@
             old.sequence -= 1;
             old.tasks[0].state = TaskState::Exited;
             old.tasks[0].cause = Some(walnutlug_scheduler::protocol::workers::ExitReason::Done);
-            w.leader.heartbeat(w.now, &old);
+            let _ = w.leader.handle_heartbeat(w.now, &old);
         }),
     ];
     for (case, change) in cases {
@@ -226,7 +228,7 @@
         w.settle();
         let request_in_flight = w.places().into_values().next().expect("a task")[0].clone();
         let heartbeat = w.workers.get_mut(&request_in_flight).expect("worker").heartbeat();
-        w.leader.heartbeat(w.now, &heartbeat);
+        let _ = w.leader.handle_heartbeat(w.now, &heartbeat);
         let cached = w.leader.cache_heartbeat(w.now, &heartbeat, OWN_NODE).expect("a mark");
         w.leader.tick(w.now);
         for repetition in 1..=10 {
--- a/crates/scheduler/tests/sim/follower.rs
+++ b/crates/scheduler/tests/sim/follower.rs
@@ -1,11 +1,12 @@
 //! A node that answers workers on the leader's behalf, in the simulation: the other side of a stream of
 //! frames that are late by up to a third of a second, and lost while the nodes don't hear each other.
 
-use walnutlug_scheduler::protocol::workers::{Heartbeat, WorkerCommand};
+use walnutlug_scheduler::protocol::workers::Heartbeat;
 use walnutlug_scheduler::reconciliation::delegation::{
     CacheGrant, DelegationGrant, FollowerDelegation,
 };
-use walnutlug_scheduler::reconciliation::repeated_heartbeats::{CachedHeartbeat, Invalidated};
+use walnutlug_scheduler::reconciliation::heartbeat_cache::{CacheInvalidation, CachedHeartbeat};
+use walnutlug_scheduler::reconciliation::heartbeats::HeartbeatAnswer;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 use walnutlug_scheduler::tunables::Site;
 
@@ -59,7 +60,7 @@
         delay_ms: u64,
     ) {
         let term = leader.s.term;
-        for Invalidated { cached, .. } in leader.s.cluster.take_invalidated() {
+        for CacheInvalidation { cached, .. } in leader.s.cluster.take_invalidations() {
             if self.invalidated.0 != term {
                 self.invalidated = (term, 0);
             }
@@ -116,12 +117,12 @@
         linked: bool,
         cached: &mut Option<(Heartbeat, CachedHeartbeat)>,
         heartbeat: &Heartbeat,
-    ) -> Option<(u64, Vec<WorkerCommand>)> {
+    ) -> Option<HeartbeatAnswer> {
         if let Some(cache_entry) = super::repeats(cached, heartbeat) {
             if let Some(token) = self.served.cached_response_token(now, cache_entry) {
                 self.heard.push((cache_entry, heartbeat.sequence));
                 self.repeated += 1;
-                let answer = Some((token, Vec::new()));
+                let answer = Some(HeartbeatAnswer { token, commands: Vec::new() });
                 transcript::answer("repeated (at a follower)", &heartbeat.machine, answer.as_ref());
                 return answer;
             }
@@ -129,9 +130,9 @@
         let leader =
             leader.filter(|l| linked && self.served.forwarding_term(now) == Some(l.s.term))?;
         leader.s.cancellations_known_until = leader.known;
-        let answer = leader.s.heartbeat(now, heartbeat);
+        let answer = leader.s.handle_heartbeat(now, heartbeat).ok();
         transcript::answer("forwarded", &heartbeat.machine, answer.as_ref());
-        let (token, calls) = answer?;
+        let HeartbeatAnswer { token, commands: calls } = answer?;
         let cache_entry =
             if calls.is_empty() { leader.s.cache_heartbeat(now, heartbeat, HOLDER) } else { None };
         self.send_invalidations(now, leader, linked, 300);
@@ -140,6 +141,6 @@
             let new = CacheGrant { cached, token, valid_for, invalidated: self.invalidated.1 };
             self.served.add(now, &new).then(|| (heartbeat.clone(), cached))
         });
-        Some((token, calls))
+        Some(HeartbeatAnswer { token, commands: calls })
     }
 }
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -14,7 +14,8 @@
 use walnutlug_scheduler::protocol::cloud::{CloudMachineState, ListedMachine};
 use walnutlug_scheduler::protocol::key_value::{Operation, Transaction};
 use walnutlug_scheduler::protocol::workers::{ExitReason, Heartbeat, TaskState, WorkerCommand};
-use walnutlug_scheduler::reconciliation::repeated_heartbeats::{CachedHeartbeat, OWN_NODE};
+use walnutlug_scheduler::reconciliation::heartbeat_cache::{CachedHeartbeat, OWN_NODE};
+use walnutlug_scheduler::reconciliation::heartbeats::HeartbeatAnswer;
 use walnutlug_scheduler::scheduler::Scheduler;
 use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::storage::records::description_record;
@@ -139,20 +140,20 @@
     now: Timestamp,
     cached: &mut Option<(Heartbeat, CachedHeartbeat)>,
     heartbeat: &Heartbeat,
-) -> Option<(u64, Vec<WorkerCommand>)> {
+) -> Option<HeartbeatAnswer> {
     leader.s.cancellations_known_until = leader.known;
     if let Some(cache_entry) = repeats(cached, heartbeat) {
         if let Some(token) =
             leader.s.answer_repeated_heartbeat(now, cache_entry, heartbeat.sequence)
         {
-            let answer = Some((token, Vec::new()));
+            let answer = Some(HeartbeatAnswer { token, commands: Vec::new() });
             transcript::answer("repeated", &heartbeat.machine, answer.as_ref());
             return answer;
         }
     }
-    let answer = leader.s.heartbeat(now, heartbeat);
+    let answer = leader.s.handle_heartbeat(now, heartbeat).ok();
     transcript::answer("whole", &heartbeat.machine, answer.as_ref());
-    let quiet = answer.as_ref().is_some_and(|(_, calls)| calls.is_empty());
+    let quiet = answer.as_ref().is_some_and(|answer| answer.commands.is_empty());
     let cache_entry = quiet.then(|| leader.s.cache_heartbeat(now, heartbeat, OWN_NODE)).flatten();
     *cached = cache_entry.map(|cache_entry| (heartbeat.clone(), cache_entry));
     answer
@@ -523,7 +524,8 @@
         // What was kept for it arrives first of all.
         for heartbeat in std::mem::take(&mut self.kept) {
             self.saw("old reports at a new leader");
-            let answer = self.leaders.last_mut().expect("leader").s.heartbeat(now, &heartbeat);
+            let answer =
+                self.leaders.last_mut().expect("leader").s.handle_heartbeat(now, &heartbeat).ok();
             transcript::answer("late", &heartbeat.machine, answer.as_ref());
         }
     }
@@ -608,7 +610,7 @@
             }
             Event::Copy(heartbeat) => {
                 if let Some(l) = self.leaders.last_mut() {
-                    let answer = l.s.heartbeat(now, &heartbeat);
+                    let answer = l.s.handle_heartbeat(now, &heartbeat).ok();
                     transcript::answer("late", &heartbeat.machine, answer.as_ref());
                     self.saw("copies of reports");
                 }
@@ -713,7 +715,7 @@
         }
         let m = self.machines.get_mut(name).expect("machine");
         m.cached = cached;
-        if let Some((token, calls)) = answer.filter(|_| now >= m.deaf) {
+        if let Some(HeartbeatAnswer { token, commands: calls }) = answer.filter(|_| now >= m.deaf) {
             if token >= m.worker.token && heartbeat.agent_epoch == m.worker.agent_epoch {
                 m.renewed = now;
             }
--- a/crates/scheduler/tests/task_starts.rs
+++ b/crates/scheduler/tests/task_starts.rs
@@ -8,6 +8,7 @@
 use walnutlug_scheduler::model::task::TaskPhase;
 use walnutlug_scheduler::protocol::cloud::{CloudMachineState, ListedMachine};
 use walnutlug_scheduler::protocol::workers::WorkerCommand;
+use walnutlug_scheduler::reconciliation::heartbeats::{HeartbeatAnswer, HeartbeatRefusal};
 use walnutlug_scheduler::storage::keys;
 use world::{one_machine, spec, World};
 
@@ -81,7 +82,7 @@
     w.leader.message_answered(w.now, machine, MessageOutcome::Indeterminate);
     // This report's sender has not seen the new fence yet.
     let old = w.workers.get_mut(&name).expect("worker").heartbeat();
-    w.leader.heartbeat(w.now, &old);
+    let _ = w.leader.handle_heartbeat(w.now, &old);
     assert_eq!(w.attempt(JOB, 0), 1);
     w.wait(2_000);
     w.settle();
@@ -255,7 +256,7 @@
     w.finish("n-1", &format!("{JOB}/0"));
     w.heartbeat("n-1");
     assert_eq!(w.phase(JOB, 0), TaskPhase::Done);
-    w.leader.heartbeat(w.now, &old);
+    let _ = w.leader.handle_heartbeat(w.now, &old);
     assert_eq!(w.phase(JOB, 0), TaskPhase::Done);
     assert_eq!(w.phase(JOB, 1), TaskPhase::Running);
 }
@@ -379,7 +380,7 @@
     let other = if name == "n-1" { "n-2" } else { "n-1" };
     w.take_over();
     let before = w.workers.get_mut(&name).expect("worker").heartbeat();
-    w.leader.heartbeat(w.now, &before);
+    let _ = w.leader.handle_heartbeat(w.now, &before);
     assert_eq!(w.attempt(JOB, 0), 1);
     w.heartbeat(other);
     w.heartbeat(other);
@@ -421,13 +422,15 @@
     // The old leader still answers a worker that has not seen the new term: its tasks live on.
     let worker = w.workers.get_mut("n-1").expect("worker");
     let heartbeat = worker.heartbeat();
-    let (token, calls) = old.heartbeat(w.now, &heartbeat).expect("an answer");
+    let HeartbeatAnswer { token, commands: calls } =
+        old.handle_heartbeat(w.now, &heartbeat).expect("an answer");
     worker.answered(heartbeat.agent_epoch, token, &calls);
     assert!(calls.is_empty());
     w.all_report();
     // One that has seen it is not the old leader's any more.
     let heartbeat = w.workers.get_mut("n-1").expect("worker").heartbeat();
-    assert!(old.heartbeat(w.now, &heartbeat).is_none());
+    let answer = old.handle_heartbeat(w.now, &heartbeat);
+    assert!(matches!(answer, Err(HeartbeatRefusal::NewerTerm { .. })));
     w.settle();
     assert_eq!(w.places().len(), 4);
 }
@@ -563,7 +566,7 @@
     worker.tasks.insert((task.clone(), 1), (TaskState::Exited, Some(ExitReason::InUse)));
     worker.tasks.insert((task.clone(), 0), (TaskState::Running, None));
     let heartbeat = worker.heartbeat();
-    w.leader.heartbeat(w.now, &heartbeat);
+    let _ = w.leader.handle_heartbeat(w.now, &heartbeat);
     assert_eq!(w.attempt(JOB, 0), 1, "it is there");
     // Once that attempt was stopped, it goes on elsewhere or there, once.
     for _ in 0..6 {
@@ -592,7 +595,8 @@
     let worker = w.workers.get_mut(other).expect("worker");
     worker.tasks.insert((task.clone(), 7), (TaskState::Running, None));
     let heartbeat = worker.heartbeat();
-    let (token, calls) = w.leader.heartbeat(w.now, &heartbeat).expect("an answer");
+    let HeartbeatAnswer { token, commands: calls } =
+        w.leader.handle_heartbeat(w.now, &heartbeat).expect("an answer");
     w.settle();
     assert_eq!(w.places_of(&task), [other], "not started beside it");
     w.workers.get_mut(other).expect("worker").answered(1, token, &calls);
--- a/crates/scheduler/tests/transcripts/scripts.rs
+++ b/crates/scheduler/tests/transcripts/scripts.rs
@@ -13,6 +13,7 @@
 use walnutlug_scheduler::protocol::cloud::{CloudMachineState, ListedMachine};
 use walnutlug_scheduler::protocol::key_value::KeyValue;
 use walnutlug_scheduler::protocol::workers::{ExitReason, TaskState};
+use walnutlug_scheduler::reconciliation::heartbeats::HeartbeatAnswer;
 use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 use walnutlug_scheduler::tunables::{Objective, Site};
@@ -815,9 +816,9 @@
         for name in &names {
             let heartbeat = world.workers.get_mut(name).expect("worker").heartbeat();
             if dice.chance(50) {
-                let answer = world.leader.heartbeat(now, &heartbeat);
+                let answer = world.leader.handle_heartbeat(now, &heartbeat).ok();
                 transcript::answer("whole", name, answer.as_ref());
-                let Some((token, calls)) = answer else { continue };
+                let Some(HeartbeatAnswer { token, commands: calls }) = answer else { continue };
                 let worker = world.workers.get_mut(name).expect("worker");
                 worker.answered(heartbeat.agent_epoch, token, &calls);
                 let holder = dice.below(3) as u16;
@@ -837,7 +838,7 @@
                 transcript::line("repeated again", &format!("{name} {again}"));
             }
         }
-        for invalidated in world.leader.cluster.take_invalidated() {
+        for invalidated in world.leader.cluster.take_invalidations() {
             let (holder, revision) = (invalidated.holder, invalidated.cached);
             let text =
                 format!("holder={holder} machine={} number={}", revision.machine, revision.number);
--- a/crates/scheduler/tests/untrusted_reports.rs
+++ b/crates/scheduler/tests/untrusted_reports.rs
@@ -10,6 +10,7 @@
 use walnutlug_scheduler::model::machine::MachineState;
 use walnutlug_scheduler::model::task::TaskPhase;
 use walnutlug_scheduler::protocol::workers::Heartbeat;
+use walnutlug_scheduler::reconciliation::heartbeats::{HeartbeatAnswer, HeartbeatRefusal};
 use walnutlug_scheduler::scheduler::Scheduler;
 use world::{spec, Worker, World};
 
@@ -27,7 +28,7 @@
 fn deaf_second(w: &mut World, name: &str) -> Vec<Command> {
     w.wait(1_000);
     let heartbeat = report_of(w, name);
-    w.leader.heartbeat(w.now, &heartbeat);
+    let _ = w.leader.handle_heartbeat(w.now, &heartbeat);
     w.tick();
     w.leader.autoscale(w.now);
     let commands = std::mem::take(&mut w.commands);
@@ -72,7 +73,7 @@
     // Its lease runs out although its heartbeats arrive: it hears no answer.
     w.workers.get_mut("n-1").expect("worker").lease_ends();
     let heartbeat = report_of(&mut w, "n-1");
-    w.leader.heartbeat(w.now, &heartbeat);
+    let _ = w.leader.handle_heartbeat(w.now, &heartbeat);
     assert_eq!(w.attempt(JOB, 0), 2, "a later session is proof");
     w.tick();
     let starts = |w: &World| w.commands.iter().any(|c| matches!(c, Command::Commit { .. }));
@@ -89,7 +90,7 @@
     w.leader.message_answered(w.now, m, MessageOutcome::Indeterminate);
     w.wait(5_000);
     let stale = report_of(&mut w, "n-1");
-    w.leader.heartbeat(w.now, &stale);
+    let _ = w.leader.handle_heartbeat(w.now, &stale);
     assert!(!w.leader.open_for_work(w.now, machine(&w, "n-1")), "nothing shows that it hears");
     w.heartbeat("n-1");
     w.heartbeat("n-1");
@@ -108,8 +109,8 @@
     let before = machine(&w, "n-1").clone();
     w.wait(30_000);
     for _ in 0..3 {
-        let answer = w.leader.heartbeat(w.now, &old);
-        assert!(answer.is_some_and(|(_, calls)| calls.is_empty()));
+        let answer = w.leader.handle_heartbeat(w.now, &old);
+        assert!(answer.is_ok_and(|answer| answer.commands.is_empty()));
     }
     let after = machine(&w, "n-1").clone();
     assert_eq!(
@@ -156,7 +157,7 @@
     for _ in 0..5 {
         w.wait(1_000);
         copy.sequence += 1;
-        w.leader.heartbeat(w.now, &copy);
+        let _ = w.leader.handle_heartbeat(w.now, &copy);
         let m = machine(&w, &name);
         assert_eq!(
             (m.state, m.last_heartbeat, m.interruption_at),
@@ -189,7 +190,7 @@
     let copy = report_of(&mut w, "n-1");
     w.leader.machine_gone(w.now, "n-1");
     w.wait(1_000);
-    w.leader.heartbeat(w.now, &copy);
+    let _ = w.leader.handle_heartbeat(w.now, &copy);
     assert_eq!(machine(&w, "n-1").state, MachineState::Terminated);
     assert_eq!(w.leader.cluster.machines.len(), 1);
 }
@@ -201,7 +202,11 @@
     odd.token = token(w.leader.term + 1_000, 0);
     let before = machine(&w, "n-1").clone();
     for _ in 0..3 {
-        assert!(w.leader.heartbeat(w.now, &odd).is_none(), "the worker goes elsewhere");
+        let answer = w.leader.handle_heartbeat(w.now, &odd);
+        assert!(
+            matches!(answer, Err(HeartbeatRefusal::NewerTerm { .. })),
+            "the worker goes elsewhere"
+        );
     }
     let commands = w.leader.take_commands();
     assert!(!commands.iter().any(|c| matches!(c, Command::StepDown(_))));
@@ -240,8 +245,8 @@
         }
     }
     let heartbeat = report_of(&mut w, "n-1");
-    let (token, _) =
-        w.leader.heartbeat(w.now, &heartbeat).expect("an answer that renews its lease");
+    let HeartbeatAnswer { token, .. } =
+        w.leader.handle_heartbeat(w.now, &heartbeat).expect("an answer that renews its lease");
     assert!(token >= heartbeat.token);
 }
 
@@ -368,7 +373,8 @@
             cause: None,
         })
         .collect();
-    let (token, calls) = w.leader.heartbeat(w.now, &heartbeat).expect("answered");
+    let HeartbeatAnswer { token, commands: calls } =
+        w.leader.handle_heartbeat(w.now, &heartbeat).expect("answered");
     assert!(calls.len() >= 400, "{} of what it runs is stopped at once", calls.len());
     let answer = serde_json::to_vec(&HeartbeatResponse { token, calls }).expect("json");
     assert!(answer.len() < 64 * 1024, "{} bytes", answer.len());
--- a/crates/scheduler/tests/world/mod.rs
+++ b/crates/scheduler/tests/world/mod.rs
@@ -16,6 +16,7 @@
     ExitReason, Heartbeat, TaskState, TaskStatus, WorkerCommand,
 };
 use walnutlug_scheduler::queue::dependencies::JobEndLookup;
+use walnutlug_scheduler::reconciliation::heartbeats::HeartbeatAnswer;
 use walnutlug_scheduler::scheduler::Scheduler;
 use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::storage::records::{chunk_size, description_record};
@@ -487,9 +488,9 @@
     pub fn heartbeat(&mut self, name: &str) {
         let worker = self.workers.get_mut(name).expect("worker");
         let heartbeat = worker.heartbeat();
-        let answer = self.leader.heartbeat(self.now, &heartbeat);
+        let answer = self.leader.handle_heartbeat(self.now, &heartbeat).ok();
         transcript::answer("whole", name, answer.as_ref());
-        if let Some((token, calls)) = answer {
+        if let Some(HeartbeatAnswer { token, commands: calls }) = answer {
             worker.answered(heartbeat.agent_epoch, token, &calls);
         }
     }
--- a/crates/scheduler/tests/world/transcript.rs
+++ b/crates/scheduler/tests/world/transcript.rs
@@ -11,6 +11,7 @@
 use walnutlug_scheduler::command::{Command, TransactionOutcome};
 use walnutlug_scheduler::protocol::key_value::{Operation, Transaction};
 use walnutlug_scheduler::protocol::workers::WorkerCommand;
+use walnutlug_scheduler::reconciliation::heartbeats::HeartbeatAnswer;
 
 use super::golden::Transcript;
 
@@ -130,10 +131,10 @@
 }
 
 /// How a heartbeat of that kind (whole, repeated, repeated at another node, late) was answered.
-pub fn answer(kind: &str, machine: &str, answer: Option<&(u64, Vec<WorkerCommand>)>) {
+pub fn answer(kind: &str, machine: &str, answer: Option<&HeartbeatAnswer>) {
     with(|transcript| {
         let text = match answer {
-            Some((token, calls)) => {
+            Some(HeartbeatAnswer { token, commands: calls }) => {
                 count_calls(transcript, calls);
                 format!("machine={machine} token={token} calls={}", json(calls))
             }
