--- a/crates/controller/src/heartbeat_delegation.rs
+++ b/crates/controller/src/heartbeat_delegation.rs
@@ -162,8 +162,8 @@
     let answer = timeout(ANSWER_WITHIN, answer).await;
     serving.waiting.borrow_mut().remove(&number);
     let ForwardedResponse { answer, cache_entry, .. } = answer.ok()?.ok()?;
-    let cache_entry =
-        cache_entry.filter(|cache_entry| serving.leader.borrow_mut().add(node.now(), cache_entry));
+    let cache_entry = cache_entry
+        .filter(|cache_entry| serving.leader.borrow_mut().add_entry(node.now(), cache_entry));
     connection.remember(body, cache_entry.map(|cache_entry| cache_entry.cached));
     Some(Answer { status: 200, body: answer?, retry_after: None, close: false, idle: None })
 }
@@ -189,7 +189,7 @@
 /// Asks whoever leads for a grant.
 pub fn ask(node: &Node) {
     let Some(leader) = node.other_leader() else { return };
-    let number = node.serving.leader.borrow_mut().ask(node.now());
+    let number = node.serving.leader.borrow_mut().begin_request(node.now());
     let ask = DelegationRequest {
         node: node.settings.node_name.clone(),
         incarnation: node.incarnation,
@@ -261,7 +261,7 @@
         Frame::DelegationGranted(granting) if granting.asker_incarnation == node.incarnation => {
             let now = node.now();
             let before = node.serving.leader.borrow().term();
-            if node.serving.leader.borrow_mut().granted(now, &granting.grant) {
+            if node.serving.leader.borrow_mut().accept_grant(now, &granting.grant) {
                 let term = granting.grant.term;
                 if before != Some(term) {
                     info!(term, leader = %granting.node, "answering workers on the leader's behalf");
--- a/crates/scheduler/tests/delegation.rs
+++ b/crates/scheduler/tests/delegation.rs
@@ -34,11 +34,11 @@
 /// A follower that was granted its share at the start, with a mark for machine 1.
 fn granted(site: &Site) -> (FollowerDelegation, CacheGrant) {
     let mut follower = FollowerDelegation::new(site);
-    let asked = follower.ask(START);
+    let asked = follower.begin_request(START);
     let grant = DelegationGrant { term: TERM, asked, unknown_for: TimeDelta::ZERO, invalidated: 0 };
-    assert!(follower.granted(START, &grant));
+    assert!(follower.accept_grant(START, &grant));
     let new = cache_entry(1, 1, 0);
-    assert!(follower.add(START, &new));
+    assert!(follower.add_entry(START, &new));
     (follower, new)
 }
 
@@ -49,9 +49,11 @@
     term: u64,
     invalidated: u64,
 ) -> bool {
-    let asked = follower.ask(asked_at);
-    follower
-        .granted(now, &DelegationGrant { term, asked, unknown_for: TimeDelta::ZERO, invalidated })
+    let asked = follower.begin_request(asked_at);
+    follower.accept_grant(
+        now,
+        &DelegationGrant { term, asked, unknown_for: TimeDelta::ZERO, invalidated },
+    )
 }
 
 #[test]
@@ -64,10 +66,10 @@
         assert_eq!(follower.cached_response_token(START + window + TimeDelta(1), new.cached), None);
         // Late on its way, a grant counts from the question; and by as much less as the leader itself
         // might not know.
-        let asked = follower.ask(START + TimeDelta::from_secs(2));
+        let asked = follower.begin_request(START + TimeDelta::from_secs(2));
         let unknown_for = TimeDelta::from_secs(1);
         let grant = DelegationGrant { term: TERM, asked, unknown_for, invalidated: 0 };
-        assert!(follower.granted(START + TimeDelta::from_secs(9), &grant));
+        assert!(follower.accept_grant(START + TimeDelta::from_secs(9), &grant));
         let end = START + TimeDelta::from_secs(1) + window;
         assert_eq!(follower.cached_response_token(end, new.cached), Some(new.token));
         assert_eq!(follower.cached_response_token(end + TimeDelta(1), new.cached), None);
@@ -80,7 +82,7 @@
     let later = START + watermark::window(&site(24, 44)) + TimeDelta(1);
     let grant =
         DelegationGrant { term: TERM, asked: 99, unknown_for: TimeDelta::ZERO, invalidated: 0 };
-    assert!(!follower.granted(later, &grant));
+    assert!(!follower.accept_grant(later, &grant));
     assert_eq!(follower.cached_response_token(later, new.cached), None);
 }
 
@@ -117,18 +119,18 @@
     let (mut follower, _) = granted(&site(24, 44));
     follower.invalidate(TERM, 1, &[(5, 9)]);
     let new = cache_entry(5, 9, 0);
-    assert!(!follower.add(START, &new));
+    assert!(!follower.add_entry(START, &new));
     assert_eq!(follower.cached_response_token(START, new.cached), None);
     // Nor one with a withdrawal before it that hasn't come.
-    assert!(!follower.add(START, &cache_entry(6, 10, 2)));
-    assert!(follower.add(START, &cache_entry(6, 10, 1)));
+    assert!(!follower.add_entry(START, &cache_entry(6, 10, 2)));
+    assert!(follower.add_entry(START, &cache_entry(6, 10, 1)));
 }
 
 #[test]
 fn an_overtaken_grant_moves_nothing() {
     let (mut follower, new) = granted(&site(24, 44));
-    let first = follower.ask(START + TimeDelta::from_secs(10));
-    let second = follower.ask(START + TimeDelta::from_secs(11));
+    let first = follower.begin_request(START + TimeDelta::from_secs(10));
+    let second = follower.begin_request(START + TimeDelta::from_secs(11));
     let at = |asked, invalidated| DelegationGrant {
         term: TERM,
         asked,
@@ -136,8 +138,8 @@
         invalidated,
     };
     follower.invalidate(TERM, 1, &[(8, 1)]);
-    assert!(follower.granted(START + TimeDelta::from_secs(11), &at(second, 1)));
-    assert!(!follower.granted(START + TimeDelta::from_secs(12), &at(first, 0)));
+    assert!(follower.accept_grant(START + TimeDelta::from_secs(11), &at(second, 1)));
+    assert!(!follower.accept_grant(START + TimeDelta::from_secs(12), &at(first, 0)));
     assert!(follower.cached_response_token(START + TimeDelta::from_secs(12), new.cached).is_some());
 }
 
@@ -153,7 +155,7 @@
 fn a_mark_ends_when_time_alone_gives_the_report_a_meaning() {
     let (mut follower, _) = granted(&site(24, 44));
     let new = CacheGrant { valid_for: TimeDelta::from_secs(2), ..cache_entry(3, 4, 0) };
-    assert!(follower.add(START, &new));
+    assert!(follower.add_entry(START, &new));
     assert!(follower
         .cached_response_token(START + TimeDelta::from_secs(2) - TimeDelta(1), new.cached)
         .is_some());
@@ -220,7 +222,7 @@
                 }
             }
             if step.is_multiple_of(20) {
-                let asked = follower.ask(now);
+                let asked = follower.begin_request(now);
                 let unknown_for = now.since(cancellations_known_until);
                 let grant = DelegationGrant { term: TERM, asked, unknown_for, invalidated: sent };
                 send(&mut rng, ToFollower::DelegationGrant(grant));
@@ -229,11 +231,11 @@
             wire = rest;
             for (_, frame) in due {
                 match frame {
-                    ToFollower::DelegationGrant(grant) => drop(follower.granted(now, &grant)),
+                    ToFollower::DelegationGrant(grant) => drop(follower.accept_grant(now, &grant)),
                     ToFollower::Invalidated(first, cache_entries) => {
                         follower.invalidate(TERM, first, &cache_entries)
                     }
-                    ToFollower::CacheEntry(new) => drop(follower.add(now, &new)),
+                    ToFollower::CacheEntry(new) => drop(follower.add_entry(now, &new)),
                 }
             }
             for &(machine, number) in given.iter().rev().take(400) {
--- a/crates/scheduler/tests/sim/follower.rs
+++ b/crates/scheduler/tests/sim/follower.rs
@@ -84,7 +84,7 @@
             self.send_invalidations(now, leader, linked, delay_ms);
             if now >= self.asks_at {
                 self.asks_at = now + TimeDelta::from_secs(1);
-                let asked = self.served.ask(now);
+                let asked = self.served.begin_request(now);
                 let term = leader.s.term;
                 let invalidated = if self.invalidated.0 == term { self.invalidated.1 } else { 0 };
                 let unknown_for = now.since(leader.known);
@@ -101,7 +101,7 @@
         for (at, frame) in frames {
             match frame {
                 frame if at > now => self.frames.push((at, frame)),
-                ToFollower::DelegationGrant(grant) => drop(self.served.granted(now, &grant)),
+                ToFollower::DelegationGrant(grant) => drop(self.served.accept_grant(now, &grant)),
                 ToFollower::Invalidated { term, first, cached } => {
                     self.served.invalidate(term, first, &[(cached.machine, cached.number)]);
                 }
@@ -139,7 +139,7 @@
         *cached = cache_entry.and_then(|cached| {
             let valid_for = leader.s.cached_for(now, cached);
             let new = CacheGrant { cached, token, valid_for, invalidated: self.invalidated.1 };
-            self.served.add(now, &new).then(|| (heartbeat.clone(), cached))
+            self.served.add_entry(now, &new).then(|| (heartbeat.clone(), cached))
         });
         Some(HeartbeatAnswer { token, commands: calls })
     }
