--- a/crates/scheduler/src/autoscaling.rs
+++ b/crates/scheduler/src/autoscaling.rs
@@ -127,7 +127,8 @@
             }
             // By the resource that is scarcest on the machine, so that a full one is not idle.
             let part = |takes: f64, of: f64| if of > 0.0 { (takes / of).min(1.0) } else { 0.0 };
-            let idle = 1.0 - part(m.cpus, kind.cpus).max(part(m.memory, kind.memory_gb));
+            let idle =
+                1.0 - part(m.used().cpus, kind.cpus).max(part(m.used().memory_gb, kind.memory_gb));
             *(if m.spot { &mut cost.idle_spot } else { &mut cost.idle_ordinary }) += money * idle;
             for id in &m.tasks {
                 let Some(job) = self.cluster.job(id.0) else { continue };
@@ -179,9 +180,9 @@
             let t = &self.cluster.machine_types[kind];
             let p = WhatIfMachine {
                 offer: offers.index(kind, &m.zone, m.spot),
-                cpus: t.cpus - m.cpus,
-                gpus: t.gpus - m.gpus,
-                memory: t.memory_gb - m.memory,
+                cpus: t.cpus - m.used().cpus,
+                gpus: t.gpus - m.used().gpus,
+                memory: t.memory_gb - m.used().memory_gb,
             };
             offers.there[p.offer] += 1;
             free += p.cpus.max(0.0);
@@ -428,7 +429,7 @@
             .machines
             .iter()
             .filter(|m| self.open_for_work(now, m))
-            .filter_map(|m| Some(self.cluster.machine_types[m.kind?].cpus - m.cpus))
+            .filter_map(|m| Some(self.cluster.machine_types[m.kind?].cpus - m.used().cpus))
             .sum();
         let headroom = self.headroom_cpus(now);
         let cheap = self.ordinary_is_cheap();
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -1,13 +1,12 @@
 //! Requests to workers: at most one in flight for each worker, each sent once. Whether one arrived is
 //! shown by the worker's later heartbeats.
 
-pub mod channel;
+pub(crate) mod channel;
 pub(crate) mod starts;
 
 use crate::command::{Command, MessageOutcome};
 use crate::dispatch::channel::SentStart;
 use crate::dispatch::starts::{ReleasedStarts, StartGate};
-use crate::leadership::election::token;
 use crate::model::cluster::Cluster;
 use crate::model::job::TaskId;
 use crate::model::machine::{Machine, MachineState};
@@ -316,7 +315,7 @@
         let term = cluster.term;
         let machine = &mut cluster.machines[index as usize];
         machine.channel.request_lost(now, first_pause);
-        machine.raise_fencing_counter(now, term);
+        machine.fence.raise_required(now, term);
         repeat_stops(cluster, index);
     }
 }
@@ -329,9 +328,9 @@
     // A token that the answer to its own heartbeat has just shown it is asked about only if its next
     // heartbeat doesn't come. (Each reap raises the fencing counter: a question after each of them was
     // a third of all requests.)
-    let was_just_sent = now.since(machine.token_sent_at) < ANSWER_SHOWS_WITHIN;
-    machine.acknowledged_token < token(term, 0).max(machine.required_token)
-        || (machine.acknowledged_token < machine.token(term)
+    let was_just_sent = now.since(machine.fence.sent_at()) < ANSWER_SHOWS_WITHIN;
+    !machine.fence.is_acknowledged(term)
+        || (machine.fence.acknowledged() < machine.token(term)
             && !machine.tasks.is_empty()
             && !was_just_sent)
 }
--- a/crates/scheduler/src/dispatch/channel.rs
+++ b/crates/scheduler/src/dispatch/channel.rs
@@ -16,7 +16,7 @@
 
 /// What waits to be sent to one worker, and the request in flight to it.
 #[derive(Debug, Clone, Default)]
-pub struct WorkerChannel {
+pub(crate) struct WorkerChannel {
     /// Commands for the next request.
     outbox: Vec<WorkerCommand>,
     /// Tasks whose stored starts go with the next request.
--- a/crates/scheduler/src/dispatch/starts.rs
+++ b/crates/scheduler/src/dispatch/starts.rs
@@ -89,7 +89,7 @@
     }
     if !released.starts.is_empty() {
         let machine = &mut cluster.machines[index as usize];
-        machine.start_token = machine.start_token.max(token);
+        machine.fence.start_sent(token);
     }
     released
 }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -3,7 +3,7 @@
 
 pub mod autoscaling;
 pub mod command;
-pub mod dispatch;
+pub(crate) mod dispatch;
 pub mod event;
 pub mod leadership;
 pub mod model;
--- a/crates/scheduler/src/model/cluster.rs
+++ b/crates/scheduler/src/model/cluster.rs
@@ -3,13 +3,11 @@
 //! Every change of a task goes through [`Cluster::apply`], so that the sums of its job, its machine, its team
 //! and its class always agree with it.
 
-use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
+use std::collections::{BTreeMap, HashMap, VecDeque};
 
 use walnutlug_admission::shares::Shares;
 
-use crate::dispatch::channel::WorkerChannel;
 use crate::model::job::{Job, JobIndex, TaskId};
-use crate::model::job_spec::Priority;
 use crate::model::machine::{Machine, MachineState};
 use crate::model::task::{MachineIndex, Task, TaskEvent, TaskPhase};
 use crate::protocol::cloud::MachineType;
@@ -92,41 +90,7 @@
         if let Some(&ix) = self.machines_by_name.get(name) {
             return ix;
         }
-        let machine = Machine {
-            name: name.to_owned(),
-            address: String::new(),
-            kind: None,
-            zone: String::new(),
-            spot: false,
-            state: MachineState::Booting,
-            agent_epoch: 0,
-            sequence: 0,
-            acknowledged_token: 0,
-            token_sent_at: Timestamp(0),
-            required_token: 0,
-            unacknowledged_since: None,
-            expected: false,
-            fencing_counter: 0,
-            start_token: 0,
-            hinted_up_at: None,
-            last_heartbeat: now,
-            requested_at: now,
-            interruption_at: None,
-            tasks: BTreeSet::new(),
-            tasks_by_priority: [0; Priority::COUNT],
-            stopping: 0,
-            unexpected_tasks: 0,
-            cpus: 0.0,
-            gpus: 0.0,
-            memory: 0.0,
-            images: Vec::new(),
-            channel: WorkerChannel::default(),
-            idle_since: now,
-            failures: BTreeSet::new(),
-            completed_at: Timestamp(0),
-            drain_reason: None,
-            termination_sent_at: None,
-        };
+        let machine = Machine::new(now, name);
         let ix = match self.free_place(now) {
             Some(ix) => {
                 self.machines_by_name.remove(&self.machines[ix as usize].name);
@@ -181,14 +145,10 @@
     pub(crate) fn attach(&mut self, id: TaskId, m: MachineIndex) {
         let Some(job) = self.jobs.get_mut(&id.0) else { return };
         let machine = &mut self.machines[m as usize];
-        if !machine.tasks.insert(id) {
+        if !machine.attach(id, &job.spec) {
             return;
         }
         job.tasks[id.1 as usize].machine = m;
-        machine.cpus += job.spec.cpus;
-        machine.gpus += job.spec.gpus;
-        machine.memory += job.spec.memory_gb;
-        machine.tasks_by_priority[job.spec.priority as usize] += 1;
         job.placed += 1;
         *job.zones.entry(machine.zone.clone()).or_default() += 1;
         let team = self.team_usage.entry(job.spec.team.clone()).or_default();
@@ -201,18 +161,9 @@
     pub(crate) fn detach(&mut self, now: Timestamp, id: TaskId) {
         let Some(job) = self.jobs.get_mut(&id.0) else { return };
         let machine = &mut self.machines[job.tasks[id.1 as usize].machine as usize];
-        if !machine.tasks.remove(&id) {
+        if !machine.detach(now, id, &job.spec) {
             return;
         }
-        machine.tasks_by_priority[job.spec.priority as usize] -= 1;
-        machine.cpus -= job.spec.cpus;
-        machine.gpus -= job.spec.gpus;
-        machine.memory -= job.spec.memory_gb;
-        if machine.tasks.is_empty() {
-            // Sums of decimals drift; an empty machine is a chance to start from nothing.
-            (machine.cpus, machine.gpus, machine.memory) = (0.0, 0.0, 0.0);
-            machine.idle_since = now;
-        }
         job.placed -= 1;
         if let Some(n) = job.zones.get_mut(&machine.zone) {
             *n -= 1;
@@ -264,9 +215,7 @@
             job.errors = 0;
         }
         if let Some(machine) = self.machines.get_mut(machine as usize) {
-            machine.stopping += u32::from(after == TaskPhase::Stopping);
-            machine.stopping -=
-                u32::from(before == TaskPhase::Stopping && after != TaskPhase::Stopping);
+            machine.count_stopping(before, after);
         }
         if before.placed() || after.placed() {
             self.invalidate_cached_heartbeat(machine);
@@ -326,17 +275,6 @@
         }
     }
 
-    pub(crate) fn has_image(&mut self, m: MachineIndex, image: String) {
-        let images = &mut self.machines[m as usize].images;
-        if images.last() != Some(&image) {
-            images.retain(|i| *i != image);
-            images.push(image);
-            if images.len() > 32 {
-                images.remove(0);
-            }
-        }
-    }
-
     /// A repetition of the machine's last heartbeat may mean something from now on. The only place where
     /// a cache entry is ended, so that its holder is always told.
     pub(crate) fn invalidate_cached_heartbeat(&mut self, machine: MachineIndex) {
--- a/crates/scheduler/src/model/machine.rs
+++ b/crates/scheduler/src/model/machine.rs
@@ -1,80 +1,93 @@
 //! A machine: what is known of it, what is on it and what is being sent to it.
 
+mod failures;
+mod fence;
+
 use std::collections::BTreeSet;
 
+use walnutlug_admission::resources::Resources;
+
 use crate::dispatch::channel::WorkerChannel;
-use crate::leadership::election::token;
-use crate::model::job::{JobIndex, TaskId};
-use crate::model::job_spec::Priority;
+use crate::model::job::TaskId;
+use crate::model::job_spec::{JobSpec, Priority};
+pub(crate) use crate::model::machine::failures::MachineFailures;
+pub use crate::model::machine::fence::Fence;
+use crate::model::task::TaskPhase;
 use crate::time::Timestamp;
 
+/// Images that are remembered to be on a machine.
+const MAX_IMAGES: usize = 32;
+
+/// How far a machine is between its request and its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineState {
-    /// Rented; not heard of yet.
+    /// Requested; no heartbeat of it came yet.
     Booting,
     /// Its worker reports.
     Up,
-    /// Being given back; whatever was on it is still on it.
+    /// Being returned to the cloud; whatever was on it is still on it.
     Terminating,
     /// Certainly gone, and everything on it.
     Terminated,
 }
 
+/// One machine of the fleet, as the leader knows it.
 #[derive(Debug, Clone)]
 pub struct Machine {
+    /// Its name in the cloud, never used twice.
     pub name: String,
+    /// Where its worker takes requests; empty while unknown.
     pub address: String,
+    /// Its place in [`crate::model::cluster::Cluster::machine_types`]; `None` while unknown.
     pub kind: Option<usize>,
+    /// Its zone; empty while unknown.
     pub zone: String,
+    /// Whether the cloud may take it at any time.
     pub spot: bool,
+    /// How far it is between its request and its end.
     pub state: MachineState,
+    /// The incarnation of its worker, by its newest heartbeat; 0: none came.
     pub agent_epoch: u64,
+    /// The sequence number of its newest heartbeat within the agent epoch.
     pub sequence: u64,
-    /// The token that the worker knew by its newest report.
-    pub acknowledged_token: u64,
-    /// When an answer to its heartbeat last carried a token that it had not seen.
-    pub token_sent_at: Timestamp,
-    /// The token that it has to show before anything more is started there: raised when a message
-    /// to it was lost, or when its lease ran out though its heartbeats arrive.
-    pub required_token: u64,
-    /// Since when it has owed that. A machine that is heard and doesn't hear looks alive by its
-    /// reports; this is what gives it away.
-    pub unacknowledged_since: Option<Timestamp>,
-    /// Rented by this leader or listed by the cloud, so that it can be counted on to come. What a
-    /// late heartbeat alone tells of may be long gone.
-    pub expected: bool,
-    pub fencing_counter: u64,
-    /// Highest token with which a start was sent; a reap needs a higher one.
-    pub start_token: u64,
+    /// Requested by this leader or listed by the cloud, so that it can be counted on to come. What a
+    /// late heartbeat alone shows may be long gone.
+    pub(crate) expected: bool,
+    /// Which fencing token its worker is sent, and has acknowledged.
+    pub fence: Fence,
     /// Since when it is said to be running, by the cloud, another node or a heartbeat that may be a
     /// late copy: worth asking directly.
-    pub hinted_up_at: Option<Timestamp>,
+    pub(crate) hinted_up_at: Option<Timestamp>,
+    /// When a heartbeat last proved it alive; when it became known, if none has.
     pub last_heartbeat: Timestamp,
-    pub requested_at: Timestamp,
+    /// When it was requested, as far as is known.
+    pub(crate) requested_at: Timestamp,
+    /// When the cloud will take it, by its interruption notice.
     pub interruption_at: Option<Timestamp>,
-    /// Tasks that are on it as far as anybody knows.
+    /// Tasks that are placed on it and not proven absent. Changed by [`Machine::attach`] and
+    /// [`Machine::detach`] alone.
     pub tasks: BTreeSet<TaskId>,
     /// How many of them the jobs gave each priority to, the lowest first. A job may count with a higher
     /// one that needs it, never with a lower one.
-    pub(crate) tasks_by_priority: [u32; Priority::COUNT],
+    tasks_by_priority: [u32; Priority::COUNT],
     /// How many of them are told to stop.
-    pub(crate) stopping: u32,
-    /// Tasks that it reports and the registry doesn't place there: room that can't be counted on.
-    pub unexpected_tasks: u32,
-    pub cpus: f64,
-    pub gpus: f64,
-    pub memory: f64,
-    pub images: Vec<String>,
+    stopping: u32,
+    /// Tasks that it reports and the tables don't place there: room that can't be counted on.
+    pub(crate) unexpected_tasks: u32,
+    /// What the tasks on it take.
+    used: Resources,
+    /// Images that are on it, or will be, the one used last at the end.
+    images: Vec<String>,
     /// What is being sent to it.
-    pub channel: WorkerChannel,
-    pub idle_since: Timestamp,
-    /// Jobs that failed here since anything completed here, each counted once.
-    pub failures: BTreeSet<JobIndex>,
-    /// When a task completed here last.
-    pub completed_at: Timestamp,
-    /// Nothing more is placed on it, and it is returned to the cloud.
+    pub(crate) channel: WorkerChannel,
+    /// Since when it has had no tasks, if it has none.
+    pub(crate) idle_since: Timestamp,
+    /// Jobs whose failures are attributed to it.
+    pub(crate) failures: MachineFailures,
+    /// Why nothing more is placed on it and it is returned to the cloud, if so.
     pub drain_reason: Option<DrainReason>,
-    pub termination_sent_at: Option<Timestamp>,
+    /// When its return to the cloud was requested last.
+    pub(crate) termination_sent_at: Option<Timestamp>,
 }
 
 /// Why a machine is returned to the cloud.
@@ -124,8 +137,100 @@
 }
 
 impl Machine {
+    /// A machine of which nothing but its name is known.
+    pub(crate) fn new(now: Timestamp, name: &str) -> Machine {
+        Machine {
+            name: name.to_owned(),
+            address: String::new(),
+            kind: None,
+            zone: String::new(),
+            spot: false,
+            state: MachineState::Booting,
+            agent_epoch: 0,
+            sequence: 0,
+            expected: false,
+            fence: Fence::default(),
+            hinted_up_at: None,
+            last_heartbeat: now,
+            requested_at: now,
+            interruption_at: None,
+            tasks: BTreeSet::new(),
+            tasks_by_priority: [0; Priority::COUNT],
+            stopping: 0,
+            unexpected_tasks: 0,
+            used: Resources::NONE,
+            images: Vec::new(),
+            channel: WorkerChannel::default(),
+            idle_since: now,
+            failures: MachineFailures::default(),
+            drain_reason: None,
+            termination_sent_at: None,
+        }
+    }
+
+    /// The fencing token that a request to it carries now.
     pub fn token(&self, term: u64) -> u64 {
-        token(term, self.fencing_counter)
+        self.fence.token(term)
+    }
+
+    /// Counts a task that was placed on it. Whether it was not counted before.
+    pub(crate) fn attach(&mut self, task: TaskId, spec: &JobSpec) -> bool {
+        let is_new = self.tasks.insert(task);
+        if is_new {
+            self.used += spec.task();
+            self.tasks_by_priority[spec.priority as usize] += 1;
+        }
+        is_new
+    }
+
+    /// The reverse of [`Machine::attach`]. Whether it was counted.
+    pub(crate) fn detach(&mut self, now: Timestamp, task: TaskId, spec: &JobSpec) -> bool {
+        if !self.tasks.remove(&task) {
+            return false;
+        }
+        self.tasks_by_priority[spec.priority as usize] -= 1;
+        if self.tasks.is_empty() {
+            // Sums of decimals drift; an empty machine is a chance to start from nothing.
+            self.used = Resources::NONE;
+            self.idle_since = now;
+        } else {
+            // Not bounded at zero: what drifts below it is corrected when the machine is empty.
+            self.used += spec.task().times(-1.0);
+        }
+        true
+    }
+
+    /// Counts a task that was told to stop, or no longer is.
+    pub(crate) fn count_stopping(&mut self, before: TaskPhase, after: TaskPhase) {
+        self.stopping += u32::from(after == TaskPhase::Stopping);
+        self.stopping -= u32::from(before == TaskPhase::Stopping && after != TaskPhase::Stopping);
+    }
+
+    /// How many of its tasks are told to stop.
+    pub(crate) fn stopping(&self) -> u32 {
+        self.stopping
+    }
+
+    /// What the tasks on it take.
+    pub fn used(&self) -> Resources {
+        self.used
+    }
+
+    /// Whether the image is on it, or will be.
+    pub(crate) fn has_image(&self, image: &str) -> bool {
+        self.images.iter().any(|known| known == image)
+    }
+
+    /// Notes that the image is on it, or will be. Those used longest ago are forgotten.
+    pub(crate) fn add_image(&mut self, image: String) {
+        if self.images.last() == Some(&image) {
+            return;
+        }
+        self.images.retain(|known| *known != image);
+        self.images.push(image);
+        if self.images.len() > MAX_IMAGES {
+            self.images.remove(0);
+        }
     }
 
     /// The lowest priority that a job gave to one of its tasks.
@@ -134,14 +239,13 @@
         Priority::ALL.get(lowest).copied()
     }
 
-    /// Takes over the token that its worker has seen. Whether the machine no longer owes one.
+    /// Takes over the token that its worker has seen. Whether it owed one until now.
     pub(crate) fn acknowledge(&mut self, now: Timestamp, token: u64) -> bool {
-        self.acknowledged_token = token;
-        if token < self.required_token {
-            return false;
+        let owed = self.fence.acknowledge(token);
+        if !self.fence.owes_required() {
+            self.channel.acknowledged(now);
         }
-        self.channel.acknowledged(now);
-        self.unacknowledged_since.take().is_some()
+        owed
     }
 
     /// Its last heartbeat came again under that sequence number. Whether that is a later one.
@@ -153,11 +257,4 @@
         }
         is_later
     }
-
-    /// Nothing more is started there until it shows that it heard of this.
-    pub(crate) fn raise_fencing_counter(&mut self, now: Timestamp, term: u64) {
-        self.fencing_counter += 1;
-        self.required_token = token(term, self.fencing_counter);
-        self.unacknowledged_since.get_or_insert(now);
-    }
 }
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -3,7 +3,6 @@
 use walnutlug_admission::resources::Resources;
 
 use crate::event::Event;
-use crate::leadership::election::token;
 use crate::model::cluster::TeamUsage;
 use crate::model::job::{Job, JobIndex, TaskId};
 use crate::model::job_spec::{JobSpec, Priority};
@@ -108,7 +107,7 @@
         // last leader left on it. One that has been silent for a while is not trusted either.
         m.state == MachineState::Up
             && m.kind.is_some()
-            && m.acknowledged_token >= token(self.term, 0).max(m.required_token)
+            && m.fence.is_acknowledged(self.term)
             && m.interruption_at.is_none()
             && m.drain_reason.is_none()
             && m.unexpected_tasks == 0
@@ -125,9 +124,9 @@
         (spec.spot || !m.spot)
             && spec.allows_type(&kind.name)
             && spec.zone.as_ref().is_none_or(|z| *z == m.zone)
-            && m.cpus + spec.cpus <= kind.cpus + EPSILON
-            && m.gpus + spec.gpus <= kind.gpus + EPSILON
-            && m.memory + spec.memory_gb <= kind.memory_gb + EPSILON
+            && m.used().cpus + spec.cpus <= kind.cpus + EPSILON
+            && m.used().gpus + spec.gpus <= kind.gpus + EPSILON
+            && m.used().memory_gb + spec.memory_gb <= kind.memory_gb + EPSILON
     }
 
     /// Whether the job's other tasks allow one more in the zone. Every task that is not proven
@@ -176,8 +175,8 @@
             let Some(kind) = m.kind.and_then(|k| self.cluster.machine_types.get(k)) else {
                 continue;
             };
-            let left = (kind.cpus - m.cpus).max(0.0) / kind.cpus.max(EPSILON);
-            let image = m.images.contains(&job.spec.image);
+            let left = (kind.cpus - m.used().cpus).max(0.0) / kind.cpus.max(EPSILON);
+            let image = m.has_image(&job.spec.image);
             let fitness = Fitness {
                 safe: lean && m.spot != quick,
                 ready: waits && image,
@@ -203,9 +202,9 @@
                 continue;
             };
             let by = |free: f64, takes: f64| if takes > 0.0 { free / takes } else { f64::MAX };
-            let n = by(kind.cpus - m.cpus + EPSILON, job.spec.cpus)
-                .min(by(kind.gpus - m.gpus + EPSILON, job.spec.gpus))
-                .min(by(kind.memory_gb - m.memory + EPSILON, job.spec.memory_gb));
+            let n = by(kind.cpus - m.used().cpus + EPSILON, job.spec.cpus)
+                .min(by(kind.gpus - m.used().gpus + EPSILON, job.spec.gpus))
+                .min(by(kind.memory_gb - m.used().memory_gb + EPSILON, job.spec.memory_gb));
             *room.entry(&m.zone).or_default() += n as u32;
         }
         room.into_iter().max_by_key(|&(_, n)| n).map(|(z, _)| z.to_owned())
@@ -262,8 +261,8 @@
     /// Whether the machine has room for that much.
     pub(crate) fn has_room(&self, m: &Machine, task: Resources) -> bool {
         m.kind.and_then(|k| self.cluster.machine_types.get(k)).is_some_and(|kind| {
-            kind.cpus - m.cpus + EPSILON >= task.cpus
-                && kind.memory_gb - m.memory + EPSILON >= task.memory_gb
+            kind.cpus - m.used().cpus + EPSILON >= task.cpus
+                && kind.memory_gb - m.used().memory_gb + EPSILON >= task.memory_gb
         })
     }
 
@@ -329,9 +328,9 @@
         let free = |m: &Machine| {
             let kind = &self.cluster.machine_types[m.kind.unwrap_or_default()];
             let by = |free: f64, takes: f64| if takes > 0.0 { free / takes } else { f64::MAX };
-            by(kind.cpus - m.cpus, job.spec.cpus)
-                .min(by(kind.memory_gb - m.memory, job.spec.memory_gb))
-                .min(by(kind.gpus - m.gpus, job.spec.gpus))
+            by(kind.cpus - m.used().cpus, job.spec.cpus)
+                .min(by(kind.memory_gb - m.used().memory_gb, job.spec.memory_gb))
+                .min(by(kind.gpus - m.used().gpus, job.spec.gpus))
         };
         let usable = |m: &Machine| {
             m.kind
@@ -494,7 +493,7 @@
             // Without work to stop, and none that is stopping, a machine has no more room than when the
             // jobs found none there.
             let may_make_room =
-                m.stopping > 0 || within_guarantee || m.lowest_priority() < Some(highest);
+                m.stopping() > 0 || within_guarantee || m.lowest_priority() < Some(highest);
             if m.tasks.is_empty() || !may_make_room || !self.open_for_work(now, m) {
                 continue;
             }
@@ -504,9 +503,9 @@
             let mut room = PreemptableMachine {
                 machine: machine as MachineIndex,
                 free: Amount {
-                    cpus: kind.cpus - m.cpus,
-                    gpus: kind.gpus - m.gpus,
-                    memory: kind.memory_gb - m.memory,
+                    cpus: kind.cpus - m.used().cpus,
+                    gpus: kind.gpus - m.used().gpus,
+                    memory: kind.memory_gb - m.used().memory_gb,
                 },
                 candidates: Vec::new(),
             };
--- a/crates/scheduler/src/reconciliation/absence.rs
+++ b/crates/scheduler/src/reconciliation/absence.rs
@@ -130,7 +130,7 @@
         let since = *job.started.entry(id.1).or_insert(began);
         job.has_started |= now.since(since) >= STARTED_AFTER;
     }
-    cluster.has_image(machine, image);
+    cluster.machines[machine as usize].add_image(image);
 }
 
 /// A confirmed task that is missing under the very token it was sent with is strange; a raised fencing
@@ -149,6 +149,6 @@
         })
     };
     if !machine.channel.has_request_in_flight() && machine.tasks.iter().any(is_missing) {
-        cluster.machines[index as usize].fencing_counter += 1;
+        cluster.machines[index as usize].fence.raise();
     }
 }
--- a/crates/scheduler/src/reconciliation/failure_detector.rs
+++ b/crates/scheduler/src/reconciliation/failure_detector.rs
@@ -50,8 +50,10 @@
     now.since(leading_since) > silence
         && count > 0
         && up().all(|machine| {
-            let is_unreachable =
-                machine.unacknowledged_since.is_some_and(|since| now.since(since) > silence);
+            let is_unreachable = machine
+                .fence
+                .unacknowledged_since()
+                .is_some_and(|since| now.since(since) > silence);
             is_unreachable || now.since(machine.last_heartbeat) > silence
         })
 }
@@ -129,7 +131,8 @@
 /// an acknowledgement has twice the time: it may be the answer alone that was late.
 fn lost_for(machine: &Machine, now: Timestamp) -> TimeDelta {
     let unreachable_for = machine
-        .unacknowledged_since
+        .fence
+        .unacknowledged_since()
         .map_or(TimeDelta::ZERO, |since| TimeDelta(now.since(since).0 / 2));
     now.since(machine.last_heartbeat).max(unreachable_for)
 }
--- a/crates/scheduler/src/reconciliation/machine_status.rs
+++ b/crates/scheduler/src/reconciliation/machine_status.rs
@@ -24,7 +24,7 @@
     // Anything else may be a copy, minutes old, that reached a leader which never saw the newer ones:
     // the machine is asked, and nothing else is concluded.
     let proves_alive = source == HeartbeatSource::DirectAnswer || heartbeat.token >= first_token;
-    let had_seen_term = cluster.machines[index as usize].acknowledged_token >= first_token;
+    let had_seen_term = cluster.machines[index as usize].fence.acknowledged() >= first_token;
     update_agent(cluster, now, index, heartbeat, source);
     update_description(cluster, now, index, heartbeat, proves_alive);
     if !proves_alive {
@@ -59,7 +59,7 @@
         machine.channel.discard_commands();
         if machine.agent_epoch > 0 && source == HeartbeatSource::Connection {
             // Its lease ran out though its heartbeats arrive: answers may not reach it.
-            machine.raise_fencing_counter(now, term);
+            machine.fence.raise_required(now, term);
         }
     }
     machine.agent_epoch = heartbeat.agent_epoch;
--- a/crates/scheduler/src/reconciliation/repeated_heartbeats.rs
+++ b/crates/scheduler/src/reconciliation/repeated_heartbeats.rs
@@ -17,7 +17,6 @@
 
 use std::collections::BTreeSet;
 
-use crate::leadership::election::token;
 use crate::model::cluster::Cluster;
 use crate::model::job::TaskId;
 use crate::model::machine::{Machine, MachineState};
@@ -87,9 +86,9 @@
 
 /// The answer raises no token, and the machine owes none.
 fn owes_no_token(machine: &Machine, term: u64, heartbeat: &Heartbeat) -> bool {
-    heartbeat.token == machine.acknowledged_token
+    heartbeat.token == machine.fence.acknowledged()
         && heartbeat.token == machine.token(term)
-        && heartbeat.token >= token(term, 0).max(machine.required_token)
+        && machine.fence.is_acknowledged(term)
 }
 
 /// Nothing about the machine asks for more than its lease to be renewed.
@@ -98,7 +97,7 @@
         && machine.kind.is_some()
         && machine.interruption_at.is_none()
         && heartbeat.interruption_notice_s.is_none()
-        && machine.unacknowledged_since.is_none()
+        && machine.fence.unacknowledged_since().is_none()
         && machine.unexpected_tasks == 0
         && !machine.channel.is_paused(now)
 }
--- a/crates/scheduler/src/reconciliation/response.rs
+++ b/crates/scheduler/src/reconciliation/response.rs
@@ -34,7 +34,7 @@
     let machine = &mut cluster.machines[index as usize];
     let token = machine.token(term);
     if token > heartbeat.token {
-        machine.token_sent_at = now;
+        machine.fence.sent_in_answer(now);
     }
     (HeartbeatAnswer { token, commands }, None)
 }
@@ -122,8 +122,8 @@
 fn fence_starts(cluster: &mut Cluster, machine: MachineIndex) -> bool {
     let term = cluster.term;
     let machine = &mut cluster.machines[machine as usize];
-    if machine.token(term) <= machine.start_token && !machine.channel.has_request_in_flight() {
-        machine.fencing_counter += 1;
+    if !machine.fence.is_above_starts(term) && !machine.channel.has_request_in_flight() {
+        machine.fence.raise();
     }
-    machine.token(term) > machine.start_token
+    machine.fence.is_above_starts(term)
 }
--- a/crates/scheduler/src/reconciliation/task_ends.rs
+++ b/crates/scheduler/src/reconciliation/task_ends.rs
@@ -86,13 +86,12 @@
     /// was not at fault where it failed before.
     fn clear_failures(&mut self, job_index: JobIndex, machine: MachineIndex) {
         let completed_on = &mut self.cluster.machines[machine as usize];
-        completed_on.failures.clear();
-        completed_on.completed_at = self.now;
+        completed_on.failures.task_completed(self.now);
         let Some(job) = self.cluster.job(job_index).filter(|job| job.done == 0) else { return };
         let failed_on: Vec<(MachineIndex, Timestamp)> =
             job.error_machines.iter().map(|(&other, &at)| (other, at)).collect();
         for (other, failed_at) in failed_on {
-            if self.cluster.machines[other as usize].completed_at < failed_at {
+            if !self.cluster.machines[other as usize].failures.completed_since(failed_at) {
                 self.attribute_to_machine(other, job_index);
             }
         }
@@ -113,7 +112,7 @@
         let task = format!("{}/{}", job.name, id.1);
         if job_is_suspect {
             for &other in job.error_machines.keys() {
-                self.cluster.machines[other as usize].failures.remove(&id.0);
+                self.cluster.machines[other as usize].failures.exonerate(id.0);
             }
         }
         let machine_name = self.cluster.machines[machine as usize].name.clone();
@@ -126,8 +125,8 @@
     /// The job failed on the machine, and not by its own fault as far as is known.
     fn attribute_to_machine(&mut self, index: MachineIndex, job: JobIndex) {
         let machine = &mut self.cluster.machines[index as usize];
-        machine.failures.insert(job);
-        if machine.failures.len() as u32 >= self.sick_after && machine.drain_reason.is_none() {
+        let failed_jobs = machine.failures.attribute(job);
+        if failed_jobs as u32 >= self.sick_after && machine.drain_reason.is_none() {
             self.events.push(drain(machine, DrainReason::FailsTasks));
         }
     }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -193,12 +193,12 @@
                 self.transactions.planned_chunks += usize::from(due.is_none());
                 due.get_or_insert(now);
                 self.transactions.counts.tasks_placed += 1;
-                let images = &self.cluster.machines[machine as usize].images;
+                let placed_on = &self.cluster.machines[machine as usize];
                 self.transactions.counts.image_cached +=
-                    usize::from(images.contains(&job.spec.image));
+                    usize::from(placed_on.has_image(&job.spec.image));
                 // It will be there once fetched; the next task for it need not fetch it elsewhere.
                 let image = job.spec.image.clone();
-                self.cluster.has_image(machine, image);
+                self.cluster.machines[machine as usize].add_image(image);
             }
         }
     }
--- a/crates/scheduler/src/scheduler/machine_health.rs
+++ b/crates/scheduler/src/scheduler/machine_health.rs
@@ -63,7 +63,7 @@
             .filter(|machine| self.open_for_work(now, machine))
             .filter_map(|machine| {
                 let machine_type = self.cluster.machine_types.get(machine.kind?)?;
-                Some((machine_type.cpus - machine.cpus).max(0.0))
+                Some((machine_type.cpus - machine.used().cpus).max(0.0))
             })
             .sum();
         for eviction in health::evictions(&self.cluster, &self.run_times, now, free_cpus) {
--- a/crates/scheduler/src/storage/records.rs
+++ b/crates/scheduler/src/storage/records.rs
@@ -200,7 +200,7 @@
             let m = self.cluster.machine_named(now, &machine);
             self.cluster.attach((ix, index), m);
             if let Some(image) = self.cluster.job(ix).map(|j| j.spec.image.clone()) {
-                self.cluster.has_image(m, image);
+                self.cluster.machines[m as usize].add_image(image);
             }
         }
     }
--- a/crates/scheduler/tests/autoscaling.rs
+++ b/crates/scheduler/tests/autoscaling.rs
@@ -202,7 +202,7 @@
     }
     let mut rounds = 0;
     let seen =
-        |w: &World| w.leader.cluster.machines.iter().filter(|m| m.acknowledged_token > 0).count();
+        |w: &World| w.leader.cluster.machines.iter().filter(|m| m.fence.acknowledged() > 0).count();
     while seen(&w) < 2_060 {
         rounds += 1;
         assert!(rounds < 90, "{} of 2,060 asked after 90 rounds", seen(&w));
--- a/crates/scheduler/tests/fleet_size.rs
+++ b/crates/scheduler/tests/fleet_size.rs
@@ -102,8 +102,13 @@
     let token = world.token_now();
     let mut messages = 0;
     for round in 0.. {
-        let heard =
-            world.leader.cluster.machines.iter().filter(|m| m.acknowledged_token >= token).count();
+        let heard = world
+            .leader
+            .cluster
+            .machines
+            .iter()
+            .filter(|m| m.fence.acknowledged() >= token)
+            .count();
         assert!(round < 120, "{heard} are heard after {round} rounds, {messages} messages");
         world.wait(150);
         world.tick();
@@ -123,7 +128,8 @@
                 _ => {}
             }
         }
-        if world.leader.cluster.machines.iter().all(|machine| machine.acknowledged_token >= token) {
+        if world.leader.cluster.machines.iter().all(|machine| machine.fence.acknowledged() >= token)
+        {
             break;
         }
     }
--- a/crates/scheduler/tests/task_starts.rs
+++ b/crates/scheduler/tests/task_starts.rs
@@ -103,7 +103,7 @@
     let (id, transaction) = w.take_commit();
     let outcome = w.store.apply(&transaction);
     w.leader.transaction_answered(w.now, id, outcome);
-    w.leader.cluster.machines[0].fencing_counter += 1;
+    w.leader.cluster.machines[0].fence.raise();
     w.heartbeat("n-1");
     w.heartbeat("n-1");
     assert_eq!((w.phase(JOB, 0), w.attempt(JOB, 0)), (TaskPhase::Dispatching, 1));
--- a/crates/scheduler/tests/untrusted_reports.rs
+++ b/crates/scheduler/tests/untrusted_reports.rs
@@ -117,14 +117,14 @@
         (
             after.agent_epoch,
             after.sequence,
-            after.acknowledged_token,
+            after.fence.acknowledged(),
             after.last_heartbeat,
             after.interruption_at
         ),
         (
             before.agent_epoch,
             before.sequence,
-            before.acknowledged_token,
+            before.fence.acknowledged(),
             before.last_heartbeat,
             None
         )
@@ -213,7 +213,7 @@
     assert!(commands.contains(&Command::VerifyLeadership));
     let notes = commands.iter().filter(|c| matches!(c, Command::Log(_))).count();
     assert_eq!(notes, 1, "logged once");
-    assert_eq!(machine(&w, "n-1").acknowledged_token, before.acknowledged_token);
+    assert_eq!(machine(&w, "n-1").fence.acknowledged(), before.fence.acknowledged());
 }
 
 /// Cut off from the key-value store and the other nodes, but not from its workers.
