--- a/crates/scheduler/src/reconciliation/absence.rs
+++ b/crates/scheduler/src/reconciliation/absence.rs
@@ -6,8 +6,8 @@
 use crate::model::job::TaskId;
 use crate::model::task::{MachineIndex, Task, TaskEvent};
 use crate::protocol::workers::{ExitReason, Heartbeat, TaskState, TaskStatus};
+use crate::reconciliation::heartbeats::Reconciler;
 use crate::reconciliation::reported_tasks::ReportedTasks;
-use crate::reconciliation::task_ends::TaskEnds;
 use crate::time::{TimeDelta, Timestamp};
 
 /// A start counts for the job's users if it is not stopped again within half a minute.
@@ -76,30 +76,30 @@
 /// Merges what the heartbeat shows of the tasks that the tables place on its machine. Whether any of
 /// them is no longer there.
 pub(crate) fn merge_placed_tasks(
-    ends: &mut TaskEnds,
+    reconciler: &mut Reconciler,
     machine: MachineIndex,
     heartbeat: &Heartbeat,
     reported: &ReportedTasks,
 ) -> bool {
     let placed: Vec<TaskId> =
-        ends.cluster.machines[machine as usize].tasks.iter().copied().collect();
+        reconciler.cluster.machines[machine as usize].tasks.iter().copied().collect();
     let mut any_ended = false;
     for id in placed {
-        let Some(job) = ends.cluster.job(id.0) else { continue };
+        let Some(job) = reconciler.cluster.job(id.0) else { continue };
         let task = job.tasks[id.1 as usize];
         match Evidence::of(id, &task, heartbeat, reported) {
             Evidence::Present(entry) => {
                 if let Some(entry) = entry {
-                    observed(ends.cluster, ends.now, machine, id, entry.state);
+                    observed(reconciler.cluster, reconciler.now, machine, id, entry.state);
                 }
             }
             Evidence::Exited(reason) => {
                 any_ended = true;
-                ends.exited(id, machine, reason);
+                reconciler.task_exited(id, machine, reason);
             }
             Evidence::ProvenAbsent => {
                 any_ended = true;
-                ends.cluster.apply(ends.now, id, TaskEvent::ProvenAbsent);
+                reconciler.cluster.apply(reconciler.now, id, TaskEvent::ProvenAbsent);
             }
             Evidence::Inconclusive => {}
         }
--- a/crates/scheduler/src/reconciliation/heartbeats.rs
+++ b/crates/scheduler/src/reconciliation/heartbeats.rs
@@ -1,14 +1,17 @@
 //! What a worker's heartbeat proves, step by step: completions always count, everything else only in
 //! the newest heartbeat of its machine.
 
+use crate::dispatch::Messages;
 use crate::event::{Anomaly, Event};
 use crate::leadership::election::term_of;
+use crate::model::cluster::Cluster;
 use crate::model::machine::MachineState;
+use crate::model::run_times::RunTimes;
 use crate::model::task::MachineIndex;
 use crate::protocol::workers::{ExitReason, Heartbeat, WorkerCommand};
 use crate::reconciliation::reported_tasks::ReportedTasks;
-use crate::reconciliation::task_ends::TaskEnds;
 use crate::reconciliation::{absence, machine_status};
+use crate::time::Timestamp;
 
 /// How a heartbeat came.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -46,59 +49,74 @@
     CancellationsUnknown,
 }
 
-/// Merges a heartbeat into the tables; the place of its machine. An older heartbeat adds completions and
-/// changes nothing else.
-pub(crate) fn reconcile(
-    ends: &mut TaskEnds,
-    heartbeat: &Heartbeat,
-    reported: &ReportedTasks,
-    source: HeartbeatSource,
-) -> MachineIndex {
-    let index = ends.cluster.machine_named(ends.now, &heartbeat.machine);
-    let machine = &ends.cluster.machines[index as usize];
-    if machine.state == MachineState::Terminated {
-        return index;
-    }
-    let is_newer =
-        (heartbeat.agent_epoch, heartbeat.sequence) > (machine.agent_epoch, machine.sequence);
-    record_completions(ends, index, reported);
-    if !is_newer {
-        return index;
-    }
-    ends.cluster.invalidate_cached_heartbeat(index);
-    // A heartbeat under a newer term is another leader's to judge.
-    if term_of(heartbeat.token) <= ends.cluster.term {
-        merge_newest(ends, index, heartbeat, reported, source);
-    }
-    index
+/// Merges heartbeats into the tables at one point in time, with the owners that this changes. The ends of
+/// attempts are applied in [`crate::reconciliation::task_ends`].
+pub(crate) struct Reconciler<'a> {
+    pub(crate) now: Timestamp,
+    /// How many jobs have to fail on a machine, before anything completes there, for it to be drained.
+    pub(crate) sick_after: u32,
+    pub(crate) cluster: &'a mut Cluster,
+    pub(crate) messages: &'a mut Messages,
+    pub(crate) run_times: &'a mut RunTimes,
+    /// What happened, for the log.
+    pub(crate) events: Vec<Event>,
 }
 
-/// A completion is final, however late the heartbeat that shows it.
-fn record_completions(ends: &mut TaskEnds, machine: MachineIndex, reported: &ReportedTasks) {
-    for entry in reported.iter().filter(|entry| !entry.is_live()) {
-        if let (Some(id), Some(ExitReason::Done)) = (entry.id, entry.status.cause) {
-            ends.completed(id, machine, entry.status.attempt);
+impl Reconciler<'_> {
+    /// Merges a heartbeat into the tables; the index of its machine. An older heartbeat adds completions
+    /// and changes nothing else.
+    pub(crate) fn reconcile(
+        &mut self,
+        heartbeat: &Heartbeat,
+        reported: &ReportedTasks,
+        source: HeartbeatSource,
+    ) -> MachineIndex {
+        let index = self.cluster.machine_named(self.now, &heartbeat.machine);
+        let machine = &self.cluster.machines[index as usize];
+        if machine.state == MachineState::Terminated {
+            return index;
+        }
+        let is_newer =
+            (heartbeat.agent_epoch, heartbeat.sequence) > (machine.agent_epoch, machine.sequence);
+        self.record_completions(index, reported);
+        if !is_newer {
+            return index;
+        }
+        self.cluster.invalidate_cached_heartbeat(index);
+        // A heartbeat under a newer term is another leader's to judge.
+        if term_of(heartbeat.token) <= self.cluster.term {
+            self.merge_newest(index, heartbeat, reported, source);
+        }
+        index
+    }
+
+    /// A completion is final, however late the heartbeat that shows it.
+    fn record_completions(&mut self, machine: MachineIndex, reported: &ReportedTasks) {
+        for entry in reported.iter().filter(|entry| !entry.is_live()) {
+            if let (Some(id), Some(ExitReason::Done)) = (entry.id, entry.status.cause) {
+                self.task_completed(id, machine, entry.status.attempt);
+            }
         }
     }
-}
 
-/// Merges the newest heartbeat of a machine.
-fn merge_newest(
-    ends: &mut TaskEnds,
-    machine: MachineIndex,
-    heartbeat: &Heartbeat,
-    reported: &ReportedTasks,
-    source: HeartbeatSource,
-) {
-    let notice = machine_status::update(ends.cluster, ends.now, machine, heartbeat, source);
-    ends.events.extend(notice);
-    ends.messages.enqueue(ends.cluster, machine);
-    let unexpected_changed = absence::update_unexpected_tasks(ends.cluster, machine, reported);
-    if ends.cluster.machines[machine as usize].unexpected_tasks > 0 {
-        let (name, kind) = (heartbeat.machine.clone(), Anomaly::UnexpectedTasks);
-        ends.events.push(Event::Anomaly { name, kind });
+    /// Merges the newest heartbeat of a machine.
+    fn merge_newest(
+        &mut self,
+        machine: MachineIndex,
+        heartbeat: &Heartbeat,
+        reported: &ReportedTasks,
+        source: HeartbeatSource,
+    ) {
+        let notice = machine_status::update(self.cluster, self.now, machine, heartbeat, source);
+        self.events.extend(notice);
+        self.messages.enqueue(self.cluster, machine);
+        let unexpected_changed = absence::update_unexpected_tasks(self.cluster, machine, reported);
+        if self.cluster.machines[machine as usize].unexpected_tasks > 0 {
+            let (name, kind) = (heartbeat.machine.clone(), Anomaly::UnexpectedTasks);
+            self.events.push(Event::Anomaly { name, kind });
+        }
+        let any_ended = absence::merge_placed_tasks(self, machine, heartbeat, reported);
+        absence::raise_fence_for_missing_tasks(self.cluster, machine, reported);
+        self.cluster.placement_needed |= unexpected_changed || any_ended;
     }
-    let any_ended = absence::merge_placed_tasks(ends, machine, heartbeat, reported);
-    absence::raise_fence_for_missing_tasks(ends.cluster, machine, reported);
-    ends.cluster.placement_needed |= unexpected_changed || any_ended;
 }
--- a/crates/scheduler/src/reconciliation/task_ends.rs
+++ b/crates/scheduler/src/reconciliation/task_ends.rs
@@ -1,15 +1,13 @@
 //! What it means that an attempt ended: completions, failures, and which machine or job a failure is
 //! attributed to.
 
-use crate::dispatch::Messages;
 use crate::event::Event;
-use crate::model::cluster::Cluster;
 use crate::model::job::{JobIndex, TaskId};
 use crate::model::machine::DrainReason;
-use crate::model::run_times::RunTimes;
 use crate::model::task::{MachineIndex, TaskEvent, TaskPhase};
 use crate::protocol::workers::ExitReason;
 use crate::reconciliation::health::drain;
+use crate::reconciliation::heartbeats::Reconciler;
 use crate::time::{TimeDelta, Timestamp};
 
 /// How long a job waits after a worker refused a start of it.
@@ -17,21 +15,9 @@
 /// The pause of a job that fails on machine after machine doubles up to 2 to this power, in seconds.
 const MAX_FAILURE_BACKOFF_EXPONENT: u32 = 5;
 
-/// Applies the ends of attempts to the tables, at one point in time.
-pub(crate) struct TaskEnds<'a> {
-    pub(crate) now: Timestamp,
-    /// Jobs that fail on a machine, before anything completes there, until it is drained.
-    pub(crate) sick_after: u32,
-    pub(crate) cluster: &'a mut Cluster,
-    pub(crate) messages: &'a mut Messages,
-    pub(crate) run_times: &'a mut RunTimes,
-    /// What happened, for the log.
-    pub(crate) events: Vec<Event>,
-}
-
-impl TaskEnds<'_> {
+impl Reconciler<'_> {
     /// The attempt ran to its end on the machine.
-    pub(crate) fn completed(&mut self, id: TaskId, machine: MachineIndex, attempt: u64) {
+    pub(crate) fn task_completed(&mut self, id: TaskId, machine: MachineIndex, attempt: u64) {
         let Some(job) = self.cluster.job(id.0) else { return };
         let Some(task) = job.tasks.get(id.1 as usize) else { return };
         if task.phase == TaskPhase::Done || attempt > u64::from(task.attempt) {
@@ -57,13 +43,15 @@
     }
 
     /// The attempt ended on its machine for another reason than completion.
-    pub(crate) fn exited(&mut self, id: TaskId, machine: MachineIndex, reason: ExitReason) {
+    pub(crate) fn task_exited(&mut self, id: TaskId, machine: MachineIndex, reason: ExitReason) {
         if reason == ExitReason::Done {
             return;
         }
         self.cluster.apply(self.now, id, TaskEvent::ProvenAbsent);
         match reason {
-            ExitReason::Error | ExitReason::Unknown | ExitReason::Other => self.failed(id, machine),
+            ExitReason::Error | ExitReason::Unknown | ExitReason::Other => {
+                self.task_failed(id, machine)
+            }
             ExitReason::NoRoom | ExitReason::InUse => {
                 if let Some(job) = self.cluster.jobs.get_mut(&id.0) {
                     job.not_before = self.now + REFUSED_START_PAUSE;
@@ -98,7 +86,7 @@
     }
 
     /// The attempt ended with an error.
-    fn failed(&mut self, id: TaskId, machine: MachineIndex) {
+    fn task_failed(&mut self, id: TaskId, machine: MachineIndex) {
         let Some(job) = self.cluster.jobs.get_mut(&id.0) else { return };
         job.error_machines.insert(machine, self.now);
         // A job that fails on machine after machine, and completes nowhere, is at fault itself: it
--- a/crates/scheduler/src/scheduler/worker_events.rs
+++ b/crates/scheduler/src/scheduler/worker_events.rs
@@ -8,10 +8,9 @@
 use crate::protocol::workers::Heartbeat;
 use crate::reconciliation::heartbeat_cache::{CacheHolder, CachedHeartbeat};
 use crate::reconciliation::heartbeats::{
-    reconcile, HeartbeatAnswer, HeartbeatRefusal, HeartbeatSource,
+    HeartbeatAnswer, HeartbeatRefusal, HeartbeatSource, Reconciler,
 };
 use crate::reconciliation::reported_tasks::ReportedTasks;
-use crate::reconciliation::task_ends::TaskEnds;
 use crate::reconciliation::{machine_loss, repeated_heartbeats, response};
 use crate::scheduler::Scheduler;
 use crate::time::{TimeDelta, Timestamp};
@@ -71,7 +70,7 @@
         reported: &ReportedTasks,
         source: HeartbeatSource,
     ) -> MachineIndex {
-        let mut ends = TaskEnds {
+        let mut reconciler = Reconciler {
             now,
             sick_after: self.tunables.sick_after,
             cluster: &mut self.cluster,
@@ -79,8 +78,8 @@
             run_times: &mut self.run_times,
             events: Vec::new(),
         };
-        let machine = reconcile(&mut ends, heartbeat, reported, source);
-        let events = ends.events;
+        let machine = reconciler.reconcile(heartbeat, reported, source);
+        let events = reconciler.events;
         self.log_all(events);
         machine
     }
