--- a/crates/scheduler/src/dispatch/channel.rs
+++ b/crates/scheduler/src/dispatch/channel.rs
@@ -123,3 +123,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/scheduler/src/dispatch/channel/tests.rs
@@ -0,0 +1,47 @@
+//! The pause after lost requests, and what a request takes along.
+
+use super::{SentStart, WorkerChannel};
+use crate::protocol::workers::WorkerCommand;
+use crate::time::{TimeDelta, Timestamp};
+
+const NOW: Timestamp = Timestamp(1_000_000);
+
+fn kill() -> WorkerCommand {
+    WorkerCommand::Kill { task: "req-000001/0".to_owned(), attempt: 1, grace_s: 0.0 }
+}
+
+#[test]
+fn the_pause_doubles_four_times() {
+    let mut channel = WorkerChannel::default();
+    for expected_s in [1, 2, 4, 8, 16, 16] {
+        channel.request_lost(NOW, TimeDelta::from_secs(1));
+        let end = NOW + TimeDelta::from_secs(expected_s);
+        assert!(channel.is_paused(end - TimeDelta(1)) && !channel.is_paused(end), "{expected_s}");
+    }
+    channel.request_answered();
+    channel.request_lost(NOW, TimeDelta::from_secs(1));
+    assert!(!channel.is_paused(NOW + TimeDelta::from_secs(1)));
+}
+
+#[test]
+fn an_acknowledgement_ends_the_pause_after_one_loss_alone() {
+    let mut channel = WorkerChannel::default();
+    channel.request_lost(NOW, TimeDelta::from_secs(1));
+    channel.acknowledged(NOW);
+    assert!(!channel.is_paused(NOW));
+    channel.request_lost(NOW, TimeDelta::from_secs(1));
+    channel.acknowledged(NOW);
+    assert!(channel.is_paused(NOW));
+}
+
+#[test]
+fn a_request_takes_all_commands_and_keeps_its_starts() {
+    let mut channel = WorkerChannel::default();
+    channel.push(kill());
+    channel.push_missing(vec![kill()]);
+    let start = SentStart { task: (1, 0), attempt: 1 };
+    assert_eq!(channel.begin_request(vec![start]), [kill()]);
+    assert!(channel.has_request_in_flight() && !channel.has_commands());
+    assert_eq!(channel.end_request(), Some(vec![start]));
+    assert_eq!(channel.end_request(), None, "each outcome counts once");
+}
--- a/crates/scheduler/src/model/cluster.rs
+++ b/crates/scheduler/src/model/cluster.rs
@@ -157,7 +157,7 @@
         self.shares.task_placed(job.share_class, job.spec.task());
     }
 
-    /// The reverse of [`Scheduler::attach`]; only called on proof.
+    /// The reverse of [`Cluster::attach`]; only called on proof.
     pub(crate) fn detach(&mut self, now: Timestamp, id: TaskId) {
         let Some(job) = self.jobs.get_mut(&id.0) else { return };
         let machine = &mut self.machines[job.tasks[id.1 as usize].machine as usize];
--- a/crates/scheduler/src/model/machine.rs
+++ b/crates/scheduler/src/model/machine.rs
@@ -64,8 +64,7 @@
     pub(crate) requested_at: Timestamp,
     /// When the cloud will take it, by its interruption notice.
     pub interruption_at: Option<Timestamp>,
-    /// Tasks that are placed on it and not proven absent. Changed by [`Machine::attach`] and
-    /// [`Machine::detach`] alone.
+    /// Tasks that are placed on it and not proven absent. Changed by `attach` and `detach` alone.
     pub tasks: BTreeSet<TaskId>,
     /// How many of them the jobs gave each priority to, the lowest first. A job may count with a higher
     /// one that needs it, never with a lower one.
--- a/crates/scheduler/src/model/machine/fence.rs
+++ b/crates/scheduler/src/model/machine/fence.rs
@@ -88,3 +88,6 @@
         self.token(term) > self.highest_start
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/scheduler/src/reconciliation/heartbeat_cache.rs
+++ b/crates/scheduler/src/reconciliation/heartbeat_cache.rs
@@ -103,3 +103,6 @@
         self.entries.get(&cached.machine).filter(|entry| entry.number == cached.number)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/scheduler/src/reconciliation/heartbeat_cache/tests.rs
@@ -0,0 +1,45 @@
+//! How entries end, and who is told.
+
+use super::{CacheInvalidation, HeartbeatCache, OWN_NODE};
+use crate::time::{TimeDelta, Timestamp};
+
+const TERM: u64 = 7;
+const FOLLOWER: u16 = 3;
+const NOW: Timestamp = Timestamp(1_000_000);
+
+#[test]
+fn an_entry_is_valid_until_its_expiry() {
+    let mut cache = HeartbeatCache::new(TERM);
+    let expires_at = NOW + TimeDelta::from_secs(2);
+    let cached = cache.insert(4, OWN_NODE, expires_at);
+    assert!(cache.is_valid(NOW, cached));
+    assert_eq!(cache.valid_for(NOW, cached), TimeDelta::from_secs(2));
+    assert!(!cache.is_valid(expires_at, cached));
+    let of_another_term = super::CachedHeartbeat { term: TERM + 1, ..cached };
+    assert!(!cache.is_valid(NOW, of_another_term));
+}
+
+#[test]
+fn an_entry_replaced_by_a_later_one_is_invalidated() {
+    let mut cache = HeartbeatCache::new(TERM);
+    let first = cache.insert(4, FOLLOWER, Timestamp(u64::MAX));
+    let second = cache.insert(4, OWN_NODE, Timestamp(u64::MAX));
+    assert!(!cache.is_valid(NOW, first));
+    assert_eq!(cache.valid_for(NOW, first), TimeDelta::ZERO);
+    assert!(cache.is_valid(NOW, second));
+    let told = CacheInvalidation { holder: FOLLOWER, cached: first };
+    assert_eq!(cache.take_invalidations(), [told]);
+}
+
+#[test]
+fn each_other_holder_is_told_once_and_in_order() {
+    let mut cache = HeartbeatCache::new(TERM);
+    let entries = [5, 4].map(|machine| cache.insert(machine, FOLLOWER, Timestamp(u64::MAX)));
+    cache.insert(6, OWN_NODE, Timestamp(u64::MAX));
+    for machine in [6, 5, 4, 5, 9] {
+        cache.invalidate(machine);
+    }
+    let told = entries.map(|cached| CacheInvalidation { holder: FOLLOWER, cached });
+    assert_eq!(cache.take_invalidations(), told);
+    assert!(cache.take_invalidations().is_empty());
+}
