--- a/crates/scheduler/src/command.rs
+++ b/crates/scheduler/src/command.rs
@@ -1,9 +1,11 @@
 //! What the scheduler wants done, and what became of it.
 
 use crate::event::Event;
-use crate::model::task::MachineIndex;
+use crate::leadership::fencing_token::FencingToken;
+use crate::model::ids::{AgentEpoch, MachineIndex};
 use crate::protocol::key_value::Transaction;
 use crate::protocol::workers::{Heartbeat, WorkerCommand};
+use crate::storage::revision::Revision;
 
 /// Something for the sockets to do.
 #[derive(Debug, Clone, PartialEq)]
@@ -26,8 +28,8 @@
     SendToWorker {
         machine: MachineIndex,
         address: String,
-        token: u64,
-        agent_epoch: u64,
+        token: FencingToken,
+        agent_epoch: AgentEpoch,
         calls: Vec<WorkerCommand>,
     },
     ScaleOut {
@@ -51,7 +53,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum TransactionOutcome {
     Committed {
-        revision: u64,
+        revision: Revision,
     },
     Conflict {
         failed: Vec<String>,
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -7,10 +7,12 @@
 use crate::command::{Command, MessageOutcome};
 use crate::dispatch::channel::SentStart;
 use crate::dispatch::starts::{ReleasedStarts, StartGate};
+use crate::leadership::fencing_token::{FencingToken, Term};
 use crate::model::cluster::Cluster;
+use crate::model::ids::MachineIndex;
 use crate::model::job::TaskId;
 use crate::model::machine::{Machine, MachineState};
-use crate::model::task::{MachineIndex, TaskEvent, TaskPhase};
+use crate::model::task::{TaskEvent, TaskPhase};
 use crate::protocol::workers::{Heartbeat, WorkerCommand};
 use crate::reconciliation::response::MAX_COMMANDS;
 use crate::scheduler::OVERDUE;
@@ -103,7 +105,7 @@
 
     /// Something may have to be sent to the machine.
     pub(crate) fn enqueue(&mut self, cluster: &mut Cluster, machine: MachineIndex) {
-        if cluster.machines[machine as usize].channel.mark_queued() {
+        if cluster.machines[machine].channel.mark_queued() {
             self.send_queue.push(machine);
         }
     }
@@ -118,7 +120,7 @@
     ) {
         let Some(job) = cluster.job(id.0) else { return };
         let task = job.tasks[id.1 as usize];
-        if task.phase == TaskPhase::Dispatching && task.token == 0 {
+        if task.phase == TaskPhase::Dispatching && task.token == FencingToken::NONE {
             // Not sent yet, and with the job over or the task wanted elsewhere it never will be:
             // the outcome of its transaction takes it back.
             return;
@@ -127,9 +129,9 @@
         if !cluster.apply(now, id, TaskEvent::Stop) {
             return;
         }
-        let machine = &mut cluster.machines[task.machine as usize];
+        let machine = &mut cluster.machines[task.machine];
         if machine.state == MachineState::Up {
-            let attempt = u64::from(task.attempt);
+            let attempt = task.attempt;
             machine.channel.push(WorkerCommand::Kill { task: name, attempt, grace_s });
             self.enqueue(cluster, task.machine);
         }
@@ -139,15 +141,15 @@
     pub(crate) fn start_stored(&mut self, cluster: &mut Cluster, id: TaskId) {
         let Some(job) = cluster.job(id.0) else { return };
         let task = job.tasks[id.1 as usize];
-        if task.phase == TaskPhase::Dispatching && task.token == 0 {
-            cluster.machines[task.machine as usize].channel.push_start(id);
+        if task.phase == TaskPhase::Dispatching && task.token == FencingToken::NONE {
+            cluster.machines[task.machine].channel.push_start(id);
             self.enqueue(cluster, task.machine);
         }
     }
 
     /// The machine is gone: nothing that waits for it is ever sent.
     pub(crate) fn discard(&mut self, cluster: &mut Cluster, now: Timestamp, machine: MachineIndex) {
-        cluster.machines[machine as usize].channel.discard_commands();
+        cluster.machines[machine].channel.discard_commands();
         starts::retract_all(cluster, now, machine);
     }
 
@@ -181,10 +183,10 @@
     fn take_candidates(&mut self, cluster: &mut Cluster, is_sweep: bool) -> Vec<MachineIndex> {
         let queued = std::mem::take(&mut self.send_queue);
         for &index in &queued {
-            cluster.machines[index as usize].channel.mark_dequeued();
+            cluster.machines[index].channel.mark_dequeued();
         }
         if is_sweep {
-            (0..cluster.machines.len() as MachineIndex).collect()
+            cluster.machine_indices().collect()
         } else {
             queued
         }
@@ -192,7 +194,7 @@
 
     fn examine(&self, cluster: &mut Cluster, pass: &SendPass, index: MachineIndex) -> Need {
         let now = pass.gate.now;
-        let machine = &cluster.machines[index as usize];
+        let machine = &cluster.machines[index];
         let can_send = self.can_send(machine, now, pass.site);
         let owes_token = owes_token(machine, cluster.term, now);
         // One whose heartbeat is overdue is asked: if it answers it is not silent, and if it doesn't
@@ -205,7 +207,7 @@
         if !can_send {
             return Need::Nothing;
         }
-        let has_commands = cluster.machines[index as usize].channel.has_commands();
+        let has_commands = cluster.machines[index].channel.has_commands();
         if has_commands || !released.starts.is_empty() {
             return Need::Request(released);
         }
@@ -241,7 +243,7 @@
     ) -> Vec<MachineIndex> {
         let room = max_questions.saturating_sub(self.in_flight);
         if machines.len() > room {
-            machines.sort_unstable_by_key(|&ix| cluster.machines[ix as usize].last_heartbeat);
+            machines.sort_unstable_by_key(|&ix| cluster.machines[ix].last_heartbeat);
             machines.truncate(room);
         }
         machines
@@ -255,7 +257,7 @@
         released: ReleasedStarts,
     ) -> Command {
         self.in_flight += 1;
-        let machine = &mut cluster.machines[index as usize];
+        let machine = &mut cluster.machines[index];
         let mut calls = machine.channel.begin_request(released.starts);
         calls.extend(released.commands);
         Command::SendToWorker {
@@ -275,7 +277,7 @@
         index: MachineIndex,
         outcome: MessageOutcome,
     ) -> Option<Box<Heartbeat>> {
-        let request = cluster.machines.get_mut(index as usize)?.channel.end_request();
+        let request = cluster.machines.get_mut(index.as_usize())?.channel.end_request();
         if request.is_some() {
             self.in_flight = self.in_flight.saturating_sub(1);
         }
@@ -283,7 +285,7 @@
         match outcome {
             MessageOutcome::Answered(heartbeat) => {
                 (self.last_answered, self.lost_in_a_row) = (now, 0);
-                let machine = &mut cluster.machines[index as usize];
+                let machine = &mut cluster.machines[index];
                 if heartbeat.machine == machine.name {
                     machine.channel.request_answered();
                     return Some(heartbeat);
@@ -313,7 +315,7 @@
         self.lost_in_a_row += 1;
         cluster.invalidate_cached_heartbeat(index);
         let term = cluster.term;
-        let machine = &mut cluster.machines[index as usize];
+        let machine = &mut cluster.machines[index];
         machine.channel.request_lost(now, first_pause);
         machine.fence.raise_required(now, term);
         repeat_stops(cluster, index);
@@ -324,7 +326,7 @@
 /// raised for a lost request, or a new term, is shown to the worker at once instead of with its next
 /// heartbeat. (The first answer of a worker whose agent epoch wasn't known shows the agent epoch only;
 /// the second shows that it has seen the term.)
-fn owes_token(machine: &Machine, term: u64, now: Timestamp) -> bool {
+fn owes_token(machine: &Machine, term: Term, now: Timestamp) -> bool {
     // A token that the answer to its own heartbeat has just shown it is asked about only if its next
     // heartbeat doesn't come. (Each reap raises the fencing counter: a question after each of them was
     // a third of all requests.)
@@ -359,7 +361,7 @@
 /// The request may have held the command to stop a cancelled job's tasks: the next one holds it
 /// again. The answers to the worker's heartbeats do so too, where there are any.
 fn repeat_stops(cluster: &mut Cluster, index: MachineIndex) {
-    let machine = &cluster.machines[index as usize];
+    let machine = &cluster.machines[index];
     if machine.state != MachineState::Up {
         return;
     }
@@ -368,11 +370,11 @@
         let task = &job.tasks[id.1 as usize];
         let command = WorkerCommand::Kill {
             task: format!("{}/{}", job.name, id.1),
-            attempt: u64::from(task.attempt),
+            attempt: task.attempt,
             grace_s: 0.0,
         };
         (task.phase == TaskPhase::Stopping).then_some(command)
     };
     let stops = machine.tasks.iter().filter_map(stop_command).take(MAX_COMMANDS).collect();
-    cluster.machines[index as usize].channel.push_missing(stops);
+    cluster.machines[index].channel.push_missing(stops);
 }
--- a/crates/scheduler/src/dispatch/channel.rs
+++ b/crates/scheduler/src/dispatch/channel.rs
@@ -1,5 +1,6 @@
 //! The messages of one worker: at most one request is in flight, the rest waits here.
 
+use crate::model::ids::Attempt;
 use crate::model::job::TaskId;
 use crate::protocol::workers::WorkerCommand;
 use crate::time::{TimeDelta, Timestamp};
@@ -11,7 +12,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct SentStart {
     pub(crate) task: TaskId,
-    pub(crate) attempt: u32,
+    pub(crate) attempt: Attempt,
 }
 
 /// What waits to be sent to one worker, and the request in flight to it.
--- a/crates/scheduler/src/dispatch/channel/tests.rs
+++ b/crates/scheduler/src/dispatch/channel/tests.rs
@@ -1,13 +1,14 @@
 //! The pause after lost requests, and what a request takes along.
 
 use super::{SentStart, WorkerChannel};
+use crate::model::ids::{Attempt, JobIndex};
 use crate::protocol::workers::WorkerCommand;
 use crate::time::{TimeDelta, Timestamp};
 
 const NOW: Timestamp = Timestamp(1_000_000);
 
 fn kill() -> WorkerCommand {
-    WorkerCommand::Kill { task: "req-000001/0".to_owned(), attempt: 1, grace_s: 0.0 }
+    WorkerCommand::Kill { task: "req-000001/0".to_owned(), attempt: Attempt::FIRST, grace_s: 0.0 }
 }
 
 #[test]
@@ -39,7 +40,7 @@
     let mut channel = WorkerChannel::default();
     channel.push(kill());
     channel.push_missing(vec![kill()]);
-    let start = SentStart { task: (1, 0), attempt: 1 };
+    let start = SentStart { task: (JobIndex(1), 0), attempt: Attempt::FIRST };
     assert_eq!(channel.begin_request(vec![start]), [kill()]);
     assert!(channel.has_request_in_flight() && !channel.has_commands());
     assert_eq!(channel.end_request(), Some(vec![start]));
--- a/crates/scheduler/src/dispatch/starts.rs
+++ b/crates/scheduler/src/dispatch/starts.rs
@@ -1,10 +1,12 @@
 //! Stored starts: when one joins its machine's next request, and which are never sent.
 
 use crate::dispatch::channel::SentStart;
+use crate::leadership::fencing_token::FencingToken;
 use crate::model::cluster::Cluster;
+use crate::model::ids::MachineIndex;
 use crate::model::job::TaskId;
 use crate::model::machine::{Machine, MachineState};
-use crate::model::task::{MachineIndex, TaskEvent, TaskPhase};
+use crate::model::task::{TaskEvent, TaskPhase};
 use crate::protocol::workers::WorkerCommand;
 use crate::time::{TimeDelta, Timestamp};
 
@@ -67,7 +69,7 @@
     index: MachineIndex,
     is_sending: bool,
 ) -> ReleasedStarts {
-    let machine = &mut cluster.machines[index as usize];
+    let machine = &mut cluster.machines[index];
     let mut released = ReleasedStarts::default();
     if !machine.channel.has_starts() || (accepts_starts(machine) && !is_sending) {
         return released;
@@ -80,7 +82,7 @@
                 released.commands.push(command);
                 cluster.apply(gate.now, id, TaskEvent::Sent { token });
             }
-            StartDecision::Wait => cluster.machines[index as usize].channel.push_start(id),
+            StartDecision::Wait => cluster.machines[index].channel.push_start(id),
             StartDecision::Retract => {
                 cluster.apply(gate.now, id, TaskEvent::ProvenAbsent);
             }
@@ -88,7 +90,7 @@
         }
     }
     if !released.starts.is_empty() {
-        let machine = &mut cluster.machines[index as usize];
+        let machine = &mut cluster.machines[index];
         machine.fence.start_sent(token);
     }
     released
@@ -97,8 +99,11 @@
 fn decide(cluster: &Cluster, gate: &StartGate, index: MachineIndex, id: TaskId) -> StartDecision {
     let Some(job) = cluster.job(id.0) else { return StartDecision::Forget };
     let task = job.tasks[id.1 as usize];
-    let machine = &cluster.machines[index as usize];
-    if task.phase != TaskPhase::Dispatching || task.token != 0 || task.machine != index {
+    let machine = &cluster.machines[index];
+    if task.phase != TaskPhase::Dispatching
+        || task.token != FencingToken::NONE
+        || task.machine != index
+    {
         return StartDecision::Forget;
     }
     if job.is_ended() || !accepts_starts(machine) || task.agent_epoch != machine.agent_epoch {
@@ -108,19 +113,19 @@
     if !gate.admits(task.since) || cluster.conflicting_replicas.contains_key(&id) {
         return StartDecision::Wait;
     }
-    let command = WorkerCommand::Run {
-        task: format!("{}/{}", job.name, id.1),
-        attempt: u64::from(task.attempt),
-    };
+    let command =
+        WorkerCommand::Run { task: format!("{}/{}", job.name, id.1), attempt: task.attempt };
     StartDecision::Send(SentStart { task: id, attempt: task.attempt }, command)
 }
 
 /// Starts that wait for a machine which is gone are never sent.
 pub(super) fn retract_all(cluster: &mut Cluster, now: Timestamp, index: MachineIndex) {
-    for id in cluster.machines[index as usize].channel.take_starts() {
+    for id in cluster.machines[index].channel.take_starts() {
         let is_waiting = cluster.job(id.0).is_some_and(|job| {
             let task = &job.tasks[id.1 as usize];
-            task.phase == TaskPhase::Dispatching && task.token == 0 && task.machine == index
+            task.phase == TaskPhase::Dispatching
+                && task.token == FencingToken::NONE
+                && task.machine == index
         });
         if is_waiting {
             cluster.apply(now, id, TaskEvent::ProvenAbsent);
--- a/crates/scheduler/src/model/cluster.rs
+++ b/crates/scheduler/src/model/cluster.rs
@@ -7,9 +7,11 @@
 
 use walnutlug_admission::shares::Shares;
 
-use crate::model::job::{Job, JobIndex, TaskId};
+use crate::leadership::fencing_token::{FencingToken, Term};
+use crate::model::ids::{Attempt, JobIndex, MachineIndex};
+use crate::model::job::{Job, TaskId};
 use crate::model::machine::{Machine, MachineState};
-use crate::model::task::{MachineIndex, Task, TaskEvent, TaskPhase};
+use crate::model::task::{Task, TaskEvent, TaskPhase};
 use crate::protocol::cloud::MachineType;
 use crate::reconciliation::heartbeat_cache::{CacheInvalidation, HeartbeatCache};
 use crate::time::{TimeDelta, Timestamp};
@@ -31,9 +33,9 @@
 /// Jobs, tasks and machines as the leader of one term knows them.
 #[derive(Debug)]
 pub struct Cluster {
-    pub(crate) term: u64,
+    pub(crate) term: Term,
     /// Stands for the unknown token of a start that an earlier term sent.
-    pub(crate) loaded_token: u64,
+    pub(crate) loaded_token: FencingToken,
     /// By a number that is never used again, so that a late answer can't mean another job.
     pub jobs: BTreeMap<JobIndex, Job>,
     pub(crate) next_job: JobIndex,
@@ -58,8 +60,8 @@
 impl Cluster {
     /// Without jobs and machines.
     pub(crate) fn new(
-        term: u64,
-        loaded_token: u64,
+        term: Term,
+        loaded_token: FencingToken,
         machine_types: Vec<MachineType>,
         shares: Shares,
     ) -> Cluster {
@@ -67,7 +69,7 @@
             term,
             loaded_token,
             jobs: BTreeMap::new(),
-            next_job: 0,
+            next_job: JobIndex(0),
             jobs_by_name: HashMap::new(),
             machines: Vec::new(),
             machines_by_name: HashMap::new(),
@@ -85,6 +87,11 @@
         self.jobs.get(&ix)
     }
 
+    /// The indices of all machines, in the order of the table.
+    pub(crate) fn machine_indices(&self) -> impl Iterator<Item = MachineIndex> {
+        (0..self.machines.len()).map(MachineIndex::from)
+    }
+
     /// The machine of that name, made up as silent if nothing is known of it.
     pub fn machine_named(&mut self, now: Timestamp, name: &str) -> MachineIndex {
         if let Some(&ix) = self.machines_by_name.get(name) {
@@ -93,13 +100,13 @@
         let machine = Machine::new(now, name);
         let ix = match self.free_place(now) {
             Some(ix) => {
-                self.machines_by_name.remove(&self.machines[ix as usize].name);
-                self.machines[ix as usize] = machine;
+                self.machines_by_name.remove(&self.machines[ix].name);
+                self.machines[ix] = machine;
                 ix
             }
             None => {
                 self.machines.push(machine);
-                self.machines.len() as MachineIndex - 1
+                MachineIndex::from(self.machines.len() - 1)
             }
         };
         self.machines_by_name.insert(name.to_owned(), ix);
@@ -115,7 +122,7 @@
             return None;
         }
         self.terminated.pop_front();
-        let m = &self.machines[ix as usize];
+        let m = &self.machines[ix];
         if m.state == MachineState::Terminated
             && m.tasks.is_empty()
             && !m.channel.has_request_in_flight()
@@ -129,7 +136,7 @@
     /// Another node tells where a machine can be reached: only worth asking there.
     pub fn hint_address(&mut self, now: Timestamp, name: &str, address: &str) {
         let m = self.machine_named(now, name);
-        let machine = &mut self.machines[m as usize];
+        let machine = &mut self.machines[m];
         if machine.state == MachineState::Booting && machine.address.is_empty() {
             machine.address = address.to_owned();
             machine.hinted_up_at.get_or_insert(now);
@@ -144,7 +151,7 @@
     /// Counts a placed task on its machine, for its team and its zone.
     pub(crate) fn attach(&mut self, id: TaskId, m: MachineIndex) {
         let Some(job) = self.jobs.get_mut(&id.0) else { return };
-        let machine = &mut self.machines[m as usize];
+        let machine = &mut self.machines[m];
         if !machine.attach(id, &job.spec) {
             return;
         }
@@ -160,7 +167,7 @@
     /// The reverse of [`Cluster::attach`]; only called on proof.
     pub(crate) fn detach(&mut self, now: Timestamp, id: TaskId) {
         let Some(job) = self.jobs.get_mut(&id.0) else { return };
-        let machine = &mut self.machines[job.tasks[id.1 as usize].machine as usize];
+        let machine = &mut self.machines[job.tasks[id.1 as usize].machine];
         if !machine.detach(now, id, &job.spec) {
             return;
         }
@@ -214,7 +221,7 @@
             job.done += 1;
             job.errors = 0;
         }
-        if let Some(machine) = self.machines.get_mut(machine as usize) {
+        if let Some(machine) = self.machines.get_mut(machine.as_usize()) {
             machine.count_stopping(before, after);
         }
         if before.placed() || after.placed() {
@@ -252,12 +259,10 @@
     }
 
     /// Whether that attempt of the task is on the machine as far as is known here.
-    pub(crate) fn is_placed(&self, m: MachineIndex, id: TaskId, attempt: u64) -> bool {
+    pub(crate) fn is_placed(&self, m: MachineIndex, id: TaskId, attempt: Attempt) -> bool {
         self.job(id.0).is_some_and(|job| {
             let task = &job.tasks[id.1 as usize];
-            u64::from(task.attempt) == attempt
-                && task.machine == m
-                && task.phase != TaskPhase::Pending
+            task.attempt == attempt && task.machine == m && task.phase != TaskPhase::Pending
         })
     }
 
--- a/crates/scheduler/src/model/machine.rs
+++ b/crates/scheduler/src/model/machine.rs
@@ -8,6 +8,8 @@
 use walnutlug_admission::resources::Resources;
 
 use crate::dispatch::channel::WorkerChannel;
+use crate::leadership::fencing_token::{FencingToken, Term};
+use crate::model::ids::AgentEpoch;
 use crate::model::job::TaskId;
 use crate::model::job_spec::{JobSpec, Priority};
 pub(crate) use crate::model::machine::failures::MachineFailures;
@@ -47,7 +49,7 @@
     /// How far it is between its request and its end.
     pub state: MachineState,
     /// The incarnation of its worker, by its newest heartbeat; 0: none came.
-    pub agent_epoch: u64,
+    pub agent_epoch: AgentEpoch,
     /// The sequence number of its newest heartbeat within the agent epoch.
     pub sequence: u64,
     /// Requested by this leader or listed by the cloud, so that it can be counted on to come. What a
@@ -145,7 +147,7 @@
             zone: String::new(),
             spot: false,
             state: MachineState::Booting,
-            agent_epoch: 0,
+            agent_epoch: AgentEpoch::NONE,
             sequence: 0,
             expected: false,
             fence: Fence::default(),
@@ -168,7 +170,7 @@
     }
 
     /// The fencing token that a request to it carries now.
-    pub fn token(&self, term: u64) -> u64 {
+    pub fn token(&self, term: Term) -> FencingToken {
         self.fence.token(term)
     }
 
@@ -239,7 +241,7 @@
     }
 
     /// Takes over the token that its worker has seen. Whether it owed one until now.
-    pub(crate) fn acknowledge(&mut self, now: Timestamp, token: u64) -> bool {
+    pub(crate) fn acknowledge(&mut self, now: Timestamp, token: FencingToken) -> bool {
         let owed = self.fence.acknowledge(token);
         if !self.fence.owes_required() {
             self.channel.acknowledged(now);
--- a/crates/scheduler/src/model/machine/failures.rs
+++ b/crates/scheduler/src/model/machine/failures.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::model::job::JobIndex;
+use crate::model::ids::JobIndex;
 use crate::time::Timestamp;
 
 /// Jobs that failed on a machine since anything completed there.
--- a/crates/scheduler/src/model/machine/fence.rs
+++ b/crates/scheduler/src/model/machine/fence.rs
@@ -1,7 +1,7 @@
 //! The fencing state of one machine: the token that its requests carry, and the one that its worker has
 //! acknowledged.
 
-use crate::leadership::election::token;
+use crate::leadership::fencing_token::{FencingToken, Term};
 use crate::time::Timestamp;
 
 /// Which fencing token a machine's worker is sent, has acknowledged, and has to acknowledge before
@@ -11,27 +11,27 @@
     /// The part of the token below the term.
     counter: u64,
     /// The token that the worker knew by its newest heartbeat.
-    acknowledged: u64,
+    acknowledged: FencingToken,
     /// The token that it has to acknowledge: raised when a request to it was lost, or when its lease
     /// ran out though its heartbeats arrive.
-    required: u64,
+    required: FencingToken,
     /// Since when it has owed that. A machine whose heartbeats arrive and that nothing reaches looks
     /// alive by its heartbeats; this is what gives it away.
     unacknowledged_since: Option<Timestamp>,
     /// When an answer to its heartbeat last carried a token that it had not seen.
     sent_at: Timestamp,
     /// Highest token with which a start was sent.
-    highest_start: u64,
+    highest_start: FencingToken,
 }
 
 impl Fence {
     /// The token that a request sent now carries.
-    pub fn token(&self, term: u64) -> u64 {
-        token(term, self.counter)
+    pub fn token(&self, term: Term) -> FencingToken {
+        FencingToken::new(term, self.counter)
     }
 
     /// The token that the worker knew by its newest heartbeat.
-    pub fn acknowledged(&self) -> u64 {
+    pub fn acknowledged(&self) -> FencingToken {
         self.acknowledged
     }
 
@@ -41,14 +41,14 @@
     }
 
     /// Raises the token, and nothing more is started on the machine until its worker acknowledges it.
-    pub(crate) fn raise_required(&mut self, now: Timestamp, term: u64) {
+    pub(crate) fn raise_required(&mut self, now: Timestamp, term: Term) {
         self.raise();
         self.required = self.token(term);
         self.unacknowledged_since.get_or_insert(now);
     }
 
     /// Takes over the token that the worker knows. Whether it owed an acknowledgement until now.
-    pub(crate) fn acknowledge(&mut self, token: u64) -> bool {
+    pub(crate) fn acknowledge(&mut self, token: FencingToken) -> bool {
         self.acknowledged = token;
         !self.owes_required() && self.unacknowledged_since.take().is_some()
     }
@@ -59,8 +59,8 @@
     }
 
     /// Whether the worker has acknowledged the term and the required token.
-    pub(crate) fn is_acknowledged(&self, term: u64) -> bool {
-        self.acknowledged >= token(term, 0) && !self.owes_required()
+    pub(crate) fn is_acknowledged(&self, term: Term) -> bool {
+        self.acknowledged >= FencingToken::first_of(term) && !self.owes_required()
     }
 
     /// Since when the worker has owed the required token.
@@ -79,12 +79,12 @@
     }
 
     /// A start is sent with the token.
-    pub(crate) fn start_sent(&mut self, token: u64) {
+    pub(crate) fn start_sent(&mut self, token: FencingToken) {
         self.highest_start = self.highest_start.max(token);
     }
 
     /// Whether the token is above that of every start sent. A reap needs that.
-    pub(crate) fn is_above_starts(&self, term: u64) -> bool {
+    pub(crate) fn is_above_starts(&self, term: Term) -> bool {
         self.token(term) > self.highest_start
     }
 }
--- a/crates/scheduler/src/reconciliation/absence.rs
+++ b/crates/scheduler/src/reconciliation/absence.rs
@@ -2,9 +2,11 @@
 //! absent. A task that the tables place on the machine and the heartbeat doesn't list is absent only if
 //! the heartbeat proves that its start can't be executed any more.
 
+use crate::leadership::fencing_token::FencingToken;
 use crate::model::cluster::Cluster;
+use crate::model::ids::MachineIndex;
 use crate::model::job::TaskId;
-use crate::model::task::{MachineIndex, Task, TaskEvent};
+use crate::model::task::{Task, TaskEvent};
 use crate::protocol::workers::{ExitReason, Heartbeat, TaskState, TaskStatus};
 use crate::reconciliation::heartbeats::Reconciler;
 use crate::reconciliation::reported_tasks::ReportedTasks;
@@ -32,7 +34,7 @@
         heartbeat: &Heartbeat,
         reported: &ReportedTasks<'a>,
     ) -> Evidence<'a> {
-        let entry = reported.newest(id).filter(|entry| entry.attempt == u64::from(task.attempt));
+        let entry = reported.newest(id).filter(|entry| entry.attempt == task.attempt);
         match entry {
             Some(entry) if entry.state != TaskState::Exited => Evidence::Present(Some(entry)),
             // An attempt that was refused since another is there says that the task is there. (Taken
@@ -48,7 +50,8 @@
 /// An absent task proves nothing while its start may still be under way: the worker must have moved on
 /// to a later agent epoch, or have seen a token above the one that the start carries.
 fn proves_absence(task: &Task, heartbeat: &Heartbeat) -> bool {
-    task.token != 0 && (heartbeat.agent_epoch > task.agent_epoch || heartbeat.token > task.token)
+    task.token != FencingToken::NONE
+        && (heartbeat.agent_epoch > task.agent_epoch || heartbeat.token > task.token)
 }
 
 /// Counts the live tasks that the tables don't place on the machine, and notes where each known one of
@@ -69,7 +72,7 @@
             cluster.conflicting_replicas.insert(id, machine);
         }
     }
-    let known = &mut cluster.machines[machine as usize].unexpected_tasks;
+    let known = &mut cluster.machines[machine].unexpected_tasks;
     std::mem::replace(known, unexpected) != unexpected
 }
 
@@ -81,8 +84,7 @@
     heartbeat: &Heartbeat,
     reported: &ReportedTasks,
 ) -> bool {
-    let placed: Vec<TaskId> =
-        reconciler.cluster.machines[machine as usize].tasks.iter().copied().collect();
+    let placed: Vec<TaskId> = reconciler.cluster.machines[machine].tasks.iter().copied().collect();
     let mut any_ended = false;
     for id in placed {
         let Some(job) = reconciler.cluster.job(id.0) else { continue };
@@ -130,7 +132,7 @@
         let since = *job.started.entry(id.1).or_insert(began);
         job.has_started |= now.since(since) >= STARTED_AFTER;
     }
-    cluster.machines[machine as usize].add_image(image);
+    cluster.machines[machine].add_image(image);
 }
 
 /// A confirmed task that is missing under the very token it was sent with is strange; a raised fencing
@@ -140,15 +142,17 @@
     index: MachineIndex,
     reported: &ReportedTasks,
 ) {
-    let machine = &cluster.machines[index as usize];
+    let machine = &cluster.machines[index];
     let current_token = machine.token(cluster.term);
     let is_missing = |id: &TaskId| {
         cluster.job(id.0).is_some_and(|job| {
             let task = &job.tasks[id.1 as usize];
-            task.token != 0 && task.token == current_token && reported.newest(*id).is_none()
+            task.token != FencingToken::NONE
+                && task.token == current_token
+                && reported.newest(*id).is_none()
         })
     };
     if !machine.channel.has_request_in_flight() && machine.tasks.iter().any(is_missing) {
-        cluster.machines[index as usize].fence.raise();
+        cluster.machines[index].fence.raise();
     }
 }
--- a/crates/scheduler/src/reconciliation/delegation.rs
+++ b/crates/scheduler/src/reconciliation/delegation.rs
@@ -18,8 +18,9 @@
 
 use std::collections::{HashMap, VecDeque};
 
+use crate::leadership::fencing_token::{FencingToken, Term};
 use crate::leadership::watermark;
-use crate::model::task::MachineIndex;
+use crate::model::ids::MachineIndex;
 use crate::reconciliation::heartbeat_cache::CachedHeartbeat;
 use crate::time::{TimeDelta, Timestamp};
 use crate::tunables::Site;
@@ -35,7 +36,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DelegationGrant {
     /// The leader's term.
-    pub term: u64,
+    pub term: Term,
     /// The number of the request.
     pub asked: u64,
     /// How old the leader's watermark was when it answered: cancellations since then may be unknown to it.
@@ -50,7 +51,7 @@
     /// The heartbeat that left nothing to do.
     pub cached: CachedHeartbeat,
     /// The token to answer repetitions with.
-    pub token: u64,
+    pub token: FencingToken,
     /// For how long repetitions mean nothing.
     pub valid_for: TimeDelta,
     /// The number of the last invalidation sent before the leader answered.
@@ -60,13 +61,13 @@
 #[derive(Debug, Clone, Copy)]
 struct CacheEntry {
     number: u64,
-    token: u64,
+    token: FencingToken,
     expires_at: Timestamp,
 }
 
 #[derive(Debug)]
 struct Delegation {
-    term: u64,
+    term: Term,
     /// When the last grant came.
     granted_at: Timestamp,
     /// Every cancellation acknowledged before this has invalidated its entries.
@@ -137,7 +138,7 @@
 
     /// Drops entries that the leader invalidated, each given by machine and number; `first` is the
     /// number of the first invalidation.
-    pub fn invalidate(&mut self, term: u64, first: u64, invalidated: &[(MachineIndex, u64)]) {
+    pub fn invalidate(&mut self, term: Term, first: u64, invalidated: &[(MachineIndex, u64)]) {
         let Some(delegation) = self.delegation.as_mut().filter(|known| known.term == term) else {
             return;
         };
@@ -166,7 +167,11 @@
     }
 
     /// The token with which a repetition of the cached heartbeat may be answered now.
-    pub fn cached_response_token(&self, now: Timestamp, cached: CachedHeartbeat) -> Option<u64> {
+    pub fn cached_response_token(
+        &self,
+        now: Timestamp,
+        cached: CachedHeartbeat,
+    ) -> Option<FencingToken> {
         let delegation = self.delegation.as_ref().filter(|known| known.term == cached.term)?;
         let entry = delegation.entries.get(&cached.machine)?;
         let is_in_window = now.since(delegation.cancellations_known_until) <= self.window;
@@ -175,13 +180,13 @@
     }
 
     /// The term of the leader to which heartbeats may be forwarded now.
-    pub fn forwarding_term(&self, now: Timestamp) -> Option<u64> {
+    pub fn forwarding_term(&self, now: Timestamp) -> Option<Term> {
         let delegation = self.delegation.as_ref()?;
         (now.since(delegation.granted_at) <= FORWARDING_PERIOD).then_some(delegation.term)
     }
 
     /// The term of the last grant.
-    pub fn term(&self) -> Option<u64> {
+    pub fn term(&self) -> Option<Term> {
         self.delegation.as_ref().map(|delegation| delegation.term)
     }
 }
--- a/crates/scheduler/src/reconciliation/expiry.rs
+++ b/crates/scheduler/src/reconciliation/expiry.rs
@@ -1,6 +1,7 @@
 //! Starts that were sent and that no heartbeat confirmed.
 
 use crate::event::Event;
+use crate::leadership::fencing_token::FencingToken;
 use crate::model::cluster::Cluster;
 use crate::model::job::TaskId;
 use crate::model::task::{TaskEvent, TaskPhase};
@@ -39,7 +40,7 @@
     let unconfirmed = placed.filter(|id| {
         cluster.job(id.0).is_some_and(|job| {
             let task = &job.tasks[id.1 as usize];
-            let is_sent = task.phase == TaskPhase::Dispatching && task.token != 0;
+            let is_sent = task.phase == TaskPhase::Dispatching && task.token != FencingToken::NONE;
             is_sent && now.since(task.since) >= timeout
         })
     });
--- a/crates/scheduler/src/reconciliation/failure_detector.rs
+++ b/crates/scheduler/src/reconciliation/failure_detector.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 
 use crate::model::cluster::Cluster;
+use crate::model::ids::MachineIndex;
 use crate::model::machine::{DrainReason, Machine, MachineState};
-use crate::model::task::MachineIndex;
 use crate::scheduler::OVERDUE;
 use crate::time::{TimeDelta, Timestamp};
 use crate::tunables::{Site, Tunables};
@@ -93,9 +93,10 @@
     silent_zones: &[String],
 ) -> Vec<SuspectedMachine> {
     let kept_up = cluster.machines.iter().filter(|machine| is_kept_up(machine)).count();
-    let lost: Vec<MachineIndex> = (0..cluster.machines.len() as MachineIndex)
+    let lost: Vec<MachineIndex> = cluster
+        .machine_indices()
         .filter(|&index| {
-            let machine = &cluster.machines[index as usize];
+            let machine = &cluster.machines[index];
             should_report(machine) && lost_for(machine, now) > timeout
         })
         .collect();
@@ -104,7 +105,7 @@
     let most_are_lost = lost.len() > MAX_INDEPENDENT && lost.len() * 2 > kept_up;
     let patient_timeout = timeout + timeout + timeout;
     let suspect = |machine_index: MachineIndex| {
-        let machine = &cluster.machines[machine_index as usize];
+        let machine = &cluster.machines[machine_index];
         let lost_together = most_are_lost || silent_zones.contains(&machine.zone);
         if lost_together && lost_for(machine, now) < patient_timeout {
             return None;
--- a/crates/scheduler/src/reconciliation/health.rs
+++ b/crates/scheduler/src/reconciliation/health.rs
@@ -3,11 +3,13 @@
 //! ([`crate::reconciliation::task_ends`]).
 
 use crate::event::Event;
+use crate::leadership::fencing_token::FencingToken;
 use crate::model::cluster::Cluster;
+use crate::model::ids::MachineIndex;
 use crate::model::job::{Job, TaskId};
 use crate::model::machine::{DrainReason, Machine, MachineState};
 use crate::model::run_times::RunTimes;
-use crate::model::task::{MachineIndex, TaskPhase};
+use crate::model::task::TaskPhase;
 use crate::scheduler::grace_of;
 use crate::time::{TimeDelta, Timestamp};
 
@@ -102,8 +104,7 @@
 
 /// The machines for which that holds.
 fn indices(cluster: &Cluster, condition: impl Fn(&Machine) -> bool) -> Vec<MachineIndex> {
-    let places = (0..).zip(&cluster.machines);
-    places.filter(|(_, machine)| condition(machine)).map(|(index, _)| index).collect()
+    cluster.machine_indices().filter(|&index| condition(&cluster.machines[index])).collect()
 }
 
 /// Whether tasks are on a machine that the cloud will take.
@@ -132,7 +133,7 @@
             let Some(job) = cluster.job(id.0) else { continue };
             let task = &job.tasks[id.1 as usize];
             let ran_s = job.started.get(&id.1).map_or(0.0, |&at| now.since(at).as_secs_f64());
-            let is_sent = task.token != 0 && task.phase != TaskPhase::Stopping;
+            let is_sent = task.token != FencingToken::NONE && task.phase != TaskPhase::Stopping;
             let may_complete = ran_s + left_s >= run_times.expected_run(job);
             if !is_sent || may_complete || free_cpus < job.spec.cpus {
                 continue;
--- a/crates/scheduler/src/reconciliation/heartbeat_cache.rs
+++ b/crates/scheduler/src/reconciliation/heartbeat_cache.rs
@@ -5,14 +5,15 @@
 
 use std::collections::HashMap;
 
-use crate::model::task::MachineIndex;
+use crate::leadership::fencing_token::Term;
+use crate::model::ids::MachineIndex;
 use crate::time::{TimeDelta, Timestamp};
 
 /// Names one heartbeat that left nothing to do. Of use to the scheduler that gave it, and to no other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CachedHeartbeat {
     /// The term of the scheduler.
-    pub term: u64,
+    pub term: Term,
     /// The machine's place in that scheduler's table.
     pub machine: MachineIndex,
     /// Never given twice in a term.
@@ -47,7 +48,7 @@
 /// The cache of one term: at most one entry for each machine.
 #[derive(Debug)]
 pub(crate) struct HeartbeatCache {
-    term: u64,
+    term: Term,
     /// The number of the entry that was added last.
     last_number: u64,
     entries: HashMap<MachineIndex, CacheEntry>,
@@ -57,7 +58,7 @@
 
 impl HeartbeatCache {
     /// Without entries.
-    pub(crate) fn new(term: u64) -> HeartbeatCache {
+    pub(crate) fn new(term: Term) -> HeartbeatCache {
         HeartbeatCache { term, last_number: 0, entries: HashMap::new(), invalidations: Vec::new() }
     }
 
--- a/crates/scheduler/src/reconciliation/heartbeats.rs
+++ b/crates/scheduler/src/reconciliation/heartbeats.rs
@@ -3,11 +3,11 @@
 
 use crate::dispatch::Messages;
 use crate::event::{Anomaly, Event};
-use crate::leadership::election::term_of;
+use crate::leadership::fencing_token::{FencingToken, Term};
 use crate::model::cluster::Cluster;
+use crate::model::ids::MachineIndex;
 use crate::model::machine::MachineState;
 use crate::model::run_times::RunTimes;
-use crate::model::task::MachineIndex;
 use crate::protocol::workers::{ExitReason, Heartbeat, WorkerCommand};
 use crate::reconciliation::reported_tasks::ReportedTasks;
 use crate::reconciliation::{absence, machine_status};
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct HeartbeatAnswer {
     /// The machine's fencing token.
-    pub token: u64,
+    pub token: FencingToken,
     /// What the worker should do.
     pub commands: Vec<WorkerCommand>,
 }
@@ -40,9 +40,9 @@
     )]
     NewerTerm {
         /// The term of the worker's token.
-        acknowledged: u64,
+        acknowledged: Term,
         /// The term of this scheduler.
-        term: u64,
+        term: Term,
     },
     /// Cancellations may be unknown here for longer than a renewed lease allows.
     #[error("cancellations may be unknown here for too long to renew a lease")]
@@ -72,7 +72,7 @@
         source: HeartbeatSource,
     ) -> MachineIndex {
         let index = self.cluster.machine_named(self.now, &heartbeat.machine);
-        let machine = &self.cluster.machines[index as usize];
+        let machine = &self.cluster.machines[index];
         if machine.state == MachineState::Terminated {
             return index;
         }
@@ -84,7 +84,7 @@
         }
         self.cluster.invalidate_cached_heartbeat(index);
         // A heartbeat under a newer term is another leader's to judge.
-        if term_of(heartbeat.token) <= self.cluster.term {
+        if heartbeat.token.term() <= self.cluster.term {
             self.merge_newest(index, heartbeat, reported, source);
         }
         index
@@ -111,7 +111,7 @@
         self.events.extend(notice);
         self.messages.enqueue(self.cluster, machine);
         let unexpected_changed = absence::update_unexpected_tasks(self.cluster, machine, reported);
-        if self.cluster.machines[machine as usize].unexpected_tasks > 0 {
+        if self.cluster.machines[machine].unexpected_tasks > 0 {
             let (name, kind) = (heartbeat.machine.clone(), Anomaly::UnexpectedTasks);
             self.events.push(Event::Anomaly { name, kind });
         }
--- a/crates/scheduler/src/reconciliation/machine_loss.rs
+++ b/crates/scheduler/src/reconciliation/machine_loss.rs
@@ -1,6 +1,7 @@
 //! Machines that are certainly gone.
 
 use crate::dispatch::Messages;
+use crate::leadership::fencing_token::FencingToken;
 use crate::model::cluster::Cluster;
 use crate::model::job::TaskId;
 use crate::model::machine::MachineState;
@@ -15,7 +16,7 @@
     name: &str,
 ) {
     let Some(&index) = cluster.machines_by_name.get(name) else { return };
-    let machine = &mut cluster.machines[index as usize];
+    let machine = &mut cluster.machines[index];
     if machine.state == MachineState::Terminated {
         return;
     }
@@ -25,7 +26,7 @@
     cluster.terminated.push_back((now, index));
     // Starts that waited for the next message to it are never sent.
     messages.discard(cluster, now, index);
-    let tasks: Vec<TaskId> = cluster.machines[index as usize].tasks.iter().copied().collect();
+    let tasks: Vec<TaskId> = cluster.machines[index].tasks.iter().copied().collect();
     tasks_lost(cluster, now, &tasks);
     cluster.placement_needed = true;
 }
@@ -35,7 +36,7 @@
     for &id in tasks {
         let is_unsent = cluster.job(id.0).is_some_and(|job| {
             let task = &job.tasks[id.1 as usize];
-            task.phase == TaskPhase::Dispatching && task.token == 0
+            task.phase == TaskPhase::Dispatching && task.token == FencingToken::NONE
         });
         // An unsent start is settled by the outcome of its own transaction.
         if !is_unsent {
--- a/crates/scheduler/src/reconciliation/machine_status.rs
+++ b/crates/scheduler/src/reconciliation/machine_status.rs
@@ -2,11 +2,11 @@
 //! whether the cloud will take it.
 
 use crate::event::Event;
-use crate::leadership::election::token;
+use crate::leadership::fencing_token::FencingToken;
 use crate::model::cluster::Cluster;
+use crate::model::ids::{AgentEpoch, MachineIndex};
 use crate::model::job::TaskId;
 use crate::model::machine::{Machine, MachineState};
-use crate::model::task::MachineIndex;
 use crate::protocol::workers::Heartbeat;
 use crate::reconciliation::heartbeats::HeartbeatSource;
 use crate::time::{TimeDelta, Timestamp};
@@ -19,18 +19,18 @@
     heartbeat: &Heartbeat,
     source: HeartbeatSource,
 ) -> Option<Event> {
-    let first_token = token(cluster.term, 0);
+    let first_token = FencingToken::first_of(cluster.term);
     // Only a worker that has seen this term, or answers right now, shows that its machine lives.
     // Anything else may be a copy, minutes old, that reached a leader which never saw the newer ones:
     // the machine is asked, and nothing else is concluded.
     let proves_alive = source == HeartbeatSource::DirectAnswer || heartbeat.token >= first_token;
-    let had_seen_term = cluster.machines[index as usize].fence.acknowledged() >= first_token;
+    let had_seen_term = cluster.machines[index].fence.acknowledged() >= first_token;
     update_agent(cluster, now, index, heartbeat, source);
     update_description(cluster, now, index, heartbeat, proves_alive);
     if !proves_alive {
         return None;
     }
-    let machine = &mut cluster.machines[index as usize];
+    let machine = &mut cluster.machines[index];
     machine.last_heartbeat = now;
     machine.expected = true;
     let came_up = machine.state == MachineState::Booting;
@@ -53,11 +53,11 @@
     source: HeartbeatSource,
 ) {
     let term = cluster.term;
-    let machine = &mut cluster.machines[index as usize];
+    let machine = &mut cluster.machines[index];
     if heartbeat.agent_epoch > machine.agent_epoch {
         // A new agent epoch begins without tasks, and without commands meant for the old one.
         machine.channel.discard_commands();
-        if machine.agent_epoch > 0 && source == HeartbeatSource::Connection {
+        if machine.agent_epoch > AgentEpoch::NONE && source == HeartbeatSource::Connection {
             // Its lease ran out though its heartbeats arrive: answers may not reach it.
             machine.fence.raise_required(now, term);
         }
@@ -79,7 +79,7 @@
     proves_alive: bool,
 ) {
     let kind = cluster.machine_types.iter().position(|known| known.name == heartbeat.kind);
-    let machine = &mut cluster.machines[index as usize];
+    let machine = &mut cluster.machines[index];
     if proves_alive || machine.address.is_empty() {
         machine.address.clone_from(&heartbeat.address);
     }
--- a/crates/scheduler/src/reconciliation/repeated_heartbeats.rs
+++ b/crates/scheduler/src/reconciliation/repeated_heartbeats.rs
@@ -17,10 +17,12 @@
 
 use std::collections::BTreeSet;
 
+use crate::leadership::fencing_token::Term;
 use crate::model::cluster::Cluster;
+use crate::model::ids::MachineIndex;
 use crate::model::job::TaskId;
 use crate::model::machine::{Machine, MachineState};
-use crate::model::task::{MachineIndex, TaskPhase};
+use crate::model::task::TaskPhase;
 use crate::protocol::workers::{parse_task_id, Heartbeat, TaskState, TaskStatus};
 use crate::reconciliation::absence::STARTED_AFTER;
 use crate::reconciliation::heartbeat_cache::{CacheHolder, CachedHeartbeat};
@@ -53,7 +55,7 @@
     if !cluster.heartbeat_cache.is_valid(now, cached) {
         return false;
     }
-    let machine = cluster.machines.get_mut(cached.machine as usize);
+    let machine = cluster.machines.get_mut(cached.machine.as_usize());
     machine.is_some_and(|machine| machine.record_repeated_heartbeat(now, sequence))
 }
 
@@ -64,7 +66,7 @@
     index: MachineIndex,
     heartbeat: &Heartbeat,
 ) -> Option<Timestamp> {
-    let machine = &cluster.machines[index as usize];
+    let machine = &cluster.machines[index];
     let is_newest =
         (heartbeat.agent_epoch, heartbeat.sequence) == (machine.agent_epoch, machine.sequence);
     if !is_newest
@@ -85,7 +87,7 @@
 }
 
 /// The answer raises no token, and the machine owes none.
-fn owes_no_token(machine: &Machine, term: u64, heartbeat: &Heartbeat) -> bool {
+fn owes_no_token(machine: &Machine, term: Term, heartbeat: &Heartbeat) -> bool {
     heartbeat.token == machine.fence.acknowledged()
         && heartbeat.token == machine.token(term)
         && machine.fence.is_acknowledged(term)
@@ -114,7 +116,7 @@
     let task = job.tasks.get(index as usize)?;
     let is_as_known = task.phase == TaskPhase::Running
         && task.machine == machine
-        && u64::from(task.attempt) == entry.attempt
+        && task.attempt == entry.attempt
         && !job.is_ended();
     if !is_as_known {
         return None;
--- a/crates/scheduler/src/reconciliation/response.rs
+++ b/crates/scheduler/src/reconciliation/response.rs
@@ -2,9 +2,10 @@
 
 use crate::event::Anomaly;
 use crate::model::cluster::Cluster;
+use crate::model::ids::MachineIndex;
 use crate::model::job::Job;
 use crate::model::machine::{Machine, MachineState};
-use crate::model::task::{MachineIndex, TaskPhase};
+use crate::model::task::TaskPhase;
 use crate::protocol::workers::{Heartbeat, WorkerCommand};
 use crate::reconciliation::heartbeats::HeartbeatAnswer;
 use crate::reconciliation::reported_tasks::{ReportedTask, ReportedTasks};
@@ -24,14 +25,14 @@
     reported: &ReportedTasks,
 ) -> (HeartbeatAnswer, Option<Anomaly>) {
     let term = cluster.term;
-    if let Some(anomaly) = anomaly_of(&cluster.machines[index as usize], heartbeat) {
-        let token = cluster.machines[index as usize].token(term);
+    if let Some(anomaly) = anomaly_of(&cluster.machines[index], heartbeat) {
+        let token = cluster.machines[index].token(term);
         return (HeartbeatAnswer { token, commands: Vec::new() }, Some(anomaly));
     }
     // Also one that the answer to a direct request has overtaken: its answer renews the lease, so it
     // has to stop what is to be stopped. In a copy of the past it does no harm.
     let commands = commands_for(cluster, index, reported);
-    let machine = &mut cluster.machines[index as usize];
+    let machine = &mut cluster.machines[index];
     let token = machine.token(term);
     if token > heartbeat.token {
         machine.fence.sent_in_answer(now);
@@ -121,7 +122,7 @@
 /// somewhere would run it again. A reap therefore always travels with such a token.
 fn fence_starts(cluster: &mut Cluster, machine: MachineIndex) -> bool {
     let term = cluster.term;
-    let machine = &mut cluster.machines[machine as usize];
+    let machine = &mut cluster.machines[machine];
     if !machine.fence.is_above_starts(term) && !machine.channel.has_request_in_flight() {
         machine.fence.raise();
     }
--- a/crates/scheduler/src/reconciliation/task_ends.rs
+++ b/crates/scheduler/src/reconciliation/task_ends.rs
@@ -2,9 +2,11 @@
 //! attributed to.
 
 use crate::event::Event;
-use crate::model::job::{JobIndex, TaskId};
+use crate::leadership::fencing_token::FencingToken;
+use crate::model::ids::{Attempt, JobIndex, MachineIndex};
+use crate::model::job::TaskId;
 use crate::model::machine::DrainReason;
-use crate::model::task::{MachineIndex, TaskEvent, TaskPhase};
+use crate::model::task::{TaskEvent, TaskPhase};
 use crate::protocol::workers::ExitReason;
 use crate::reconciliation::health::drain;
 use crate::reconciliation::heartbeats::Reconciler;
@@ -17,17 +19,17 @@
 
 impl Reconciler<'_> {
     /// The attempt ran to its end on the machine.
-    pub(crate) fn task_completed(&mut self, id: TaskId, machine: MachineIndex, attempt: u64) {
+    pub(crate) fn task_completed(&mut self, id: TaskId, machine: MachineIndex, attempt: Attempt) {
         let Some(job) = self.cluster.job(id.0) else { return };
         let Some(task) = job.tasks.get(id.1 as usize) else { return };
-        if task.phase == TaskPhase::Done || attempt > u64::from(task.attempt) {
+        if task.phase == TaskPhase::Done || attempt > task.attempt {
             return;
         }
-        let is_current = task.machine == machine && u64::from(task.attempt) == attempt;
+        let is_current = task.machine == machine && task.attempt == attempt;
         if task.phase.placed() && !is_current {
             // An older attempt completed after all. The newer one is of no use: it is stopped
             // first, and the task is free only on proof of its absence.
-            if task.token != 0 || task.phase != TaskPhase::Dispatching {
+            if task.token != FencingToken::NONE || task.phase != TaskPhase::Dispatching {
                 self.messages.stop_task(self.cluster, self.now, id, 0.0);
             }
             return;
@@ -73,13 +75,13 @@
     /// A machine that completes anything isn't sick; and a job whose first task completes somewhere
     /// was not at fault where it failed before.
     fn clear_failures(&mut self, job_index: JobIndex, machine: MachineIndex) {
-        let completed_on = &mut self.cluster.machines[machine as usize];
+        let completed_on = &mut self.cluster.machines[machine];
         completed_on.failures.task_completed(self.now);
         let Some(job) = self.cluster.job(job_index).filter(|job| job.done == 0) else { return };
         let failed_on: Vec<(MachineIndex, Timestamp)> =
             job.error_machines.iter().map(|(&other, &at)| (other, at)).collect();
         for (other, failed_at) in failed_on {
-            if !self.cluster.machines[other as usize].failures.completed_since(failed_at) {
+            if !self.cluster.machines[other].failures.completed_since(failed_at) {
                 self.attribute_to_machine(other, job_index);
             }
         }
@@ -100,10 +102,10 @@
         let task = format!("{}/{}", job.name, id.1);
         if job_is_suspect {
             for &other in job.error_machines.keys() {
-                self.cluster.machines[other as usize].failures.exonerate(id.0);
+                self.cluster.machines[other].failures.exonerate(id.0);
             }
         }
-        let machine_name = self.cluster.machines[machine as usize].name.clone();
+        let machine_name = self.cluster.machines[machine].name.clone();
         self.events.push(Event::TaskFailed { task, machine: machine_name });
         if !job_is_suspect {
             self.attribute_to_machine(machine, id.0);
@@ -112,7 +114,7 @@
 
     /// The job failed on the machine, and not by its own fault as far as is known.
     fn attribute_to_machine(&mut self, index: MachineIndex, job: JobIndex) {
-        let machine = &mut self.cluster.machines[index as usize];
+        let machine = &mut self.cluster.machines[index];
         let failed_jobs = machine.failures.attribute(job);
         if failed_jobs as u32 >= self.sick_after && machine.drain_reason.is_none() {
             self.events.push(drain(machine, DrainReason::FailsTasks));
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -15,14 +15,15 @@
 use crate::dispatch::starts::StartGate;
 use crate::dispatch::Messages;
 use crate::event::{Anomaly, Event};
-use crate::leadership::election::token;
+use crate::leadership::fencing_token::{FencingToken, Term};
 use crate::leadership::watermark;
 use crate::model::cluster::Cluster;
+use crate::model::ids::MachineIndex;
 use crate::model::job::TaskId;
 use crate::model::job_spec::JobSpec;
 use crate::model::job_state::JobEvent;
 use crate::model::run_times::RunTimes;
-use crate::model::task::{MachineIndex, TaskEvent};
+use crate::model::task::TaskEvent;
 use crate::protocol::cloud::MachineType;
 use crate::queue::dependencies::DependencyGraph;
 use crate::storage::transactions::{Limits, Transactions};
@@ -33,7 +34,7 @@
 pub struct Scheduler {
     pub site: std::rc::Rc<Site>,
     pub tunables: std::rc::Rc<Tunables>,
-    pub term: u64,
+    pub term: Term,
     pub started_at: Timestamp,
     /// Jobs, tasks and machines.
     pub cluster: Cluster,
@@ -83,7 +84,7 @@
     pub fn new(
         site: std::rc::Rc<Site>,
         tunables: std::rc::Rc<Tunables>,
-        term: u64,
+        term: Term,
         types: Vec<MachineType>,
         now: Timestamp,
     ) -> Scheduler {
@@ -92,7 +93,7 @@
         Scheduler {
             term,
             started_at: now,
-            cluster: Cluster::new(term, token(term, 0) - 1, types, shares),
+            cluster: Cluster::new(term, FencingToken::last_before(term), types, shares),
             dependency_graph: DependencyGraph::default(),
             fair_share: crate::queue::fair_share::FairShare::default(),
             run_times: RunTimes::default(),
@@ -185,7 +186,7 @@
 
     /// Plans a start: written with the next transactions, sent after they are committed.
     pub(crate) fn dispatch(&mut self, now: Timestamp, id: TaskId, machine: MachineIndex) {
-        let agent_epoch = self.cluster.machines[machine as usize].agent_epoch;
+        let agent_epoch = self.cluster.machines[machine].agent_epoch;
         if self.cluster.apply(now, id, TaskEvent::Dispatch { machine, agent_epoch }) {
             if let Some(job) = self.cluster.jobs.get_mut(&id.0) {
                 let chunk = job.chunk_of(id.1);
@@ -193,12 +194,12 @@
                 self.transactions.planned_chunks += usize::from(due.is_none());
                 due.get_or_insert(now);
                 self.transactions.counts.tasks_placed += 1;
-                let placed_on = &self.cluster.machines[machine as usize];
+                let placed_on = &self.cluster.machines[machine];
                 self.transactions.counts.image_cached +=
                     usize::from(placed_on.has_image(&job.spec.image));
                 // It will be there once fetched; the next task for it need not fetch it elsewhere.
                 let image = job.spec.image.clone();
-                self.cluster.machines[machine as usize].add_image(image);
+                self.cluster.machines[machine].add_image(image);
             }
         }
     }
--- a/crates/scheduler/src/scheduler/machine_health.rs
+++ b/crates/scheduler/src/scheduler/machine_health.rs
@@ -1,8 +1,8 @@
 //! Routes the findings of the failure detector and of health assessment: machines to drain, tasks to
 //! stop.
 
+use crate::model::ids::MachineIndex;
 use crate::model::machine::{DrainReason, MachineState};
-use crate::model::task::MachineIndex;
 use crate::reconciliation::{failure_detector, health};
 use crate::scheduler::Scheduler;
 use crate::time::Timestamp;
@@ -73,7 +73,7 @@
 
     /// Nothing more is placed on the machine, and it is returned to the cloud.
     pub(crate) fn drain(&mut self, machine: MachineIndex, reason: DrainReason) {
-        let event = health::drain(&mut self.cluster.machines[machine as usize], reason);
+        let event = health::drain(&mut self.cluster.machines[machine], reason);
         self.log(event);
     }
 }
--- a/crates/scheduler/src/scheduler/worker_events.rs
+++ b/crates/scheduler/src/scheduler/worker_events.rs
@@ -3,8 +3,8 @@
 
 use crate::command::{Command, MessageOutcome};
 use crate::event::{Anomaly, Event};
-use crate::leadership::election::term_of;
-use crate::model::task::MachineIndex;
+use crate::leadership::fencing_token::FencingToken;
+use crate::model::ids::MachineIndex;
 use crate::protocol::workers::Heartbeat;
 use crate::reconciliation::heartbeat_cache::{CacheHolder, CachedHeartbeat};
 use crate::reconciliation::heartbeats::{
@@ -27,7 +27,7 @@
         now: Timestamp,
         heartbeat: &Heartbeat,
     ) -> Result<HeartbeatAnswer, HeartbeatRefusal> {
-        let acknowledged = term_of(heartbeat.token);
+        let acknowledged = heartbeat.token.term();
         if acknowledged > self.term {
             // Most likely true: then the leader key shows it. A token that came from nowhere must not
             // end a term.
@@ -117,11 +117,11 @@
         now: Timestamp,
         cached: CachedHeartbeat,
         sequence: u64,
-    ) -> Option<u64> {
+    ) -> Option<FencingToken> {
         if !self.may_renew_leases(now) || !self.record_repeated_heartbeat(now, cached, sequence) {
             return None;
         }
-        let machine = self.cluster.machines.get(cached.machine as usize)?;
+        let machine = self.cluster.machines.get(cached.machine.as_usize())?;
         Some(machine.token(self.term))
     }
 
--- a/crates/scheduler/tests/sim/follower.rs
+++ b/crates/scheduler/tests/sim/follower.rs
@@ -1,6 +1,7 @@
 //! A node that answers workers on the leader's behalf, in the simulation: the other side of a stream of
 //! frames that are late by up to a third of a second, and lost while the nodes don't hear each other.
 
+use walnutlug_scheduler::leadership::fencing_token::Term;
 use walnutlug_scheduler::protocol::workers::Heartbeat;
 use walnutlug_scheduler::reconciliation::delegation::{
     CacheGrant, DelegationGrant, FollowerDelegation,
@@ -18,7 +19,7 @@
 
 enum ToFollower {
     DelegationGrant(DelegationGrant),
-    Invalidated { term: u64, first: u64, cached: CachedHeartbeat },
+    Invalidated { term: Term, first: u64, cached: CachedHeartbeat },
 }
 
 pub(super) struct Follower {
@@ -27,7 +28,7 @@
     last_frame: Timestamp,
     heard: Vec<(CachedHeartbeat, u64)>,
     /// Marks withdrawn by the leader of a term.
-    invalidated: (u64, u64),
+    invalidated: (Term, u64),
     asks_at: Timestamp,
     /// Repetitions that it answered by itself.
     pub(super) repeated: u64,
@@ -40,7 +41,7 @@
             frames: Vec::new(),
             last_frame: Timestamp(0),
             heard: Vec::new(),
-            invalidated: (0, 0),
+            invalidated: (Term(0), 0),
             asks_at: Timestamp(0),
             repeated: 0,
         }
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -10,6 +10,8 @@
 use rand::{RngExt, SeedableRng};
 use serde_json::{json, Value};
 use walnutlug_scheduler::command::{Command, MessageOutcome, TransactionOutcome};
+use walnutlug_scheduler::leadership::fencing_token::{FencingToken, Term};
+use walnutlug_scheduler::model::ids::{AgentEpoch, Attempt, MachineIndex};
 use walnutlug_scheduler::model::job_spec::{JobEnd, JobSpec};
 use walnutlug_scheduler::protocol::cloud::{CloudMachineState, ListedMachine};
 use walnutlug_scheduler::protocol::key_value::{Operation, Transaction};
@@ -19,6 +21,7 @@
 use walnutlug_scheduler::scheduler::Scheduler;
 use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::storage::records::description_record;
+use walnutlug_scheduler::storage::revision::Revision;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 use walnutlug_scheduler::tunables::{Site, Tunables};
 
@@ -117,8 +120,8 @@
     deaf: Timestamp,
     hung: Timestamp,
     /// Messages that came while it hung or that were held up.
-    held: Vec<(Timestamp, u64, u64, Vec<WorkerCommand>)>,
-    ran: BTreeMap<(String, u64), TimeDelta>,
+    held: Vec<(Timestamp, FencingToken, AgentEpoch, Vec<WorkerCommand>)>,
+    ran: BTreeMap<(String, Attempt), TimeDelta>,
     gone: bool,
     /// Its last heartbeat, if that left nothing to do.
     cached: Option<(Heartbeat, CachedHeartbeat)>,
@@ -167,18 +170,18 @@
 
 enum Event {
     Answer {
-        term: u64,
+        term: Term,
         id: u64,
         outcome: TransactionOutcome,
     },
     Read {
-        term: u64,
+        term: Term,
         id: u64,
-        answer: Option<(Value, u64)>,
+        answer: Option<(Value, Revision)>,
     },
     Direct {
-        term: u64,
-        machine: u32,
+        term: Term,
+        machine: MachineIndex,
         outcome: MessageOutcome,
     },
     /// A transaction that nobody waits for any more.
@@ -478,8 +481,8 @@
     }
 
     /// Live tasks with their attempts, and where.
-    fn live(&self) -> BTreeMap<(String, u64), Vec<String>> {
-        let mut live: BTreeMap<(String, u64), Vec<String>> = BTreeMap::new();
+    fn live(&self) -> BTreeMap<(String, Attempt), Vec<String>> {
+        let mut live: BTreeMap<(String, Attempt), Vec<String>> = BTreeMap::new();
         for (name, m) in self.machines.iter().filter(|(_, m)| !m.gone) {
             for (key, state) in &m.worker.tasks {
                 if state.0 != TaskState::Exited {
@@ -498,7 +501,8 @@
         self.saw("elected");
         let term = self.store.put(keys::LEADER, json!(self.now.0));
         let tunables = Rc::new(Tunables::default());
-        let mut s = Scheduler::new(self.site.clone(), tunables, term, world::types(), self.now);
+        let mut s =
+            Scheduler::new(self.site.clone(), tunables, term.into(), world::types(), self.now);
         let wall = world::WALL + (self.now.0 - START.0);
         for key_value in self.store.key_values(keys::TODO) {
             let name = key_value.key.strip_prefix(keys::TODO).expect("a description").to_owned();
@@ -571,7 +575,7 @@
     fn apply(&mut self, transaction: &Transaction) -> TransactionOutcome {
         let outcome = self.store.apply(transaction);
         if matches!(outcome, TransactionOutcome::Committed { .. }) {
-            let term = self.store.keys.get(keys::LEADER).map_or(0, |k| k.1);
+            let term = self.store.keys.get(keys::LEADER).map_or(Revision::NONE, |k| k.1);
             let guarded =
                 transaction.compares.iter().any(|g| g.key == keys::LEADER && g.revision == term);
             assert!(guarded, "{}: written by a deposed leader: {transaction:?}", self.what);
@@ -587,7 +591,7 @@
 
     fn happen(&mut self, event: Event) {
         let now = self.now;
-        let by_term = |sim: &mut Sim, term: u64, f: &mut dyn FnMut(&mut Scheduler)| {
+        let by_term = |sim: &mut Sim, term: Term, f: &mut dyn FnMut(&mut Scheduler)| {
             if let Some(l) = sim.leaders.iter_mut().find(|l| l.s.term == term) {
                 f(&mut l.s);
             }
@@ -787,15 +791,15 @@
         }
     }
 
-    fn carry_out(&mut self, i: usize, term: u64, served: bool, command: Command) {
+    fn carry_out(&mut self, i: usize, term: Term, served: bool, command: Command) {
         match command {
             Command::Log(_) | Command::FindJobEnds { .. } => {}
             Command::VerifyLeadership | Command::StepDown(_) => {
-                let cache_entry = self.store.keys.get(keys::LEADER).map_or(0, |k| k.1);
+                let cache_entry = self.store.keys.get(keys::LEADER).map_or(Revision::NONE, |k| k.1);
                 let down = matches!(command, Command::StepDown(_));
-                if served && (down || cache_entry != term) {
+                if served && (down || cache_entry != term.into()) {
                     self.leaders[i].served = Timestamp(0);
-                    if cache_entry == term {
+                    if cache_entry == term.into() {
                         self.elect_at.get_or_insert(self.now + TimeDelta::from_millis(500));
                     }
                 }
@@ -820,13 +824,14 @@
                 self.events.push(answer(soon, outcome));
             }
             Command::Read { id, key } => {
-                let stored = self.store.keys.get(&key).cloned().unwrap_or((Value::Null, 0));
+                let stored =
+                    self.store.keys.get(&key).cloned().unwrap_or((Value::Null, Revision(0)));
                 let answer = served.then_some(stored);
                 let at = self.in_ms(10, 150);
                 self.events.push((at, Event::Read { term, id, answer }));
             }
             Command::SendToWorker { machine, token, agent_epoch, calls, .. } => {
-                let name = self.leaders[i].s.cluster.machines[machine as usize].name.clone();
+                let name = self.leaders[i].s.cluster.machines[machine].name.clone();
                 let answer = |at, outcome| (at, Event::Direct { term, machine, outcome });
                 let late = self.now + TimeDelta::from_secs(2);
                 let now = self.now;
--- a/crates/scheduler/tests/world/transcript.rs
+++ b/crates/scheduler/tests/world/transcript.rs
@@ -9,6 +9,7 @@
 use serde::Serialize;
 use serde_json::Value;
 use walnutlug_scheduler::command::{Command, TransactionOutcome};
+use walnutlug_scheduler::leadership::fencing_token::Term;
 use walnutlug_scheduler::protocol::key_value::{Operation, Transaction};
 use walnutlug_scheduler::protocol::workers::WorkerCommand;
 use walnutlug_scheduler::reconciliation::heartbeats::HeartbeatAnswer;
@@ -56,11 +57,11 @@
 }
 
 /// What the leader of that term wants done now.
-pub fn commands(term: u64, commands: &[Command]) {
+pub fn commands(term: Term, commands: &[Command]) {
     with(|transcript| commands.iter().for_each(|c| command(transcript, term, c)));
 }
 
-fn command(transcript: &mut Transcript, term: u64, command: &Command) {
+fn command(transcript: &mut Transcript, term: Term, command: &Command) {
     match command {
         // Text for the log.
         Command::Log(_) => {}
