--- a/crates/controller/src/peers/heartbeat_frames.rs
+++ b/crates/controller/src/peers/heartbeat_frames.rs
@@ -4,7 +4,7 @@
 use walnutlug_scheduler::leadership::fencing_token::{FencingToken, Term};
 use walnutlug_scheduler::model::ids::MachineIndex;
 use walnutlug_scheduler::reconciliation::delegation::{CacheGrant, DelegationGrant};
-use walnutlug_scheduler::reconciliation::repeated_heartbeats::CachedHeartbeat;
+use walnutlug_scheduler::reconciliation::heartbeat_cache::CachedHeartbeat;
 use walnutlug_scheduler::time::TimeDelta;
 use zerocopy::little_endian::{U16, U32, U64};
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
--- a/crates/scheduler/src/autoscaling.rs
+++ b/crates/scheduler/src/autoscaling.rs
@@ -19,6 +19,7 @@
 use crate::model::EPSILON;
 use crate::protocol::cloud::{CloudMachineState, ListedMachine};
 use crate::queue::order::QueueKey;
+use crate::reconciliation::machine_loss::tasks_lost;
 use crate::scheduler::Scheduler;
 use crate::time::{TimeDelta, Timestamp};
 
@@ -127,7 +128,8 @@
             }
             // By the resource that is scarcest on the machine, so that a full one is not idle.
             let part = |takes: f64, of: f64| if of > 0.0 { (takes / of).min(1.0) } else { 0.0 };
-            let idle = 1.0 - part(m.cpus, kind.cpus).max(part(m.memory, kind.memory_gb));
+            let idle =
+                1.0 - part(m.used().cpus, kind.cpus).max(part(m.used().memory_gb, kind.memory_gb));
             *(if m.spot { &mut cost.idle_spot } else { &mut cost.idle_ordinary }) += money * idle;
             for id in &m.tasks {
                 let Some(job) = self.cluster.job(id.0) else { continue };
@@ -179,9 +181,9 @@
             let t = &self.cluster.machine_types[kind];
             let p = WhatIfMachine {
                 offer: offers.index(kind, &m.zone, m.spot),
-                cpus: t.cpus - m.cpus,
-                gpus: t.gpus - m.gpus,
-                memory: t.memory_gb - m.memory,
+                cpus: t.cpus - m.used().cpus,
+                gpus: t.gpus - m.used().gpus,
+                memory: t.memory_gb - m.used().memory_gb,
             };
             offers.there[p.offer] += 1;
             free += p.cpus.max(0.0);
@@ -428,7 +430,7 @@
             .machines
             .iter()
             .filter(|m| self.open_for_work(now, m))
-            .filter_map(|m| Some(self.cluster.machine_types[m.kind?].cpus - m.cpus))
+            .filter_map(|m| Some(self.cluster.machine_types[m.kind?].cpus - m.used().cpus))
             .sum();
         let headroom = self.headroom_cpus(now);
         let cheap = self.ordinary_is_cheap();
@@ -631,8 +633,8 @@
                     && machine.state != MachineState::Terminating
                 {
                     let tasks: Vec<_> = machine.tasks.iter().copied().collect();
-                    self.drain(m.as_usize(), DrainReason::Failed);
-                    self.lost_with_machine(now, &tasks);
+                    self.drain(m, DrainReason::Failed);
+                    tasks_lost(&mut self.cluster, now, &tasks);
                 }
             }
         }
--- a/crates/scheduler/src/dispatch/starts.rs
+++ b/crates/scheduler/src/dispatch/starts.rs
@@ -1,118 +1,123 @@
-//! Starts between their commit and their message: the last check before they are sent.
+//! Stored starts: when one joins its machine's next request, and which are never sent.
 
+use crate::dispatch::channel::SentStart;
 use crate::leadership::authority::LeaderAuthority;
 use crate::leadership::fencing_token::FencingToken;
 use crate::model::cluster::Cluster;
-use crate::model::ids::{Attempt, MachineIndex};
+use crate::model::ids::MachineIndex;
 use crate::model::job::TaskId;
-use crate::model::machine::MachineState;
+use crate::model::machine::{Machine, MachineState};
 use crate::model::task::{TaskEvent, TaskPhase};
 use crate::protocol::workers::WorkerCommand;
 use crate::time::Timestamp;
 
-/// Starts that go out with a machine's next message.
+/// Which stored starts may be sent at one point in time.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct StartGate<'a> {
+    /// When it is decided.
+    pub(crate) now: Timestamp,
+    /// Whether this leader may start anything, and how old a start may be.
+    pub(crate) authority: &'a LeaderAuthority,
+}
+
+/// Starts released for one request.
 #[derive(Debug, Default)]
-pub(crate) struct ReleasedStarts {
-    /// The tasks, each with the attempt that is started.
-    pub(crate) ids: Vec<(TaskId, Attempt)>,
-    /// The commands that start them.
-    pub(crate) commands: Vec<WorkerCommand>,
+pub(super) struct ReleasedStarts {
+    pub(super) starts: Vec<SentStart>,
+    pub(super) commands: Vec<WorkerCommand>,
 }
 
-/// What is done with a start that waits for its machine's next message.
-enum Decision {
-    Send {
-        attempt: Attempt,
-        command: WorkerCommand,
-    },
+/// What becomes of a stored start that waits.
+enum StartDecision {
+    /// Sent with the next request.
+    Send(SentStart, WorkerCommand),
+    /// Goes on waiting.
     Wait,
-    /// Recorded, never sent and never to be sent: absent by this leader's own doing.
-    Withdraw,
-    /// It is not this machine's start any more.
+    /// Recorded, never sent and never to be sent: absent by this scheduler's own doing.
+    Retract,
+    /// No longer a start of this machine.
     Forget,
 }
 
-/// A committed start joins its machine's next message. Returns the machine.
-pub(crate) fn queue_start(cluster: &mut Cluster, id: TaskId) -> Option<MachineIndex> {
-    let task = cluster.job(id.0)?.tasks[id.1 as usize];
-    if task.phase != TaskPhase::Dispatching || task.token != FencingToken::NONE {
-        return None;
-    }
-    cluster.machines[task.machine].starting.push(id);
-    Some(task.machine)
+/// Whether starts are sent to the machine at all.
+fn accepts_starts(machine: &Machine) -> bool {
+    machine.state == MachineState::Up
+        && machine.interruption_at.is_none()
+        && machine.drain_reason.is_none()
 }
 
-/// The last look at the starts that wait for a machine's next message. Those that may still go are
-/// marked as sent with the very token of the message; a start that is given its token any earlier could
-/// be proven absent by a heartbeat while it still waits here. Without a message (`sending` is false)
-/// only those are taken back that can't be sent any more.
-pub(crate) fn release_starts(
+/// The last look at the starts that wait for a machine's next request. Those that may still be sent
+/// are marked as sent with the very token of the request; a start that is given its token any
+/// earlier could be proven absent by a heartbeat while it still waits here. If the machine accepts
+/// none any more, they are all retracted, also without a request.
+pub(super) fn release(
     cluster: &mut Cluster,
-    authority: &LeaderAuthority,
-    now: Timestamp,
-    machine_index: MachineIndex,
-    sending: bool,
+    gate: &StartGate,
+    index: MachineIndex,
+    is_sending: bool,
 ) -> ReleasedStarts {
-    let machine = &mut cluster.machines[machine_index];
-    let accepts_starts = machine.state == MachineState::Up
-        && machine.interruption_at.is_none()
-        && machine.drain_reason.is_none();
-    if machine.starting.is_empty() || (accepts_starts && !sending) {
-        return ReleasedStarts::default();
+    let machine = &mut cluster.machines[index];
+    let mut released = ReleasedStarts::default();
+    if !machine.channel.has_starts() || (accepts_starts(machine) && !is_sending) {
+        return released;
     }
     let token = machine.token(cluster.term);
-    let waiting = std::mem::take(&mut machine.starting);
-    let mut released = ReleasedStarts::default();
-    let mut still_waiting = Vec::new();
-    for id in waiting {
-        match decide(cluster, authority, now, machine_index, accepts_starts, id) {
-            Decision::Send { attempt, command } => {
-                released.ids.push((id, attempt));
+    for id in machine.channel.take_starts() {
+        match decide(cluster, gate, index, id) {
+            StartDecision::Send(start, command) => {
+                released.starts.push(start);
                 released.commands.push(command);
-                cluster.apply(now, id, TaskEvent::Sent { token });
+                cluster.apply(gate.now, id, TaskEvent::Sent { token });
             }
-            Decision::Wait => still_waiting.push(id),
-            Decision::Withdraw => {
-                cluster.apply(now, id, TaskEvent::ProvenAbsent);
+            StartDecision::Wait => cluster.machines[index].channel.push_start(id),
+            StartDecision::Retract => {
+                cluster.apply(gate.now, id, TaskEvent::ProvenAbsent);
             }
-            Decision::Forget => {}
+            StartDecision::Forget => {}
         }
     }
-    let machine = &mut cluster.machines[machine_index];
-    machine.starting = still_waiting;
-    if !released.ids.is_empty() {
-        machine.start_token = machine.start_token.max(token);
+    if !released.starts.is_empty() {
+        let machine = &mut cluster.machines[index];
+        machine.fence.start_sent(token);
     }
     released
 }
 
-fn decide(
-    cluster: &Cluster,
-    authority: &LeaderAuthority,
-    now: Timestamp,
-    machine_index: MachineIndex,
-    accepts_starts: bool,
-    id: TaskId,
-) -> Decision {
-    let Some(job) = cluster.job(id.0) else { return Decision::Forget };
+fn decide(cluster: &Cluster, gate: &StartGate, index: MachineIndex, id: TaskId) -> StartDecision {
+    let Some(job) = cluster.job(id.0) else { return StartDecision::Forget };
     let task = job.tasks[id.1 as usize];
+    let machine = &cluster.machines[index];
     if task.phase != TaskPhase::Dispatching
         || task.token != FencingToken::NONE
-        || task.machine != machine_index
+        || task.machine != index
     {
-        return Decision::Forget;
+        return StartDecision::Forget;
     }
-    let agent_epoch = cluster.machines[machine_index].agent_epoch;
-    if job.is_ended() || !accepts_starts || task.agent_epoch != agent_epoch {
-        return Decision::Withdraw;
+    if job.is_ended() || !accepts_starts(machine) || task.agent_epoch != machine.agent_epoch {
+        return StartDecision::Retract;
     }
-    // One that a machine shows live against the table is stopped there first.
-    if !authority.may_send_start(now, task.since) || cluster.conflicting_replicas.contains_key(&id)
+    // One that a machine reports live against the tables is stopped there first.
+    if !gate.authority.may_send_start(gate.now, task.since)
+        || cluster.conflicting_replicas.contains_key(&id)
     {
-        return Decision::Wait;
+        return StartDecision::Wait;
+    }
+    let command =
+        WorkerCommand::Run { task: format!("{}/{}", job.name, id.1), attempt: task.attempt };
+    StartDecision::Send(SentStart { task: id, attempt: task.attempt }, command)
+}
+
+/// Starts that wait for a machine which is gone are never sent.
+pub(super) fn retract_all(cluster: &mut Cluster, now: Timestamp, index: MachineIndex) {
+    for id in cluster.machines[index].channel.take_starts() {
+        let is_waiting = cluster.job(id.0).is_some_and(|job| {
+            let task = &job.tasks[id.1 as usize];
+            task.phase == TaskPhase::Dispatching
+                && task.token == FencingToken::NONE
+                && task.machine == index
+        });
+        if is_waiting {
+            cluster.apply(now, id, TaskEvent::ProvenAbsent);
+        }
     }
-    let name = format!("{}/{}", job.name, id.1);
-    let attempt = task.attempt;
-    let command = WorkerCommand::Run { task: name, attempt };
-    Decision::Send { attempt, command }
 }
--- a/crates/scheduler/src/model/cluster.rs
+++ b/crates/scheduler/src/model/cluster.rs
@@ -3,22 +3,18 @@
 //! Every change of a task goes through `Cluster::apply`, so that the sums of its job, its machine, its team
 //! and its class always agree with it.
 
-use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
+use std::collections::{BTreeMap, HashMap, VecDeque};
 
 use walnutlug_admission::shares::Shares;
 
 use crate::leadership::fencing_token::{FencingToken, Term};
-use crate::model::ids::{AgentEpoch, Attempt, JobIndex, MachineIndex};
+use crate::model::ids::{Attempt, JobIndex, MachineIndex};
 use crate::model::job::{Job, TaskId};
-use crate::model::job_spec::Priority;
 use crate::model::job_state::JobEvent;
 use crate::model::machine::{Machine, MachineState};
 use crate::model::task::{Task, TaskEvent, TaskPhase};
 use crate::protocol::cloud::MachineType;
-use crate::protocol::workers::WorkerCommand;
-use crate::reconciliation::repeated_heartbeats::{
-    CacheRecord, CachedHeartbeat, Invalidated, OWN_NODE,
-};
+use crate::reconciliation::heartbeat_cache::{CacheInvalidation, HeartbeatCache};
 use crate::time::{TimeDelta, Timestamp};
 
 /// How long a machine that is gone is remembered, against late heartbeats of it.
@@ -67,10 +63,8 @@
     pub(crate) conflicting_replicas: BTreeMap<TaskId, MachineIndex>,
     /// Something changed that a round of placement may act on.
     pub placement_needed: bool,
-    /// Numbers the heartbeats that left nothing to do.
-    pub(crate) last_cached_number: u64,
-    /// Those whose holders have to be told that they hold no more.
-    pub(crate) invalidated: Vec<Invalidated>,
+    /// The machines' last heartbeats, as far as repetitions of them mean nothing.
+    pub(crate) heartbeat_cache: HeartbeatCache,
 }
 
 impl Cluster {
@@ -95,8 +89,7 @@
             shares,
             conflicting_replicas: BTreeMap::new(),
             placement_needed: true,
-            last_cached_number: 0,
-            invalidated: Vec::new(),
+            heartbeat_cache: HeartbeatCache::new(term),
         }
     }
 
@@ -158,40 +151,17 @@
         let start_due = &mut job.chunks[chunk].start_due;
         let planned = StartPlanned {
             first_of_chunk: start_due.is_none(),
-            image_cached: self.machines[machine].images.contains(&image),
+            image_cached: self.machines[machine].has_image(&image),
         };
         start_due.get_or_insert(now);
         // It will be there once fetched; the next task for it need not fetch it elsewhere.
-        self.has_image(machine, image);
+        self.machines[machine].add_image(image);
         Some(planned)
     }
 
-    /// Commands a task's machine to stop it; the command is repeated with every heartbeat until the
-    /// task is gone. Returns the machine if the command waits to be sent there.
-    pub(crate) fn stop_task(
-        &mut self,
-        now: Timestamp,
-        id: TaskId,
-        grace_s: f64,
-    ) -> Option<MachineIndex> {
-        let job = self.jobs.get(&id.0)?;
-        let task = job.tasks[id.1 as usize];
-        if task.phase == TaskPhase::Dispatching && task.token == FencingToken::NONE {
-            // Not sent yet, and with the job ended or the task wanted elsewhere it never will be:
-            // the commit's answer takes it back.
-            return None;
-        }
-        let name = format!("{}/{}", job.name, id.1);
-        if !self.apply(now, id, TaskEvent::Stop) {
-            return None;
-        }
-        let machine = &mut self.machines[task.machine];
-        if machine.state != MachineState::Up {
-            return None;
-        }
-        let attempt = task.attempt;
-        machine.outbox.push(WorkerCommand::Kill { task: name, attempt, grace_s });
-        Some(task.machine)
+    /// The indices of all machines, in the order of the table.
+    pub(crate) fn machine_indices(&self) -> impl Iterator<Item = MachineIndex> {
+        (0..self.machines.len()).map(MachineIndex::from)
     }
 
     /// The machine of that name, made up as silent if nothing is known of it.
@@ -199,48 +169,7 @@
         if let Some(&ix) = self.machines_by_name.get(name) {
             return ix;
         }
-        let machine = Machine {
-            name: name.to_owned(),
-            address: String::new(),
-            kind: None,
-            zone: String::new(),
-            spot: false,
-            state: MachineState::Booting,
-            agent_epoch: AgentEpoch::NONE,
-            sequence: 0,
-            acknowledged_token: FencingToken::NONE,
-            token_sent_at: Timestamp(0),
-            required_token: FencingToken::NONE,
-            unacknowledged_since: None,
-            consecutive_losses: 0,
-            expected: false,
-            fencing_counter: 0,
-            start_token: FencingToken::NONE,
-            hinted_up_at: None,
-            last_heartbeat: now,
-            requested_at: now,
-            interruption_at: None,
-            tasks: BTreeSet::new(),
-            tasks_by_priority: [0; Priority::COUNT],
-            stopping: 0,
-            unexpected_tasks: 0,
-            cpus: 0.0,
-            gpus: 0.0,
-            memory: 0.0,
-            images: Vec::new(),
-            outbox: Vec::new(),
-            starting: Vec::new(),
-            request_in_flight: false,
-            in_send_queue: false,
-            in_message: Vec::new(),
-            retry_at: Timestamp(0),
-            idle_since: now,
-            failures: BTreeSet::new(),
-            completed_at: Timestamp(0),
-            drain_reason: None,
-            termination_sent_at: None,
-            cached: None,
-        };
+        let machine = Machine::new(now, name);
         let ix = match self.free_place(now) {
             Some(ix) => {
                 self.machines_by_name.remove(&self.machines[ix].name);
@@ -266,7 +195,10 @@
         }
         self.terminated.pop_front();
         let m = &self.machines[ix];
-        if m.state == MachineState::Terminated && m.tasks.is_empty() && !m.request_in_flight {
+        if m.state == MachineState::Terminated
+            && m.tasks.is_empty()
+            && !m.channel.has_request_in_flight()
+        {
             return Some(ix);
         }
         self.terminated.push_back((now, ix));
@@ -292,14 +224,10 @@
     pub(crate) fn attach(&mut self, id: TaskId, m: MachineIndex) {
         let Some(job) = self.jobs.get_mut(&id.0) else { return };
         let machine = &mut self.machines[m];
-        if !machine.tasks.insert(id) {
+        if !machine.attach(id, &job.spec) {
             return;
         }
         job.tasks[id.1 as usize].machine = m;
-        machine.cpus += job.spec.cpus;
-        machine.gpus += job.spec.gpus;
-        machine.memory += job.spec.memory_gb;
-        machine.tasks_by_priority[job.spec.priority as usize] += 1;
         job.placed += 1;
         *job.zones.entry(machine.zone.clone()).or_default() += 1;
         let team = self.team_usage.entry(job.spec.team.clone()).or_default();
@@ -312,18 +240,9 @@
     pub(crate) fn detach(&mut self, now: Timestamp, id: TaskId) {
         let Some(job) = self.jobs.get_mut(&id.0) else { return };
         let machine = &mut self.machines[job.tasks[id.1 as usize].machine];
-        if !machine.tasks.remove(&id) {
+        if !machine.detach(now, id, &job.spec) {
             return;
         }
-        machine.tasks_by_priority[job.spec.priority as usize] -= 1;
-        machine.cpus -= job.spec.cpus;
-        machine.gpus -= job.spec.gpus;
-        machine.memory -= job.spec.memory_gb;
-        if machine.tasks.is_empty() {
-            // Sums of decimals drift; an empty machine is a chance to start from nothing.
-            (machine.cpus, machine.gpus, machine.memory) = (0.0, 0.0, 0.0);
-            machine.idle_since = now;
-        }
         job.placed -= 1;
         if let Some(n) = job.zones.get_mut(&machine.zone) {
             *n -= 1;
@@ -375,9 +294,7 @@
             job.errors = 0;
         }
         if let Some(machine) = self.machines.get_mut(machine.as_usize()) {
-            machine.stopping += u32::from(after == TaskPhase::Stopping);
-            machine.stopping -=
-                u32::from(before == TaskPhase::Stopping && after != TaskPhase::Stopping);
+            machine.count_stopping(before, after);
         }
         if before.placed() || after.placed() {
             self.invalidate_cached_heartbeat(machine);
@@ -435,33 +352,15 @@
         }
     }
 
-    pub(crate) fn has_image(&mut self, m: MachineIndex, image: String) {
-        let images = &mut self.machines[m].images;
-        if images.last() != Some(&image) {
-            images.retain(|i| *i != image);
-            images.push(image);
-            if images.len() > 32 {
-                images.remove(0);
-            }
-        }
-    }
-
     /// A repetition of the machine's last heartbeat may mean something from now on. The only place where
-    /// a mark ends, so that its holder is always told.
+    /// a cache entry is ended, so that its holder is always told.
     pub(crate) fn invalidate_cached_heartbeat(&mut self, machine: MachineIndex) {
-        let known = self.machines.get_mut(machine.as_usize());
-        let Some(CacheRecord { number, holder, .. }) = known.and_then(|m| m.cached.take()) else {
-            return;
-        };
-        if holder != OWN_NODE {
-            let cached = CachedHeartbeat { term: self.term, machine, number };
-            self.invalidated.push(Invalidated { holder, cached });
-        }
+        self.heartbeat_cache.invalidate(machine);
     }
 
-    /// The marks of other holders that ended since this was asked last, in their order.
-    pub fn take_invalidated(&mut self) -> Vec<Invalidated> {
-        std::mem::take(&mut self.invalidated)
+    /// The cache entries of other holders that were invalidated since the last call, in their order.
+    pub fn take_invalidations(&mut self) -> Vec<CacheInvalidation> {
+        self.heartbeat_cache.take_invalidations()
     }
 
     /// What the team's tasks use.
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -2,7 +2,10 @@
 //!
 //! A [`Scheduler`] lives for one term. It is built from the stored records, takes events, and returns
 //! commands; when the term is lost it is discarded. Rounds of writes are in
-//! `storage::write_round`, heartbeats in [`crate::reconciliation::heartbeats`].
+//! `storage::write_round`, what workers' heartbeats prove in [`crate::reconciliation`].
+
+mod machine_health;
+mod worker_events;
 
 use std::rc::Rc;
 
@@ -11,7 +14,7 @@
 
 use crate::autoscaling::Autoscaler;
 use crate::command::{Command, CommandQueue, ReadOutcome, TransactionOutcome};
-use crate::dispatch::starts::{self, ReleasedStarts};
+use crate::dispatch::starts::StartGate;
 use crate::dispatch::Messages;
 use crate::event::{Anomaly, Event};
 use crate::leadership::authority::LeaderAuthority;
@@ -24,11 +27,12 @@
 use crate::protocol::key_value::KeyValue;
 use crate::queue::dependencies::DependencyGraph;
 use crate::queue::fair_share::{self, FairShare};
+use crate::reconciliation::expiry::expire_unconfirmed_starts;
 use crate::storage::batch::{CommitEffects, StoredEnd};
 use crate::storage::loader::{self, DescriptionError, LoadedJob};
 use crate::storage::transactions::{Resolution, TransactionLimits, Transactions, WriteAllowance};
 use crate::storage::write_round::WriteRound;
-use crate::time::{TimeDelta, Timestamp};
+use crate::time::Timestamp;
 use crate::tunables::{Site, Tunables};
 
 /// The leader's table of jobs and machines, and the decisions about them; lives for one term.
@@ -78,9 +82,6 @@
 /// Heartbeat intervals after which a worker is overdue. (Each is up to a quarter longer than the one
 /// that the worker is given.)
 pub const OVERDUE: f64 = 1.4;
-/// How often every machine is looked at for what time alone brings: an overdue heartbeat, a deadline,
-/// the end of a pause. What events bring is looked at when they come.
-const SWEEP_EVERY: TimeDelta = TimeDelta::from_millis(200);
 
 impl Scheduler {
     /// Without jobs and machines: the stored records are to be added next.
@@ -166,10 +167,11 @@
     /// Called often: starts a round if there is something to do, and sends what is due.
     pub fn tick(&mut self, now: Timestamp) {
         self.commands.extend(self.transactions.resend_due(now));
-        let sweep = now.since(self.messages.last_sweep) >= SWEEP_EVERY;
+        let sweep = self.messages.begin_sweep(now);
         if sweep {
-            self.messages.last_sweep = now;
-            self.settle(now);
+            let events =
+                expire_unconfirmed_starts(&mut self.cluster, now, &self.site, &self.tunables);
+            self.log_all(events);
         }
         if self.authority.holds_lease()
             && now.since(self.last_round) >= self.tunables.round_every
@@ -242,9 +244,7 @@
     /// Hands on what a committed transaction leaves to do.
     fn committed(&mut self, now: Timestamp, effects: CommitEffects) {
         for id in effects.starts {
-            if let Some(machine) = starts::queue_start(&mut self.cluster, id) {
-                self.enqueue_send(machine);
-            }
+            self.messages.start_stored(&mut self.cluster, id);
         }
         for StoredEnd { job, end, event } in effects.ends {
             self.log(event);
@@ -253,17 +253,6 @@
         }
     }
 
-    /// The starts that go out with the machine's next message; without one (`sending` is false) only
-    /// those are taken back that can't be sent any more.
-    pub(crate) fn release_starts(
-        &mut self,
-        now: Timestamp,
-        machine: MachineIndex,
-        sending: bool,
-    ) -> ReleasedStarts {
-        starts::release_starts(&mut self.cluster, &self.authority, now, machine, sending)
-    }
-
     /// Takes the commands that were decided since the last call, in the order in which they are to be
     /// carried out.
     pub fn take_commands(&mut self) -> Vec<Command> {
@@ -297,19 +286,17 @@
         }
     }
 
-    /// Commands a task's machine to stop it, with that many seconds to save its work.
-    pub(crate) fn stop(&mut self, now: Timestamp, id: TaskId, grace_s: f64) {
-        if let Some(machine) = self.cluster.stop_task(now, id, grace_s) {
-            self.enqueue_send(machine);
-        }
+    /// Sends what waits for workers. In a sweep all machines are examined, otherwise those that
+    /// something happened to.
+    fn send_messages(&mut self, now: Timestamp, is_sweep: bool) {
+        let gate = StartGate { now, authority: &self.authority };
+        let due = self.messages.take_due(&mut self.cluster, &self.site, &gate, is_sweep);
+        self.examined.send_checks += due.machines_examined;
+        self.commands.extend(due.commands);
     }
 
-    /// Something may have to be sent to the machine.
-    pub(crate) fn enqueue_send(&mut self, machine_index: MachineIndex) {
-        let machine = &mut self.cluster.machines[machine_index];
-        if !machine.in_send_queue {
-            machine.in_send_queue = true;
-            self.messages.send_queue.push(machine_index);
-        }
+    /// Commands a task's machine to stop it, with that many seconds to save its work.
+    pub(crate) fn stop(&mut self, now: Timestamp, id: TaskId, grace_s: f64) {
+        self.messages.stop_task(&mut self.cluster, now, id, grace_s);
     }
 }
--- a/crates/scheduler/src/storage/loader.rs
+++ b/crates/scheduler/src/storage/loader.rs
@@ -169,7 +169,7 @@
     for LoadedPlacement { id, machine } in placements {
         let machine: MachineIndex = cluster.machine_named(now, &machine);
         cluster.attach(id, machine);
-        cluster.has_image(machine, image.clone());
+        cluster.machines[machine].add_image(image.clone());
     }
 }
 
--- a/crates/scheduler/tests/autoscaling.rs
+++ b/crates/scheduler/tests/autoscaling.rs
@@ -204,7 +204,12 @@
     }
     let mut rounds = 0;
     let seen = |w: &World| {
-        w.leader.cluster.machines.iter().filter(|m| m.acknowledged_token > FencingToken(0)).count()
+        w.leader
+            .cluster
+            .machines
+            .iter()
+            .filter(|m| m.fence.acknowledged() > FencingToken(0))
+            .count()
     };
     while seen(&w) < 2_060 {
         rounds += 1;
--- a/crates/scheduler/tests/sim/follower.rs
+++ b/crates/scheduler/tests/sim/follower.rs
@@ -1,12 +1,13 @@
 //! A node that answers workers on the leader's behalf, in the simulation: the other side of a stream of
 //! frames that are late by up to a third of a second, and lost while the nodes don't hear each other.
 
-use walnutlug_scheduler::leadership::fencing_token::{FencingToken, Term};
-use walnutlug_scheduler::protocol::workers::{Heartbeat, WorkerCommand};
+use walnutlug_scheduler::leadership::fencing_token::Term;
+use walnutlug_scheduler::protocol::workers::Heartbeat;
 use walnutlug_scheduler::reconciliation::delegation::{
     CacheGrant, DelegationGrant, FollowerDelegation,
 };
-use walnutlug_scheduler::reconciliation::repeated_heartbeats::{CachedHeartbeat, Invalidated};
+use walnutlug_scheduler::reconciliation::heartbeat_cache::{CacheInvalidation, CachedHeartbeat};
+use walnutlug_scheduler::reconciliation::heartbeats::HeartbeatAnswer;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 use walnutlug_scheduler::tunables::Site;
 
@@ -60,7 +61,7 @@
         delay_ms: u64,
     ) {
         let term = leader.s.term;
-        for Invalidated { cached, .. } in leader.s.cluster.take_invalidated() {
+        for CacheInvalidation { cached, .. } in leader.s.cluster.take_invalidations() {
             if self.invalidated.0 != term {
                 self.invalidated = (term, 0);
             }
@@ -84,7 +85,7 @@
             self.send_invalidations(now, leader, linked, delay_ms);
             if now >= self.asks_at {
                 self.asks_at = now + TimeDelta::from_secs(1);
-                let asked = self.served.ask(now);
+                let asked = self.served.begin_request(now);
                 let term = leader.s.term;
                 let invalidated = if self.invalidated.0 == term { self.invalidated.1 } else { 0 };
                 let unknown_for = now.since(leader.known);
@@ -101,7 +102,7 @@
         for (at, frame) in frames {
             match frame {
                 frame if at > now => self.frames.push((at, frame)),
-                ToFollower::DelegationGrant(grant) => drop(self.served.granted(now, &grant)),
+                ToFollower::DelegationGrant(grant) => drop(self.served.accept_grant(now, &grant)),
                 ToFollower::Invalidated { term, first, cached } => {
                     self.served.invalidate(term, first, &[(cached.machine, cached.number)]);
                 }
@@ -117,12 +118,12 @@
         linked: bool,
         cached: &mut Option<(Heartbeat, CachedHeartbeat)>,
         heartbeat: &Heartbeat,
-    ) -> Option<(FencingToken, Vec<WorkerCommand>)> {
+    ) -> Option<HeartbeatAnswer> {
         if let Some(cache_entry) = super::repeats(cached, heartbeat) {
             if let Some(token) = self.served.cached_response_token(now, cache_entry) {
                 self.heard.push((cache_entry, heartbeat.sequence));
                 self.repeated += 1;
-                let answer = Some((token, Vec::new()));
+                let answer = Some(HeartbeatAnswer { token, commands: Vec::new() });
                 transcript::answer("repeated (at a follower)", &heartbeat.machine, answer.as_ref());
                 return answer;
             }
@@ -130,17 +131,17 @@
         let leader =
             leader.filter(|l| linked && self.served.forwarding_term(now) == Some(l.s.term))?;
         leader.s.authority.set_cancellations_known_until(leader.known);
-        let answer = leader.s.heartbeat(now, heartbeat);
+        let answer = leader.s.handle_heartbeat(now, heartbeat).ok();
         transcript::answer("forwarded", &heartbeat.machine, answer.as_ref());
-        let (token, calls) = answer?;
+        let HeartbeatAnswer { token, commands: calls } = answer?;
         let cache_entry =
             if calls.is_empty() { leader.s.cache_heartbeat(now, heartbeat, HOLDER) } else { None };
         self.send_invalidations(now, leader, linked, 300);
         *cached = cache_entry.and_then(|cached| {
             let valid_for = leader.s.cached_for(now, cached);
             let new = CacheGrant { cached, token, valid_for, invalidated: self.invalidated.1 };
-            self.served.add(now, &new).then(|| (heartbeat.clone(), cached))
+            self.served.add_entry(now, &new).then(|| (heartbeat.clone(), cached))
         });
-        Some((token, calls))
+        Some(HeartbeatAnswer { token, commands: calls })
     }
 }
