--- a/crates/controller/src/heartbeat_delegation.rs
+++ b/crates/controller/src/heartbeat_delegation.rs
@@ -154,7 +154,7 @@
         &leader,
         &Frame::ForwardedHeartbeat(ForwardedHeartbeat {
             node: node.settings.node_name.clone(),
-            incarnation: node.incarnation,
+            incarnation: node.incarnation(),
             number,
             heartbeat: body.to_vec(),
         }),
@@ -192,7 +192,7 @@
     let number = node.serving.leader.borrow_mut().ask(node.now());
     let ask = DelegationRequest {
         node: node.settings.node_name.clone(),
-        incarnation: node.incarnation,
+        incarnation: node.incarnation(),
         number,
         workers: node.serving.workers.get(),
     };
@@ -251,14 +251,14 @@
 pub fn frame(node: &Node, frame: Frame) {
     match frame {
         Frame::ForwardedHeartbeat(heartbeat) => answer_forwarded(node, &heartbeat),
-        Frame::ForwardedResponse(answer) if answer.asker_incarnation == node.incarnation => {
+        Frame::ForwardedResponse(answer) if answer.asker_incarnation == node.incarnation() => {
             if let Some(waiting) = node.serving.waiting.borrow_mut().remove(&answer.number) {
                 let _ = waiting.send(answer);
             }
         }
         Frame::RepeatedHeartbeats { term, heard } => record_repeated_heartbeats(node, term, &heard),
         Frame::DelegationRequest(ask) => grant(node, &ask),
-        Frame::DelegationGranted(granting) if granting.asker_incarnation == node.incarnation => {
+        Frame::DelegationGranted(granting) if granting.asker_incarnation == node.incarnation() => {
             let now = node.now();
             let before = node.serving.leader.borrow().term();
             if node.serving.leader.borrow_mut().granted(now, &granting.grant) {
--- a/crates/controller/src/heartbeat_delegation/tests.rs
+++ b/crates/controller/src/heartbeat_delegation/tests.rs
@@ -252,7 +252,7 @@
             frames.iter().filter(|f| matches!(f, Frame::ForwardedHeartbeat(_))).count();
         assert_eq!(heartbeats, WORKERS, "each in a frame of its own");
         for frame in frames {
-            c.nodes[0].peer_frame(frame);
+            c.nodes[0].handle_frame(frame);
         }
         c.deliver(|_, _| true).await;
         for one in waiting {
--- a/crates/controller/src/node/broadcast.rs
+++ b/crates/controller/src/node/broadcast.rs
@@ -1,27 +1,51 @@
-//! What a node tells the others every second, and the log every minute.
+//! What a node sends to all others every second: its status, and as the leader what they need for display and for a
+//! quick failover.
 
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
 use std::rc::Rc;
 
 use tokio::time::{sleep, Duration};
-use tracing::{info, warn};
+use walnutlug_scheduler::leadership::election::Role;
 use walnutlug_scheduler::leadership::watermark::ask_every;
 use walnutlug_scheduler::model::machine::MachineState;
+use walnutlug_scheduler::model::task::MachineIndex;
+use walnutlug_scheduler::scheduler::Scheduler;
 
-use super::{Node, ADDRESS_TURN};
-use crate::peers::{self, Frame};
+use super::Node;
+use crate::peers::{Frame, NodeStatus, MAX_MACHINES};
 
-/// Tells the others how this node stands, and as the leader what they need for a quick failover.
-pub(super) async fn run_broadcasts(node: Rc<Node>) {
+/// Broadcasts after which redirects are counted anew.
+const REDIRECTS_COUNTED_OVER: u32 = 6;
+/// Seconds in which all machines' addresses are sent once, one frame a second at least: well within the time for
+/// which an address is valid, at any size.
+const ADDRESS_CYCLE: usize = 6;
+
+/// What was broadcast before.
+#[derive(Default)]
+pub(super) struct BroadcastState {
+    /// Statuses sent by this incarnation.
+    statuses: Cell<u64>,
+    /// Each open job's counts as they were sent last.
+    job_counts: RefCell<HashMap<String, (u32, u32)>>,
+    /// The machine up to whose name addresses were sent in this cycle; empty at its beginning.
+    last_machine: RefCell<String>,
+}
+
+/// Broadcasts for as long as the node lives.
+pub(super) async fn run(node: Rc<Node>) {
     let mut count = 0u32;
     loop {
         let leading = node.broadcast_status();
         count += 1;
-        if count.is_multiple_of(6) {
-            node.redirected.set(0);
+        if count.is_multiple_of(REDIRECTS_COUNTED_OVER) {
+            node.load.reset_redirected();
         }
         if leading {
-            broadcast_progress(&node);
-            broadcast_addresses(&node);
+            if let Some(scheduler) = node.scheduler.borrow().as_ref() {
+                broadcast_progress(&node, scheduler);
+                broadcast_addresses(&node, scheduler);
+            }
         }
         let probe = node.clone();
         tokio::task::spawn_local(async move { probe.key_value.probe().await });
@@ -29,69 +53,72 @@
     }
 }
 
-fn broadcast_progress(node: &Node) {
-    let scheduler = node.scheduler.borrow();
-    let Some(s) = scheduler.as_ref() else { return };
-    let mut told = node.told.borrow_mut();
-    told.retain(|name, _| s.cluster.jobs_by_name.contains_key(name));
-    for (name, &ix) in &s.cluster.jobs_by_name {
-        let Some(counts) = s.cluster.counts(ix) else { continue };
-        if told.get(name) != Some(&counts) {
-            told.insert(name.clone(), counts);
+impl Node {
+    /// Sends the others this node's status. To a leader's they answer how far their logs of cancellations go.
+    /// Whether this node leads.
+    pub(crate) fn broadcast_status(&self) -> bool {
+        let (term, leading) = match self.leadership.borrow().role() {
+            Role::Leader { term } | Role::Loading { term } => (term, true),
+            Role::Follower | Role::Candidate => (0, false),
+        };
+        let count = self.broadcasts.statuses.get();
+        if leading {
+            self.cancellations.log_ends_requested(self.now(), count);
+        }
+        self.broadcast(&Frame::Status(NodeStatus {
+            name: self.settings.node_name.clone(),
+            term,
+            leading,
+            store_reachable: self.key_value.store_reachable(),
+            redirected: self.load.redirected(),
+            incarnation: self.identity.incarnation,
+            count,
+        }));
+        self.broadcasts.statuses.set(count + 1);
+        if self.key_value.limits_lowered() {
+            // A node that comes to lead later would find out again, with refused writes.
+            self.broadcast(&Frame::LimitsLowered);
+        }
+        leading
+    }
+}
+
+fn broadcast_progress(node: &Node, scheduler: &Scheduler) {
+    let jobs = &scheduler.cluster.jobs_by_name;
+    let mut sent = node.broadcasts.job_counts.borrow_mut();
+    sent.retain(|job, _| jobs.contains_key(job));
+    for (job, &index) in jobs {
+        let Some(counts) = scheduler.cluster.counts(index) else { continue };
+        if sent.get(job) != Some(&counts) {
+            sent.insert(job.clone(), counts);
             let (done, running) = counts;
-            node.broadcast(&Frame::Progress { job: name.clone(), done, running });
+            node.broadcast(&Frame::Progress { job: job.clone(), done, running });
         }
     }
 }
 
-/// Tells the next few of the machines, by name, beginning anew after the last.
-fn broadcast_addresses(node: &Node) {
-    let scheduler = node.scheduler.borrow();
-    let Some(s) = scheduler.as_ref() else { return };
-    let mut told = node.addresses_told.borrow_mut();
-    let mut names: Vec<(&String, &u32)> = s
-        .cluster
-        .machines_by_name
-        .iter()
-        .filter(|(n, &ix)| **n > *told && s.cluster.machines[ix as usize].state == MachineState::Up)
-        .collect();
-    names.sort_unstable();
-    let most = s.cluster.machines_by_name.len().div_ceil(ADDRESS_TURN).max(peers::MAX_MACHINES);
-    *told = match names.get(most) {
-        Some(_) => names[most - 1].0.clone(),
+/// Sends the addresses of the next few machines, by name, beginning anew after the last.
+fn broadcast_addresses(node: &Node, scheduler: &Scheduler) {
+    let cluster = &scheduler.cluster;
+    let mut last = node.broadcasts.last_machine.borrow_mut();
+    let is_next = |(name, &index): &(&String, &MachineIndex)| {
+        **name > *last && cluster.machines[index as usize].state == MachineState::Up
+    };
+    let mut next: Vec<(&String, &MachineIndex)> =
+        cluster.machines_by_name.iter().filter(is_next).collect();
+    next.sort_unstable();
+    let most = cluster.machines_by_name.len().div_ceil(ADDRESS_CYCLE).max(MAX_MACHINES);
+    let last_sent = match next.get(most) {
+        Some(_) => next[most - 1].0.clone(),
         None => String::new(),
     };
-    names.truncate(most);
-    for some in names.chunks(peers::MAX_MACHINES) {
-        let list = some.iter().filter_map(|(name, &ix)| {
-            let addr = s.cluster.machines[ix as usize].address.parse().ok()?;
-            Some(((*name).clone(), addr))
+    *last = last_sent;
+    next.truncate(most);
+    for some in next.chunks(MAX_MACHINES) {
+        let machines = some.iter().filter_map(|(name, &index)| {
+            let address = cluster.machines[index as usize].address.parse().ok()?;
+            Some(((*name).clone(), address))
         });
-        node.broadcast(&Frame::Machines(list.collect()));
-    }
-}
-
-/// Tells the log how submissions fared.
-pub(super) async fn log_times(node: Rc<Node>) {
-    loop {
-        sleep(Duration::from_secs(60)).await;
-        let let_go = node.let_go.replace(0);
-        if let_go > 0 {
-            warn!(
-                heartbeats = let_go,
-                open = node.open.get(),
-                "more workers than sockets: their connections are closed after each report"
-            );
-        }
-        let mut times = node.submit_times.borrow_mut();
-        if !times.is_empty() {
-            info!(
-                count = times.len(),
-                p50_ms = times.value_at_quantile(0.5),
-                p99_ms = times.value_at_quantile(0.99),
-                "submissions of the last minute"
-            );
-            times.reset();
-        }
+        node.broadcast(&Frame::Machines(machines.collect()));
     }
 }
--- /dev/null
+++ b/crates/controller/src/node/election.rs
@@ -0,0 +1,147 @@
+//! A node that doesn't lead: it waits while another holds the leader key, and campaigns when the key is gone.
+
+use std::rc::Rc;
+
+use tokio::time::{sleep, timeout, Duration, Instant};
+use tracing::info;
+use walnutlug_scheduler::command::TransactionOutcome;
+use walnutlug_scheduler::leadership::election::ElectionEvent;
+use walnutlug_scheduler::protocol::key_value::{
+    Compare, KeyValue, Operation, Transaction, WatchEvent,
+};
+use walnutlug_scheduler::storage::document::Document;
+use walnutlug_scheduler::storage::keys;
+
+use super::leader::{self, lease::HeldLease};
+use super::Node;
+use crate::key_value_client::{leader_record, KeyValueClient, RequestClass};
+
+/// Pause after the watch on the leader key failed, or while the own former lease has to expire.
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
+/// Pause while this node backs off from campaigning.
+const BACKOFF_PAUSE: Duration = Duration::from_millis(200);
+/// How long the key-value store may hold a watch on the leader key.
+const WATCH_HOLD: Duration = Duration::from_secs(10);
+/// Time to release the lease after a term.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// Follows, campaigns and leads for as long as the node lives.
+pub(super) async fn run(node: Rc<Node>) {
+    loop {
+        match node.key_value.get(RequestClass::Leadership, keys::LEADER).await {
+            Ok(Some(key_value)) => {
+                node.readiness.set_loaded();
+                follow(&node, &key_value).await;
+            }
+            Ok(None) => {
+                node.readiness.set_loaded();
+                if node.leadership.borrow_mut().step(node.now(), ElectionEvent::Vacant) {
+                    campaign(&node).await;
+                } else {
+                    sleep(BACKOFF_PAUSE).await;
+                }
+            }
+            Err(_) => sleep(Duration::from_millis(rand::random_range(250..400))).await,
+        }
+    }
+}
+
+/// Waits while the node that the leader key names leads.
+async fn follow(node: &Rc<Node>, key_value: &KeyValue) {
+    let own_nonce = node.identity.election_nonce.as_str();
+    if key_value.value["inc"].as_str() == Some(own_nonce) {
+        // Its lease is not held any more (an answer was lost): it will expire.
+        return sleep(RETRY_PAUSE).await;
+    }
+    let leader = key_value.value["node"].as_str().unwrap_or_default();
+    if leader == node.settings.node_name {
+        release_former_lease(node, key_value).await;
+    }
+    let term = key_value.revision;
+    node.learn_leader(leader, term);
+    match node.key_value.watch(RequestClass::Leadership, keys::LEADER, term, WATCH_HOLD).await {
+        Ok(watched) => {
+            if watched.events.iter().any(deletes_leader_key) {
+                info!(term, "leader key deleted");
+                node.cluster_view.forget_leader(term);
+            }
+        }
+        Err(_) => sleep(RETRY_PAUSE).await,
+    }
+}
+
+fn deletes_leader_key(event: &WatchEvent) -> bool {
+    matches!(event, WatchEvent::Delete { drop, .. } if drop == keys::LEADER)
+}
+
+/// The key names this node, but not this incarnation of it: the process ended while it led, and came back before its
+/// lease expired. Nobody leads, so the lease is ended at once. Were the former process alive against all order, its
+/// writes would fail, and nothing worse.
+async fn release_former_lease(node: &Node, key_value: &KeyValue) {
+    if let Some(lease) = key_value.value["lease"].as_u64() {
+        info!(term = key_value.revision, "leader lease of a former incarnation released");
+        let _ = node.key_value.release(lease).await;
+    }
+}
+
+/// Tries to create the leader key, and leads if that succeeds.
+async fn campaign(node: &Rc<Node>) {
+    let ttl = Duration::from_micros(node.tunables.leader_lease.0);
+    let campaign_failed = || {
+        node.leadership.borrow_mut().step(node.now(), ElectionEvent::Failed);
+    };
+    let requested = Instant::now();
+    let Ok(lease) = node.key_value.lease(ttl).await else {
+        campaign_failed();
+        return sleep(Duration::from_millis(rand::random_range(50..200))).await;
+    };
+    node.leader.lease_renewed(requested, ttl);
+    let nonce = &node.identity.election_nonce;
+    let claim = leader_key_claim(&node.settings.node_name, nonce, lease);
+    let Some(term) = create_leader_key(&node.key_value, &claim, nonce).await else {
+        // Ending the lease ends whatever a late copy of the transaction might yet create.
+        let _ = node.key_value.release(lease).await;
+        return campaign_failed();
+    };
+    if !node.leadership.borrow_mut().step(node.now(), ElectionEvent::Won { term }) {
+        return;
+    }
+    info!(term, "elected");
+    node.key_value.lead(true);
+    node.learn_leader(&node.settings.node_name, term);
+    leader::lead(node, term, HeldLease { id: lease, renewed: requested }).await;
+    let _ = timeout(RELEASE_TIMEOUT, node.key_value.release(lease)).await;
+}
+
+/// The transaction that creates the leader key, if there is none.
+fn leader_key_claim(node_name: &str, election_nonce: &str, lease: u64) -> Transaction {
+    let value = leader_record(node_name, election_nonce, lease);
+    Transaction {
+        compares: vec![Compare { key: keys::LEADER.into(), revision: 0 }],
+        operations: vec![Operation::Put {
+            put: keys::LEADER.into(),
+            value: Document::new(&value),
+            lease: Some(lease),
+        }],
+    }
+}
+
+/// Creates the key. The new term if this node did: if only the answer was lost, the key holds its nonce.
+async fn create_leader_key(
+    key_value_client: &KeyValueClient,
+    claim: &Transaction,
+    election_nonce: &str,
+) -> Option<u64> {
+    match key_value_client.commit(RequestClass::Leadership, claim).await {
+        TransactionOutcome::Committed { revision } => Some(revision),
+        TransactionOutcome::Conflict { .. } | TransactionOutcome::Indeterminate => {
+            let found = key_value_client.get(RequestClass::Leadership, keys::LEADER).await;
+            let own = found.ok()?.filter(|key| key.value["inc"].as_str() == Some(election_nonce));
+            own.map(|key| key.revision)
+        }
+        TransactionOutcome::Rejected | TransactionOutcome::TooLarge => None,
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/controller/src/node/fleet_role.rs
+++ b/crates/controller/src/node/fleet_role.rs
@@ -1,30 +1,58 @@
-//! The leader's duty over the fleet, fenced: rentals and returns are recorded before they are sent, the lease
-//! is looked at directly before each is, and what former leaders recorded is settled first.
+//! The leader's role over the fleet, fenced: scaling out and in is recorded as an intent before it is requested, the
+//! lease is checked directly before each request, and the intents of former leaders are settled first.
 
+use std::cell::RefCell;
 use std::rc::Rc;
 
-use tokio::time::Instant;
 use tracing::{debug, error, info, warn};
 use walnutlug_fencing::fence::Fence;
 use walnutlug_fencing::intent::{Action, ScaleOut, TerminatedMachine, INTENT_PREFIX};
 use walnutlug_fencing::intent_log::{
     ActionAnswer, ActionId, Adopted, IntentLog, IntentLogCommand, WriteLimits,
 };
-use walnutlug_fencing::leased_role::{Epoch, EpochError, LeasedRole};
+use walnutlug_fencing::leased_role::LeasedRole;
 use walnutlug_scheduler::protocol::cloud::ScaleOutRequest;
 use walnutlug_scheduler::scheduler::Scheduler;
 
-use super::leader::{retry, with_scheduler};
+use super::leader::{list_until_answered, with_scheduler};
+use super::step_down::StepDownCause;
 use super::Node;
 use crate::cloud_client::CloudError;
 use crate::key_value_client::{KeyValueError, RequestClass};
 
-/// Lags of the cloud's list after which a machine is on it for certain; it may lag twice as long as told.
+/// Lags of the cloud's list after which a machine is on it for certain; it may lag twice as long as stated.
 const LISTED_AFTER_LAGS: f64 = 3.0;
-/// Faulty records that are named in the log at a failover.
+/// Faulty records that are logged at a failover.
 const MAX_FAULTS_LOGGED: usize = 5;
 
-/// Takes the duty over with the lead: reads what former holders recorded and were not seen to settle.
+/// The intents of this node's term as the leader, if roles are fenced.
+#[derive(Default)]
+pub(super) struct FleetRole {
+    intent_log: RefCell<Option<IntentLog>>,
+}
+
+impl FleetRole {
+    /// The term is over.
+    pub(super) fn end(&self) {
+        self.intent_log.take();
+    }
+
+    fn begin(&self, intent_log: IntentLog) {
+        self.intent_log.replace(Some(intent_log));
+    }
+
+    /// Calls the function with the intent log of that term, if there is one.
+    fn with_intent_log<T>(&self, term: u64, call: impl FnOnce(&mut IntentLog) -> T) -> Option<T> {
+        let mut intent_log = self.intent_log.borrow_mut();
+        let of_term = |intent_log: &&mut IntentLog| intent_log.fence().epoch().revision() == term;
+        intent_log.as_mut().filter(of_term).map(call)
+    }
+}
+
+/// Takes the role over with the lead: reads the intents of former holders that were not seen to settle.
+///
+/// # Errors
+/// If the intents can't be read.
 pub(super) async fn take_over(
     node: &Rc<Node>,
     term: u64,
@@ -33,50 +61,38 @@
     if !node.tunables.fenced_duties {
         return Ok(());
     }
-    let epoch = match next_epoch(node, term) {
+    let epoch = match node.cluster_view.enter_term(term) {
         Ok(epoch) => epoch,
-        Err(fault) => {
-            error!(term, "the fleet duty stops at this node: {fault}");
-            *node.fleet.borrow_mut() = None;
+        Err(reason) => {
+            error!(term, %reason, "fleet role not taken");
+            node.fleet_role.end();
             return Ok(());
         }
     };
-    // The term guards every write, so no record of an earlier one can come after this.
-    let (stored, _) = retry(node, INTENT_PREFIX).await?;
+    // The term is a precondition of every write, so no intent of an earlier one can come after this.
+    let (stored, _) = list_until_answered(node, INTENT_PREFIX).await?;
     let listed_within = node.site.list_lag.mul_f64(LISTED_AFTER_LAGS);
     let fence = Fence::new(LeasedRole::Fleet, epoch);
     let mut intent_log = IntentLog::new(fence, write_limits(node), listed_within);
     let now = node.now();
-    let has_tasks = |name: &str| {
-        let machine = scheduler
-            .cluster
-            .machines_by_name
-            .get(name)
-            .map(|&ix| &scheduler.cluster.machines[ix as usize]);
-        machine.is_some_and(|machine| !machine.tasks.is_empty())
-    };
-    let adopted = intent_log.adopt(now, &stored, has_tasks);
+    let adopted = intent_log.adopt(now, &stored, |machine: &str| holds_tasks(scheduler, machine));
     log_adopted(term, &adopted);
     for machine in &adopted.returns {
         scheduler.adopt_scale_in(now, &machine.machine);
     }
     for scale_out in &adopted.scale_outs {
-        scheduler.adopt_scale_out(
-            &scale_out.kind,
-            &scale_out.zone,
-            scale_out.spot,
-            scale_out.count,
-        );
+        let ScaleOut { kind, zone, spot, count, .. } = scale_out;
+        scheduler.adopt_scale_out(kind, zone, *spot, *count);
     }
-    *node.fleet.borrow_mut() = Some(intent_log);
+    node.fleet_role.begin(intent_log);
     Ok(())
 }
 
-/// The term as an epoch, if it is above all that are known.
-fn next_epoch(node: &Node, term: u64) -> Result<Epoch, EpochError> {
-    let epoch = Epoch::from_revision(term)?.must_follow(node.highest_term.get())?;
-    node.highest_term.set(Some(epoch));
-    Ok(epoch)
+/// Whether tasks are placed on the machine.
+fn holds_tasks(scheduler: &Scheduler, machine: &str) -> bool {
+    let cluster = &scheduler.cluster;
+    let index = cluster.machines_by_name.get(machine);
+    index.is_some_and(|&index| !cluster.machines[index as usize].tasks.is_empty())
 }
 
 fn write_limits(node: &Node) -> WriteLimits {
@@ -86,99 +102,71 @@
 
 fn log_adopted(term: u64, adopted: &Adopted) {
     if !adopted.scale_outs.is_empty() || !adopted.returns.is_empty() {
-        let (scale_outs, returns) = (adopted.scale_outs.len(), adopted.returns.len());
-        info!(term, scale_outs, returns, "settling what former holders of the fleet duty recorded");
+        let (scale_outs, scale_ins) = (adopted.scale_outs.len(), adopted.returns.len());
+        info!(term, scale_outs, scale_ins, "settling intents of former holders of the fleet role");
     }
     for machine in &adopted.overruled {
-        warn!(machine, "its recorded return is dropped: work was recorded there after it");
+        warn!(
+            term,
+            machine, "intent to scale in dropped: tasks were placed on the machine after it"
+        );
     }
     for fault in adopted.faults.iter().take(MAX_FAULTS_LOGGED) {
-        error!("left as it is: {fault}");
+        error!(term, reason = %fault, "stored intent ignored");
     }
-    if let Some(more) = adopted.faults.len().checked_sub(MAX_FAULTS_LOGGED).filter(|n| *n > 0) {
-        error!("and {more} more records that this version can't act on");
+    if let Some(count) = adopted.faults.len().checked_sub(MAX_FAULTS_LOGGED).filter(|n| *n > 0) {
+        error!(term, count, "more stored intents ignored");
     }
 }
 
-/// Rents machines under the fence. False where duties aren't fenced.
-pub(super) fn scale_out(node: &Rc<Node>, request: &ScaleOutRequest) -> bool {
-    if !node.tunables.fenced_duties {
-        return false;
+/// Scales out under the fence.
+pub(super) fn scale_out(node: &Node, request: &ScaleOutRequest) {
+    let ScaleOutRequest { request, kind, zone, spot, count } = request.clone();
+    let scale_out = ScaleOut { request, kind, zone, spot, count };
+    let mut intent_log = node.fleet_role.intent_log.borrow_mut();
+    let (kind, zone) = (scale_out.kind.clone(), scale_out.zone.clone());
+    let taken = intent_log.as_mut().is_some_and(|intent_log| intent_log.scale_out(scale_out));
+    drop(intent_log);
+    if taken {
+        return;
     }
-    let scale_out = ScaleOut {
-        request: request.request.clone(),
-        kind: request.kind.clone(),
-        zone: request.zone.clone(),
-        spot: request.spot,
-        count: request.count,
-    };
-    let taken =
-        node.fleet.borrow_mut().as_mut().is_some_and(|intent_log| intent_log.scale_out(scale_out));
-    if !taken {
-        scale_out_failed(node, request);
+    if let Some(scheduler) = node.scheduler.borrow_mut().as_mut() {
+        scheduler.scale_out_answered(node.now(), &kind, &zone, spot, count, Err(()));
     }
-    true
 }
 
-fn scale_out_failed(node: &Node, request: &ScaleOutRequest) {
-    if let Some(s) = node.scheduler.borrow_mut().as_mut() {
-        s.scale_out_answered(
-            node.now(),
-            &request.kind,
-            &request.zone,
-            request.spot,
-            request.count,
-            Err(()),
-        );
-    }
-}
-
-/// Returns machines under the fence. False where duties aren't fenced.
-pub(super) fn terminate(node: &Rc<Node>, machines: &[String]) -> bool {
-    if !node.tunables.fenced_duties {
-        return false;
-    }
+/// Scales in under the fence.
+pub(super) fn scale_in(node: &Node, machines: &[String]) {
     let now = node.now();
     let mut scheduler = node.scheduler.borrow_mut();
-    let Some(scheduler) = scheduler.as_mut() else { return true };
-    let with_tasks = |name: &String| {
-        let known = scheduler
-            .cluster
-            .machines_by_name
-            .get(name)
-            .map(|&ix| &scheduler.cluster.machines[ix as usize]);
-        let holds_tasks = known.is_some_and(|machine| !machine.tasks.is_empty());
-        TerminatedMachine { machine: name.clone(), holds_tasks }
+    let Some(scheduler) = scheduler.as_mut() else { return };
+    let terminated = |machine: &String| TerminatedMachine {
+        machine: machine.clone(),
+        holds_tasks: holds_tasks(scheduler, machine),
     };
-    let machines = machines.iter().map(with_tasks).collect();
-    let mut fleet = node.fleet.borrow_mut();
-    let requests = fleet.as_mut().map_or(0, |intent_log| intent_log.scale_in(now, machines));
+    let machines = machines.iter().map(terminated).collect();
+    let mut intent_log = node.fleet_role.intent_log.borrow_mut();
+    let requests = intent_log.as_mut().map_or(0, |intent_log| intent_log.scale_in(now, machines));
     if requests == 0 {
         // Nothing new comes of it, so no answer will either.
         scheduler.scale_in_answered(now, &[], false);
     }
-    true
 }
 
-/// Carries on with what is to be recorded, sent and dropped.
+/// Carries on with what is to be recorded, requested and deleted.
 pub(super) fn advance(node: &Rc<Node>, term: u64) {
-    let commands = {
-        let mut fleet = node.fleet.borrow_mut();
-        let Some(intent_log) = fleet.as_mut() else { return };
-        if intent_log.fence().epoch().revision() != term {
-            return;
-        }
+    let commands = node.fleet_role.with_intent_log(term, |intent_log| {
         intent_log.set_limits(write_limits(node));
-        intent_log.tick(node.now(), holds(node, term));
+        intent_log.tick(node.now(), is_held(node, term));
         intent_log.take_commands()
-    };
-    for command in commands {
+    });
+    for command in commands.unwrap_or_default() {
         match command {
             IntentLogCommand::Write { id, transaction } => {
                 let node = node.clone();
                 tokio::task::spawn_local(async move {
                     let outcome = node.key_value.commit(RequestClass::Dispatch, &transaction).await;
-                    with_intent_log(&node, term, |intent_log| {
+                    answered(&node, term, |intent_log| {
                         intent_log.written(node.now(), id, &outcome)
                     });
                 });
@@ -193,67 +181,63 @@
     }
 }
 
-/// Tells the ledger of that term what happened, and carries on.
-fn with_intent_log(node: &Rc<Node>, term: u64, tell: impl FnOnce(&mut IntentLog)) {
-    let stopped = {
-        let mut fleet = node.fleet.borrow_mut();
-        let intent_log =
-            fleet.as_mut().filter(|intent_log| intent_log.fence().epoch().revision() == term);
-        let Some(intent_log) = intent_log else { return };
-        tell(intent_log);
-        intent_log.stopped().map(ToString::to_string)
-    };
+/// Applies an answer to the intent log of that term, and carries on.
+fn answered(node: &Rc<Node>, term: u64, apply: impl FnOnce(&mut IntentLog)) {
+    let stopped = node.fleet_role.with_intent_log(term, |intent_log| {
+        apply(intent_log);
+        intent_log.stopped().cloned()
+    });
     match stopped {
-        Some(why) => node.step_down(&format!("the fleet duty is over: {why}")),
-        None => advance(node, term),
+        Some(Some(stopped)) => node.step_down(StepDownCause::FleetRoleStopped(stopped)),
+        Some(None) => advance(node, term),
+        None => {}
     }
 }
 
-/// Whether this node still holds the duty under that epoch, for certain and right now.
-fn holds(node: &Node, term: u64) -> bool {
-    node.leadership.borrow().term() == Some(term) && Instant::now() < node.lease_until.get()
+/// Whether this node still holds the role under that epoch, for certain and right now.
+fn is_held(node: &Node, term: u64) -> bool {
+    node.leadership.borrow().term() == Some(term) && node.leader.holds_lease()
 }
 
-async fn send_scale_out(node: Rc<Node>, term: u64, id: ActionId, scale_out: ScaleOut) {
-    let answer = node.cloud.scale_out(&scale_out.request(), &|| holds(&node, term)).await;
-    let outcome = match &answer {
+/// What the answer of the cloud means for the intent.
+fn action_answer<T>(answer: &Result<T, CloudError>) -> ActionAnswer {
+    match answer {
         Ok(_) => ActionAnswer::Done,
         Err(CloudError::NoCapacity | CloudError::Refused) => ActionAnswer::Refused,
         Err(CloudError::NotSent) => ActionAnswer::NotSent,
         Err(CloudError::Unknown) => ActionAnswer::Unknown,
-    };
-    let rented = answer.as_deref().unwrap_or_default();
-    with_intent_log(&node, term, |intent_log| intent_log.answered(node.now(), id, outcome, rented));
-    with_scheduler(&node, term, |s, now| {
-        let ScaleOut { kind, zone, spot, count, .. } = &scale_out;
-        match answer {
-            Ok(names) => s.scale_out_answered(now, kind, zone, *spot, *count, Ok(names)),
-            Err(CloudError::NoCapacity) => {
-                s.scale_out_answered(now, kind, zone, *spot, *count, Ok(Vec::new()))
-            }
-            Err(CloudError::Refused) => {
-                s.scale_out_answered(now, kind, zone, *spot, *count, Err(()))
-            }
-            // It is sent again, and the machines may come.
-            Err(CloudError::NotSent | CloudError::Unknown) => s.cloud_in_trouble(now),
+    }
+}
+
+async fn send_scale_out(node: Rc<Node>, term: u64, id: ActionId, scale_out: ScaleOut) {
+    let answer = node.cloud.scale_out(&scale_out.request(), &|| is_held(&node, term)).await;
+    let outcome = action_answer(&answer);
+    let granted = answer.as_deref().unwrap_or_default();
+    answered(&node, term, |intent_log| intent_log.answered(node.now(), id, outcome, granted));
+    let granted = match answer {
+        Ok(machines) => Ok(machines),
+        Err(CloudError::NoCapacity) => Ok(Vec::new()),
+        Err(CloudError::Refused) => Err(()),
+        // It is requested again, and the machines may come.
+        Err(CloudError::NotSent | CloudError::Unknown) => {
+            return with_scheduler(&node, term, |scheduler, now| scheduler.cloud_in_trouble(now));
         }
+    };
+    let ScaleOut { kind, zone, spot, count, .. } = &scale_out;
+    with_scheduler(&node, term, |scheduler, now| {
+        scheduler.scale_out_answered(now, kind, zone, *spot, *count, granted);
     });
 }
 
 async fn send_scale_in(node: Rc<Node>, term: u64, id: ActionId, machines: Vec<TerminatedMachine>) {
-    let names: Vec<String> = machines.into_iter().map(|machine| machine.machine).collect();
-    let answer = node.cloud.terminate(&names, &|| holds(&node, term)).await;
-    let outcome = match answer {
-        Ok(()) => ActionAnswer::Done,
-        Err(CloudError::NoCapacity | CloudError::Refused) => ActionAnswer::Refused,
-        Err(CloudError::NotSent) => ActionAnswer::NotSent,
-        Err(CloudError::Unknown) => ActionAnswer::Unknown,
-    };
+    let machines: Vec<String> = machines.into_iter().map(|machine| machine.machine).collect();
+    let answer = node.cloud.terminate(&machines, &|| is_held(&node, term)).await;
+    let outcome = action_answer(&answer);
     if outcome != ActionAnswer::Done {
-        debug!("machines not returned yet: {outcome:?}");
+        debug!(term, ?outcome, "machines not terminated yet");
     }
-    with_intent_log(&node, term, |intent_log| intent_log.answered(node.now(), id, outcome, &[]));
-    with_scheduler(&node, term, |s, now| {
-        s.scale_in_answered(now, &names, outcome == ActionAnswer::Done);
+    answered(&node, term, |intent_log| intent_log.answered(node.now(), id, outcome, &[]));
+    with_scheduler(&node, term, |scheduler, now| {
+        scheduler.scale_in_answered(now, &machines, outcome == ActionAnswer::Done);
     });
 }
--- a/crates/controller/src/node/golden_tests.rs
+++ b/crates/controller/src/node/golden_tests.rs
@@ -8,12 +8,16 @@
 use walnutlug_scheduler::protocol::workers::WorkerCommand;
 use walnutlug_scheduler::storage::keys;
 
+use super::routes::handle;
 use super::tests::{idle_report, leader_with_a_task, report_of, JOB};
 use super::*;
 use crate::golden_file::Golden;
 use crate::http::client::{Failure, Response};
 use crate::http::server::exchange::{exchange, exchange_unfinished};
+use crate::user_api;
 use crate::user_api::fake_cluster::{Fault, StandIn};
+use crate::worker_api::{self, WorkerConnection};
+use tokio::time::Duration;
 
 const USERS: &str = "src/node/golden/users.txt";
 const WORKERS: &str = "src/node/golden/workers.txt";
@@ -72,7 +76,7 @@
     let node = store.node();
     let ready = |node: Rc<Node>| async move { ask(&node, "GET", "/ready", "").await };
     let mut found = vec![("not ready", ready(node.clone()).await)];
-    node.ready_once.set(true);
+    node.readiness.set_loaded();
     found.push(("ready", ready(node.clone()).await));
     found.push(("accepted", submit(&node, &submission().to_string()).await));
     found.push(("known", submit(&node, &submission().to_string()).await));
@@ -310,7 +314,8 @@
     };
     let settings = Settings::parse(&crate::settings::tests::sample().to_string());
     let client = Rc::new(Client::scripted_slow(Box::new(script)));
-    let node = Node::new(settings.expect("settings"), Tunables::default(), client, Vec::new());
+    let node =
+        Node::new(settings.expect("settings"), Tunables::default(), client, PeerSenders::new([]));
     let node = Rc::new(node.expect("a node"));
     node.types.borrow_mut().push(one_type());
     node
@@ -364,7 +369,7 @@
         {
             let asked = Rc::default();
             let node = noting_with(&asked, descriptions);
-            let election = tokio::task::spawn_local(leader::election(node.clone()));
+            let election = tokio::task::spawn_local(election::run(node.clone()));
             tokio::time::sleep(ELECTION).await;
             election.abort();
             assert!(node.leadership.borrow().term() == Some(432), "elected");
@@ -372,8 +377,8 @@
         }
         let asked = Rc::default();
         let node = noting(&asked);
-        let duty = tokio::task::spawn_local(machine_types_role::keep(node.clone()));
-        let types = tokio::task::spawn_local(machine_types::keep(node.clone()));
+        let duty = tokio::task::spawn_local(machine_types_role::run(node.clone()));
+        let types = tokio::task::spawn_local(machine_types::keep_fresh(node.clone()));
         tokio::time::sleep(ROLE).await;
         duty.abort();
         types.abort();
@@ -385,7 +390,7 @@
 
 /// With digits of times and this life's random name replaced.
 fn steady(node: &Node, asked: &RefCell<Vec<String>>) -> String {
-    let text = asked.borrow().join("\n").replace(&node.election_nonce, "INCARNATION");
+    let text = asked.borrow().join("\n").replace(&node.identity.election_nonce, "INCARNATION");
     let mut pieces = text.split("\"at\":");
     let mut steady = pieces.next().unwrap_or_default().to_owned();
     for piece in pieces {
--- /dev/null
+++ b/crates/controller/src/node/leader/commands.rs
@@ -0,0 +1,128 @@
+//! Carries the scheduler's commands out. Each answer goes back to the scheduler, if its term still lasts.
+
+use std::rc::Rc;
+
+use tokio::task::spawn_local;
+use tokio::time::{sleep, Duration};
+use walnutlug_scheduler::command::Command;
+use walnutlug_scheduler::protocol::cloud::ScaleOutRequest;
+use walnutlug_scheduler::storage::keys;
+
+use super::super::step_down::StepDownCause;
+use super::super::{event_log, fleet_role, Node};
+use super::{job_ends, with_scheduler};
+use crate::cloud_client::CloudError;
+use crate::key_value_client::RequestClass;
+use crate::worker_api;
+
+/// Shortest time between two readings of the leader key.
+const VERIFY_INTERVAL: Duration = Duration::from_millis(500);
+
+/// Starts one command. None of them is waited for.
+pub(super) fn execute(node: &Rc<Node>, term: u64, command: Command) {
+    let node = node.clone();
+    match command {
+        Command::Log(event) => event_log::write(&event),
+        Command::StepDown(reason) => node.step_down(StepDownCause::Scheduler(reason)),
+        Command::VerifyLeadership => verify_leadership(node, term),
+        Command::Commit { id, transaction } => {
+            spawn_local(async move {
+                let outcome = node.key_value.commit(RequestClass::Dispatch, &transaction).await;
+                with_scheduler(&node, term, |scheduler, now| {
+                    scheduler.transaction_answered(now, id, outcome);
+                });
+            });
+        }
+        Command::Read { id, key } => {
+            spawn_local(async move {
+                let answer = match node.key_value.get(RequestClass::Dispatch, &key).await {
+                    Ok(Some(key_value)) => Some((key_value.value, key_value.revision)),
+                    Ok(None) => Some((serde_json::Value::Null, 0)),
+                    Err(_) => None,
+                };
+                with_scheduler(&node, term, |scheduler, now| {
+                    scheduler.read_answered(now, id, answer);
+                });
+            });
+        }
+        Command::FindJobEnds { names } => {
+            spawn_local(async move {
+                let found = job_ends::look_up(&node, names).await;
+                with_scheduler(&node, term, |scheduler, now| scheduler.job_ends_found(now, &found));
+            });
+        }
+        Command::SendToWorker { machine, address, token, agent_epoch, calls } => {
+            spawn_local(async move {
+                let client = &node.client;
+                let outcome =
+                    worker_api::send_commands(client, &address, token, agent_epoch, &calls).await;
+                with_scheduler(&node, term, |scheduler, now| {
+                    scheduler.message_answered(now, machine, outcome);
+                });
+            });
+        }
+        Command::ScaleOut { kind, zone, spot, count } => {
+            let request = scale_out_request_name(&node, term);
+            scale_out(node, term, ScaleOutRequest { request, kind, zone, spot, count });
+        }
+        Command::ScaleIn { machines } => scale_in(node, term, machines),
+    }
+}
+
+/// Reads whether the leader key is still this term's, unless that is being done already.
+fn verify_leadership(node: Rc<Node>, term: u64) {
+    if node.leader.verifying.replace(true) {
+        return;
+    }
+    spawn_local(async move {
+        if let Ok(found) = node.key_value.get(RequestClass::Leadership, keys::LEADER).await {
+            if found.is_none_or(|key_value| key_value.revision != term) {
+                node.step_down(StepDownCause::LeaderKeyChanged);
+            }
+        }
+        sleep(VERIFY_INTERVAL).await;
+        node.leader.verifying.set(false);
+    });
+}
+
+/// Term, nonce and counter: a name that no other node or time ever uses.
+fn scale_out_request_name(node: &Node, term: u64) -> String {
+    let number = node.leader.next_scale_out_number();
+    format!("{term}-{}-{number}", node.identity.election_nonce)
+}
+
+fn scale_out(node: Rc<Node>, term: u64, request: ScaleOutRequest) {
+    if node.tunables.fenced_duties {
+        fleet_role::scale_out(&node, &request);
+    } else {
+        spawn_local(scale_out_unfenced(node, term, request));
+    }
+}
+
+fn scale_in(node: Rc<Node>, term: u64, machines: Vec<String>) {
+    if node.tunables.fenced_duties {
+        fleet_role::scale_in(&node, &machines);
+    } else {
+        spawn_local(scale_in_unfenced(node, term, machines));
+    }
+}
+
+/// Scales out without a stored intent, as all versions did before there were fenced roles.
+async fn scale_out_unfenced(node: Rc<Node>, term: u64, request: ScaleOutRequest) {
+    let answer = match node.cloud.scale_out(&request, &|| true).await {
+        Ok(machines) => Ok(machines),
+        Err(CloudError::NoCapacity) => Ok(Vec::new()),
+        Err(CloudError::Refused | CloudError::NotSent | CloudError::Unknown) => Err(()),
+    };
+    let ScaleOutRequest { kind, zone, spot, count, .. } = &request;
+    with_scheduler(&node, term, |scheduler, now| {
+        scheduler.scale_out_answered(now, kind, zone, *spot, *count, answer);
+    });
+}
+
+async fn scale_in_unfenced(node: Rc<Node>, term: u64, machines: Vec<String>) {
+    let terminated = node.cloud.terminate(&machines, &|| true).await.is_ok();
+    with_scheduler(&node, term, |scheduler, now| {
+        scheduler.scale_in_answered(now, &machines, terminated);
+    });
+}
--- /dev/null
+++ b/crates/controller/src/node/leader/loading.rs
@@ -0,0 +1,137 @@
+//! Reads the records of the former term, whole, before anything is decided.
+
+use std::rc::Rc;
+
+use tokio::time::{sleep, Duration, Instant};
+use tracing::{info, warn};
+use walnutlug_scheduler::leadership::election::ElectionEvent;
+use walnutlug_scheduler::protocol::key_value::KeyValue;
+use walnutlug_scheduler::scheduler::Scheduler;
+use walnutlug_scheduler::storage::keys;
+use walnutlug_scheduler::time::Timestamp;
+
+use super::super::{fleet_role, Node};
+use super::{install, job_ends, machine_list, reconciling, watches};
+use crate::key_value_client::{KeyValueError, RequestClass};
+
+/// Pause after a read that failed.
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// Times that a list is tried again.
+const MAX_RETRIES: u32 = 21;
+
+/// Reads the records, puts the scheduler in charge and starts the tasks that keep it up to date.
+///
+/// # Errors
+/// If the records can't be read, or the term is over.
+pub(super) async fn load(node: &Rc<Node>, term: u64) -> Result<(), KeyValueError> {
+    let (began, requested) = (Instant::now(), node.now());
+    node.cancellations.take_kept_ends();
+    if node.types.borrow().is_empty() {
+        node.read_types().await;
+    }
+    let types = node.types.borrow().clone();
+    let (site, tunables) = (node.site.clone(), node.tunables.clone());
+    let mut scheduler = Scheduler::new(site, tunables, term, types, node.now());
+    let records = load_jobs(node, &mut scheduler).await?;
+    remove_ended_jobs(node, &mut scheduler, records.read_at).await?;
+    fleet_role::take_over(node, term, &mut scheduler).await?;
+    node.cluster_view.for_each_address(|machine, address| {
+        scheduler.cluster.hint_address(records.read_at, machine, &address.to_string());
+    });
+    log_loaded(&scheduler, began);
+    install(node, scheduler);
+    node.cancellations.ends_read(requested);
+    if !node.leadership.borrow_mut().step(node.now(), ElectionEvent::Loaded { term }) {
+        return Err(KeyValueError::Expired);
+    }
+    // The others learn of it at once, and go on answering workers under this term.
+    node.broadcast_status();
+    start_tasks(node, term, records.store_revision);
+    Ok(())
+}
+
+/// What runs beside the leader's loop, until the term is over.
+fn start_tasks(node: &Rc<Node>, term: u64, store_revision: u64) {
+    for prefix in [keys::DESCRIPTIONS, keys::END] {
+        tokio::task::spawn_local(watches::run(node.clone(), term, prefix, store_revision));
+    }
+    tokio::task::spawn_local(machine_list::run(node.clone(), term));
+    tokio::task::spawn_local(reconciling::run(node.clone(), term));
+}
+
+/// What was read.
+struct LoadedRecords {
+    read_at: Timestamp,
+    /// The revision from which the watches go on.
+    store_revision: u64,
+}
+
+/// Reads the jobs and their runs.
+async fn load_jobs(
+    node: &Rc<Node>,
+    scheduler: &mut Scheduler,
+) -> Result<LoadedRecords, KeyValueError> {
+    let (descriptions, store_revision) = list_until_answered(node, keys::DESCRIPTIONS).await?;
+    let (runs, _) = list_until_answered(node, keys::RUN).await?;
+    let (read_at, wall) = (node.now(), node.wall_us());
+    for description in &descriptions {
+        if let Some(job) = keys::described(&description.key) {
+            scheduler.add_job(read_at, job, &description.value, wall);
+        }
+    }
+    for key in scheduler.load_runs(read_at, &runs) {
+        // Descriptions are deleted last, so this is damage from outside. Its tasks are unknown to the scheduler and
+        // will be stopped where they are reported.
+        warn!(%key, "stored run belongs to no job: ignored");
+    }
+    Ok(LoadedRecords { read_at, store_revision })
+}
+
+/// Removes the jobs that have ended.
+async fn remove_ended_jobs(
+    node: &Rc<Node>,
+    scheduler: &mut Scheduler,
+    now: Timestamp,
+) -> Result<(), KeyValueError> {
+    let jobs: Vec<String> = scheduler.cluster.jobs_by_name.keys().cloned().collect();
+    loop {
+        match job_ends::find_ended(node, jobs.clone()).await {
+            Ok(ended) => {
+                for job in &ended {
+                    scheduler.job_over(now, job);
+                }
+                return Ok(());
+            }
+            Err(error @ KeyValueError::InvalidResponse) => return Err(error),
+            Err(_) => sleep(RETRY_PAUSE).await,
+        }
+    }
+}
+
+fn log_loaded(scheduler: &Scheduler, began: Instant) {
+    let placed: usize = scheduler.cluster.machines.iter().map(|machine| machine.tasks.len()).sum();
+    info!(
+        term = scheduler.term,
+        jobs = scheduler.cluster.jobs_by_name.len(),
+        placed,
+        ms = began.elapsed().as_millis() as u64,
+        "records read: leading"
+    );
+}
+
+/// Reads all keys under the prefix, trying again for some seconds. Also the store's revision.
+///
+/// # Errors
+/// If the key-value store doesn't answer within that time.
+pub(in crate::node) async fn list_until_answered(
+    node: &Rc<Node>,
+    prefix: &str,
+) -> Result<(Vec<KeyValue>, u64), KeyValueError> {
+    for _ in 0..MAX_RETRIES {
+        if let Ok(found) = node.key_value.list(RequestClass::Dispatch, prefix).await {
+            return Ok(found);
+        }
+        sleep(RETRY_PAUSE).await;
+    }
+    node.key_value.list(RequestClass::Dispatch, prefix).await
+}
--- /dev/null
+++ b/crates/controller/src/node/leader/machine_list.rs
@@ -0,0 +1,35 @@
+//! Reads the cloud's list of machines, again and again.
+
+use std::rc::Rc;
+
+use tokio::time::{sleep, Duration, Instant};
+
+use super::super::Node;
+
+/// Shortest and longest time between two lists.
+const MIN_INTERVAL: Duration = Duration::from_secs(3);
+const MAX_INTERVAL: Duration = Duration::from_secs(10);
+/// Pause after the cloud didn't answer.
+const RETRY_PAUSE: Duration = Duration::from_secs(2);
+
+/// Lists the machines until the term is over.
+pub(super) async fn run(node: Rc<Node>, term: u64) {
+    let interval =
+        Duration::from_micros(node.site.list_lag.0 / 2).clamp(MIN_INTERVAL, MAX_INTERVAL);
+    while node.leads_under(term) {
+        let requested = Instant::now();
+        let pause = match node.cloud.list().await {
+            Ok(machines) => {
+                let now = node.now();
+                if let Some(scheduler) = node.scheduler.borrow_mut().as_mut() {
+                    scheduler.machine_list(now, &machines);
+                }
+                node.wake_leader();
+                // The pages of a large fleet's list leave half of the cloud's rate to scaling out and in.
+                interval.max(requested.elapsed())
+            }
+            Err(_) => RETRY_PAUSE,
+        };
+        sleep(pause).await;
+    }
+}
--- /dev/null
+++ b/crates/controller/src/node/leader/reconciling.rs
@@ -0,0 +1,81 @@
+//! Reads the records again, now and then: which jobs there are, and which of them have ended. The watches say the same
+//! sooner; but no job may depend on one message that was lost.
+
+use std::rc::Rc;
+
+use tokio::time::{sleep, Duration};
+use tracing::{debug, info};
+use walnutlug_scheduler::protocol::key_value::KeyValue;
+use walnutlug_scheduler::scheduler::Scheduler;
+use walnutlug_scheduler::storage::keys;
+
+use super::super::Node;
+use super::job_ends;
+use crate::key_value_client::{KeyValueError, RequestClass};
+
+/// How often a leader reads the records again.
+const RECONCILE_EVERY: Duration = Duration::from_secs(20);
+
+/// Reconciles until the term is over.
+pub(super) async fn run(node: Rc<Node>, term: u64) {
+    loop {
+        sleep(RECONCILE_EVERY).await;
+        if !node.leads_under(term) {
+            return;
+        }
+        if !node.key_value.store_reachable() {
+            continue;
+        }
+        if let Err(error) = reconcile_once(&node, term).await {
+            debug!(%error, "records not read again");
+        }
+    }
+}
+
+/// Adds jobs that are missing, and applies ends that were missed.
+///
+/// # Errors
+/// If the records can't be read.
+pub(super) async fn reconcile_once(node: &Rc<Node>, term: u64) -> Result<(), KeyValueError> {
+    let (descriptions, _) = node.key_value.list(RequestClass::Poll, keys::DESCRIPTIONS).await?;
+    let open = {
+        let mut scheduler = node.scheduler.borrow_mut();
+        let current = scheduler.as_mut().filter(|scheduler| scheduler.term == term);
+        let Some(scheduler) = current else { return Ok(()) };
+        add_missing_jobs(node, scheduler, &descriptions);
+        jobs_to_look_up(scheduler)
+    };
+    for job in job_ends::find_ended(node, open).await? {
+        if let Some(end) = node.key_value.end(&job).await? {
+            node.learn_end(&job, end);
+        }
+    }
+    node.wake_leader();
+    Ok(())
+}
+
+fn add_missing_jobs(node: &Node, scheduler: &mut Scheduler, descriptions: &[KeyValue]) {
+    let (now, wall) = (node.now(), node.wall_us());
+    for description in descriptions {
+        // One that was deleted since the list was read comes back here as a job to do; the precondition on its end
+        // then fails, and it is deleted again.
+        let Some(job) = keys::described(&description.key) else { continue };
+        if !scheduler.cluster.jobs_by_name.contains_key(job)
+            && scheduler.add_job(now, job, &description.value, wall)
+        {
+            info!(%job, "missing job found by reconciliation");
+        }
+    }
+}
+
+/// The open jobs, and the dependencies of others that the scheduler doesn't have: their ends are needed all the same.
+fn jobs_to_look_up(scheduler: &Scheduler) -> Vec<String> {
+    let cluster = &scheduler.cluster;
+    let dependencies = scheduler.open_dependencies().into_iter();
+    let missing = dependencies.filter(|job| !cluster.jobs_by_name.contains_key(job));
+    let missing: Vec<String> = missing.collect();
+    [cluster.open_jobs(), missing].concat()
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/controller/src/node/leader/reconciling/tests.rs
@@ -0,0 +1,29 @@
+use super::*;
+use crate::user_api::fake_cluster::StandIn;
+
+/// The watch's answer with the job in it was lost, and with it every mention of the job.
+#[tokio::test(start_paused = true)]
+async fn a_job_missing_from_all_messages_is_found_and_a_lost_end_too() {
+    let store = StandIn::default();
+    let node = store.node();
+    let spec = serde_json::json!({"spec": {
+        "class": "c", "team": "one", "rank": "High", "tasks": 3, "cpus": 1.0, "gpus": 0.0,
+        "memory_gb": 1.0, "image": "i", "image_gb": 1.0, "types": null, "zone": null,
+        "one_zone": false, "spread": false, "spot": true, "estimate_s": 9.0,
+        "checkpoint_s": 0.0, "save_s": 0.0, "deadline_s": null}, "at": 1, "chunk": 50});
+    store.put(&keys::todo("req-1"), spec);
+    *node.scheduler.borrow_mut() = Some(Scheduler::new(
+        node.site.clone(),
+        node.tunables.clone(),
+        7,
+        node.types.borrow().clone(),
+        node.now(),
+    ));
+    reconcile_once(&node, 7).await.expect("read");
+    let open =
+        || node.scheduler.borrow().as_ref().map(|s| s.cluster.open_jobs()).unwrap_or_default();
+    assert_eq!(open(), ["req-1"]);
+    store.put(&keys::end("req-1"), serde_json::json!("aborted"));
+    reconcile_once(&node, 7).await.expect("read");
+    assert!(open().is_empty());
+}
--- /dev/null
+++ b/crates/controller/src/node/leader/watches.rs
@@ -0,0 +1,81 @@
+//! Watches the key-value store for new jobs and for ends. A watch is opened again at a bounded pace, since every
+//! opening counts against the allowance.
+
+use std::rc::Rc;
+
+use tokio::time::{sleep, timeout, Duration, Instant};
+use walnutlug_scheduler::leadership::watermark;
+use walnutlug_scheduler::model::job_spec::JobEnd;
+use walnutlug_scheduler::protocol::key_value::WatchEvent;
+use walnutlug_scheduler::storage::keys;
+
+use super::super::step_down::StepDownCause;
+use super::super::Node;
+use crate::key_value_client::{KeyValueError, RequestClass};
+
+/// Shortest time between two openings of a watch.
+const MIN_INTERVAL: Duration = Duration::from_millis(150);
+/// Pause after a watch failed.
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
+/// Shortest and longest time for which the key-value store may hold a watch.
+const MIN_HOLD: Duration = Duration::from_millis(100);
+const MAX_HOLD: Duration = Duration::from_secs(10);
+/// Times that a watch returns, at least, within the watermark's window.
+const RETURNS_PER_WINDOW: u64 = 6;
+
+/// What is left of the interval. The clock is read once: between two readings the process may be suspended, and a
+/// time that was below the interval is beyond it. (Such a difference below zero ended a leader, with a fleet of two
+/// thousand, on a busy day.)
+fn rest_of_interval(elapsed: Duration) -> Duration {
+    MIN_INTERVAL.saturating_sub(elapsed)
+}
+
+/// Watches the keys under the prefix until the term is over.
+pub(super) async fn run(node: Rc<Node>, term: u64, prefix: &'static str, mut from: u64) {
+    // The watch on ends moves the watermark each time it returns, so it returns often.
+    let window = watermark::window(&node.site).0;
+    let hold = Duration::from_micros(window / RETURNS_PER_WINDOW).clamp(MIN_HOLD, MAX_HOLD);
+    while node.leads_under(term) {
+        let (opened, requested) = (Instant::now(), node.now());
+        match node.key_value.watch(RequestClass::Dispatch, prefix, from, hold).await {
+            Ok(watched) => {
+                from = watched.store_revision.max(from);
+                if !node.leads_under(term) {
+                    return;
+                }
+                apply(&node, &watched.events);
+                if prefix == keys::END {
+                    // All that was stored when it was opened is in this answer or an earlier one.
+                    node.cancellations.ends_read(requested);
+                }
+                node.wake_leader();
+            }
+            Err(KeyValueError::Expired) => return node.step_down(StepDownCause::WatchExpired),
+            Err(_) => sleep(RETRY_PAUSE).await,
+        }
+        let rest = rest_of_interval(opened.elapsed());
+        if !rest.is_zero() {
+            // A node that accepted or cancelled a job hints that there is something new to read.
+            let _ = timeout(rest, node.new_work.notified()).await;
+        }
+    }
+}
+
+fn apply(node: &Node, events: &[WatchEvent]) {
+    let (now, wall) = (node.now(), node.wall_us());
+    for event in events {
+        let WatchEvent::Put { put, value, .. } = event else { continue };
+        if let Some(job) = keys::described(put) {
+            if let Some(scheduler) = node.scheduler.borrow_mut().as_mut() {
+                scheduler.add_job(now, job, value, wall);
+            }
+        } else if let Some(job) = put.strip_prefix(keys::END) {
+            if let Ok(end) = serde_json::from_value::<JobEnd>(value.clone()) {
+                node.learn_end(job, end);
+            }
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/controller/src/node/machine_types.rs
+++ b/crates/controller/src/node/machine_types.rs
@@ -12,15 +12,17 @@
 use crate::key_value_client::RequestClass;
 use crate::user_api;
 
-/// Longest time between two looks at the machine types and their prices.
-const TYPES_EVERY: Duration = Duration::from_secs(60);
-/// The same while none are known.
-const TYPES_EVERY_AT_FIRST: Duration = Duration::from_secs(2);
+/// Longest time between two readings.
+const MAX_INTERVAL: Duration = Duration::from_secs(60);
+/// The same while no types are known.
+const MAX_INTERVAL_AT_FIRST: Duration = Duration::from_secs(2);
+/// The first time between two readings, which then doubles.
+const FIRST_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Gets the machine types, first from the common store, and keeps them fresh while leading or while holding
-/// the duty to share them.
-pub(super) async fn keep(node: Rc<Node>) {
-    let mut pause = Duration::from_millis(300);
+/// Gets the machine types, first from the key-value store, and keeps them fresh while the node leads or holds the role
+/// to share them.
+pub(super) async fn keep_fresh(node: Rc<Node>) {
+    let mut pause = FIRST_INTERVAL;
     loop {
         if node.types.borrow().is_empty() {
             node.read_types().await;
@@ -29,61 +31,63 @@
         let fenced = node.tunables.fenced_duties;
         let shares = if fenced { node.machine_types_role.is_held(node.now()) } else { leads };
         if node.types.borrow().is_empty() || shares {
-            ask_cloud_for_types(&node, shares || !fenced).await;
+            read_types_from_cloud(&node, shares || !fenced).await;
         } else if leads {
             node.read_types().await;
         }
         if !node.types.borrow().is_empty() {
-            pause = TYPES_EVERY;
+            pause = MAX_INTERVAL;
         }
         sleep(pause).await;
-        pause = (pause * 2).min(TYPES_EVERY);
+        pause = (pause * 2).min(MAX_INTERVAL);
         if node.types.borrow().is_empty() {
-            pause = pause.min(TYPES_EVERY_AT_FIRST);
+            pause = pause.min(MAX_INTERVAL_AT_FIRST);
         }
     }
 }
 
-async fn ask_cloud_for_types(node: &Node, share: bool) {
+async fn read_types_from_cloud(node: &Rc<Node>, share: bool) {
     match node.cloud.types().await {
-        Ok(types) if types.is_empty() => warn!("the cloud offers no usable machine type"),
+        Ok(types) if types.is_empty() => warn!("cloud offers no usable machine type"),
         Ok(types) => {
-            let changed = node.take_types(&types);
+            let changed = node.set_types(&types);
             if share && (changed || node.machine_types_role.has_yet_to_share()) {
-                if node.tunables.fenced_duties {
-                    machine_types_role::share(node, &types).await;
-                } else {
-                    let _ = user_api::share_types(&node.key_value, &types).await;
-                }
+                share_types(node, &types).await;
             }
-            node.ready_once.set(true);
+            node.readiness.set_loaded();
         }
-        Err(e) => debug!("machine types: {e:?}"),
+        Err(error) => debug!(?error, "machine types not read from the cloud"),
+    }
+}
+
+async fn share_types(node: &Node, types: &[MachineType]) {
+    if node.tunables.fenced_duties {
+        machine_types_role::share(node, types).await;
+    } else {
+        let _ = user_api::share_types(&node.key_value, types).await;
     }
 }
 
 impl Node {
-    /// Takes the types over from the common store.
+    /// Reads the types that a node has shared in the key-value store.
     pub(super) async fn read_types(&self) {
-        if let Ok(Some(key_value)) = self.key_value.get(RequestClass::Submission, keys::TYPES).await
-        {
-            self.ready_once.set(true);
-            let types =
-                serde_json::from_value::<Vec<MachineType>>(key_value.value["breeds"].clone());
-            if let Ok(types) = types {
-                self.take_types(&usable_types(types));
-            }
+        let found = self.key_value.get(RequestClass::Submission, keys::TYPES).await;
+        let Ok(Some(key_value)) = found else { return };
+        self.readiness.set_loaded();
+        let types = serde_json::from_value::<Vec<MachineType>>(key_value.value["breeds"].clone());
+        if let Ok(types) = types {
+            self.set_types(&usable_types(types));
         }
     }
 
-    /// The machine types are these. Whether that is new.
-    fn take_types(&self, types: &[MachineType]) -> bool {
+    /// Replaces the machine types. Whether that changes them.
+    fn set_types(&self, types: &[MachineType]) -> bool {
         if *self.types.borrow() == types {
             return false;
         }
-        *self.types.borrow_mut() = types.to_vec();
-        if let Some(s) = self.scheduler.borrow_mut().as_mut() {
-            s.cluster.set_types(types.to_vec());
+        self.types.replace(types.to_vec());
+        if let Some(scheduler) = self.scheduler.borrow_mut().as_mut() {
+            scheduler.cluster.set_types(types.to_vec());
         }
         true
     }
--- a/crates/controller/src/node/machine_types_role.rs
+++ b/crates/controller/src/node/machine_types_role.rs
@@ -1,5 +1,5 @@
-//! The duty of reading machine types and prices from the cloud and sharing them, which any node may hold on a
-//! lease of its own. The leader leaves it to another node if there is one.
+//! The role of reading machine types and prices from the cloud and sharing them, which any node may hold on a lease of
+//! its own. The leader leaves it to another node if there is one.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -18,24 +18,24 @@
 use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 
-use super::{Node, PEER_FRESH};
+use super::Node;
 use crate::key_value_client::{KeyValueError, RequestClass};
 
 const ROLE: LeasedRole = LeasedRole::MachineTypes;
 const LEASE: TimeDelta = TimeDelta::from_secs(12);
-/// How often the holder renews its lease and the others look who holds the duty.
-const LOOK_EVERY: Duration = Duration::from_secs(4);
+/// How often, at least, the holder renews its lease and the others read who holds the role.
+const MAX_INTERVAL: Duration = Duration::from_secs(4);
 
-/// A node's part in the duty.
+/// A node's part in the role.
 pub(super) struct MachineTypesRole {
     lease: RefCell<RoleLease>,
     /// The number of the lease in the key-value store, while there is one.
     lease_id: RefCell<Option<u64>>,
     balancer: RefCell<RoleBalancer>,
     /// The epoch under which the types were shared last.
-    shared: RefCell<Option<Epoch>>,
-    /// The stored fault that was logged last; each is logged once.
-    told: RefCell<Option<RecordError>>,
+    shared_under: RefCell<Option<Epoch>>,
+    /// The fault of the stored record that was logged last; each is logged once.
+    logged_fault: RefCell<Option<RecordError>>,
 }
 
 impl Default for MachineTypesRole {
@@ -44,22 +44,22 @@
             lease: RefCell::new(RoleLease::new(LEASE)),
             lease_id: RefCell::default(),
             balancer: RefCell::default(),
-            shared: RefCell::default(),
-            told: RefCell::default(),
+            shared_under: RefCell::default(),
+            logged_fault: RefCell::default(),
         }
     }
 }
 
 impl MachineTypesRole {
-    /// Whether this node certainly holds the duty now.
+    /// Whether this node certainly holds the role now.
     pub(super) fn is_held(&self, now: Timestamp) -> bool {
         self.lease.borrow().permit(now).is_some()
     }
 
-    /// Whether this node holds the duty and has not shared anything since it took it.
+    /// Whether this node holds the role and has not shared anything since it took it.
     pub(super) fn has_yet_to_share(&self) -> bool {
         let epoch = self.lease.borrow().epoch();
-        epoch.is_some() && *self.shared.borrow() != epoch
+        epoch.is_some() && *self.shared_under.borrow() != epoch
     }
 
     fn step(&self, input: LeaseInput) {
@@ -71,21 +71,21 @@
         let role = ROLE.name();
         match (before, lease.state()) {
             (LeaseState::Acquiring { .. }, LeaseState::Held { epoch, .. }) => {
-                info!(role, %epoch, "this node holds the duty");
+                info!(role, %epoch, "role acquired");
             }
             (LeaseState::Held { epoch, .. }, LeaseState::Idle) => {
-                info!(role, %epoch, "this node holds the duty no more");
+                info!(role, %epoch, "role lost or handed over");
             }
             (_, LeaseState::Stopped { error }) => {
-                error!(role, "the duty stops at this node: {error}");
+                error!(role, reason = %error, "role stopped at this node");
             }
             _ => {}
         }
     }
 }
 
-/// Takes, keeps and hands over the duty for as long as the node lives.
-pub(super) async fn keep(node: Rc<Node>) {
+/// Takes, keeps and hands over the role for as long as the node lives.
+pub(super) async fn run(node: Rc<Node>) {
     if !node.tunables.fenced_duties {
         return;
     }
@@ -93,9 +93,9 @@
         let epoch = node.machine_types_role.lease.borrow().epoch();
         match epoch {
             Some(_) => renew(&node).await,
-            None => look(&node).await,
+            None => observe(&node).await,
         }
-        sleep(LOOK_EVERY.mul_f64(rand::random_range(0.8..1.0))).await;
+        sleep(MAX_INTERVAL.mul_f64(rand::random_range(0.8..1.0))).await;
     }
 }
 
@@ -104,24 +104,13 @@
     NodeLoad { leads, store_reachable: node.key_value.store_reachable() }
 }
 
-fn other_loads(node: &Node) -> Vec<NodeLoad> {
-    let leader = node.other_leader();
-    let states = node.peer_states.borrow();
-    let fresh = states.iter().filter(|(_, state)| state.heard.elapsed() < PEER_FRESH);
-    let load = |(name, state): (&String, &super::PeerState)| NodeLoad {
-        leads: leader.as_ref() == Some(name),
-        store_reachable: state.store_reachable,
-    };
-    fresh.map(load).collect()
-}
-
 async fn renew(node: &Rc<Node>) {
     let role = &node.machine_types_role;
     let Some(id) = *role.lease_id.borrow() else { return };
-    let (now, own, others) = (node.now(), own_load(node), other_loads(node));
+    let (now, own, others) = (node.now(), own_load(node), node.cluster_view.peer_loads());
     if role.balancer.borrow_mut().should_hand_over(now, own, &others) {
-        info!(role = ROLE.name(), "given up for a node that doesn't lead");
-        return give_up(node, id).await;
+        info!(role = ROLE.name(), "role handed over: this node leads");
+        return release(node, id).await;
     }
     match node.key_value.touch(id).await {
         Ok(()) => role.step(LeaseInput::Renewed { sent: now }),
@@ -129,23 +118,23 @@
             *role.lease_id.borrow_mut() = None;
             role.step(LeaseInput::Ended);
         }
-        Err(e) => debug!("the lease of {} is not renewed: {e}", ROLE.name()),
+        Err(error) => debug!(role = ROLE.name(), %error, "role lease not renewed"),
     }
 }
 
-async fn give_up(node: &Node, id: u64) {
+async fn release(node: &Node, id: u64) {
     node.machine_types_role.step(LeaseInput::Ended);
     *node.machine_types_role.lease_id.borrow_mut() = None;
     let _ = node.key_value.release(id).await;
 }
 
-/// Looks who holds the duty, and takes it if nobody does.
-async fn look(node: &Rc<Node>) {
+/// Reads who holds the role, and takes it if nobody does.
+async fn observe(node: &Rc<Node>) {
     let role = &node.machine_types_role;
     match node.key_value.get(RequestClass::Watch, &ROLE.key()).await {
         Ok(Some(key_value)) => {
             role.balancer.borrow_mut().taken();
-            held_by(node, &key_value).await;
+            observe_holder(node, &key_value).await;
         }
         Ok(None) => {
             let own = own_load(node);
@@ -153,28 +142,29 @@
                 acquire(node).await;
             }
         }
-        Err(e) => debug!("who holds {} can't be read: {e}", ROLE.name()),
+        Err(error) => debug!(role = ROLE.name(), %error, "role holder not read"),
     }
 }
 
-async fn held_by(node: &Rc<Node>, key_value: &KeyValue) {
+async fn observe_holder(node: &Rc<Node>, key_value: &KeyValue) {
     let mut names: Vec<&str> = node.settings.peers.iter().map(|peer| peer.name.as_str()).collect();
     names.push(&node.settings.node_name);
-    let holding = match HeldRole::read(key_value, &names) {
-        Ok(holding) => holding,
+    let held = match HeldRole::read(key_value, &names) {
+        Ok(held) => held,
         Err(fault) => {
-            // Left as it is: its lease will end, or a version that can read it will see to it.
-            if node.machine_types_role.told.replace(Some(fault.clone())) != Some(fault.clone()) {
-                warn!("nothing is done for the duty {}: {fault}", ROLE.name());
+            // Left as it is: its lease will expire, or a version that can read it will take care of it.
+            let logged = node.machine_types_role.logged_fault.replace(Some(fault.clone()));
+            if logged.as_ref() != Some(&fault) {
+                warn!(role = ROLE.name(), reason = %fault, "role holder record unreadable");
             }
             return;
         }
     };
-    node.machine_types_role.lease.borrow_mut().observe(holding.epoch);
-    let own_name = holding.holder.node == node.settings.node_name;
-    if own_name && holding.holder.incarnation != node.election_nonce {
-        // This node's former life held it; nobody does now.
-        let _ = node.key_value.release(holding.holder.lease).await;
+    node.machine_types_role.lease.borrow_mut().observe(held.epoch);
+    let own_name = held.holder.node == node.settings.node_name;
+    if own_name && held.holder.incarnation != node.identity.election_nonce {
+        // A former incarnation of this node held it; nobody does now.
+        let _ = node.key_value.release(held.holder.lease).await;
     }
 }
 
@@ -196,12 +186,12 @@
     }
 }
 
-/// Creates the duty's key, and tells its revision if this node did, also where only the answer was lost.
+/// Creates the role's key. Its revision if this node did, also where only the answer was lost.
 async fn create_key(node: &Node, lease: u64) -> Option<u64> {
     let holder = HolderRecord {
         format: HOLDER_FORMAT,
         node: node.settings.node_name.clone(),
-        incarnation: node.election_nonce.clone(),
+        incarnation: node.identity.election_nonce.clone(),
         lease,
     };
     let transaction = HeldRole::claim(ROLE, &holder);
@@ -209,8 +199,8 @@
         TransactionOutcome::Committed { revision } => Some(revision),
         TransactionOutcome::Conflict { .. } | TransactionOutcome::Indeterminate => {
             let key_value = node.key_value.get(RequestClass::Watch, &ROLE.key()).await.ok()??;
-            let holding = HeldRole::read(&key_value, &[&node.settings.node_name]).ok()?;
-            (holding.holder == holder).then_some(key_value.revision)
+            let held = HeldRole::read(&key_value, &[&node.settings.node_name]).ok()?;
+            (held.holder == holder).then_some(key_value.revision)
         }
         TransactionOutcome::Rejected | TransactionOutcome::TooLarge => None,
     }
@@ -222,20 +212,20 @@
     let Some(epoch) = epoch else { return };
     let value = serde_json::json!({"breeds": types});
     if value.to_string().len() > node.key_value.limits().value_bytes {
-        debug!("the machine types are too long to be kept");
+        debug!("machine types too long to be shared");
         return;
     }
     let mut write = FencedWrite::new(&Fence::new(ROLE, epoch));
     write.change(Operation::put(keys::TYPES, value));
     match node.key_value.commit(RequestClass::Watch, &write.into_transaction()).await {
         TransactionOutcome::Committed { .. } => {
-            *node.machine_types_role.shared.borrow_mut() = Some(epoch)
+            *node.machine_types_role.shared_under.borrow_mut() = Some(epoch);
         }
         TransactionOutcome::Conflict { .. } => {
             *node.machine_types_role.lease_id.borrow_mut() = None;
             node.machine_types_role.step(LeaseInput::Ended);
         }
-        // The next look at the cloud is soon enough.
+        // The next reading from the cloud is soon enough.
         TransactionOutcome::Rejected
         | TransactionOutcome::TooLarge
         | TransactionOutcome::Indeterminate => {}
--- a/crates/controller/src/node/machine_types_role/tests.rs
+++ b/crates/controller/src/node/machine_types_role/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn one_node_takes_the_duty_and_a_replaced_one_writes_nothing() {
+async fn one_node_takes_the_role_and_a_replaced_one_writes_nothing() {
     let test = async {
         let store = StandIn::default();
         let c = store.cluster(2);
@@ -20,8 +20,8 @@
         for node in [&first, &second] {
             node.key_value.get(RequestClass::Watch, keys::LEADER).await.expect("an answer");
         }
-        look(&first).await;
-        look(&second).await;
+        observe(&first).await;
+        observe(&second).await;
         assert!(first.machine_types_role.is_held(first.now()));
         assert_eq!(epoch(&second), None);
         assert!(first.machine_types_role.has_yet_to_share());
@@ -33,7 +33,7 @@
         assert!(!first.machine_types_role.is_held(first.now()), "it stops by itself");
         store.remove(&ROLE.key());
         second.key_value.get(RequestClass::Watch, keys::LEADER).await.expect("an answer");
-        look(&second).await;
+        observe(&second).await;
         assert!(epoch(&second) > epoch(&first));
         let before = shared(&store);
         share(&first, &[]).await;
@@ -50,7 +50,7 @@
         let node = store.node();
         node.key_value.get(RequestClass::Watch, keys::LEADER).await.expect("an answer");
         store.fault(Fault::AppliedButLost);
-        look(&node).await;
+        observe(&node).await;
         assert!(node.machine_types_role.is_held(node.now()));
     };
     tokio::task::LocalSet::new().run_until(test).await;
@@ -67,15 +67,15 @@
         let store = StandIn::default();
         let node = store.node();
         store.put(&ROLE.key(), value.clone());
-        look(&node).await;
+        observe(&node).await;
         assert_eq!(epoch(&node), None);
-        assert!(node.machine_types_role.told.borrow().is_some(), "{value} is told");
+        assert!(node.machine_types_role.logged_fault.borrow().is_some(), "{value} is logged");
         assert_eq!(store.value(&ROLE.key()), Some(value.clone()), "and stays");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_former_life_is_ended_and_a_leader_hands_over_to_another() {
+async fn a_former_incarnation_is_released_and_a_leader_hands_over_to_another() {
     let test = async {
         let store = StandIn::default();
         let node = store.node();
@@ -86,15 +86,15 @@
             lease: 77,
         };
         store.put(&ROLE.key(), serde_json::to_value(&former).expect("a value"));
-        look(&node).await;
+        observe(&node).await;
         assert!(!store.holds(&ROLE.key()), "its lease is ended");
         node.key_value.get(RequestClass::Watch, keys::LEADER).await.expect("an answer");
-        look(&node).await;
+        observe(&node).await;
         let held = epoch(&node);
         renew(&node).await;
         assert!(held.is_some() && epoch(&node) == held);
         let id = node.machine_types_role.lease_id.borrow().expect("a lease");
-        give_up(&node, id).await;
+        release(&node, id).await;
         assert!(epoch(&node).is_none() && !store.holds(&ROLE.key()));
     };
     tokio::task::LocalSet::new().run_until(test).await;
--- /dev/null
+++ b/crates/controller/src/node/peer_messages.rs
@@ -0,0 +1,67 @@
+//! What a node does with the frames of the others.
+
+use walnutlug_scheduler::model::job_spec::JobEnd;
+use walnutlug_scheduler::protocol::users::is_job_id;
+
+use super::Node;
+use crate::heartbeat_delegation;
+use crate::peers::{Cancellations, Frame, NodeStatus};
+
+impl Node {
+    /// Handles a frame from another node.
+    pub(crate) fn handle_frame(&self, frame: Frame) {
+        match frame {
+            Frame::Status(status) => self.handle_status(status),
+            Frame::Progress { job, done, running } => self.user_api.progress(&job, done, running),
+            Frame::Ended { job, end } => self.handle_ended(&job, end),
+            Frame::Cancellations(part) => self.handle_cancellations(&part),
+            Frame::CancellationsAck(ack) => self.cancellations.acknowledged(&ack),
+            Frame::CancellationLogEnd(end) => self.cancellations.log_end_received(self.now(), &end),
+            Frame::ForwardedHeartbeat(_)
+            | Frame::ForwardedResponse(_)
+            | Frame::RepeatedHeartbeats { .. }
+            | Frame::DelegationRequest(_)
+            | Frame::DelegationGranted(_)
+            | Frame::Invalidated { .. } => heartbeat_delegation::frame(self, frame),
+            Frame::NewJob { .. } => self.new_work.notify_one(),
+            Frame::LimitsLowered => self.key_value.learn_limits_lowered(),
+            Frame::Machines(machines) => self.cluster_view.learn_addresses(machines),
+        }
+    }
+
+    fn handle_status(&self, status: NodeStatus) {
+        if status.leading {
+            self.learn_leader(&status.name, status.term);
+            heartbeat_delegation::ask_new_leader(self, status.term);
+            let log_end = self.cancellations.log_end(status.incarnation, status.count);
+            self.send_to_peer(&status.name, &Frame::CancellationLogEnd(log_end));
+        }
+        self.cancellations.reader_heard(&status.name, status.incarnation);
+        self.send_cancellations();
+        if self.cluster_view.is_stale(&status) {
+            return;
+        }
+        self.cancellations.peer_heard(self.now(), &status.name, status.incarnation);
+        self.cluster_view.record_status(status);
+    }
+
+    fn handle_ended(&self, job: &str, end: JobEnd) {
+        // Sent only once it is stored, so a fact: the job's tasks are stopped, also while the key-value store
+        // refuses this node.
+        if end == JobEnd::Cancelled && is_job_id(job) {
+            return self.apply_end(job, JobEnd::Cancelled);
+        }
+        // Only a hint to look: a job becomes ready by what the key-value store says.
+        self.user_api.ended_elsewhere(job);
+        self.new_work.notify_one();
+    }
+
+    fn handle_cancellations(&self, part: &Cancellations) {
+        for job in &part.jobs {
+            self.apply_end(job, JobEnd::Cancelled);
+        }
+        if let Some(ack) = self.cancellations.received(self.now(), part) {
+            self.send_to_peer(&part.node, &Frame::CancellationsAck(ack));
+        }
+    }
+}
--- /dev/null
+++ b/crates/controller/src/node/readiness.rs
@@ -0,0 +1,36 @@
+//! Whether the platform should send users to this node.
+
+use std::cell::Cell;
+
+use tokio::time::Duration;
+
+use super::Node;
+
+/// Time for which the key-value store may refuse a node that stays ready.
+const UNREACHABLE_FOR: Duration = Duration::from_millis(1_500);
+
+/// Whether the node has ever reached what it needs.
+#[derive(Default)]
+pub(super) struct Readiness {
+    loaded: Cell<bool>,
+}
+
+impl Readiness {
+    /// The node has had an answer from the key-value store or the cloud.
+    pub(super) fn set_loaded(&self) {
+        self.loaded.set(true);
+    }
+}
+
+/// Ready once the node can decide. In an outage for all it stays ready and says 503 with a time to come again: users
+/// are served sooner so than through the balancer's growing pauses. A node that is refused while others are served is
+/// of no use to anybody; nor is one that is cut off from the key-value store and from all other nodes, which are
+/// served for all it knows.
+pub(super) fn is_ready(node: &Node) -> bool {
+    if node.types.borrow().is_empty() || !node.readiness.loaded.get() {
+        return false;
+    }
+    let refused = node.key_value.unreachable_for() > UNREACHABLE_FOR;
+    let view = &node.cluster_view;
+    !(refused && (view.some_peer_reaches_store() || view.is_isolated()))
+}
--- /dev/null
+++ b/crates/controller/src/node/routes.rs
@@ -0,0 +1,72 @@
+//! Routes HTTP requests to the APIs of users and workers, and to the platform's check of readiness.
+
+use std::rc::Rc;
+
+use tokio::time::Duration;
+
+use super::{readiness, Node};
+use crate::http::server::{Answer, Request};
+use crate::settings::Sockets;
+use crate::worker_api::WorkerConnection;
+use crate::{user_api, worker_api};
+
+/// Answers one request.
+pub(super) async fn handle(
+    node: Rc<Node>,
+    connection: Rc<WorkerConnection>,
+    request: Request,
+) -> Answer {
+    let path = request.path.split('?').next().unwrap_or_default().to_owned();
+    match (path.as_str(), request.method.as_str()) {
+        ("/ready", "GET") => ready(&node),
+        ("/ready", _) => method_not_allowed("GET"),
+        ("/hello", "POST") => heartbeat(&node, &connection, &request.body).await,
+        ("/hello", _) => method_not_allowed("POST"),
+        ("/submissions", "POST") => user_api::submit(node, request.body).await,
+        ("/submissions", _) => method_not_allowed("POST"),
+        (path, method) => match path.strip_prefix("/submissions/") {
+            Some(rest) => submission(node, method, rest).await,
+            None => not_found(),
+        },
+    }
+}
+
+/// Requests about one submission.
+async fn submission(node: Rc<Node>, method: &str, path: &str) -> Answer {
+    match (path.split_once('/'), method) {
+        (None, "GET") => user_api::poll(node, path).await,
+        (None, _) => method_not_allowed("GET"),
+        (Some((name, "withdraw")), "POST") => user_api::withdraw(node, name).await,
+        (Some((_, "withdraw")), _) => method_not_allowed("POST"),
+        (Some(_), _) => not_found(),
+    }
+}
+
+fn ready(node: &Node) -> Answer {
+    if readiness::is_ready(node) {
+        Answer::json(200, &serde_json::json!({"ready": true}))
+    } else {
+        Answer::later("not ready")
+    }
+}
+
+async fn heartbeat(node: &Node, connection: &WorkerConnection, body: &[u8]) -> Answer {
+    let mut answer = worker_api::heartbeat(node, connection, body).await;
+    // Workers find their way back with the next heartbeat; a user may not find a socket.
+    let workers_kept = Sockets::share(node.settings.fd_limit).workers_kept;
+    if node.load.open_connections().get() > workers_kept {
+        answer.close = true;
+        node.load.count_closed_connection();
+    }
+    // A worker silent for longer than its lease has begun anew on another connection.
+    answer.idle = Some(Duration::from_micros(node.site.worker_lease.0));
+    answer
+}
+
+fn method_not_allowed(allowed: &str) -> Answer {
+    Answer::error(405, format!("use {allowed}"))
+}
+
+fn not_found() -> Answer {
+    Answer::error(404, "no such path")
+}
--- /dev/null
+++ b/crates/controller/src/node/startup.rs
@@ -0,0 +1,69 @@
+//! Starts a node: its listeners, the queues to its peers, and the tasks that run for as long as it lives. There is no
+//! orderly shutdown: a node may be killed at any time, and what it held ends with its leases.
+
+use std::rc::Rc;
+
+use tokio::net::TcpListener;
+use tokio::sync::mpsc;
+use tokio::task::spawn_local;
+use tracing::debug;
+use walnutlug_scheduler::tunables::Tunables;
+
+use super::{broadcast, election, load, machine_types, machine_types_role, routes, Node};
+use crate::heartbeat_delegation;
+use crate::http::client::Client;
+use crate::http::server;
+use crate::peers::{self, PeerSenders};
+use crate::settings::{Peer, Settings, Sockets};
+use crate::worker_api::WorkerConnection;
+
+/// Runs a node until it is killed.
+///
+/// # Errors
+/// If the node can't listen, or the runtime can't be started.
+pub(crate) fn run(settings: Settings, tunables: Tunables) -> std::io::Result<()> {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let local = tokio::task::LocalSet::new();
+    local.block_on(&runtime, serve(settings, tunables))
+}
+
+async fn serve(settings: Settings, tunables: Tunables) -> std::io::Result<()> {
+    let listener = TcpListener::bind(settings.listen).await?;
+    let peer_listener = TcpListener::bind(settings.internal).await?;
+    let sockets = Sockets::share(settings.fd_limit);
+    let client = Rc::new(Client::with_most(sockets.outbound as usize));
+    let peers = start_senders(&settings.peers, sockets);
+    let node = Rc::new(Node::new(settings, tunables, client, peers)?);
+    node.key_value.lead(false);
+    start_tasks(&node, peer_listener);
+    let open_connections = node.load.open_connections().clone();
+    let new_handler = move || {
+        let (node, connection) = (node.clone(), Rc::new(WorkerConnection::default()));
+        move |request| routes::handle(node.clone(), connection.clone(), request)
+    };
+    server::serve(listener, sockets.inbound, open_connections, new_handler).await;
+    Ok(())
+}
+
+/// Everything that runs beside the server of users and workers.
+fn start_tasks(node: &Rc<Node>, peer_listener: TcpListener) {
+    let receiver = node.clone();
+    spawn_local(peers::listen(peer_listener, move |frame| receiver.handle_frame(frame)));
+    spawn_local(election::run(node.clone()));
+    spawn_local(machine_types::keep_fresh(node.clone()));
+    spawn_local(machine_types_role::run(node.clone()));
+    spawn_local(broadcast::run(node.clone()));
+    spawn_local(load::log_periodically(node.clone()));
+    spawn_local(heartbeat_delegation::keep(node.clone()));
+}
+
+/// One queue and one sending task for each peer.
+fn start_senders(peers: &[Peer], sockets: Sockets) -> PeerSenders {
+    let start = |peer: &Peer| {
+        debug!(peer = %peer.name, "peer");
+        let (sender, queue) = mpsc::channel(peers::queue_length(sockets));
+        spawn_local(peers::run_sender(peer.addr, queue));
+        (peer.name.clone(), sender)
+    };
+    PeerSenders::new(peers.iter().map(start))
+}
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -1,32 +1,43 @@
+use tokio::time::{Duration, Instant};
+
+use super::cluster_view::STATUS_VALID;
+use super::readiness::is_ready;
+use super::routes::handle;
 use super::*;
+use crate::http::server::Request;
 use crate::key_value_client::RequestClass;
+use crate::peers::{Cancellations, NodeStatus};
+use crate::user_api;
 use crate::user_api::fake_cluster::{Cluster, Fault, StandIn};
+use crate::worker_api::{self, WorkerConnection};
 use walnutlug_scheduler::storage::keys;
 
 #[tokio::test(start_paused = true)]
 async fn a_node_alone_refused_is_not_ready_and_one_among_all_is() {
     let store = StandIn::default();
     let node = store.node();
-    let status = |store_reachable| Frame::Status {
-        name: "kernel-1".into(),
-        term: 3,
-        leading: false,
-        store_reachable,
-        redirected: 0,
-        incarnation: 1,
-        count: 1 + u64::from(store_reachable),
+    let status = |store_reachable| {
+        Frame::Status(NodeStatus {
+            name: "kernel-1".into(),
+            term: 3,
+            leading: false,
+            store_reachable,
+            redirected: 0,
+            incarnation: 1,
+            count: 1 + u64::from(store_reachable),
+        })
     };
-    assert!(!node.ready(), "never loaded");
-    node.ready_once.set(true);
-    assert!(node.ready());
+    assert!(!is_ready(&node), "never loaded");
+    node.readiness.set_loaded();
+    assert!(is_ready(&node));
     store.fault(Fault::Down);
     let _ = node.key_value.get(RequestClass::Poll, "x").await;
     tokio::time::advance(Duration::from_secs(2)).await;
     let _ = node.key_value.get(RequestClass::Poll, "x").await;
-    node.peer_frame(status(false));
-    assert!(node.ready(), "an outage for all");
-    node.peer_frame(status(true));
-    assert!(!node.ready(), "alone refused");
+    node.handle_frame(status(false));
+    assert!(is_ready(&node), "an outage for all");
+    node.handle_frame(status(true));
+    assert!(!is_ready(&node), "alone refused");
 }
 
 #[tokio::test(start_paused = true)]
@@ -55,12 +66,12 @@
 async fn a_node_cut_off_from_state_and_peers_refuses_users_at_once() {
     let store = StandIn::default();
     let node = store.node();
-    node.ready_once.set(true);
+    node.readiness.set_loaded();
     store.fault(Fault::Down);
-    tokio::time::advance(PEER_FRESH + Duration::from_secs(1)).await;
+    tokio::time::advance(STATUS_VALID + Duration::from_secs(1)).await;
     let _ = node.key_value.get(RequestClass::Poll, "x").await;
     assert!(node.key_value.down());
-    assert!(!node.ready(), "alone with an unserved state");
+    assert!(!is_ready(&node), "alone with an unserved state");
     let asked = store.asked.get();
     let before = Instant::now();
     let answer = user_api::poll(node.clone(), "req-000412").await;
@@ -70,62 +81,67 @@
     // The leader's own probe finds the service again.
     store.fault(Fault::None);
     let _ = node.key_value.get(RequestClass::Leadership, "x").await;
-    assert!(!node.key_value.down() && node.ready());
+    assert!(!node.key_value.down() && is_ready(&node));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_status_of_a_former_life_says_nothing_of_now() {
+async fn a_status_of_a_former_incarnation_is_ignored() {
     let node = StandIn::default().node();
-    let status = |incarnation, count, store_reachable| Frame::Status {
-        name: "kernel-1".into(),
-        term: 0,
-        leading: false,
-        store_reachable,
-        redirected: 0,
-        incarnation,
-        count,
+    let status = |incarnation, count, store_reachable| {
+        Frame::Status(NodeStatus {
+            name: "kernel-1".into(),
+            term: 0,
+            leading: false,
+            store_reachable,
+            redirected: 0,
+            incarnation,
+            count,
+        })
     };
-    node.peer_frame(status(7, 2, false));
-    node.peer_frame(status(6, 90, true));
-    node.peer_frame(status(7, 1, true));
-    assert!(!node.some_peer_reaches_store());
-    node.peer_frame(status(7, 3, true));
-    assert!(node.some_peer_reaches_store());
+    node.handle_frame(status(7, 2, false));
+    node.handle_frame(status(6, 90, true));
+    node.handle_frame(status(7, 1, true));
+    assert!(!node.cluster_view.some_peer_reaches_store());
+    node.handle_frame(status(7, 3, true));
+    assert!(node.cluster_view.some_peer_reaches_store());
     // Its clock wandered back over a quick restart: it is heard again after a while.
-    node.peer_frame(status(5, 1, false));
-    assert!(node.some_peer_reaches_store());
-    tokio::time::advance(PEER_FRESH).await;
-    node.peer_frame(status(5, 2, true));
-    assert!(node.some_peer_reaches_store());
+    node.handle_frame(status(5, 1, false));
+    assert!(node.cluster_view.some_peer_reaches_store());
+    tokio::time::advance(STATUS_VALID).await;
+    node.handle_frame(status(5, 2, true));
+    assert!(node.cluster_view.some_peer_reaches_store());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_worker_is_let_go_before_users_lack_sockets() {
+async fn a_workers_connection_is_closed_before_users_lack_sockets() {
     let node = StandIn::default().node();
     let request = || Request { method: "POST".into(), path: "/hello".into(), body: vec![] };
-    node.open.set(Sockets::share(node.settings.fd_limit).workers_kept);
+    let open = node.load.open_connections();
+    open.set(Sockets::share(node.settings.fd_limit).workers_kept);
     assert!(!handle(node.clone(), Rc::default(), request()).await.close);
-    node.open.set(node.open.get() + 1);
+    open.set(open.get() + 1);
     assert!(handle(node.clone(), Rc::default(), request()).await.close);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_newer_term_ends_the_lead_and_an_older_one_does_not() {
+async fn a_leader_steps_down_for_a_newer_term_and_not_for_an_older() {
     let node = StandIn::default().node();
     node.leadership.borrow_mut().step(node.now(), ElectionEvent::Vacant);
     node.leadership.borrow_mut().step(node.now(), ElectionEvent::Won { term: 5 });
-    let status = |term| Frame::Status {
-        name: "kernel-1".into(),
-        term,
-        leading: true,
-        store_reachable: true,
-        redirected: 0,
-        incarnation: 1,
-        count: term,
+    let status = |term| {
+        Frame::Status(NodeStatus {
+            name: "kernel-1".into(),
+            term,
+            leading: true,
+            store_reachable: true,
+            redirected: 0,
+            incarnation: 1,
+            count: term,
+        })
     };
-    node.peer_frame(status(4));
+    node.handle_frame(status(4));
     assert_eq!(node.leadership.borrow().term(), Some(5));
-    node.peer_frame(status(6));
+    node.handle_frame(status(6));
     assert_eq!(node.leadership.borrow().term(), None);
     assert_eq!(node.other_leader().as_deref(), Some("kernel-1"));
 }
@@ -175,7 +191,7 @@
             node.broadcast_status();
         }
         c.deliver(|_, _| true).await;
-        node.watermark.borrow_mut().read(node.now());
+        node.cancellations.ends_read(node.now());
     }
     tokio::time::advance(Duration::from_millis(10)).await;
     c
@@ -225,7 +241,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_repeated_report_is_answered_until_its_job_is_cancelled() {
+async fn a_repeated_heartbeat_is_answered_until_its_job_is_cancelled() {
     tokio::task::LocalSet::new()
         .run_until(async {
             let store = StandIn::default();
@@ -236,7 +252,7 @@
             assert!(!remembers(&last, 2, token), "the worker hadn't seen the token");
             for sequence in 2..40 {
                 tokio::time::advance(Duration::from_secs(1)).await;
-                leader.watermark.borrow_mut().read(leader.now());
+                leader.cancellations.ends_read(leader.now());
                 assert_eq!(
                     report_on(&leader, &last, sequence, token),
                     (200, token, vec![]),
@@ -257,7 +273,7 @@
             let (status, _, calls) = report_on(&leader, &last, 40, token);
             assert_eq!((status, calls), (200, vec!["\"kill\"".to_owned()]));
             // One that no longer leads renews nothing, whatever it remembers.
-            leader.step_down("for the test");
+            leader.step_down(StepDownCause::Test);
             assert_eq!(report_on(&leader, &last, 41, token).0, 421);
         })
         .await;
@@ -313,7 +329,7 @@
 
 /// The node that confirmed it ends before a frame left it, and is back at once under its name.
 #[tokio::test(start_paused = true)]
-async fn a_node_that_came_back_vouches_for_nothing_of_its_former_self() {
+async fn a_restarted_node_confirms_nothing_of_its_former_incarnation() {
     tokio::task::LocalSet::new()
         .run_until(async {
             let store = StandIn::default();
@@ -327,15 +343,15 @@
             let told = Instant::now();
             let mut fresh = store.cluster(3);
             let back = fresh.nodes[1].clone();
-            assert_ne!(back.incarnation, c.nodes[1].incarnation);
+            assert_ne!(back.incarnation(), c.nodes[1].incarnation());
             for sequence in 2..42 {
                 leader.broadcast_status();
                 for frame in c.take(0, 1).await {
-                    back.peer_frame(frame);
+                    back.handle_frame(frame);
                 }
                 back.broadcast_status();
                 for frame in fresh.take(1, 0).await {
-                    leader.peer_frame(frame);
+                    leader.handle_frame(frame);
                 }
                 c.deliver(|from, to| (from, to) == (2, 0) || (from, to) == (0, 2)).await;
                 let (status, calls) = report_once(&leader, sequence);
@@ -347,7 +363,7 @@
             // The service is back, and its watch tells the end: killed, and renewed again.
             store.fault(Fault::None);
             leader.learn_end(JOB, JobEnd::Cancelled);
-            leader.watermark.borrow_mut().read(leader.now());
+            leader.cancellations.ends_read(leader.now());
             let (status, calls) = report_once(&leader, 50);
             assert_eq!((status, calls.len()), (200, 1));
         })
@@ -356,7 +372,7 @@
 
 /// While the records are read, an answer would renew what may have been cancelled long ago.
 #[tokio::test(start_paused = true)]
-async fn a_leader_that_reads_its_records_renews_no_lease() {
+async fn a_loading_leader_renews_no_worker_lease() {
     let node = StandIn::default().node();
     for input in [ElectionEvent::Vacant, ElectionEvent::Won { term: 5 }] {
         node.leadership.borrow_mut().step(node.now(), input);
@@ -366,7 +382,7 @@
 
 /// A cancellation that is heard of between the reading of the ends and the first round.
 #[tokio::test(start_paused = true)]
-async fn an_end_told_while_the_records_are_read_is_in_the_book() {
+async fn an_end_received_while_the_records_are_read_reaches_the_scheduler() {
     let store = StandIn::default();
     let c = leader_with_a_task(&store).await;
     let node = c.nodes[0].clone();
@@ -375,12 +391,12 @@
     for input in [ElectionEvent::Vacant, ElectionEvent::Won { term: 6 }] {
         node.leadership.borrow_mut().step(node.now(), input);
     }
-    node.peer_frame(Frame::Cancellations {
+    node.handle_frame(Frame::Cancellations(Cancellations {
         node: "kernel-1".into(),
-        incarnation: c.nodes[1].incarnation,
+        incarnation: c.nodes[1].incarnation(),
         first: 1,
         jobs: vec![JOB.into()],
-    });
+    }));
     leader::install(&node, registry);
     let open = node.scheduler.borrow().as_ref().map(|s| s.cluster.open_jobs());
     assert_eq!(open, Some(vec![]));
--- a/crates/controller/src/peers/golden_tests.rs
+++ b/crates/controller/src/peers/golden_tests.rs
@@ -1,6 +1,9 @@
 //! Every kind of frame between nodes, byte by byte as it is kept in `golden/frames.txt`: written,
 //! read field by field, and written again.
 
+use std::net::SocketAddrV4;
+
+use walnutlug_scheduler::model::job_spec::JobEnd;
 use walnutlug_scheduler::reconciliation::delegation::{CacheGrant, DelegationGrant};
 use walnutlug_scheduler::reconciliation::repeated_heartbeats::CachedHeartbeat;
 use walnutlug_scheduler::time::TimeDelta;
@@ -15,15 +18,15 @@
 /// The number of the frame's kind on the wire. A new kind has to be added here and to [`frames`].
 fn kind_number(frame: &Frame) -> u16 {
     match frame {
-        Frame::Status { .. } => 1,
+        Frame::Status(_) => 1,
         Frame::Progress { .. } => 2,
         Frame::Ended { .. } => 3,
         Frame::NewJob { .. } => 4,
         Frame::Machines(_) => 6,
         Frame::LimitsLowered => 7,
-        Frame::Cancellations { .. } => 8,
-        Frame::CancellationsAck { .. } => 9,
-        Frame::CancellationLogEnd { .. } => 10,
+        Frame::Cancellations(_) => 8,
+        Frame::CancellationsAck(_) => 9,
+        Frame::CancellationLogEnd(_) => 10,
         Frame::ForwardedHeartbeat(_) => 11,
         Frame::ForwardedResponse(_) => 12,
         Frame::RepeatedHeartbeats { .. } => 13,
@@ -51,53 +54,55 @@
         ("new job", Frame::NewJob { job: "req-000004".into() }),
         (
             "cancelled",
-            Frame::Cancellations {
+            Frame::Cancellations(Cancellations {
                 node: "kernel-1".into(),
                 incarnation: 0x0102_0304_0506_0708,
                 first: 0x1112_1314_1516_1718,
                 jobs: vec!["req-000005".into(), "req-99999999999999999999".into()],
-            },
+            }),
         ),
         (
             "cancelled, none",
-            Frame::Cancellations {
+            Frame::Cancellations(Cancellations {
                 node: "kernel-1".into(),
                 incarnation: 21,
                 first: 22,
                 jobs: Vec::new(),
-            },
+            }),
         ),
         (
             "cancelled receipt",
-            Frame::CancellationsAck {
+            Frame::CancellationsAck(CancellationsAck {
                 node: "kernel-2".into(),
                 incarnation: 0x0102_0304_0506_0708,
                 log_incarnation: 0x1112_1314_1516_1718,
                 up_to: 0x2122_2324_2526_2728,
-            },
+            }),
         ),
         (
             "vouch",
-            Frame::CancellationLogEnd {
+            Frame::CancellationLogEnd(CancellationLogEnd {
                 node: "kernel-0".into(),
                 incarnation: 0x0102_0304_0506_0708,
                 last: 0x1112_1314_1516_1718,
                 asker_incarnation: 0x2122_2324_2526_2728,
                 asked: 0x3132_3334_3536_3738,
-            },
+            }),
         ),
     ]
 }
 
 fn node_frames() -> Vec<(&'static str, Frame)> {
-    let status = |leading, store_reachable| Frame::Status {
-        name: "kernel-1".into(),
-        term: 0x0102_0304_0506_0708,
-        leading,
-        store_reachable,
-        redirected: 0x1112,
-        incarnation: 0x2122_2324_2526_2728,
-        count: 0x3132_3334_3536_3738,
+    let status = |leading, store_reachable| {
+        Frame::Status(NodeStatus {
+            name: "kernel-1".into(),
+            term: 0x0102_0304_0506_0708,
+            leading,
+            store_reachable,
+            redirected: 0x1112,
+            incarnation: 0x2122_2324_2526_2728,
+            count: 0x3132_3334_3536_3738,
+        })
     };
     let machine =
         |name: &str, last, port| (name.into(), SocketAddrV4::new([10, 1, 2, last].into(), port));
--- a/crates/controller/src/peers/heartbeat_frames.rs
+++ b/crates/controller/src/peers/heartbeat_frames.rs
@@ -1,5 +1,5 @@
-//! The frames with which followers answer workers on the leader's behalf; what they mean is told in
-//! `walnutlug_scheduler::reconciliation::delegation`. A version that doesn't know them passes them over.
+//! The frames with which followers answer workers on the leader's behalf. Their protocol is in
+//! `walnutlug_scheduler::reconciliation::delegation`.
 
 use walnutlug_scheduler::model::task::MachineIndex;
 use walnutlug_scheduler::reconciliation::delegation::{CacheGrant, DelegationGrant};
@@ -8,87 +8,104 @@
 use zerocopy::little_endian::{U16, U32, U64};
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
 
-use super::{name_field, name_of, MOST};
+use super::frame::MAX_BODY;
+use super::layout::{self, entries, fixed_part, name_field, optional_name, NODE_NAME_BYTES};
+use super::FrameError;
 
-/// Bytes of a heartbeat or an answer that one frame takes; a worker with more to say goes to the leader.
-pub const MAX_CARRIED: usize = 3_500;
-/// Machines in one frame.
-pub const MAX_ENTRIES: usize = 150;
+/// Bytes of a heartbeat or an answer that fit one frame; a worker with longer ones reports to the leader itself.
+pub(crate) const MAX_CARRIED: usize = 3_500;
+/// Entries in one frame.
+pub(crate) const MAX_ENTRIES: usize = 150;
 
-const _: () = assert!(size_of::<AnswerBody>() + MAX_CARRIED < MOST);
+const _: () = assert!(size_of::<ForwardedResponseBody>() + MAX_CARRIED < MAX_BODY);
 const _: () = assert!(
-    size_of::<RepeatedHeartbeatsBody>() + MAX_ENTRIES * size_of::<RepeatedHeartbeatEntry>() < MOST
+    size_of::<RepeatedHeartbeatsHead>() + MAX_ENTRIES * size_of::<RepeatedHeartbeatEntry>()
+        < MAX_BODY
 );
 
 /// A worker's heartbeat on its way to the leader.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ForwardedHeartbeat {
-    /// The follower, and which life of it asks.
-    pub node: String,
-    pub incarnation: u64,
-    /// Names the answer.
-    pub number: u64,
+pub(crate) struct ForwardedHeartbeat {
+    /// The follower that asks.
+    pub(crate) node: String,
+    /// Its incarnation.
+    pub(crate) incarnation: u64,
+    /// Identifies the answer.
+    pub(crate) number: u64,
     /// As the worker sent it.
-    pub heartbeat: Vec<u8>,
+    pub(crate) heartbeat: Vec<u8>,
 }
 
 /// The leader's answer to it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ForwardedResponse {
-    pub asker_incarnation: u64,
-    pub number: u64,
+pub(crate) struct ForwardedResponse {
+    /// The incarnation of the follower that asked.
+    pub(crate) asker_incarnation: u64,
+    /// The number of the heartbeat.
+    pub(crate) number: u64,
     /// The body for the worker; `None`: the leader doesn't answer this one.
-    pub answer: Option<Vec<u8>>,
-    /// If repetitions of the heartbeat may be answered without asking.
-    pub cache_entry: Option<CacheGrant>,
+    pub(crate) answer: Option<Vec<u8>>,
+    /// Present if repetitions of the heartbeat may be answered without asking.
+    pub(crate) cache_entry: Option<CacheGrant>,
 }
 
-/// A machine that repeated its settled report to a follower.
+/// A machine that repeated its cached heartbeat to a follower.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RepeatedHeartbeat {
-    pub machine: MachineIndex,
-    pub number: u64,
-    pub sequence: u64,
+pub(crate) struct RepeatedHeartbeat {
+    /// The machine.
+    pub(crate) machine: MachineIndex,
+    /// The number of the cached heartbeat.
+    pub(crate) number: u64,
+    /// The sequence number of the repetition.
+    pub(crate) sequence: u64,
 }
 
-/// A follower asks the leader to be granted its share of the workers.
+/// A follower asks the leader to let it answer workers.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct DelegationRequest {
-    pub node: String,
-    pub incarnation: u64,
-    pub number: u64,
+pub(crate) struct DelegationRequest {
+    /// The follower.
+    pub(crate) node: String,
+    /// Its incarnation.
+    pub(crate) incarnation: u64,
+    /// Identifies the grant.
+    pub(crate) number: u64,
     /// Workers whose connections the follower holds.
-    pub workers: u32,
+    pub(crate) workers: u32,
 }
 
-/// The leader's word, and how many workers the follower should send to which other one.
+/// The leader lets a follower answer workers, and says how many of them it should redirect to which other node.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct DelegationGranted {
-    pub node: String,
-    pub asker_incarnation: u64,
-    pub grant: DelegationGrant,
-    pub spare: u16,
-    pub spare_to: Option<String>,
+pub(crate) struct DelegationGranted {
+    /// The leader.
+    pub(crate) node: String,
+    /// The incarnation of the follower that asked.
+    pub(crate) asker_incarnation: u64,
+    /// What the leader grants.
+    pub(crate) grant: DelegationGrant,
+    /// Workers that the follower should redirect.
+    pub(crate) spare: u16,
+    /// The node to which it should redirect them.
+    pub(crate) spare_to: Option<String>,
 }
 
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned, Clone, Copy)]
 #[repr(C)]
-struct ForwardBody {
-    node: [u8; 64],
+struct ForwardedHeartbeatBody {
+    node: [u8; NODE_NAME_BYTES],
     incarnation: U64,
     number: U64,
 }
 
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned, Clone, Copy)]
 #[repr(C)]
-struct AnswerBody {
+struct ForwardedResponseBody {
     asker_incarnation: U64,
     number: U64,
     answered: u8,
     cached: u8,
     term: U64,
     machine: U32,
-    settled_number: U64,
+    cached_number: U64,
     token: U64,
     valid_for_us: U64,
     invalidated: U64,
@@ -96,7 +113,7 @@
 
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned, Clone, Copy)]
 #[repr(C)]
-struct RepeatedHeartbeatsBody {
+struct RepeatedHeartbeatsHead {
     term: U64,
 }
 
@@ -110,8 +127,8 @@
 
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned, Clone, Copy)]
 #[repr(C)]
-struct AskBody {
-    node: [u8; 64],
+struct DelegationRequestBody {
+    node: [u8; NODE_NAME_BYTES],
     incarnation: U64,
     number: U64,
     workers: U32,
@@ -119,20 +136,20 @@
 
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned, Clone, Copy)]
 #[repr(C)]
-struct GrantBody {
-    node: [u8; 64],
+struct DelegationGrantedBody {
+    node: [u8; NODE_NAME_BYTES],
     asker_incarnation: U64,
     term: U64,
     asked: U64,
     unknown_for_us: U64,
     invalidated: U64,
     spare: U16,
-    spare_to: [u8; 64],
+    spare_to: [u8; NODE_NAME_BYTES],
 }
 
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned, Clone, Copy)]
 #[repr(C)]
-struct InvalidatedBody {
+struct InvalidatedHead {
     term: U64,
     first: U64,
 }
@@ -146,7 +163,7 @@
 
 impl ForwardedHeartbeat {
     pub(super) fn encode(&self) -> Vec<u8> {
-        let head = ForwardBody {
+        let head = ForwardedHeartbeatBody {
             node: name_field(&self.node),
             incarnation: self.incarnation.into(),
             number: self.number.into(),
@@ -154,10 +171,10 @@
         [head.as_bytes(), &self.heartbeat].concat()
     }
 
-    pub(super) fn decode(body: &[u8]) -> Result<ForwardedHeartbeat, &'static str> {
-        let (head, heartbeat) = ForwardBody::read_from_prefix(body).map_err(|_| "short report")?;
+    pub(super) fn decode(body: &[u8]) -> Result<ForwardedHeartbeat, FrameError> {
+        let (head, heartbeat) = fixed_part::<ForwardedHeartbeatBody>(body)?;
         Ok(ForwardedHeartbeat {
-            node: name_of(&head.node).ok_or("bad name")?,
+            node: layout::name(&head.node)?,
             incarnation: head.incarnation.get(),
             number: head.number.get(),
             heartbeat: heartbeat.to_vec(),
@@ -168,29 +185,29 @@
 impl ForwardedResponse {
     pub(super) fn encode(&self) -> Vec<u8> {
         let cache_entry = self.cache_entry.as_ref();
-        let cached = cache_entry.map(|m| m.cached);
-        let head = AnswerBody {
+        let cached = cache_entry.map(|entry| entry.cached);
+        let head = ForwardedResponseBody {
             asker_incarnation: self.asker_incarnation.into(),
             number: self.number.into(),
             answered: u8::from(self.answer.is_some()),
             cached: u8::from(cache_entry.is_some()),
-            term: cached.map_or(0, |s| s.term).into(),
-            machine: cached.map_or(0, |s| s.machine).into(),
-            settled_number: cached.map_or(0, |s| s.number).into(),
-            token: cache_entry.map_or(0, |m| m.token).into(),
-            valid_for_us: cache_entry.map_or(0, |m| m.valid_for.0).into(),
-            invalidated: cache_entry.map_or(0, |m| m.invalidated).into(),
+            term: cached.map_or(0, |cached| cached.term).into(),
+            machine: cached.map_or(0, |cached| cached.machine).into(),
+            cached_number: cached.map_or(0, |cached| cached.number).into(),
+            token: cache_entry.map_or(0, |entry| entry.token).into(),
+            valid_for_us: cache_entry.map_or(0, |entry| entry.valid_for.0).into(),
+            invalidated: cache_entry.map_or(0, |entry| entry.invalidated).into(),
         };
         [head.as_bytes(), self.answer.as_deref().unwrap_or_default()].concat()
     }
 
-    pub(super) fn decode(body: &[u8]) -> Result<ForwardedResponse, &'static str> {
-        let (head, answer) = AnswerBody::read_from_prefix(body).map_err(|_| "short answer")?;
+    pub(super) fn decode(body: &[u8]) -> Result<ForwardedResponse, FrameError> {
+        let (head, answer) = fixed_part::<ForwardedResponseBody>(body)?;
         let cache_entry = CacheGrant {
             cached: CachedHeartbeat {
                 term: head.term.get(),
                 machine: head.machine.get(),
-                number: head.settled_number.get(),
+                number: head.cached_number.get(),
             },
             token: head.token.get(),
             valid_for: TimeDelta(head.valid_for_us.get()),
@@ -205,9 +222,9 @@
     }
 }
 
-/// The body of a frame of machines that were heard under the term.
+/// The body of a frame of machines that repeated their heartbeats under the term.
 pub(super) fn encode_repeated_heartbeats(term: u64, heard: &[RepeatedHeartbeat]) -> Vec<u8> {
-    let mut body = RepeatedHeartbeatsBody { term: term.into() }.as_bytes().to_vec();
+    let mut body = RepeatedHeartbeatsHead { term: term.into() }.as_bytes().to_vec();
     for one in heard.iter().take(MAX_ENTRIES) {
         let entry = RepeatedHeartbeatEntry {
             machine: one.machine.into(),
@@ -221,9 +238,8 @@
 
 pub(super) fn decode_repeated_heartbeats(
     body: &[u8],
-) -> Result<(u64, Vec<RepeatedHeartbeat>), &'static str> {
-    let (head, rest) =
-        RepeatedHeartbeatsBody::read_from_prefix(body).map_err(|_| "short list of machines")?;
+) -> Result<(u64, Vec<RepeatedHeartbeat>), FrameError> {
+    let (head, rest) = fixed_part::<RepeatedHeartbeatsHead>(body)?;
     let entries = entries::<RepeatedHeartbeatEntry>(rest)?;
     let heard = entries.map(|entry| RepeatedHeartbeat {
         machine: entry.machine.get(),
@@ -233,13 +249,13 @@
     Ok((head.term.get(), heard.collect()))
 }
 
-/// The body of a frame of withdrawn marks, with the number of the first.
+/// The body of a frame of invalidated cache entries, with the number of the first.
 pub(super) fn encode_invalidated(
     term: u64,
     first: u64,
     cache_entries: &[(MachineIndex, u64)],
 ) -> Vec<u8> {
-    let head = InvalidatedBody { term: term.into(), first: first.into() };
+    let head = InvalidatedHead { term: term.into(), first: first.into() };
     let mut body = head.as_bytes().to_vec();
     for &(machine, number) in cache_entries.iter().take(MAX_ENTRIES) {
         let entry = InvalidatedEntry { machine: machine.into(), number: number.into() };
@@ -248,12 +264,11 @@
     body
 }
 
-/// The term, the number of the first, and the marks.
+/// The term, the number of the first, and the cache entries.
 type InvalidatedEntries = (u64, u64, Vec<(MachineIndex, u64)>);
 
-pub(super) fn decode_invalidated(body: &[u8]) -> Result<InvalidatedEntries, &'static str> {
-    let (head, rest) =
-        InvalidatedBody::read_from_prefix(body).map_err(|_| "short list of marks")?;
+pub(super) fn decode_invalidated(body: &[u8]) -> Result<InvalidatedEntries, FrameError> {
+    let (head, rest) = fixed_part::<InvalidatedHead>(body)?;
     let cache_entries = entries::<InvalidatedEntry>(rest)?;
     let cache_entries =
         cache_entries.map(|entry| (entry.machine.get(), entry.number.get())).collect();
@@ -262,7 +277,7 @@
 
 impl DelegationRequest {
     pub(super) fn encode(&self) -> Vec<u8> {
-        let body = AskBody {
+        let body = DelegationRequestBody {
             node: name_field(&self.node),
             incarnation: self.incarnation.into(),
             number: self.number.into(),
@@ -271,10 +286,10 @@
         body.as_bytes().to_vec()
     }
 
-    pub(super) fn decode(body: &[u8]) -> Result<DelegationRequest, &'static str> {
-        let (body, _) = AskBody::read_from_prefix(body).map_err(|_| "short question")?;
+    pub(super) fn decode(body: &[u8]) -> Result<DelegationRequest, FrameError> {
+        let (body, _) = fixed_part::<DelegationRequestBody>(body)?;
         Ok(DelegationRequest {
-            node: name_of(&body.node).ok_or("bad name")?,
+            node: layout::name(&body.node)?,
             incarnation: body.incarnation.get(),
             number: body.number.get(),
             workers: body.workers.get(),
@@ -284,7 +299,7 @@
 
 impl DelegationGranted {
     pub(super) fn encode(&self) -> Vec<u8> {
-        let body = GrantBody {
+        let body = DelegationGrantedBody {
             node: name_field(&self.node),
             asker_incarnation: self.asker_incarnation.into(),
             term: self.grant.term.into(),
@@ -297,10 +312,10 @@
         body.as_bytes().to_vec()
     }
 
-    pub(super) fn decode(body: &[u8]) -> Result<DelegationGranted, &'static str> {
-        let (body, _) = GrantBody::read_from_prefix(body).map_err(|_| "short grant")?;
+    pub(super) fn decode(body: &[u8]) -> Result<DelegationGranted, FrameError> {
+        let (body, _) = fixed_part::<DelegationGrantedBody>(body)?;
         Ok(DelegationGranted {
-            node: name_of(&body.node).ok_or("bad name")?,
+            node: layout::name(&body.node)?,
             asker_incarnation: body.asker_incarnation.get(),
             grant: DelegationGrant {
                 term: body.term.get(),
@@ -309,17 +324,7 @@
                 invalidated: body.invalidated.get(),
             },
             spare: body.spare.get(),
-            spare_to: name_of(&body.spare_to),
+            spare_to: optional_name(&body.spare_to),
         })
     }
 }
-
-/// Entries of one size, up to the end of the frame.
-fn entries<T: FromBytes + KnownLayout + Immutable>(
-    bytes: &[u8],
-) -> Result<impl Iterator<Item = T> + '_, &'static str> {
-    if !bytes.len().is_multiple_of(size_of::<T>()) {
-        return Err("odd list");
-    }
-    Ok(bytes.chunks_exact(size_of::<T>()).filter_map(|entry| T::read_from_bytes(entry).ok()))
-}
--- /dev/null
+++ b/crates/controller/src/peers/job_frames.rs
@@ -0,0 +1,213 @@
+//! The frames about jobs: hints of new jobs, progress and ends, and the logs of cancellations, whose protocol is in
+//! `walnutlug_scheduler::leadership::watermark`.
+
+use walnutlug_scheduler::leadership::watermark::MAX_TOLD;
+use walnutlug_scheduler::model::job_spec::JobEnd;
+use walnutlug_scheduler::protocol::users::is_job_id;
+use zerocopy::little_endian::{U32, U64};
+use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
+
+use super::layout::{self, name_field, JOB_NAME_BYTES, NODE_NAME_BYTES};
+use super::FrameError;
+
+const END_DONE: u8 = 1;
+const END_CANCELLED: u8 = 2;
+
+/// The body of all frames about one job; what a frame doesn't need is zero.
+#[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned, Clone, Copy)]
+#[repr(C)]
+pub(super) struct JobBody {
+    name: [u8; JOB_NAME_BYTES],
+    done: U32,
+    running: U32,
+    end: u8,
+}
+
+impl JobBody {
+    pub(super) fn new(job: &str) -> JobBody {
+        JobBody { name: name_field(job), done: 0.into(), running: 0.into(), end: 0 }
+    }
+
+    pub(super) fn with_counts(self, done: u32, running: u32) -> JobBody {
+        JobBody { done: done.into(), running: running.into(), ..self }
+    }
+
+    pub(super) fn with_end(self, end: JobEnd) -> JobBody {
+        let end = if end == JobEnd::Done { END_DONE } else { END_CANCELLED };
+        JobBody { end, ..self }
+    }
+
+    pub(super) fn encode(&self) -> Vec<u8> {
+        self.as_bytes().to_vec()
+    }
+
+    pub(super) fn decode(body: &[u8]) -> Result<JobBody, FrameError> {
+        Ok(layout::fixed_part::<JobBody>(body)?.0)
+    }
+
+    pub(super) fn job(&self) -> Result<String, FrameError> {
+        layout::name(&self.name)
+    }
+
+    pub(super) fn done(&self) -> u32 {
+        self.done.get()
+    }
+
+    pub(super) fn running(&self) -> u32 {
+        self.running.get()
+    }
+
+    pub(super) fn end(&self) -> Result<JobEnd, FrameError> {
+        match self.end {
+            END_DONE => Ok(JobEnd::Done),
+            END_CANCELLED => Ok(JobEnd::Cancelled),
+            code => Err(FrameError::BadJobEnd { code }),
+        }
+    }
+}
+
+/// A part of the log of cancellations that this incarnation of the node confirmed.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub(crate) struct Cancellations {
+    /// The node whose log it is.
+    pub(crate) node: String,
+    /// The incarnation whose log it is.
+    pub(crate) incarnation: u64,
+    /// The number of the first job in the log.
+    pub(crate) first: u64,
+    /// The jobs, in the order of the log.
+    pub(crate) jobs: Vec<String>,
+}
+
+/// All of a log up to a number has been applied.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub(crate) struct CancellationsAck {
+    /// The reader of the log.
+    pub(crate) node: String,
+    /// The reader's incarnation.
+    pub(crate) incarnation: u64,
+    /// The incarnation whose log it is.
+    pub(crate) log_incarnation: u64,
+    /// The last number up to which nothing is missing.
+    pub(crate) up_to: u64,
+}
+
+/// The answer to a leader's status, which is named by the leader's incarnation and the status's count: how far the
+/// speaker's log goes by now.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub(crate) struct CancellationLogEnd {
+    /// The node whose log it is.
+    pub(crate) node: String,
+    /// The incarnation whose log it is.
+    pub(crate) incarnation: u64,
+    /// The number of the log's last job.
+    pub(crate) last: u64,
+    /// The leader's incarnation.
+    pub(crate) asker_incarnation: u64,
+    /// The count of the leader's status.
+    pub(crate) asked: u64,
+}
+
+/// Before the names in a part of a log of cancellations.
+#[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned, Clone, Copy)]
+#[repr(C)]
+struct CancellationsBody {
+    node: [u8; NODE_NAME_BYTES],
+    incarnation: U64,
+    first: U64,
+}
+
+#[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned, Clone, Copy)]
+#[repr(C)]
+struct CancellationsAckBody {
+    node: [u8; NODE_NAME_BYTES],
+    incarnation: U64,
+    log_incarnation: U64,
+    up_to: U64,
+}
+
+#[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned, Clone, Copy)]
+#[repr(C)]
+struct CancellationLogEndBody {
+    node: [u8; NODE_NAME_BYTES],
+    incarnation: U64,
+    last: U64,
+    asker_incarnation: U64,
+    asked: U64,
+}
+
+impl Cancellations {
+    pub(super) fn encode(&self) -> Vec<u8> {
+        let head = CancellationsBody {
+            node: name_field(&self.node),
+            incarnation: self.incarnation.into(),
+            first: self.first.into(),
+        };
+        let mut body = head.as_bytes().to_vec();
+        for job in self.jobs.iter().take(MAX_TOLD) {
+            body.extend_from_slice(&name_field::<JOB_NAME_BYTES>(job));
+        }
+        body
+    }
+
+    pub(super) fn decode(body: &[u8]) -> Result<Cancellations, FrameError> {
+        let (head, names) = layout::fixed_part::<CancellationsBody>(body)?;
+        // These are acted on: a name that no job has is no cancellation.
+        let job = |field: [u8; JOB_NAME_BYTES]| {
+            layout::optional_name(&field).filter(|name| is_job_id(name)).ok_or(FrameError::BadName)
+        };
+        let jobs = layout::entries(names)?.map(job).collect::<Result<_, _>>()?;
+        Ok(Cancellations {
+            node: layout::name(&head.node)?,
+            incarnation: head.incarnation.get(),
+            first: head.first.get(),
+            jobs,
+        })
+    }
+}
+
+impl CancellationsAck {
+    pub(super) fn encode(&self) -> Vec<u8> {
+        let body = CancellationsAckBody {
+            node: name_field(&self.node),
+            incarnation: self.incarnation.into(),
+            log_incarnation: self.log_incarnation.into(),
+            up_to: self.up_to.into(),
+        };
+        body.as_bytes().to_vec()
+    }
+
+    pub(super) fn decode(body: &[u8]) -> Result<CancellationsAck, FrameError> {
+        let (body, _) = layout::fixed_part::<CancellationsAckBody>(body)?;
+        Ok(CancellationsAck {
+            node: layout::name(&body.node)?,
+            incarnation: body.incarnation.get(),
+            log_incarnation: body.log_incarnation.get(),
+            up_to: body.up_to.get(),
+        })
+    }
+}
+
+impl CancellationLogEnd {
+    pub(super) fn encode(&self) -> Vec<u8> {
+        let body = CancellationLogEndBody {
+            node: name_field(&self.node),
+            incarnation: self.incarnation.into(),
+            last: self.last.into(),
+            asker_incarnation: self.asker_incarnation.into(),
+            asked: self.asked.into(),
+        };
+        body.as_bytes().to_vec()
+    }
+
+    pub(super) fn decode(body: &[u8]) -> Result<CancellationLogEnd, FrameError> {
+        let (body, _) = layout::fixed_part::<CancellationLogEndBody>(body)?;
+        Ok(CancellationLogEnd {
+            node: layout::name(&body.node)?,
+            incarnation: body.incarnation.get(),
+            last: body.last.get(),
+            asker_incarnation: body.asker_incarnation.get(),
+            asked: body.asked.get(),
+        })
+    }
+}
--- a/crates/controller/src/peers/tests.rs
+++ b/crates/controller/src/peers/tests.rs
@@ -1,11 +1,15 @@
+use std::net::SocketAddrV4;
+
+use super::frame::{Header, MAX_BODY};
 use super::*;
+use walnutlug_scheduler::model::job_spec::JobEnd;
 use walnutlug_scheduler::reconciliation::delegation::{CacheGrant, DelegationGrant};
 use walnutlug_scheduler::reconciliation::repeated_heartbeats::CachedHeartbeat;
 use walnutlug_scheduler::time::TimeDelta;
 
 fn frames() -> Vec<Frame> {
     vec![
-        Frame::Status {
+        Frame::Status(NodeStatus {
             name: "kernel-1".into(),
             term: 1 << 40,
             leading: true,
@@ -13,7 +17,7 @@
             redirected: 7,
             incarnation: 1 << 50,
             count: 9,
-        },
+        }),
         Frame::Progress { job: "req-000001".into(), done: 3, running: 70_000 },
         Frame::Ended { job: "req-000002".into(), end: JobEnd::Cancelled },
         Frame::NewJob { job: "req-000003".into() },
@@ -90,7 +94,10 @@
     }
     let list = Frame::Invalidated { term: 1, first: 1, cache_entries: vec![(3, 4)] }.encode();
     let body = &list[size_of::<Header>()..list.len() - 1];
-    assert!(Frame::decode(KIND_INVALIDATED, body).is_err(), "an entry that is cut");
+    assert!(
+        Frame::decode(u16::from_le_bytes([list[6], list[7]]), body).is_err(),
+        "an entry that is cut"
+    );
 }
 
 #[tokio::test(start_paused = true)]
@@ -98,7 +105,7 @@
     for frame in frames().into_iter().chain([Frame::LimitsLowered]).chain(heartbeat_frames()) {
         let bytes = frame.encode();
         let read = read_frame(&mut bytes.as_slice()).await;
-        assert_eq!(read, Ok(Some(frame)));
+        assert_eq!(read.expect("a frame"), Some(frame));
     }
 }
 
@@ -114,7 +121,8 @@
     let then: Vec<Vec<u8>> = lines.map(bytes).collect();
     assert_eq!(then.len(), frames().len());
     for (frame, then) in frames().into_iter().zip(then) {
-        assert_eq!(read_frame(&mut then.as_slice()).await, Ok(Some(frame.clone())));
+        let read = read_frame(&mut then.as_slice()).await;
+        assert_eq!(read.expect("a frame"), Some(frame.clone()));
         assert_eq!(frame.encode(), then);
     }
 }
@@ -126,7 +134,7 @@
     let frames: Vec<Vec<u8>> =
         all.chunks(MAX_MACHINES).map(|c| Frame::Machines(c.to_vec()).encode()).collect();
     assert!(frames.len() <= 18, "{} frames", frames.len());
-    assert!(frames.iter().all(|f| f.len() <= MOST));
+    assert!(frames.iter().all(|f| f.len() <= MAX_BODY));
 }
 
 #[tokio::test(start_paused = true)]
@@ -138,18 +146,22 @@
         }
         let mut magic = good.clone();
         magic[0] ^= 1;
-        assert_eq!(read_frame(&mut magic.as_slice()).await, Err("bad magic number"));
+        let read = read_frame(&mut magic.as_slice()).await;
+        assert!(matches!(read, Err(FrameError::BadMagic { .. })), "{read:?}");
         let mut version = good.clone();
         version[4] = 9;
-        assert_eq!(read_frame(&mut version.as_slice()).await, Err("unknown version"));
+        let read = read_frame(&mut version.as_slice()).await;
+        assert!(matches!(read, Err(FrameError::UnknownVersion { found: 9 })), "{read:?}");
         let mut long = good.clone();
         long[8..12].copy_from_slice(&u32::MAX.to_le_bytes());
-        assert_eq!(read_frame(&mut long.as_slice()).await, Err("frame too long"));
+        let read = read_frame(&mut long.as_slice()).await;
+        assert!(matches!(read, Err(FrameError::BodyTooLong { .. })), "{read:?}");
         let mut short = good.clone();
         short[8..12].copy_from_slice(&5u32.to_le_bytes());
         assert!(read_frame(&mut short.as_slice()).await.is_err());
         let mut later = good.clone();
         later[6] = 99;
-        assert_eq!(read_frame(&mut later.as_slice()).await, Ok(None));
+        let read = read_frame(&mut later.as_slice()).await;
+        assert!(matches!(read, Ok(None)), "{read:?}");
     }
 }
--- a/crates/controller/src/settings/tests.rs
+++ b/crates/controller/src/settings/tests.rs
@@ -58,7 +58,7 @@
         let s = Sockets::share(limit);
         assert!(s.workers_kept > machines, "{limit}: {s:?}");
         assert!(s.inbound - s.workers_kept > limit / 10, "{limit}: {s:?}");
-        assert!(s.inbound + s.outbound + crate::peers::MAX_OPEN < limit, "{limit}: {s:?}");
+        assert!(s.inbound + s.outbound + crate::peers::MAX_CONNECTIONS < limit, "{limit}: {s:?}");
     }
 }
 
--- a/crates/controller/src/user_api.rs
+++ b/crates/controller/src/user_api.rs
@@ -231,7 +231,7 @@
     start_submitting(&node);
     let accepted = tokio::time::timeout(DECIDE_WITHIN, answer).await;
     let ms = started.elapsed().as_millis() as u64;
-    node.submit_times.borrow_mut().saturating_record(ms);
+    node.record_submission(ms);
     if ms > SLOW_MS {
         debug!(job = %name, ms, accepted = matches!(accepted, Ok(Ok(_))), "a slow submission");
     }
--- a/crates/controller/src/user_api/fake_cluster.rs
+++ b/crates/controller/src/user_api/fake_cluster.rs
@@ -14,8 +14,8 @@
 use walnutlug_scheduler::tunables::Tunables;
 
 use crate::http::client::{Answering, Client, Failure, Response};
-use crate::node::{peer_queue, Node};
-use crate::peers::{read_frame, Frame};
+use crate::node::Node;
+use crate::peers::{queue_length, read_frame, Frame, PeerSenders};
 use crate::settings::{tests::sample, Settings, Sockets};
 
 #[derive(Clone, Copy, PartialEq)]
@@ -57,7 +57,7 @@
                 let (from, to) = (self.wires[i].0, self.wires[i].1);
                 for frame in self.take(from, to).await {
                     if open(from, to) {
-                        self.nodes[to].peer_frame(frame);
+                        self.nodes[to].handle_frame(frame);
                     }
                 }
             }
@@ -118,7 +118,7 @@
         let name = |i: usize| format!("kernel-{i}");
         let mut cluster = Cluster { nodes: Vec::new(), wires: Vec::new() };
         let fd_limit = common["facts"]["resources"]["fd_limit"].as_u64().expect("a limit") as u32;
-        let most_waiting = peer_queue(Sockets::share(fd_limit));
+        let most_waiting = queue_length(Sockets::share(fd_limit));
         for i in 0..n {
             let mut settings = common.clone();
             let others = (0..n).filter(|&j| j != i);
@@ -131,7 +131,7 @@
             let mut queues = Vec::new();
             for to in others {
                 let (queue, wire) = mpsc::channel(most_waiting);
-                queues.push(queue);
+                queues.push((name(to), queue));
                 cluster.wires.push((i, to, wire));
             }
             cluster.nodes.push(self.node_of(&settings, queues));
@@ -139,12 +139,17 @@
         cluster
     }
 
-    fn node_of(&self, settings: &Value, queues: Vec<mpsc::Sender<Rc<Vec<u8>>>>) -> Rc<Node> {
+    fn node_of(
+        &self,
+        settings: &Value,
+        queues: Vec<(String, mpsc::Sender<Rc<Vec<u8>>>)>,
+    ) -> Rc<Node> {
         let store = self.clone();
         let script = move |method: &str, path: &str, body: &[u8]| store.answer(method, path, body);
         let client = Client::scripted_slow(Box::new(script));
         let settings = Settings::parse(&settings.to_string()).expect("settings");
-        let node = Node::new(settings, Tunables::default(), Rc::new(client), queues);
+        let node =
+            Node::new(settings, Tunables::default(), Rc::new(client), PeerSenders::new(queues));
         let node = node.expect("a node");
         node.types.borrow_mut().push(MachineType {
             name: "t8".into(),
--- a/crates/controller/src/worker_api.rs
+++ b/crates/controller/src/worker_api.rs
@@ -153,7 +153,7 @@
 }
 
 fn redirect(node: &Node) -> Answer {
-    node.redirected.set(node.redirected.get().saturating_add(1));
+    node.count_redirect();
     redirect_to(node.other_leader())
 }
 
