--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -10,7 +10,9 @@
 mod layout;
 mod node_frames;
 
-pub(crate) use connections::{listen, queue_length, run_sender, PeerSenders, MAX_CONNECTIONS};
+#[cfg(test)]
+pub(crate) use connections::MAX_CONNECTIONS;
+pub(crate) use connections::{listen, queue_length, run_sender, PeerSenders};
 #[cfg(test)]
 pub(crate) use frame::read_frame;
 pub(crate) use frame::{Frame, FrameError};
