--- a/crates/controller/src/heartbeat_delegation/tests.rs
+++ b/crates/controller/src/heartbeat_delegation/tests.rs
@@ -1,3 +1,8 @@
+use tokio::time::Instant;
+
+use super::balancing::{max_moved_per_second, MIN_MOVED_PER_SECOND};
+use super::follower::RESPONSE_TIMEOUT;
+use super::leader::FOLLOWER_VALID;
 use super::*;
 use crate::node::tests::{idle_report, lead_with_a_task, leader_with_a_task, report_of, JOB};
 use crate::settings::Sockets;
@@ -31,23 +36,23 @@
 }
 
 /// Node 0 leads and has a running task; node 1 was granted its share of the workers.
-async fn store_reachable(store: &StandIn) -> Cluster {
+async fn delegated(store: &StandIn) -> Cluster {
     let cluster = leader_with_a_task(store).await;
     grant_a_share(cluster).await
 }
 
 async fn grant_a_share(mut c: Cluster) -> Cluster {
-    ask(&c.nodes[1]);
+    request_delegation(&c.nodes[1]);
     for _ in 0..4 {
         c.deliver(|_, _| true).await;
     }
-    assert!(c.nodes[1].serving.leader.borrow().forwarding_term(c.nodes[1].now()).is_some());
+    assert!(c.nodes[1].serving.follower.forwarding_term(c.nodes[1].now()).is_some());
     c
 }
 
 /// The same, and node 1 answers repetitions by itself: the next sequence number and the token.
 async fn repeating(store: &StandIn) -> (Cluster, Rc<WorkerConnection>, u64, u64) {
-    let mut c = store_reachable(store).await;
+    let mut c = delegated(store).await;
     let connection = Rc::new(WorkerConnection::default());
     let (status, token, calls) = heartbeat(&mut c, 1, &connection, 1, 0).await;
     assert_eq!((status, calls), (200, vec![]), "the leader's answer");
@@ -62,7 +67,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_follower_answers_what_is_settled_and_the_leader_hears_of_it() {
+async fn a_follower_answers_what_is_cached_and_the_leader_learns_of_it() {
     let test = async {
         let store = StandIn::default();
         let (mut c, connection, sequence, token) = repeating(&store).await;
@@ -80,7 +85,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_cancellation_that_the_leader_hears_of_ends_what_its_follower_may_answer() {
+async fn a_cancellation_at_the_leader_invalidates_what_its_follower_may_answer() {
     let test = async {
         let store = StandIn::default();
         let (mut c, connection, sequence, token) = repeating(&store).await;
@@ -126,7 +131,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lost_withdrawal_shows_with_the_next_grant() {
+async fn a_lost_invalidation_shows_with_the_next_grant() {
     let test = async {
         let store = StandIn::default();
         let (mut c, connection, sequence, token) = repeating(&store).await;
@@ -134,7 +139,7 @@
         send_invalidations(&c.nodes[0]);
         c.deliver(|_, _| false).await;
         assert!(repeats(&c, &connection, sequence, token), "it hasn't heard");
-        ask(&c.nodes[1]);
+        request_delegation(&c.nodes[1]);
         for _ in 0..3 {
             c.deliver(|_, _| true).await;
         }
@@ -145,12 +150,12 @@
 
 /// A grant says how far the leader's knowledge goes, so what it has withdrawn has to come first.
 #[tokio::test(start_paused = true)]
-async fn a_grant_comes_after_what_the_leader_withdrew_before_it() {
+async fn a_grant_comes_after_what_the_leader_invalidated_before_it() {
     let test = async {
         let store = StandIn::default();
         let (mut c, connection, sequence, token) = repeating(&store).await;
         c.nodes[0].learn_end(JOB, JobEnd::Cancelled);
-        ask(&c.nodes[1]);
+        request_delegation(&c.nodes[1]);
         for _ in 0..3 {
             c.deliver(|_, _| true).await;
         }
@@ -163,15 +168,15 @@
 async fn a_worker_goes_to_the_leader_when_its_answer_does_not_come() {
     let test = async {
         let store = StandIn::default();
-        let mut c = store_reachable(&store).await;
+        let mut c = delegated(&store).await;
         let (node, connection) = (c.nodes[1].clone(), WorkerConnection::default());
         let body = report_of(1, 0);
         let began = Instant::now();
         let answer = worker_api::heartbeat(&node, &connection, body.as_bytes()).await;
         assert_eq!(answer.status, 421);
         assert!(String::from_utf8_lossy(&answer.body).contains("keeper"));
-        assert!(began.elapsed() <= ANSWER_WITHIN, "the worker waits for four seconds");
-        assert!(node.serving.waiting.borrow().is_empty());
+        assert!(began.elapsed() <= RESPONSE_TIMEOUT, "the worker waits for four seconds");
+        assert_eq!(node.serving.follower.pending(), 0);
         // The answer that comes after all is for nobody.
         for _ in 0..3 {
             c.deliver(|_, _| true).await;
@@ -187,10 +192,10 @@
 
 /// Reports that wait for a leader that doesn't answer are bounded; beyond that workers are sent on at once.
 #[tokio::test(start_paused = true)]
-async fn only_so_many_reports_wait_for_the_leader() {
+async fn only_so_many_heartbeats_wait_for_the_leader() {
     let test = async {
         let store = StandIn::default();
-        let c = store_reachable(&store).await;
+        let c = delegated(&store).await;
         let node = c.nodes[1].clone();
         let most = Sockets::share(node.settings.fd_limit).inbound as usize;
         let ask = |node: Rc<Node>| async move {
@@ -202,14 +207,14 @@
         for _ in 0..100 {
             tokio::task::yield_now().await;
         }
-        assert_eq!(node.serving.waiting.borrow().len(), most);
+        assert_eq!(node.serving.follower.pending(), most);
         let began = Instant::now();
         assert_eq!(ask(node.clone()).await.status, 421);
         assert_eq!(began.elapsed(), Duration::ZERO);
         for one in waiting {
             assert_eq!(one.await.expect("an answer").status, 421);
         }
-        assert!(node.serving.waiting.borrow().is_empty(), "what was refused can come again");
+        assert_eq!(node.serving.follower.pending(), 0, "what was refused can come again");
         // A heartbeat longer than a frame goes to the leader itself.
         let long = format!("{}{}", report_of(1, 0), " ".repeat(MAX_CARRIED));
         let answer =
@@ -222,7 +227,7 @@
 /// All workers of a fleet of 4,200 report something new to one follower at once: none is sent away, and no
 /// frame finds the queue full. (At most 1,000 reports waited once, whatever the settings said.)
 #[tokio::test(start_paused = true)]
-async fn a_burst_of_reports_from_4_200_workers_waits_for_the_leader() {
+async fn a_burst_of_heartbeats_from_4_200_workers_waits_for_the_leader() {
     const WORKERS: usize = 4_200;
     const MAX_FRAME_BYTES: usize = 600;
     let test = async {
@@ -244,7 +249,7 @@
         for _ in 0..100 {
             tokio::task::yield_now().await;
         }
-        assert_eq!(node.serving.waiting.borrow().len(), WORKERS);
+        assert_eq!(node.serving.follower.pending(), WORKERS);
         let frames = c.take(1, 0).await;
         let bytes: usize = frames.iter().map(|frame| frame.encode().len()).sum();
         assert!(bytes <= WORKERS * MAX_FRAME_BYTES, "{bytes} bytes wait");
@@ -258,7 +263,7 @@
         for one in waiting {
             assert_eq!(one.await.expect("an answer"), 200);
         }
-        assert!(node.serving.waiting.borrow().is_empty());
+        assert_eq!(node.serving.follower.pending(), 0);
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
@@ -266,18 +271,18 @@
 /// Workers are spread anew within a minute, whatever their number.
 #[test]
 fn more_workers_are_moved_where_there_are_more() {
-    assert_eq!(most_moved(500), LEAST_MOVED);
-    assert_eq!(most_moved(4_200), 70);
+    assert_eq!(max_moved_per_second(500), MIN_MOVED_PER_SECOND);
+    assert_eq!(max_moved_per_second(4_200), 70);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_new_life_of_a_follower_answers_nothing_of_its_former_ones_marks() {
+async fn a_restarted_follower_answers_nothing_from_its_former_cache() {
     let test = async {
         let store = StandIn::default();
         let (mut c, connection, sequence, token) = repeating(&store).await;
-        *c.nodes[1].serving.leader.borrow_mut() = FollowerDelegation::new(&c.nodes[1].site);
+        c.nodes[1].serving.follower.forget_grants(&c.nodes[1].site);
         assert!(!repeats(&c, &connection, sequence, token));
-        ask(&c.nodes[1]);
+        request_delegation(&c.nodes[1]);
         for _ in 0..3 {
             c.deliver(|_, _| true).await;
         }
@@ -287,18 +292,18 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_leader_sends_workers_to_the_follower_with_fewest_and_not_with_their_first_report() {
+async fn the_leader_redirects_workers_to_the_follower_with_fewest_and_not_their_first_heartbeat() {
     let test = async {
         let store = StandIn::default();
-        let mut c = store_reachable(&store).await;
+        let mut c = delegated(&store).await;
         for node in [1, 2] {
-            c.nodes[node].serving.workers.set(100 * node as u32);
-            ask(&c.nodes[node]);
+            c.nodes[node].serving.worker_connections.set(100 * node as u32);
+            request_delegation(&c.nodes[node]);
         }
         for _ in 0..3 {
             c.deliver(|_, _| true).await;
         }
-        c.nodes[0].serving.workers.set(300);
+        c.nodes[0].serving.worker_connections.set(300);
         balance(&c.nodes[0]);
         let (node, connection) = (c.nodes[0].clone(), WorkerConnection::default());
         let body = report_of(1, 0);
@@ -308,11 +313,11 @@
         let to = format!("{{\"keeper\":\"{}\"}}", c.nodes[1].settings.node_name);
         assert_eq!((answer.status, String::from_utf8_lossy(&answer.body).as_ref()), (421, &*to));
         // Within its part it keeps them, and so does everybody when no follower asks any more.
-        node.serving.workers.set(40);
+        node.serving.worker_connections.set(40);
         balance(&node);
         assert_eq!(node.serving.another_node_for(100), None);
-        node.serving.workers.set(300);
-        tokio::time::advance(FOLLOWER_FRESH).await;
+        node.serving.worker_connections.set(300);
+        tokio::time::advance(FOLLOWER_VALID).await;
         balance(&node);
         assert_eq!(node.serving.another_node_for(100), None);
     };
--- a/crates/controller/src/node/peer_messages.rs
+++ b/crates/controller/src/node/peer_messages.rs
@@ -22,7 +22,7 @@
             | Frame::RepeatedHeartbeats { .. }
             | Frame::DelegationRequest(_)
             | Frame::DelegationGranted(_)
-            | Frame::Invalidated { .. } => heartbeat_delegation::frame(self, frame),
+            | Frame::Invalidated { .. } => heartbeat_delegation::handle_frame(self, frame),
             Frame::NewJob { .. } => self.new_work.notify_one(),
             Frame::LimitsLowered => self.key_value.learn_limits_lowered(),
             Frame::Machines(machines) => self.cluster_view.learn_addresses(machines),
@@ -32,7 +32,7 @@
     fn handle_status(&self, status: NodeStatus) {
         if status.leading {
             self.learn_leader(&status.name, status.term);
-            heartbeat_delegation::ask_new_leader(self, status.term);
+            heartbeat_delegation::request_from_new_leader(self, status.term);
             let log_end = self.cancellations.log_end(status.incarnation, status.count);
             self.send_to_peer(&status.name, &Frame::CancellationLogEnd(log_end));
         }
--- a/crates/controller/src/node/startup.rs
+++ b/crates/controller/src/node/startup.rs
@@ -54,7 +54,7 @@
     spawn_local(machine_types_role::run(node.clone()));
     spawn_local(broadcast::run(node.clone()));
     spawn_local(load::log_periodically(node.clone()));
-    spawn_local(heartbeat_delegation::keep(node.clone()));
+    spawn_local(heartbeat_delegation::run(node.clone()));
 }
 
 /// One queue and one sending task for each peer.
--- a/crates/controller/src/worker_api.rs
+++ b/crates/controller/src/worker_api.rs
@@ -39,7 +39,7 @@
 
 /// Answers a worker's heartbeat, as the leader or on its behalf.
 pub async fn heartbeat(node: &Node, connection: &WorkerConnection, body: &[u8]) -> Answer {
-    let first = connection.count(&node.serving.workers);
+    let first = connection.count(node.serving.worker_connections());
     // Not with its first heartbeat: a worker that can't reach the other node comes back at once, and its
     // lease must not run out between two nodes that send it to each other.
     let other = if first { None } else { node.serving.another_node_for(body.len()) };
