--- a/crates/controller/src/heartbeat_delegation/balancing.rs
+++ b/crates/controller/src/heartbeat_delegation/balancing.rs
@@ -3,7 +3,7 @@
 use std::cell::RefCell;
 
 /// Workers that a node of a small fleet redirects in a second, at most.
-pub(super) const MIN_MOVED_PER_SECOND: u32 = 40;
+const MIN_MOVED_PER_SECOND: u32 = 40;
 /// Seconds in which a large fleet can be balanced anew.
 const BALANCED_WITHIN_S: u32 = 60;
 /// The leader's share of the workers is this many times smaller than a follower's.
@@ -13,22 +13,22 @@
 
 /// How many workers' connections a follower holds.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct FollowerLoad {
+pub(crate) struct FollowerLoad {
     /// Its place among the peers.
-    pub(super) place: usize,
+    pub(crate) place: usize,
     /// The workers.
-    pub(super) workers: u32,
+    pub(crate) workers: u32,
 }
 
 /// Workers to redirect, and the place of the node to which they should report among the peers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Move {
-    pub(super) workers: u32,
-    pub(super) to: usize,
+pub(crate) struct Move {
+    pub(crate) workers: u32,
+    pub(crate) to: usize,
 }
 
 /// How many workers each node should hold.
-pub(super) struct Shares {
+pub(crate) struct Shares {
     leader: u32,
     follower: u32,
     /// The follower with fewest.
@@ -39,7 +39,7 @@
 
 impl Shares {
     /// The shares of a leader that holds so many workers, and its followers. `None` if there is none.
-    pub(super) fn of(leader_workers: u32, followers: &[FollowerLoad]) -> Option<Shares> {
+    pub(crate) fn of(leader_workers: u32, followers: &[FollowerLoad]) -> Option<Shares> {
         let fewest = *followers.iter().min_by_key(|follower| follower.workers)?;
         let count = followers.len() as u32;
         let all = leader_workers + followers.iter().map(|follower| follower.workers).sum::<u32>();
@@ -49,7 +49,7 @@
     }
 
     /// What the leader should redirect, of so many workers.
-    pub(super) fn move_from_leader(&self, workers: u32) -> Option<Move> {
+    pub(crate) fn move_from_leader(&self, workers: u32) -> Option<Move> {
         let excess = workers.checked_sub(self.leader)?;
         let workers = excess.min(self.max_moved);
         (excess > TOLERANCE).then_some(Move { workers, to: self.fewest.place })
@@ -57,7 +57,7 @@
 
     /// What a follower should redirect, of so many workers. Only what is far beyond its share: the counts are a
     /// second old, and workers should not go back and forth.
-    pub(super) fn move_from_follower(&self, workers: u32) -> Option<Move> {
+    pub(crate) fn move_from_follower(&self, workers: u32) -> Option<Move> {
         let excess = workers.saturating_sub(self.follower);
         if excess <= self.follower / 4 + TOLERANCE || self.fewest.workers >= self.follower {
             return None;
@@ -68,13 +68,13 @@
 }
 
 /// How many of all workers a node redirects in a second: few, but the largest fleet is balanced in a minute.
-pub(super) fn max_moved_per_second(all: u32) -> u32 {
+fn max_moved_per_second(all: u32) -> u32 {
     (all / BALANCED_WITHIN_S).max(MIN_MOVED_PER_SECOND)
 }
 
 /// The workers that this node still has to redirect.
 #[derive(Debug, Default)]
-pub(super) struct Redirection {
+pub(crate) struct Redirection {
     pending: RefCell<PendingRedirection>,
 }
 
@@ -86,19 +86,22 @@
 
 impl Redirection {
     /// Redirects so many workers from now on, instead of what was left.
-    pub(super) fn set(&self, workers: u32, to: Option<String>) {
+    pub(crate) fn set(&self, workers: u32, to: Option<String>) {
         self.pending.replace(PendingRedirection { workers, to });
     }
 
     /// Redirects none any more.
-    pub(super) fn clear(&self) {
+    pub(crate) fn clear(&self) {
         self.pending.take();
     }
 
     /// The node to which the next worker should report, if it should be redirected.
-    pub(super) fn take(&self) -> Option<String> {
+    pub(crate) fn take(&self) -> Option<String> {
         let mut pending = self.pending.borrow_mut();
         pending.workers = pending.workers.checked_sub(1)?;
         pending.to.clone()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/controller/src/heartbeat_delegation/follower.rs
+++ b/crates/controller/src/heartbeat_delegation/follower.rs
@@ -17,10 +17,10 @@
 use crate::peers::{ForwardedResponse, RepeatedHeartbeat};
 
 /// How long the leader may take to answer a heartbeat; the worker waits for four seconds.
-pub(super) const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
+pub(crate) const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A node's state as a follower.
-pub(super) struct FollowerSide {
+pub(crate) struct FollowerSide {
     delegation: RefCell<FollowerDelegation>,
     /// Forwarded heartbeats by their numbers.
     pending: RefCell<HashMap<u64, oneshot::Sender<ForwardedResponse>>>,
@@ -32,7 +32,7 @@
 
 impl FollowerSide {
     /// With nothing granted, and room for that many heartbeats that wait for the leader.
-    pub(super) fn new(site: &Site, max_pending: usize) -> FollowerSide {
+    pub(crate) fn new(site: &Site, max_pending: usize) -> FollowerSide {
         FollowerSide {
             delegation: RefCell::new(FollowerDelegation::new(site)),
             pending: RefCell::default(),
@@ -43,7 +43,7 @@
     }
 
     /// The token with which the repetition of a cached heartbeat may be answered now. It is kept to tell the leader.
-    pub(super) fn answer_repeated(
+    pub(crate) fn answer_repeated(
         &self,
         now: Timestamp,
         cached: CachedHeartbeat,
@@ -56,17 +56,17 @@
     }
 
     /// Takes the repetitions answered since the last call.
-    pub(super) fn take_repeated(&self) -> Vec<RepeatedHeartbeat> {
+    pub(crate) fn take_repeated(&self) -> Vec<RepeatedHeartbeat> {
         self.repeated.take()
     }
 
     /// The term under whose leader heartbeats may be forwarded now.
-    pub(super) fn forwarding_term(&self, now: Timestamp) -> Option<u64> {
+    pub(crate) fn forwarding_term(&self, now: Timestamp) -> Option<u64> {
         self.delegation.borrow().forwarding_term(now)
     }
 
     /// Reserves a place for a heartbeat that waits for the leader. `None` if too many do.
-    pub(super) fn begin_forward(&self) -> Option<PendingForward<'_>> {
+    pub(crate) fn begin_forward(&self) -> Option<PendingForward<'_>> {
         let mut pending = self.pending.borrow_mut();
         if pending.len() >= self.max_pending {
             return None;
@@ -79,52 +79,52 @@
     }
 
     /// Hands the leader's answer to the heartbeat that waits for it, if one still does.
-    pub(super) fn respond(&self, response: ForwardedResponse) {
+    pub(crate) fn respond(&self, response: ForwardedResponse) {
         if let Some(pending) = self.pending.borrow_mut().remove(&response.number) {
             let _ = pending.send(response);
         }
     }
 
     /// Caches a heartbeat whose repetitions the leader lets this node answer. `None` if the grant came too late.
-    pub(super) fn cache(&self, now: Timestamp, entry: &CacheGrant) -> Option<CachedHeartbeat> {
+    pub(crate) fn cache(&self, now: Timestamp, entry: &CacheGrant) -> Option<CachedHeartbeat> {
         self.delegation.borrow_mut().add(now, entry).then_some(entry.cached)
     }
 
     /// The number of the next request to the leader.
-    pub(super) fn next_request(&self, now: Timestamp) -> u64 {
+    pub(crate) fn next_request(&self, now: Timestamp) -> u64 {
         self.delegation.borrow_mut().ask(now)
     }
 
     /// The term of the last grant.
-    pub(super) fn granted_term(&self) -> Option<u64> {
+    pub(crate) fn granted_term(&self) -> Option<u64> {
         self.delegation.borrow().term()
     }
 
     /// Takes a grant. Whether it counts.
-    pub(super) fn take_grant(&self, now: Timestamp, grant: &DelegationGrant) -> bool {
+    pub(crate) fn take_grant(&self, now: Timestamp, grant: &DelegationGrant) -> bool {
         self.delegation.borrow_mut().granted(now, grant)
     }
 
     /// Drops cache entries that are valid no more, with the number of the first.
-    pub(super) fn invalidate(&self, term: u64, first: u64, entries: &[(MachineIndex, u64)]) {
+    pub(crate) fn invalidate(&self, term: u64, first: u64, entries: &[(MachineIndex, u64)]) {
         self.delegation.borrow_mut().invalidate(term, first, entries);
     }
 
     /// Heartbeats that wait for the leader.
     #[cfg(test)]
-    pub(super) fn pending(&self) -> usize {
+    pub(crate) fn pending(&self) -> usize {
         self.pending.borrow().len()
     }
 
     /// Forgets all grants, as a restarted node has.
     #[cfg(test)]
-    pub(super) fn forget_grants(&self, site: &Site) {
+    pub(crate) fn forget_grants(&self, site: &Site) {
         self.delegation.replace(FollowerDelegation::new(site));
     }
 }
 
 /// A heartbeat that waits for the leader's answer; its place is free again when it is dropped.
-pub(super) struct PendingForward<'a> {
+pub(crate) struct PendingForward<'a> {
     follower: &'a FollowerSide,
     number: u64,
     response: oneshot::Receiver<ForwardedResponse>,
@@ -132,12 +132,12 @@
 
 impl PendingForward<'_> {
     /// The number under which it is forwarded.
-    pub(super) fn number(&self) -> u64 {
+    pub(crate) fn number(&self) -> u64 {
         self.number
     }
 
     /// The leader's answer, if it comes in time.
-    pub(super) async fn response(mut self) -> Option<ForwardedResponse> {
+    pub(crate) async fn response(mut self) -> Option<ForwardedResponse> {
         timeout(RESPONSE_TIMEOUT, &mut self.response).await.ok()?.ok()
     }
 }
--- a/crates/controller/src/heartbeat_delegation/leader.rs
+++ b/crates/controller/src/heartbeat_delegation/leader.rs
@@ -9,7 +9,7 @@
 use crate::peers::{Frame, MAX_ENTRIES};
 
 /// A follower that has not asked for so long is sent no workers.
-pub(super) const FOLLOWER_VALID: Duration = Duration::from_millis(2_500);
+pub(crate) const FOLLOWER_VALID: Duration = Duration::from_millis(2_500);
 
 /// Cache entries invalidated under one term.
 #[derive(Debug, Default, Clone, Copy)]
@@ -41,35 +41,35 @@
 }
 
 /// A node's state as the leader. Followers are known by their places among the peers.
-pub(super) struct LeaderSide {
+pub(crate) struct LeaderSide {
     followers: RefCell<Vec<Follower>>,
 }
 
 impl LeaderSide {
     /// With that many other nodes, none of which has asked yet.
-    pub(super) fn new(peers: usize) -> LeaderSide {
+    pub(crate) fn new(peers: usize) -> LeaderSide {
         LeaderSide { followers: RefCell::new(vec![Follower::default(); peers]) }
     }
 
     /// Whether other nodes hold workers' connections now.
-    pub(super) fn has_followers(&self) -> bool {
+    pub(crate) fn has_followers(&self) -> bool {
         self.followers.borrow().iter().any(|follower| follower.is_fresh() && follower.workers > 0)
     }
 
     /// The follower has asked, and holds the connections of so many workers.
-    pub(super) fn record_request(&self, place: usize, workers: u32) {
+    pub(crate) fn record_request(&self, place: usize, workers: u32) {
         let follower = &mut self.followers.borrow_mut()[place];
         follower.last_request = Some(Instant::now());
         follower.workers = workers;
     }
 
     /// Cache entries invalidated at the follower under the term.
-    pub(super) fn invalidated(&self, place: usize, term: u64) -> u64 {
+    pub(crate) fn invalidated(&self, place: usize, term: u64) -> u64 {
         *self.followers.borrow_mut()[place].invalidated_under(term)
     }
 
     /// The frames that invalidate the entries at the follower, numbered on from those before.
-    pub(super) fn invalidate(
+    pub(crate) fn invalidate(
         &self,
         place: usize,
         term: u64,
@@ -86,7 +86,7 @@
     }
 
     /// The followers that have asked lately.
-    pub(super) fn loads(&self) -> Vec<FollowerLoad> {
+    pub(crate) fn loads(&self) -> Vec<FollowerLoad> {
         let followers = self.followers.borrow();
         let fresh = followers.iter().enumerate().filter(|(_, follower)| follower.is_fresh());
         fresh.map(|(place, follower)| FollowerLoad { place, workers: follower.workers }).collect()
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -7,6 +7,7 @@
 mod election;
 mod event_log;
 mod fleet_role;
+mod heartbeats;
 mod leader;
 mod load;
 mod machine_types;
@@ -66,7 +67,7 @@
     pub(crate) types: RefCell<Vec<MachineType>>,
     pub(crate) user_api: UserApi,
     /// Its part in answering the workers' heartbeats.
-    pub(crate) serving: HeartbeatDelegation,
+    pub(crate) delegation: HeartbeatDelegation,
     /// Wakes the leader's watches: there is something new to read.
     pub(crate) new_work: Notify,
     identity: Identity,
@@ -117,7 +118,7 @@
             settings.state_limits,
             settings.state_next,
         );
-        let serving = HeartbeatDelegation::new(
+        let delegation = HeartbeatDelegation::new(
             &settings.site,
             settings.peers.len(),
             Sockets::share(settings.fd_limit).inbound as usize,
@@ -138,7 +139,7 @@
             scheduler: RefCell::default(),
             types: RefCell::default(),
             user_api: UserApi::default(),
-            serving,
+            delegation,
             new_work: Notify::new(),
             identity,
             clock: Clock::start(),
@@ -165,11 +166,6 @@
         clock::wall_clock_us()
     }
 
-    /// Which incarnation of the node this process is.
-    pub(crate) fn incarnation(&self) -> u64 {
-        self.identity.incarnation
-    }
-
     /// The node to which workers should report, if it is another one.
     pub(crate) fn other_leader(&self) -> Option<String> {
         self.cluster_view.other_leader()
--- /dev/null
+++ b/crates/controller/src/node/heartbeats/follower.rs
@@ -0,0 +1,103 @@
+//! This node as a follower: it answers repeated heartbeats on the leader's behalf, and forwards the others.
+
+use tracing::info;
+
+use super::super::Node;
+use crate::http::server::Answer;
+use crate::peers::{
+    DelegationGranted, DelegationRequest, ForwardedHeartbeat, ForwardedResponse, Frame,
+    MAX_CARRIED, MAX_ENTRIES,
+};
+use crate::worker_api::WorkerConnection;
+
+impl Node {
+    /// The token with which a follower may answer the heartbeat, if it repeats a cached one.
+    pub(crate) fn repeated_heartbeat_token(
+        &self,
+        connection: &WorkerConnection,
+        body: &[u8],
+    ) -> Option<u64> {
+        let (cached, sequence) = connection.repeated_by(body)?;
+        self.delegation.follower().answer_repeated(self.now(), cached, sequence)
+    }
+
+    /// Forwards the heartbeat to the leader. `None`: the worker should report elsewhere.
+    pub(crate) async fn forward_heartbeat(
+        &self,
+        connection: &WorkerConnection,
+        body: &[u8],
+    ) -> Option<Answer> {
+        let follower = self.delegation.follower();
+        let term = follower.forwarding_term(self.now())?;
+        let leader = self.leader_under(term)?;
+        if body.len() > MAX_CARRIED {
+            return None;
+        }
+        let pending = follower.begin_forward()?;
+        let forwarded = ForwardedHeartbeat {
+            node: self.settings.node_name.clone(),
+            incarnation: self.identity.incarnation,
+            number: pending.number(),
+            heartbeat: body.to_vec(),
+        };
+        self.send_to_peer(&leader, &Frame::ForwardedHeartbeat(forwarded));
+        let ForwardedResponse { answer, cache_entry, .. } = pending.response().await?;
+        let cached = cache_entry.and_then(|entry| follower.cache(self.now(), &entry));
+        connection.remember(body, cached);
+        Some(Answer { status: 200, body: answer?, retry_after: None, close: false, idle: None })
+    }
+}
+
+/// As a follower, asks whoever leads for a grant.
+pub(in crate::node) fn request_delegation(node: &Node) {
+    let Some(leader) = node.other_leader() else { return };
+    let request = DelegationRequest {
+        node: node.settings.node_name.clone(),
+        incarnation: node.identity.incarnation,
+        number: node.delegation.follower().next_request(node.now()),
+        workers: node.delegation.worker_connections().get(),
+    };
+    node.send_to_peer(&leader, &Frame::DelegationRequest(request));
+}
+
+/// Asks at once if the leader of that term has not granted anything yet.
+pub(in crate::node) fn request_from_new_leader(node: &Node, term: u64) {
+    if node.delegation.follower().granted_term().is_none_or(|granted| granted < term) {
+        request_delegation(node);
+    }
+}
+
+/// Takes a grant that answers this incarnation.
+pub(in crate::node) fn take_grant(node: &Node, granted: DelegationGranted) {
+    if granted.asker_incarnation != node.identity.incarnation {
+        return;
+    }
+    let follower = node.delegation.follower();
+    let before = follower.granted_term();
+    if !follower.take_grant(node.now(), &granted.grant) {
+        return;
+    }
+    let term = granted.grant.term;
+    if before != Some(term) {
+        info!(term, leader = %granted.node, "answering workers on the leader's behalf");
+    }
+    node.delegation.redirection().set(u32::from(granted.spare), granted.spare_to);
+}
+
+/// Tells the leader which machines repeated their heartbeats.
+pub(in crate::node) fn send_repeated_heartbeats(node: &Node) {
+    let follower = node.delegation.follower();
+    let repeated = follower.take_repeated();
+    let Some(term) = follower.granted_term() else { return };
+    let Some(leader) = node.leader_under(term) else { return };
+    for some in repeated.chunks(MAX_ENTRIES) {
+        node.send_to_peer(&leader, &Frame::RepeatedHeartbeats { term, heard: some.to_vec() });
+    }
+}
+
+/// Hands on the leader's answer to a forwarded heartbeat, if this incarnation forwarded it.
+pub(in crate::node) fn take_response(node: &Node, response: ForwardedResponse) {
+    if response.asker_incarnation == node.identity.incarnation {
+        node.delegation.follower().respond(response);
+    }
+}
--- /dev/null
+++ b/crates/controller/src/node/heartbeats/leader.rs
@@ -0,0 +1,129 @@
+//! This node as the leader: it answers the heartbeats that followers forward, lets them answer repetitions, and balances
+//! the workers among the nodes.
+
+use std::collections::HashMap;
+
+use walnutlug_scheduler::leadership::election::Role;
+use walnutlug_scheduler::model::task::MachineIndex;
+use walnutlug_scheduler::reconciliation::delegation::{CacheGrant, DelegationGrant};
+use walnutlug_scheduler::reconciliation::repeated_heartbeats::{CacheHolder, CachedHeartbeat};
+
+use super::super::Node;
+use crate::heartbeat_delegation::{Move, Shares};
+use crate::peers::{
+    DelegationGranted, DelegationRequest, ForwardedHeartbeat, ForwardedResponse, Frame,
+    RepeatedHeartbeat, MAX_CARRIED,
+};
+use crate::worker_api;
+
+/// As the leader, tells followers which of their cache entries are valid no more. Before anything that says how far
+/// the leader's knowledge goes, since that is worth nothing without these.
+pub(in crate::node) fn send_invalidations(node: &Node) {
+    let (term, invalidated) = {
+        let mut scheduler = node.scheduler.borrow_mut();
+        let Some(scheduler) = scheduler.as_mut() else { return };
+        (scheduler.term, scheduler.cluster.take_invalidated())
+    };
+    let mut by_holder: HashMap<CacheHolder, Vec<(MachineIndex, u64)>> = HashMap::new();
+    for entry in invalidated {
+        let CachedHeartbeat { machine, number, .. } = entry.cached;
+        by_holder.entry(entry.holder).or_default().push((machine, number));
+    }
+    for (holder, entries) in by_holder {
+        let place = usize::from(holder) - 1;
+        let peer = &node.settings.peers[place].name;
+        for frame in node.delegation.leader().invalidate(place, term, &entries) {
+            node.send_to_peer(peer, &frame);
+        }
+    }
+}
+
+/// Records the repetitions that a follower answered under the term.
+pub(in crate::node) fn record_repeated_heartbeats(
+    node: &Node,
+    term: u64,
+    repeated: &[RepeatedHeartbeat],
+) {
+    let now = node.now();
+    let mut scheduler = node.scheduler.borrow_mut();
+    let current = scheduler.as_mut().filter(|scheduler| scheduler.term == term);
+    let Some(scheduler) = current else { return };
+    for heartbeat in repeated {
+        let (machine, number) = (heartbeat.machine, heartbeat.number);
+        let cached = CachedHeartbeat { term, machine, number };
+        scheduler.record_repeated_heartbeat(now, cached, heartbeat.sequence);
+    }
+}
+
+/// A follower's place among the peers.
+fn peer_place(node: &Node, name: &str) -> Option<usize> {
+    node.settings.peers.iter().position(|peer| peer.name == name)
+}
+
+/// Answers a heartbeat that a follower forwarded.
+pub(in crate::node) fn answer_forwarded(node: &Node, forwarded: &ForwardedHeartbeat) {
+    let Some(place) = peer_place(node, &forwarded.node) else { return };
+    let Ok(holder) = CacheHolder::try_from(place + 1) else { return };
+    let handled = worker_api::handle_forwarded_heartbeat(node, &forwarded.heartbeat, holder);
+    let (answer, cache_entry) =
+        handled.map_or((None, None), |handled| (Some(handled.body), handled.cache_entry));
+    send_invalidations(node);
+    let cache_entry = cache_entry.map(|(cached, token, valid_for)| CacheGrant {
+        cached,
+        token,
+        valid_for,
+        invalidated: node.delegation.leader().invalidated(place, cached.term),
+    });
+    let response = ForwardedResponse {
+        asker_incarnation: forwarded.incarnation,
+        number: forwarded.number,
+        answer: answer.filter(|body| body.len() <= MAX_CARRIED),
+        cache_entry,
+    };
+    node.send_to_peer(&forwarded.node, &Frame::ForwardedResponse(response));
+    node.wake_leader();
+}
+
+/// As the leader, lets a follower answer workers.
+pub(in crate::node) fn grant(node: &Node, request: &DelegationRequest) {
+    let Some(place) = peer_place(node, &request.node) else { return };
+    let Role::Leader { term } = node.leadership.borrow().role() else { return };
+    send_invalidations(node);
+    let leader = &node.delegation.leader();
+    leader.record_request(place, request.workers);
+    let grant = DelegationGrant {
+        term,
+        asked: request.number,
+        unknown_for: node.now().since(node.cancellations_known_until()),
+        invalidated: leader.invalidated(place, term),
+    };
+    let redirected = shares(node).and_then(|shares| shares.move_from_follower(request.workers));
+    let granted = DelegationGranted {
+        node: node.settings.node_name.clone(),
+        asker_incarnation: request.incarnation,
+        grant,
+        spare: redirected.map_or(0, |moved| moved.workers.min(u32::from(u16::MAX)) as u16),
+        spare_to: redirected.map(|moved| destination(node, moved)),
+    };
+    node.send_to_peer(&request.node, &Frame::DelegationGranted(granted));
+}
+
+/// As the leader, redirects some of its own workers to the follower that has fewest.
+pub(in crate::node) fn balance(node: &Node) {
+    let own = node.delegation.worker_connections().get();
+    match shares(node).and_then(|shares| shares.move_from_leader(own)) {
+        Some(moved) => {
+            node.delegation.redirection().set(moved.workers, Some(destination(node, moved)))
+        }
+        None => node.delegation.redirection().clear(),
+    }
+}
+
+/// How the workers should be shared now.
+fn shares(node: &Node) -> Option<Shares> {
+    Shares::of(node.delegation.worker_connections().get(), &node.delegation.leader().loads())
+}
+
+fn destination(node: &Node, moved: Move) -> String {
+    node.settings.peers[moved.to].name.clone()
+}
--- a/crates/controller/src/node/leader.rs
+++ b/crates/controller/src/node/leader.rs
@@ -22,8 +22,7 @@
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 
 use super::step_down::StepDownCause;
-use super::{fleet_role, Node};
-use crate::heartbeat_delegation;
+use super::{fleet_role, heartbeats, Node};
 use lease::HeldLease;
 
 /// How long a leader that stepped down leaves the lead to others.
@@ -147,7 +146,7 @@
     }
     let commands = decide(node, current, now);
     drop(scheduler);
-    heartbeat_delegation::send_invalidations(node);
+    heartbeats::leader::send_invalidations(node);
     for command in commands {
         commands::execute(node, term, command);
     }
@@ -158,7 +157,7 @@
 /// Whether no worker reaches this node while they reach another one.
 fn is_cut_off_from_workers(node: &Node, scheduler: &Scheduler, now: Timestamp) -> bool {
     (node.cluster_view.workers_reach_other_nodes() && scheduler.hears_no_worker(now))
-        || (node.serving.has_followers() && scheduler.reaches_no_worker(now))
+        || (node.delegation.has_followers() && scheduler.reaches_no_worker(now))
 }
 
 fn decide(node: &Node, scheduler: &mut Scheduler, now: Timestamp) -> Vec<Command> {
--- a/crates/controller/src/node/peer_messages.rs
+++ b/crates/controller/src/node/peer_messages.rs
@@ -3,8 +3,8 @@
 use walnutlug_scheduler::model::job_spec::JobEnd;
 use walnutlug_scheduler::protocol::users::is_job_id;
 
+use super::heartbeats::{follower, leader};
 use super::Node;
-use crate::heartbeat_delegation;
 use crate::peers::{Cancellations, Frame, NodeStatus};
 
 impl Node {
@@ -17,12 +17,16 @@
             Frame::Cancellations(part) => self.handle_cancellations(&part),
             Frame::CancellationsAck(ack) => self.cancellations.acknowledged(&ack),
             Frame::CancellationLogEnd(end) => self.cancellations.log_end_received(self.now(), &end),
-            Frame::ForwardedHeartbeat(_)
-            | Frame::ForwardedResponse(_)
-            | Frame::RepeatedHeartbeats { .. }
-            | Frame::DelegationRequest(_)
-            | Frame::DelegationGranted(_)
-            | Frame::Invalidated { .. } => heartbeat_delegation::handle_frame(self, frame),
+            Frame::ForwardedHeartbeat(heartbeat) => leader::answer_forwarded(self, &heartbeat),
+            Frame::ForwardedResponse(response) => follower::take_response(self, response),
+            Frame::RepeatedHeartbeats { term, heard } => {
+                leader::record_repeated_heartbeats(self, term, &heard);
+            }
+            Frame::DelegationRequest(request) => leader::grant(self, &request),
+            Frame::DelegationGranted(granted) => follower::take_grant(self, granted),
+            Frame::Invalidated { term, first, cache_entries } => {
+                self.delegation.follower().invalidate(term, first, &cache_entries);
+            }
             Frame::NewJob { .. } => self.new_work.notify_one(),
             Frame::LimitsLowered => self.key_value.learn_limits_lowered(),
             Frame::Machines(machines) => self.cluster_view.learn_addresses(machines),
@@ -32,7 +36,7 @@
     fn handle_status(&self, status: NodeStatus) {
         if status.leading {
             self.learn_leader(&status.name, status.term);
-            heartbeat_delegation::request_from_new_leader(self, status.term);
+            follower::request_from_new_leader(self, status.term);
             let log_end = self.cancellations.log_end(status.incarnation, status.count);
             self.send_to_peer(&status.name, &Frame::CancellationLogEnd(log_end));
         }
--- a/crates/controller/src/node/startup.rs
+++ b/crates/controller/src/node/startup.rs
@@ -9,8 +9,9 @@
 use tracing::debug;
 use walnutlug_scheduler::tunables::Tunables;
 
-use super::{broadcast, election, load, machine_types, machine_types_role, routes, Node};
-use crate::heartbeat_delegation;
+use super::{
+    broadcast, election, heartbeats, load, machine_types, machine_types_role, routes, Node,
+};
 use crate::http::client::Client;
 use crate::http::server;
 use crate::peers::{self, PeerSenders};
@@ -54,7 +55,7 @@
     spawn_local(machine_types_role::run(node.clone()));
     spawn_local(broadcast::run(node.clone()));
     spawn_local(load::log_periodically(node.clone()));
-    spawn_local(heartbeat_delegation::run(node.clone()));
+    spawn_local(heartbeats::run(node.clone()));
 }
 
 /// One queue and one sending task for each peer.
--- a/crates/controller/src/worker_api.rs
+++ b/crates/controller/src/worker_api.rs
@@ -13,7 +13,6 @@
 };
 use walnutlug_scheduler::time::TimeDelta;
 
-use crate::heartbeat_delegation;
 use crate::http::client::{Client, Failure};
 use crate::http::server::Answer;
 use crate::node::Node;
@@ -39,20 +38,20 @@
 
 /// Answers a worker's heartbeat, as the leader or on its behalf.
 pub async fn heartbeat(node: &Node, connection: &WorkerConnection, body: &[u8]) -> Answer {
-    let first = connection.count(node.serving.worker_connections());
+    let first = connection.count(node.delegation.worker_connections());
     // Not with its first heartbeat: a worker that can't reach the other node comes back at once, and its
     // lease must not run out between two nodes that send it to each other.
-    let other = if first { None } else { node.serving.another_node_for(body.len()) };
+    let other = if first { None } else { node.delegation.another_node_for(body.len()) };
     if let Some(other) = other {
         return redirect_to(Some(other));
     }
     if matches!(node.leadership.borrow().role(), Role::Leader { .. }) {
         return answer_heartbeat(node, connection, body);
     }
-    if let Some(token) = heartbeat_delegation::repeated(node, connection, body) {
+    if let Some(token) = node.repeated_heartbeat_token(connection, body) {
         return accepted(token, Vec::new());
     }
-    match heartbeat_delegation::forward(node, connection, body).await {
+    match node.forward_heartbeat(connection, body).await {
         Some(answer) => answer,
         None => redirect(node),
     }
