--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -112,12 +112,7 @@
         peers: PeerSenders,
     ) -> std::io::Result<Node> {
         let identity = Identity::new();
-        let key_value = KeyValueClient::new(
-            client.clone(),
-            settings.state,
-            settings.state_limits,
-            settings.state_next,
-        );
+        let (state, limits, next) = (settings.state, settings.state_limits, settings.state_next);
         let delegation = HeartbeatDelegation::new(
             &settings.site,
             settings.peers.len(),
@@ -132,7 +127,7 @@
         Ok(Node {
             tunables: Rc::new(tunables),
             site: Rc::new(settings.site.clone()),
-            key_value,
+            key_value: KeyValueClient::new(client.clone(), state, limits, next),
             cloud: CloudClient::new(client.clone(), settings.cloud, settings.cloud_rps),
             client,
             leadership: RefCell::default(),
@@ -206,8 +201,8 @@
         self.cancellations.known_until(self.now())
     }
 
-    /// The job has ended, for certain: the key-value store says so. The other nodes are told before any user hears
-    /// of it from this one.
+    /// The job has ended, for certain: the key-value store says so. The other nodes are told before any user
+    /// learns it from this one.
     pub(crate) fn learn_end(&self, job: &str, end: JobEnd) {
         if end == JobEnd::Cancelled && self.user_api.ended(job).is_none() {
             self.cancellations.append(self.now(), job);
--- a/crates/controller/src/node/heartbeats/tests.rs
+++ b/crates/controller/src/node/heartbeats/tests.rs
@@ -17,26 +17,26 @@
 
 /// A worker's heartbeat to a node, with frames delivered meanwhile. The status, the token and the calls.
 async fn heartbeat(
-    c: &mut Cluster,
+    cluster: &mut Cluster,
     at: usize,
     connection: &Rc<WorkerConnection>,
     sequence: u64,
     token: u64,
 ) -> (u16, u64, Vec<String>) {
-    let (node, connection) = (c.nodes[at].clone(), connection.clone());
+    let (node, connection) = (cluster.nodes[at].clone(), connection.clone());
     let body = report_of(sequence, token);
     let answer = tokio::task::spawn_local(async move {
         worker_api::heartbeat(&node, &connection, body.as_bytes()).await
     });
     for _ in 0..8 {
         tokio::task::yield_now().await;
-        c.deliver(|_, _| true).await;
+        cluster.deliver(|_, _| true).await;
     }
     let answer = answer.await.expect("an answer");
-    let told: serde_json::Value = serde_json::from_slice(&answer.body).expect("json");
-    let calls = told["calls"].as_array().into_iter().flatten();
+    let response: serde_json::Value = serde_json::from_slice(&answer.body).expect("json");
+    let calls = response["calls"].as_array().into_iter().flatten();
     let calls = calls.map(|c| c["call"].as_str().unwrap_or_default().to_owned()).collect();
-    (answer.status, told["staff"].as_u64().unwrap_or(0), calls)
+    (answer.status, response["staff"].as_u64().unwrap_or(0), calls)
 }
 
 /// Node 0 leads and has a running task; node 1 was granted its share of the workers.
@@ -45,45 +45,54 @@
     grant_a_share(cluster).await
 }
 
-async fn grant_a_share(mut c: Cluster) -> Cluster {
-    request_delegation(&c.nodes[1]);
+async fn grant_a_share(mut cluster: Cluster) -> Cluster {
+    request_delegation(&cluster.nodes[1]);
     for _ in 0..4 {
-        c.deliver(|_, _| true).await;
+        cluster.deliver(|_, _| true).await;
     }
-    assert!(c.nodes[1].delegation.follower().forwarding_term(c.nodes[1].now()).is_some());
-    c
+    assert!(cluster.nodes[1]
+        .delegation
+        .follower()
+        .forwarding_term(cluster.nodes[1].now())
+        .is_some());
+    cluster
 }
 
 /// The same, and node 1 answers repetitions by itself: the next sequence number and the token.
 async fn repeating(store: &StandIn) -> (Cluster, Rc<WorkerConnection>, u64, u64) {
-    let mut c = delegated(store).await;
+    let mut cluster = delegated(store).await;
     let connection = Rc::new(WorkerConnection::default());
-    let (status, token, calls) = heartbeat(&mut c, 1, &connection, 1, 0).await;
+    let (status, token, calls) = heartbeat(&mut cluster, 1, &connection, 1, 0).await;
     assert_eq!((status, calls), (200, vec![]), "the leader's answer");
-    assert_eq!(heartbeat(&mut c, 1, &connection, 2, token).await, (200, token, vec![]));
-    assert!(repeats(&c, &connection, 3, token), "a settled report");
-    (c, connection, 3, token)
+    assert_eq!(heartbeat(&mut cluster, 1, &connection, 2, token).await, (200, token, vec![]));
+    assert!(repeats(&cluster, &connection, 3, token), "a settled report");
+    (cluster, connection, 3, token)
 }
 
 /// Whether the follower would answer the heartbeat by itself.
-fn repeats(c: &Cluster, connection: &WorkerConnection, sequence: u64, token: u64) -> bool {
-    c.nodes[1].repeated_heartbeat_token(connection, report_of(sequence, token).as_bytes()).is_some()
+fn repeats(cluster: &Cluster, connection: &WorkerConnection, sequence: u64, token: u64) -> bool {
+    cluster.nodes[1]
+        .repeated_heartbeat_token(connection, report_of(sequence, token).as_bytes())
+        .is_some()
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_follower_answers_what_is_cached_and_the_leader_learns_of_it() {
     let test = async {
         let store = StandIn::default();
-        let (mut c, connection, sequence, token) = repeating(&store).await;
+        let (mut cluster, connection, sequence, token) = repeating(&store).await;
         tokio::time::advance(Duration::from_secs(1)).await;
-        let answer = heartbeat(&mut c, 1, &connection, sequence + 4, token).await;
+        let answer = heartbeat(&mut cluster, 1, &connection, sequence + 4, token).await;
         assert_eq!(answer, (200, token, vec![]));
-        send_repeated_heartbeats(&c.nodes[1]);
-        c.deliver(|_, _| true).await;
-        let scheduler = c.nodes[0].scheduler.borrow();
+        send_repeated_heartbeats(&cluster.nodes[1]);
+        cluster.deliver(|_, _| true).await;
+        let scheduler = cluster.nodes[0].scheduler.borrow();
         let machine =
             scheduler.as_ref().and_then(|s| s.cluster.machines.first()).expect("a machine");
-        assert_eq!((machine.sequence, machine.last_heartbeat), (sequence + 4, c.nodes[0].now()));
+        assert_eq!(
+            (machine.sequence, machine.last_heartbeat),
+            (sequence + 4, cluster.nodes[0].now())
+        );
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
@@ -92,12 +101,12 @@
 async fn a_cancellation_at_the_leader_invalidates_what_its_follower_may_answer() {
     let test = async {
         let store = StandIn::default();
-        let (mut c, connection, sequence, token) = repeating(&store).await;
-        c.nodes[0].learn_end(JOB, JobEnd::Cancelled);
-        send_invalidations(&c.nodes[0]);
-        c.deliver(|_, _| true).await;
-        assert!(!repeats(&c, &connection, sequence, token));
-        let (status, _, calls) = heartbeat(&mut c, 1, &connection, sequence, token).await;
+        let (mut cluster, connection, sequence, token) = repeating(&store).await;
+        cluster.nodes[0].learn_end(JOB, JobEnd::Cancelled);
+        send_invalidations(&cluster.nodes[0]);
+        cluster.deliver(|_, _| true).await;
+        assert!(!repeats(&cluster, &connection, sequence, token));
+        let (status, _, calls) = heartbeat(&mut cluster, 1, &connection, sequence, token).await;
         assert_eq!((status, calls), (200, vec!["kill".to_owned()]));
     };
     tokio::task::LocalSet::new().run_until(test).await;
@@ -109,15 +118,15 @@
 async fn a_follower_that_is_cut_off_renews_no_longer_than_the_window() {
     let test = async {
         let store = StandIn::default();
-        let (c, connection, mut sequence, token) = repeating(&store).await;
-        let told_before = c.nodes[1].now();
-        assert_eq!(user_api::withdraw(c.nodes[2].clone(), JOB).await.status, 200);
+        let (cluster, connection, mut sequence, token) = repeating(&store).await;
+        let confirmed_after = cluster.nodes[1].now();
+        assert_eq!(user_api::withdraw(cluster.nodes[2].clone(), JOB).await.status, 200);
         store.fault(Fault::Down);
-        let window = Duration::from_micros(window(&c.nodes[1].site).0);
+        let window = Duration::from_micros(window(&cluster.nodes[1].site).0);
         let began = Instant::now();
         let (mut answered, mut last) = (0, Duration::ZERO);
         while began.elapsed() < window * 2 {
-            if repeats(&c, &connection, sequence, token) {
+            if repeats(&cluster, &connection, sequence, token) {
                 answered += 1;
                 last = began.elapsed();
             }
@@ -125,10 +134,10 @@
             tokio::time::advance(Duration::from_millis(100)).await;
         }
         assert!(answered > 20, "it answered {answered} times");
-        assert!(last <= window, "told at {told_before:?}, renewed {last:?} later");
+        assert!(last <= window, "told at {confirmed_after:?}, renewed {last:?} later");
         // Then it sends the worker on.
         let body = report_of(sequence, token);
-        let answer = worker_api::heartbeat(&c.nodes[1], &connection, body.as_bytes()).await;
+        let answer = worker_api::heartbeat(&cluster.nodes[1], &connection, body.as_bytes()).await;
         assert_eq!(answer.status, 421);
     };
     tokio::task::LocalSet::new().run_until(test).await;
@@ -138,16 +147,16 @@
 async fn a_lost_invalidation_shows_with_the_next_grant() {
     let test = async {
         let store = StandIn::default();
-        let (mut c, connection, sequence, token) = repeating(&store).await;
-        c.nodes[0].learn_end(JOB, JobEnd::Cancelled);
-        send_invalidations(&c.nodes[0]);
-        c.deliver(|_, _| false).await;
-        assert!(repeats(&c, &connection, sequence, token), "it hasn't heard");
-        request_delegation(&c.nodes[1]);
+        let (mut cluster, connection, sequence, token) = repeating(&store).await;
+        cluster.nodes[0].learn_end(JOB, JobEnd::Cancelled);
+        send_invalidations(&cluster.nodes[0]);
+        cluster.deliver(|_, _| false).await;
+        assert!(repeats(&cluster, &connection, sequence, token), "it hasn't heard");
+        request_delegation(&cluster.nodes[1]);
         for _ in 0..3 {
-            c.deliver(|_, _| true).await;
+            cluster.deliver(|_, _| true).await;
         }
-        assert!(!repeats(&c, &connection, sequence, token));
+        assert!(!repeats(&cluster, &connection, sequence, token));
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
@@ -157,13 +166,13 @@
 async fn a_grant_comes_after_what_the_leader_invalidated_before_it() {
     let test = async {
         let store = StandIn::default();
-        let (mut c, connection, sequence, token) = repeating(&store).await;
-        c.nodes[0].learn_end(JOB, JobEnd::Cancelled);
-        request_delegation(&c.nodes[1]);
+        let (mut cluster, connection, sequence, token) = repeating(&store).await;
+        cluster.nodes[0].learn_end(JOB, JobEnd::Cancelled);
+        request_delegation(&cluster.nodes[1]);
         for _ in 0..3 {
-            c.deliver(|_, _| true).await;
+            cluster.deliver(|_, _| true).await;
         }
-        assert!(!repeats(&c, &connection, sequence, token));
+        assert!(!repeats(&cluster, &connection, sequence, token));
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
@@ -172,8 +181,8 @@
 async fn a_worker_goes_to_the_leader_when_its_answer_does_not_come() {
     let test = async {
         let store = StandIn::default();
-        let mut c = delegated(&store).await;
-        let (node, connection) = (c.nodes[1].clone(), WorkerConnection::default());
+        let mut cluster = delegated(&store).await;
+        let (node, connection) = (cluster.nodes[1].clone(), WorkerConnection::default());
         let body = report_of(1, 0);
         let began = Instant::now();
         let answer = worker_api::heartbeat(&node, &connection, body.as_bytes()).await;
@@ -183,7 +192,7 @@
         assert_eq!(node.delegation.follower().pending(), 0);
         // The answer that comes after all is for nobody.
         for _ in 0..3 {
-            c.deliver(|_, _| true).await;
+            cluster.deliver(|_, _| true).await;
         }
         // And without a grant it is told so at once.
         tokio::time::advance(Duration::from_secs(4)).await;
@@ -199,8 +208,8 @@
 async fn only_so_many_heartbeats_wait_for_the_leader() {
     let test = async {
         let store = StandIn::default();
-        let c = delegated(&store).await;
-        let node = c.nodes[1].clone();
+        let cluster = delegated(&store).await;
+        let node = cluster.nodes[1].clone();
         let most = Sockets::share(node.settings.fd_limit).inbound as usize;
         let ask = |node: Rc<Node>| async move {
             let body = report_of(1, 0);
@@ -239,8 +248,8 @@
         let mut settings = crate::settings::tests::sample();
         settings["facts"]["resources"]["fd_limit"] = serde_json::json!(WORKERS * 3 / 2);
         let cluster = store.cluster_of(3, &settings);
-        let mut c = grant_a_share(lead_with_a_task(&store, cluster).await).await;
-        let node = c.nodes[1].clone();
+        let mut cluster = grant_a_share(lead_with_a_task(&store, cluster).await).await;
+        let node = cluster.nodes[1].clone();
         let ask = |machine: usize| {
             let node = node.clone();
             async move {
@@ -254,16 +263,16 @@
             tokio::task::yield_now().await;
         }
         assert_eq!(node.delegation.follower().pending(), WORKERS);
-        let frames = c.take(1, 0).await;
+        let frames = cluster.take(1, 0).await;
         let bytes: usize = frames.iter().map(|frame| frame.encode().len()).sum();
         assert!(bytes <= WORKERS * MAX_FRAME_BYTES, "{bytes} bytes wait");
         let heartbeats =
             frames.iter().filter(|f| matches!(f, Frame::ForwardedHeartbeat(_))).count();
         assert_eq!(heartbeats, WORKERS, "each in a frame of its own");
         for frame in frames {
-            c.nodes[0].handle_frame(frame);
+            cluster.nodes[0].handle_frame(frame);
         }
-        c.deliver(|_, _| true).await;
+        cluster.deliver(|_, _| true).await;
         for one in waiting {
             assert_eq!(one.await.expect("an answer"), 200);
         }
@@ -276,14 +285,14 @@
 async fn a_restarted_follower_answers_nothing_from_its_former_cache() {
     let test = async {
         let store = StandIn::default();
-        let (mut c, connection, sequence, token) = repeating(&store).await;
-        c.nodes[1].delegation.follower().forget_grants(&c.nodes[1].site);
-        assert!(!repeats(&c, &connection, sequence, token));
-        request_delegation(&c.nodes[1]);
+        let (mut cluster, connection, sequence, token) = repeating(&store).await;
+        cluster.nodes[1].delegation.follower().forget_grants(&cluster.nodes[1].site);
+        assert!(!repeats(&cluster, &connection, sequence, token));
+        request_delegation(&cluster.nodes[1]);
         for _ in 0..3 {
-            c.deliver(|_, _| true).await;
+            cluster.deliver(|_, _| true).await;
         }
-        assert!(!repeats(&c, &connection, sequence, token), "granted anew, with no marks");
+        assert!(!repeats(&cluster, &connection, sequence, token), "granted anew, with no marks");
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
@@ -292,22 +301,22 @@
 async fn the_leader_redirects_workers_to_the_follower_with_fewest_and_not_their_first_heartbeat() {
     let test = async {
         let store = StandIn::default();
-        let mut c = delegated(&store).await;
+        let mut cluster = delegated(&store).await;
         for node in [1, 2] {
-            c.nodes[node].delegation.worker_connections().set(100 * node as u32);
-            request_delegation(&c.nodes[node]);
+            cluster.nodes[node].delegation.worker_connections().set(100 * node as u32);
+            request_delegation(&cluster.nodes[node]);
         }
         for _ in 0..3 {
-            c.deliver(|_, _| true).await;
+            cluster.deliver(|_, _| true).await;
         }
-        c.nodes[0].delegation.worker_connections().set(300);
-        balance(&c.nodes[0]);
-        let (node, connection) = (c.nodes[0].clone(), WorkerConnection::default());
+        cluster.nodes[0].delegation.worker_connections().set(300);
+        balance(&cluster.nodes[0]);
+        let (node, connection) = (cluster.nodes[0].clone(), WorkerConnection::default());
         let body = report_of(1, 0);
         assert_eq!(worker_api::heartbeat(&node, &connection, body.as_bytes()).await.status, 200);
         let body = report_of(2, 0);
         let answer = worker_api::heartbeat(&node, &connection, body.as_bytes()).await;
-        let to = format!("{{\"keeper\":\"{}\"}}", c.nodes[1].settings.node_name);
+        let to = format!("{{\"keeper\":\"{}\"}}", cluster.nodes[1].settings.node_name);
         assert_eq!((answer.status, String::from_utf8_lossy(&answer.body).as_ref()), (421, &*to));
         // Within its part it keeps them, and so does everybody when no follower asks any more.
         node.delegation.worker_connections().set(40);
--- a/crates/controller/src/node/machine_types_role.rs
+++ b/crates/controller/src/node/machine_types_role.rs
@@ -1,7 +1,7 @@
 //! The role of reading machine types and prices from the cloud and sharing them, which any node may hold on a lease of
 //! its own. The leader leaves it to another node if there is one.
 
-use std::cell::RefCell;
+use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
 use tokio::time::{sleep, Duration};
@@ -30,10 +30,10 @@
 pub(super) struct MachineTypesRole {
     lease: RefCell<RoleLease>,
     /// The number of the lease in the key-value store, while there is one.
-    lease_id: RefCell<Option<u64>>,
+    lease_id: Cell<Option<u64>>,
     balancer: RefCell<RoleBalancer>,
     /// The epoch under which the types were shared last.
-    shared_under: RefCell<Option<Epoch>>,
+    shared_under: Cell<Option<Epoch>>,
     /// The fault of the stored record that was logged last; each is logged once.
     logged_fault: RefCell<Option<RecordError>>,
 }
@@ -42,9 +42,9 @@
     fn default() -> MachineTypesRole {
         MachineTypesRole {
             lease: RefCell::new(RoleLease::new(LEASE)),
-            lease_id: RefCell::default(),
+            lease_id: Cell::default(),
             balancer: RefCell::default(),
-            shared_under: RefCell::default(),
+            shared_under: Cell::default(),
             logged_fault: RefCell::default(),
         }
     }
@@ -59,7 +59,28 @@
     /// Whether this node holds the role and has not shared anything since it took it.
     pub(super) fn has_yet_to_share(&self) -> bool {
         let epoch = self.lease.borrow().epoch();
-        epoch.is_some() && *self.shared_under.borrow() != epoch
+        epoch.is_some() && self.shared_under.get() != epoch
+    }
+
+    /// The node holds the key of that revision, on the lease of that number.
+    fn acquired(&self, lease_id: u64, revision: u64) {
+        self.lease_id.set(Some(lease_id));
+        self.step(LeaseInput::Won { revision });
+    }
+
+    /// The node holds the role no more.
+    fn lost(&self) {
+        self.lease_id.set(None);
+        self.step(LeaseInput::Ended);
+    }
+
+    /// The stored record of the holder can't be read. Logs it, unless it was logged last.
+    fn log_unreadable_holder(&self, fault: RecordError) {
+        let mut logged = self.logged_fault.borrow_mut();
+        if logged.as_ref() != Some(&fault) {
+            warn!(role = ROLE.name(), reason = %fault, "role holder record unreadable");
+            *logged = Some(fault);
+        }
     }
 
     fn step(&self, input: LeaseInput) {
@@ -106,7 +127,7 @@
 
 async fn renew(node: &Rc<Node>) {
     let role = &node.machine_types_role;
-    let Some(id) = *role.lease_id.borrow() else { return };
+    let Some(id) = role.lease_id.get() else { return };
     let (now, own, others) = (node.now(), own_load(node), node.cluster_view.peer_loads());
     if role.balancer.borrow_mut().should_hand_over(now, own, &others) {
         info!(role = ROLE.name(), "role handed over: this node leads");
@@ -114,17 +135,13 @@
     }
     match node.key_value.touch(id).await {
         Ok(()) => role.step(LeaseInput::Renewed { sent: now }),
-        Err(KeyValueError::Expired) => {
-            *role.lease_id.borrow_mut() = None;
-            role.step(LeaseInput::Ended);
-        }
+        Err(KeyValueError::Expired) => role.lost(),
         Err(error) => debug!(role = ROLE.name(), %error, "role lease not renewed"),
     }
 }
 
 async fn release(node: &Node, id: u64) {
-    node.machine_types_role.step(LeaseInput::Ended);
-    *node.machine_types_role.lease_id.borrow_mut() = None;
+    node.machine_types_role.lost();
     let _ = node.key_value.release(id).await;
 }
 
@@ -146,6 +163,7 @@
     }
 }
 
+/// Takes the holder's epoch as known. A lease that a former incarnation of this node left is released.
 async fn observe_holder(node: &Rc<Node>, key_value: &KeyValue) {
     let mut names: Vec<&str> = node.settings.peers.iter().map(|peer| peer.name.as_str()).collect();
     names.push(&node.settings.node_name);
@@ -153,11 +171,7 @@
         Ok(held) => held,
         Err(fault) => {
             // Left as it is: its lease will expire, or a version that can read it will take care of it.
-            let logged = node.machine_types_role.logged_fault.replace(Some(fault.clone()));
-            if logged.as_ref() != Some(&fault) {
-                warn!(role = ROLE.name(), reason = %fault, "role holder record unreadable");
-            }
-            return;
+            return node.machine_types_role.log_unreadable_holder(fault);
         }
     };
     node.machine_types_role.lease.borrow_mut().observe(held.epoch);
@@ -174,10 +188,7 @@
     let Ok(id) = node.key_value.lease(Duration::from_micros(LEASE.0)).await else { return };
     role.step(LeaseInput::Granted { sent });
     match create_key(node, id).await {
-        Some(revision) => {
-            *role.lease_id.borrow_mut() = Some(id);
-            role.step(LeaseInput::Won { revision });
-        }
+        Some(revision) => role.acquired(id, revision),
         None => {
             role.step(LeaseInput::Failed);
             // Ending the lease ends whatever a late copy of the transaction might yet create.
@@ -206,9 +217,10 @@
     }
 }
 
-/// Writes the types for all nodes, if this one still holds the duty when the write is carried out.
+/// Writes the types for all nodes, if this one still holds the role when the write is carried out.
 pub(super) async fn share(node: &Node, types: &[MachineType]) {
-    let epoch: Option<Epoch> = node.machine_types_role.lease.borrow().epoch();
+    let role = &node.machine_types_role;
+    let epoch = role.lease.borrow().epoch();
     let Some(epoch) = epoch else { return };
     let value = serde_json::json!({"breeds": types});
     if value.to_string().len() > node.key_value.limits().value_bytes {
@@ -218,13 +230,8 @@
     let mut write = FencedWrite::new(&Fence::new(ROLE, epoch));
     write.change(Operation::put(keys::TYPES, value));
     match node.key_value.commit(RequestClass::Watch, &write.into_transaction()).await {
-        TransactionOutcome::Committed { .. } => {
-            *node.machine_types_role.shared_under.borrow_mut() = Some(epoch);
-        }
-        TransactionOutcome::Conflict { .. } => {
-            *node.machine_types_role.lease_id.borrow_mut() = None;
-            node.machine_types_role.step(LeaseInput::Ended);
-        }
+        TransactionOutcome::Committed { .. } => role.shared_under.set(Some(epoch)),
+        TransactionOutcome::Conflict { .. } => role.lost(),
         // The next reading from the cloud is soon enough.
         TransactionOutcome::Rejected
         | TransactionOutcome::TooLarge
--- a/crates/controller/src/node/machine_types_role/tests.rs
+++ b/crates/controller/src/node/machine_types_role/tests.rs
@@ -93,7 +93,7 @@
         let held = epoch(&node);
         renew(&node).await;
         assert!(held.is_some() && epoch(&node) == held);
-        let id = node.machine_types_role.lease_id.borrow().expect("a lease");
+        let id = node.machine_types_role.lease_id.get().expect("a lease");
         release(&node, id).await;
         assert!(epoch(&node).is_none() && !store.holds(&ROLE.key()));
     };
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -104,7 +104,7 @@
     assert!(!node.cluster_view.some_peer_reaches_store());
     node.handle_frame(status(7, 3, true));
     assert!(node.cluster_view.some_peer_reaches_store());
-    // Its clock wandered back over a quick restart: it is heard again after a while.
+    // Its clock wandered back over a quick restart: its statuses count again after a while.
     node.handle_frame(status(5, 1, false));
     assert!(node.cluster_view.some_peer_reaches_store());
     tokio::time::advance(STATUS_VALID).await;
@@ -148,31 +148,31 @@
 
 pub const JOB: &str = "req-000412";
 
-/// A leader of a task that runs, and two other nodes, each heard by all and vouched for.
+/// A leader of a task that runs, and two other nodes, whose logs of cancellations are known to all.
 pub async fn leader_with_a_task(store: &StandIn) -> Cluster {
     lead_with_a_task(store, store.cluster(3)).await
 }
 
 /// The same with the nodes given.
-pub async fn lead_with_a_task(store: &StandIn, mut c: Cluster) -> Cluster {
+pub async fn lead_with_a_task(store: &StandIn, mut cluster: Cluster) -> Cluster {
     store.put(&keys::job(JOB), serde_json::json!(1));
-    let node = c.nodes[0].clone();
-    let mut s = Scheduler::new(
+    let node = cluster.nodes[0].clone();
+    let mut scheduler = Scheduler::new(
         node.site.clone(),
         node.tunables.clone(),
         5,
         node.types.borrow().clone(),
         node.now(),
     );
-    let todo = serde_json::json!({"spec": {
+    let description = serde_json::json!({"spec": {
         "class": "c", "team": "one", "rank": "High", "tasks": 1, "cpus": 1.0, "gpus": 0.0,
         "memory_gb": 1.0, "image": "i", "image_gb": 1.0, "types": null, "zone": null,
         "one_zone": false, "spread": false, "spot": true, "estimate_s": 9.0,
         "checkpoint_s": 0.0, "save_s": 0.0, "deadline_s": null}, "at": 1, "chunk": 50});
-    store.put(&keys::todo(JOB), todo.clone());
-    assert!(s.add_job(node.now(), JOB, &todo, node.wall_us()));
+    store.put(&keys::todo(JOB), description.clone());
+    assert!(scheduler.add_job(node.now(), JOB, &description, node.wall_us()));
     let value = serde_json::json!({"w": "x", "t": [[2, 1, "n-1", 1, 0]]});
-    s.load_runs(
+    scheduler.load_runs(
         node.now(),
         &[walnutlug_scheduler::protocol::key_value::KeyValue {
             key: keys::run(JOB, 0),
@@ -185,21 +185,21 @@
     {
         node.leadership.borrow_mut().step(node.now(), input);
     }
-    *node.scheduler.borrow_mut() = Some(s);
+    *node.scheduler.borrow_mut() = Some(scheduler);
     for _ in 0..2 {
-        for node in &c.nodes {
+        for node in &cluster.nodes {
             node.broadcast_status();
         }
-        c.deliver(|_, _| true).await;
+        cluster.deliver(|_, _| true).await;
         node.cancellations.ends_read(node.now());
     }
     tokio::time::advance(Duration::from_millis(10)).await;
-    c
+    cluster
 }
 
 /// The worker reports its task. The answer's status and calls.
-fn report_once(node: &Node, sequence: u64) -> (u16, Vec<String>) {
-    let (status, _, calls) = report_on(node, &WorkerConnection::default(), sequence, 0);
+fn heartbeat_once(node: &Node, sequence: u64) -> (u16, Vec<String>) {
+    let (status, _, calls) = heartbeat_on(node, &WorkerConnection::default(), sequence, 0);
     (status, calls)
 }
 
@@ -221,17 +221,17 @@
 
 /// The same on a connection that remembers, by a worker that has seen the token. The answer's status,
 /// token and calls.
-fn report_on(
+fn heartbeat_on(
     node: &Node,
     last: &WorkerConnection,
     sequence: u64,
     token: u64,
 ) -> (u16, u64, Vec<String>) {
     let answer = worker_api::answer_heartbeat(node, last, report_of(sequence, token).as_bytes());
-    let told: serde_json::Value = serde_json::from_slice(&answer.body).expect("json");
-    let calls = told["calls"].as_array().into_iter().flatten();
+    let response: serde_json::Value = serde_json::from_slice(&answer.body).expect("json");
+    let calls = response["calls"].as_array().into_iter().flatten();
     let calls = calls.map(|c| c["call"].to_string()).collect();
-    (answer.status, told["staff"].as_u64().unwrap_or(0), calls)
+    (answer.status, response["staff"].as_u64().unwrap_or(0), calls)
 }
 
 /// Whether the connection takes a heartbeat for its last one again.
@@ -245,16 +245,16 @@
     tokio::task::LocalSet::new()
         .run_until(async {
             let store = StandIn::default();
-            let c = leader_with_a_task(&store).await;
-            let (leader, last) = (c.nodes[0].clone(), WorkerConnection::default());
-            let (status, token, calls) = report_on(&leader, &last, 1, 0);
+            let cluster = leader_with_a_task(&store).await;
+            let (leader, last) = (cluster.nodes[0].clone(), WorkerConnection::default());
+            let (status, token, calls) = heartbeat_on(&leader, &last, 1, 0);
             assert_eq!((status, calls), (200, vec![]));
             assert!(!remembers(&last, 2, token), "the worker hadn't seen the token");
             for sequence in 2..40 {
                 tokio::time::advance(Duration::from_secs(1)).await;
                 leader.cancellations.ends_read(leader.now());
                 assert_eq!(
-                    report_on(&leader, &last, sequence, token),
+                    heartbeat_on(&leader, &last, sequence, token),
                     (200, token, vec![]),
                     "{sequence}"
                 );
@@ -270,31 +270,31 @@
             assert_eq!((machine.sequence, machine.last_heartbeat), (39, leader.now()));
             drop(scheduler);
             leader.learn_end(JOB, JobEnd::Cancelled);
-            let (status, _, calls) = report_on(&leader, &last, 40, token);
+            let (status, _, calls) = heartbeat_on(&leader, &last, 40, token);
             assert_eq!((status, calls), (200, vec!["\"kill\"".to_owned()]));
             // One that no longer leads renews nothing, whatever it remembers.
             leader.step_down(StepDownCause::Test);
-            assert_eq!(report_on(&leader, &last, 41, token).0, 421);
+            assert_eq!(heartbeat_on(&leader, &last, 41, token).0, 421);
         })
         .await;
 }
 
 /// The key-value store refuses the leader alone, another node confirms a cancellation, then the service
-/// is down for all. What the leader's worker is told, by what became of the frames.
+/// is down for all. How the leader answers its worker, by what became of the frames.
 #[tokio::test(start_paused = true)]
 async fn the_gap_is_closed_whether_frames_arrive_or_not() {
     tokio::task::LocalSet::new()
         .run_until(async {
-            for (meeting, lost_for) in
+            for (case, lost_for) in
                 [("frames arrive", 0), ("lost for a while", 3_000), ("lost for good", 60_000)]
             {
                 let store = StandIn::default();
-                let mut c = leader_with_a_task(&store).await;
-                let leader = c.nodes[0].clone();
-                assert_eq!(report_once(&leader, 1), (200, vec![]), "{meeting}");
-                let answer = user_api::withdraw(c.nodes[1].clone(), JOB).await;
-                assert_eq!(answer.status, 200, "{meeting}: nothing was confirmed");
-                let told = Instant::now();
+                let mut cluster = leader_with_a_task(&store).await;
+                let leader = cluster.nodes[0].clone();
+                assert_eq!(heartbeat_once(&leader, 1), (200, vec![]), "{case}");
+                let answer = user_api::withdraw(cluster.nodes[1].clone(), JOB).await;
+                assert_eq!(answer.status, 200, "{case}: nothing was confirmed");
+                let confirmed = Instant::now();
                 store.fault(Fault::Down);
                 let asked = store.asked.get();
                 let window = Duration::from_micros(
@@ -302,26 +302,26 @@
                 );
                 let mut sequence = 2;
                 let mut killed = false;
-                while told.elapsed() < Duration::from_secs(40) {
-                    let open = told.elapsed() >= Duration::from_millis(lost_for);
-                    for node in &c.nodes {
+                while confirmed.elapsed() < Duration::from_secs(40) {
+                    let open = confirmed.elapsed() >= Duration::from_millis(lost_for);
+                    for node in &cluster.nodes {
                         node.broadcast_status();
                     }
-                    c.deliver(|from, to| open || (from, to) != (1, 0)).await;
-                    let (status, calls) = report_once(&leader, sequence);
+                    cluster.deliver(|from, to| open || (from, to) != (1, 0)).await;
+                    let (status, calls) = heartbeat_once(&leader, sequence);
                     sequence += 1;
                     let knows = !calls.is_empty();
                     assert!(
-                        knows || status == 421 || told.elapsed() <= window,
-                        "{meeting}: renewed without a kill after {:?}",
-                        told.elapsed()
+                        knows || status == 421 || confirmed.elapsed() <= window,
+                        "{case}: renewed without a kill after {:?}",
+                        confirmed.elapsed()
                     );
                     killed |= knows && status == 200;
-                    assert_eq!(knows, open && status == 200, "{meeting} at {:?}", told.elapsed());
+                    assert_eq!(knows, open && status == 200, "{case} at {:?}", confirmed.elapsed());
                     tokio::time::advance(Duration::from_secs(1)).await;
                 }
-                assert_eq!(killed, lost_for < 40_000, "{meeting}");
-                assert_eq!(store.asked.get(), asked, "{meeting}: the state service was down");
+                assert_eq!(killed, lost_for < 40_000, "{case}");
+                assert_eq!(store.asked.get(), asked, "{case}: the state service was down");
             }
         })
         .await;
@@ -333,38 +333,38 @@
     tokio::task::LocalSet::new()
         .run_until(async {
             let store = StandIn::default();
-            let mut c = leader_with_a_task(&store).await;
-            let leader = c.nodes[0].clone();
-            assert_eq!(user_api::withdraw(c.nodes[1].clone(), JOB).await.status, 200);
+            let mut cluster = leader_with_a_task(&store).await;
+            let leader = cluster.nodes[0].clone();
+            assert_eq!(user_api::withdraw(cluster.nodes[1].clone(), JOB).await.status, 200);
             // Lost with the process.
-            assert!(!c.take(1, 0).await.is_empty());
-            c.take(1, 2).await;
+            assert!(!cluster.take(1, 0).await.is_empty());
+            cluster.take(1, 2).await;
             store.fault(Fault::Down);
-            let told = Instant::now();
+            let confirmed = Instant::now();
             let mut fresh = store.cluster(3);
             let back = fresh.nodes[1].clone();
-            assert_ne!(back.identity.incarnation, c.nodes[1].identity.incarnation);
+            assert_ne!(back.identity.incarnation, cluster.nodes[1].identity.incarnation);
             for sequence in 2..42 {
                 leader.broadcast_status();
-                for frame in c.take(0, 1).await {
+                for frame in cluster.take(0, 1).await {
                     back.handle_frame(frame);
                 }
                 back.broadcast_status();
                 for frame in fresh.take(1, 0).await {
                     leader.handle_frame(frame);
                 }
-                c.deliver(|from, to| (from, to) == (2, 0) || (from, to) == (0, 2)).await;
-                let (status, calls) = report_once(&leader, sequence);
+                cluster.deliver(|from, to| (from, to) == (2, 0) || (from, to) == (0, 2)).await;
+                let (status, calls) = heartbeat_once(&leader, sequence);
                 assert!(calls.is_empty());
-                let late = told.elapsed() > Duration::from_secs(20);
-                assert!(!late || status == 421, "renewed after {:?}", told.elapsed());
+                let late = confirmed.elapsed() > Duration::from_secs(20);
+                assert!(!late || status == 421, "renewed after {:?}", confirmed.elapsed());
                 tokio::time::advance(Duration::from_secs(1)).await;
             }
-            // The service is back, and its watch tells the end: killed, and renewed again.
+            // The service is back, and its watch delivers the end: killed, and renewed again.
             store.fault(Fault::None);
             leader.learn_end(JOB, JobEnd::Cancelled);
             leader.cancellations.ends_read(leader.now());
-            let (status, calls) = report_once(&leader, 50);
+            let (status, calls) = heartbeat_once(&leader, 50);
             assert_eq!((status, calls.len()), (200, 1));
         })
         .await;
@@ -377,27 +377,27 @@
     for input in [ElectionEvent::Vacant, ElectionEvent::Won { term: 5 }] {
         node.leadership.borrow_mut().step(node.now(), input);
     }
-    assert_eq!(report_once(&node, 1).0, 421);
+    assert_eq!(heartbeat_once(&node, 1).0, 421);
 }
 
-/// A cancellation that is heard of between the reading of the ends and the first round.
+/// A cancellation that comes between the reading of the ends and the first round.
 #[tokio::test(start_paused = true)]
 async fn an_end_received_while_the_records_are_read_reaches_the_scheduler() {
     let store = StandIn::default();
-    let c = leader_with_a_task(&store).await;
-    let node = c.nodes[0].clone();
-    let registry = node.scheduler.borrow_mut().take().expect("a registry");
+    let cluster = leader_with_a_task(&store).await;
+    let node = cluster.nodes[0].clone();
+    let scheduler = node.scheduler.borrow_mut().take().expect("a scheduler");
     node.leadership.borrow_mut().step(node.now(), ElectionEvent::Lost);
     for input in [ElectionEvent::Vacant, ElectionEvent::Won { term: 6 }] {
         node.leadership.borrow_mut().step(node.now(), input);
     }
     node.handle_frame(Frame::Cancellations(Cancellations {
         node: "kernel-1".into(),
-        incarnation: c.nodes[1].identity.incarnation,
+        incarnation: cluster.nodes[1].identity.incarnation,
         first: 1,
         jobs: vec![JOB.into()],
     }));
-    leader::install(&node, registry);
+    leader::install(&node, scheduler);
     let open = node.scheduler.borrow().as_ref().map(|s| s.cluster.open_jobs());
     assert_eq!(open, Some(vec![]));
 }
