--- a/crates/controller/src/node/broadcast.rs
+++ b/crates/controller/src/node/broadcast.rs
@@ -13,7 +13,7 @@
 use walnutlug_scheduler::scheduler::Scheduler;
 
 use super::Node;
-use crate::peers::{Frame, NodeStatus, MAX_MACHINES};
+use crate::peers::{Frame, MachineAddress, NodeStatus, MAX_MACHINES};
 
 /// Broadcasts after which redirects are counted anew.
 const REDIRECTS_COUNTED_OVER: u32 = 6;
@@ -117,7 +117,7 @@
     for some in next.chunks(MAX_MACHINES) {
         let machines = some.iter().filter_map(|(name, &index)| {
             let address = cluster.machines[index as usize].address.parse().ok()?;
-            Some(((*name).clone(), address))
+            Some(MachineAddress { machine: (*name).clone(), address })
         });
         node.broadcast(&Frame::Machines(machines.collect()));
     }
--- a/crates/controller/src/node/cluster_view.rs
+++ b/crates/controller/src/node/cluster_view.rs
@@ -11,7 +11,7 @@
 use walnutlug_fencing::leased_role::{Epoch, EpochError};
 use walnutlug_fencing::role_balancer::NodeLoad;
 
-use crate::peers::NodeStatus;
+use crate::peers::{MachineAddress, NodeStatus};
 
 /// How long a peer's status counts.
 pub(super) const STATUS_VALID: Duration = Duration::from_secs(4);
@@ -177,24 +177,27 @@
     }
 
     /// Takes machines' addresses from the leader.
-    pub(super) fn learn_addresses(&self, machines: Vec<(String, SocketAddrV4)>) {
+    pub(super) fn learn_addresses(&self, machines: Vec<MachineAddress>) {
         let mut addresses = self.addresses.borrow_mut();
         if addresses.len() + machines.len() > MAX_ADDRESSES {
             addresses.retain(|_, known| known.is_fresh());
         }
         let received = Instant::now();
-        for (name, address) in machines {
-            if addresses.len() < MAX_ADDRESSES || addresses.contains_key(&name) {
-                addresses.insert(name, KnownAddress { address, received });
+        for MachineAddress { machine, address } in machines {
+            if addresses.len() < MAX_ADDRESSES || addresses.contains_key(&machine) {
+                addresses.insert(machine, KnownAddress { address, received });
             }
         }
     }
 
-    /// Calls the function for each machine whose address came lately: for a quick failover.
-    pub(super) fn for_each_address(&self, mut visit: impl FnMut(&str, SocketAddrV4)) {
-        for (machine, known) in self.addresses.borrow().iter().filter(|(_, known)| known.is_fresh())
-        {
-            visit(machine, known.address);
-        }
+    /// The machines whose addresses came lately: for a quick failover.
+    pub(super) fn fresh_addresses(&self) -> Vec<MachineAddress> {
+        let addresses = self.addresses.borrow();
+        let fresh = addresses.iter().filter(|(_, known)| known.is_fresh());
+        let address = |(machine, known): (&String, &KnownAddress)| MachineAddress {
+            machine: machine.clone(),
+            address: known.address,
+        };
+        fresh.map(address).collect()
     }
 }
--- a/crates/controller/src/node/leader/loading.rs
+++ b/crates/controller/src/node/leader/loading.rs
@@ -13,6 +13,7 @@
 use super::super::{fleet_role, Node};
 use super::{install, job_ends, machine_list, reconciling, watches};
 use crate::key_value_client::{KeyValueError, RequestClass};
+use crate::peers::MachineAddress;
 
 /// Pause after a read that failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
@@ -35,9 +36,9 @@
     let records = load_jobs(node, &mut scheduler).await?;
     remove_ended_jobs(node, &mut scheduler, records.read_at).await?;
     fleet_role::take_over(node, term, &mut scheduler).await?;
-    node.cluster_view.for_each_address(|machine, address| {
-        scheduler.cluster.hint_address(records.read_at, machine, &address.to_string());
-    });
+    for MachineAddress { machine, address } in node.cluster_view.fresh_addresses() {
+        scheduler.cluster.hint_address(records.read_at, &machine, &address.to_string());
+    }
     log_loaded(&scheduler, began);
     install(node, scheduler);
     node.cancellations.ends_read(requested);
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -21,7 +21,7 @@
     MAX_CARRIED, MAX_ENTRIES,
 };
 pub(crate) use job_frames::{CancellationLogEnd, Cancellations, CancellationsAck};
-pub(crate) use node_frames::{NodeStatus, MAX_MACHINES};
+pub(crate) use node_frames::{MachineAddress, NodeStatus, MAX_MACHINES};
 
 #[cfg(test)]
 mod golden_tests;
--- a/crates/controller/src/peers/frame.rs
+++ b/crates/controller/src/peers/frame.rs
@@ -1,7 +1,6 @@
 //! One message between nodes: a header with a magic number, a version, a kind and a length, then the kind's body.
 
 use std::io;
-use std::net::SocketAddrV4;
 
 use tokio::io::{AsyncRead, AsyncReadExt};
 use walnutlug_scheduler::model::job_spec::JobEnd;
@@ -14,7 +13,7 @@
     DelegationGranted, DelegationRequest, ForwardedHeartbeat, ForwardedResponse, RepeatedHeartbeat,
 };
 use super::job_frames::{CancellationLogEnd, Cancellations, CancellationsAck, JobBody};
-use super::node_frames::{decode_machines, encode_machines, NodeStatus};
+use super::node_frames::{decode_machines, encode_machines, MachineAddress, NodeStatus};
 
 const MAGIC: u32 = 0x4755_4c57;
 const VERSION: u16 = 2;
@@ -98,7 +97,7 @@
     /// The sender found the key-value store at its lower limits. Whoever receives this only sends less.
     LimitsLowered,
     /// Where machines that report to the leader can be reached.
-    Machines(Vec<(String, SocketAddrV4)>),
+    Machines(Vec<MachineAddress>),
     /// A part of a node's log of cancellations.
     Cancellations(Cancellations),
     /// The acknowledgement of such parts.
--- a/crates/controller/src/peers/golden_tests.rs
+++ b/crates/controller/src/peers/golden_tests.rs
@@ -104,8 +104,10 @@
             count: 0x3132_3334_3536_3738,
         })
     };
-    let machine =
-        |name: &str, last, port| (name.into(), SocketAddrV4::new([10, 1, 2, last].into(), port));
+    let machine = |name: &str, last, port| MachineAddress {
+        machine: name.into(),
+        address: SocketAddrV4::new([10, 1, 2, last].into(), port),
+    };
     vec![
         ("status of a leader", status(true, false)),
         ("status of a served follower", status(false, true)),
--- a/crates/controller/src/peers/node_frames.rs
+++ b/crates/controller/src/peers/node_frames.rs
@@ -73,6 +73,15 @@
     }
 }
 
+/// Where a machine can be reached.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub(crate) struct MachineAddress {
+    /// The machine's name.
+    pub(crate) machine: String,
+    /// Where its worker listens for commands.
+    pub(crate) address: SocketAddrV4,
+}
+
 /// One machine of many in a frame.
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned, Clone, Copy)]
 #[repr(C)]
@@ -82,13 +91,13 @@
     port: U16,
 }
 
-pub(super) fn encode_machines(machines: &[(String, SocketAddrV4)]) -> Vec<u8> {
+pub(super) fn encode_machines(machines: &[MachineAddress]) -> Vec<u8> {
     let mut body = Vec::with_capacity(machines.len() * size_of::<MachineEntry>());
     // A longer name than any cloud gave so far doesn't fit, and its machine reports by itself later.
-    let fits = |(name, _): &&(String, SocketAddrV4)| name.len() <= MACHINE_NAME_BYTES;
-    for (name, address) in machines.iter().take(MAX_MACHINES).filter(fits) {
+    let fits = |entry: &&MachineAddress| entry.machine.len() <= MACHINE_NAME_BYTES;
+    for MachineAddress { machine, address } in machines.iter().take(MAX_MACHINES).filter(fits) {
         let entry = MachineEntry {
-            name: name_field(name),
+            name: name_field(machine),
             ip: u32::from(*address.ip()).into(),
             port: address.port().into(),
         };
@@ -97,14 +106,14 @@
     body
 }
 
-pub(super) fn decode_machines(body: &[u8]) -> Result<Vec<(String, SocketAddrV4)>, FrameError> {
+pub(super) fn decode_machines(body: &[u8]) -> Result<Vec<MachineAddress>, FrameError> {
     let entries = layout::entries::<MachineEntry>(body)?;
     if body.len() > MAX_MACHINES * size_of::<MachineEntry>() {
         return Err(FrameError::TooManyMachines { length: body.len() });
     }
     let machine = |entry: MachineEntry| {
         let address = SocketAddrV4::new(entry.ip.get().into(), entry.port.get());
-        Ok((layout::name(&entry.name)?, address))
+        Ok(MachineAddress { machine: layout::name(&entry.name)?, address })
     };
     entries.map(machine).collect()
 }
--- a/crates/controller/src/peers/tests.rs
+++ b/crates/controller/src/peers/tests.rs
@@ -25,7 +25,7 @@
             (0..3)
                 .map(|i| {
                     let addr = SocketAddrV4::new([10, 1, 0, i].into(), 9000);
-                    (format!("n-00023{i}"), addr)
+                    MachineAddress { machine: format!("n-00023{i}"), address: addr }
                 })
                 .collect(),
         ),
@@ -129,8 +129,9 @@
 
 #[test]
 fn the_hints_of_a_large_fleet_take_few_frames() {
-    let name = |i: usize| (format!("n-{i:06}"), SocketAddrV4::new([10, 0, 0, 1].into(), 9000));
-    let all: Vec<_> = (0..2_060).map(name).collect();
+    let address = SocketAddrV4::new([10, 0, 0, 1].into(), 9000);
+    let machine = |i: usize| MachineAddress { machine: format!("n-{i:06}"), address };
+    let all: Vec<_> = (0..2_060).map(machine).collect();
     let frames: Vec<Vec<u8>> =
         all.chunks(MAX_MACHINES).map(|c| Frame::Machines(c.to_vec()).encode()).collect();
     assert!(frames.len() <= 18, "{} frames", frames.len());
