--- a/crates/controller/src/node/heartbeats/follower.rs
+++ b/crates/controller/src/node/heartbeats/follower.rs
@@ -2,8 +2,8 @@
 
 use tracing::info;
 
-use super::super::Node;
 use crate::http::server::Answer;
+use crate::node::Node;
 use crate::peers::{
     DelegationGranted, DelegationRequest, ForwardedHeartbeat, ForwardedResponse, Frame,
     MAX_CARRIED, MAX_ENTRIES,
--- a/crates/controller/src/node/heartbeats/leader.rs
+++ b/crates/controller/src/node/heartbeats/leader.rs
@@ -8,8 +8,8 @@
 use walnutlug_scheduler::reconciliation::delegation::{CacheGrant, DelegationGrant};
 use walnutlug_scheduler::reconciliation::repeated_heartbeats::{CacheHolder, CachedHeartbeat};
 
-use super::super::Node;
 use crate::heartbeat_delegation::{Move, Shares};
+use crate::node::Node;
 use crate::peers::{
     DelegationGranted, DelegationRequest, ForwardedHeartbeat, ForwardedResponse, Frame,
     RepeatedHeartbeat, MAX_CARRIED,
--- a/crates/controller/src/node/leader/commands.rs
+++ b/crates/controller/src/node/leader/commands.rs
@@ -8,11 +8,11 @@
 use walnutlug_scheduler::protocol::cloud::ScaleOutRequest;
 use walnutlug_scheduler::storage::keys;
 
-use super::super::step_down::StepDownCause;
-use super::super::{event_log, fleet_role, Node};
 use super::{job_ends, with_scheduler};
 use crate::cloud_client::CloudError;
 use crate::key_value_client::RequestClass;
+use crate::node::step_down::StepDownCause;
+use crate::node::{event_log, fleet_role, Node};
 use crate::worker_api;
 
 /// Shortest time between two readings of the leader key.
--- a/crates/controller/src/node/leader/job_ends.rs
+++ b/crates/controller/src/node/leader/job_ends.rs
@@ -5,8 +5,8 @@
 use walnutlug_scheduler::queue::dependencies::JobEndLookup;
 use walnutlug_scheduler::storage::keys;
 
-use super::super::Node;
 use crate::key_value_client::{KeyValueError, RequestClass};
+use crate::node::Node;
 
 /// Which of the jobs have ended.
 ///
--- a/crates/controller/src/node/leader/lease.rs
+++ b/crates/controller/src/node/leader/lease.rs
@@ -7,9 +7,9 @@
 use walnutlug_fencing::lease::safe_lease_time;
 use walnutlug_scheduler::time::TimeDelta;
 
-use super::super::step_down::StepDownCause;
-use super::super::Node;
 use crate::key_value_client::KeyValueError;
+use crate::node::step_down::StepDownCause;
+use crate::node::Node;
 
 /// The part of the lease's time after which it is renewed.
 const RENEW_AFTER: f64 = 0.28;
--- a/crates/controller/src/node/leader/loading.rs
+++ b/crates/controller/src/node/leader/loading.rs
@@ -10,9 +10,9 @@
 use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::time::Timestamp;
 
-use super::super::{fleet_role, Node};
 use super::{install, job_ends, machine_list, reconciling, watches};
 use crate::key_value_client::{KeyValueError, RequestClass};
+use crate::node::{fleet_role, Node};
 use crate::peers::MachineAddress;
 
 /// Pause after a read that failed.
--- a/crates/controller/src/node/leader/machine_list.rs
+++ b/crates/controller/src/node/leader/machine_list.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::{sleep, Duration, Instant};
 
-use super::super::Node;
+use crate::node::Node;
 
 /// Shortest and longest time between two lists.
 const MIN_INTERVAL: Duration = Duration::from_secs(3);
--- a/crates/controller/src/node/leader/reconciling.rs
+++ b/crates/controller/src/node/leader/reconciling.rs
@@ -9,9 +9,9 @@
 use walnutlug_scheduler::scheduler::Scheduler;
 use walnutlug_scheduler::storage::keys;
 
-use super::super::Node;
 use super::job_ends;
 use crate::key_value_client::{KeyValueError, RequestClass};
+use crate::node::Node;
 
 /// How often a leader reads the records again.
 const RECONCILE_EVERY: Duration = Duration::from_secs(20);
--- a/crates/controller/src/node/leader/watches.rs
+++ b/crates/controller/src/node/leader/watches.rs
@@ -9,9 +9,9 @@
 use walnutlug_scheduler::protocol::key_value::WatchEvent;
 use walnutlug_scheduler::storage::keys;
 
-use super::super::step_down::StepDownCause;
-use super::super::Node;
 use crate::key_value_client::{KeyValueError, RequestClass};
+use crate::node::step_down::StepDownCause;
+use crate::node::Node;
 
 /// Shortest time between two openings of a watch.
 const MIN_INTERVAL: Duration = Duration::from_millis(150);
--- a/crates/controller/src/node/step_down.rs
+++ b/crates/controller/src/node/step_down.rs
@@ -52,7 +52,7 @@
             StepDownCause::FleetRoleStopped(stopped) => {
                 write!(out, "the fleet role stopped: {stopped}")
             }
-            StepDownCause::Scheduler(reason) => out.write_str(reason),
+            StepDownCause::Scheduler(reason) => write!(out, "{reason}"),
             StepDownCause::TermOver => out.write_str("the term is over"),
             #[cfg(test)]
             StepDownCause::Test => out.write_str("test"),
