--- a/crates/controller/src/heartbeat_delegation/follower.rs
+++ b/crates/controller/src/heartbeat_delegation/follower.rs
@@ -3,6 +3,7 @@
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
+use walnutlug_scheduler::leadership::fencing_token::{FencingToken, Term};
 
 use tokio::sync::oneshot;
 use tokio::time::{timeout, Duration};
@@ -48,7 +49,7 @@
         now: Timestamp,
         cached: CachedHeartbeat,
         sequence: u64,
-    ) -> Option<u64> {
+    ) -> Option<FencingToken> {
         let token = self.delegation.borrow().cached_response_token(now, cached)?;
         let CachedHeartbeat { machine, number, .. } = cached;
         self.repeated.borrow_mut().push(RepeatedHeartbeat { machine, number, sequence });
@@ -61,7 +62,7 @@
     }
 
     /// The term under whose leader heartbeats may be forwarded now.
-    pub(crate) fn forwarding_term(&self, now: Timestamp) -> Option<u64> {
+    pub(crate) fn forwarding_term(&self, now: Timestamp) -> Option<Term> {
         self.delegation.borrow().forwarding_term(now)
     }
 
@@ -96,7 +97,7 @@
     }
 
     /// The term of the last grant.
-    pub(crate) fn granted_term(&self) -> Option<u64> {
+    pub(crate) fn granted_term(&self) -> Option<Term> {
         self.delegation.borrow().term()
     }
 
@@ -106,7 +107,7 @@
     }
 
     /// Drops cache entries that are valid no more, with the number of the first.
-    pub(crate) fn invalidate(&self, term: u64, first: u64, entries: &[(MachineIndex, u64)]) {
+    pub(crate) fn invalidate(&self, term: Term, first: u64, entries: &[(MachineIndex, u64)]) {
         self.delegation.borrow_mut().invalidate(term, first, entries);
     }
 
--- a/crates/controller/src/heartbeat_delegation/leader.rs
+++ b/crates/controller/src/heartbeat_delegation/leader.rs
@@ -1,6 +1,7 @@
 //! The leader's side: what it knows of each follower, and how many cache entries it has invalidated there.
 
 use std::cell::RefCell;
+use walnutlug_scheduler::leadership::fencing_token::Term;
 
 use tokio::time::{Duration, Instant};
 use walnutlug_scheduler::model::task::MachineIndex;
@@ -14,7 +15,7 @@
 /// Cache entries invalidated under one term.
 #[derive(Debug, Default, Clone, Copy)]
 struct InvalidatedCount {
-    term: u64,
+    term: Term,
     count: u64,
 }
 
@@ -32,7 +33,7 @@
     }
 
     /// The count under the term, which begins at zero.
-    fn invalidated_under(&mut self, term: u64) -> &mut u64 {
+    fn invalidated_under(&mut self, term: Term) -> &mut u64 {
         if self.invalidated.term != term {
             self.invalidated = InvalidatedCount { term, count: 0 };
         }
@@ -64,7 +65,7 @@
     }
 
     /// Cache entries invalidated at the follower under the term.
-    pub(crate) fn invalidated(&self, place: usize, term: u64) -> u64 {
+    pub(crate) fn invalidated(&self, place: usize, term: Term) -> u64 {
         *self.followers.borrow_mut()[place].invalidated_under(term)
     }
 
@@ -72,7 +73,7 @@
     pub(crate) fn invalidate(
         &self,
         place: usize,
-        term: u64,
+        term: Term,
         entries: &[(MachineIndex, u64)],
     ) -> Vec<Frame> {
         let follower = &mut self.followers.borrow_mut()[place];
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -22,6 +22,7 @@
 
 use std::cell::RefCell;
 use std::rc::Rc;
+use walnutlug_scheduler::leadership::fencing_token::Term;
 
 use tokio::sync::Notify;
 use tracing::info;
@@ -167,7 +168,7 @@
     }
 
     /// The other node that leads under exactly that term, as far as this one knows.
-    pub(crate) fn leader_under(&self, term: u64) -> Option<String> {
+    pub(crate) fn leader_under(&self, term: Term) -> Option<String> {
         self.cluster_view.leader_under(term)
     }
 
@@ -250,7 +251,7 @@
     }
 
     /// Records that the node leads under the term. If the term is newer than the own, this node leads no more.
-    fn learn_leader(&self, name: &str, term: u64) {
+    fn learn_leader(&self, name: &str, term: Term) {
         self.cluster_view.learn_leader(name, term);
         let own = self.leadership.borrow().term();
         if name != self.settings.node_name && own.is_some_and(|own| own < term) {
@@ -259,7 +260,7 @@
     }
 
     /// Whether this node leads under the term, and has read the records.
-    fn leads_under(&self, term: u64) -> bool {
+    fn leads_under(&self, term: Term) -> bool {
         self.leadership.borrow().role() == Role::Leader { term }
     }
 
--- a/crates/controller/src/node/broadcast.rs
+++ b/crates/controller/src/node/broadcast.rs
@@ -7,6 +7,7 @@
 
 use tokio::time::{sleep, Duration};
 use walnutlug_scheduler::leadership::election::Role;
+use walnutlug_scheduler::leadership::fencing_token::Term;
 use walnutlug_scheduler::leadership::watermark::ask_every;
 use walnutlug_scheduler::model::machine::MachineState;
 use walnutlug_scheduler::model::task::MachineIndex;
@@ -59,7 +60,7 @@
     pub(crate) fn broadcast_status(&self) -> bool {
         let (term, leading) = match self.leadership.borrow().role() {
             Role::Leader { term } | Role::Loading { term } => (term, true),
-            Role::Follower | Role::Candidate => (0, false),
+            Role::Follower | Role::Candidate => (Term::NONE, false),
         };
         let count = self.broadcasts.statuses.get();
         if leading {
--- a/crates/controller/src/node/cluster_view.rs
+++ b/crates/controller/src/node/cluster_view.rs
@@ -5,6 +5,7 @@
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
+use walnutlug_scheduler::leadership::fencing_token::Term;
 
 use tokio::time::{Duration, Instant};
 use tracing::info;
@@ -25,7 +26,7 @@
 /// Who leads, as far as this node knows, and under which term.
 struct KnownLeader {
     name: String,
-    term: u64,
+    term: Term,
 }
 
 /// A peer's last status, and when it came.
@@ -89,16 +90,16 @@
     }
 
     /// The other node that leads under exactly that term, as far as this one knows.
-    pub(super) fn leader_under(&self, term: u64) -> Option<String> {
+    pub(super) fn leader_under(&self, term: Term) -> Option<String> {
         let leader = self.leader.borrow();
         let leader = leader.as_ref().filter(|leader| leader.term == term)?;
         (leader.name != self.own_name).then(|| leader.name.clone())
     }
 
     /// Records that the node leads under the term, unless a newer term is known.
-    pub(super) fn learn_leader(&self, name: &str, term: u64) {
+    pub(super) fn learn_leader(&self, name: &str, term: Term) {
         if name != self.own_name {
-            let epoch = Epoch::from_revision(term).ok();
+            let epoch = Epoch::try_from(term).ok();
             self.highest_term.set(self.highest_term.get().max(epoch));
         }
         let mut leader = self.leader.borrow_mut();
@@ -109,7 +110,7 @@
 
     /// The leader of that term leads no more. Workers aren't redirected to it: it may be dead, and a connection to
     /// it may hang.
-    pub(super) fn forget_leader(&self, term: u64) {
+    pub(super) fn forget_leader(&self, term: Term) {
         self.leader.borrow_mut().take_if(|known| known.term <= term);
     }
 
@@ -117,8 +118,8 @@
     ///
     /// # Errors
     /// If the term is no epoch, or not above all terms known.
-    pub(super) fn enter_term(&self, term: u64) -> Result<Epoch, EpochError> {
-        let epoch = Epoch::from_revision(term)?.must_follow(self.highest_term.get())?;
+    pub(super) fn enter_term(&self, term: Term) -> Result<Epoch, EpochError> {
+        let epoch = Epoch::try_from(term)?.must_follow(self.highest_term.get())?;
         self.highest_term.set(Some(epoch));
         Ok(epoch)
     }
--- a/crates/controller/src/node/election.rs
+++ b/crates/controller/src/node/election.rs
@@ -1,6 +1,8 @@
 //! A node that doesn't lead: it waits while another holds the leader key, and campaigns when the key is gone.
 
 use std::rc::Rc;
+use walnutlug_scheduler::leadership::fencing_token::Term;
+use walnutlug_scheduler::storage::revision::Revision;
 
 use tokio::time::{sleep, timeout, Duration, Instant};
 use tracing::info;
@@ -57,12 +59,16 @@
     if leader == node.settings.node_name {
         release_former_lease(node, key_value).await;
     }
-    let term = key_value.revision;
+    let term = key_value.revision.into();
     node.learn_leader(leader, term);
-    match node.key_value.watch(RequestClass::Leadership, keys::LEADER, term, WATCH_HOLD).await {
+    match node
+        .key_value
+        .watch(RequestClass::Leadership, keys::LEADER, key_value.revision, WATCH_HOLD)
+        .await
+    {
         Ok(watched) => {
             if watched.events.iter().any(deletes_leader_key) {
-                info!(term, "leader key deleted");
+                info!(%term, "leader key deleted");
                 node.cluster_view.forget_leader(term);
             }
         }
@@ -79,7 +85,7 @@
 /// writes would fail, and nothing worse.
 async fn release_former_lease(node: &Node, key_value: &KeyValue) {
     if let Some(lease) = key_value.value["lease"].as_u64() {
-        info!(term = key_value.revision, "leader lease of a former incarnation released");
+        info!(term = %key_value.revision, "leader lease of a former incarnation released");
         let _ = node.key_value.release(lease).await;
     }
 }
@@ -106,7 +112,7 @@
     if !node.leadership.borrow_mut().step(node.now(), ElectionEvent::Won { term }) {
         return;
     }
-    info!(term, "elected");
+    info!(%term, "elected");
     node.key_value.lead(true);
     node.learn_leader(&node.settings.node_name, term);
     leader::lead(node, term, HeldLease { id: lease, renewed: requested }).await;
@@ -117,7 +123,7 @@
 fn leader_key_claim(node_name: &str, election_nonce: &str, lease: u64) -> Transaction {
     let value = leader_record(node_name, election_nonce, lease);
     Transaction {
-        compares: vec![Compare { key: keys::LEADER.into(), revision: 0 }],
+        compares: vec![Compare { key: keys::LEADER.into(), revision: Revision::NONE }],
         operations: vec![Operation::Put {
             put: keys::LEADER.into(),
             value: Document::new(&value),
@@ -131,13 +137,13 @@
     key_value_client: &KeyValueClient,
     claim: &Transaction,
     election_nonce: &str,
-) -> Option<u64> {
+) -> Option<Term> {
     match key_value_client.commit(RequestClass::Leadership, claim).await {
-        TransactionOutcome::Committed { revision } => Some(revision),
+        TransactionOutcome::Committed { revision } => Some(revision.into()),
         TransactionOutcome::Conflict { .. } | TransactionOutcome::Indeterminate => {
             let found = key_value_client.get(RequestClass::Leadership, keys::LEADER).await;
             let own = found.ok()?.filter(|key| key.value["inc"].as_str() == Some(election_nonce));
-            own.map(|key| key.revision)
+            own.map(|key| key.revision.into())
         }
         TransactionOutcome::Rejected | TransactionOutcome::TooLarge => None,
     }
--- a/crates/controller/src/node/election/tests.rs
+++ b/crates/controller/src/node/election/tests.rs
@@ -1,9 +1,10 @@
 use super::*;
 use crate::user_api::fake_cluster::{Fault, StandIn};
+use walnutlug_scheduler::storage::revision::Revision;
 
 fn key_for(incarnation: &str) -> Transaction {
     Transaction {
-        compares: vec![Compare { key: keys::LEADER.into(), revision: 0 }],
+        compares: vec![Compare { key: keys::LEADER.into(), revision: Revision::NONE }],
         operations: vec![Operation::put(keys::LEADER, leader_record("kernel-0", incarnation, 5))],
     }
 }
@@ -14,7 +15,7 @@
     let node = store.node();
     store.fault(Fault::AppliedButLost);
     let own = create_leader_key(&node.key_value, &key_for("mine"), "mine").await;
-    assert_eq!(own, Some(1), "elected after all");
+    assert_eq!(own, Some(Term(1)), "elected after all");
     let other = create_leader_key(&node.key_value, &key_for("theirs"), "theirs").await;
     assert_eq!(other, None, "the key is taken");
     store.fault(Fault::NotApplied);
--- a/crates/controller/src/node/fleet_role.rs
+++ b/crates/controller/src/node/fleet_role.rs
@@ -3,6 +3,7 @@
 
 use std::cell::RefCell;
 use std::rc::Rc;
+use walnutlug_scheduler::leadership::fencing_token::Term;
 
 use tracing::{debug, error, info, warn};
 use walnutlug_fencing::action_state::{ActionAnswer, ActionId};
@@ -42,9 +43,10 @@
     }
 
     /// Calls the function with the intent log of that term, if there is one.
-    fn with_intent_log<T>(&self, term: u64, call: impl FnOnce(&mut IntentLog) -> T) -> Option<T> {
+    fn with_intent_log<T>(&self, term: Term, call: impl FnOnce(&mut IntentLog) -> T) -> Option<T> {
         let mut intent_log = self.intent_log.borrow_mut();
-        let of_term = |intent_log: &&mut IntentLog| intent_log.fence().epoch().revision() == term;
+        let of_term =
+            |intent_log: &&mut IntentLog| intent_log.fence().epoch().revision() == term.into();
         intent_log.as_mut().filter(of_term).map(call)
     }
 }
@@ -55,7 +57,7 @@
 /// If the intents can't be read.
 pub(super) async fn take_over(
     node: &Rc<Node>,
-    term: u64,
+    term: Term,
     scheduler: &mut Scheduler,
 ) -> Result<(), KeyValueError> {
     if !node.tunables.fenced_duties {
@@ -64,7 +66,7 @@
     let epoch = match node.cluster_view.enter_term(term) {
         Ok(epoch) => epoch,
         Err(reason) => {
-            error!(term, %reason, "fleet role not taken");
+            error!(%term, %reason, "fleet role not taken");
             node.fleet_role.end();
             return Ok(());
         }
@@ -100,22 +102,20 @@
     WriteLimits { value_bytes: limits.value_bytes, txn_ops: limits.txn_ops }
 }
 
-fn log_adopted(term: u64, adopted: &Adopted) {
+fn log_adopted(term: Term, adopted: &Adopted) {
     if !adopted.scale_outs.is_empty() || !adopted.returns.is_empty() {
         let (scale_outs, scale_ins) = (adopted.scale_outs.len(), adopted.returns.len());
-        info!(term, scale_outs, scale_ins, "settling intents of former holders of the fleet role");
+        info!(%term, scale_outs, scale_ins, "settling intents of former holders of the fleet role");
     }
     for machine in &adopted.overruled {
-        warn!(
-            term,
-            machine, "intent to scale in dropped: tasks were placed on the machine after it"
+        warn!(%term, machine, "intent to scale in dropped: tasks were placed on the machine after it"
         );
     }
     for fault in adopted.faults.iter().take(MAX_FAULTS_LOGGED) {
-        error!(term, reason = %fault, "stored intent ignored");
+        error!(%term, reason = %fault, "stored intent ignored");
     }
     if let Some(count) = adopted.faults.len().checked_sub(MAX_FAULTS_LOGGED).filter(|n| *n > 0) {
-        error!(term, count, "more stored intents ignored");
+        error!(%term, count, "more stored intents ignored");
     }
 }
 
@@ -154,7 +154,7 @@
 }
 
 /// Carries on with what is to be recorded, requested and deleted.
-pub(super) fn advance(node: &Rc<Node>, term: u64) {
+pub(super) fn advance(node: &Rc<Node>, term: Term) {
     let commands = node.fleet_role.with_intent_log(term, |intent_log| {
         intent_log.set_limits(write_limits(node));
         intent_log.tick(node.now(), is_held(node, term));
@@ -182,7 +182,7 @@
 }
 
 /// Applies an answer to the intent log of that term, and carries on.
-fn answered(node: &Rc<Node>, term: u64, apply: impl FnOnce(&mut IntentLog)) {
+fn answered(node: &Rc<Node>, term: Term, apply: impl FnOnce(&mut IntentLog)) {
     let stopped = node.fleet_role.with_intent_log(term, |intent_log| {
         apply(intent_log);
         intent_log.stopped().cloned()
@@ -195,7 +195,7 @@
 }
 
 /// Whether this node still holds the role under that epoch, for certain and right now.
-fn is_held(node: &Node, term: u64) -> bool {
+fn is_held(node: &Node, term: Term) -> bool {
     node.leadership.borrow().term() == Some(term) && node.leader.holds_lease()
 }
 
@@ -209,7 +209,7 @@
     }
 }
 
-async fn send_scale_out(node: Rc<Node>, term: u64, id: ActionId, scale_out: ScaleOut) {
+async fn send_scale_out(node: Rc<Node>, term: Term, id: ActionId, scale_out: ScaleOut) {
     let answer = node.cloud.scale_out(&scale_out.request(), &|| is_held(&node, term)).await;
     let outcome = action_answer(&answer);
     let granted = answer.as_deref().unwrap_or_default();
@@ -229,12 +229,12 @@
     });
 }
 
-async fn send_scale_in(node: Rc<Node>, term: u64, id: ActionId, machines: Vec<TerminatedMachine>) {
+async fn send_scale_in(node: Rc<Node>, term: Term, id: ActionId, machines: Vec<TerminatedMachine>) {
     let machines: Vec<String> = machines.into_iter().map(|machine| machine.machine).collect();
     let answer = node.cloud.terminate(&machines, &|| is_held(&node, term)).await;
     let outcome = action_answer(&answer);
     if outcome != ActionAnswer::Done {
-        debug!(term, ?outcome, "machines not terminated yet");
+        debug!(%term, ?outcome, "machines not terminated yet");
     }
     answered(&node, term, |intent_log| intent_log.answered(node.now(), id, outcome, &[]));
     with_scheduler(&node, term, |scheduler, now| {
--- a/crates/controller/src/node/heartbeats/follower.rs
+++ b/crates/controller/src/node/heartbeats/follower.rs
@@ -1,6 +1,7 @@
 //! This node as a follower: it answers repeated heartbeats on the leader's behalf, and forwards the others.
 
 use tracing::info;
+use walnutlug_scheduler::leadership::fencing_token::{FencingToken, Term};
 
 use crate::http::server::Answer;
 use crate::node::Node;
@@ -16,7 +17,7 @@
         &self,
         connection: &WorkerConnection,
         body: &[u8],
-    ) -> Option<u64> {
+    ) -> Option<FencingToken> {
         let (cached, sequence) = connection.repeated_by(body)?;
         self.delegation.follower().answer_repeated(self.now(), cached, sequence)
     }
@@ -61,7 +62,7 @@
 }
 
 /// Asks at once if the leader of that term has not granted anything yet.
-pub(in crate::node) fn request_from_new_leader(node: &Node, term: u64) {
+pub(in crate::node) fn request_from_new_leader(node: &Node, term: Term) {
     if node.delegation.follower().granted_term().is_none_or(|granted| granted < term) {
         request_delegation(node);
     }
@@ -79,7 +80,7 @@
     }
     let term = granted.grant.term;
     if before != Some(term) {
-        info!(term, leader = %granted.node, "answering workers on the leader's behalf");
+        info!(%term, leader = %granted.node, "answering workers on the leader's behalf");
     }
     node.delegation.redirection().set(u32::from(granted.spare), granted.spare_to);
 }
--- a/crates/controller/src/node/heartbeats/leader.rs
+++ b/crates/controller/src/node/heartbeats/leader.rs
@@ -2,6 +2,7 @@
 //! the workers among the nodes.
 
 use std::collections::HashMap;
+use walnutlug_scheduler::leadership::fencing_token::Term;
 
 use walnutlug_scheduler::leadership::election::Role;
 use walnutlug_scheduler::model::task::MachineIndex;
@@ -41,7 +42,7 @@
 /// Records the repetitions that a follower answered under the term.
 pub(in crate::node) fn record_repeated_heartbeats(
     node: &Node,
-    term: u64,
+    term: Term,
     repeated: &[RepeatedHeartbeat],
 ) {
     let now = node.now();
--- a/crates/controller/src/node/heartbeats/tests.rs
+++ b/crates/controller/src/node/heartbeats/tests.rs
@@ -1,6 +1,7 @@
 use std::rc::Rc;
 
 use tokio::time::{Duration, Instant};
+use walnutlug_scheduler::leadership::fencing_token::FencingToken;
 use walnutlug_scheduler::leadership::watermark::window;
 use walnutlug_scheduler::model::job_spec::JobEnd;
 
@@ -21,8 +22,8 @@
     at: usize,
     connection: &Rc<WorkerConnection>,
     sequence: u64,
-    token: u64,
-) -> (u16, u64, Vec<String>) {
+    token: FencingToken,
+) -> (u16, FencingToken, Vec<String>) {
     let (node, connection) = (cluster.nodes[at].clone(), connection.clone());
     let body = report_of(sequence, token);
     let answer = tokio::task::spawn_local(async move {
@@ -36,7 +37,7 @@
     let response: serde_json::Value = serde_json::from_slice(&answer.body).expect("json");
     let calls = response["calls"].as_array().into_iter().flatten();
     let calls = calls.map(|c| c["call"].as_str().unwrap_or_default().to_owned()).collect();
-    (answer.status, response["staff"].as_u64().unwrap_or(0), calls)
+    (answer.status, FencingToken(response["staff"].as_u64().unwrap_or(0)), calls)
 }
 
 /// Node 0 leads and has a running task; node 1 was granted its share of the workers.
@@ -59,10 +60,10 @@
 }
 
 /// The same, and node 1 answers repetitions by itself: the next sequence number and the token.
-async fn repeating(store: &StandIn) -> (Cluster, Rc<WorkerConnection>, u64, u64) {
+async fn repeating(store: &StandIn) -> (Cluster, Rc<WorkerConnection>, u64, FencingToken) {
     let mut cluster = delegated(store).await;
     let connection = Rc::new(WorkerConnection::default());
-    let (status, token, calls) = heartbeat(&mut cluster, 1, &connection, 1, 0).await;
+    let (status, token, calls) = heartbeat(&mut cluster, 1, &connection, 1, FencingToken(0)).await;
     assert_eq!((status, calls), (200, vec![]), "the leader's answer");
     assert_eq!(heartbeat(&mut cluster, 1, &connection, 2, token).await, (200, token, vec![]));
     assert!(repeats(&cluster, &connection, 3, token), "a settled report");
@@ -70,7 +71,12 @@
 }
 
 /// Whether the follower would answer the heartbeat by itself.
-fn repeats(cluster: &Cluster, connection: &WorkerConnection, sequence: u64, token: u64) -> bool {
+fn repeats(
+    cluster: &Cluster,
+    connection: &WorkerConnection,
+    sequence: u64,
+    token: FencingToken,
+) -> bool {
     cluster.nodes[1]
         .repeated_heartbeat_token(connection, report_of(sequence, token).as_bytes())
         .is_some()
@@ -183,7 +189,7 @@
         let store = StandIn::default();
         let mut cluster = delegated(&store).await;
         let (node, connection) = (cluster.nodes[1].clone(), WorkerConnection::default());
-        let body = report_of(1, 0);
+        let body = report_of(1, FencingToken(0));
         let began = Instant::now();
         let answer = worker_api::heartbeat(&node, &connection, body.as_bytes()).await;
         assert_eq!(answer.status, 421);
@@ -212,7 +218,7 @@
         let node = cluster.nodes[1].clone();
         let most = Sockets::share(node.settings.fd_limit).inbound as usize;
         let ask = |node: Rc<Node>| async move {
-            let body = report_of(1, 0);
+            let body = report_of(1, FencingToken(0));
             worker_api::heartbeat(&node, &WorkerConnection::default(), body.as_bytes()).await
         };
         let waiting: Vec<_> =
@@ -229,7 +235,7 @@
         }
         assert_eq!(node.delegation.follower().pending(), 0, "what was refused can come again");
         // A heartbeat longer than a frame goes to the leader itself.
-        let long = format!("{}{}", report_of(1, 0), " ".repeat(MAX_CARRIED));
+        let long = format!("{}{}", report_of(1, FencingToken(0)), " ".repeat(MAX_CARRIED));
         let answer =
             worker_api::heartbeat(&node, &WorkerConnection::default(), long.as_bytes()).await;
         assert_eq!(answer.status, 421);
@@ -312,9 +318,9 @@
         cluster.nodes[0].delegation.worker_connections().set(300);
         balance(&cluster.nodes[0]);
         let (node, connection) = (cluster.nodes[0].clone(), WorkerConnection::default());
-        let body = report_of(1, 0);
+        let body = report_of(1, FencingToken(0));
         assert_eq!(worker_api::heartbeat(&node, &connection, body.as_bytes()).await.status, 200);
-        let body = report_of(2, 0);
+        let body = report_of(2, FencingToken(0));
         let answer = worker_api::heartbeat(&node, &connection, body.as_bytes()).await;
         let to = format!("{{\"keeper\":\"{}\"}}", cluster.nodes[1].settings.node_name);
         assert_eq!((answer.status, String::from_utf8_lossy(&answer.body).as_ref()), (421, &*to));
--- a/crates/controller/src/node/leader.rs
+++ b/crates/controller/src/node/leader.rs
@@ -13,6 +13,7 @@
 
 use std::cell::Cell;
 use std::rc::Rc;
+use walnutlug_scheduler::leadership::fencing_token::Term;
 
 use tokio::sync::futures::Notified;
 use tokio::sync::Notify;
@@ -90,7 +91,7 @@
 }
 
 /// Everything that a leader does, until it leads no more.
-pub(super) async fn lead(node: &Rc<Node>, term: u64, held_lease: HeldLease) {
+pub(super) async fn lead(node: &Rc<Node>, term: Term, held_lease: HeldLease) {
     let renewing = tokio::task::spawn_local(lease::keep(node.clone(), held_lease));
     let stepped_down = node.leader.step_down_signal();
     let work = async {
@@ -115,7 +116,7 @@
 }
 
 /// The leader's loop: whenever something happened, and now and then, the scheduler decides.
-async fn run_scheduler(node: &Rc<Node>, term: u64) {
+async fn run_scheduler(node: &Rc<Node>, term: Term) {
     let mut last = Instant::now();
     while node.leads_under(term) {
         let began = Instant::now();
@@ -133,7 +134,7 @@
 }
 
 /// One round. False if there is nothing to lead any more.
-fn run_round(node: &Rc<Node>, term: u64) -> bool {
+fn run_round(node: &Rc<Node>, term: Term) -> bool {
     let now = node.now();
     let mut scheduler = node.scheduler.borrow_mut();
     let Some(current) = scheduler.as_mut() else { return false };
@@ -175,7 +176,7 @@
 /// Applies an answer to the scheduler of that term, and wakes the leader.
 pub(super) fn with_scheduler(
     node: &Node,
-    term: u64,
+    term: Term,
     apply: impl FnOnce(&mut Scheduler, Timestamp),
 ) {
     let now = node.now();
--- a/crates/controller/src/node/leader/commands.rs
+++ b/crates/controller/src/node/leader/commands.rs
@@ -1,6 +1,8 @@
 //! Carries the scheduler's commands out. Each answer goes back to the scheduler, if its term still lasts.
 
 use std::rc::Rc;
+use walnutlug_scheduler::leadership::fencing_token::Term;
+use walnutlug_scheduler::storage::revision::Revision;
 
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Duration};
@@ -19,7 +21,7 @@
 const VERIFY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Starts one command. None of them is waited for.
-pub(super) fn execute(node: &Rc<Node>, term: u64, command: Command) {
+pub(super) fn execute(node: &Rc<Node>, term: Term, command: Command) {
     let node = node.clone();
     match command {
         Command::Log(event) => event_log::write(&event),
@@ -37,7 +39,7 @@
             spawn_local(async move {
                 let answer = match node.key_value.get(RequestClass::Dispatch, &key).await {
                     Ok(Some(key_value)) => Some((key_value.value, key_value.revision)),
-                    Ok(None) => Some((serde_json::Value::Null, 0)),
+                    Ok(None) => Some((serde_json::Value::Null, Revision::NONE)),
                     Err(_) => None,
                 };
                 with_scheduler(&node, term, |scheduler, now| {
@@ -70,13 +72,13 @@
 }
 
 /// Reads whether the leader key is still this term's, unless that is being done already.
-fn verify_leadership(node: Rc<Node>, term: u64) {
+fn verify_leadership(node: Rc<Node>, term: Term) {
     if node.leader.verifying.replace(true) {
         return;
     }
     spawn_local(async move {
         if let Ok(found) = node.key_value.get(RequestClass::Leadership, keys::LEADER).await {
-            if found.is_none_or(|key_value| key_value.revision != term) {
+            if found.is_none_or(|key_value| key_value.revision != term.into()) {
                 node.step_down(StepDownCause::LeaderKeyChanged);
             }
         }
@@ -86,12 +88,12 @@
 }
 
 /// Term, nonce and counter: a name that no other node or time ever uses.
-fn scale_out_request_name(node: &Node, term: u64) -> String {
+fn scale_out_request_name(node: &Node, term: Term) -> String {
     let number = node.leader.next_scale_out_number();
     format!("{term}-{}-{number}", node.identity.election_nonce)
 }
 
-fn scale_out(node: Rc<Node>, term: u64, request: ScaleOutRequest) {
+fn scale_out(node: Rc<Node>, term: Term, request: ScaleOutRequest) {
     if node.tunables.fenced_duties {
         fleet_role::scale_out(&node, &request);
     } else {
@@ -99,7 +101,7 @@
     }
 }
 
-fn scale_in(node: Rc<Node>, term: u64, machines: Vec<String>) {
+fn scale_in(node: Rc<Node>, term: Term, machines: Vec<String>) {
     if node.tunables.fenced_duties {
         fleet_role::scale_in(&node, &machines);
     } else {
@@ -108,7 +110,7 @@
 }
 
 /// Scales out without a stored intent, as all versions did before there were fenced roles.
-async fn scale_out_unfenced(node: Rc<Node>, term: u64, request: ScaleOutRequest) {
+async fn scale_out_unfenced(node: Rc<Node>, term: Term, request: ScaleOutRequest) {
     let answer = match node.cloud.scale_out(&request, &|| true).await {
         Ok(machines) => Ok(machines),
         Err(CloudError::NoCapacity) => Ok(Vec::new()),
@@ -120,7 +122,7 @@
     });
 }
 
-async fn scale_in_unfenced(node: Rc<Node>, term: u64, machines: Vec<String>) {
+async fn scale_in_unfenced(node: Rc<Node>, term: Term, machines: Vec<String>) {
     let terminated = node.cloud.terminate(&machines, &|| true).await.is_ok();
     with_scheduler(&node, term, |scheduler, now| {
         scheduler.scale_in_answered(now, &machines, terminated);
--- a/crates/controller/src/node/leader/job_ends.rs
+++ b/crates/controller/src/node/leader/job_ends.rs
@@ -4,6 +4,7 @@
 use walnutlug_scheduler::protocol::key_value::{Compare, Transaction};
 use walnutlug_scheduler::queue::dependencies::JobEndLookup;
 use walnutlug_scheduler::storage::keys;
+use walnutlug_scheduler::storage::revision::Revision;
 
 use crate::key_value_client::{KeyValueError, RequestClass};
 use crate::node::Node;
@@ -41,7 +42,7 @@
 
 /// A transaction that succeeds if none of the jobs has ended.
 fn no_ends(jobs: &[String]) -> Transaction {
-    let no_end = |job: &String| Compare { key: keys::end(job), revision: 0 };
+    let no_end = |job: &String| Compare { key: keys::end(job), revision: Revision::NONE };
     Transaction { compares: jobs.iter().map(no_end).collect(), operations: Vec::new() }
 }
 
--- a/crates/controller/src/node/leader/loading.rs
+++ b/crates/controller/src/node/leader/loading.rs
@@ -1,6 +1,8 @@
 //! Reads the records of the former term, whole, before anything is decided.
 
 use std::rc::Rc;
+use walnutlug_scheduler::leadership::fencing_token::Term;
+use walnutlug_scheduler::storage::revision::Revision;
 
 use tokio::time::{sleep, Duration, Instant};
 use tracing::{info, warn};
@@ -24,7 +26,7 @@
 ///
 /// # Errors
 /// If the records can't be read, or the term is over.
-pub(super) async fn load(node: &Rc<Node>, term: u64) -> Result<(), KeyValueError> {
+pub(super) async fn load(node: &Rc<Node>, term: Term) -> Result<(), KeyValueError> {
     let (began, requested) = (Instant::now(), node.now());
     node.cancellations.take_kept_ends();
     if node.types.borrow().is_empty() {
@@ -52,7 +54,7 @@
 }
 
 /// What runs beside the leader's loop, until the term is over.
-fn start_tasks(node: &Rc<Node>, term: u64, store_revision: u64) {
+fn start_tasks(node: &Rc<Node>, term: Term, store_revision: Revision) {
     for prefix in [keys::DESCRIPTIONS, keys::END] {
         tokio::task::spawn_local(watches::run(node.clone(), term, prefix, store_revision));
     }
@@ -64,7 +66,7 @@
 struct LoadedRecords {
     read_at: Timestamp,
     /// The revision from which the watches go on.
-    store_revision: u64,
+    store_revision: Revision,
 }
 
 /// Reads the jobs and their runs.
@@ -112,7 +114,7 @@
 fn log_loaded(scheduler: &Scheduler, began: Instant) {
     let placed: usize = scheduler.cluster.machines.iter().map(|machine| machine.tasks.len()).sum();
     info!(
-        term = scheduler.term,
+        term = %scheduler.term,
         jobs = scheduler.cluster.jobs_by_name.len(),
         placed,
         ms = began.elapsed().as_millis() as u64,
@@ -127,7 +129,7 @@
 pub(in crate::node) async fn list_until_answered(
     node: &Rc<Node>,
     prefix: &str,
-) -> Result<(Vec<KeyValue>, u64), KeyValueError> {
+) -> Result<(Vec<KeyValue>, Revision), KeyValueError> {
     for _ in 0..MAX_RETRIES {
         if let Ok(found) = node.key_value.list(RequestClass::Dispatch, prefix).await {
             return Ok(found);
--- a/crates/controller/src/node/leader/machine_list.rs
+++ b/crates/controller/src/node/leader/machine_list.rs
@@ -1,6 +1,7 @@
 //! Reads the cloud's list of machines, again and again.
 
 use std::rc::Rc;
+use walnutlug_scheduler::leadership::fencing_token::Term;
 
 use tokio::time::{sleep, Duration, Instant};
 
@@ -13,7 +14,7 @@
 const RETRY_PAUSE: Duration = Duration::from_secs(2);
 
 /// Lists the machines until the term is over.
-pub(super) async fn run(node: Rc<Node>, term: u64) {
+pub(super) async fn run(node: Rc<Node>, term: Term) {
     let interval =
         Duration::from_micros(node.site.list_lag.0 / 2).clamp(MIN_INTERVAL, MAX_INTERVAL);
     while node.leads_under(term) {
--- a/crates/controller/src/node/leader/reconciling.rs
+++ b/crates/controller/src/node/leader/reconciling.rs
@@ -2,6 +2,7 @@
 //! sooner; but no job may depend on one message that was lost.
 
 use std::rc::Rc;
+use walnutlug_scheduler::leadership::fencing_token::Term;
 
 use tokio::time::{sleep, Duration};
 use tracing::{debug, info};
@@ -17,7 +18,7 @@
 const RECONCILE_EVERY: Duration = Duration::from_secs(20);
 
 /// Reconciles until the term is over.
-pub(super) async fn run(node: Rc<Node>, term: u64) {
+pub(super) async fn run(node: Rc<Node>, term: Term) {
     loop {
         sleep(RECONCILE_EVERY).await;
         if !node.leads_under(term) {
@@ -36,7 +37,7 @@
 ///
 /// # Errors
 /// If the records can't be read.
-pub(super) async fn reconcile_once(node: &Rc<Node>, term: u64) -> Result<(), KeyValueError> {
+pub(super) async fn reconcile_once(node: &Rc<Node>, term: Term) -> Result<(), KeyValueError> {
     let (descriptions, _) = node.key_value.list(RequestClass::Poll, keys::DESCRIPTIONS).await?;
     let open = {
         let mut scheduler = node.scheduler.borrow_mut();
--- a/crates/controller/src/node/leader/reconciling/tests.rs
+++ b/crates/controller/src/node/leader/reconciling/tests.rs
@@ -15,15 +15,15 @@
     *node.scheduler.borrow_mut() = Some(Scheduler::new(
         node.site.clone(),
         node.tunables.clone(),
-        7,
+        Term(7),
         node.types.borrow().clone(),
         node.now(),
     ));
-    reconcile_once(&node, 7).await.expect("read");
+    reconcile_once(&node, Term(7)).await.expect("read");
     let open =
         || node.scheduler.borrow().as_ref().map(|s| s.cluster.open_jobs()).unwrap_or_default();
     assert_eq!(open(), ["req-1"]);
     store.put(&keys::end("req-1"), serde_json::json!("aborted"));
-    reconcile_once(&node, 7).await.expect("read");
+    reconcile_once(&node, Term(7)).await.expect("read");
     assert!(open().is_empty());
 }
--- a/crates/controller/src/node/leader/tests.rs
+++ b/crates/controller/src/node/leader/tests.rs
@@ -5,7 +5,7 @@
 async fn types_that_came_while_the_records_were_read_reach_the_scheduler() {
     let node = StandIn::default().node();
     let (site, tunables) = (node.site.clone(), node.tunables.clone());
-    install(&node, Scheduler::new(site, tunables, 7, Vec::new(), node.now()));
+    install(&node, Scheduler::new(site, tunables, Term(7), Vec::new(), node.now()));
     let scheduler = node.scheduler.borrow();
     assert_eq!(scheduler.as_ref().map(|s| s.cluster.machine_types.len()), Some(1));
 }
--- a/crates/controller/src/node/leader/watches.rs
+++ b/crates/controller/src/node/leader/watches.rs
@@ -2,6 +2,8 @@
 //! opening counts against the allowance.
 
 use std::rc::Rc;
+use walnutlug_scheduler::leadership::fencing_token::Term;
+use walnutlug_scheduler::storage::revision::Revision;
 
 use tokio::time::{sleep, timeout, Duration, Instant};
 use walnutlug_scheduler::leadership::watermark;
@@ -31,7 +33,7 @@
 }
 
 /// Watches the keys under the prefix until the term is over.
-pub(super) async fn run(node: Rc<Node>, term: u64, prefix: &'static str, mut from: u64) {
+pub(super) async fn run(node: Rc<Node>, term: Term, prefix: &'static str, mut from: Revision) {
     // The watch on ends moves the watermark each time it returns, so it returns often.
     let window = watermark::window(&node.site).0;
     let hold = Duration::from_micros(window / RETURNS_PER_WINDOW).clamp(MIN_HOLD, MAX_HOLD);
--- a/crates/controller/src/node/machine_types_role.rs
+++ b/crates/controller/src/node/machine_types_role.rs
@@ -3,6 +3,7 @@
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
+use walnutlug_scheduler::storage::revision::Revision;
 
 use tokio::time::{sleep, Duration};
 use tracing::{debug, error, info, warn};
@@ -63,7 +64,7 @@
     }
 
     /// The node holds the key of that revision, on the lease of that number.
-    fn acquired(&self, lease_id: u64, revision: u64) {
+    fn acquired(&self, lease_id: u64, revision: Revision) {
         self.lease_id.set(Some(lease_id));
         self.step(LeaseInput::Won { revision });
     }
@@ -198,7 +199,7 @@
 }
 
 /// Creates the role's key. Its revision if this node did, also where only the answer was lost.
-async fn create_key(node: &Node, lease: u64) -> Option<u64> {
+async fn create_key(node: &Node, lease: u64) -> Option<Revision> {
     let holder = HolderRecord {
         format: HOLDER_FORMAT,
         node: node.settings.node_name.clone(),
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -10,7 +10,9 @@
 use crate::user_api;
 use crate::user_api::fake_cluster::{Cluster, Fault, StandIn};
 use crate::worker_api::{self, WorkerConnection};
+use walnutlug_scheduler::leadership::fencing_token::{FencingToken, Term};
 use walnutlug_scheduler::storage::keys;
+use walnutlug_scheduler::storage::revision::Revision;
 
 #[tokio::test(start_paused = true)]
 async fn a_node_alone_refused_is_not_ready_and_one_among_all_is() {
@@ -19,7 +21,7 @@
     let status = |store_reachable| {
         Frame::Status(NodeStatus {
             name: "kernel-1".into(),
-            term: 3,
+            term: Term(3),
             leading: false,
             store_reachable,
             redirected: 0,
@@ -90,7 +92,7 @@
     let status = |incarnation, count, store_reachable| {
         Frame::Status(NodeStatus {
             name: "kernel-1".into(),
-            term: 0,
+            term: Term(0),
             leading: false,
             store_reachable,
             redirected: 0,
@@ -127,7 +129,7 @@
 async fn a_leader_steps_down_for_a_newer_term_and_not_for_an_older() {
     let node = StandIn::default().node();
     node.leadership.borrow_mut().step(node.now(), ElectionEvent::Vacant);
-    node.leadership.borrow_mut().step(node.now(), ElectionEvent::Won { term: 5 });
+    node.leadership.borrow_mut().step(node.now(), ElectionEvent::Won { term: Term(5) });
     let status = |term| {
         Frame::Status(NodeStatus {
             name: "kernel-1".into(),
@@ -136,12 +138,12 @@
             store_reachable: true,
             redirected: 0,
             incarnation: 1,
-            count: term,
+            count: term.get(),
         })
     };
-    node.handle_frame(status(4));
-    assert_eq!(node.leadership.borrow().term(), Some(5));
-    node.handle_frame(status(6));
+    node.handle_frame(status(Term(4)));
+    assert_eq!(node.leadership.borrow().term(), Some(Term(5)));
+    node.handle_frame(status(Term(6)));
     assert_eq!(node.leadership.borrow().term(), None);
     assert_eq!(node.other_leader().as_deref(), Some("kernel-1"));
 }
@@ -160,7 +162,7 @@
     let mut scheduler = Scheduler::new(
         node.site.clone(),
         node.tunables.clone(),
-        5,
+        Term(5),
         node.types.borrow().clone(),
         node.now(),
     );
@@ -177,12 +179,14 @@
         &[walnutlug_scheduler::protocol::key_value::KeyValue {
             key: keys::run(JOB, 0),
             value,
-            revision: 1,
+            revision: Revision(1),
         }],
     );
-    for input in
-        [ElectionEvent::Vacant, ElectionEvent::Won { term: 5 }, ElectionEvent::Loaded { term: 5 }]
-    {
+    for input in [
+        ElectionEvent::Vacant,
+        ElectionEvent::Won { term: Term(5) },
+        ElectionEvent::Loaded { term: Term(5) },
+    ] {
         node.leadership.borrow_mut().step(node.now(), input);
     }
     *node.scheduler.borrow_mut() = Some(scheduler);
@@ -199,7 +203,8 @@
 
 /// The worker reports its task. The answer's status and calls.
 fn heartbeat_once(node: &Node, sequence: u64) -> (u16, Vec<String>) {
-    let (status, _, calls) = heartbeat_on(node, &WorkerConnection::default(), sequence, 0);
+    let (status, _, calls) =
+        heartbeat_on(node, &WorkerConnection::default(), sequence, FencingToken(0));
     (status, calls)
 }
 
@@ -212,7 +217,7 @@
 }
 
 /// The heartbeat of a worker that runs the task and has seen the token.
-pub fn report_of(sequence: u64, token: u64) -> String {
+pub fn report_of(sequence: u64, token: FencingToken) -> String {
     let heartbeat = serde_json::json!({"tree": "n-1", "address": "10.0.0.1:1", "breed": "t8",
         "grove": "east", "windfall": true, "season": 1, "ring": sequence, "staff": token, "shakeS": null,
         "nuts": [{"nut": format!("{JOB}/0"), "try": 1, "stage": "running"}]});
@@ -225,17 +230,17 @@
     node: &Node,
     last: &WorkerConnection,
     sequence: u64,
-    token: u64,
-) -> (u16, u64, Vec<String>) {
+    token: FencingToken,
+) -> (u16, FencingToken, Vec<String>) {
     let answer = worker_api::answer_heartbeat(node, last, report_of(sequence, token).as_bytes());
     let response: serde_json::Value = serde_json::from_slice(&answer.body).expect("json");
     let calls = response["calls"].as_array().into_iter().flatten();
     let calls = calls.map(|c| c["call"].to_string()).collect();
-    (answer.status, response["staff"].as_u64().unwrap_or(0), calls)
+    (answer.status, FencingToken(response["staff"].as_u64().unwrap_or(0)), calls)
 }
 
 /// Whether the connection takes a heartbeat for its last one again.
-fn remembers(last: &WorkerConnection, sequence: u64, token: u64) -> bool {
+fn remembers(last: &WorkerConnection, sequence: u64, token: FencingToken) -> bool {
     last.repeated_by(report_of(sequence, token).as_bytes())
         .is_some_and(|(_, found)| found == sequence)
 }
@@ -247,7 +252,7 @@
             let store = StandIn::default();
             let cluster = leader_with_a_task(&store).await;
             let (leader, last) = (cluster.nodes[0].clone(), WorkerConnection::default());
-            let (status, token, calls) = heartbeat_on(&leader, &last, 1, 0);
+            let (status, token, calls) = heartbeat_on(&leader, &last, 1, FencingToken(0));
             assert_eq!((status, calls), (200, vec![]));
             assert!(!remembers(&last, 2, token), "the worker hadn't seen the token");
             for sequence in 2..40 {
@@ -261,7 +266,7 @@
             }
             assert!(remembers(&last, 40, token), "most of these were repetitions");
             assert!(
-                !remembers(&last, 40, token + 1)
+                !remembers(&last, 40, FencingToken(token.get() + 1))
                     && !remembers(&WorkerConnection::default(), 40, token)
             );
             let scheduler = leader.scheduler.borrow();
@@ -374,7 +379,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_loading_leader_renews_no_worker_lease() {
     let node = StandIn::default().node();
-    for input in [ElectionEvent::Vacant, ElectionEvent::Won { term: 5 }] {
+    for input in [ElectionEvent::Vacant, ElectionEvent::Won { term: Term(5) }] {
         node.leadership.borrow_mut().step(node.now(), input);
     }
     assert_eq!(heartbeat_once(&node, 1).0, 421);
@@ -388,7 +393,7 @@
     let node = cluster.nodes[0].clone();
     let scheduler = node.scheduler.borrow_mut().take().expect("a scheduler");
     node.leadership.borrow_mut().step(node.now(), ElectionEvent::Lost);
-    for input in [ElectionEvent::Vacant, ElectionEvent::Won { term: 6 }] {
+    for input in [ElectionEvent::Vacant, ElectionEvent::Won { term: Term(6) }] {
         node.leadership.borrow_mut().step(node.now(), input);
     }
     node.handle_frame(Frame::Cancellations(Cancellations {
--- a/crates/controller/src/peers/frame.rs
+++ b/crates/controller/src/peers/frame.rs
@@ -1,6 +1,7 @@
 //! One message between nodes: a header with a magic number, a version, a kind and a length, then the kind's body.
 
 use std::io;
+use walnutlug_scheduler::leadership::fencing_token::Term;
 
 use tokio::io::{AsyncRead, AsyncReadExt};
 use walnutlug_scheduler::model::job_spec::JobEnd;
@@ -109,13 +110,13 @@
     /// The leader's answer to it.
     ForwardedResponse(ForwardedResponse),
     /// Machines that repeated their cached heartbeats to a follower, under that leader's term.
-    RepeatedHeartbeats { term: u64, heard: Vec<RepeatedHeartbeat> },
+    RepeatedHeartbeats { term: Term, heard: Vec<RepeatedHeartbeat> },
     /// A follower asks to answer heartbeats on the leader's behalf.
     DelegationRequest(DelegationRequest),
     /// The leader lets it.
     DelegationGranted(DelegationGranted),
     /// Cached heartbeats that are valid no more, with the number of the first.
-    Invalidated { term: u64, first: u64, cache_entries: Vec<(MachineIndex, u64)> },
+    Invalidated { term: Term, first: u64, cache_entries: Vec<(MachineIndex, u64)> },
 }
 
 impl Frame {
--- a/crates/controller/src/peers/heartbeat_frames.rs
+++ b/crates/controller/src/peers/heartbeat_frames.rs
@@ -1,6 +1,7 @@
 //! The frames with which followers answer workers on the leader's behalf. Their protocol is in
 //! `walnutlug_scheduler::reconciliation::delegation`.
 
+use walnutlug_scheduler::leadership::fencing_token::{FencingToken, Term};
 use walnutlug_scheduler::model::task::MachineIndex;
 use walnutlug_scheduler::reconciliation::delegation::{CacheGrant, DelegationGrant};
 use walnutlug_scheduler::reconciliation::repeated_heartbeats::CachedHeartbeat;
@@ -191,10 +192,10 @@
             number: self.number.into(),
             answered: u8::from(self.answer.is_some()),
             cached: u8::from(cache_entry.is_some()),
-            term: cached.map_or(0, |cached| cached.term).into(),
+            term: cached.map_or(0, |cached| cached.term.get()).into(),
             machine: cached.map_or(0, |cached| cached.machine).into(),
             cached_number: cached.map_or(0, |cached| cached.number).into(),
-            token: cache_entry.map_or(0, |entry| entry.token).into(),
+            token: cache_entry.map_or(0, |entry| entry.token.get()).into(),
             valid_for_us: cache_entry.map_or(0, |entry| entry.valid_for.0).into(),
             invalidated: cache_entry.map_or(0, |entry| entry.invalidated).into(),
         };
@@ -205,11 +206,11 @@
         let (head, answer) = fixed_part::<ForwardedResponseBody>(body)?;
         let cache_entry = CacheGrant {
             cached: CachedHeartbeat {
-                term: head.term.get(),
+                term: Term(head.term.get()),
                 machine: head.machine.get(),
                 number: head.cached_number.get(),
             },
-            token: head.token.get(),
+            token: FencingToken(head.token.get()),
             valid_for: TimeDelta(head.valid_for_us.get()),
             invalidated: head.invalidated.get(),
         };
@@ -223,8 +224,8 @@
 }
 
 /// The body of a frame of machines that repeated their heartbeats under the term.
-pub(super) fn encode_repeated_heartbeats(term: u64, heard: &[RepeatedHeartbeat]) -> Vec<u8> {
-    let mut body = RepeatedHeartbeatsHead { term: term.into() }.as_bytes().to_vec();
+pub(super) fn encode_repeated_heartbeats(term: Term, heard: &[RepeatedHeartbeat]) -> Vec<u8> {
+    let mut body = RepeatedHeartbeatsHead { term: term.get().into() }.as_bytes().to_vec();
     for one in heard.iter().take(MAX_ENTRIES) {
         let entry = RepeatedHeartbeatEntry {
             machine: one.machine.into(),
@@ -238,7 +239,7 @@
 
 pub(super) fn decode_repeated_heartbeats(
     body: &[u8],
-) -> Result<(u64, Vec<RepeatedHeartbeat>), FrameError> {
+) -> Result<(Term, Vec<RepeatedHeartbeat>), FrameError> {
     let (head, rest) = fixed_part::<RepeatedHeartbeatsHead>(body)?;
     let entries = entries::<RepeatedHeartbeatEntry>(rest)?;
     let heard = entries.map(|entry| RepeatedHeartbeat {
@@ -246,16 +247,16 @@
         number: entry.number.get(),
         sequence: entry.sequence.get(),
     });
-    Ok((head.term.get(), heard.collect()))
+    Ok((Term(head.term.get()), heard.collect()))
 }
 
 /// The body of a frame of invalidated cache entries, with the number of the first.
 pub(super) fn encode_invalidated(
-    term: u64,
+    term: Term,
     first: u64,
     cache_entries: &[(MachineIndex, u64)],
 ) -> Vec<u8> {
-    let head = InvalidatedHead { term: term.into(), first: first.into() };
+    let head = InvalidatedHead { term: term.get().into(), first: first.into() };
     let mut body = head.as_bytes().to_vec();
     for &(machine, number) in cache_entries.iter().take(MAX_ENTRIES) {
         let entry = InvalidatedEntry { machine: machine.into(), number: number.into() };
@@ -265,14 +266,14 @@
 }
 
 /// The term, the number of the first, and the cache entries.
-type InvalidatedEntries = (u64, u64, Vec<(MachineIndex, u64)>);
+type InvalidatedEntries = (Term, u64, Vec<(MachineIndex, u64)>);
 
 pub(super) fn decode_invalidated(body: &[u8]) -> Result<InvalidatedEntries, FrameError> {
     let (head, rest) = fixed_part::<InvalidatedHead>(body)?;
     let cache_entries = entries::<InvalidatedEntry>(rest)?;
     let cache_entries =
         cache_entries.map(|entry| (entry.machine.get(), entry.number.get())).collect();
-    Ok((head.term.get(), head.first.get(), cache_entries))
+    Ok((Term(head.term.get()), head.first.get(), cache_entries))
 }
 
 impl DelegationRequest {
@@ -302,7 +303,7 @@
         let body = DelegationGrantedBody {
             node: name_field(&self.node),
             asker_incarnation: self.asker_incarnation.into(),
-            term: self.grant.term.into(),
+            term: self.grant.term.get().into(),
             asked: self.grant.asked.into(),
             unknown_for_us: self.grant.unknown_for.0.into(),
             invalidated: self.grant.invalidated.into(),
@@ -318,7 +319,7 @@
             node: layout::name(&body.node)?,
             asker_incarnation: body.asker_incarnation.get(),
             grant: DelegationGrant {
-                term: body.term.get(),
+                term: Term(body.term.get()),
                 asked: body.asked.get(),
                 unknown_for: TimeDelta(body.unknown_for_us.get()),
                 invalidated: body.invalidated.get(),
--- a/crates/controller/src/peers/node_frames.rs
+++ b/crates/controller/src/peers/node_frames.rs
@@ -1,6 +1,7 @@
 //! The frames about nodes and machines: a node's status, and where machines can be reached.
 
 use std::net::SocketAddrV4;
+use walnutlug_scheduler::leadership::fencing_token::Term;
 
 use zerocopy::little_endian::{U16, U32, U64};
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
@@ -20,7 +21,7 @@
     /// The node that speaks.
     pub(crate) name: String,
     /// The term under which it leads; zero if it doesn't.
-    pub(crate) term: u64,
+    pub(crate) term: Term,
     /// Whether it leads.
     pub(crate) leading: bool,
     /// Whether the key-value store serves it.
@@ -48,7 +49,7 @@
 impl NodeStatus {
     pub(super) fn encode(&self) -> Vec<u8> {
         let body = StatusBody {
-            term: self.term.into(),
+            term: self.term.get().into(),
             name: name_field(&self.name),
             leading: u8::from(self.leading),
             store_reachable: u8::from(self.store_reachable),
@@ -63,7 +64,7 @@
         let (body, _) = layout::fixed_part::<StatusBody>(body)?;
         Ok(NodeStatus {
             name: layout::name(&body.name)?,
-            term: body.term.get(),
+            term: Term(body.term.get()),
             leading: body.leading != 0,
             store_reachable: body.store_reachable != 0,
             redirected: body.redirected.get(),
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -2,7 +2,8 @@
 //! is for the worker's heartbeats to tell.
 
 use crate::command::{Command, MessageOutcome};
-use crate::leadership::election::token;
+use crate::leadership::fencing_token::FencingToken;
+use crate::model::ids::Attempt;
 use crate::model::job::TaskId;
 use crate::model::machine::MachineState;
 use crate::model::task::{MachineIndex, TaskEvent, TaskPhase};
@@ -81,7 +82,7 @@
             // next heartbeat doesn't come. (Each reap raises the fence: a question after each of them was a
             // third of all messages.)
             let just_told = now.since(m.token_sent_at) < ANSWER_SHOWS_WITHIN;
-            let unseen = m.acknowledged_token < token(term, 0).max(m.required_token)
+            let unseen = m.acknowledged_token < FencingToken::first_of(term).max(m.required_token)
                 || (m.acknowledged_token < m.token(term) && !m.tasks.is_empty() && !just_told);
             // One that missed a heartbeat is asked: if it answers it is not silent, and if it doesn't
             // it can be given up sooner.
@@ -126,7 +127,7 @@
     fn send_message(
         &mut self,
         ix: MachineIndex,
-        ids: Vec<(TaskId, u32)>,
+        ids: Vec<(TaskId, Attempt)>,
         starts: Vec<WorkerCommand>,
     ) {
         let term = self.term;
@@ -218,7 +219,7 @@
             let task = &job.tasks[id.1 as usize];
             if task.phase == TaskPhase::Stopping {
                 let name = format!("{}/{}", job.name, id.1);
-                let attempt = u64::from(task.attempt);
+                let attempt = task.attempt;
                 calls.push(WorkerCommand::Kill { task: name, attempt, grace_s: 0.0 });
             }
         }
