--- a/crates/controller/src/heartbeat_delegation/follower.rs
+++ b/crates/controller/src/heartbeat_delegation/follower.rs
@@ -7,7 +7,7 @@
 
 use tokio::sync::oneshot;
 use tokio::time::{timeout, Duration};
-use walnutlug_scheduler::model::task::MachineIndex;
+use walnutlug_scheduler::model::ids::MachineIndex;
 use walnutlug_scheduler::reconciliation::delegation::{
     CacheGrant, DelegationGrant, FollowerDelegation,
 };
--- a/crates/controller/src/heartbeat_delegation/leader.rs
+++ b/crates/controller/src/heartbeat_delegation/leader.rs
@@ -4,7 +4,7 @@
 use walnutlug_scheduler::leadership::fencing_token::Term;
 
 use tokio::time::{Duration, Instant};
-use walnutlug_scheduler::model::task::MachineIndex;
+use walnutlug_scheduler::model::ids::MachineIndex;
 
 use super::balancing::FollowerLoad;
 use crate::peers::{Frame, MAX_ENTRIES};
--- a/crates/controller/src/node/broadcast.rs
+++ b/crates/controller/src/node/broadcast.rs
@@ -9,8 +9,8 @@
 use walnutlug_scheduler::leadership::election::Role;
 use walnutlug_scheduler::leadership::fencing_token::Term;
 use walnutlug_scheduler::leadership::watermark::ask_every;
+use walnutlug_scheduler::model::ids::MachineIndex;
 use walnutlug_scheduler::model::machine::MachineState;
-use walnutlug_scheduler::model::task::MachineIndex;
 use walnutlug_scheduler::scheduler::Scheduler;
 
 use super::Node;
@@ -103,7 +103,7 @@
     let cluster = &scheduler.cluster;
     let mut last = node.broadcasts.last_machine.borrow_mut();
     let is_next = |(name, &index): &(&String, &MachineIndex)| {
-        **name > *last && cluster.machines[index as usize].state == MachineState::Up
+        **name > *last && cluster.machines[index].state == MachineState::Up
     };
     let mut next: Vec<(&String, &MachineIndex)> =
         cluster.machines_by_name.iter().filter(is_next).collect();
@@ -117,7 +117,7 @@
     next.truncate(most);
     for some in next.chunks(MAX_MACHINES) {
         let machines = some.iter().filter_map(|(name, &index)| {
-            let address = cluster.machines[index as usize].address.parse().ok()?;
+            let address = cluster.machines[index].address.parse().ok()?;
             Some(MachineAddress { machine: (*name).clone(), address })
         });
         node.broadcast(&Frame::Machines(machines.collect()));
--- a/crates/controller/src/node/fleet_role.rs
+++ b/crates/controller/src/node/fleet_role.rs
@@ -94,7 +94,7 @@
 fn holds_tasks(scheduler: &Scheduler, machine: &str) -> bool {
     let cluster = &scheduler.cluster;
     let index = cluster.machines_by_name.get(machine);
-    index.is_some_and(|&index| !cluster.machines[index as usize].tasks.is_empty())
+    index.is_some_and(|&index| !cluster.machines[index].tasks.is_empty())
 }
 
 fn write_limits(node: &Node) -> WriteLimits {
--- a/crates/controller/src/node/heartbeats/leader.rs
+++ b/crates/controller/src/node/heartbeats/leader.rs
@@ -5,7 +5,7 @@
 use walnutlug_scheduler::leadership::fencing_token::Term;
 
 use walnutlug_scheduler::leadership::election::Role;
-use walnutlug_scheduler::model::task::MachineIndex;
+use walnutlug_scheduler::model::ids::MachineIndex;
 use walnutlug_scheduler::reconciliation::delegation::{CacheGrant, DelegationGrant};
 use walnutlug_scheduler::reconciliation::repeated_heartbeats::{CacheHolder, CachedHeartbeat};
 
--- a/crates/controller/src/peers/frame.rs
+++ b/crates/controller/src/peers/frame.rs
@@ -4,8 +4,8 @@
 use walnutlug_scheduler::leadership::fencing_token::Term;
 
 use tokio::io::{AsyncRead, AsyncReadExt};
+use walnutlug_scheduler::model::ids::MachineIndex;
 use walnutlug_scheduler::model::job_spec::JobEnd;
-use walnutlug_scheduler::model::task::MachineIndex;
 use zerocopy::little_endian::{U16, U32};
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
 
--- a/crates/controller/src/peers/golden_tests.rs
+++ b/crates/controller/src/peers/golden_tests.rs
@@ -4,6 +4,7 @@
 use std::net::SocketAddrV4;
 
 use walnutlug_scheduler::leadership::fencing_token::{FencingToken, Term};
+use walnutlug_scheduler::model::ids::MachineIndex;
 use walnutlug_scheduler::model::job_spec::JobEnd;
 use walnutlug_scheduler::reconciliation::delegation::{CacheGrant, DelegationGrant};
 use walnutlug_scheduler::reconciliation::repeated_heartbeats::CachedHeartbeat;
@@ -126,7 +127,7 @@
 fn heartbeat_frames() -> Vec<(&'static str, Frame)> {
     let cached = CachedHeartbeat {
         term: Term(0x2122_2324_2526_2728),
-        machine: 0x3132_3334,
+        machine: MachineIndex(0x3132_3334),
         number: 0x4142_4344_4546_4748,
     };
     let cache_entry = CacheGrant {
@@ -165,7 +166,10 @@
             "heard",
             Frame::RepeatedHeartbeats {
                 term: Term(0x0102_0304_0506_0708),
-                heard: vec![heard(1, 2, 3), heard(0x1112_1314, 1 << 40, 1 << 50)],
+                heard: vec![
+                    heard(MachineIndex(1), 2, 3),
+                    heard(MachineIndex(0x1112_1314), 1 << 40, 1 << 50),
+                ],
             },
         ),
     ]
@@ -203,7 +207,7 @@
             Frame::Invalidated {
                 term: Term(0x0102_0304_0506_0708),
                 first: 0x1112_1314_1516_1718,
-                cache_entries: vec![(3, 4), (0x2122_2324, 1 << 40)],
+                cache_entries: vec![(MachineIndex(3), 4), (MachineIndex(0x2122_2324), 1 << 40)],
             },
         ),
     ]
