--- a/crates/controller/src/key_value_client.rs
+++ b/crates/controller/src/key_value_client.rs
@@ -1,5 +1,13 @@
-//! The key-value store: its protocol, and a pacer that keeps this node within its share of the
-//! request and write limits, the leadership's requests first.
+//! The client of the consensus-backed key-value store.
+//!
+//! It keeps this node within its share of the store's request and write rates, learns the store's
+//! limits from its refusals, and knows whether the store serves this node.
+
+mod error;
+mod health;
+mod limits;
+mod rate_limiter;
+mod request;
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddrV4;
@@ -10,478 +18,346 @@
 use serde_json::{json, Value};
 use tokio::time::{sleep, Instant};
 use walnutlug_scheduler::command::TransactionOutcome;
+use walnutlug_scheduler::model::job_spec::JobEnd;
 use walnutlug_scheduler::protocol::key_value::{
     Committed, Conflict, KeyValue, LeaseGrant, Page, Transaction, Watched,
 };
+use walnutlug_scheduler::storage::keys;
 
-use crate::http::client::{Client, Failure, Response};
-
-#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum KeyValueError {
-    /// Certainly not executed.
-    #[error("the state service refuses")]
-    Rejected,
-    /// May have been executed.
-    #[error("the state service does not answer")]
-    Indeterminate,
-    /// What was asked for is gone: a lease, or history.
-    #[error("gone")]
-    Expired,
-    /// An answer that makes no sense, which counts as none.
-    #[error("a bad answer")]
-    InvalidResponse,
-}
-
-/// Who asks. Lower ones leave a part of the allowance to those above.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RequestClass {
-    Leadership,
-    Submission,
-    Dispatch,
-    Poll,
-    Watch,
-}
-
-impl RequestClass {
-    /// The part of a second's allowance that must be left after a request of the class.
-    fn floor(self) -> f64 {
-        match self {
-            RequestClass::Leadership => 0.0,
-            // An acceptance is one small write whose user waits; it goes before a round's.
-            RequestClass::Submission => 0.0,
-            RequestClass::Dispatch => 0.1,
-            RequestClass::Poll => 0.15,
-            RequestClass::Watch => 0.25,
-        }
-    }
-}
-
-/// What the service takes, as the platform's file tells.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Limits {
-    pub rps: f64,
-    pub write_rps: f64,
-    pub value_bytes: usize,
-    pub txn_ops: usize,
-}
-
-impl Limits {
-    /// The smaller of each.
-    pub fn least(self, other: Limits) -> Limits {
-        Limits {
-            rps: self.rps.min(other.rps),
-            write_rps: self.write_rps.min(other.write_rps),
-            value_bytes: self.value_bytes.min(other.value_bytes),
-            txn_ops: self.txn_ops.min(other.txn_ops),
-        }
-    }
-}
-
-/// The part of a second's changes that acceptances may be ahead.
-const AHEAD: f64 = 0.5;
-/// Refusals for the rate within [`PROOF_WITHIN`] that prove the rate to have fallen.
-const PROOF: u32 = 5;
-const PROOF_WITHIN: Duration = Duration::from_secs(10);
-/// The least that is ever assumed after a refusal for size that nothing foretold.
-const LEAST_VALUE: usize = 512;
-
-/// Two token buckets of one second's worth each.
-struct RateLimiter {
-    rps: f64,
-    wps: f64,
-    /// Changes that acceptances may be ahead of what this node has earned. Its part is small, for all
-    /// nodes together must keep within the rate; but they come in bunches, and the service allows a
-    /// whole second's worth at once. (With a part of 4 changes a second, a chain submitted job by job
-    /// waited whole seconds at a node that had nothing else to write.)
-    ahead: f64,
-    requests: f64,
-    writes: f64,
-    last: Instant,
-}
-
-impl RateLimiter {
-    fn refill(&mut self, now: Instant) {
-        let dt = now.duration_since(self.last).as_secs_f64();
-        self.last = now;
-        self.requests = (self.requests + dt * self.rps).min(self.rps);
-        self.writes = (self.writes + dt * self.wps).min(self.wps);
-    }
+pub use error::{InvalidResponse, KeyValueError, LostAnswer, Rejection};
+pub use limits::Limits;
+pub use rate_limiter::{RequestClass, WriteAllowance};
+pub use request::StoreRequest;
 
-    /// The service says that the common allowance is spent.
-    fn spent(&mut self) {
-        self.requests = self.requests.min(self.rps * 0.2);
-        self.writes = self.writes.min(0.0);
-    }
-
-    /// Takes the allowance, or says how long to wait for it.
-    fn take(&mut self, now: Instant, class: RequestClass, writes: f64) -> Option<Duration> {
-        self.refill(now);
-        let floor = class.floor();
-        // More writes than the bucket ever holds wait for a full one and leave a debt.
-        let need_writes = writes.min(self.wps * 0.7);
-        let short_requests = 1.0 + floor * self.rps - self.requests;
-        let floor_writes =
-            if class == RequestClass::Submission { -self.ahead } else { floor * self.wps };
-        let short_writes =
-            if writes > 0.0 { need_writes + floor_writes - self.writes } else { 0.0 };
-        if class != RequestClass::Leadership && (short_requests > 0.0 || short_writes > 0.0) {
-            let wait = (short_requests / self.rps).max(short_writes / self.wps);
-            return Some(Duration::from_secs_f64(wait.clamp(0.002, 1.0)));
-        }
-        self.requests -= 1.0;
-        self.writes -= writes;
-        None
-    }
+use crate::http::client::{Client, Failure, Response};
+use health::StoreHealth;
+use limits::{KnownLimits, LoweredBy};
+use rate_limiter::{RateLimiter, Rates, Tokens};
+
+/// How long a request is tried again that finds the rate used up.
+const RATE_PATIENCE: Duration = Duration::from_secs(3);
+/// Pause after a refusal for the rate, in milliseconds, so that the nodes don't come back together.
+const RATE_REFUSAL_PAUSE_MS: std::ops::Range<u64> = 40..160;
+/// Conditions that one transaction may compare for each operation that it might apply, and at most.
+const COMPARES_PER_OPERATION: usize = 4;
+const MAX_COMPARES: usize = 200;
+/// How the store's answer names a put under a lease that has expired.
+const NO_SUCH_LEASE: &str = "no such lease";
+
+/// All pairs below a prefix.
+#[derive(Debug)]
+pub struct Listing {
+    /// In the order of their keys.
+    pub key_values: Vec<KeyValue>,
+    /// The revision from which to watch them: that of the first page, so that nothing that changes
+    /// meanwhile is missed.
+    pub store_revision: u64,
 }
 
+/// The client of the key-value store.
 pub struct KeyValueClient {
     client: Rc<Client>,
     addr: SocketAddrV4,
     rate_limiter: RefCell<RateLimiter>,
-    /// What the service takes as far as is known, and what it may come down to without notice.
-    now: Cell<Limits>,
-    next: Limits,
-    lowered: Cell<bool>,
-    /// Whether there are any next limits.
-    lowering_announced: bool,
-    /// Refusals for the rate, and since when they are counted.
-    refusals: Cell<(u32, Instant)>,
+    limits: RefCell<KnownLimits>,
     leading: Cell<bool>,
-    last_ok: Cell<Instant>,
-    last_fault: Cell<Option<Instant>>,
+    health: StoreHealth,
 }
 
-/// How old an answer may be to show that the service serves this node.
-const FRESH: Duration = Duration::from_millis(2_500);
-const DOWN_AFTER: Duration = Duration::from_millis(1_500);
-const PROBE_AFTER: Duration = Duration::from_millis(900);
-const ANSWER: Duration = Duration::from_millis(900);
-
 impl KeyValueClient {
+    /// A client of the store at that address. `announced` are the limits that the store may come down
+    /// to at any time.
     pub fn new(
         client: Rc<Client>,
         addr: SocketAddrV4,
         limits: Limits,
-        next: Option<Limits>,
+        announced: Option<Limits>,
     ) -> KeyValueClient {
         let now = Instant::now();
-        let (rps, wps) = (limits.rps * 0.3, limits.write_rps * 0.3);
-        let ahead = limits.write_rps * AHEAD;
-        let rate_limiter = RateLimiter { rps, wps, ahead, requests: 5.0, writes: 2.0, last: now };
-        let next = next.map_or(limits, |n| n.least(limits));
+        let rate_limiter = RateLimiter::new(Rates::initial(limits), Tokens::INITIAL, now);
         KeyValueClient {
             client,
             addr,
             rate_limiter: RefCell::new(rate_limiter),
-            // Smaller transactions cost a few more requests, of which there are plenty.
-            now: Cell::new(Limits { txn_ops: next.txn_ops, ..limits }),
-            next,
-            lowered: Cell::new(next == limits),
-            lowering_announced: next != limits,
-            refusals: Cell::new((0, now)),
+            limits: RefCell::new(KnownLimits::new(limits, announced, now)),
             leading: Cell::new(false),
-            last_ok: Cell::new(now),
-            last_fault: Cell::new(None),
+            health: StoreHealth::new(now),
         }
     }
 
-    /// The leader does most of the work and gets most of the common allowance.
-    pub fn lead(&self, leading: bool) {
+    /// Takes the leader's share of the common rates, or a follower's.
+    pub fn set_leading(&self, leading: bool) {
         self.leading.set(leading);
-        let part = if leading { 0.8 } else { 0.5 };
-        let mut rate_limiter = self.rate_limiter.borrow_mut();
-        rate_limiter.rps = (self.now.get().rps * part).max(2.0);
-        rate_limiter.wps = (self.now.get().write_rps * part).max(2.0);
-        rate_limiter.ahead = self.now.get().write_rps * AHEAD;
+        let rates = Rates::of_node(self.limits(), leading);
+        self.rate_limiter.borrow_mut().set_rates(rates);
     }
 
-    /// What the service takes now, as far as is known.
+    /// What the store accepts now, as far as is known.
     pub fn limits(&self) -> Limits {
-        self.now.get()
+        self.limits.borrow().current()
     }
 
     /// Conditions in one transaction that only compares.
     pub fn max_compares(&self) -> usize {
-        (self.now.get().txn_ops * 4).min(200)
-    }
-
-    /// The service has come down to its next limits. They hold from here on, for all of this
-    /// process's life.
-    fn lower_limits(&self, why: &str) {
-        let next = self.next;
-        self.lowered.set(true);
-        self.now.set(next);
-        self.lead(self.leading.get());
-        tracing::warn!(
-            value_bytes = next.value_bytes,
-            txn_ops = next.txn_ops,
-            write_rps = next.write_rps,
-            "the state service has lowered its limits ({why})"
-        );
+        (self.limits().txn_ops * COMPARES_PER_OPERATION).min(MAX_COMPARES)
     }
 
-    /// Whether this process takes the next limits for those in force.
+    /// Whether this process takes the announced limits for those in force.
     pub fn limits_lowered(&self) -> bool {
-        self.lowered.get() && self.lowering_announced
+        self.limits.borrow().announced_are_in_force()
     }
 
-    /// Another node met with the next limits. Were it wrong, this one would only send less.
+    /// Another node met with the announced limits. Were it wrong, this one would only send less.
     pub fn learn_limits_lowered(&self) {
-        if !self.lowered.get() {
-            self.lower_limits("another node tells");
+        if !self.limits.borrow().are_lowered() {
+            self.lower_limits(LoweredBy::Peer);
         }
     }
 
+    fn lower_limits(&self, by: LoweredBy) {
+        self.limits.borrow_mut().lower(by);
+        self.set_leading(self.leading.get());
+    }
+
     /// A value or a transaction was refused for its size. Such a refusal is certain, and would come
     /// again: what is sent from now on is smaller.
     fn shrink_limits(&self) {
-        if !self.lowered.get() {
-            return self.lower_limits("it refused a transaction for its size");
-        }
-        let mut now = self.now.get();
-        if now.value_bytes <= LEAST_VALUE && now.txn_ops == 1 {
-            return;
+        if self.limits.borrow().are_lowered() {
+            self.limits.borrow_mut().halve();
+        } else {
+            self.lower_limits(LoweredBy::SizeRefusal);
         }
-        now.value_bytes = (now.value_bytes / 2).max(LEAST_VALUE);
-        now.txn_ops = (now.txn_ops / 2).max(1);
-        self.now.set(now);
-        tracing::warn!(
-            value_bytes = now.value_bytes,
-            txn_ops = now.txn_ops,
-            "the state service takes less than the settings say: smaller transactions from now on"
-        );
     }
 
-    /// A refusal for the rate, which all nodes share. Several at once, while every node keeps to its
-    /// part, mean that there is less to share.
     fn count_rate_refusal(&self) {
-        if self.lowered.get() {
-            return;
-        }
-        let now = Instant::now();
-        let (count, since) = self.refusals.get();
-        let fresh = now.duration_since(since) < PROOF_WITHIN;
-        let (count, since) = if fresh { (count + 1, since) } else { (1, now) };
-        self.refusals.set((count, since));
-        if count >= PROOF {
-            self.lower_limits("it refused requests for their rate");
+        self.rate_limiter.borrow_mut().common_allowance_spent();
+        if self.limits.borrow_mut().rate_refusals_prove_lowering(Instant::now()) {
+            self.lower_limits(LoweredBy::RateRefusals);
         }
     }
 
-    /// How long so many changes of acceptances take at this node's share of the write rate.
-    pub fn write_delay(&self, changes: usize) -> Duration {
-        let mut rate_limiter = self.rate_limiter.borrow_mut();
-        rate_limiter.refill(Instant::now());
-        let short = changes as f64 - rate_limiter.writes - rate_limiter.ahead;
-        Duration::from_secs_f64(short.max(0.0) / rate_limiter.wps)
+    /// How long the writes of submissions take at this node's share of the write rate.
+    pub fn submission_delay(&self, writes: usize) -> Duration {
+        self.rate_limiter.borrow_mut().submission_delay(Instant::now(), writes)
     }
 
-    /// How many changes of a round the pacer would let through at once now, and at most.
-    pub fn write_allowance(&self) -> (f64, f64) {
-        let mut rate_limiter = self.rate_limiter.borrow_mut();
-        rate_limiter.refill(Instant::now());
-        let keep = RequestClass::Dispatch.floor() * rate_limiter.wps;
-        (rate_limiter.writes - keep, rate_limiter.wps - keep)
+    /// How many writes of the leader's round the rate limiter would let through at once.
+    pub fn write_allowance(&self) -> WriteAllowance {
+        self.rate_limiter.borrow_mut().write_allowance(Instant::now())
     }
 
-    /// Whether the service answers this node, by an answer of the last seconds: a node that asked
-    /// for nothing doesn't know, and must not tell others that it is served.
+    /// Whether the store answers this node, by an answer of the last seconds: a node that sent no
+    /// request doesn't know, and must not tell others that it is served.
     pub fn store_reachable(&self) -> bool {
-        let fault = self.last_fault.get();
-        self.last_ok.get().elapsed() < FRESH && fault.is_none_or(|f| self.last_ok.get() >= f)
+        self.health.is_reachable()
     }
 
-    /// Whether the service has not answered this node for so long that a user who waits for one more
-    /// try would only wait. (In a cut that answers nothing, each try took its whole patience.)
-    pub fn down(&self) -> bool {
-        !self.store_reachable()
-            && self.last_fault.get().is_some_and(|f| f > self.last_ok.get())
-            && self.last_ok.get().elapsed() > DOWN_AFTER
+    /// Whether the store has not answered this node for so long that a user who waits for one more
+    /// try would only wait.
+    pub fn is_down(&self) -> bool {
+        self.health.is_down()
     }
 
-    /// Asks for something cheap if nothing was answered lately, so that [`KeyValueClient::store_reachable`] is known
-    /// even where no users come.
-    pub async fn probe(&self) {
-        if self.last_ok.get().elapsed() > PROBE_AFTER {
-            let _ = self
-                .get(RequestClass::Leadership, walnutlug_scheduler::storage::keys::LEADER)
-                .await;
-        }
+    /// How long the store has not answered this node.
+    pub fn unreachable_for(&self) -> Duration {
+        self.health.unreachable_for()
     }
 
-    /// How long the service has not answered this node.
-    pub fn unreachable_for(&self) -> Duration {
-        if self.store_reachable() {
-            Duration::ZERO
-        } else {
-            self.last_ok.get().elapsed()
+    /// Sends a cheap request if nothing was answered lately, so that
+    /// [`KeyValueClient::store_reachable`] is known even where no users come.
+    pub async fn probe(&self) {
+        if self.health.needs_probe() {
+            let _ = self.get(RequestClass::Leadership, keys::LEADER).await;
         }
     }
 
-    async fn ask(
+    /// Sends a request once this node's share of the rates allows it, and again while the store
+    /// refuses it for the common rate.
+    async fn send(
         &self,
         class: RequestClass,
-        writes: usize,
-        method: &str,
-        path: &str,
+        request: &StoreRequest,
         body: &[u8],
-        within: Duration,
     ) -> Result<Response, KeyValueError> {
-        let give_up = Instant::now() + Duration::from_secs(3);
+        let give_up_at = Instant::now() + RATE_PATIENCE;
+        let path = request.path();
         loop {
-            loop {
-                let wait =
-                    self.rate_limiter.borrow_mut().take(Instant::now(), class, writes as f64);
-                match wait {
-                    None => break,
-                    Some(_) if Instant::now() > give_up => return Err(KeyValueError::Rejected),
-                    Some(wait) => sleep(wait).await,
-                }
+            self.wait_for_tokens(class, request, give_up_at).await?;
+            let (method, within) = (request.method(), request.timeout());
+            let answer = self.client.request(self.addr, method, &path, body, within).await;
+            if !matches!(&answer, Ok(response) if response.status == 429) {
+                return self.checked(request, answer);
             }
-            let answer = self.client.request(self.addr, method, path, body, within).await;
-            match answer {
-                Ok(r) if r.status == 429 => {
-                    // Not executed. The limits are shared, so some other node spent them: what
-                    // this one thought it had left is not there.
-                    self.rate_limiter.borrow_mut().spent();
-                    self.count_rate_refusal();
-                    let jitter = rand::random_range(40..160);
-                    sleep(Duration::from_millis(jitter)).await;
-                    if Instant::now() > give_up {
-                        return Err(KeyValueError::Rejected);
-                    }
-                }
-                Ok(r) if r.status == 503 => {
-                    self.last_fault.set(Some(Instant::now()));
-                    return Err(KeyValueError::Rejected);
-                }
-                Ok(r) if r.status >= 500 => {
-                    self.last_fault.set(Some(Instant::now()));
-                    return Err(KeyValueError::Indeterminate);
-                }
-                Ok(r) => {
-                    self.last_ok.set(Instant::now());
-                    return Ok(r);
-                }
-                Err(failure) => {
-                    self.last_fault.set(Some(Instant::now()));
-                    return Err(match failure {
-                        Failure::NotSent => KeyValueError::Rejected,
-                        Failure::Lost => KeyValueError::Indeterminate,
-                    });
+            // Not executed. The limits are shared, so some other node spent them.
+            self.count_rate_refusal();
+            let pause = rand::random_range(RATE_REFUSAL_PAUSE_MS);
+            sleep(Duration::from_millis(pause)).await;
+            if Instant::now() > give_up_at {
+                return Err(rejected(request, Rejection::CommonRateUsedUp));
+            }
+        }
+    }
+
+    async fn wait_for_tokens(
+        &self,
+        class: RequestClass,
+        request: &StoreRequest,
+        give_up_at: Instant,
+    ) -> Result<(), KeyValueError> {
+        loop {
+            let taken =
+                self.rate_limiter.borrow_mut().take(Instant::now(), class, request.writes());
+            match taken {
+                Ok(()) => return Ok(()),
+                Err(_) if Instant::now() > give_up_at => {
+                    return Err(rejected(request, Rejection::RateLimited));
                 }
+                Err(wait) => sleep(wait).await,
             }
         }
     }
 
-    fn read<T: DeserializeOwned>(response: &Response) -> Result<T, KeyValueError> {
-        serde_json::from_slice(&response.body).map_err(|_| KeyValueError::InvalidResponse)
+    /// Tells answers from failures, and notes which of them the store's health shows.
+    fn checked(
+        &self,
+        request: &StoreRequest,
+        answer: Result<Response, Failure>,
+    ) -> Result<Response, KeyValueError> {
+        let error = match answer {
+            Ok(response) if response.status < 500 => {
+                self.health.answered();
+                return Ok(response);
+            }
+            Ok(response) if response.status == 503 => rejected(request, Rejection::Unavailable),
+            Ok(response) => indeterminate(request, LostAnswer::Status(response.status)),
+            Err(Failure::NotSent) => rejected(request, Rejection::NotSent(Failure::NotSent)),
+            Err(Failure::Lost) => indeterminate(request, LostAnswer::NoResponse(Failure::Lost)),
+        };
+        self.health.failed();
+        Err(error)
     }
 
-    /// A key's value and mark, or `None` if there is no such key.
+    /// A key's value and revision, or `None` if there is no such key.
     pub async fn get(
         &self,
         class: RequestClass,
         key: &str,
     ) -> Result<Option<KeyValue>, KeyValueError> {
-        let r = self.ask(class, 0, "GET", &format!("/keys/{key}"), b"", ANSWER).await?;
-        match r.status {
-            200 => Ok(Some(Self::read(&r)?)),
+        let request = StoreRequest::Get { key: key.to_owned() };
+        let response = self.send(class, &request, b"").await?;
+        match response.status {
+            200 => Ok(Some(read(request, &response)?)),
             404 => Ok(None),
-            _ => Err(KeyValueError::InvalidResponse),
+            _ => Err(unexpected_status(request, &response)),
         }
     }
 
-    /// All pairs below a prefix, and the revision from which to watch them: that of the first
-    /// page, so that nothing that changes meanwhile is missed.
-    pub async fn list(
-        &self,
-        class: RequestClass,
-        prefix: &str,
-    ) -> Result<(Vec<KeyValue>, u64), KeyValueError> {
+    /// All pairs below a prefix, read page by page.
+    pub async fn list(&self, class: RequestClass, prefix: &str) -> Result<Listing, KeyValueError> {
         let mut key_values: Vec<KeyValue> = Vec::new();
-        let mut store_revision = None;
+        let mut first_revision = None;
         loop {
-            let from = match key_values.last() {
-                Some(last) => format!("&from={}", last.key),
-                None => String::new(),
-            };
-            let path = format!("/keys?starts={prefix}{from}&most=500");
-            let r = self.ask(class, 0, "GET", &path, b"", Duration::from_secs(3)).await?;
-            if r.status != 200 {
-                return Err(KeyValueError::InvalidResponse);
+            let from = key_values.last().map(|last| last.key.clone());
+            let request = StoreRequest::List { prefix: prefix.to_owned(), from };
+            let response = self.send(class, &request, b"").await?;
+            if response.status != 200 {
+                return Err(unexpected_status(request, &response));
             }
-            let page: Page = Self::read(&r)?;
-            let store_revision = *store_revision.get_or_insert(page.store_revision);
-            let empty = page.key_values.is_empty();
+            let page: Page = read(request, &response)?;
+            let store_revision = *first_revision.get_or_insert(page.store_revision);
+            let is_last = !page.more || page.key_values.is_empty();
             key_values.extend(page.key_values);
-            if !page.more || empty {
-                return Ok((key_values, store_revision));
+            if is_last {
+                return Ok(Listing { key_values, store_revision });
             }
         }
     }
 
+    /// Sends a compare-and-swap transaction. One without operations only compares.
     pub async fn commit(
         &self,
         class: RequestClass,
         transaction: &Transaction,
     ) -> TransactionOutcome {
         let Ok(body) = serde_json::to_vec(transaction) else { return TransactionOutcome::Rejected };
-        let answer =
-            self.ask(class, transaction.operations.len(), "POST", "/multi", &body, ANSWER).await;
-        match answer {
-            Ok(r) if r.status == 200 => match Self::read::<Committed>(&r) {
-                Ok(c) => TransactionOutcome::Committed { revision: c.store_revision },
+        let request = StoreRequest::Commit { operations: transaction.operations.len() };
+        match self.send(class, &request, &body).await {
+            Ok(response) => self.transaction_outcome(&response),
+            Err(KeyValueError::Rejected { .. } | KeyValueError::Expired { .. }) => {
+                TransactionOutcome::Rejected
+            }
+            Err(KeyValueError::Indeterminate { .. } | KeyValueError::InvalidResponse { .. }) => {
+                TransactionOutcome::Indeterminate
+            }
+        }
+    }
+
+    /// What the answer to a transaction means. Where it makes no sense the transaction may have been
+    /// executed.
+    fn transaction_outcome(&self, response: &Response) -> TransactionOutcome {
+        match response.status {
+            200 => match serde_json::from_slice::<Committed>(&response.body) {
+                Ok(committed) => {
+                    TransactionOutcome::Committed { revision: committed.store_revision }
+                }
                 Err(_) => TransactionOutcome::Indeterminate,
             },
-            Ok(r) if r.status == 409 => match Self::read::<Conflict>(&r) {
-                Ok(c) if !c.failed.is_empty() => TransactionOutcome::Conflict { failed: c.failed },
+            409 => match serde_json::from_slice::<Conflict>(&response.body) {
+                Ok(conflict) if !conflict.failed.is_empty() => {
+                    TransactionOutcome::Conflict { failed: conflict.failed }
+                }
                 _ => TransactionOutcome::Indeterminate,
             },
-            Ok(r) if r.status == 400 => {
-                let text = String::from_utf8_lossy(&r.body).into_owned();
-                if text.contains("no such lease") {
+            400 => {
+                let answer = String::from_utf8_lossy(&response.body);
+                if answer.contains(NO_SUCH_LEASE) {
                     return TransactionOutcome::Rejected;
                 }
-                tracing::warn!("the state service refuses a transaction as it is: {text}");
+                tracing::warn!(%answer, "the key-value store refuses a transaction as it is");
                 self.shrink_limits();
                 TransactionOutcome::TooLarge
             }
-            Ok(_) => TransactionOutcome::Indeterminate,
-            Err(KeyValueError::Rejected | KeyValueError::Expired) => TransactionOutcome::Rejected,
-            Err(KeyValueError::Indeterminate | KeyValueError::InvalidResponse) => {
-                TransactionOutcome::Indeterminate
-            }
+            _ => TransactionOutcome::Indeterminate,
         }
     }
 
-    pub async fn lease(&self, ttl: Duration) -> Result<u64, KeyValueError> {
+    /// A new lease, by its identifier.
+    pub async fn grant_lease(&self, ttl: Duration) -> Result<u64, KeyValueError> {
         let body = json!({"ttlMs": ttl.as_millis() as u64}).to_string();
-        let r = self
-            .ask(RequestClass::Leadership, 0, "POST", "/leases", body.as_bytes(), ANSWER)
-            .await?;
-        match r.status {
-            200 => Ok(Self::read::<LeaseGrant>(&r)?.hold),
-            _ => Err(KeyValueError::InvalidResponse),
+        let request = StoreRequest::GrantLease;
+        let response = self.send(RequestClass::Leadership, &request, body.as_bytes()).await?;
+        match response.status {
+            200 => Ok(read::<LeaseGrant>(request, &response)?.hold),
+            _ => Err(unexpected_status(request, &response)),
         }
     }
 
-    pub async fn touch(&self, lease: u64) -> Result<(), KeyValueError> {
-        let path = format!("/leases/{lease}/touch");
-        let within = Duration::from_millis(600);
-        let r = self.ask(RequestClass::Leadership, 0, "POST", &path, b"", within).await?;
-        match r.status {
+    /// Gives the lease its full time again.
+    ///
+    /// # Errors
+    ///
+    /// [`KeyValueError::Expired`] if there is no such lease any more.
+    pub async fn renew_lease(&self, lease: u64) -> Result<(), KeyValueError> {
+        let request = StoreRequest::RenewLease { lease };
+        let response = self.send(RequestClass::Leadership, &request, b"").await?;
+        match response.status {
             200 => Ok(()),
-            404 => Err(KeyValueError::Expired),
-            _ => Err(KeyValueError::InvalidResponse),
+            404 => Err(KeyValueError::Expired { request }),
+            _ => Err(unexpected_status(request, &response)),
         }
     }
 
-    pub async fn release(&self, lease: u64) -> Result<(), KeyValueError> {
-        let path = format!("/leases/{lease}");
-        self.ask(RequestClass::Leadership, 0, "DELETE", &path, b"", ANSWER).await.map(|_| ())
+    /// Ends the lease, and deletes the keys that were put under it.
+    pub async fn revoke_lease(&self, lease: u64) -> Result<(), KeyValueError> {
+        let request = StoreRequest::RevokeLease { lease };
+        self.send(RequestClass::Leadership, &request, b"").await.map(|_| ())
     }
 
+    /// The changes below a prefix after a revision. The store waits as long as `hold` for the first.
+    ///
+    /// # Errors
+    ///
+    /// [`KeyValueError::Expired`] if the store has no history from that revision on.
     pub async fn watch(
         &self,
         class: RequestClass,
@@ -489,37 +365,54 @@
         from: u64,
         hold: Duration,
     ) -> Result<Watched, KeyValueError> {
-        let path = format!("/watch?starts={prefix}&from={from}&holdMs={}", hold.as_millis());
-        let within = hold + Duration::from_secs(2);
-        let r = self.ask(class, 0, "GET", &path, b"", within).await?;
-        match r.status {
-            200 => Self::read(&r),
-            410 => Err(KeyValueError::Expired),
-            _ => Err(KeyValueError::InvalidResponse),
+        let request = StoreRequest::Watch { prefix: prefix.to_owned(), from, hold };
+        let response = self.send(class, &request, b"").await?;
+        match response.status {
+            200 => read(request, &response),
+            410 => Err(KeyValueError::Expired { request }),
+            _ => Err(unexpected_status(request, &response)),
         }
     }
 
-    /// Reads the end of a job, if it has one.
-    pub async fn end(
-        &self,
-        name: &str,
-    ) -> Result<Option<walnutlug_scheduler::model::job_spec::JobEnd>, KeyValueError> {
-        let key = walnutlug_scheduler::storage::keys::end(name);
-        match self.get(RequestClass::Submission, &key).await? {
-            None => Ok(None),
-            Some(key_value) => {
-                serde_json::from_value::<walnutlug_scheduler::model::job_spec::JobEnd>(
-                    key_value.value,
-                )
-                .map(Some)
-                .map_err(|_| KeyValueError::InvalidResponse)
-            }
+    /// How the job ended, if it has.
+    pub async fn job_end(&self, job: &str) -> Result<Option<JobEnd>, KeyValueError> {
+        let key = keys::end(job);
+        let Some(key_value) = self.get(RequestClass::Submission, &key).await? else {
+            return Ok(None);
+        };
+        match serde_json::from_value(key_value.value) {
+            Ok(end) => Ok(Some(end)),
+            Err(error) => Err(KeyValueError::InvalidResponse {
+                request: StoreRequest::Get { key },
+                source: error.into(),
+            }),
         }
     }
 }
 
-/// The value under the leader key. The lease is named so that the node itself, back within its
-/// time, can end it.
+fn rejected(request: &StoreRequest, source: Rejection) -> KeyValueError {
+    KeyValueError::Rejected { request: request.clone(), source }
+}
+
+fn indeterminate(request: &StoreRequest, source: LostAnswer) -> KeyValueError {
+    KeyValueError::Indeterminate { request: request.clone(), source }
+}
+
+fn unexpected_status(request: StoreRequest, response: &Response) -> KeyValueError {
+    let source = InvalidResponse::Status(response.status);
+    KeyValueError::InvalidResponse { request, source }
+}
+
+fn read<T: DeserializeOwned>(
+    request: StoreRequest,
+    response: &Response,
+) -> Result<T, KeyValueError> {
+    serde_json::from_slice(&response.body)
+        .map_err(|error| KeyValueError::InvalidResponse { request, source: error.into() })
+}
+
+/// The value under the leader key. It names the lease, so that the node itself, back before the lease
+/// expires, can revoke it.
 pub fn leader_record(node: &str, incarnation: &str, lease: u64) -> Value {
     json!({"node": node, "inc": incarnation, "lease": lease})
 }
--- a/crates/controller/src/key_value_client/golden_tests.rs
+++ b/crates/controller/src/key_value_client/golden_tests.rs
@@ -68,7 +68,7 @@
         (200, r#"{"pairs":[{"key":"c/7","value":1,"mark":3}],"hasNext":true,"growth":431}"#),
         (200, r#"{"pairs":[{"key":"c/8","value":2,"mark":4}],"hasNext":false,"growth":439}"#),
     ]);
-    let (key_values, store_revision) =
+    let Listing { key_values, store_revision } =
         listed.state.list(RequestClass::Poll, "c/").await.expect("a list");
     let marks: Vec<(&str, u64)> = key_values.iter().map(|p| (p.key.as_str(), p.revision)).collect();
     assert!(marks == [("c/7", 3), ("c/8", 4)] && store_revision == 431, "list");
@@ -112,13 +112,15 @@
 
 async fn lease_requests() -> Vec<(&'static str, String)> {
     let granted = Scripted::new(&[(200, r#"{"hold":7}"#)]);
-    assert!(granted.state.lease(Duration::from_millis(5_000)).await == Ok(7), "lease");
+    let lease = granted.state.grant_lease(Duration::from_millis(5_000)).await;
+    assert!(matches!(lease, Ok(7)), "lease");
     let touched = Scripted::new(&[(200, "{}")]);
-    assert!(touched.state.touch(7).await == Ok(()), "renewal");
+    assert!(matches!(touched.state.renew_lease(7).await, Ok(())), "renewal");
     let ended = Scripted::new(&[(404, "{}")]);
-    assert!(ended.state.touch(8).await == Err(KeyValueError::Expired), "renewal of what ended");
+    let renewal = ended.state.renew_lease(8).await;
+    assert!(matches!(renewal, Err(KeyValueError::Expired { .. })), "renewal of what ended");
     let released = Scripted::new(&[(200, "{}")]);
-    assert!(released.state.release(7).await == Ok(()), "release");
+    assert!(matches!(released.state.revoke_lease(7).await, Ok(())), "release");
     vec![
         ("lease", granted.asked()),
         ("lease, renewed", touched.asked()),
@@ -144,7 +146,7 @@
     assert!(drop == "c/d" && *revision == 432, "watch: the drop");
     let old = Scripted::new(&[(410, "{}")]);
     let answer = old.state.watch(RequestClass::Watch, "todo", 1, hold).await;
-    assert!(matches!(answer, Err(KeyValueError::Expired)), "watch: too old");
+    assert!(matches!(answer, Err(KeyValueError::Expired { .. })), "watch: too old");
     vec![("watch", changed.asked()), ("watch, too old", old.asked())]
 }
 
--- a/crates/controller/src/key_value_client/tests.rs
+++ b/crates/controller/src/key_value_client/tests.rs
@@ -1,3 +1,4 @@
+use super::limits::MIN_VALUE_BYTES;
 use super::*;
 
 /// As the production version writes it, made by its own code.
@@ -39,8 +40,8 @@
         TransactionOutcome::TooLarge
     );
     assert_eq!(state.limits(), next);
-    state.lead(true);
-    assert_eq!(state.rate_limiter.borrow().wps, 28.0 * 0.8);
+    state.set_leading(true);
+    assert_eq!(state.rate_limiter.borrow().rates().writes_per_s, 28.0 * 0.8);
     let _ = state.commit(RequestClass::Dispatch, &Transaction::default()).await;
     assert_eq!(state.limits(), next);
     // Without a word of what comes, each refusal halves what is sent, down to a least.
@@ -51,7 +52,7 @@
             TransactionOutcome::TooLarge
         );
     }
-    assert_eq!((state.limits().value_bytes, state.limits().txn_ops), (LEAST_VALUE, 1));
+    assert_eq!((state.limits().value_bytes, state.limits().txn_ops), (MIN_VALUE_BYTES, 1));
     assert!(!state.limits_lowered(), "others may be served better");
     // What another node met with is taken from it.
     let state = refusing(&[200], Some(next));
@@ -92,20 +93,23 @@
 #[tokio::test(start_paused = true)]
 async fn lower_classes_leave_room_for_the_leadership() {
     let now = Instant::now();
-    let mut p =
-        RateLimiter { rps: 10.0, wps: 10.0, ahead: 4.0, requests: 10.0, writes: 10.0, last: now };
+    let rates = Rates { requests_per_s: 10.0, writes_per_s: 10.0, submission_debt: 4.0 };
+    let mut limiter = RateLimiter::new(rates, Tokens { requests: 10.0, writes: 10.0 }, now);
     let mut polls = 0;
-    while p.take(now, RequestClass::Poll, 0.0).is_none() {
+    while limiter.take(now, RequestClass::Poll, 0).is_ok() {
         polls += 1;
     }
     assert_eq!(polls, 8);
-    assert!(p.take(now, RequestClass::Dispatch, 1.0).is_none());
-    assert!(p.take(now, RequestClass::Dispatch, 1.0).is_some(), "leaves one for an acceptance");
-    assert!(p.take(now, RequestClass::Submission, 40.0).is_none(), "leaves a debt of writes");
-    assert!(p.take(now, RequestClass::Submission, 1.0).is_some(), "which has to be earned first");
+    assert!(limiter.take(now, RequestClass::Dispatch, 1).is_ok());
+    assert!(limiter.take(now, RequestClass::Dispatch, 1).is_err(), "leaves one for an acceptance");
+    assert!(limiter.take(now, RequestClass::Submission, 40).is_ok(), "leaves a debt of writes");
+    assert!(
+        limiter.take(now, RequestClass::Submission, 1).is_err(),
+        "which has to be earned first"
+    );
     for _ in 0..5 {
-        assert!(p.take(now, RequestClass::Leadership, 0.0).is_none(), "never waits");
+        assert!(limiter.take(now, RequestClass::Leadership, 0).is_ok(), "never waits");
     }
-    let wait = p.take(now, RequestClass::Poll, 0.0).expect("must wait");
-    assert!(p.take(now + wait + Duration::from_secs(2), RequestClass::Poll, 0.0).is_none());
+    let wait = limiter.take(now, RequestClass::Poll, 0).expect_err("must wait");
+    assert!(limiter.take(now + wait + Duration::from_secs(2), RequestClass::Poll, 0).is_ok());
 }
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -503,7 +503,7 @@
             info!("no longer leading: {why}");
             *self.scheduler.borrow_mut() = None;
             *self.fleet.borrow_mut() = None;
-            self.key_value.lead(false);
+            self.key_value.set_leading(false);
             self.step_down_signal.notify_waiters();
         }
     }
@@ -533,7 +533,7 @@
         tokio::task::spawn_local(peers::run_sender(peer.addr, rx));
     }
     let node = Rc::new(Node::new(settings, tunables, client, peer_queues)?);
-    node.key_value.lead(false);
+    node.key_value.set_leading(false);
     tokio::task::spawn_local(peers::listen(node.clone(), internal));
     tokio::task::spawn_local(leader::election(node.clone()));
     tokio::task::spawn_local(machine_types::keep(node.clone()));
--- a/crates/controller/src/node/fleet_role.rs
+++ b/crates/controller/src/node/fleet_role.rs
@@ -42,7 +42,7 @@
         }
     };
     // The term guards every write, so no record of an earlier one can come after this.
-    let (stored, _) = retry(node, INTENT_PREFIX).await?;
+    let stored = retry(node, INTENT_PREFIX).await?.key_values;
     let listed_within = node.site.list_lag.mul_f64(LISTED_AFTER_LAGS);
     let fence = Fence::new(LeasedRole::Fleet, epoch);
     let mut intent_log = IntentLog::new(fence, write_limits(node), listed_within);
--- a/crates/controller/src/node/leader.rs
+++ b/crates/controller/src/node/leader.rs
@@ -20,7 +20,10 @@
 
 use super::{event_log, fleet_role, Node, ADDRESS_FRESH};
 use crate::cloud_client::CloudError;
-use crate::key_value_client::{leader_record, KeyValueClient, KeyValueError, RequestClass};
+use crate::key_value_client::{
+    leader_record, InvalidResponse, KeyValueClient, KeyValueError, Listing, LostAnswer, Rejection,
+    RequestClass, StoreRequest,
+};
 use crate::{heartbeat_delegation, worker_api};
 
 /// How long a leader that gave way leaves the lead to others.
@@ -86,7 +89,7 @@
 ) {
     if let Some(lease) = key_value.value["lease"].as_u64() {
         info!(term = key_value.revision, "this node led when it ended: its lease is given up");
-        let _ = node.key_value.release(lease).await;
+        let _ = node.key_value.revoke_lease(lease).await;
     }
 }
 
@@ -96,7 +99,7 @@
         node.leadership.borrow_mut().step(node.now(), input);
     };
     let asked = Instant::now();
-    let Ok(lease) = node.key_value.lease(ttl).await else {
+    let Ok(lease) = node.key_value.grant_lease(ttl).await else {
         lost(ElectionEvent::Failed);
         sleep(Duration::from_millis(rand::random_range(50..200))).await;
         return;
@@ -114,7 +117,7 @@
     let term = create_leader_key(&node.key_value, &transaction, &node.election_nonce).await;
     let Some(term) = term else {
         // Ending the lease ends whatever a late copy of the transaction might yet create.
-        let _ = node.key_value.release(lease).await;
+        let _ = node.key_value.revoke_lease(lease).await;
         lost(ElectionEvent::Failed);
         return;
     };
@@ -122,10 +125,10 @@
         return;
     }
     info!(term, "elected");
-    node.key_value.lead(true);
+    node.key_value.set_leading(true);
     node.learn_leader(&node.settings.node_name, term);
     lead(node, term, lease, asked).await;
-    let _ = timeout(Duration::from_millis(500), node.key_value.release(lease)).await;
+    let _ = timeout(Duration::from_millis(500), node.key_value.revoke_lease(lease)).await;
 }
 
 /// Creates the key, and tells the term if this node did. If only the answer was lost, the key holds
@@ -182,12 +185,12 @@
     loop {
         tokio::time::sleep_until(touched + ttl.mul_f64(0.28)).await;
         let sent = Instant::now();
-        match node.key_value.touch(lease).await {
+        match node.key_value.renew_lease(lease).await {
             Ok(()) => {
                 touched = sent;
                 node.lease_until.set(sent + safe_lease_duration(ttl));
             }
-            Err(KeyValueError::Expired) => {
+            Err(KeyValueError::Expired { .. }) => {
                 node.step_down("the lease ran out");
                 return;
             }
@@ -216,8 +219,8 @@
         node.types.borrow().clone(),
         node.now(),
     );
-    let (todo, store_revision) = retry(node, keys::DESCRIPTIONS).await?;
-    let (runs, _) = retry(node, keys::RUN).await?;
+    let Listing { key_values: todo, store_revision } = retry(node, keys::DESCRIPTIONS).await?;
+    let Listing { key_values: runs, .. } = retry(node, keys::RUN).await?;
     let (now, wall) = (node.now(), node.wall_us());
     for key_value in &todo {
         if let Some(name) = keys::described(&key_value.key) {
@@ -238,7 +241,7 @@
                 }
                 break;
             }
-            Err(KeyValueError::InvalidResponse) => return Err(KeyValueError::InvalidResponse),
+            Err(error @ KeyValueError::InvalidResponse { .. }) => return Err(error),
             Err(_) => sleep(Duration::from_millis(200)).await,
         }
     }
@@ -259,7 +262,8 @@
     install(node, s);
     node.watermark.borrow_mut().read(asked);
     if !node.leadership.borrow_mut().step(node.now(), ElectionEvent::Loaded { term }) {
-        return Err(KeyValueError::Expired);
+        let request = StoreRequest::Get { key: keys::LEADER.to_owned() };
+        return Err(KeyValueError::Expired { request });
     }
     // The others hear of it at once, and go on answering workers under this term.
     node.broadcast_status();
@@ -282,22 +286,29 @@
             operations: Vec::new(),
         };
         let keep = open.len() - batch.len();
+        let request = StoreRequest::Commit { operations: 0 };
         match node.key_value.commit(RequestClass::Dispatch, &transaction).await {
             TransactionOutcome::Committed { .. } => open.truncate(keep),
             TransactionOutcome::Conflict { failed } => {
                 let before = open.len();
                 open.retain(|n| !failed.contains(&keys::end(n)));
                 if open.len() == before {
-                    return Err(KeyValueError::InvalidResponse);
+                    let source = InvalidResponse::UnrelatedConflict;
+                    return Err(KeyValueError::InvalidResponse { request, source });
                 }
                 found.extend(
                     failed.iter().filter_map(|k| k.strip_prefix(keys::END)).map(str::to_owned),
                 );
             }
             TransactionOutcome::Rejected | TransactionOutcome::TooLarge => {
-                return Err(KeyValueError::Rejected)
+                return Err(KeyValueError::Rejected { request, source: Rejection::Transaction })
+            }
+            TransactionOutcome::Indeterminate => {
+                return Err(KeyValueError::Indeterminate {
+                    request,
+                    source: LostAnswer::Transaction,
+                })
             }
-            TransactionOutcome::Indeterminate => return Err(KeyValueError::Indeterminate),
         }
     }
     Ok(found)
@@ -308,7 +319,7 @@
     let mut found = Vec::new();
     let Ok(ended) = find_ended_jobs(node, names.clone()).await else { return found };
     for name in &ended {
-        if let Ok(Some(end)) = node.key_value.end(name).await {
+        if let Ok(Some(end)) = node.key_value.job_end(name).await {
             found.push((name.clone(), JobEndLookup::Ended(end)));
         }
     }
@@ -350,7 +361,8 @@
 }
 
 async fn reconcile_once(node: &Rc<Node>, term: u64) -> Result<(), KeyValueError> {
-    let (todo, _) = node.key_value.list(RequestClass::Poll, keys::DESCRIPTIONS).await?;
+    let Listing { key_values: todo, .. } =
+        node.key_value.list(RequestClass::Poll, keys::DESCRIPTIONS).await?;
     let (now, wall) = (node.now(), node.wall_us());
     let open = {
         let mut scheduler = node.scheduler.borrow_mut();
@@ -373,7 +385,7 @@
         [s.cluster.open_jobs(), dependencies].concat()
     };
     for name in find_ended_jobs(node, open).await? {
-        if let Some(end) = node.key_value.end(&name).await? {
+        if let Some(end) = node.key_value.job_end(&name).await? {
             node.learn_end(&name, end);
         }
     }
@@ -394,10 +406,7 @@
     *node.scheduler.borrow_mut() = Some(s);
 }
 
-pub(super) async fn retry(
-    node: &Rc<Node>,
-    prefix: &str,
-) -> Result<(Vec<walnutlug_scheduler::protocol::key_value::KeyValue>, u64), KeyValueError> {
+pub(super) async fn retry(node: &Rc<Node>, prefix: &str) -> Result<Listing, KeyValueError> {
     let mut tries = 0;
     loop {
         match node.key_value.list(RequestClass::Dispatch, prefix).await {
@@ -457,7 +466,7 @@
                 }
                 node.wake_leader();
             }
-            Err(KeyValueError::Expired) => {
+            Err(KeyValueError::Expired { .. }) => {
                 node.step_down("the watch lost its place: the records are read again");
                 return;
             }
@@ -523,8 +532,8 @@
                 node.step_down("no worker reaches this node, but they reach others");
                 return;
             }
-            let (left, most) = node.key_value.write_allowance();
-            s.set_write_allowance(left, most);
+            let allowance = node.key_value.write_allowance();
+            s.set_write_allowance(allowance.now, allowance.most);
             let limits = node.key_value.limits();
             s.set_limits(limits.value_bytes, limits.txn_ops);
             // By this node's own clock, and from before the request was sent, so never too long.
--- a/crates/controller/src/node/machine_types_role.rs
+++ b/crates/controller/src/node/machine_types_role.rs
@@ -123,9 +123,9 @@
         info!(role = ROLE.name(), "given up for a node that doesn't lead");
         return give_up(node, id).await;
     }
-    match node.key_value.touch(id).await {
+    match node.key_value.renew_lease(id).await {
         Ok(()) => role.step(LeaseInput::Renewed { sent: now }),
-        Err(KeyValueError::Expired) => {
+        Err(KeyValueError::Expired { .. }) => {
             *role.lease_id.borrow_mut() = None;
             role.step(LeaseInput::Ended);
         }
@@ -136,7 +136,7 @@
 async fn give_up(node: &Node, id: u64) {
     node.machine_types_role.step(LeaseInput::Ended);
     *node.machine_types_role.lease_id.borrow_mut() = None;
-    let _ = node.key_value.release(id).await;
+    let _ = node.key_value.revoke_lease(id).await;
 }
 
 /// Looks who holds the duty, and takes it if nobody does.
@@ -174,14 +174,14 @@
     let own_name = holding.holder.node == node.settings.node_name;
     if own_name && holding.holder.incarnation != node.election_nonce {
         // This node's former life held it; nobody does now.
-        let _ = node.key_value.release(holding.holder.lease).await;
+        let _ = node.key_value.revoke_lease(holding.holder.lease).await;
     }
 }
 
 async fn acquire(node: &Rc<Node>) {
     let role = &node.machine_types_role;
     let sent = node.now();
-    let Ok(id) = node.key_value.lease(Duration::from_micros(LEASE.0)).await else { return };
+    let Ok(id) = node.key_value.grant_lease(Duration::from_micros(LEASE.0)).await else { return };
     role.step(LeaseInput::Granted { sent });
     match create_key(node, id).await {
         Some(revision) => {
@@ -191,7 +191,7 @@
         None => {
             role.step(LeaseInput::Failed);
             // Ending the lease ends whatever a late copy of the transaction might yet create.
-            let _ = node.key_value.release(id).await;
+            let _ = node.key_value.revoke_lease(id).await;
         }
     }
 }
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -59,7 +59,7 @@
     store.fault(Fault::Down);
     tokio::time::advance(PEER_FRESH + Duration::from_secs(1)).await;
     let _ = node.key_value.get(RequestClass::Poll, "x").await;
-    assert!(node.key_value.down());
+    assert!(node.key_value.is_down());
     assert!(!node.ready(), "alone with an unserved state");
     let asked = store.asked.get();
     let before = Instant::now();
@@ -70,7 +70,7 @@
     // The leader's own probe finds the service again.
     store.fault(Fault::None);
     let _ = node.key_value.get(RequestClass::Leadership, "x").await;
-    assert!(!node.key_value.down() && node.ready());
+    assert!(!node.key_value.is_down() && node.ready());
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/controller/src/settings.rs
+++ b/crates/controller/src/settings.rs
@@ -278,7 +278,7 @@
             Value::Object(_) => Some(r.limits("facts.state.next", Some(state_limits))),
             _ => r.fault("facts.state.next", "must be an object"),
         };
-        let smaller = state_next.map_or(state_limits, |next| next.least(state_limits));
+        let smaller = state_next.map_or(state_limits, |next| next.smaller_of_each(state_limits));
         let cloud_rps = r.number("facts.cloud.rps", 0.1, 1.0e6);
         let list_lag_s = r.number("facts.cloud.list_lag_s", 0.0, 3_600.0);
         let fd_limit = r.number("facts.resources.fd_limit", 1.0, 1.0e7);
--- a/crates/controller/src/user_api.rs
+++ b/crates/controller/src/user_api.rs
@@ -27,7 +27,7 @@
 use job_checks::check;
 
 use crate::http::server::Answer;
-use crate::key_value_client::{KeyValueClient, RequestClass};
+use crate::key_value_client::{KeyValueClient, KeyValueError, RequestClass};
 use crate::node::Node;
 use crate::peers::Frame;
 
@@ -193,7 +193,7 @@
     if let Some(fault) = fault {
         return refuse_new(&node, &name, fault).await;
     }
-    if node.key_value.down() {
+    if node.key_value.is_down() {
         return Answer::later("the state service can't be reached");
     }
     let mut spec = spec;
@@ -220,7 +220,7 @@
     // What can't be written in time is told so at once, and when to come again.
     let lane = node.tunables.shared_order.then(|| (spec.team.clone(), spec.priority));
     let ahead = node.user_api.submissions.borrow().ahead_of(&lane);
-    let wait = node.key_value.write_delay(2 * ahead);
+    let wait = node.key_value.submission_delay(2 * ahead);
     if wait > DECIDE_WITHIN {
         return Answer::later_by(wait.as_secs() as u32, "too many submissions at once");
     }
@@ -248,7 +248,7 @@
 /// Refuses what can never run, unless it was accepted once: then it is never refused, whatever has
 /// changed since.
 async fn refuse_new(node: &Rc<Node>, name: &str, fault: String) -> Answer {
-    if node.key_value.down() {
+    if node.key_value.is_down() {
         return Answer::later("the state service can't be reached");
     }
     match node.key_value.get(RequestClass::Submission, &keys::job(name)).await {
@@ -260,7 +260,17 @@
             node.user_api.learn(name, Known::Accepted(None));
             known_answer(node, name).await
         }
-        Err(e) => Answer::later(&e.to_string()),
+        Err(error) => Answer::later(user_text(&error)),
+    }
+}
+
+/// How users are told of a fault of the store; they may compare the texts.
+fn user_text(error: &KeyValueError) -> &'static str {
+    match error {
+        KeyValueError::Rejected { .. } => "the state service refuses",
+        KeyValueError::Indeterminate { .. } => "the state service does not answer",
+        KeyValueError::Expired { .. } => "gone",
+        KeyValueError::InvalidResponse { .. } => "a bad answer",
     }
 }
 
@@ -491,7 +501,7 @@
     if let Some(end) = node.user_api.ended(name) {
         return Status::Ended(end);
     }
-    if node.key_value.down() {
+    if node.key_value.is_down() {
         return Status::Unclear;
     }
     let (reply, answer) = oneshot::channel();
--- a/crates/controller/src/user_api/job_checks.rs
+++ b/crates/controller/src/user_api/job_checks.rs
@@ -125,7 +125,7 @@
                         node.user_api.learn(name, Known::Accepted(None));
                         any = true;
                     } else if let Some(name) = key.strip_prefix(keys::END) {
-                        if let Ok(Some(end)) = node.key_value.end(name).await {
+                        if let Ok(Some(end)) = node.key_value.job_end(name).await {
                             node.learn_end(name, end);
                             any = true;
                         }
@@ -164,7 +164,7 @@
         }
         return Ok(());
     }
-    let (key_values, _) = node.key_value.list(class, keys::CHAINED).await?;
+    let key_values = node.key_value.list(class, keys::CHAINED).await?.key_values;
     for key_value in &key_values {
         if let Some(name) = key_value.key.strip_prefix(keys::CHAINED) {
             node.user_api.learn(name, Known::Accepted(Some(needs_of(&key_value.value))));
@@ -200,7 +200,7 @@
             }
             TransactionOutcome::Conflict { failed } => {
                 for name in failed.iter().filter_map(|k| k.strip_prefix(keys::END)) {
-                    if let Ok(Some(end)) = node.key_value.end(name).await {
+                    if let Ok(Some(end)) = node.key_value.job_end(name).await {
                         node.learn_end(name, end);
                         any = true;
                     }
