--- a/crates/controller/src/cloud_client.rs
+++ b/crates/controller/src/cloud_client.rs
@@ -1,28 +1,23 @@
-//! The cloud: renting, returning, listing, within its rate.
+//! The client of the cloud: machine types, scale out, scale in and the list of machines, within the
+//! cloud's rate.
+
+mod pacer;
+mod request;
 
-use std::cell::RefCell;
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 use std::time::Duration;
 
-use tokio::time::{sleep, Instant};
+use serde::de::DeserializeOwned;
+use tokio::time::sleep;
 use walnutlug_scheduler::protocol::cloud::{
     ListedMachine, MachineIds, MachineList, MachineType, MachineTypes, ScaleOutRequest,
 };
 
 use crate::http::client::{Client, Failure, Response};
+use pacer::Pacer;
 
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CloudError {
-    /// No machine of this kind to be had.
-    NoCapacity,
-    /// Refused for another reason; certainly not carried out.
-    Refused,
-    /// Nothing was sent: there was no connection, or it was not to be sent any more.
-    NotSent,
-    /// No usable answer; the request may have been carried out, or may be later.
-    Unknown,
-}
+pub use request::{CloudError, CloudRequest, NotSent, Rejection, UnusableAnswer};
 
 /// Whether a request may still be sent, asked directly before it is.
 pub type MaySend<'a> = &'a dyn Fn() -> bool;
@@ -34,128 +29,130 @@
 
 /// Machines in a list, many times those of any fleet.
 const MAX_LISTED: usize = 50_000;
-
+/// How long an answer is waited for.
+const TIMEOUT: Duration = Duration::from_secs(5);
+/// Times that a request is sent which the cloud refuses for its rate.
+const MAX_ATTEMPTS: u32 = 4;
+/// Pause after such a refusal, in milliseconds.
+const RATE_REFUSAL_PAUSE_MS: std::ops::Range<u64> = 300..900;
+/// How the cloud's answer names a lack of machines.
+const NO_CAPACITY: &str = "no capacity";
+
+/// The client of the cloud.
 pub struct CloudClient {
     client: Rc<Client>,
     addr: SocketAddrV4,
-    rps: f64,
-    next: RefCell<Instant>,
+    pacer: Pacer,
 }
 
 impl CloudClient {
-    pub fn new(client: Rc<Client>, addr: SocketAddrV4, rps: f64) -> CloudClient {
-        CloudClient { client, addr, rps, next: RefCell::new(Instant::now()) }
+    /// A client of the cloud at that address, which takes so many requests per second.
+    pub fn new(client: Rc<Client>, addr: SocketAddrV4, requests_per_s: f64) -> CloudClient {
+        CloudClient { client, addr, pacer: Pacer::new(requests_per_s) }
     }
 
-    async fn ask(
+    async fn send(
         &self,
-        method: &str,
-        path: &str,
+        request: &CloudRequest,
         body: &[u8],
         may_send: MaySend<'_>,
     ) -> Result<Response, CloudError> {
-        for _ in 0..4 {
-            let at = {
-                let mut next = self.next.borrow_mut();
-                let now = Instant::now();
-                // The cloud allows bursts worth two seconds; half of that is used.
-                let earliest = now.checked_sub(Duration::from_secs(1)).unwrap_or(now);
-                let at = (*next).max(earliest);
-                *next = at + Duration::from_secs_f64(1.0 / (self.rps * 0.8));
-                at
-            };
-            tokio::time::sleep_until(at).await;
-            let within = Duration::from_secs(5);
-            match self.client.request_if(self.addr, method, path, body, within, may_send).await {
-                Ok(r) if r.status == 429 => {
-                    sleep(Duration::from_millis(rand::random_range(300..900))).await;
+        let (method, path) = (request.method(), request.path());
+        for _ in 0..MAX_ATTEMPTS {
+            self.pacer.wait().await;
+            let answer =
+                self.client.request_if(self.addr, method, &path, body, TIMEOUT, may_send).await;
+            match answer {
+                Ok(response) if response.status == 429 => {
+                    let pause = rand::random_range(RATE_REFUSAL_PAUSE_MS);
+                    sleep(Duration::from_millis(pause)).await;
                 }
-                Ok(r) => return Ok(r),
-                Err(Failure::NotSent) => return Err(CloudError::NotSent),
-                Err(Failure::Lost) => return Err(CloudError::Unknown),
+                Ok(response) => return Ok(response),
+                Err(failure) => return Err(unanswered(request, failure)),
             }
         }
-        Err(CloudError::Refused)
+        Err(rejected(request, Rejection::RateUsedUp))
     }
 
+    /// The machine types that the cloud offers, but for those that make no sense.
     pub async fn types(&self) -> Result<Vec<MachineType>, CloudError> {
-        let r = self.ask("GET", "/machine_types", b"", &always).await?;
-        if r.status != 200 {
-            return Err(CloudError::Unknown);
-        }
-        let types: MachineTypes =
-            serde_json::from_slice(&r.body).map_err(|_| CloudError::Unknown)?;
+        let request = CloudRequest::Types;
+        let response = self.send(&request, b"", &always).await?;
+        let types: MachineTypes = read(&request, &response)?;
         Ok(usable_types(types.types))
     }
 
-    /// Rents machines. If no answer comes the request is sent once more: under the same name it gets the
-    /// same answer and rents nothing twice.
+    /// Rents machines, and returns their names. If no answer comes the request is sent once more: under
+    /// the same name it gets the same answer and rents nothing twice.
     pub async fn scale_out(
         &self,
         request: &ScaleOutRequest,
         may_send: MaySend<'_>,
     ) -> Result<Vec<String>, CloudError> {
+        let first = self.scale_out_once(request, may_send).await;
+        if !matches!(first, Err(CloudError::Indeterminate { .. })) {
+            return first;
+        }
         match self.scale_out_once(request, may_send).await {
-            Err(CloudError::Unknown) => match self.scale_out_once(request, may_send).await {
-                Err(CloudError::Refused | CloudError::NotSent) => Err(CloudError::Unknown),
-                second => second,
-            },
-            first => first,
+            Err(error @ (CloudError::Rejected { .. } | CloudError::NotSent { .. })) => {
+                let request = scale_out_request(request);
+                Err(indeterminate(&request, UnusableAnswer::RepetitionFailed(Box::new(error))))
+            }
+            second => second,
         }
     }
 
     async fn scale_out_once(
         &self,
-        request: &ScaleOutRequest,
+        scale_out: &ScaleOutRequest,
         may_send: MaySend<'_>,
     ) -> Result<Vec<String>, CloudError> {
-        let body = serde_json::to_vec(request).map_err(|_| CloudError::NotSent)?;
-        let r = self.ask("POST", "/machines", &body, may_send).await?;
-        match r.status {
-            200 => serde_json::from_slice::<MachineIds>(&r.body)
-                .map(|n| n.machines)
-                .map_err(|_| CloudError::Unknown),
-            503 if String::from_utf8_lossy(&r.body).contains("no capacity") => {
-                Err(CloudError::NoCapacity)
+        let request = scale_out_request(scale_out);
+        let body = match serde_json::to_vec(scale_out) {
+            Ok(body) => body,
+            Err(error) => return Err(CloudError::NotSent { request, source: error.into() }),
+        };
+        let response = self.send(&request, &body, may_send).await?;
+        match response.status {
+            200 => Ok(read::<MachineIds>(&request, &response)?.machines),
+            503 if String::from_utf8_lossy(&response.body).contains(NO_CAPACITY) => {
+                Err(CloudError::NoCapacity { request })
             }
-            _ => Err(CloudError::Refused),
+            status => Err(rejected(&request, Rejection::Status(status))),
         }
     }
 
-    /// Returns machines. Once this is `Ok` they are gone.
+    /// Returns machines to the cloud. Once this is `Ok` they are gone.
     pub async fn terminate(
         &self,
         machines: &[String],
         may_send: MaySend<'_>,
     ) -> Result<(), CloudError> {
-        let names = MachineIds { machines: machines.to_vec() };
-        let body = serde_json::to_vec(&names).map_err(|_| CloudError::NotSent)?;
-        let r = self.ask("POST", "/machines/return", &body, may_send).await?;
-        if r.status == 200 {
-            Ok(())
-        } else {
-            Err(CloudError::Refused)
+        let request = CloudRequest::Terminate { count: machines.len() };
+        let body = match serde_json::to_vec(&MachineIds { machines: machines.to_vec() }) {
+            Ok(body) => body,
+            Err(error) => return Err(CloudError::NotSent { request, source: error.into() }),
+        };
+        let response = self.send(&request, &body, may_send).await?;
+        match response.status {
+            200 => Ok(()),
+            status => Err(rejected(&request, Rejection::Status(status))),
         }
     }
 
+    /// All machines of the cloud, read page by page.
     pub async fn list(&self) -> Result<Vec<ListedMachine>, CloudError> {
         let mut all: Vec<ListedMachine> = Vec::new();
         loop {
-            let from = match all.last() {
-                Some(m) => format!("from={}&", m.name),
-                None => String::new(),
-            };
-            let r = self.ask("GET", &format!("/machines?{from}most=500"), b"", &always).await?;
-            if r.status != 200 {
-                return Err(CloudError::Unknown);
-            }
-            let page: MachineList =
-                serde_json::from_slice(&r.body).map_err(|_| CloudError::Unknown)?;
+            let last = all.last().map(|machine| machine.name.clone());
+            let request = CloudRequest::List { from: last.clone() };
+            let response = self.send(&request, b"", &always).await?;
+            let page: MachineList = read(&request, &response)?;
             // Ordered by name, each page beginning after the last: a page that doesn't go on from
             // there would be asked for for ever.
-            let last = all.last().map(|m: &ListedMachine| m.name.clone()).unwrap_or_default();
+            let last = last.unwrap_or_default();
             let before = all.len();
-            all.extend(page.machines.into_iter().filter(|m| m.name > last));
+            all.extend(page.machines.into_iter().filter(|machine| machine.name > last));
             all.dedup_by(|a, b| a.name == b.name);
             if !page.more || all.len() == before || all.len() > MAX_LISTED {
                 return Ok(all);
@@ -164,19 +161,52 @@
     }
 }
 
-/// Drops what can't be reckoned with, so that nonsense from the cloud never reaches a decision.
+fn scale_out_request(scale_out: &ScaleOutRequest) -> CloudRequest {
+    let ScaleOutRequest { kind, zone, count, .. } = scale_out;
+    CloudRequest::ScaleOut { kind: kind.clone(), zone: zone.clone(), count: *count }
+}
+
+fn rejected(request: &CloudRequest, source: Rejection) -> CloudError {
+    CloudError::Rejected { request: request.clone(), source }
+}
+
+fn indeterminate(request: &CloudRequest, source: UnusableAnswer) -> CloudError {
+    CloudError::Indeterminate { request: request.clone(), source }
+}
+
+fn unanswered(request: &CloudRequest, failure: Failure) -> CloudError {
+    match failure {
+        Failure::NotSent => {
+            CloudError::NotSent { request: request.clone(), source: NotSent::Http(failure) }
+        }
+        Failure::Lost => indeterminate(request, UnusableAnswer::Http(failure)),
+    }
+}
+
+/// The body of an answer that has to have status 200.
+fn read<T: DeserializeOwned>(request: &CloudRequest, response: &Response) -> Result<T, CloudError> {
+    if response.status != 200 {
+        return Err(indeterminate(request, UnusableAnswer::Status(response.status)));
+    }
+    serde_json::from_slice(&response.body).map_err(|error| indeterminate(request, error.into()))
+}
+
+/// Leaves out what can't be reckoned with, so that nonsense from the cloud never reaches a decision.
 pub fn usable_types(types: Vec<MachineType>) -> Vec<MachineType> {
-    let sane = |x: f64| x.is_finite() && x >= 0.0;
-    let (good, odd): (Vec<_>, Vec<_>) = types.into_iter().partition(|t| {
-        !t.name.is_empty()
-            && t.cpus > 0.0
-            && [t.cpus, t.gpus, t.memory_gb, t.price, t.spot_price, t.boot_s].into_iter().all(sane)
-            && !t.zones.is_empty()
-    });
-    for t in odd {
-        tracing::warn!("machine type {:?} makes no sense and is left out", t.name);
+    let (usable, unusable): (Vec<_>, Vec<_>) = types.into_iter().partition(is_usable);
+    for machine_type in unusable {
+        tracing::warn!(machine_type = ?machine_type.name, "a machine type makes no sense and is left out");
     }
-    good
+    usable
+}
+
+fn is_usable(machine_type: &MachineType) -> bool {
+    let MachineType { cpus, gpus, memory_gb, price, spot_price, boot_s, .. } = *machine_type;
+    let amounts = [cpus, gpus, memory_gb, price, spot_price, boot_s];
+    !machine_type.name.is_empty()
+        && cpus > 0.0
+        && amounts.into_iter().all(|amount| amount.is_finite() && amount >= 0.0)
+        && !machine_type.zones.is_empty()
 }
 
 #[cfg(test)]
--- a/crates/controller/src/cloud_client/golden_tests.rs
+++ b/crates/controller/src/cloud_client/golden_tests.rs
@@ -1,6 +1,8 @@
 //! Every request to the cloud, as it is sent, and what is read of its answers. Kept in
 //! `golden/requests.txt`.
 
+use std::cell::RefCell;
+
 use walnutlug_scheduler::protocol::cloud::CloudMachineState;
 
 use super::*;
@@ -70,21 +72,22 @@
 async fn rent_requests() -> Vec<(&'static str, String)> {
     let rented = Scripted::new(&[(200, r#"{"trees":["n-000231","n-000232"]}"#)]);
     let names = rented.cloud.scale_out(&scale_out(), &always).await;
-    assert!(names == Ok(vec!["n-000231".into(), "n-000232".into()]), "rent: the names");
+    assert!(names.expect("names") == ["n-000231", "n-000232"], "rent: the names");
     // An answer that can't be read: asked once more under the same name.
     let again = Scripted::new(&[(200, "?"), (503, r#"{"error":"no capacity"}"#)]);
     let answer = again.cloud.scale_out(&scale_out(), &always).await;
-    assert!(answer == Err(CloudError::NoCapacity), "rent: no capacity");
+    assert!(matches!(answer, Err(CloudError::NoCapacity { .. })), "rent: no capacity");
     let refused = Scripted::new(&[(503, r#"{"error":"trouble"}"#)]);
     let answer = refused.cloud.scale_out(&scale_out(), &always).await;
-    assert!(answer == Err(CloudError::Refused), "rent: refused");
+    assert!(matches!(answer, Err(CloudError::Rejected { .. })), "rent: refused");
     vec![("rent", rented.asked()), ("rent, twice", again.asked())]
 }
 
 async fn return_request() -> (&'static str, String) {
     let scripted = Scripted::new(&[(200, "{}")]);
     let names = ["n-000231".to_owned(), "n-000232".to_owned()];
-    assert!(scripted.cloud.terminate(&names, &always).await == Ok(()), "return");
+    let answer = scripted.cloud.terminate(&names, &always).await;
+    assert!(matches!(answer, Ok(())), "return");
     ("return", scripted.asked())
 }
 
--- a/crates/controller/src/heartbeat_delegation.rs
+++ b/crates/controller/src/heartbeat_delegation.rs
@@ -22,7 +22,7 @@
     DelegationGranted, DelegationRequest, ForwardedHeartbeat, ForwardedResponse, Frame,
     RepeatedHeartbeat, MAX_CARRIED, MAX_ENTRIES,
 };
-use crate::worker_api::{self, WorkerConnection};
+use crate::worker_api::{self, CacheableResponse, Repetition, WorkerConnection};
 
 /// How often the leader is told which machines repeated their heartbeats; they report every few seconds.
 const HEARD_EVERY: Duration = Duration::from_millis(500);
@@ -131,7 +131,7 @@
 
 /// The token with which a follower may answer the heartbeat, if it repeats a settled one.
 pub fn repeated(node: &Node, connection: &WorkerConnection, body: &[u8]) -> Option<u64> {
-    let (cached, sequence) = connection.repeated_by(body)?;
+    let Repetition { cached, sequence } = connection.repetition(body)?;
     let token = node.serving.leader.borrow().cached_response_token(node.now(), cached)?;
     let heard = RepeatedHeartbeat { machine: cached.machine, number: cached.number, sequence };
     node.serving.heard.borrow_mut().push(heard);
@@ -165,7 +165,7 @@
     let cache_entry =
         cache_entry.filter(|cache_entry| serving.leader.borrow_mut().add(node.now(), cache_entry));
     connection.remember(body, cache_entry.map(|cache_entry| cache_entry.cached));
-    Some(Answer { status: 200, body: answer?, retry_after: None, close: false, idle: None })
+    Some(Answer::bytes(200, answer?))
 }
 
 /// Keeps up this node's part: as a follower it tells the leader who was heard and asks for grants, as
@@ -300,16 +300,13 @@
     let Some((place, holder)) = peer_place(node, &forwarded.node) else { return };
     let (answer, cache_entry) =
         match worker_api::handle_forwarded_heartbeat(node, &forwarded.heartbeat, holder) {
-            Some(read) => (Some(read.body), read.cache_entry),
-            None => (None, None),
+            Ok(handled) => (Some(handled.body), handled.cacheable),
+            Err(_) => (None, None),
         };
     send_invalidations(node);
     let invalidated = |term| *node.serving.followers.borrow_mut()[place].invalidated_under(term);
-    let cache_entry = cache_entry.map(|(cached, token, valid_for)| CacheGrant {
-        cached,
-        token,
-        valid_for,
-        invalidated: invalidated(cached.term),
+    let cache_entry = cache_entry.map(|CacheableResponse { cached, token, valid_for }| {
+        CacheGrant { cached, token, valid_for, invalidated: invalidated(cached.term) }
     });
     let answer = answer.filter(|body| body.len() <= MAX_CARRIED);
     let (asker_incarnation, number) = (forwarded.incarnation, forwarded.number);
--- a/crates/controller/src/http/server.rs
+++ b/crates/controller/src/http/server.rs
@@ -39,14 +39,13 @@
 }
 
 impl Answer {
+    /// An answer that leaves the connection as it is. The body is JSON.
+    pub fn bytes(status: u16, body: Vec<u8>) -> Answer {
+        Answer { status, body, retry_after: None, close: false, idle: None }
+    }
+
     pub fn json(status: u16, value: &Value) -> Answer {
-        Answer {
-            status,
-            body: value.to_string().into_bytes(),
-            retry_after: None,
-            close: false,
-            idle: None,
-        }
+        Answer::bytes(status, value.to_string().into_bytes())
     }
 
     pub fn error(status: u16, text: impl Into<String>) -> Answer {
--- a/crates/controller/src/node/fleet_role.rs
+++ b/crates/controller/src/node/fleet_role.rs
@@ -218,9 +218,9 @@
     let answer = node.cloud.scale_out(&scale_out.request(), &|| holds(&node, term)).await;
     let outcome = match &answer {
         Ok(_) => ActionAnswer::Done,
-        Err(CloudError::NoCapacity | CloudError::Refused) => ActionAnswer::Refused,
-        Err(CloudError::NotSent) => ActionAnswer::NotSent,
-        Err(CloudError::Unknown) => ActionAnswer::Unknown,
+        Err(CloudError::NoCapacity { .. } | CloudError::Rejected { .. }) => ActionAnswer::Refused,
+        Err(CloudError::NotSent { .. }) => ActionAnswer::NotSent,
+        Err(CloudError::Indeterminate { .. }) => ActionAnswer::Unknown,
     };
     let rented = answer.as_deref().unwrap_or_default();
     with_intent_log(&node, term, |intent_log| intent_log.answered(node.now(), id, outcome, rented));
@@ -228,14 +228,16 @@
         let ScaleOut { kind, zone, spot, count, .. } = &scale_out;
         match answer {
             Ok(names) => s.scale_out_answered(now, kind, zone, *spot, *count, Ok(names)),
-            Err(CloudError::NoCapacity) => {
+            Err(CloudError::NoCapacity { .. }) => {
                 s.scale_out_answered(now, kind, zone, *spot, *count, Ok(Vec::new()))
             }
-            Err(CloudError::Refused) => {
+            Err(CloudError::Rejected { .. }) => {
                 s.scale_out_answered(now, kind, zone, *spot, *count, Err(()))
             }
             // It is sent again, and the machines may come.
-            Err(CloudError::NotSent | CloudError::Unknown) => s.cloud_in_trouble(now),
+            Err(CloudError::NotSent { .. } | CloudError::Indeterminate { .. }) => {
+                s.cloud_in_trouble(now)
+            }
         }
     });
 }
@@ -245,9 +247,9 @@
     let answer = node.cloud.terminate(&names, &|| holds(&node, term)).await;
     let outcome = match answer {
         Ok(()) => ActionAnswer::Done,
-        Err(CloudError::NoCapacity | CloudError::Refused) => ActionAnswer::Refused,
-        Err(CloudError::NotSent) => ActionAnswer::NotSent,
-        Err(CloudError::Unknown) => ActionAnswer::Unknown,
+        Err(CloudError::NoCapacity { .. } | CloudError::Rejected { .. }) => ActionAnswer::Refused,
+        Err(CloudError::NotSent { .. }) => ActionAnswer::NotSent,
+        Err(CloudError::Indeterminate { .. }) => ActionAnswer::Unknown,
     };
     if outcome != ActionAnswer::Done {
         debug!("machines not returned yet: {outcome:?}");
--- a/crates/controller/src/node/leader.rs
+++ b/crates/controller/src/node/leader.rs
@@ -646,8 +646,12 @@
 async fn scale_out_unfenced(node: Rc<Node>, term: u64, scale_out: ScaleOutRequest) {
     let answer = match node.cloud.scale_out(&scale_out, &|| true).await {
         Ok(names) => Ok(names),
-        Err(CloudError::NoCapacity) => Ok(Vec::new()),
-        Err(CloudError::Refused | CloudError::NotSent | CloudError::Unknown) => Err(()),
+        Err(CloudError::NoCapacity { .. }) => Ok(Vec::new()),
+        Err(
+            CloudError::Rejected { .. }
+            | CloudError::NotSent { .. }
+            | CloudError::Indeterminate { .. },
+        ) => Err(()),
     };
     with_scheduler(&node, term, |s, now| {
         s.scale_out_answered(
--- a/crates/controller/src/node/machine_types.rs
+++ b/crates/controller/src/node/machine_types.rs
@@ -58,7 +58,7 @@
             }
             node.ready_once.set(true);
         }
-        Err(e) => debug!("machine types: {e:?}"),
+        Err(error) => debug!(%error, "the machine types can't be read"),
     }
 }
 
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -220,8 +220,8 @@
 
 /// Whether the connection takes a heartbeat for its last one again.
 fn remembers(last: &WorkerConnection, sequence: u64, token: u64) -> bool {
-    last.repeated_by(report_of(sequence, token).as_bytes())
-        .is_some_and(|(_, found)| found == sequence)
+    last.repetition(report_of(sequence, token).as_bytes())
+        .is_some_and(|repetition| repetition.sequence == sequence)
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/controller/src/worker_api.rs
+++ b/crates/controller/src/worker_api.rs
@@ -1,12 +1,13 @@
-//! The workers: their heartbeats, and commands sent to them directly.
+//! The workers' API: their heartbeats, answered by the leader or by a follower on its behalf, and the
+//! commands that are sent to them.
 
-use std::net::SocketAddrV4;
-use std::time::Duration;
+mod commands;
+mod connection;
+mod parsing;
 
-use walnutlug_scheduler::command::MessageOutcome;
 use walnutlug_scheduler::leadership::election::Role;
 use walnutlug_scheduler::protocol::workers::{
-    CommandsRequest, Heartbeat, HeartbeatResponse, Redirect, WorkerCommand,
+    Heartbeat, HeartbeatResponse, Redirect, WorkerCommand,
 };
 use walnutlug_scheduler::reconciliation::repeated_heartbeats::{
     CacheHolder, CachedHeartbeat, OWN_NODE,
@@ -14,39 +15,47 @@
 use walnutlug_scheduler::time::TimeDelta;
 
 use crate::heartbeat_delegation;
-use crate::http::client::{Client, Failure};
 use crate::http::server::Answer;
 use crate::node::Node;
 
-mod connection;
+pub use commands::send_commands;
 use connection::sequence_in;
-pub use connection::WorkerConnection;
+pub use connection::{Repetition, WorkerConnection};
+use parsing::parse_heartbeat;
+pub use parsing::HeartbeatError;
+
+/// Why this node may not answer a heartbeat; the worker should go elsewhere.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+pub enum NotAnswerable {
+    /// It doesn't lead, or hasn't read the records yet.
+    #[error("this node does not lead")]
+    NotLeading,
+    /// An answer would renew the worker's lease, which is not safe now.
+    #[error("this node may not renew leases now")]
+    LeasesNotRenewed,
+}
 
-/// Reads a heartbeat; what is malformed changes nothing.
-fn parse(body: &[u8]) -> Result<Heartbeat, String> {
-    let heartbeat: Heartbeat = serde_json::from_slice(body).map_err(|e| e.to_string())?;
-    if heartbeat.machine.is_empty() || heartbeat.machine.len() > 64 {
-        return Err("tree: must have 1 to 64 bytes".to_owned());
-    }
-    if heartbeat.address.parse::<SocketAddrV4>().is_err() {
-        return Err("address: must be an IPv4 address and a port".to_owned());
-    }
-    if heartbeat.interruption_notice_s.is_some_and(|s| !s.is_finite()) {
-        return Err("shakeS: must be a number".to_owned());
-    }
-    Ok(heartbeat)
+/// Why a forwarded heartbeat has no answer.
+#[derive(Debug, thiserror::Error)]
+pub enum ForwardedHeartbeatError {
+    #[error("malformed heartbeat: {0}")]
+    Malformed(#[from] HeartbeatError),
+    #[error(transparent)]
+    NotAnswerable(#[from] NotAnswerable),
+    #[error("the answer can't be written: {0}")]
+    Response(#[from] serde_json::Error),
 }
 
 /// Answers a worker's heartbeat, as the leader or on its behalf.
 pub async fn heartbeat(node: &Node, connection: &WorkerConnection, body: &[u8]) -> Answer {
-    let first = connection.count(&node.serving.workers);
-    // Not with its first heartbeat: a worker that can't reach the other node comes back at once, and its
-    // lease must not run out between two nodes that send it to each other.
-    let other = if first { None } else { node.serving.another_node_for(body.len()) };
-    if let Some(other) = other {
-        return redirect_to(Some(other));
+    let is_first = connection.record_heartbeat(&node.serving.workers);
+    // Not with its first heartbeat: a worker that can't reach the other node comes back at once, and
+    // its lease must not expire between two nodes that send it to each other.
+    let other_node = if is_first { None } else { node.serving.another_node_for(body.len()) };
+    if other_node.is_some() {
+        return redirect_to(other_node);
     }
-    if matches!(node.leadership.borrow().role(), Role::Leader { .. }) {
+    if leads(node) {
         return answer_heartbeat(node, connection, body);
     }
     if let Some(token) = heartbeat_delegation::repeated(node, connection, body) {
@@ -63,23 +72,27 @@
     if let Some(token) = cached_response_token(node, connection, body) {
         return accepted(token, Vec::new());
     }
-    let heartbeat = match parse(body) {
+    let heartbeat = match parse_heartbeat(body) {
         Ok(heartbeat) => heartbeat,
-        Err(e) => return Answer::error(400, e),
+        Err(error) => return Answer::error(400, error.to_string()),
     };
-    let Some(read) = handle_heartbeat(node, body, &heartbeat, OWN_NODE) else {
+    let Ok(handled) = handle_heartbeat(node, body, &heartbeat, OWN_NODE) else {
         return redirect(node);
     };
-    connection.remember(body, read.cached);
+    connection.remember(body, handled.cached);
     node.wake_leader();
-    accepted(read.token, read.calls)
+    accepted(handled.token, handled.calls)
+}
+
+fn leads(node: &Node) -> bool {
+    matches!(node.leadership.borrow().role(), Role::Leader { .. })
 }
 
-/// The token to answer with, if the heartbeat is the connection's last one again and that left nothing
+/// The token to answer with, if the heartbeat repeats the connection's last one and that left nothing
 /// to do. Nothing is to be decided then either, so the leader isn't woken.
 fn cached_response_token(node: &Node, connection: &WorkerConnection, body: &[u8]) -> Option<u64> {
-    let (cached, sequence) = connection.repeated_by(body)?;
-    if !matches!(node.leadership.borrow().role(), Role::Leader { .. }) {
+    let Repetition { cached, sequence } = connection.repetition(body)?;
+    if !leads(node) {
         return None;
     }
     let now = node.now();
@@ -89,69 +102,95 @@
     scheduler.answer_repeated_heartbeat(now, cached, sequence)
 }
 
-/// The leader's answer to a heartbeat, and the mark if it left nothing to do.
+/// The leader's answer to a heartbeat.
 struct HandledHeartbeat {
     token: u64,
     calls: Vec<WorkerCommand>,
+    /// Under which the heartbeat's repetitions are answered, if it left nothing to do.
     cached: Option<CachedHeartbeat>,
 }
 
-/// Reads a heartbeat that may say something new. `None`: this node may not answer it.
+/// Gives the scheduler a heartbeat that may say something new.
 fn handle_heartbeat(
     node: &Node,
     body: &[u8],
     heartbeat: &Heartbeat,
     holder: CacheHolder,
-) -> Option<HandledHeartbeat> {
+) -> Result<HandledHeartbeat, NotAnswerable> {
     // While the records aren't read yet, an answer would renew the lease of tasks that were cancelled
     // while nobody could write or read, perhaps almost as long ago as they may take to go.
-    if !matches!(node.leadership.borrow().role(), Role::Leader { .. }) {
-        return None;
+    if !leads(node) {
+        return Err(NotAnswerable::NotLeading);
     }
     let now = node.now();
     let mut scheduler = node.scheduler.borrow_mut();
-    let scheduler = scheduler.as_mut()?;
+    let scheduler = scheduler.as_mut().ok_or(NotAnswerable::NotLeading)?;
     scheduler.cancellations_known_until = node.cancellations_known_until();
     node.log_lease_renewal(scheduler.may_renew_leases(now));
-    let (token, calls) = scheduler.heartbeat(now, heartbeat)?;
+    let (token, calls) =
+        scheduler.heartbeat(now, heartbeat).ok_or(NotAnswerable::LeasesNotRenewed)?;
     // The number found in the text has to be the one that was read.
-    let may_settle = calls.is_empty() && sequence_in(body) == Some(heartbeat.sequence);
-    let cached = may_settle.then(|| scheduler.cache_heartbeat(now, heartbeat, holder)).flatten();
-    Some(HandledHeartbeat { token, calls, cached })
+    let is_cacheable = calls.is_empty() && sequence_in(body) == Some(heartbeat.sequence);
+    let cached = is_cacheable.then(|| scheduler.cache_heartbeat(now, heartbeat, holder)).flatten();
+    Ok(HandledHeartbeat { token, calls, cached })
 }
 
-/// The leader's answer to a heartbeat that a follower passed on.
+/// The answer with which a follower may answer a heartbeat's repetitions.
+#[derive(Debug, Clone, Copy)]
+pub struct CacheableResponse {
+    /// The heartbeat.
+    pub cached: CachedHeartbeat,
+    /// The fencing token to answer with.
+    pub token: u64,
+    /// For how long.
+    pub valid_for: TimeDelta,
+}
+
+/// The leader's answer to a heartbeat that a follower forwarded.
+#[derive(Debug)]
 pub struct HandledForwardedHeartbeat {
     /// The body for the worker.
     pub body: Vec<u8>,
-    /// If repetitions mean nothing: the mark, the token to answer with, and for how long.
-    pub cache_entry: Option<(CachedHeartbeat, u64, TimeDelta)>,
+    /// If repetitions mean nothing new.
+    pub cacheable: Option<CacheableResponse>,
 }
 
-/// Reads a heartbeat that a follower passed on. `None`: the worker should come itself, or go elsewhere.
+/// Gives the scheduler a heartbeat that a follower forwarded.
+///
+/// # Errors
+///
+/// Then the worker should come itself, or go elsewhere.
 pub fn handle_forwarded_heartbeat(
     node: &Node,
     body: &[u8],
     holder: CacheHolder,
-) -> Option<HandledForwardedHeartbeat> {
-    let heartbeat = parse(body).ok()?;
+) -> Result<HandledForwardedHeartbeat, ForwardedHeartbeatError> {
+    let heartbeat = parse_heartbeat(body)?;
     let HandledHeartbeat { token, calls, cached } =
         handle_heartbeat(node, body, &heartbeat, holder)?;
+    let cacheable = cached.map(|cached| CacheableResponse {
+        cached,
+        token,
+        valid_for: valid_for(node, cached),
+    });
+    let body = serde_json::to_vec(&HeartbeatResponse { token, calls })?;
+    Ok(HandledForwardedHeartbeat { body, cacheable })
+}
+
+fn valid_for(node: &Node, cached: CachedHeartbeat) -> TimeDelta {
     let scheduler = node.scheduler.borrow();
-    let valid_for =
-        |s| scheduler.as_ref().map_or(TimeDelta::ZERO, |known| known.cached_for(node.now(), s));
-    let cache_entry = cached.map(|cached| (cached, token, valid_for(cached)));
-    let body = serde_json::to_vec(&HeartbeatResponse { token, calls }).ok()?;
-    Some(HandledForwardedHeartbeat { body, cache_entry })
+    let valid_for = scheduler.as_ref().map(|known| known.cached_for(node.now(), cached));
+    valid_for.unwrap_or(TimeDelta::ZERO)
 }
 
 fn accepted(token: u64, calls: Vec<WorkerCommand>) -> Answer {
     match serde_json::to_vec(&HeartbeatResponse { token, calls }) {
-        Ok(body) => Answer { status: 200, body, retry_after: None, close: false, idle: None },
-        Err(e) => Answer::error(503, e.to_string()),
+        Ok(body) => Answer::bytes(200, body),
+        Err(error) => Answer::error(503, error.to_string()),
     }
 }
 
+/// Sends the worker to the leader, and counts that for the other nodes.
 fn redirect(node: &Node) -> Answer {
     node.redirected.set(node.redirected.get().saturating_add(1));
     redirect_to(node.other_leader())
@@ -161,30 +200,7 @@
 fn redirect_to(node: Option<String>) -> Answer {
     match serde_json::to_value(Redirect { node }) {
         Ok(body) => Answer::json(421, &body),
-        Err(e) => Answer::error(503, e.to_string()),
-    }
-}
-
-/// Sends commands once. Never again: whether they arrived is for the worker's heartbeats to tell.
-pub async fn send_commands(
-    client: &Client,
-    address: &str,
-    token: u64,
-    agent_epoch: u64,
-    calls: &[WorkerCommand],
-) -> MessageOutcome {
-    let Ok(addr) = address.parse::<SocketAddrV4>() else { return MessageOutcome::NotSent };
-    let Ok(body) = serde_json::to_vec(&CommandsRequest { token, agent_epoch, calls }) else {
-        return MessageOutcome::NotSent;
-    };
-    let within = Duration::from_secs(2);
-    match client.request(addr, "POST", "/commands", &body, within).await {
-        Ok(r) if r.status == 200 || r.status == 409 => match parse(&r.body) {
-            Ok(heartbeat) => MessageOutcome::Answered(Box::new(heartbeat)),
-            Err(_) => MessageOutcome::Indeterminate,
-        },
-        Ok(_) | Err(Failure::Lost) => MessageOutcome::Indeterminate,
-        Err(Failure::NotSent) => MessageOutcome::NotSent,
+        Err(error) => Answer::error(503, error.to_string()),
     }
 }
 
--- /dev/null
+++ b/crates/controller/src/worker_api/commands.rs
@@ -0,0 +1,36 @@
+//! Commands that are sent to workers directly.
+
+use std::net::SocketAddrV4;
+use std::time::Duration;
+
+use walnutlug_scheduler::command::MessageOutcome;
+use walnutlug_scheduler::protocol::workers::{CommandsRequest, WorkerCommand};
+
+use super::parsing::parse_heartbeat;
+use crate::http::client::{Client, Failure};
+
+const TIMEOUT: Duration = Duration::from_secs(2);
+
+/// Sends commands once, and never again: whether they arrived is shown by the worker's heartbeats.
+pub async fn send_commands(
+    client: &Client,
+    address: &str,
+    token: u64,
+    agent_epoch: u64,
+    calls: &[WorkerCommand],
+) -> MessageOutcome {
+    let Ok(addr) = address.parse::<SocketAddrV4>() else { return MessageOutcome::NotSent };
+    let Ok(body) = serde_json::to_vec(&CommandsRequest { token, agent_epoch, calls }) else {
+        return MessageOutcome::NotSent;
+    };
+    match client.request(addr, "POST", "/commands", &body, TIMEOUT).await {
+        Ok(response) if matches!(response.status, 200 | 409) => {
+            match parse_heartbeat(&response.body) {
+                Ok(heartbeat) => MessageOutcome::Answered(Box::new(heartbeat)),
+                Err(_) => MessageOutcome::Indeterminate,
+            }
+        }
+        Ok(_) | Err(Failure::Lost) => MessageOutcome::Indeterminate,
+        Err(Failure::NotSent) => MessageOutcome::NotSent,
+    }
+}
--- a/crates/controller/src/worker_api/connection.rs
+++ b/crates/controller/src/worker_api/connection.rs
@@ -1,4 +1,4 @@
-//! What a connection remembers of its worker's last heartbeat, so that a repetition costs little.
+//! What a connection keeps of its worker's last heartbeat, so that a repetition costs little.
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::ops::Range;
@@ -7,17 +7,28 @@
 use walnutlug_scheduler::protocol::workers::sequence_digits;
 use walnutlug_scheduler::reconciliation::repeated_heartbeats::CachedHeartbeat;
 
-/// Longer reports are read in full each time: some thousand connections remember one each.
+/// Bytes of a heartbeat that is remembered. Longer ones are read in full each time: some thousand
+/// connections remember one each.
 const MAX_REMEMBERED: usize = 4 * 1024;
 
-/// A heartbeat as it came, and the mark that it left nothing to do.
+/// A heartbeat that left nothing to do, as it came.
 #[derive(Debug)]
 struct Remembered {
     body: Vec<u8>,
+    /// Where its sequence number stands.
     sequence: Range<usize>,
     cached: CachedHeartbeat,
 }
 
+/// A connection's last heartbeat once more, but for its sequence number.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Repetition {
+    /// The heartbeat that it repeats.
+    pub cached: CachedHeartbeat,
+    /// Its own sequence number.
+    pub sequence: u64,
+}
+
 /// One connection from a worker, if it turns out to be from one.
 #[derive(Debug, Default)]
 pub struct WorkerConnection {
@@ -37,8 +48,9 @@
 }
 
 impl WorkerConnection {
-    /// A heartbeat has come. Whether it is the first on this connection.
-    pub fn count(&self, workers: &Rc<Cell<u32>>) -> bool {
+    /// A heartbeat has arrived: the connection counts as a worker's from its first on. Returns whether
+    /// this is the first.
+    pub fn record_heartbeat(&self, workers: &Rc<Cell<u32>>) -> bool {
         self.counted.get_or_init(|| {
             workers.set(workers.get() + 1);
             Counted(workers.clone())
@@ -47,17 +59,17 @@
         self.heartbeats.get() == 1
     }
 
-    /// If the body is the last heartbeat again, but for its sequence number: that number, and the mark.
-    pub fn repeated_by(&self, body: &[u8]) -> Option<(CachedHeartbeat, u64)> {
+    /// What the body repeats, if it is the last heartbeat but for its sequence number.
+    pub fn repetition(&self, body: &[u8]) -> Option<Repetition> {
         let remembered = self.last.borrow();
         let last = remembered.as_ref()?;
         let before = &last.body[..last.sequence.start];
         let after = &last.body[last.sequence.end..];
         let digits = body.strip_prefix(before)?.strip_suffix(after)?;
-        Some((last.cached, parse_digits(digits)?))
+        Some(Repetition { cached: last.cached, sequence: parse_digits(digits)? })
     }
 
-    /// Remembers a heartbeat that left nothing to do, or forgets the one before.
+    /// Remembers a heartbeat that left nothing to do, or only forgets the one before.
     pub fn remember(&self, body: &[u8], cached: Option<CachedHeartbeat>) {
         let remembered = cached.filter(|_| body.len() <= MAX_REMEMBERED).and_then(|cached| {
             Some(Remembered { body: body.to_vec(), sequence: sequence_digits(body)?, cached })
