--- a/crates/controller/src/heartbeat_delegation/tests.rs
+++ b/crates/controller/src/heartbeat_delegation/tests.rs
@@ -102,7 +102,7 @@
         let store = StandIn::default();
         let (c, connection, mut sequence, token) = repeating(&store).await;
         let told_before = c.nodes[1].now();
-        assert_eq!(user_api::withdraw(c.nodes[2].clone(), JOB).await.status, 200);
+        assert_eq!(user_api::cancel(c.nodes[2].clone(), JOB).await.status, 200);
         store.fault(Fault::Down);
         let window = Duration::from_micros(window(&c.nodes[1].site).0);
         let began = Instant::now();
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -324,7 +324,7 @@
     /// The job has ended, for certain: from the key-value store. Told to the other nodes before any
     /// user hears of it from this one.
     pub fn learn_end(&self, name: &str, end: JobEnd) {
-        if end == JobEnd::Cancelled && self.user_api.ended(name).is_none() {
+        if end == JobEnd::Cancelled && self.user_api.known_jobs.end(name).is_none() {
             self.cancellation_log.borrow_mut().append(self.now(), name);
             self.send_cancellations();
         }
@@ -335,7 +335,7 @@
     /// The job has ended, for certain: from the key-value store, or cancelled by another node's word,
     /// which tells only what is stored.
     fn take_end(&self, name: &str, end: JobEnd) {
-        let known = self.user_api.ended(name).is_some();
+        let known = self.user_api.known_jobs.end(name).is_some();
         let open = |s: &Scheduler| {
             s.cluster
                 .jobs_by_name
@@ -346,7 +346,7 @@
         if known && !self.scheduler.borrow().as_ref().is_some_and(open) {
             return;
         }
-        self.user_api.learn_end(name, end);
+        self.user_api.known_jobs.learn_end(name, end);
         let mut scheduler = self.scheduler.borrow_mut();
         match scheduler.as_mut() {
             Some(s) => s.job_ended(self.now(), name, end),
@@ -407,7 +407,10 @@
                     states.insert(name, state);
                 }
             }
-            Frame::Progress { job, done, running } => self.user_api.progress(&job, done, running),
+            Frame::Progress { job, done, running } => {
+                let counts = user_api::TaskCounts { done, running };
+                self.user_api.known_jobs.record_progress(&job, counts);
+            }
             // Told only once it is stored, so a fact: what it cancels is stopped, also while the state
             // service refuses this node.
             Frame::Ended { job, end: JobEnd::Cancelled } if is_job_id(&job) => {
@@ -415,7 +418,7 @@
             }
             // Only a hint to look: a job is released by what the key-value store tells.
             Frame::Ended { job, .. } => {
-                self.user_api.ended_elsewhere(&job);
+                self.user_api.known_jobs.forget_progress(&job);
                 self.new_work.notify_one();
             }
             Frame::Cancellations { node, incarnation, first, jobs } => {
@@ -587,7 +590,7 @@
                     _ => Answer::error(405, "use GET"),
                 },
                 Some((name, "withdraw")) => match method {
-                    "POST" => user_api::withdraw(node, name).await,
+                    "POST" => user_api::cancel(node, name).await,
                     _ => Answer::error(405, "use POST"),
                 },
                 Some(_) => Answer::error(404, "no such path"),
--- a/crates/controller/src/node/golden_tests.rs
+++ b/crates/controller/src/node/golden_tests.rs
@@ -81,7 +81,8 @@
     chained["waits"] = json!(["req-000501"]);
     found.push(("accepted, chained", submit(&node, &chained.to_string()).await));
     found.push(("poll, queued", ask(&node, "GET", "/submissions/req-000501", "").await));
-    node.user_api.progress("req-000501", 1, 2);
+    let counts = user_api::TaskCounts { done: 1, running: 2 };
+    node.user_api.known_jobs.record_progress("req-000501", counts);
     found.push(("poll, running", ask(&node, "GET", "/submissions/req-000501", "").await));
     found.push(("known, running", submit(&node, &submission().to_string()).await));
     found
@@ -424,7 +425,7 @@
         }
         let asked = Rc::default();
         let node = noting(&asked);
-        let _ = user_api::share_types(&node.key_value, &[one_type()]).await;
+        let _ = machine_types::share_unfenced(&node.key_value, &[one_type()]).await;
         found.push(("machine types, unfenced", steady(&node, &asked)));
         Golden::check(STATE, &found);
     };
--- a/crates/controller/src/node/machine_types.rs
+++ b/crates/controller/src/node/machine_types.rs
@@ -4,13 +4,14 @@
 
 use tokio::time::{sleep, Duration};
 use tracing::{debug, warn};
+use walnutlug_scheduler::command::TransactionOutcome;
 use walnutlug_scheduler::protocol::cloud::MachineType;
+use walnutlug_scheduler::protocol::key_value::{Operation, Transaction};
 use walnutlug_scheduler::storage::keys;
 
 use super::{machine_types_role, Node};
 use crate::cloud_client::usable_types;
-use crate::key_value_client::RequestClass;
-use crate::user_api;
+use crate::key_value_client::{KeyValueClient, RequestClass};
 
 /// Longest time between two looks at the machine types and their prices.
 const TYPES_EVERY: Duration = Duration::from_secs(60);
@@ -53,7 +54,7 @@
                 if node.tunables.fenced_duties {
                     machine_types_role::share(node, &types).await;
                 } else {
-                    let _ = user_api::share_types(&node.key_value, &types).await;
+                    let _ = share_unfenced(&node.key_value, &types).await;
                 }
             }
             node.ready_once.set(true);
@@ -88,3 +89,23 @@
         true
     }
 }
+
+/// Keeps the types in the store for nodes that start while the cloud is down, where duties aren't
+/// fenced.
+pub(super) async fn share_unfenced(
+    key_value: &KeyValueClient,
+    types: &[MachineType],
+) -> TransactionOutcome {
+    let value = serde_json::json!({"breeds": types});
+    if value.to_string().len() > key_value.limits().value_bytes {
+        // Sent all the same, each refusal would be taken for limits that fell once more.
+        debug!("the machine types are too long to be kept");
+        return TransactionOutcome::TooLarge;
+    }
+    let transaction =
+        Transaction { compares: Vec::new(), operations: vec![Operation::put(keys::TYPES, value)] };
+    key_value.commit(RequestClass::Watch, &transaction).await
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -276,7 +276,7 @@
                 let mut c = leader_with_a_task(&store).await;
                 let leader = c.nodes[0].clone();
                 assert_eq!(report_once(&leader, 1), (200, vec![]), "{meeting}");
-                let answer = user_api::withdraw(c.nodes[1].clone(), JOB).await;
+                let answer = user_api::cancel(c.nodes[1].clone(), JOB).await;
                 assert_eq!(answer.status, 200, "{meeting}: nothing was confirmed");
                 let told = Instant::now();
                 store.fault(Fault::Down);
@@ -319,7 +319,7 @@
             let store = StandIn::default();
             let mut c = leader_with_a_task(&store).await;
             let leader = c.nodes[0].clone();
-            assert_eq!(user_api::withdraw(c.nodes[1].clone(), JOB).await.status, 200);
+            assert_eq!(user_api::cancel(c.nodes[1].clone(), JOB).await.status, 200);
             // Lost with the process.
             assert!(!c.take(1, 0).await.is_empty());
             c.take(1, 2).await;
--- a/crates/controller/src/user_api/concurrent_failures_tests.rs
+++ b/crates/controller/src/user_api/concurrent_failures_tests.rs
@@ -1,16 +1,24 @@
 //! Answers to users while transactions are lost or late and frames between nodes are: many seeds, the
 //! nodes' own code, and the store that the other tests use.
 
-use std::cell::Cell;
+use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
+use std::rc::Rc;
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::{json, Value};
 use tokio::task::LocalSet;
+use tokio::time::{sleep, Instant};
+use walnutlug_scheduler::command::TransactionOutcome;
+use walnutlug_scheduler::model::job_spec::JobEnd;
+use walnutlug_scheduler::protocol::key_value::{Compare, Operation, Transaction};
+use walnutlug_scheduler::storage::keys;
 
 use super::fake_cluster::{Fault, StandIn};
 use super::*;
+use crate::key_value_client::RequestClass;
+use crate::node::Node;
 
 /// What a user was told of one job, and when the answer came.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -61,7 +69,7 @@
 enum Ask {
     Submit,
     Poll,
-    Withdraw,
+    Cancel,
 }
 
 async fn ask(
@@ -75,7 +83,7 @@
     let answer = match ask {
         Ask::Submit => submit(node, submission(&job).to_string().into_bytes()).await,
         Ask::Poll => poll(node, &job).await,
-        Ask::Withdraw => withdraw(node, &job).await,
+        Ask::Cancel => cancel(node, &job).await,
     };
     let body: Value = serde_json::from_slice(&answer.body).expect("json");
     let told = match (answer.status, body["stage"].as_str()) {
@@ -152,7 +160,7 @@
         let node = |rng: &mut StdRng| cluster.nodes[rng.random_range(0..3)].clone();
         let kinds = match rng.random_range(0..10) {
             0..=2 => vec![Ask::Submit, Ask::Poll, Ask::Poll, Ask::Submit],
-            3 => vec![Ask::Withdraw, Ask::Poll, Ask::Submit, Ask::Poll],
+            3 => vec![Ask::Cancel, Ask::Poll, Ask::Submit, Ask::Poll],
             _ => vec![Ask::Poll, Ask::Poll],
         };
         for kind in kinds {
--- a/crates/controller/src/user_api/tests.rs
+++ b/crates/controller/src/user_api/tests.rs
@@ -1,8 +1,19 @@
+use std::rc::Rc;
+
 use serde_json::{json, Value};
 use tokio::task::LocalSet;
+use tokio::time::Instant;
+use walnutlug_scheduler::storage::keys;
 
 use super::fake_cluster::{Fault, StandIn};
+use super::submission::SubmissionError;
 use super::*;
+use crate::http::client::Failure;
+use crate::http::server::Answer;
+use crate::key_value_client::{
+    InvalidResponse, KeyValueError, LostAnswer, Rejection, StoreRequest,
+};
+use crate::node::Node;
 
 const JOB: &str = "req-000412";
 
@@ -67,7 +78,7 @@
         for answer in [
             submit(node.clone(), body).await,
             poll(node.clone(), JOB).await,
-            withdraw(node.clone(), JOB).await,
+            cancel(node.clone(), JOB).await,
         ] {
             assert_eq!((answer.status, answer.retry_after), (503, Some(1)));
         }
@@ -141,22 +152,6 @@
     LocalSet::new().run_until(play).await;
 }
 
-/// Refused for its size again and again, it would lower what is taken for the limits each time.
-#[tokio::test(start_paused = true)]
-async fn machine_types_that_are_too_long_are_not_sent() {
-    let store = StandIn::default();
-    let node = store.node();
-    let types = node.types.borrow().clone();
-    assert!(matches!(
-        share_types(&node.key_value, &types).await,
-        TransactionOutcome::Committed { .. }
-    ));
-    let asked = store.asked.get();
-    let many: Vec<_> = (0..200).flat_map(|_| types.clone()).collect();
-    assert_eq!(share_types(&node.key_value, &many).await, TransactionOutcome::TooLarge);
-    assert_eq!(store.asked.get(), asked);
-}
-
 /// The chain that the README shows, sent as it stands there.
 #[tokio::test(start_paused = true)]
 async fn the_chain_in_the_readme_is_accepted_and_cancelled() {
@@ -172,7 +167,7 @@
             assert_eq!(answer.status, 201, "{}", String::from_utf8_lossy(&answer.body));
         }
         assert_eq!(told(poll(node.clone(), "req-000002").await).1["stage"], "queued");
-        assert_eq!(withdraw(node.clone(), "req-000001").await.status, 200);
+        assert_eq!(cancel(node.clone(), "req-000001").await.status, 200);
         assert_eq!(told(poll(node.clone(), "req-000002").await).1["stage"], "aborted");
     };
     LocalSet::new().run_until(play).await;
@@ -256,7 +251,7 @@
             before = name;
         }
         assert_eq!(told(poll(b.clone(), "req-39").await).1["stage"], "queued");
-        assert_eq!(told(withdraw(a.clone(), JOB).await).1["stage"], "aborted");
+        assert_eq!(told(cancel(a.clone(), JOB).await).1["stage"], "aborted");
         for node in [&b, &a, &store.node()] {
             assert_eq!(told(poll(node.clone(), "req-39").await).1["stage"], "aborted");
         }
@@ -273,21 +268,21 @@
     let (a, b) = (store.node(), store.node());
     let play = async {
         send(&a, &submission()).await;
-        assert_eq!(told(withdraw(a.clone(), JOB).await).1["stage"], "aborted");
-        assert_eq!(told(withdraw(b.clone(), JOB).await).1["stage"], "aborted");
+        assert_eq!(told(cancel(a.clone(), JOB).await).1["stage"], "aborted");
+        assert_eq!(told(cancel(b.clone(), JOB).await).1["stage"], "aborted");
         assert_eq!(told(poll(b.clone(), JOB).await).1["stage"], "aborted");
         let mut other = submission();
         other["ref"] = json!("req-000413");
         send(&a, &other).await;
         store.put(&keys::end("req-000413"), json!("done"));
-        let (status, answer) = told(withdraw(b.clone(), "req-000413").await);
+        let (status, answer) = told(cancel(b.clone(), "req-000413").await);
         assert_eq!((status, &answer["stage"]), (200, &json!("done")), "the finish came first");
         // A lost answer on the withdrawal itself.
         other["ref"] = json!("req-000414");
         send(&a, &other).await;
         assert_eq!(told(poll(a.clone(), "req-000414").await).1["stage"], "queued");
         store.put(&keys::end("req-000414"), json!("aborted"));
-        assert_eq!(told(withdraw(a.clone(), "req-000414").await).1["stage"], "aborted");
+        assert_eq!(told(cancel(a.clone(), "req-000414").await).1["stage"], "aborted");
     };
     LocalSet::new().run_until(play).await;
 }
@@ -298,7 +293,7 @@
     let node = store.node();
     let play = async {
         assert_eq!(poll(node.clone(), "req-999999").await.status, 404);
-        assert_eq!(withdraw(node.clone(), "req-999999").await.status, 404);
+        assert_eq!(cancel(node.clone(), "req-999999").await.status, 404);
         let before = store.asked.get();
         for odd in ["job-1", "req-", "req-1x", "leader", "..", "req-1%2f"] {
             assert_eq!(poll(node.clone(), odd).await.status, 404, "{odd}");
@@ -337,3 +332,28 @@
     };
     LocalSet::new().run_until(play).await;
 }
+
+/// Users may compare these texts, so the store's own errors never reach them.
+#[test]
+fn the_stores_faults_are_told_to_users_as_before() {
+    let request = StoreRequest::Get { key: keys::job(JOB) };
+    let rejected = KeyValueError::Rejected {
+        request: request.clone(),
+        source: Rejection::NotSent(Failure::NotSent),
+    };
+    assert_eq!(rejected.to_string(), "get job/req-000412: not executed: not sent");
+    let lost = LostAnswer::Status(500);
+    let indeterminate = KeyValueError::Indeterminate { request: request.clone(), source: lost };
+    let expired = KeyValueError::Expired { request: request.clone() };
+    let invalid = KeyValueError::InvalidResponse { request, source: InvalidResponse::Status(302) };
+    for (error, text) in [
+        (rejected, "the state service refuses"),
+        (indeterminate, "the state service does not answer"),
+        (expired, "gone"),
+        (invalid, "a bad answer"),
+    ] {
+        let answer = Answer::from(SubmissionError::from(error));
+        assert_eq!((answer.status, answer.retry_after), (503, Some(1)));
+        assert_eq!(told(answer).1["error"], text);
+    }
+}
