--- a/crates/controller/src/cli.rs
+++ b/crates/controller/src/cli.rs
@@ -8,7 +8,8 @@
 use tracing_subscriber::filter::LevelFilter;
 use walnutlug_scheduler::tunables::Tunables;
 
-use crate::settings::Settings;
+use crate::operator_script::ScriptError;
+use crate::settings::{Settings, SettingsError};
 use crate::{node, operator_script};
 
 #[derive(Parser)]
@@ -44,58 +45,98 @@
     },
 }
 
+/// Runs the program. Faults are logged.
 pub fn main() -> ExitCode {
     let args = Args::parse();
     start_log();
     match args.command {
-        Command::Serve { config, script } => {
-            let Some((settings, tunables)) = load(&config, script.as_deref()) else {
-                return ExitCode::FAILURE;
-            };
-            info!(node = %settings.node_name, zone = %settings.zone, "starting");
-            match node::run(settings, tunables) {
-                Ok(()) => ExitCode::SUCCESS,
-                Err(e) => {
-                    error!("cannot serve: {e}");
-                    ExitCode::FAILURE
-                }
-            }
-        }
-        Command::Check { config, script } => match load(&config, script.as_deref()) {
-            Some(_) => {
-                println!("settings are in order");
-                ExitCode::SUCCESS
-            }
-            None => ExitCode::FAILURE,
-        },
+        Command::Serve { config, script } => serve(&config, script.as_deref()),
+        Command::Check { config, script } => check(&config, script.as_deref()),
     }
 }
 
-/// Reads both kinds of settings, with one message for each fault.
-fn load(config: &Path, script: Option<&Path>) -> Option<(Settings, Tunables)> {
-    let settings = Settings::read(config);
-    let tunables = operator_script::read(script);
-    let mut faults = Vec::new();
-    if let Err(f) = &settings {
-        faults.extend(f.iter().cloned());
-    }
-    if let Err(f) = &tunables {
-        faults.extend(f.iter().cloned());
+fn serve(config: &Path, script: Option<&Path>) -> ExitCode {
+    let Configuration { settings, tunables } = match load(config, script) {
+        Ok(configuration) => configuration,
+        Err(faults) => return log_faults(&faults),
+    };
+    info!(node = %settings.node_name, zone = %settings.zone, "starting");
+    match node::run(settings, tunables) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            error!("cannot serve: {error}");
+            ExitCode::FAILURE
+        }
     }
-    if let (Ok(settings), Ok(tunables)) = (&settings, &tunables) {
-        faults.extend(operator_script::unknown_teams(tunables, &settings.site));
+}
+
+fn check(config: &Path, script: Option<&Path>) -> ExitCode {
+    match load(config, script) {
+        Ok(_) => {
+            println!("settings are in order");
+            ExitCode::SUCCESS
+        }
+        Err(faults) => log_faults(&faults),
     }
-    for fault in &faults {
+}
+
+fn log_faults(faults: &[ConfigurationError]) -> ExitCode {
+    for fault in faults {
         error!("{fault}");
     }
-    let both = (settings.ok()?, tunables.ok()?);
-    faults.is_empty().then_some(both)
+    ExitCode::FAILURE
+}
+
+/// Both kinds of settings.
+struct Configuration {
+    settings: Settings,
+    tunables: Tunables,
+}
+
+/// One fault of either kind of settings.
+#[derive(Debug, thiserror::Error)]
+enum ConfigurationError {
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    #[error(transparent)]
+    Script(#[from] ScriptError),
+}
+
+/// Reads both kinds of settings.
+///
+/// # Errors
+///
+/// All faults of both, those of the platform's file first.
+fn load(config: &Path, script: Option<&Path>) -> Result<Configuration, Vec<ConfigurationError>> {
+    let settings = Settings::read(config).map_err(into_configuration_errors);
+    let tunables = operator_script::read(script).map_err(into_configuration_errors);
+    match (settings, tunables) {
+        (Ok(settings), Ok(tunables)) => {
+            let unknown = operator_script::unknown_teams(&tunables, &settings.site);
+            if unknown.is_empty() {
+                Ok(Configuration { settings, tunables })
+            } else {
+                Err(into_configuration_errors(unknown))
+            }
+        }
+        (settings, tunables) => {
+            let mut faults = settings.err().unwrap_or_default();
+            faults.extend(tunables.err().unwrap_or_default());
+            Err(faults)
+        }
+    }
+}
+
+fn into_configuration_errors<E: Into<ConfigurationError>>(
+    faults: Vec<E>,
+) -> Vec<ConfigurationError> {
+    faults.into_iter().map(Into::into).collect()
 }
 
-/// Logs to standard error as `LOG_LEVEL` says; what it doesn't say means info.
+/// Logs to standard error at the level of `LOG_LEVEL`, or at info if that is unset or unknown.
 fn start_log() {
-    let asked = std::env::var("LOG_LEVEL").ok();
-    let level = match asked.as_deref() {
+    let requested = std::env::var("LOG_LEVEL").ok();
+    let level = match requested.as_deref() {
         Some("error") => Some(LevelFilter::ERROR),
         Some("warn") => Some(LevelFilter::WARN),
         Some("info") => Some(LevelFilter::INFO),
@@ -110,7 +151,7 @@
         .with_target(false)
         .init();
     if level.is_none() {
-        match asked {
+        match requested {
             Some(other) => warn!("LOG_LEVEL {other:?} is not known: logging at info"),
             None => warn!("LOG_LEVEL is not set: logging at info"),
         }
--- a/crates/controller/src/settings/tests.rs
+++ b/crates/controller/src/settings/tests.rs
@@ -70,7 +70,10 @@
         let read = Settings::parse(&few.to_string());
         assert_eq!(read.is_ok(), fine, "{limit}");
         if let (20, Err(faults)) = (limit, read) {
-            assert!(faults[0].contains("20 sockets are too few: 39 are needed"), "{faults:?}");
+            assert!(
+                faults[0].to_string().contains("20 sockets are too few: 39 are needed"),
+                "{faults:?}"
+            );
         }
     }
 }
@@ -94,10 +97,14 @@
     let faults = Settings::parse(&s.to_string()).expect_err("faults");
     for field in ["value_kb", "txn_ops", "write_rps", "rps"] {
         let path = format!("facts.state.next.{field}");
-        assert!(faults.iter().any(|f| f.contains(&path)), "{path} in {faults:?}");
+        assert!(
+            faults.iter().any(|fault| fault.to_string().contains(&path)),
+            "{path} in {faults:?}"
+        );
     }
     s["facts"]["state"]["next"] = json!(7);
     let faults = Settings::parse(&s.to_string()).expect_err("faults");
+    let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
     assert_eq!(faults, ["settings: facts.state.next: must be an object"]);
 }
 
@@ -111,7 +118,10 @@
     bad["facts"]["teams"][0]["cpus"] = json!("many");
     let faults = Settings::parse(&bad.to_string()).expect_err("faults");
     for path in ["listen", "node_name", "peers.0", "facts.state.rps", "facts.teams.0"] {
-        assert!(faults.iter().any(|f| f.contains(path)), "{path} in {faults:?}");
+        assert!(
+            faults.iter().any(|fault| fault.to_string().contains(path)),
+            "{path} in {faults:?}"
+        );
     }
     assert_eq!(faults.len(), 5);
     assert_eq!(Settings::parse("[]").expect_err("array").len(), 1);
@@ -155,7 +165,71 @@
         "peers.2",
         "peers.3",
     ] {
-        assert!(faults.iter().any(|f| f.contains(path)), "{path} in {faults:?}");
+        assert!(
+            faults.iter().any(|fault| fault.to_string().contains(path)),
+            "{path} in {faults:?}"
+        );
     }
     assert_eq!(faults.len(), 8);
 }
+
+/// Operators know the faults by these words.
+#[test]
+fn faults_are_told_in_these_words() {
+    let told = |settings: &Value| -> Vec<String> {
+        let faults = Settings::parse(&settings.to_string()).expect_err("faults");
+        faults.iter().map(ToString::to_string).collect()
+    };
+    assert_eq!(told(&json!([])), ["settings: not a JSON object"]);
+    let text = |text: &str| Settings::parse(text).expect_err("faults")[0].to_string();
+    assert_eq!(text("{"), "settings: not JSON: EOF while parsing an object at line 1 column 1");
+    let missing = Settings::read(Path::new("/nonexistent/settings")).expect_err("faults");
+    let missing = missing[0].to_string();
+    assert!(missing.starts_with("settings: cannot read /nonexistent/settings: "), "{missing}");
+    let mut bad = sample();
+    bad["node_name"] = json!("");
+    bad["zone"] = json!(7);
+    bad["listen"] = json!("nowhere");
+    bad["peers"] = json!([
+        {"node_name": "kernel-1", "peer_addr": "127.0.0.1:3"},
+        {"node_name": "kernel-1", "peer_addr": "127.0.0.1:6"},
+        {"node_name": "kernel-2"}
+    ]);
+    bad["facts"]["teams"] = json!([{"name": "one", "cpus": -1.0}]);
+    bad["facts"]["objectives"] =
+        json!([{"kind": 3}, {"kind": "deadline", "times": -1}, {"kind": "finished"}]);
+    bad["facts"]["workers"]["lease_s"] = json!(0.25);
+    bad["facts"]["state"] = json!({"rps": "x", "write_rps": 0, "value_kb": 65, "txn_ops": 1});
+    bad["facts"]["state"]["next"] = json!({"value_kb": 100.5, "txn_ops": null});
+    bad["facts"]["resources"] = json!({"fd_limit": 20, "cpu_share": 2000});
+    assert_eq!(
+        told(&bad),
+        [
+            "settings: node_name: must not be empty",
+            "settings: zone: must be a string",
+            "settings: listen: must be an IPv4 address and a port",
+            "settings: peers.1: kernel-1 127.0.0.1:6 is doubled",
+            "settings: peers.2: must have a node_name other than this node's and a peer_addr",
+            "settings: facts.teams.0: must have a name and amounts of at least 0",
+            "settings: facts.objectives.0.kind: must be a string",
+            "settings: facts.objectives.1.times: must be a number above 0",
+            "settings: facts.objectives.2.within_s: must be a number above 0",
+            "settings: facts.workers.lease_s: 0.25 is not from 0.5 to 86400",
+            "settings: facts.state.value_kb: 65 is not from 1 to 64",
+            "settings: facts.state.rps: must be a number",
+            "settings: facts.state.write_rps: 0 is not from 1 to 1000000",
+            "settings: facts.state.txn_ops: 1 is not from 2 to 10000",
+            "settings: facts.state.next.value_kb: 100.5 is not from 1 to 64",
+            "settings: facts.resources.cpu_share: 2000 is not from 0.001 to 1024",
+            "facts.resources.fd_limit: 20 sockets are too few: 39 are needed for the listeners, the \
+             state service, the cloud, 1 other nodes and a few users and workers",
+        ]
+    );
+    bad["peers"] = json!(1);
+    bad["facts"]["teams"] = Value::Null;
+    bad["facts"]["objectives"] = json!({});
+    let told = told(&bad);
+    for path in ["peers", "facts.teams", "facts.objectives"] {
+        assert!(told.contains(&format!("settings: {path}: must be a list")), "{told:?}");
+    }
+}
