--- a/crates/controller/src/cloud_client.rs
+++ b/crates/controller/src/cloud_client.rs
@@ -14,10 +14,10 @@
     ListedMachine, MachineIds, MachineList, MachineType, MachineTypes, ScaleOutRequest,
 };
 
-use crate::http::client::{Client, Failure, Response};
+use crate::http::client::{Client, HttpError, Request, Response};
 use pacer::Pacer;
 
-pub use request::{CloudError, CloudRequest, NotSent, Rejection, UnusableAnswer};
+pub use request::{CloudError, CloudRequest, Rejection, UnusableAnswer};
 
 /// Whether a request may still be sent, asked directly before it is.
 pub type MaySend<'a> = &'a dyn Fn() -> bool;
@@ -57,18 +57,19 @@
         body: &[u8],
         may_send: MaySend<'_>,
     ) -> Result<Response, CloudError> {
-        let (method, path) = (request.method(), request.path());
+        let path = request.path();
+        let http_request =
+            Request { method: request.method(), path: &path, body, timeout: TIMEOUT };
         for _ in 0..MAX_ATTEMPTS {
             self.pacer.wait().await;
-            let answer =
-                self.client.request_if(self.addr, method, &path, body, TIMEOUT, may_send).await;
+            let answer = self.client.send_if(self.addr, &http_request, may_send).await;
             match answer {
                 Ok(response) if response.status == 429 => {
                     let pause = rand::random_range(RATE_REFUSAL_PAUSE_MS);
                     sleep(Duration::from_millis(pause)).await;
                 }
                 Ok(response) => return Ok(response),
-                Err(failure) => return Err(unanswered(request, failure)),
+                Err(error) => return Err(unanswered(request, error)),
             }
         }
         Err(rejected(request, Rejection::RateUsedUp))
@@ -174,12 +175,12 @@
     CloudError::Indeterminate { request: request.clone(), source }
 }
 
-fn unanswered(request: &CloudRequest, failure: Failure) -> CloudError {
-    match failure {
-        Failure::NotSent => {
-            CloudError::NotSent { request: request.clone(), source: NotSent::Http(failure) }
+fn unanswered(request: &CloudRequest, error: HttpError) -> CloudError {
+    match error {
+        HttpError::NotSent(source) => {
+            CloudError::NotSent { request: request.clone(), source: source.into() }
         }
-        Failure::Lost => indeterminate(request, UnusableAnswer::Http(failure)),
+        HttpError::Indeterminate(source) => indeterminate(request, source.into()),
     }
 }
 
--- a/crates/controller/src/cloud_client/request.rs
+++ b/crates/controller/src/cloud_client/request.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use crate::http::client::Failure;
+use crate::http::client;
 
 /// One request, as errors name it.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -81,7 +81,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum NotSent {
     #[error(transparent)]
-    Http(Failure),
+    Http(#[from] client::NotSent),
     #[error("the body can't be written: {0}")]
     Body(#[from] serde_json::Error),
 }
@@ -92,7 +92,7 @@
     #[error("status {0}")]
     Status(u16),
     #[error(transparent)]
-    Http(Failure),
+    Http(#[from] client::NoResponse),
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
     /// A rejection of a repeated request says nothing of the request before.
--- a/crates/controller/src/http/client.rs
+++ b/crates/controller/src/http/client.rs
@@ -1,130 +1,76 @@
-//! A client that keeps connections open and never repeats a request by itself. Whether a failure
-//! can mean that the request was executed is the difference between its two errors.
+//! A client that keeps connections open and never repeats a request by itself. Whether a failure can mean
+//! that the request was executed is the difference between its two errors.
+
+mod error;
+mod pool;
+mod response;
 
 use std::cell::{Cell, RefCell};
-use std::collections::HashMap;
 use std::net::SocketAddrV4;
+use std::rc::Rc;
 use std::time::Duration;
 
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
-use tokio::time::{timeout, Instant};
+use tokio::time::{timeout, timeout_at, Instant};
 
-#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Failure {
-    /// No connection: the request never left.
-    #[error("not sent")]
-    NotSent,
-    /// The request may have been executed, or may be later.
-    #[error("no answer")]
-    Lost,
-}
+use crate::count_guard::CountGuard;
+use pool::Pool;
+use response::{read_response, Received};
 
-#[derive(Debug)]
-pub struct Response {
-    pub status: u16,
-    pub body: Vec<u8>,
-}
+pub use error::{HttpError, NoResponse, NotSent};
+pub use response::Response;
 
-const MAX_BODY: usize = 16 * 1024 * 1024;
-const MAX_HEAD: usize = 16 * 1024;
-const IDLE_KEPT: usize = 4;
 /// Connections kept open where nothing else is said.
-const MAX_OPEN: usize = 200;
-const IDLE_FOR: Duration = Duration::from_secs(20);
-
-/// Connections that wait for their next use, the longest idle first for each address.
-struct Pool<T> {
-    idle: HashMap<SocketAddrV4, Vec<(T, Instant)>>,
-}
-
-impl<T> Pool<T> {
-    fn len(&self) -> usize {
-        self.idle.values().map(Vec::len).sum()
-    }
-
-    fn keep(&mut self, addr: SocketAddrV4, connection: T) {
-        let list = self.idle.entry(addr).or_default();
-        if list.len() < IDLE_KEPT {
-            list.push((connection, Instant::now()));
-        }
-    }
-
-    /// The one used last that is not too old and still `good`.
-    fn take(&mut self, addr: SocketAddrV4, good: impl Fn(&T) -> bool) -> Option<T> {
-        let list = self.idle.get_mut(&addr)?;
-        while let Some((connection, since)) = list.pop() {
-            if since.elapsed() <= IDLE_FOR && good(&connection) {
-                return Some(connection);
-            }
-        }
-        self.idle.remove(&addr);
-        None
-    }
-
-    /// Closes those that have been idle longest until at most `most` are left.
-    fn shrink(&mut self, most: usize) {
-        for _ in most..self.len() {
-            let all = self.idle.iter();
-            let first = all.filter_map(|(&addr, list)| Some((list.first()?.1, addr)));
-            let Some((_, addr)) = first.min() else { return };
-            if let Some(list) = self.idle.get_mut(&addr) {
-                list.remove(0);
-                if list.is_empty() {
-                    self.idle.remove(&addr);
-                }
-            }
-        }
-    }
+const MAX_CONNECTIONS: usize = 200;
+
+/// A request to send.
+#[derive(Debug, Clone, Copy)]
+pub struct Request<'a> {
+    /// The method.
+    pub method: &'a str,
+    /// The path, with its query.
+    pub path: &'a str,
+    /// The body, which is JSON or empty.
+    pub body: &'a [u8],
+    /// For how long a response is waited for, connecting included.
+    pub timeout: Duration,
 }
 
 /// What a scripted peer says to a request, in tests, and the same in its own time.
 #[cfg(test)]
-pub type Script = Box<dyn Fn(&str, &str, &[u8]) -> Result<Response, Failure>>;
+pub type Script = Box<dyn Fn(&str, &str, &[u8]) -> Result<Response, HttpError>>;
 #[cfg(test)]
 pub type Answering =
-    std::pin::Pin<Box<dyn std::future::Future<Output = Result<Response, Failure>>>>;
+    std::pin::Pin<Box<dyn std::future::Future<Output = Result<Response, HttpError>>>>;
 #[cfg(test)]
 pub type SlowScript = Box<dyn Fn(&str, &str, &[u8]) -> Answering>;
 
+/// Sends requests, and keeps their connections for the next ones.
 pub struct Client {
     idle: RefCell<Pool<TcpStream>>,
-    /// Connections in use, and most of all together: an idle one is closed for a new one, or the
-    /// pool would take the sockets that users need.
-    in_use: Cell<usize>,
-    most: usize,
+    /// Connections in use.
+    in_use: Rc<Cell<u32>>,
+    /// Most connections, in use and idle: an idle one is closed for a new one, or the pool would take the
+    /// sockets that users need.
+    max_connections: usize,
     #[cfg(test)]
     script: Option<SlowScript>,
 }
 
 impl Default for Client {
     fn default() -> Client {
-        Client::with_most(MAX_OPEN)
-    }
-}
-
-/// Counts a connection as out of use, however its request ends.
-struct InUse<'a>(&'a Cell<usize>);
-
-impl<'a> InUse<'a> {
-    fn new(count: &'a Cell<usize>) -> InUse<'a> {
-        count.set(count.get() + 1);
-        InUse(count)
-    }
-}
-
-impl Drop for InUse<'_> {
-    fn drop(&mut self) {
-        self.0.set(self.0.get() - 1);
+        Client::with_max_connections(MAX_CONNECTIONS)
     }
 }
 
 impl Client {
-    pub fn with_most(most: usize) -> Client {
+    /// A client that closes idle connections beyond so many in all.
+    pub fn with_max_connections(max_connections: usize) -> Client {
         Client {
-            idle: RefCell::new(Pool { idle: HashMap::new() }),
-            in_use: Cell::new(0),
-            most,
+            idle: RefCell::default(),
+            in_use: Rc::default(),
+            max_connections,
             #[cfg(test)]
             script: None,
         }
@@ -143,146 +89,93 @@
     }
 
     /// Sends the request, whatever else has happened meanwhile.
-    pub async fn request(
+    pub async fn send(
         &self,
         addr: SocketAddrV4,
-        method: &str,
-        path: &str,
-        body: &[u8],
-        within: Duration,
-    ) -> Result<Response, Failure> {
-        self.request_if(addr, method, path, body, within, &|| true).await
+        request: &Request<'_>,
+    ) -> Result<Response, HttpError> {
+        self.send_if(addr, request, &|| true).await
     }
 
     /// Sends the request if it still may be sent once there is a connection: asked directly before the
     /// bytes are handed to the socket. Otherwise nothing leaves.
-    pub async fn request_if(
+    pub async fn send_if(
         &self,
         addr: SocketAddrV4,
-        method: &str,
-        path: &str,
-        body: &[u8],
-        within: Duration,
+        request: &Request<'_>,
         may_send: &dyn Fn() -> bool,
-    ) -> Result<Response, Failure> {
+    ) -> Result<Response, HttpError> {
         #[cfg(test)]
         if let Some(script) = &self.script {
-            if !may_send() {
-                return Err(Failure::NotSent);
-            }
-            let answer = script(method, path, body);
-            return timeout(within, answer).await.unwrap_or(Err(Failure::Lost));
-        }
-        let deadline = Instant::now() + within;
-        let _in_use = InUse::new(&self.in_use);
-        let kept = self.take_idle(addr);
-        if kept.is_none() {
-            // Those in use count, this one among them.
-            self.idle.borrow_mut().shrink(self.most.saturating_sub(self.in_use.get()));
+            return play(script, request, may_send).await;
         }
-        let mut stream = match kept {
-            Some(stream) => stream,
-            None => match timeout(within, TcpStream::connect(addr)).await {
-                Ok(Ok(stream)) => {
-                    // Small requests that wait for their answers gain nothing from Nagle's delay.
-                    let _ = stream.set_nodelay(true);
-                    stream
-                }
-                Ok(Err(_)) | Err(_) => return Err(Failure::NotSent),
-            },
-        };
-        let mut message = format!(
-            "{method} {path} HTTP/1.1\r\nHost: {addr}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n",
-            body.len()
-        )
-        .into_bytes();
-        message.extend_from_slice(body);
+        let deadline = Instant::now() + request.timeout;
+        let _in_use = CountGuard::new(&self.in_use);
+        let mut stream = self.connect(addr, request.timeout).await?;
+        let message = message(addr, request);
         if !may_send() {
-            self.idle.borrow_mut().keep(addr, stream);
-            return Err(Failure::NotSent);
+            self.idle.borrow_mut().put(addr, stream);
+            return Err(NotSent::Withdrawn.into());
         }
         let exchange = async {
-            stream.write_all(&message).await.map_err(|_| Failure::Lost)?;
+            stream.write_all(&message).await?;
             read_response(&mut stream).await
         };
-        match tokio::time::timeout_at(deadline, exchange).await {
-            Ok(Ok((response, keep))) => {
-                if keep {
-                    self.idle.borrow_mut().keep(addr, stream);
-                }
-                Ok(response)
-            }
-            Ok(Err(_)) | Err(_) => Err(Failure::Lost),
+        let received = timeout_at(deadline, exchange).await.map_err(|_| NoResponse::Timeout)?;
+        let Received { response, keep_alive } = received?;
+        if keep_alive {
+            self.idle.borrow_mut().put(addr, stream);
         }
+        Ok(response)
     }
 
-    fn take_idle(&self, addr: SocketAddrV4) -> Option<TcpStream> {
-        self.idle.borrow_mut().take(addr, |stream| {
-            // A connection that has something to read, or was closed, is of no use any more.
-            let mut probe = [0u8; 1];
-            let read = stream.try_read(&mut probe);
-            matches!(read, Err(e) if e.kind() == std::io::ErrorKind::WouldBlock)
-        })
+    /// A kept connection, or a new one.
+    async fn connect(&self, addr: SocketAddrV4, within: Duration) -> Result<TcpStream, NotSent> {
+        if let Some(stream) = self.idle.borrow_mut().take(addr, is_usable) {
+            return Ok(stream);
+        }
+        // Those in use count, the one that is to be opened among them.
+        let most_idle = self.max_connections.saturating_sub(self.in_use.get() as usize);
+        self.idle.borrow_mut().shrink(most_idle);
+        let connected = timeout(within, TcpStream::connect(addr)).await;
+        let stream = connected.map_err(|_| NotSent::ConnectTimeout)?.map_err(NotSent::Connect)?;
+        // Small requests that wait for their answers gain nothing from Nagle's delay.
+        let _ = stream.set_nodelay(true);
+        Ok(stream)
     }
 }
 
-async fn read_response(stream: &mut TcpStream) -> Result<(Response, bool), Failure> {
-    let mut buf = Vec::with_capacity(1024);
-    let (status, length, keep, head) = loop {
-        if let Some(head) = parse_head(&buf)? {
-            break head;
-        }
-        if buf.len() > MAX_HEAD {
-            return Err(Failure::Lost);
-        }
-        if stream.read_buf(&mut buf).await.map_err(|_| Failure::Lost)? == 0 {
-            return Err(Failure::Lost);
-        }
-    };
-    if length > MAX_BODY {
-        return Err(Failure::Lost);
-    }
-    let mut body = buf.split_off(head);
-    body.reserve(length.saturating_sub(body.len()));
-    while body.len() < length {
-        if stream.read_buf(&mut body).await.map_err(|_| Failure::Lost)? == 0 {
-            return Err(Failure::Lost);
-        }
-    }
-    if body.len() > length {
-        return Err(Failure::Lost); // Nobody pipelines; this is no HTTP that is spoken here.
-    }
-    Ok((Response { status, body }, keep))
+/// The request's bytes.
+fn message(addr: SocketAddrV4, request: &Request<'_>) -> Vec<u8> {
+    let Request { method, path, body, .. } = request;
+    let mut message = format!(
+        "{method} {path} HTTP/1.1\r\nHost: {addr}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n",
+        body.len()
+    )
+    .into_bytes();
+    message.extend_from_slice(body);
+    message
 }
 
-type Head = (u16, usize, bool, usize);
+/// A connection that has something to read, or was closed, is of no use any more.
+fn is_usable(stream: &TcpStream) -> bool {
+    let mut probe = [0u8; 1];
+    let read = stream.try_read(&mut probe);
+    matches!(read, Err(error) if error.kind() == std::io::ErrorKind::WouldBlock)
+}
 
-fn parse_head(buf: &[u8]) -> Result<Option<Head>, Failure> {
-    let mut headers = [httparse::EMPTY_HEADER; 32];
-    let mut response = httparse::Response::new(&mut headers);
-    match response.parse(buf) {
-        Ok(httparse::Status::Complete(head)) => {
-            let mut length = None;
-            let mut keep = response.version == Some(1);
-            for h in response.headers.iter() {
-                if h.name.eq_ignore_ascii_case("content-length") {
-                    length = std::str::from_utf8(h.value).ok().and_then(|v| v.trim().parse().ok());
-                    if length.is_none() {
-                        return Err(Failure::Lost);
-                    }
-                } else if h.name.eq_ignore_ascii_case("connection") {
-                    keep = keep && !h.value.eq_ignore_ascii_case(b"close");
-                }
-            }
-            let status = response.code.ok_or(Failure::Lost)?;
-            Ok(Some((status, length.unwrap_or(0), keep, head)))
-        }
-        Ok(httparse::Status::Partial) => Ok(None),
-        Err(_) => Err(Failure::Lost),
-    }
+#[cfg(test)]
+async fn play(
+    script: &SlowScript,
+    request: &Request<'_>,
+    may_send: &dyn Fn() -> bool,
+) -> Result<Response, HttpError> {
+    if !may_send() {
+        return Err(NotSent::Withdrawn.into());
+    }
+    let answer = script(request.method, request.path, request.body);
+    timeout(request.timeout, answer).await.unwrap_or(Err(NoResponse::Timeout.into()))
 }
 
 #[cfg(test)]
 mod golden_tests;
-#[cfg(test)]
-mod tests;
--- a/crates/controller/src/http/client/golden_tests.rs
+++ b/crates/controller/src/http/client/golden_tests.rs
@@ -1,5 +1,6 @@
 //! A request's bytes on the wire, kept in `golden/requests.txt`.
 
+use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
 
 use super::*;
@@ -13,7 +14,8 @@
     let addr = listener.local_addr().expect("an address");
     let std::net::SocketAddr::V4(addr) = addr else { panic!("an address of version 4") };
     let client = Client::default();
-    let request = client.request(addr, method, path, body, Duration::from_secs(30));
+    let request = Request { method, path, body, timeout: Duration::from_secs(30) };
+    let request = client.send(addr, &request);
     let answer = async {
         let (mut stream, _) = listener.accept().await.expect("a connection");
         let mut bytes = Vec::new();
--- a/crates/controller/src/key_value_client.rs
+++ b/crates/controller/src/key_value_client.rs
@@ -29,7 +29,7 @@
 pub use rate_limiter::{RequestClass, WriteAllowance};
 pub use request::StoreRequest;
 
-use crate::http::client::{Client, Failure, Response};
+use crate::http::client::{Client, HttpError, Request, Response};
 use health::StoreHealth;
 use limits::{KnownLimits, LoweredBy};
 use rate_limiter::{RateLimiter, Rates, Tokens};
@@ -181,10 +181,11 @@
     ) -> Result<Response, KeyValueError> {
         let give_up_at = Instant::now() + RATE_PATIENCE;
         let path = request.path();
+        let (method, timeout) = (request.method(), request.timeout());
+        let http_request = Request { method, path: &path, body, timeout };
         loop {
             self.wait_for_tokens(class, request, give_up_at).await?;
-            let (method, within) = (request.method(), request.timeout());
-            let answer = self.client.request(self.addr, method, &path, body, within).await;
+            let answer = self.client.send(self.addr, &http_request).await;
             if !matches!(&answer, Ok(response) if response.status == 429) {
                 return self.checked(request, answer);
             }
@@ -221,7 +222,7 @@
     fn checked(
         &self,
         request: &StoreRequest,
-        answer: Result<Response, Failure>,
+        answer: Result<Response, HttpError>,
     ) -> Result<Response, KeyValueError> {
         let error = match answer {
             Ok(response) if response.status < 500 => {
@@ -230,8 +231,8 @@
             }
             Ok(response) if response.status == 503 => rejected(request, Rejection::Unavailable),
             Ok(response) => indeterminate(request, LostAnswer::Status(response.status)),
-            Err(Failure::NotSent) => rejected(request, Rejection::NotSent(Failure::NotSent)),
-            Err(Failure::Lost) => indeterminate(request, LostAnswer::NoResponse(Failure::Lost)),
+            Err(HttpError::NotSent(source)) => rejected(request, source.into()),
+            Err(HttpError::Indeterminate(source)) => indeterminate(request, source.into()),
         };
         self.health.failed();
         Err(error)
--- a/crates/controller/src/key_value_client/error.rs
+++ b/crates/controller/src/key_value_client/error.rs
@@ -1,7 +1,7 @@
 //! What can become of a request to the store, other than its answer.
 
 use super::request::StoreRequest;
-use crate::http::client::Failure;
+use crate::http::client::{NoResponse, NotSent};
 
 /// Why a request to the store has no usable answer.
 #[derive(Debug, thiserror::Error)]
@@ -32,7 +32,7 @@
     #[error("the transaction was rejected")]
     Transaction,
     #[error(transparent)]
-    NotSent(Failure),
+    NotSent(#[from] NotSent),
 }
 
 /// Why the answer to a request is missing.
@@ -43,7 +43,7 @@
     #[error("the transaction's outcome is unknown")]
     Transaction,
     #[error(transparent)]
-    NoResponse(Failure),
+    NoResponse(#[from] NoResponse),
 }
 
 /// What makes no sense about an answer.
--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -2,6 +2,7 @@
 
 mod cli;
 mod cloud_client;
+mod count_guard;
 #[cfg(test)]
 #[path = "../../scheduler/tests/golden_file/mod.rs"]
 mod golden_file;
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -527,7 +527,7 @@
     let listener = TcpListener::bind(settings.listen).await?;
     let internal = TcpListener::bind(settings.internal).await?;
     let sockets = Sockets::share(settings.fd_limit);
-    let client = Rc::new(Client::with_most(sockets.outbound as usize));
+    let client = Rc::new(Client::with_max_connections(sockets.outbound as usize));
     let mut peer_queues = Vec::new();
     for peer in &settings.peers {
         debug!(peer = %peer.name, "peer");
--- a/crates/controller/src/node/golden_tests.rs
+++ b/crates/controller/src/node/golden_tests.rs
@@ -11,7 +11,7 @@
 use super::tests::{idle_report, leader_with_a_task, report_of, JOB};
 use super::*;
 use crate::golden_file::Golden;
-use crate::http::client::{Failure, Response};
+use crate::http::client::{HttpError, Response};
 use crate::http::server::exchange::{exchange, exchange_unfinished};
 use crate::user_api::fake_cluster::{Fault, StandIn};
 
@@ -332,7 +332,7 @@
     }
 }
 
-fn empty_service(method: &str, path: &str) -> Result<Response, Failure> {
+fn empty_service(method: &str, path: &str) -> Result<Response, HttpError> {
     let answer = |status, body: &str| Ok(Response { status, body: body.as_bytes().to_vec() });
     match (method, path) {
         ("POST", "/multi") => answer(200, r#"{"growth":432}"#),
--- a/crates/controller/src/user_api/fake_cluster.rs
+++ b/crates/controller/src/user_api/fake_cluster.rs
@@ -13,7 +13,7 @@
 use walnutlug_scheduler::protocol::key_value::Transaction;
 use walnutlug_scheduler::tunables::Tunables;
 
-use crate::http::client::{Answering, Client, Failure, Response};
+use crate::http::client::{Answering, Client, HttpError, NoResponse, Response};
 use crate::node::{peer_queue, Node};
 use crate::peers::{read_frame, Frame};
 use crate::settings::{tests::sample, Settings, Sockets};
@@ -234,7 +234,7 @@
         self.disorder.borrow_mut().take().map_or((0, 0), |d| d.seen)
     }
 
-    fn say(&self, method: &str, path: &str, body: &[u8]) -> Result<Response, Failure> {
+    fn say(&self, method: &str, path: &str, body: &[u8]) -> Result<Response, HttpError> {
         self.asked.set(self.asked.get() + 1);
         let answer =
             |status, value: Value| Ok(Response { status, body: value.to_string().into_bytes() });
@@ -267,7 +267,7 @@
             (fault, "POST", "/multi") => {
                 self.fault.set(Fault::None);
                 if fault == Fault::NotApplied {
-                    return Err(Failure::Lost);
+                    return Err(NoResponse::Closed.into());
                 }
                 let transaction: Transaction = serde_json::from_slice(body).expect("a transaction");
                 let mut store = self.store.borrow_mut();
@@ -279,7 +279,7 @@
                     );
                 }
                 if fault == Fault::AppliedButLost {
-                    return Err(Failure::Lost);
+                    return Err(NoResponse::Closed.into());
                 }
                 answer(200, json!({"growth": store.revision}))
             }
--- a/crates/controller/src/user_api/tests.rs
+++ b/crates/controller/src/user_api/tests.rs
@@ -8,7 +8,7 @@
 use super::fake_cluster::{Fault, StandIn};
 use super::submission::SubmissionError;
 use super::*;
-use crate::http::client::Failure;
+use crate::http::client::NotSent;
 use crate::http::server::Answer;
 use crate::key_value_client::{
     InvalidResponse, KeyValueError, LostAnswer, Rejection, StoreRequest,
@@ -339,9 +339,9 @@
     let request = StoreRequest::Get { key: keys::job(JOB) };
     let rejected = KeyValueError::Rejected {
         request: request.clone(),
-        source: Rejection::NotSent(Failure::NotSent),
+        source: Rejection::NotSent(NotSent::ConnectTimeout),
     };
-    assert_eq!(rejected.to_string(), "get job/req-000412: not executed: not sent");
+    assert_eq!(rejected.to_string(), "get job/req-000412: not executed: connecting took too long");
     let lost = LostAnswer::Status(500);
     let indeterminate = KeyValueError::Indeterminate { request: request.clone(), source: lost };
     let expired = KeyValueError::Expired { request: request.clone() };
--- a/crates/controller/src/worker_api/commands.rs
+++ b/crates/controller/src/worker_api/commands.rs
@@ -7,7 +7,7 @@
 use walnutlug_scheduler::protocol::workers::{CommandsRequest, WorkerCommand};
 
 use super::parsing::parse_heartbeat;
-use crate::http::client::{Client, Failure};
+use crate::http::client::{Client, HttpError, Request};
 
 const TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -23,14 +23,15 @@
     let Ok(body) = serde_json::to_vec(&CommandsRequest { token, agent_epoch, calls }) else {
         return MessageOutcome::NotSent;
     };
-    match client.request(addr, "POST", "/commands", &body, TIMEOUT).await {
+    let request = Request { method: "POST", path: "/commands", body: &body, timeout: TIMEOUT };
+    match client.send(addr, &request).await {
         Ok(response) if matches!(response.status, 200 | 409) => {
             match parse_heartbeat(&response.body) {
                 Ok(heartbeat) => MessageOutcome::Answered(Box::new(heartbeat)),
                 Err(_) => MessageOutcome::Indeterminate,
             }
         }
-        Ok(_) | Err(Failure::Lost) => MessageOutcome::Indeterminate,
-        Err(Failure::NotSent) => MessageOutcome::NotSent,
+        Ok(_) | Err(HttpError::Indeterminate(_)) => MessageOutcome::Indeterminate,
+        Err(HttpError::NotSent(_)) => MessageOutcome::NotSent,
     }
 }
--- a/crates/controller/src/worker_api/connection.rs
+++ b/crates/controller/src/worker_api/connection.rs
@@ -7,6 +7,8 @@
 use walnutlug_scheduler::protocol::workers::sequence_digits;
 use walnutlug_scheduler::reconciliation::repeated_heartbeats::CachedHeartbeat;
 
+use crate::count_guard::CountGuard;
+
 /// Bytes of a heartbeat that is remembered. Longer ones are read in full each time: some thousand
 /// connections remember one each.
 const MAX_REMEMBERED: usize = 4 * 1024;
@@ -34,27 +36,15 @@
 pub struct WorkerConnection {
     last: RefCell<Option<Remembered>>,
     heartbeats: Cell<u32>,
-    counted: OnceCell<Counted>,
-}
-
-/// Counts the connection among those of workers for as long as it lasts.
-#[derive(Debug)]
-struct Counted(Rc<Cell<u32>>);
-
-impl Drop for Counted {
-    fn drop(&mut self) {
-        self.0.set(self.0.get() - 1);
-    }
+    /// Counts the connection among those of workers for as long as it lasts.
+    counted: OnceCell<CountGuard>,
 }
 
 impl WorkerConnection {
     /// A heartbeat has arrived: the connection counts as a worker's from its first on. Returns whether
     /// this is the first.
     pub fn record_heartbeat(&self, workers: &Rc<Cell<u32>>) -> bool {
-        self.counted.get_or_init(|| {
-            workers.set(workers.get() + 1);
-            Counted(workers.clone())
-        });
+        self.counted.get_or_init(|| CountGuard::new(workers));
         self.heartbeats.set(self.heartbeats.get().saturating_add(1));
         self.heartbeats.get() == 1
     }
