--- a/crates/controller/src/http/server/exchange.rs
+++ b/crates/controller/src/http/server/exchange.rs
@@ -1,6 +1,6 @@
 //! A connection to the server in memory, for tests that look at its bytes.
 
-use tokio::io::DuplexStream;
+use tokio::io::{AsyncReadExt, DuplexStream};
 
 use super::*;
 
--- a/crates/controller/src/http/server/tests.rs
+++ b/crates/controller/src/http/server/tests.rs
@@ -1,3 +1,5 @@
+use tokio::io::AsyncReadExt;
+
 use super::*;
 
 async fn run_sender(input: &[u8]) -> String {
@@ -66,3 +68,36 @@
     near.read_to_string(&mut out).await.expect("read");
     assert!(out.starts_with("HTTP/1.1 408"), "{out}");
 }
+
+/// Whoever sends such a request is told in these words.
+#[tokio::test(start_paused = true)]
+async fn what_is_wrong_with_a_request_is_told_as_before() {
+    let many = format!("GET / HTTP/1.1\r\n{}\r\n", "A: b\r\n".repeat(49));
+    let long = format!("GET /{} HTTP/1.1\r\n", "x".repeat(9000));
+    let cases: [(&[u8], &str); 7] = [
+        (b"POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", "a body may have at most 64 KiB"),
+        (b"POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n", "bad Content-Length"),
+        (
+            b"POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
+            "bad Content-Length",
+        ),
+        (
+            b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n",
+            "Transfer-Encoding is not supported",
+        ),
+        (b"nonsense\x00\r\n\r\n", "bad head: invalid token"),
+        (long.as_bytes(), "the head is too long"),
+        (many.as_bytes(), "too many header fields"),
+    ];
+    for (input, text) in cases {
+        let out = run_sender(input).await;
+        let body = serde_json::json!({"error": text}).to_string();
+        assert!(out.ends_with(&format!("\r\n\r\n{body}")), "{text}: {out}");
+    }
+    let (mut near, far) = tokio::io::duplex(1024);
+    near.write_all(b"GET / HT").await.expect("write");
+    connection(far, |_| async { Answer::error(200, "") }).await;
+    let mut out = String::new();
+    near.read_to_string(&mut out).await.expect("read");
+    assert!(out.ends_with(r#"{"error":"the request took too long to arrive"}"#), "{out}");
+}
