--- a/crates/controller/src/user_api/fake_cluster.rs
+++ b/crates/controller/src/user_api/fake_cluster.rs
@@ -18,6 +18,7 @@
 use crate::peers::{read_frame, Frame};
 use crate::settings::{tests::sample, Settings, Sockets};
 
+/// What goes wrong with the store.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Fault {
     None,
@@ -65,18 +66,23 @@
     }
 }
 
+/// A key-value store that stands in for the real one, shared by its clones.
 #[derive(Clone)]
 pub struct StandIn {
     store: Rc<RefCell<Store>>,
+    /// Requests so far.
     pub asked: Rc<Cell<u32>>,
     fault: Rc<Cell<Fault>>,
     disorder: Rc<RefCell<Option<Disorder>>>,
 }
 
+/// Answers in their own time, or never.
 struct Disorder {
     rng: StdRng,
+    /// Shares of transactions that are carried out unheard at once, and much later.
     lost: f64,
     late: f64,
+    /// How many of each there were.
     seen: (u32, u32),
 }
 
@@ -92,11 +98,12 @@
 }
 
 impl StandIn {
+    /// From here on this goes wrong.
     pub fn fault(&self, fault: Fault) {
         self.fault.set(fault);
     }
 
-    /// The service is there again, if it was down.
+    /// The store answers again, if it was down.
     pub fn mend(&self) {
         if self.fault.get() == Fault::Down {
             self.fault.set(Fault::None);
@@ -167,6 +174,7 @@
         self.store.borrow_mut().put(key, value, lease);
     }
 
+    /// Deletes a key.
     pub fn remove(&self, key: &str) {
         self.store.borrow_mut().remove(key);
     }
@@ -176,6 +184,7 @@
         Some(self.store.borrow().keys.get(key)?.value.clone())
     }
 
+    /// Whether there is such a key.
     pub fn holds(&self, key: &str) -> bool {
         self.store.borrow().keys.contains_key(key)
     }
@@ -234,10 +243,9 @@
         self.disorder.borrow_mut().take().map_or((0, 0), |d| d.seen)
     }
 
+    /// Carries out a request, and answers it at once.
     fn say(&self, method: &str, path: &str, body: &[u8]) -> Result<Response, HttpError> {
         self.asked.set(self.asked.get() + 1);
-        let answer =
-            |status, value: Value| Ok(Response { status, body: value.to_string().into_bytes() });
         match (self.fault.get(), method, path) {
             (Fault::Down, _, _) => answer(503, json!({})),
             (_, "GET", _) if path.starts_with("/keys?starts=") => {
@@ -264,26 +272,30 @@
                 self.store.borrow_mut().end_lease(lease.expect("a lease"));
                 answer(200, json!({}))
             }
-            (fault, "POST", "/multi") => {
-                self.fault.set(Fault::None);
-                if fault == Fault::NotApplied {
-                    return Err(NoResponse::Closed.into());
-                }
-                let transaction: Transaction = serde_json::from_slice(body).expect("a transaction");
-                let mut store = self.store.borrow_mut();
-                if let Err(conflict) = store.commit(&transaction) {
-                    let store_revision = store.revision;
-                    return answer(
-                        409,
-                        json!({"failed": conflict.failed, "growth": store_revision}),
-                    );
-                }
-                if fault == Fault::AppliedButLost {
-                    return Err(NoResponse::Closed.into());
-                }
-                answer(200, json!({"growth": store.revision}))
-            }
+            (fault, "POST", "/multi") => self.commit(fault, body),
             _ => answer(400, json!({})),
         }
     }
+
+    /// Carries out a transaction, and answers it, but for the fault.
+    fn commit(&self, fault: Fault, body: &[u8]) -> Result<Response, HttpError> {
+        self.fault.set(Fault::None);
+        if fault == Fault::NotApplied {
+            return Err(NoResponse::Closed.into());
+        }
+        let transaction: Transaction = serde_json::from_slice(body).expect("a transaction");
+        let mut store = self.store.borrow_mut();
+        if let Err(conflict) = store.commit(&transaction) {
+            let store_revision = store.revision;
+            return answer(409, json!({"failed": conflict.failed, "growth": store_revision}));
+        }
+        if fault == Fault::AppliedButLost {
+            return Err(NoResponse::Closed.into());
+        }
+        answer(200, json!({"growth": store.revision}))
+    }
+}
+
+fn answer(status: u16, value: Value) -> Result<Response, HttpError> {
+    Ok(Response { status, body: value.to_string().into_bytes() })
 }
