--- a/crates/controller/src/key_value_client/error.rs
+++ b/crates/controller/src/key_value_client/error.rs
@@ -23,10 +23,13 @@
 /// Why a request was certainly not executed.
 #[derive(Debug, thiserror::Error)]
 pub enum Rejection {
+    /// The rate limiter let it through at no time of its patience.
     #[error("this node's share of the rate is used up")]
     RateLimited,
+    /// The store refused it for the rate that all nodes share.
     #[error("the common rate is used up")]
     CommonRateUsedUp,
+    /// Status 503.
     #[error("the store is unavailable")]
     Unavailable,
     #[error("the transaction was rejected")]
--- a/crates/controller/src/settings.rs
+++ b/crates/controller/src/settings.rs
@@ -45,7 +45,7 @@
     pub cloud: SocketAddrV4,
     /// Where the key-value store is.
     pub state: SocketAddrV4,
-    /// What the scheduler is told.
+    /// What the scheduler needs to know of the deployment.
     pub site: Site,
     /// What the key-value store accepts.
     pub state_limits: Limits,
@@ -89,7 +89,7 @@
     }
 }
 
-/// Reads all fields, in the order in which operators are told of faults.
+/// Reads all fields, in the order in which faults are logged.
 fn read_settings(reader: &mut Reader<'_>) -> Settings {
     let node_name = reader.text("node_name");
     let zone = reader.text("zone");
--- a/crates/controller/src/user_api/batch_writer.rs
+++ b/crates/controller/src/user_api/batch_writer.rs
@@ -77,7 +77,7 @@
     /// The next submissions that fit one transaction.
     fn take_batch(&self, max_operations: usize) -> Vec<PendingSubmission> {
         let mut lanes = self.lanes.borrow_mut();
-        // Whose user has stopped waiting was told to come again.
+        // Where nobody waits any more the user was answered to come again.
         lanes.retain(|pending| !pending.reply.is_closed());
         let max_jobs = (max_operations / OPERATIONS_PER_JOB).max(1);
         let mut bytes = 0;
@@ -123,8 +123,8 @@
             },
             TransactionOutcome::Indeterminate if Instant::now() < deadline => {}
             TransactionOutcome::TooLarge if batch.len() > 1 => {
-                // Each may go alone. What is refused even so is told to come again, and then keeps to
-                // the limits that were learned by it.
+                // Each may fit alone. What is refused even so is answered to come again, and then
+                // keeps to the limits that were learned by it.
                 for pending in batch {
                     Box::pin(write_batch(node, vec![pending])).await;
                 }
--- a/crates/controller/src/user_api/cancellation.rs
+++ b/crates/controller/src/user_api/cancellation.rs
@@ -31,8 +31,8 @@
             JobStatus::Unclear => return Answer::later("the job's state can't be read now"),
             JobStatus::Open => {}
         }
-        // Whoever writes the end first wins, so a last finish and a cancellation can't both be
-        // told; and every start compares this key's absence.
+        // Whoever writes the end first wins, so users can't be answered both a last finish and a
+        // cancellation; and every start compares this key's absence.
         let transaction = cancel_all([name]);
         match node.key_value.commit(RequestClass::Submission, &transaction).await {
             TransactionOutcome::Committed { .. } => {
@@ -60,7 +60,7 @@
 }
 
 /// Writes the ends of jobs that depend on a cancelled one, and returns whether any end was learned. The
-/// leader does the same; but until it has, nobody may be told that such a job is queued.
+/// leader does the same; but until it has, no user may be answered that such a job is queued.
 pub(super) async fn cancel_dependents(node: &Rc<Node>, names: &[String]) -> bool {
     let mut learned_any = false;
     for some in names.chunks(node.key_value.limits().txn_ops.max(1)) {
--- a/crates/controller/src/user_api/submission.rs
+++ b/crates/controller/src/user_api/submission.rs
@@ -98,7 +98,7 @@
     }
 }
 
-/// What users are told of the store's faults.
+/// How the store's faults are answered to users.
 fn text_for_users(error: &KeyValueError) -> &'static str {
     match error {
         KeyValueError::Rejected { .. } => "the state service refuses",
@@ -241,8 +241,8 @@
     known_job(node, name).await
 }
 
-/// The answer to a repeated submission. Like a poll it has to ask: another node may have told the user
-/// meanwhile that the job has ended.
+/// The answer to a repeated submission. Like a poll it has to ask: another node may have answered the
+/// user meanwhile that the job has ended.
 async fn known_job(node: &Rc<Node>, name: String) -> Result<Accepted, SubmissionError> {
     let stage = match job_status(node, &name).await {
         JobStatus::Ended(end) => stage_of_end(end),
--- a/crates/controller/src/worker_api.rs
+++ b/crates/controller/src/worker_api.rs
@@ -196,7 +196,7 @@
     redirect_to(node.other_leader())
 }
 
-/// The worker should report to that node, or try the next one.
+/// The worker should send its heartbeats to that node, or try the next one.
 fn redirect_to(node: Option<String>) -> Answer {
     match serde_json::to_value(Redirect { node }) {
         Ok(body) => Answer::json(421, &body),
