--- a/crates/controller/src/key_value_client.rs
+++ b/crates/controller/src/key_value_client.rs
@@ -23,6 +23,7 @@
     Committed, Conflict, KeyValue, LeaseGrant, Page, Transaction, Watched,
 };
 use walnutlug_scheduler::storage::keys;
+use walnutlug_scheduler::storage::revision::Revision;
 
 pub use error::{InvalidResponse, KeyValueError, LostAnswer, Rejection};
 pub use limits::Limits;
@@ -51,7 +52,7 @@
     pub key_values: Vec<KeyValue>,
     /// The revision from which to watch them: that of the first page, so that nothing that changes
     /// meanwhile is missed.
-    pub store_revision: u64,
+    pub store_revision: Revision,
 }
 
 /// The client of the key-value store.
@@ -363,7 +364,7 @@
         &self,
         class: RequestClass,
         prefix: &str,
-        from: u64,
+        from: Revision,
         hold: Duration,
     ) -> Result<Watched, KeyValueError> {
         let request = StoreRequest::Watch { prefix: prefix.to_owned(), from, hold };
--- a/crates/controller/src/key_value_client/request.rs
+++ b/crates/controller/src/key_value_client/request.rs
@@ -3,6 +3,8 @@
 use std::fmt;
 use std::time::Duration;
 
+use walnutlug_scheduler::storage::revision::Revision;
+
 /// How long an answer is waited for, where nothing else is said.
 const TIMEOUT: Duration = Duration::from_millis(900);
 const LIST_TIMEOUT: Duration = Duration::from_secs(3);
@@ -27,7 +29,7 @@
     /// The end of the lease, and of the keys that were put under it.
     RevokeLease { lease: u64 },
     /// The changes below a prefix after a revision, waited for as long as `hold`.
-    Watch { prefix: String, from: u64, hold: Duration },
+    Watch { prefix: String, from: Revision, hold: Duration },
 }
 
 impl StoreRequest {
--- a/crates/controller/src/user_api/batch_writer.rs
+++ b/crates/controller/src/user_api/batch_writer.rs
@@ -12,6 +12,7 @@
 use walnutlug_scheduler::protocol::key_value::{Compare, Operation, Transaction};
 use walnutlug_scheduler::storage::document::Document;
 use walnutlug_scheduler::storage::keys;
+use walnutlug_scheduler::storage::revision::Revision;
 
 use super::task_slots::TaskSlots;
 use super::DECIDE_WITHIN;
@@ -147,7 +148,7 @@
             continue; // The same job twice at once: one record serves both.
         }
         names.push(name);
-        transaction.compares.push(Compare { key: keys::job(name), revision: 0 });
+        transaction.compares.push(Compare { key: keys::job(name), revision: Revision::NONE });
         let accepted = Operation::put(keys::job(name), serde_json::json!(1));
         transaction.operations.push(accepted);
         transaction.operations.push(if pending.is_cancelled {
--- a/crates/controller/src/user_api/cancellation.rs
+++ b/crates/controller/src/user_api/cancellation.rs
@@ -9,6 +9,7 @@
 use walnutlug_scheduler::protocol::key_value::{Compare, Operation, Transaction};
 use walnutlug_scheduler::protocol::users::{is_job_id, job_response, JobStage};
 use walnutlug_scheduler::storage::keys;
+use walnutlug_scheduler::storage::revision::Revision;
 
 use super::status::{job_status, stage_of_end, JobStatus};
 use super::DECIDE_WITHIN;
@@ -53,7 +54,7 @@
     let mut transaction = Transaction::default();
     for name in names {
         let key = keys::end(name);
-        transaction.compares.push(Compare { key: key.clone(), revision: 0 });
+        transaction.compares.push(Compare { key: key.clone(), revision: Revision::NONE });
         transaction.operations.push(Operation::put(key, serde_json::json!(JobEnd::Cancelled)));
     }
     transaction
--- a/crates/controller/src/user_api/concurrent_failures_tests.rs
+++ b/crates/controller/src/user_api/concurrent_failures_tests.rs
@@ -14,6 +14,7 @@
 use walnutlug_scheduler::model::job_spec::JobEnd;
 use walnutlug_scheduler::protocol::key_value::{Compare, Operation, Transaction};
 use walnutlug_scheduler::storage::keys;
+use walnutlug_scheduler::storage::revision::Revision;
 
 use super::fake_cluster::{Fault, StandIn};
 use super::*;
@@ -179,7 +180,7 @@
             let node = node(&mut rng);
             let key = keys::end(&job);
             let transaction = Transaction {
-                compares: vec![Compare { key: key.clone(), revision: 0 }],
+                compares: vec![Compare { key: key.clone(), revision: Revision::NONE }],
                 operations: vec![Operation::put(key, json!("done"))],
             };
             let accepted = store.holds(&keys::job(&job));
--- a/crates/controller/src/user_api/job_lookup.rs
+++ b/crates/controller/src/user_api/job_lookup.rs
@@ -8,6 +8,7 @@
 use walnutlug_scheduler::model::job_spec::JobEnd;
 use walnutlug_scheduler::protocol::key_value::{Compare, Transaction};
 use walnutlug_scheduler::storage::keys;
+use walnutlug_scheduler::storage::revision::Revision;
 
 use super::cancellation::{cancel_dependents, learn_stored_end};
 use super::known_jobs::KnownJob;
@@ -147,7 +148,7 @@
         let mut learned_any = false;
         while !left.is_empty() {
             let rest = left.len().saturating_sub(self.node.key_value.max_compares());
-            let absent = |key: &String| Compare { key: key.clone(), revision: 0 };
+            let absent = |key: &String| Compare { key: key.clone(), revision: Revision::NONE };
             let compares = left[rest..].iter().map(absent).collect();
             let transaction = Transaction { compares, operations: Vec::new() };
             match self.node.key_value.commit(self.class, &transaction).await {
--- a/crates/controller/src/worker_api.rs
+++ b/crates/controller/src/worker_api.rs
@@ -6,6 +6,7 @@
 mod parsing;
 
 use walnutlug_scheduler::leadership::election::Role;
+use walnutlug_scheduler::leadership::fencing_token::FencingToken;
 use walnutlug_scheduler::protocol::workers::{
     Heartbeat, HeartbeatResponse, Redirect, WorkerCommand,
 };
@@ -90,7 +91,11 @@
 
 /// The token to answer with, if the heartbeat repeats the connection's last one and that left nothing
 /// to do. Nothing is to be decided then either, so the leader isn't woken.
-fn cached_response_token(node: &Node, connection: &WorkerConnection, body: &[u8]) -> Option<u64> {
+fn cached_response_token(
+    node: &Node,
+    connection: &WorkerConnection,
+    body: &[u8],
+) -> Option<FencingToken> {
     let Repetition { cached, sequence } = connection.repetition(body)?;
     if !leads(node) {
         return None;
@@ -104,7 +109,7 @@
 
 /// The leader's answer to a heartbeat.
 struct HandledHeartbeat {
-    token: u64,
+    token: FencingToken,
     calls: Vec<WorkerCommand>,
     /// Under which the heartbeat's repetitions are answered, if it left nothing to do.
     cached: Option<CachedHeartbeat>,
@@ -141,7 +146,7 @@
     /// The heartbeat.
     pub cached: CachedHeartbeat,
     /// The fencing token to answer with.
-    pub token: u64,
+    pub token: FencingToken,
     /// For how long.
     pub valid_for: TimeDelta,
 }
@@ -183,7 +188,7 @@
     valid_for.unwrap_or(TimeDelta::ZERO)
 }
 
-fn accepted(token: u64, calls: Vec<WorkerCommand>) -> Answer {
+fn accepted(token: FencingToken, calls: Vec<WorkerCommand>) -> Answer {
     match serde_json::to_vec(&HeartbeatResponse { token, calls }) {
         Ok(body) => Answer::bytes(200, body),
         Err(error) => Answer::error(503, error.to_string()),
--- a/crates/controller/src/worker_api/commands.rs
+++ b/crates/controller/src/worker_api/commands.rs
@@ -4,6 +4,8 @@
 use std::time::Duration;
 
 use walnutlug_scheduler::command::MessageOutcome;
+use walnutlug_scheduler::leadership::fencing_token::FencingToken;
+use walnutlug_scheduler::model::ids::AgentEpoch;
 use walnutlug_scheduler::protocol::workers::{CommandsRequest, WorkerCommand};
 
 use super::parsing::parse_heartbeat;
@@ -15,8 +17,8 @@
 pub async fn send_commands(
     client: &Client,
     address: &str,
-    token: u64,
-    agent_epoch: u64,
+    token: FencingToken,
+    agent_epoch: AgentEpoch,
     calls: &[WorkerCommand],
 ) -> MessageOutcome {
     let Ok(addr) = address.parse::<SocketAddrV4>() else { return MessageOutcome::NotSent };
--- a/crates/scheduler/src/model/cluster.rs
+++ b/crates/scheduler/src/model/cluster.rs
@@ -7,10 +7,12 @@
 
 use walnutlug_admission::shares::Shares;
 
-use crate::model::job::{Job, JobIndex, TaskId};
+use crate::leadership::fencing_token::{FencingToken, Term};
+use crate::model::ids::{AgentEpoch, Attempt, JobIndex, MachineIndex};
+use crate::model::job::{Job, TaskId};
 use crate::model::job_spec::Priority;
 use crate::model::machine::{Machine, MachineState};
-use crate::model::task::{MachineIndex, Task, TaskEvent, TaskPhase};
+use crate::model::task::{Task, TaskEvent, TaskPhase};
 use crate::protocol::cloud::MachineType;
 use crate::reconciliation::repeated_heartbeats::{
     CacheRecord, CachedHeartbeat, Invalidated, OWN_NODE,
@@ -34,9 +36,9 @@
 /// Jobs, tasks and machines as the leader of one term knows them.
 #[derive(Debug)]
 pub struct Cluster {
-    pub(crate) term: u64,
+    pub(crate) term: Term,
     /// Stands for the unknown token of a start that an earlier term sent.
-    pub(crate) loaded_token: u64,
+    pub(crate) loaded_token: FencingToken,
     /// By a number that is never used again, so that a late answer can't mean another job.
     pub jobs: BTreeMap<JobIndex, Job>,
     pub(crate) next_job: JobIndex,
@@ -63,8 +65,8 @@
 impl Cluster {
     /// Without jobs and machines.
     pub(crate) fn new(
-        term: u64,
-        loaded_token: u64,
+        term: Term,
+        loaded_token: FencingToken,
         machine_types: Vec<MachineType>,
         shares: Shares,
     ) -> Cluster {
@@ -72,7 +74,7 @@
             term,
             loaded_token,
             jobs: BTreeMap::new(),
-            next_job: 0,
+            next_job: JobIndex(0),
             jobs_by_name: HashMap::new(),
             machines: Vec::new(),
             machines_by_name: HashMap::new(),
@@ -103,16 +105,16 @@
             zone: String::new(),
             spot: false,
             state: MachineState::Booting,
-            agent_epoch: 0,
+            agent_epoch: AgentEpoch::NONE,
             sequence: 0,
-            acknowledged_token: 0,
+            acknowledged_token: FencingToken::NONE,
             token_sent_at: Timestamp(0),
-            required_token: 0,
+            required_token: FencingToken::NONE,
             unacknowledged_since: None,
             consecutive_losses: 0,
             expected: false,
             fencing_counter: 0,
-            start_token: 0,
+            start_token: FencingToken::NONE,
             hinted_up_at: None,
             last_heartbeat: now,
             requested_at: now,
@@ -140,13 +142,13 @@
         };
         let ix = match self.free_place(now) {
             Some(ix) => {
-                self.machines_by_name.remove(&self.machines[ix as usize].name);
-                self.machines[ix as usize] = machine;
+                self.machines_by_name.remove(&self.machines[ix].name);
+                self.machines[ix] = machine;
                 ix
             }
             None => {
                 self.machines.push(machine);
-                self.machines.len() as MachineIndex - 1
+                MachineIndex::from(self.machines.len() - 1)
             }
         };
         self.machines_by_name.insert(name.to_owned(), ix);
@@ -162,7 +164,7 @@
             return None;
         }
         self.terminated.pop_front();
-        let m = &self.machines[ix as usize];
+        let m = &self.machines[ix];
         if m.state == MachineState::Terminated && m.tasks.is_empty() && !m.request_in_flight {
             return Some(ix);
         }
@@ -173,7 +175,7 @@
     /// Another node tells where a machine can be reached: only worth asking there.
     pub fn hint_address(&mut self, now: Timestamp, name: &str, address: &str) {
         let m = self.machine_named(now, name);
-        let machine = &mut self.machines[m as usize];
+        let machine = &mut self.machines[m];
         if machine.state == MachineState::Booting && machine.address.is_empty() {
             machine.address = address.to_owned();
             machine.hinted_up_at.get_or_insert(now);
@@ -188,7 +190,7 @@
     /// Counts a placed task on its machine, for its team and its zone.
     pub(crate) fn attach(&mut self, id: TaskId, m: MachineIndex) {
         let Some(job) = self.jobs.get_mut(&id.0) else { return };
-        let machine = &mut self.machines[m as usize];
+        let machine = &mut self.machines[m];
         if !machine.tasks.insert(id) {
             return;
         }
@@ -208,7 +210,7 @@
     /// The reverse of [`Scheduler::attach`]; only called on proof.
     pub(crate) fn detach(&mut self, now: Timestamp, id: TaskId) {
         let Some(job) = self.jobs.get_mut(&id.0) else { return };
-        let machine = &mut self.machines[job.tasks[id.1 as usize].machine as usize];
+        let machine = &mut self.machines[job.tasks[id.1 as usize].machine];
         if !machine.tasks.remove(&id) {
             return;
         }
@@ -271,7 +273,7 @@
             job.done += 1;
             job.errors = 0;
         }
-        if let Some(machine) = self.machines.get_mut(machine as usize) {
+        if let Some(machine) = self.machines.get_mut(machine.as_usize()) {
             machine.stopping += u32::from(after == TaskPhase::Stopping);
             machine.stopping -=
                 u32::from(before == TaskPhase::Stopping && after != TaskPhase::Stopping);
@@ -311,12 +313,10 @@
     }
 
     /// Whether that attempt of the task is on the machine as far as is known here.
-    pub(crate) fn is_placed(&self, m: MachineIndex, id: TaskId, attempt: u64) -> bool {
+    pub(crate) fn is_placed(&self, m: MachineIndex, id: TaskId, attempt: Attempt) -> bool {
         self.job(id.0).is_some_and(|job| {
             let task = &job.tasks[id.1 as usize];
-            u64::from(task.attempt) == attempt
-                && task.machine == m
-                && task.phase != TaskPhase::Pending
+            task.attempt == attempt && task.machine == m && task.phase != TaskPhase::Pending
         })
     }
 
@@ -335,7 +335,7 @@
     }
 
     pub(crate) fn has_image(&mut self, m: MachineIndex, image: String) {
-        let images = &mut self.machines[m as usize].images;
+        let images = &mut self.machines[m].images;
         if images.last() != Some(&image) {
             images.retain(|i| *i != image);
             images.push(image);
@@ -348,7 +348,7 @@
     /// A repetition of the machine's last heartbeat may mean something from now on. The only place where
     /// a mark ends, so that its holder is always told.
     pub(crate) fn invalidate_cached_heartbeat(&mut self, machine: MachineIndex) {
-        let known = self.machines.get_mut(machine as usize);
+        let known = self.machines.get_mut(machine.as_usize());
         let Some(CacheRecord { number, holder, .. }) = known.and_then(|m| m.cached.take()) else {
             return;
         };
--- a/crates/scheduler/src/storage/records.rs
+++ b/crates/scheduler/src/storage/records.rs
@@ -9,7 +9,8 @@
 use serde_json::{json, Value};
 
 use crate::event::Anomaly;
-use crate::model::job::{Job, JobIndex, TaskId};
+use crate::model::ids::{AgentEpoch, Attempt, JobIndex};
+use crate::model::job::{Job, TaskId};
 use crate::model::job_spec::JobSpec;
 use crate::model::task::{Task, TaskPhase};
 use crate::protocol;
@@ -48,27 +49,30 @@
     /// Pending, and never placed before.
     Untouched(u8),
     /// Phase and attempt.
-    Off(u8, u32),
+    Off(u8, Attempt),
     /// Phase, attempt, machine, its agent epoch, and when it was placed.
-    Placed(u8, u32, &'a str, u64, u64),
+    Placed(u8, Attempt, &'a str, AgentEpoch, u64),
 }
 
 /// Phase, attempt, machine, agent epoch, and when it was placed, if the record tells.
-type Record<'a> = (TaskPhase, u32, &'a str, u64, Option<u64>);
+type Record<'a> = (TaskPhase, Attempt, &'a str, AgentEpoch, Option<u64>);
 
 fn read_record(record: &Value) -> Option<Record<'_>> {
     let items = match record {
-        Value::Number(_) => return Some((TaskPhase::Pending, 1, "", 0, None)),
+        Value::Number(_) => {
+            return Some((TaskPhase::Pending, Attempt::FIRST, "", AgentEpoch::NONE, None))
+        }
         Value::Array(items) => items,
         _ => return None,
     };
     let phase = TaskPhase::from_code(items.first()?.as_u64()?)?;
-    let attempt = u32::try_from(items.get(1)?.as_u64()?).ok()?;
+    let attempt = Attempt(u32::try_from(items.get(1)?.as_u64()?).ok()?.into());
     if !phase.placed() {
-        return Some((phase, attempt, "", 0, None));
+        return Some((phase, attempt, "", AgentEpoch::NONE, None));
     }
     let placed = items.get(4).and_then(Value::as_u64);
-    Some((phase, attempt, items.get(2)?.as_str()?, items.get(3)?.as_u64()?, placed))
+    let agent_epoch = AgentEpoch(items.get(3)?.as_u64()?);
+    Some((phase, attempt, items.get(2)?.as_str()?, agent_epoch, placed))
 }
 
 impl Scheduler {
@@ -99,7 +103,7 @@
         let class = self.cluster.shares.job_came(&spec.team, &spec.class);
         let job = Job::new(now, name, spec, accepted, chunk_size, class);
         let ix = self.cluster.next_job;
-        self.cluster.next_job += 1;
+        self.cluster.next_job = ix.next();
         self.cluster.jobs.insert(ix, job);
         self.cluster.jobs_by_name.insert(name.to_owned(), ix);
         self.cluster.placement_needed = true;
@@ -209,12 +213,12 @@
     pub(crate) fn records(&self, ix: JobIndex, from: u32, to: u32) -> Document {
         let Some(job) = self.cluster.jobs.get(&ix) else { return Document::new(&()) };
         let record = |task: &Task| match task.phase {
-            TaskPhase::Pending if task.attempt == 1 => TaskRecord::Untouched(0),
+            TaskPhase::Pending if task.attempt == Attempt::FIRST => TaskRecord::Untouched(0),
             TaskPhase::Pending | TaskPhase::Done => {
                 TaskRecord::Off(task.phase.code(), task.attempt)
             }
             phase => {
-                let name = &self.cluster.machines[task.machine as usize].name;
+                let name = &self.cluster.machines[task.machine].name;
                 let placed = task.placed_at.since(job.accepted).0 / PLACED_UNIT.0;
                 TaskRecord::Placed(phase.code(), task.attempt, name, task.agent_epoch, placed)
             }
--- a/crates/scheduler/src/storage/transactions.rs
+++ b/crates/scheduler/src/storage/transactions.rs
@@ -1,16 +1,19 @@
 //! Rounds: what was decided is written before anything is sent, and sent once it is written.
 
 use crate::command::{Command, TransactionOutcome};
+use crate::leadership::fencing_token::FencingToken;
+use crate::model::ids::{Attempt, JobIndex, MachineIndex};
+use crate::storage::revision::Revision;
 use std::collections::BTreeMap;
 
 use serde_json::Value;
 
 use crate::event::{Event, JobDone, WriteCounts};
-use crate::model::job::{JobIndex, TaskId};
+use crate::model::job::TaskId;
 use crate::model::job_spec::JobEnd;
 use crate::model::job_state::JobEvent;
 use crate::model::machine::MachineState;
-use crate::model::task::{MachineIndex, TaskEvent, TaskPhase};
+use crate::model::task::{TaskEvent, TaskPhase};
 use crate::protocol::key_value::{Compare, Operation, Transaction};
 use crate::protocol::workers::WorkerCommand;
 use crate::scheduler::Scheduler;
@@ -76,7 +79,7 @@
 
 impl InFlightTransaction {
     /// Whether the mark is the one that a record of it had before.
-    fn expects(&self, revision: u64) -> bool {
+    fn expects(&self, revision: Revision) -> bool {
         self.batch
             .transaction
             .compares
@@ -355,7 +358,7 @@
             if task.phase == TaskPhase::Done && !job.recorded.contains(index) {
                 batch.finishes.push((ix, index));
             }
-            if task.phase == TaskPhase::Dispatching && task.token == 0 {
+            if task.phase == TaskPhase::Dispatching && task.token == FencingToken::NONE {
                 batch.starts.push((ix, index));
             }
             if job.changed.remove(index) {
@@ -377,14 +380,14 @@
         let key = match part {
             Some(from) => {
                 let key = keys::part(&job.name, chunk, from);
-                compare(key.clone(), job.parts.get(&(chunk, from)).copied().unwrap_or(0));
+                compare(key.clone(), job.parts.get(&(chunk, from)).copied().unwrap_or(Revision(0)));
                 key
             }
             None => whole,
         };
         // After an acknowledged withdrawal nothing can be dispatched: the end's absence is part
         // of the write itself.
-        compare(keys::end(&job.name), 0);
+        compare(keys::end(&job.name), Revision(0));
         batch.bytes += value.size() + key.len() * 2 + 64;
         batch.transaction.operations.push(Operation::put_document(key, value));
         batch.written.push((ix, chunk, part));
@@ -402,7 +405,7 @@
         batch
             .transaction
             .compares
-            .insert(0, Compare { key: keys::LEADER.into(), revision: self.term });
+            .insert(0, Compare { key: keys::LEADER.into(), revision: self.term.into() });
         self.out.push(Command::Commit { id, transaction: batch.transaction.clone() });
         let (retry_at, indeterminate, too_large) = (None, false, false);
         self.transactions
@@ -433,7 +436,7 @@
             let Some(job) = self.cluster.jobs.get_mut(&ix) else { continue };
             job.apply(JobEvent::EndWriteStarted);
             let key = keys::end(&job.name);
-            batch.transaction.compares.push(Compare { key: key.clone(), revision: 0 });
+            batch.transaction.compares.push(Compare { key: key.clone(), revision: Revision::NONE });
             batch.transaction.operations.push(Operation::put(key, end));
             batch.ends.push((ix, end));
         }
@@ -451,9 +454,9 @@
         job.apply(JobEvent::DeletionStarted);
         let before = batch.transaction.operations.len();
         for (i, chunk) in job.chunks.iter_mut().enumerate() {
-            if chunk.revision > 0 && !batch.full(most) {
+            if chunk.revision > Revision::NONE && !batch.full(most) {
                 batch.transaction.operations.push(Operation::delete(keys::run(&job.name, i)));
-                chunk.revision = 0;
+                chunk.revision = Revision::NONE;
             }
         }
         let mut parts = Vec::new();
@@ -465,7 +468,7 @@
                 .push(Operation::delete(keys::part(&job.name, chunk, from)));
             parts.push((chunk, from));
         }
-        let left = !job.parts.is_empty() || job.chunks.iter().any(|c| c.revision > 0);
+        let left = !job.parts.is_empty() || job.chunks.iter().any(|c| c.revision > Revision::NONE);
         let last = !left && !batch.full(most);
         if last {
             let key = keys::description(&job.name, !job.spec.dependencies.is_empty());
@@ -551,7 +554,7 @@
     }
 
     /// The answer to a [`Command::Read`]: the value and mark (0: no such key), or nothing.
-    pub fn read_answered(&mut self, now: Timestamp, id: u64, answer: Option<(Value, u64)>) {
+    pub fn read_answered(&mut self, now: Timestamp, id: u64, answer: Option<(Value, Revision)>) {
         let Some(mut pending) = self.transactions.in_flight.remove(&id) else { return };
         match answer {
             None => {
@@ -574,7 +577,7 @@
         }
     }
 
-    fn committed(&mut self, now: Timestamp, done: Batch, revision: u64) {
+    fn committed(&mut self, now: Timestamp, done: Batch, revision: Revision) {
         self.transactions.paused_until = Timestamp(0);
         for &(ix, chunk) in &done.chunks {
             if let Some(job) = self.cluster.jobs.get_mut(&ix) {
@@ -635,8 +638,8 @@
     fn send_start(&mut self, id: TaskId) {
         let Some(job) = self.cluster.job(id.0) else { return };
         let task = job.tasks[id.1 as usize];
-        if task.phase == TaskPhase::Dispatching && task.token == 0 {
-            self.cluster.machines[task.machine as usize].starting.push(id);
+        if task.phase == TaskPhase::Dispatching && task.token == FencingToken::NONE {
+            self.cluster.machines[task.machine].starting.push(id);
             self.enqueue_send(task.machine);
         }
     }
@@ -649,8 +652,8 @@
         now: Timestamp,
         m: MachineIndex,
         sending: bool,
-    ) -> (Vec<(TaskId, u32)>, Vec<WorkerCommand>) {
-        let machine = &self.cluster.machines[m as usize];
+    ) -> (Vec<(TaskId, Attempt)>, Vec<WorkerCommand>) {
+        let machine = &self.cluster.machines[m];
         let open = machine.state == MachineState::Up
             && machine.interruption_at.is_none()
             && machine.drain_reason.is_none();
@@ -659,10 +662,13 @@
         }
         let (token, agent_epoch) = (machine.token(self.term), machine.agent_epoch);
         let (mut ids, mut calls, mut wait) = (Vec::new(), Vec::new(), Vec::new());
-        for id in std::mem::take(&mut self.cluster.machines[m as usize].starting) {
+        for id in std::mem::take(&mut self.cluster.machines[m].starting) {
             let Some(job) = self.cluster.job(id.0) else { continue };
             let task = job.tasks[id.1 as usize];
-            if task.phase != TaskPhase::Dispatching || task.token != 0 || task.machine != m {
+            if task.phase != TaskPhase::Dispatching
+                || task.token != FencingToken::NONE
+                || task.machine != m
+            {
                 continue;
             }
             if job.is_ended() || !open || task.agent_epoch != agent_epoch {
@@ -678,13 +684,13 @@
                 continue;
             }
             let name = format!("{}/{}", job.name, id.1);
-            calls.push(WorkerCommand::Run { task: name, attempt: u64::from(task.attempt) });
+            calls.push(WorkerCommand::Run { task: name, attempt: task.attempt });
             ids.push((id, task.attempt));
             self.cluster.apply(now, id, TaskEvent::Sent { token });
         }
-        self.cluster.machines[m as usize].starting = wait;
+        self.cluster.machines[m].starting = wait;
         if !ids.is_empty() {
-            let machine = &mut self.cluster.machines[m as usize];
+            let machine = &mut self.cluster.machines[m];
             machine.start_token = machine.start_token.max(token);
         }
         (ids, calls)
@@ -714,11 +720,11 @@
         for RecordCleanup { job: ix, parts, .. } in failed.cleanups {
             if let Some(job) = self.cluster.jobs.get_mut(&ix) {
                 job.apply(JobEvent::DeletionIncomplete);
-                job.parts.extend(parts.into_iter().map(|part| (part, 1)));
+                job.parts.extend(parts.into_iter().map(|part| (part, Revision::UNKNOWN)));
                 // Which chunks still exist is not known any more; dropping a key that does not
                 // exist does no harm.
                 for chunk in &mut job.chunks {
-                    chunk.revision = chunk.revision.max(1);
+                    chunk.revision = chunk.revision.max(Revision::UNKNOWN);
                 }
             }
         }
--- a/crates/scheduler/tests/world/mod.rs
+++ b/crates/scheduler/tests/world/mod.rs
@@ -7,7 +7,8 @@
 
 use serde_json::{json, Value};
 use walnutlug_scheduler::command::{Command, MessageOutcome, TransactionOutcome};
-use walnutlug_scheduler::leadership::election::token;
+use walnutlug_scheduler::leadership::fencing_token::FencingToken;
+use walnutlug_scheduler::model::ids::{AgentEpoch, Attempt, MachineIndex};
 use walnutlug_scheduler::model::job_spec::{JobEnd, JobSpec, Priority};
 use walnutlug_scheduler::model::team::Team;
 use walnutlug_scheduler::protocol::cloud::MachineType;
@@ -19,6 +20,7 @@
 use walnutlug_scheduler::scheduler::Scheduler;
 use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::storage::records::{chunk_size, description_record};
+use walnutlug_scheduler::storage::revision::Revision;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 use walnutlug_scheduler::tunables::{Site, Tunables};
 
@@ -32,8 +34,8 @@
 
 #[derive(Debug, Default)]
 pub struct Store {
-    pub keys: BTreeMap<String, (Value, u64)>,
-    pub store_revision: u64,
+    pub keys: BTreeMap<String, (Value, Revision)>,
+    pub store_revision: Revision,
     /// The largest value and the most changes that it takes.
     pub limits: Option<(usize, usize)>,
 }
@@ -56,7 +58,7 @@
                 return TransactionOutcome::TooLarge;
             }
         }
-        let revision = |k: &str| self.keys.get(k).map_or(0, |v| v.1);
+        let revision = |k: &str| self.keys.get(k).map_or(Revision::NONE, |v| v.1);
         let failed: Vec<String> = transaction
             .compares
             .iter()
@@ -66,7 +68,7 @@
         if !failed.is_empty() {
             return TransactionOutcome::Conflict { failed };
         }
-        self.store_revision += 1;
+        self.store_revision.0 += 1;
         for change in &transaction.operations {
             match change {
                 Operation::Put { put, value, .. } => {
@@ -106,9 +108,9 @@
         names.iter().map(|n| (n.clone(), find(n))).collect()
     }
 
-    pub fn put(&mut self, key: &str, value: Value) -> u64 {
+    pub fn put(&mut self, key: &str, value: Value) -> Revision {
         transcript::put(key, &value);
-        self.store_revision += 1;
+        self.store_revision.0 += 1;
         self.keys.insert(key.to_owned(), (value, self.store_revision));
         self.store_revision
     }
@@ -119,10 +121,10 @@
 pub struct Worker {
     pub name: String,
     pub zone: String,
-    pub agent_epoch: u64,
+    pub agent_epoch: AgentEpoch,
     pub sequence: u64,
-    pub token: u64,
-    pub tasks: BTreeMap<(String, u64), (TaskState, Option<ExitReason>)>,
+    pub token: FencingToken,
+    pub tasks: BTreeMap<(String, Attempt), (TaskState, Option<ExitReason>)>,
     pub alive: bool,
     pub interruption_at: Option<f64>,
     pub spot: bool,
@@ -133,9 +135,9 @@
         Worker {
             name: name.to_owned(),
             zone: zone.to_owned(),
-            agent_epoch: 1,
+            agent_epoch: AgentEpoch(1),
             sequence: 0,
-            token: 0,
+            token: FencingToken(0),
             tasks: BTreeMap::new(),
             alive: true,
             interruption_at: None,
@@ -172,9 +174,10 @@
         for call in calls {
             match call {
                 WorkerCommand::Run { task, attempt } => {
-                    let here = |(t, (s, _)): (&(String, u64), &(TaskState, Option<ExitReason>))| {
-                        t.0 == *task && *s != TaskState::Exited
-                    };
+                    let here =
+                        |(t, (s, _)): (&(String, Attempt), &(TaskState, Option<ExitReason>))| {
+                            t.0 == *task && *s != TaskState::Exited
+                        };
                     let key = (task.clone(), *attempt);
                     if self.tasks.contains_key(&key) {
                         continue;
@@ -204,7 +207,12 @@
     }
 
     /// `/commands`: the heartbeat after them, executed or not.
-    pub fn direct(&mut self, token: u64, agent_epoch: u64, calls: &[WorkerCommand]) -> Heartbeat {
+    pub fn direct(
+        &mut self,
+        token: FencingToken,
+        agent_epoch: AgentEpoch,
+        calls: &[WorkerCommand],
+    ) -> Heartbeat {
         if token >= self.token && agent_epoch == self.agent_epoch {
             self.token = token;
             self.execute(calls);
@@ -213,7 +221,12 @@
     }
 
     /// The answer to a heartbeat of the given agent epoch.
-    pub fn answered(&mut self, agent_epoch: u64, token: u64, calls: &[WorkerCommand]) {
+    pub fn answered(
+        &mut self,
+        agent_epoch: AgentEpoch,
+        token: FencingToken,
+        calls: &[WorkerCommand],
+    ) {
         if token >= self.token && agent_epoch == self.agent_epoch {
             self.token = token;
             self.execute(calls);
@@ -222,7 +235,7 @@
 
     pub fn lease_ends(&mut self) {
         self.tasks.clear();
-        self.agent_epoch += 1;
+        self.agent_epoch.0 += 1;
     }
 
     pub fn live(&self) -> BTreeSet<String> {
@@ -316,7 +329,7 @@
         let now = Timestamp(START);
         let workers = machines.iter().map(|(n, z)| ((*n).to_owned(), Worker::new(n, z))).collect();
         let leader =
-            Scheduler::new(Rc::new(site), Rc::new(Tunables::default()), term, types(), now);
+            Scheduler::new(Rc::new(site), Rc::new(Tunables::default()), term.into(), types(), now);
         let mut world = World { now, store, workers, leader, commands: Vec::new(), cut_off: false };
         world.all_report();
         world.all_report();
@@ -382,7 +395,7 @@
         }
     }
 
-    pub fn take_direct(&mut self) -> (u32, u64, u64, Vec<WorkerCommand>) {
+    pub fn take_direct(&mut self) -> (MachineIndex, FencingToken, AgentEpoch, Vec<WorkerCommand>) {
         let with_calls =
             |c: &Command| matches!(c, Command::SendToWorker { calls, .. } if !calls.is_empty());
         let at = self.commands.iter().position(with_calls);
@@ -404,11 +417,14 @@
     }
 
     /// A job of one task whose start is on its way: the machine's name and the message.
-    pub fn start_under_way(&mut self, job: &str) -> (String, (u32, u64, u64, Vec<WorkerCommand>)) {
+    pub fn start_under_way(
+        &mut self,
+        job: &str,
+    ) -> (String, (MachineIndex, FencingToken, AgentEpoch, Vec<WorkerCommand>)) {
         self.submit(job, &spec(1));
         self.place_and_commit();
         let message = self.take_direct();
-        (self.leader.cluster.machines[message.0 as usize].name.clone(), message)
+        (self.leader.cluster.machines[message.0].name.clone(), message)
     }
 
     /// The job has ended for its user: the end is stored, and told to the leader.
@@ -464,7 +480,7 @@
                 }
                 Command::Read { id, key } => {
                     let found = self.store.keys.get(&key).cloned();
-                    let answer = found.unwrap_or((Value::Null, 0));
+                    let answer = found.unwrap_or((Value::Null, Revision::NONE));
                     self.leader.read_answered(self.now, id, Some(answer));
                 }
                 _ => {}
@@ -472,8 +488,14 @@
         }
     }
 
-    pub fn deliver(&mut self, machine: u32, token: u64, agent_epoch: u64, calls: &[WorkerCommand]) {
-        let name = self.leader.cluster.machines[machine as usize].name.clone();
+    pub fn deliver(
+        &mut self,
+        machine: MachineIndex,
+        token: FencingToken,
+        agent_epoch: AgentEpoch,
+        calls: &[WorkerCommand],
+    ) {
+        let name = self.leader.cluster.machines[machine].name.clone();
         let outcome = match self.workers.get_mut(&name) {
             Some(worker) if worker.alive => {
                 MessageOutcome::Answered(Box::new(worker.direct(token, agent_epoch, calls)))
@@ -513,7 +535,7 @@
     pub fn take_over_as(&mut self, former: bool) -> Scheduler {
         let term = self.store.put(keys::LEADER, json!("next"));
         let (site, tunables) = (self.leader.site.clone(), self.leader.tunables.clone());
-        let mut s = Scheduler::new(site, tunables, term, types(), self.now);
+        let mut s = Scheduler::new(site, tunables, term.into(), types(), self.now);
         for (key, (value, _)) in &self.store.keys {
             if let Some(name) = keys::described(key) {
                 if !former || key.starts_with(keys::TODO) {
@@ -575,12 +597,12 @@
         self.leader.cluster.job(ix).expect("job").tasks[index].phase
     }
 
-    pub fn attempt(&self, name: &str, index: usize) -> u32 {
+    pub fn attempt(&self, name: &str, index: usize) -> Attempt {
         let ix = self.leader.cluster.jobs_by_name[name];
         self.leader.cluster.job(ix).expect("job").tasks[index].attempt
     }
 
-    pub fn token_now(&self) -> u64 {
-        token(self.leader.term, 0)
+    pub fn token_now(&self) -> FencingToken {
+        FencingToken::first_of(self.leader.term)
     }
 }
