--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -205,7 +205,7 @@
     /// The job has ended, for certain: the key-value store says so. The other nodes are told before any user
     /// learns it from this one.
     pub(crate) fn learn_end(&self, job: &str, end: JobEnd) {
-        if end == JobEnd::Cancelled && self.user_api.ended(job).is_none() {
+        if end == JobEnd::Cancelled && self.user_api.known_jobs.end(job).is_none() {
             self.cancellations.append(self.now(), job);
             self.send_cancellations();
         }
@@ -216,11 +216,11 @@
     /// The job has ended, for certain: the key-value store says so, or another node that cancelled it, which sends
     /// only what is stored.
     fn apply_end(&self, job: &str, end: JobEnd) {
-        let known = self.user_api.ended(job).is_some();
+        let known = self.user_api.known_jobs.end(job).is_some();
         if known && !self.is_open_in_scheduler(job) {
             return;
         }
-        self.user_api.learn_end(job, end);
+        self.user_api.known_jobs.learn_end(job, end);
         match self.scheduler.borrow_mut().as_mut() {
             Some(scheduler) => scheduler.job_ended(self.now(), job, end),
             None if self.leadership.borrow().term().is_some() => {
@@ -271,7 +271,7 @@
             info!(reason = %cause, "no longer leading");
             self.scheduler.take();
             self.fleet_role.end();
-            self.key_value.lead(false);
+            self.key_value.set_leading(false);
             self.leader.signal_step_down();
         }
     }
--- a/crates/controller/src/node/election.rs
+++ b/crates/controller/src/node/election.rs
@@ -86,7 +86,7 @@
 async fn release_former_lease(node: &Node, key_value: &KeyValue) {
     if let Some(lease) = key_value.value["lease"].as_u64() {
         info!(term = %key_value.revision, "leader lease of a former incarnation released");
-        let _ = node.key_value.release(lease).await;
+        let _ = node.key_value.revoke_lease(lease).await;
     }
 }
 
@@ -97,7 +97,7 @@
         node.leadership.borrow_mut().step(node.now(), ElectionEvent::Failed);
     };
     let requested = Instant::now();
-    let Ok(lease) = node.key_value.lease(ttl).await else {
+    let Ok(lease) = node.key_value.grant_lease(ttl).await else {
         campaign_failed();
         return sleep(Duration::from_millis(rand::random_range(50..200))).await;
     };
@@ -106,17 +106,17 @@
     let claim = leader_key_claim(&node.settings.node_name, nonce, lease);
     let Some(term) = create_leader_key(&node.key_value, &claim, nonce).await else {
         // Ending the lease ends whatever a late copy of the transaction might yet create.
-        let _ = node.key_value.release(lease).await;
+        let _ = node.key_value.revoke_lease(lease).await;
         return campaign_failed();
     };
     if !node.leadership.borrow_mut().step(node.now(), ElectionEvent::Won { term }) {
         return;
     }
     info!(%term, "elected");
-    node.key_value.lead(true);
+    node.key_value.set_leading(true);
     node.learn_leader(&node.settings.node_name, term);
     leader::lead(node, term, HeldLease { id: lease, renewed: requested }).await;
-    let _ = timeout(RELEASE_TIMEOUT, node.key_value.release(lease)).await;
+    let _ = timeout(RELEASE_TIMEOUT, node.key_value.revoke_lease(lease)).await;
 }
 
 /// The transaction that creates the leader key, if there is none.
--- a/crates/controller/src/node/fleet_role.rs
+++ b/crates/controller/src/node/fleet_role.rs
@@ -72,7 +72,7 @@
         }
     };
     // The term is a precondition of every write, so no intent of an earlier one can come after this.
-    let (stored, _) = list_until_answered(node, INTENT_PREFIX).await?;
+    let stored = list_until_answered(node, INTENT_PREFIX).await?.key_values;
     let listed_within = node.site.list_lag.mul_f64(LISTED_AFTER_LAGS);
     let fence = Fence::new(LeasedRole::Fleet, epoch);
     let mut intent_log = IntentLog::new(fence, write_limits(node), listed_within);
@@ -203,9 +203,9 @@
 fn action_answer<T>(answer: &Result<T, CloudError>) -> ActionAnswer {
     match answer {
         Ok(_) => ActionAnswer::Done,
-        Err(CloudError::NoCapacity | CloudError::Refused) => ActionAnswer::Refused,
-        Err(CloudError::NotSent) => ActionAnswer::NotSent,
-        Err(CloudError::Unknown) => ActionAnswer::Unknown,
+        Err(CloudError::NoCapacity { .. } | CloudError::Rejected { .. }) => ActionAnswer::Refused,
+        Err(CloudError::NotSent { .. }) => ActionAnswer::NotSent,
+        Err(CloudError::Indeterminate { .. }) => ActionAnswer::Unknown,
     }
 }
 
@@ -216,10 +216,10 @@
     answered(&node, term, |intent_log| intent_log.answered(node.now(), id, outcome, granted));
     let granted = match answer {
         Ok(machines) => Ok(machines),
-        Err(CloudError::NoCapacity) => Ok(Vec::new()),
-        Err(CloudError::Refused) => Err(()),
+        Err(CloudError::NoCapacity { .. }) => Ok(Vec::new()),
+        Err(CloudError::Rejected { .. }) => Err(()),
         // It is requested again, and the machines may come.
-        Err(CloudError::NotSent | CloudError::Unknown) => {
+        Err(CloudError::NotSent { .. } | CloudError::Indeterminate { .. }) => {
             return with_scheduler(&node, term, |scheduler, now| scheduler.cloud_in_trouble(now));
         }
     };
--- a/crates/controller/src/node/heartbeats/follower.rs
+++ b/crates/controller/src/node/heartbeats/follower.rs
@@ -9,7 +9,7 @@
     DelegationGranted, DelegationRequest, ForwardedHeartbeat, ForwardedResponse, Frame,
     MAX_CARRIED, MAX_ENTRIES,
 };
-use crate::worker_api::WorkerConnection;
+use crate::worker_api::{Repetition, WorkerConnection};
 
 impl Node {
     /// The token with which a follower may answer the heartbeat, if it repeats a cached one.
@@ -18,7 +18,7 @@
         connection: &WorkerConnection,
         body: &[u8],
     ) -> Option<FencingToken> {
-        let (cached, sequence) = connection.repeated_by(body)?;
+        let Repetition { cached, sequence } = connection.repetition(body)?;
         self.delegation.follower().answer_repeated(self.now(), cached, sequence)
     }
 
@@ -45,7 +45,7 @@
         let ForwardedResponse { answer, cache_entry, .. } = pending.response().await?;
         let cached = cache_entry.and_then(|entry| follower.cache(self.now(), &entry));
         connection.remember(body, cached);
-        Some(Answer { status: 200, body: answer?, retry_after: None, close: false, idle: None })
+        Some(Answer::bytes(200, answer?))
     }
 }
 
--- a/crates/controller/src/node/heartbeats/leader.rs
+++ b/crates/controller/src/node/heartbeats/leader.rs
@@ -15,7 +15,7 @@
     DelegationGranted, DelegationRequest, ForwardedHeartbeat, ForwardedResponse, Frame,
     RepeatedHeartbeat, MAX_CARRIED,
 };
-use crate::worker_api;
+use crate::worker_api::{self, CacheableResponse};
 
 /// As the leader, tells followers which of their cache entries are valid no more. Before anything that says how far
 /// the leader's knowledge goes, since that is worth nothing without these.
@@ -66,10 +66,10 @@
     let Some(place) = peer_place(node, &forwarded.node) else { return };
     let Ok(holder) = CacheHolder::try_from(place + 1) else { return };
     let handled = worker_api::handle_forwarded_heartbeat(node, &forwarded.heartbeat, holder);
-    let (answer, cache_entry) =
-        handled.map_or((None, None), |handled| (Some(handled.body), handled.cache_entry));
+    let (answer, cacheable) =
+        handled.map_or((None, None), |handled| (Some(handled.body), handled.cacheable));
     send_invalidations(node);
-    let cache_entry = cache_entry.map(|(cached, token, valid_for)| CacheGrant {
+    let cache_entry = cacheable.map(|CacheableResponse { cached, token, valid_for }| CacheGrant {
         cached,
         token,
         valid_for,
--- a/crates/controller/src/node/leader.rs
+++ b/crates/controller/src/node/leader.rs
@@ -162,8 +162,8 @@
 }
 
 fn decide(node: &Node, scheduler: &mut Scheduler, now: Timestamp) -> Vec<Command> {
-    let (left, most) = node.key_value.write_allowance();
-    scheduler.set_write_allowance(left, most);
+    let allowance = node.key_value.write_allowance();
+    scheduler.set_write_allowance(allowance.now, allowance.most);
     let limits = node.key_value.limits();
     scheduler.set_limits(limits.value_bytes, limits.txn_ops);
     scheduler.holds_lease = node.leader.holds_lease();
--- a/crates/controller/src/node/leader/commands.rs
+++ b/crates/controller/src/node/leader/commands.rs
@@ -113,8 +113,12 @@
 async fn scale_out_unfenced(node: Rc<Node>, term: Term, request: ScaleOutRequest) {
     let answer = match node.cloud.scale_out(&request, &|| true).await {
         Ok(machines) => Ok(machines),
-        Err(CloudError::NoCapacity) => Ok(Vec::new()),
-        Err(CloudError::Refused | CloudError::NotSent | CloudError::Unknown) => Err(()),
+        Err(CloudError::NoCapacity { .. }) => Ok(Vec::new()),
+        Err(
+            CloudError::Rejected { .. }
+            | CloudError::NotSent { .. }
+            | CloudError::Indeterminate { .. },
+        ) => Err(()),
     };
     let ScaleOutRequest { kind, zone, spot, count, .. } = &request;
     with_scheduler(&node, term, |scheduler, now| {
--- a/crates/controller/src/node/leader/job_ends.rs
+++ b/crates/controller/src/node/leader/job_ends.rs
@@ -6,7 +6,9 @@
 use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::storage::revision::Revision;
 
-use crate::key_value_client::{KeyValueError, RequestClass};
+use crate::key_value_client::{
+    InvalidResponse, KeyValueError, LostAnswer, Rejection, RequestClass, StoreRequest,
+};
 use crate::node::Node;
 
 /// Which of the jobs have ended.
@@ -20,21 +22,26 @@
     let mut found = Vec::new();
     while !open.is_empty() {
         let keep = open.len().saturating_sub(node.key_value.max_compares());
+        let request = StoreRequest::Commit { operations: 0 };
         match node.key_value.commit(RequestClass::Dispatch, &no_ends(&open[keep..])).await {
             TransactionOutcome::Committed { .. } => open.truncate(keep),
             TransactionOutcome::Conflict { failed } => {
                 let before = open.len();
                 open.retain(|job| !failed.contains(&keys::end(job)));
                 if open.len() == before {
-                    return Err(KeyValueError::InvalidResponse);
+                    let source = InvalidResponse::UnrelatedConflict;
+                    return Err(KeyValueError::InvalidResponse { request, source });
                 }
                 let ended = failed.iter().filter_map(|key| key.strip_prefix(keys::END));
                 found.extend(ended.map(str::to_owned));
             }
             TransactionOutcome::Rejected | TransactionOutcome::TooLarge => {
-                return Err(KeyValueError::Rejected)
+                return Err(KeyValueError::Rejected { request, source: Rejection::Transaction });
+            }
+            TransactionOutcome::Indeterminate => {
+                let source = LostAnswer::Transaction;
+                return Err(KeyValueError::Indeterminate { request, source });
             }
-            TransactionOutcome::Indeterminate => return Err(KeyValueError::Indeterminate),
         }
     }
     Ok(found)
@@ -51,7 +58,7 @@
     let mut found = Vec::new();
     let Ok(ended) = find_ended(node, jobs.clone()).await else { return found };
     for job in &ended {
-        if let Ok(Some(end)) = node.key_value.end(job).await {
+        if let Ok(Some(end)) = node.key_value.job_end(job).await {
             found.push((job.clone(), JobEndLookup::Ended(end)));
         }
     }
--- a/crates/controller/src/node/leader/lease.rs
+++ b/crates/controller/src/node/leader/lease.rs
@@ -36,12 +36,14 @@
     loop {
         sleep_until(renewed + ttl.mul_f64(RENEW_AFTER)).await;
         let sent = Instant::now();
-        match node.key_value.touch(lease.id).await {
+        match node.key_value.renew_lease(lease.id).await {
             Ok(()) => {
                 renewed = sent;
                 node.leader.lease_renewed(sent, ttl);
             }
-            Err(KeyValueError::Expired) => return node.step_down(StepDownCause::LeaseExpired),
+            Err(KeyValueError::Expired { .. }) => {
+                return node.step_down(StepDownCause::LeaseExpired)
+            }
             Err(error) => {
                 debug!(%error, "leader lease not renewed");
                 // In an outage the lease gets its full time again, so the leader stays and goes on answering its
--- a/crates/controller/src/node/leader/loading.rs
+++ b/crates/controller/src/node/leader/loading.rs
@@ -7,13 +7,12 @@
 use tokio::time::{sleep, Duration, Instant};
 use tracing::{info, warn};
 use walnutlug_scheduler::leadership::election::ElectionEvent;
-use walnutlug_scheduler::protocol::key_value::KeyValue;
 use walnutlug_scheduler::scheduler::Scheduler;
 use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::time::Timestamp;
 
 use super::{install, job_ends, machine_list, reconciling, watches};
-use crate::key_value_client::{KeyValueError, RequestClass};
+use crate::key_value_client::{KeyValueError, Listing, RequestClass, StoreRequest};
 use crate::node::{fleet_role, Node};
 use crate::peers::MachineAddress;
 
@@ -45,7 +44,8 @@
     install(node, scheduler);
     node.cancellations.ends_read(requested);
     if !node.leadership.borrow_mut().step(node.now(), ElectionEvent::Loaded { term }) {
-        return Err(KeyValueError::Expired);
+        let request = StoreRequest::Get { key: keys::LEADER.to_owned() };
+        return Err(KeyValueError::Expired { request });
     }
     // The others learn of it at once, and go on answering workers under this term.
     node.broadcast_status();
@@ -74,8 +74,9 @@
     node: &Rc<Node>,
     scheduler: &mut Scheduler,
 ) -> Result<LoadedRecords, KeyValueError> {
-    let (descriptions, store_revision) = list_until_answered(node, keys::DESCRIPTIONS).await?;
-    let (runs, _) = list_until_answered(node, keys::RUN).await?;
+    let Listing { key_values: descriptions, store_revision } =
+        list_until_answered(node, keys::DESCRIPTIONS).await?;
+    let Listing { key_values: runs, .. } = list_until_answered(node, keys::RUN).await?;
     let (read_at, wall) = (node.now(), node.wall_us());
     for description in &descriptions {
         if let Some(job) = keys::described(&description.key) {
@@ -105,7 +106,7 @@
                 }
                 return Ok(());
             }
-            Err(error @ KeyValueError::InvalidResponse) => return Err(error),
+            Err(error @ KeyValueError::InvalidResponse { .. }) => return Err(error),
             Err(_) => sleep(RETRY_PAUSE).await,
         }
     }
@@ -129,7 +130,7 @@
 pub(in crate::node) async fn list_until_answered(
     node: &Rc<Node>,
     prefix: &str,
-) -> Result<(Vec<KeyValue>, Revision), KeyValueError> {
+) -> Result<Listing, KeyValueError> {
     for _ in 0..MAX_RETRIES {
         if let Ok(found) = node.key_value.list(RequestClass::Dispatch, prefix).await {
             return Ok(found);
--- a/crates/controller/src/node/leader/reconciling.rs
+++ b/crates/controller/src/node/leader/reconciling.rs
@@ -11,7 +11,7 @@
 use walnutlug_scheduler::storage::keys;
 
 use super::job_ends;
-use crate::key_value_client::{KeyValueError, RequestClass};
+use crate::key_value_client::{KeyValueError, Listing, RequestClass};
 use crate::node::Node;
 
 /// How often a leader reads the records again.
@@ -38,7 +38,8 @@
 /// # Errors
 /// If the records can't be read.
 pub(super) async fn reconcile_once(node: &Rc<Node>, term: Term) -> Result<(), KeyValueError> {
-    let (descriptions, _) = node.key_value.list(RequestClass::Poll, keys::DESCRIPTIONS).await?;
+    let Listing { key_values: descriptions, .. } =
+        node.key_value.list(RequestClass::Poll, keys::DESCRIPTIONS).await?;
     let open = {
         let mut scheduler = node.scheduler.borrow_mut();
         let current = scheduler.as_mut().filter(|scheduler| scheduler.term == term);
@@ -47,7 +48,7 @@
         jobs_to_look_up(scheduler)
     };
     for job in job_ends::find_ended(node, open).await? {
-        if let Some(end) = node.key_value.end(&job).await? {
+        if let Some(end) = node.key_value.job_end(&job).await? {
             node.learn_end(&job, end);
         }
     }
--- a/crates/controller/src/node/leader/watches.rs
+++ b/crates/controller/src/node/leader/watches.rs
@@ -52,7 +52,9 @@
                 }
                 node.wake_leader();
             }
-            Err(KeyValueError::Expired) => return node.step_down(StepDownCause::WatchExpired),
+            Err(KeyValueError::Expired { .. }) => {
+                return node.step_down(StepDownCause::WatchExpired)
+            }
             Err(_) => sleep(RETRY_PAUSE).await,
         }
         let rest = rest_of_interval(opened.elapsed());
--- a/crates/controller/src/node/machine_types_role.rs
+++ b/crates/controller/src/node/machine_types_role.rs
@@ -134,16 +134,16 @@
         info!(role = ROLE.name(), "role handed over: this node leads");
         return release(node, id).await;
     }
-    match node.key_value.touch(id).await {
+    match node.key_value.renew_lease(id).await {
         Ok(()) => role.step(LeaseInput::Renewed { sent: now }),
-        Err(KeyValueError::Expired) => role.lost(),
+        Err(KeyValueError::Expired { .. }) => role.lost(),
         Err(error) => debug!(role = ROLE.name(), %error, "role lease not renewed"),
     }
 }
 
 async fn release(node: &Node, id: u64) {
     node.machine_types_role.lost();
-    let _ = node.key_value.release(id).await;
+    let _ = node.key_value.revoke_lease(id).await;
 }
 
 /// Reads who holds the role, and takes it if nobody does.
@@ -179,21 +179,21 @@
     let own_name = held.holder.node == node.settings.node_name;
     if own_name && held.holder.incarnation != node.identity.election_nonce {
         // A former incarnation of this node held it; nobody does now.
-        let _ = node.key_value.release(held.holder.lease).await;
+        let _ = node.key_value.revoke_lease(held.holder.lease).await;
     }
 }
 
 async fn acquire(node: &Rc<Node>) {
     let role = &node.machine_types_role;
     let sent = node.now();
-    let Ok(id) = node.key_value.lease(Duration::from_micros(LEASE.0)).await else { return };
+    let Ok(id) = node.key_value.grant_lease(Duration::from_micros(LEASE.0)).await else { return };
     role.step(LeaseInput::Granted { sent });
     match create_key(node, id).await {
         Some(revision) => role.acquired(id, revision),
         None => {
             role.step(LeaseInput::Failed);
             // Ending the lease ends whatever a late copy of the transaction might yet create.
-            let _ = node.key_value.release(id).await;
+            let _ = node.key_value.revoke_lease(id).await;
         }
     }
 }
--- a/crates/controller/src/node/peer_messages.rs
+++ b/crates/controller/src/node/peer_messages.rs
@@ -6,13 +6,17 @@
 use super::heartbeats::{follower, leader};
 use super::Node;
 use crate::peers::{Cancellations, Frame, NodeStatus};
+use crate::user_api::TaskCounts;
 
 impl Node {
     /// Handles a frame from another node.
     pub(crate) fn handle_frame(&self, frame: Frame) {
         match frame {
             Frame::Status(status) => self.handle_status(status),
-            Frame::Progress { job, done, running } => self.user_api.progress(&job, done, running),
+            Frame::Progress { job, done, running } => {
+                let counts = TaskCounts { done, running };
+                self.user_api.known_jobs.record_progress(&job, counts);
+            }
             Frame::Ended { job, end } => self.handle_ended(&job, end),
             Frame::Cancellations(part) => self.handle_cancellations(&part),
             Frame::CancellationsAck(ack) => self.cancellations.acknowledged(&ack),
@@ -56,7 +60,7 @@
             return self.apply_end(job, JobEnd::Cancelled);
         }
         // Only a hint to look: a job becomes ready by what the key-value store says.
-        self.user_api.ended_elsewhere(job);
+        self.user_api.known_jobs.forget_progress(job);
         self.new_work.notify_one();
     }
 
--- a/crates/controller/src/node/routes.rs
+++ b/crates/controller/src/node/routes.rs
@@ -36,7 +36,7 @@
     match (path.split_once('/'), method) {
         (None, "GET") => user_api::poll(node, path).await,
         (None, _) => method_not_allowed("GET"),
-        (Some((name, "withdraw")), "POST") => user_api::withdraw(node, name).await,
+        (Some((name, "withdraw")), "POST") => user_api::cancel(node, name).await,
         (Some((_, "withdraw")), _) => method_not_allowed("POST"),
         (Some(_), _) => not_found(),
     }
--- a/crates/controller/src/node/startup.rs
+++ b/crates/controller/src/node/startup.rs
@@ -32,10 +32,10 @@
     let listener = TcpListener::bind(settings.listen).await?;
     let peer_listener = TcpListener::bind(settings.internal).await?;
     let sockets = Sockets::share(settings.fd_limit);
-    let client = Rc::new(Client::with_most(sockets.outbound as usize));
+    let client = Rc::new(Client::with_max_connections(sockets.outbound as usize));
     let peers = start_senders(&settings.peers, sockets);
     let node = Rc::new(Node::new(settings, tunables, client, peers)?);
-    node.key_value.lead(false);
+    node.key_value.set_leading(false);
     start_tasks(&node, peer_listener);
     let open_connections = node.load.open_connections().clone();
     let new_handler = move || {
--- a/crates/controller/src/node/step_down.rs
+++ b/crates/controller/src/node/step_down.rs
@@ -7,7 +7,7 @@
 use crate::key_value_client::KeyValueError;
 
 /// Why a node ends its term as the leader.
-#[derive(Debug, Clone, PartialEq, Eq)]
+#[derive(Debug)]
 pub(super) enum StepDownCause {
     /// Another node leads under a newer term.
     NewerTerm,
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -72,7 +72,7 @@
     store.fault(Fault::Down);
     tokio::time::advance(STATUS_VALID + Duration::from_secs(1)).await;
     let _ = node.key_value.get(RequestClass::Poll, "x").await;
-    assert!(node.key_value.down());
+    assert!(node.key_value.is_down());
     assert!(!is_ready(&node), "alone with an unserved state");
     let asked = store.asked.get();
     let before = Instant::now();
@@ -83,7 +83,7 @@
     // The leader's own probe finds the service again.
     store.fault(Fault::None);
     let _ = node.key_value.get(RequestClass::Leadership, "x").await;
-    assert!(!node.key_value.down() && is_ready(&node));
+    assert!(!node.key_value.is_down() && is_ready(&node));
 }
 
 #[tokio::test(start_paused = true)]
@@ -241,8 +241,8 @@
 
 /// Whether the connection takes a heartbeat for its last one again.
 fn remembers(last: &WorkerConnection, sequence: u64, token: FencingToken) -> bool {
-    last.repeated_by(report_of(sequence, token).as_bytes())
-        .is_some_and(|(_, found)| found == sequence)
+    last.repetition(report_of(sequence, token).as_bytes())
+        .is_some_and(|repetition| repetition.sequence == sequence)
 }
 
 #[tokio::test(start_paused = true)]
@@ -297,7 +297,7 @@
                 let mut cluster = leader_with_a_task(&store).await;
                 let leader = cluster.nodes[0].clone();
                 assert_eq!(heartbeat_once(&leader, 1), (200, vec![]), "{case}");
-                let answer = user_api::withdraw(cluster.nodes[1].clone(), JOB).await;
+                let answer = user_api::cancel(cluster.nodes[1].clone(), JOB).await;
                 assert_eq!(answer.status, 200, "{case}: nothing was confirmed");
                 let confirmed = Instant::now();
                 store.fault(Fault::Down);
@@ -340,7 +340,7 @@
             let store = StandIn::default();
             let mut cluster = leader_with_a_task(&store).await;
             let leader = cluster.nodes[0].clone();
-            assert_eq!(user_api::withdraw(cluster.nodes[1].clone(), JOB).await.status, 200);
+            assert_eq!(user_api::cancel(cluster.nodes[1].clone(), JOB).await.status, 200);
             // Lost with the process.
             assert!(!cluster.take(1, 0).await.is_empty());
             cluster.take(1, 2).await;
--- /dev/null
+++ b/crates/controller/src/worker_api/commands.rs
@@ -0,0 +1,39 @@
+//! Commands that are sent to workers directly.
+
+use std::net::SocketAddrV4;
+use std::time::Duration;
+
+use walnutlug_scheduler::command::MessageOutcome;
+use walnutlug_scheduler::leadership::fencing_token::FencingToken;
+use walnutlug_scheduler::model::ids::AgentEpoch;
+use walnutlug_scheduler::protocol::workers::{CommandsRequest, WorkerCommand};
+
+use super::parsing::parse_heartbeat;
+use crate::http::client::{Client, HttpError, Request};
+
+const TIMEOUT: Duration = Duration::from_secs(2);
+
+/// Sends commands once, and never again: whether they arrived is shown by the worker's heartbeats.
+pub async fn send_commands(
+    client: &Client,
+    address: &str,
+    token: FencingToken,
+    agent_epoch: AgentEpoch,
+    calls: &[WorkerCommand],
+) -> MessageOutcome {
+    let Ok(addr) = address.parse::<SocketAddrV4>() else { return MessageOutcome::NotSent };
+    let Ok(body) = serde_json::to_vec(&CommandsRequest { token, agent_epoch, calls }) else {
+        return MessageOutcome::NotSent;
+    };
+    let request = Request { method: "POST", path: "/commands", body: &body, timeout: TIMEOUT };
+    match client.send(addr, &request).await {
+        Ok(response) if matches!(response.status, 200 | 409) => {
+            match parse_heartbeat(&response.body) {
+                Ok(heartbeat) => MessageOutcome::Answered(Box::new(heartbeat)),
+                Err(_) => MessageOutcome::Indeterminate,
+            }
+        }
+        Ok(_) | Err(HttpError::Indeterminate(_)) => MessageOutcome::Indeterminate,
+        Err(HttpError::NotSent(_)) => MessageOutcome::NotSent,
+    }
+}
