--- a/crates/controller/src/node/golden_tests.rs
+++ b/crates/controller/src/node/golden_tests.rs
@@ -10,12 +10,16 @@
 use walnutlug_scheduler::protocol::workers::WorkerCommand;
 use walnutlug_scheduler::storage::keys;
 
+use super::routes::handle;
 use super::tests::{idle_report, leader_with_a_task, report_of, JOB};
 use super::*;
 use crate::golden_file::Golden;
-use crate::http::client::{Failure, Response};
+use crate::http::client::{HttpError, Response};
 use crate::http::server::exchange::{exchange, exchange_unfinished};
+use crate::user_api;
 use crate::user_api::fake_cluster::{Fault, StandIn};
+use crate::worker_api::{self, WorkerConnection};
+use tokio::time::Duration;
 
 const USERS: &str = "src/node/golden/users.txt";
 const WORKERS: &str = "src/node/golden/workers.txt";
@@ -74,7 +78,7 @@
     let node = store.node();
     let ready = |node: Rc<Node>| async move { ask(&node, "GET", "/ready", "").await };
     let mut found = vec![("not ready", ready(node.clone()).await)];
-    node.ready_once.set(true);
+    node.readiness.set_loaded();
     found.push(("ready", ready(node.clone()).await));
     found.push(("accepted", submit(&node, &submission().to_string()).await));
     found.push(("known", submit(&node, &submission().to_string()).await));
@@ -83,7 +87,8 @@
     chained["waits"] = json!(["req-000501"]);
     found.push(("accepted, chained", submit(&node, &chained.to_string()).await));
     found.push(("poll, queued", ask(&node, "GET", "/submissions/req-000501", "").await));
-    node.user_api.progress("req-000501", 1, 2);
+    let counts = user_api::TaskCounts { done: 1, running: 2 };
+    node.user_api.known_jobs.record_progress("req-000501", counts);
     found.push(("poll, running", ask(&node, "GET", "/submissions/req-000501", "").await));
     found.push(("known, running", submit(&node, &submission().to_string()).await));
     found
@@ -329,7 +334,8 @@
     };
     let settings = Settings::parse(&crate::settings::tests::sample().to_string());
     let client = Rc::new(Client::scripted_slow(Box::new(script)));
-    let node = Node::new(settings.expect("settings"), Tunables::default(), client, Vec::new());
+    let node =
+        Node::new(settings.expect("settings"), Tunables::default(), client, PeerSenders::new([]));
     let node = Rc::new(node.expect("a node"));
     node.types.borrow_mut().push(one_type());
     node
@@ -350,7 +356,7 @@
     }
 }
 
-fn empty_service(method: &str, path: &str) -> Result<Response, Failure> {
+fn empty_service(method: &str, path: &str) -> Result<Response, HttpError> {
     let answer = |status, body: &str| Ok(Response { status, body: body.as_bytes().to_vec() });
     match (method, path) {
         ("POST", "/multi") => answer(200, r#"{"growth":432}"#),
@@ -383,7 +389,7 @@
         {
             let asked = Rc::default();
             let node = noting_with(&asked, descriptions);
-            let election = tokio::task::spawn_local(leader::election(node.clone()));
+            let election = tokio::task::spawn_local(election::run(node.clone()));
             tokio::time::sleep(ELECTION).await;
             election.abort();
             assert!(node.leadership.borrow().term() == Some(Term(432)), "elected");
@@ -391,8 +397,8 @@
         }
         let asked = Rc::default();
         let node = noting(&asked);
-        let duty = tokio::task::spawn_local(machine_types_role::keep(node.clone()));
-        let types = tokio::task::spawn_local(machine_types::keep(node.clone()));
+        let duty = tokio::task::spawn_local(machine_types_role::run(node.clone()));
+        let types = tokio::task::spawn_local(machine_types::keep_fresh(node.clone()));
         tokio::time::sleep(ROLE).await;
         duty.abort();
         types.abort();
@@ -404,7 +410,7 @@
 
 /// With digits of times and this life's random name replaced.
 fn steady(node: &Node, asked: &RefCell<Vec<String>>) -> String {
-    let text = asked.borrow().join("\n").replace(&node.election_nonce, "INCARNATION");
+    let text = asked.borrow().join("\n").replace(&node.identity.election_nonce, "INCARNATION");
     let mut pieces = text.split("\"at\":");
     let mut steady = pieces.next().unwrap_or_default().to_owned();
     for piece in pieces {
@@ -443,7 +449,7 @@
         }
         let asked = Rc::default();
         let node = noting(&asked);
-        let _ = user_api::share_types(&node.key_value, &[one_type()]).await;
+        let _ = machine_types::share_unfenced(&node.key_value, &[one_type()]).await;
         found.push(("machine types, unfenced", steady(&node, &asked)));
         Golden::check(STATE, &found);
     };
