--- a/crates/fencing/src/action_state.rs
+++ b/crates/fencing/src/action_state.rs
@@ -1,4 +1,4 @@
-//! One outside action's life as a state machine. [`ActionState::next`] is the only place that says which state
+//! One outside action's life as a state machine. `ActionState::next` is the only place that says which state
 //! follows.
 //!
 //! ```text
