--- a/crates/controller/src/node/event_log.rs
+++ b/crates/controller/src/node/event_log.rs
@@ -1,7 +1,7 @@
 //! The scheduler's events as lines of the log: a constant message, and the rest as fields.
 //! `docs/operations.md` says what each message means and what to do about it.
 
-use tracing::{info, warn};
+use tracing::info;
 use walnutlug_scheduler::event::{
     Anomaly, Event, FleetCost, HeldShare, JobDone, MachineScaledIn, WriteCounts,
 };
@@ -110,20 +110,20 @@
 
 fn write_anomaly(name: &str, kind: Anomaly) {
     match kind {
-        Anomaly::NewerTerm => warn!(machine = %name, "heartbeat shows a newer term"),
+        Anomaly::NewerTerm => info!(machine = %name, "heartbeat shows a newer term"),
         Anomaly::HeartbeatAfterTermination => {
             info!(machine = %name, "heartbeat of a terminated machine");
         }
         Anomaly::LateHeartbeat => {
             info!(machine = %name, "late heartbeat of an earlier agent epoch")
         }
-        Anomaly::UnexpectedTasks => warn!(machine = %name, "machine runs unexpected tasks"),
-        Anomaly::DependencyNeverSubmitted => warn!(job = %name, "dependency was never submitted"),
+        Anomaly::UnexpectedTasks => info!(machine = %name, "machine runs unexpected tasks"),
+        Anomaly::DependencyNeverSubmitted => info!(job = %name, "dependency was never submitted"),
         Anomaly::UnreadableDescription => {
-            warn!(job = %name, "stored job description is unreadable")
+            info!(job = %name, "stored job description is unreadable")
         }
         Anomaly::DescriptionOutOfRange => {
-            warn!(job = %name, "stored job description is out of range")
+            info!(job = %name, "stored job description is out of range")
         }
     }
 }
--- a/crates/controller/src/user_api/job_lookup.rs
+++ b/crates/controller/src/user_api/job_lookup.rs
@@ -124,8 +124,8 @@
 
     /// Has the questions answered by the store. Whether anything was learned.
     async fn answer(&mut self, Questions { compare, unread }: Questions) -> bool {
-        let doomed = self.depending_on_cancelled();
-        let cancelled = !doomed.is_empty() && cancel_dependents(self.node, &doomed).await;
+        let to_cancel = self.depending_on_cancelled();
+        let cancelled = !to_cancel.is_empty() && cancel_dependents(self.node, &to_cancel).await;
         let compared = !compare.is_empty() && self.compare(compare).await;
         let read = !unread.is_empty() && self.read_dependencies(unread).await.is_ok();
         self.has_read |= read;
--- a/crates/scheduler/src/queue/dependencies.rs
+++ b/crates/scheduler/src/queue/dependencies.rs
@@ -111,15 +111,15 @@
         // Accepted records name each once; one from outside may not.
         let dependencies: BTreeSet<String> = job.spec.dependencies.iter().cloned().collect();
         job.unmet_dependencies = dependencies.len();
-        let mut behind_doomed = false;
+        let mut depends_on_cancelled = false;
         for name in dependencies {
             let above = self.cluster.jobs_by_name.get(&name).and_then(|i| self.cluster.jobs.get(i));
-            behind_doomed |= above.is_some_and(|j| j.state().is_dependency_cancelled());
+            depends_on_cancelled |= above.is_some_and(|j| j.state().is_dependency_cancelled());
             // The end may have been told before there was anybody to tell it to.
             self.dependency_graph.unread.insert(name.clone());
             self.dependency_graph.dependencies.entry(name).or_default().waiting.insert(ix);
         }
-        if behind_doomed {
+        if depends_on_cancelled {
             self.cancel_dependents(vec![ix]);
         }
         self.propagate_to_dependencies(now, ix);
