--- a/crates/controller/src/node/election/tests.rs
+++ b/crates/controller/src/node/election/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::user_api::fake_cluster::{Fault, StandIn};
+use crate::user_api::fake_cluster::{FakeStore, Fault};
 use walnutlug_scheduler::storage::revision::Revision;
 
 fn key_for(incarnation: &str) -> Transaction {
@@ -11,7 +11,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_lost_answer_on_election_is_read_back() {
-    let store = StandIn::default();
+    let store = FakeStore::default();
     let node = store.node();
     store.fault(Fault::AppliedButLost);
     let own = create_leader_key(&node.key_value, &key_for("mine"), "mine").await;
@@ -25,7 +25,7 @@
 /// A process back within its former lease met its own key and waited for it to run out.
 #[tokio::test(start_paused = true)]
 async fn a_node_back_at_once_releases_its_former_lease_and_no_other() {
-    let store = StandIn::default();
+    let store = FakeStore::default();
     let node = store.node();
     store.put(keys::LEADER, leader_record("kernel-0", "former", 5));
     store.put("other", leader_record("kernel-1", "x", 6));
--- a/crates/controller/src/node/golden_tests.rs
+++ b/crates/controller/src/node/golden_tests.rs
@@ -17,7 +17,7 @@
 use crate::http::client::{HttpError, Response};
 use crate::http::server::exchange::{exchange, exchange_unfinished};
 use crate::user_api;
-use crate::user_api::fake_cluster::{Fault, StandIn};
+use crate::user_api::fake_cluster::{FakeStore, Fault};
 use crate::worker_api::{self, WorkerConnection};
 use tokio::time::Duration;
 
@@ -74,7 +74,7 @@
     ask(node, "POST", "/submissions", body).await
 }
 
-async fn accepted_answers(store: &StandIn) -> JobEndLookup {
+async fn accepted_answers(store: &FakeStore) -> JobEndLookup {
     let node = store.node();
     let ready = |node: Rc<Node>| async move { ask(&node, "GET", "/ready", "").await };
     let mut found = vec![("not ready", ready(node.clone()).await)];
@@ -94,7 +94,7 @@
     found
 }
 
-async fn ended_answers(store: &StandIn) -> JobEndLookup {
+async fn ended_answers(store: &FakeStore) -> JobEndLookup {
     let node = store.node();
     let withdraw = "/submissions/req-000501/withdraw";
     let mut found = vec![("withdrawn", ask(&node, "POST", withdraw, "").await)];
@@ -113,7 +113,7 @@
     found
 }
 
-async fn refusals(store: &StandIn) -> JobEndLookup {
+async fn refusals(store: &FakeStore) -> JobEndLookup {
     let node = store.node();
     let of = |field: &'static str, value: Value| {
         let node = node.clone();
@@ -158,7 +158,7 @@
     ]
 }
 
-async fn server_refusals(store: &StandIn) -> JobEndLookup {
+async fn server_refusals(store: &FakeStore) -> JobEndLookup {
     let node = store.node();
     let long = format!("GET /{} HTTP/1.1\r\n", "x".repeat(9_000));
     let close = b"GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n";
@@ -174,7 +174,7 @@
     ]
 }
 
-async fn outage_answers(store: &StandIn) -> JobEndLookup {
+async fn outage_answers(store: &FakeStore) -> JobEndLookup {
     let node = store.node();
     let untyped = store.node();
     untyped.types.borrow_mut().clear();
@@ -192,7 +192,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn users_are_answered_as_before() {
-    let store = StandIn::default();
+    let store = FakeStore::default();
     let play = async {
         let mut found = accepted_answers(&store).await;
         found.extend(ended_answers(&store).await);
@@ -219,7 +219,7 @@
 #[tokio::test(start_paused = true)]
 async fn workers_are_answered_as_before() {
     let play = async {
-        let store = StandIn::default();
+        let store = FakeStore::default();
         let follower = store.node();
         let mut found = vec![("421", heartbeat(&follower, &report_of(1, FencingToken(0))).await)];
         follower.learn_leader("kernel-1", Term(9));
--- a/crates/controller/src/node/heartbeats/tests.rs
+++ b/crates/controller/src/node/heartbeats/tests.rs
@@ -13,7 +13,7 @@
 use crate::peers::{Frame, MAX_CARRIED};
 use crate::settings::Sockets;
 use crate::user_api;
-use crate::user_api::fake_cluster::{Cluster, Fault, StandIn};
+use crate::user_api::fake_cluster::{Cluster, FakeStore, Fault};
 use crate::worker_api::{self, WorkerConnection};
 
 /// A worker's heartbeat to a node, with frames delivered meanwhile. The status, the token and the calls.
@@ -41,7 +41,7 @@
 }
 
 /// Node 0 leads and has a running task; node 1 was granted its share of the workers.
-async fn delegated(store: &StandIn) -> Cluster {
+async fn delegated(store: &FakeStore) -> Cluster {
     let cluster = leader_with_a_task(store).await;
     grant_a_share(cluster).await
 }
@@ -60,7 +60,7 @@
 }
 
 /// The same, and node 1 answers repetitions by itself: the next sequence number and the token.
-async fn repeating(store: &StandIn) -> (Cluster, Rc<WorkerConnection>, u64, FencingToken) {
+async fn repeating(store: &FakeStore) -> (Cluster, Rc<WorkerConnection>, u64, FencingToken) {
     let mut cluster = delegated(store).await;
     let connection = Rc::new(WorkerConnection::default());
     let (status, token, calls) = heartbeat(&mut cluster, 1, &connection, 1, FencingToken(0)).await;
@@ -85,7 +85,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_follower_answers_what_is_cached_and_the_leader_learns_of_it() {
     let test = async {
-        let store = StandIn::default();
+        let store = FakeStore::default();
         let (mut cluster, connection, sequence, token) = repeating(&store).await;
         tokio::time::advance(Duration::from_secs(1)).await;
         let answer = heartbeat(&mut cluster, 1, &connection, sequence + 4, token).await;
@@ -106,7 +106,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_cancellation_at_the_leader_invalidates_what_its_follower_may_answer() {
     let test = async {
-        let store = StandIn::default();
+        let store = FakeStore::default();
         let (mut cluster, connection, sequence, token) = repeating(&store).await;
         cluster.nodes[0].learn_end(JOB, JobEnd::Cancelled);
         send_invalidations(&cluster.nodes[0]);
@@ -123,7 +123,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_follower_that_is_cut_off_renews_no_longer_than_the_window() {
     let test = async {
-        let store = StandIn::default();
+        let store = FakeStore::default();
         let (cluster, connection, mut sequence, token) = repeating(&store).await;
         let confirmed_after = cluster.nodes[1].now();
         assert_eq!(user_api::cancel(cluster.nodes[2].clone(), JOB).await.status, 200);
@@ -152,7 +152,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_lost_invalidation_shows_with_the_next_grant() {
     let test = async {
-        let store = StandIn::default();
+        let store = FakeStore::default();
         let (mut cluster, connection, sequence, token) = repeating(&store).await;
         cluster.nodes[0].learn_end(JOB, JobEnd::Cancelled);
         send_invalidations(&cluster.nodes[0]);
@@ -171,7 +171,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_grant_comes_after_what_the_leader_invalidated_before_it() {
     let test = async {
-        let store = StandIn::default();
+        let store = FakeStore::default();
         let (mut cluster, connection, sequence, token) = repeating(&store).await;
         cluster.nodes[0].learn_end(JOB, JobEnd::Cancelled);
         request_delegation(&cluster.nodes[1]);
@@ -186,7 +186,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_worker_goes_to_the_leader_when_its_answer_does_not_come() {
     let test = async {
-        let store = StandIn::default();
+        let store = FakeStore::default();
         let mut cluster = delegated(&store).await;
         let (node, connection) = (cluster.nodes[1].clone(), WorkerConnection::default());
         let body = report_of(1, FencingToken(0));
@@ -213,7 +213,7 @@
 #[tokio::test(start_paused = true)]
 async fn only_so_many_heartbeats_wait_for_the_leader() {
     let test = async {
-        let store = StandIn::default();
+        let store = FakeStore::default();
         let cluster = delegated(&store).await;
         let node = cluster.nodes[1].clone();
         let most = Sockets::share(node.settings.fd_limit).inbound as usize;
@@ -250,7 +250,7 @@
     const WORKERS: usize = 4_200;
     const MAX_FRAME_BYTES: usize = 600;
     let test = async {
-        let store = StandIn::default();
+        let store = FakeStore::default();
         let mut settings = crate::settings::tests::sample();
         settings["facts"]["resources"]["fd_limit"] = serde_json::json!(WORKERS * 3 / 2);
         let cluster = store.cluster_of(3, &settings);
@@ -290,7 +290,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_restarted_follower_answers_nothing_from_its_former_cache() {
     let test = async {
-        let store = StandIn::default();
+        let store = FakeStore::default();
         let (mut cluster, connection, sequence, token) = repeating(&store).await;
         cluster.nodes[1].delegation.follower().forget_grants(&cluster.nodes[1].site);
         assert!(!repeats(&cluster, &connection, sequence, token));
@@ -306,7 +306,7 @@
 #[tokio::test(start_paused = true)]
 async fn the_leader_redirects_workers_to_the_follower_with_fewest_and_not_their_first_heartbeat() {
     let test = async {
-        let store = StandIn::default();
+        let store = FakeStore::default();
         let mut cluster = delegated(&store).await;
         for node in [1, 2] {
             cluster.nodes[node].delegation.worker_connections().set(100 * node as u32);
--- a/crates/controller/src/node/leader/reconciling/tests.rs
+++ b/crates/controller/src/node/leader/reconciling/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
-use crate::user_api::fake_cluster::StandIn;
+use crate::user_api::fake_cluster::FakeStore;
 
 /// The watch's answer with the job in it was lost, and with it every mention of the job.
 #[tokio::test(start_paused = true)]
 async fn a_job_missing_from_all_messages_is_found_and_a_lost_end_too() {
-    let store = StandIn::default();
+    let store = FakeStore::default();
     let node = store.node();
     let spec = serde_json::json!({"spec": {
         "class": "c", "team": "one", "rank": "High", "tasks": 3, "cpus": 1.0, "gpus": 0.0,
--- a/crates/controller/src/node/machine_types/tests.rs
+++ b/crates/controller/src/node/machine_types/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
-use crate::user_api::fake_cluster::StandIn;
+use crate::user_api::fake_cluster::FakeStore;
 
 /// Refused for its size again and again, it would lower what is taken for the limits each time.
 #[tokio::test(start_paused = true)]
 async fn machine_types_that_are_too_long_are_not_sent() {
-    let store = StandIn::default();
+    let store = FakeStore::default();
     let node = store.node();
     let types = node.types.borrow().clone();
     assert!(matches!(
--- a/crates/controller/src/node/machine_types_role/tests.rs
+++ b/crates/controller/src/node/machine_types_role/tests.rs
@@ -1,19 +1,19 @@
 use super::*;
-use crate::user_api::fake_cluster::{Fault, StandIn};
+use crate::user_api::fake_cluster::{FakeStore, Fault};
 
 fn epoch(node: &Node) -> Option<Epoch> {
     node.machine_types_role.lease.borrow().epoch()
 }
 
 /// The types in the store, if any.
-fn shared(store: &StandIn) -> Option<serde_json::Value> {
+fn shared(store: &FakeStore) -> Option<serde_json::Value> {
     store.value(keys::TYPES).map(|value| value["breeds"].clone())
 }
 
 #[tokio::test(start_paused = true)]
 async fn one_node_takes_the_role_and_a_replaced_one_writes_nothing() {
     let test = async {
-        let store = StandIn::default();
+        let store = FakeStore::default();
         let c = store.cluster(2);
         let (first, second) = (c.nodes[0].clone(), c.nodes[1].clone());
         // A node that the key-value store has not answered lately doesn't try.
@@ -46,7 +46,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_claim_whose_answer_is_lost_is_read_back() {
     let test = async {
-        let store = StandIn::default();
+        let store = FakeStore::default();
         let node = store.node();
         node.key_value.get(RequestClass::Watch, keys::LEADER).await.expect("an answer");
         store.fault(Fault::AppliedButLost);
@@ -64,7 +64,7 @@
         serde_json::json!({"format": 1, "node": "stranger", "inc": "x", "lease": 1}),
     ];
     for value in odd {
-        let store = StandIn::default();
+        let store = FakeStore::default();
         let node = store.node();
         store.put(&ROLE.key(), value.clone());
         observe(&node).await;
@@ -77,7 +77,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_former_incarnation_is_released_and_a_leader_hands_over_to_another() {
     let test = async {
-        let store = StandIn::default();
+        let store = FakeStore::default();
         let node = store.node();
         let former = HolderRecord {
             format: HOLDER_FORMAT,
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -8,7 +8,7 @@
 use crate::key_value_client::RequestClass;
 use crate::peers::{Cancellations, NodeStatus};
 use crate::user_api;
-use crate::user_api::fake_cluster::{Cluster, Fault, StandIn};
+use crate::user_api::fake_cluster::{Cluster, FakeStore, Fault};
 use crate::worker_api::{self, WorkerConnection};
 use walnutlug_scheduler::leadership::fencing_token::{FencingToken, Term};
 use walnutlug_scheduler::storage::keys;
@@ -16,7 +16,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_node_alone_refused_is_not_ready_and_one_among_all_is() {
-    let store = StandIn::default();
+    let store = FakeStore::default();
     let node = store.node();
     let status = |store_reachable| {
         Frame::Status(NodeStatus {
@@ -44,7 +44,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn unknown_paths_and_wrong_methods_are_told_apart() {
-    let node = StandIn::default().node();
+    let node = FakeStore::default().node();
     for (method, path, status) in [
         ("GET", "/nowhere", 404),
         ("GET", "/submissions", 405),
@@ -66,7 +66,7 @@
 /// Cut off from the key-value store and from the other nodes, while workers still reach it.
 #[tokio::test(start_paused = true)]
 async fn a_node_cut_off_from_state_and_peers_refuses_users_at_once() {
-    let store = StandIn::default();
+    let store = FakeStore::default();
     let node = store.node();
     node.readiness.set_loaded();
     store.fault(Fault::Down);
@@ -88,7 +88,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_status_of_a_former_incarnation_is_ignored() {
-    let node = StandIn::default().node();
+    let node = FakeStore::default().node();
     let status = |incarnation, count, store_reachable| {
         Frame::Status(NodeStatus {
             name: "kernel-1".into(),
@@ -116,7 +116,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_workers_connection_is_closed_before_users_lack_sockets() {
-    let node = StandIn::default().node();
+    let node = FakeStore::default().node();
     let request = || Request { method: "POST".into(), path: "/hello".into(), body: vec![] };
     let open = node.load.open_connections();
     open.set(Sockets::share(node.settings.fd_limit).workers_kept);
@@ -127,7 +127,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_leader_steps_down_for_a_newer_term_and_not_for_an_older() {
-    let node = StandIn::default().node();
+    let node = FakeStore::default().node();
     node.leadership.borrow_mut().step(node.now(), ElectionEvent::Vacant);
     node.leadership.borrow_mut().step(node.now(), ElectionEvent::Won { term: Term(5) });
     let status = |term| {
@@ -151,12 +151,12 @@
 pub(crate) const JOB: &str = "req-000412";
 
 /// A leader of a task that runs, and two other nodes, whose logs of cancellations are known to all.
-pub(crate) async fn leader_with_a_task(store: &StandIn) -> Cluster {
+pub(crate) async fn leader_with_a_task(store: &FakeStore) -> Cluster {
     lead_with_a_task(store, store.cluster(3)).await
 }
 
 /// The same with the nodes given.
-pub(crate) async fn lead_with_a_task(store: &StandIn, mut cluster: Cluster) -> Cluster {
+pub(crate) async fn lead_with_a_task(store: &FakeStore, mut cluster: Cluster) -> Cluster {
     store.put(&keys::job(JOB), serde_json::json!(1));
     let node = cluster.nodes[0].clone();
     let mut scheduler = Scheduler::new(
@@ -249,7 +249,7 @@
 async fn a_repeated_heartbeat_is_answered_until_its_job_is_cancelled() {
     tokio::task::LocalSet::new()
         .run_until(async {
-            let store = StandIn::default();
+            let store = FakeStore::default();
             let cluster = leader_with_a_task(&store).await;
             let (leader, last) = (cluster.nodes[0].clone(), WorkerConnection::default());
             let (status, token, calls) = heartbeat_on(&leader, &last, 1, FencingToken(0));
@@ -293,7 +293,7 @@
             for (case, lost_for) in
                 [("frames arrive", 0), ("lost for a while", 3_000), ("lost for good", 60_000)]
             {
-                let store = StandIn::default();
+                let store = FakeStore::default();
                 let mut cluster = leader_with_a_task(&store).await;
                 let leader = cluster.nodes[0].clone();
                 assert_eq!(heartbeat_once(&leader, 1), (200, vec![]), "{case}");
@@ -337,7 +337,7 @@
 async fn a_restarted_node_confirms_nothing_of_its_former_incarnation() {
     tokio::task::LocalSet::new()
         .run_until(async {
-            let store = StandIn::default();
+            let store = FakeStore::default();
             let mut cluster = leader_with_a_task(&store).await;
             let leader = cluster.nodes[0].clone();
             assert_eq!(user_api::cancel(cluster.nodes[1].clone(), JOB).await.status, 200);
@@ -378,7 +378,7 @@
 /// While the records are read, an answer would renew what may have been cancelled long ago.
 #[tokio::test(start_paused = true)]
 async fn a_loading_leader_renews_no_worker_lease() {
-    let node = StandIn::default().node();
+    let node = FakeStore::default().node();
     for input in [ElectionEvent::Vacant, ElectionEvent::Won { term: Term(5) }] {
         node.leadership.borrow_mut().step(node.now(), input);
     }
@@ -388,7 +388,7 @@
 /// A cancellation that comes between the reading of the ends and the first round.
 #[tokio::test(start_paused = true)]
 async fn an_end_received_while_the_records_are_read_reaches_the_scheduler() {
-    let store = StandIn::default();
+    let store = FakeStore::default();
     let cluster = leader_with_a_task(&store).await;
     let node = cluster.nodes[0].clone();
     let scheduler = node.scheduler.borrow_mut().take().expect("a scheduler");
--- a/crates/controller/src/user_api/concurrent_failures_tests.rs
+++ b/crates/controller/src/user_api/concurrent_failures_tests.rs
@@ -16,7 +16,7 @@
 use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::storage::revision::Revision;
 
-use super::fake_cluster::{Fault, StandIn};
+use super::fake_cluster::{FakeStore, Fault};
 use super::*;
 use crate::key_value_client::RequestClass;
 use crate::node::Node;
@@ -148,7 +148,7 @@
 /// after each event; and jobs end by themselves at the same moment.
 async fn play(m: &Meeting, seed: u64) {
     let what = format!("{} (seed {seed})", m.name);
-    let store = StandIn::default();
+    let store = FakeStore::default();
     store.disorder(seed, m.lost, m.late);
     let mut cluster = store.cluster(3);
     let mut rng = StdRng::seed_from_u64(seed ^ 0x5eed);
@@ -247,7 +247,7 @@
 /// knows no machine types yet, where what can be judged without them is.
 #[tokio::test(start_paused = true)]
 async fn odd_submissions_are_refused_at_every_node_and_in_its_first_seconds() {
-    let store = StandIn::default();
+    let store = FakeStore::default();
     let (old, fresh) = (store.node(), store.node());
     fresh.types.borrow_mut().clear();
     let play = async {
--- a/crates/controller/src/user_api/fake_cluster.rs
+++ b/crates/controller/src/user_api/fake_cluster.rs
@@ -68,7 +68,7 @@
 
 /// A key-value store that stands in for the real one, shared by its clones.
 #[derive(Clone)]
-pub(crate) struct StandIn {
+pub(crate) struct FakeStore {
     store: Rc<RefCell<FakeKeyValueStore>>,
     /// Requests so far.
     pub(crate) asked: Rc<Cell<u32>>,
@@ -86,9 +86,9 @@
     seen: (u32, u32),
 }
 
-impl Default for StandIn {
-    fn default() -> StandIn {
-        StandIn {
+impl Default for FakeStore {
+    fn default() -> FakeStore {
+        FakeStore {
             store: Rc::default(),
             asked: Rc::default(),
             fault: Rc::new(Cell::new(Fault::None)),
@@ -97,7 +97,7 @@
     }
 }
 
-impl StandIn {
+impl FakeStore {
     /// From here on this goes wrong.
     pub(crate) fn fault(&self, fault: Fault) {
         self.fault.set(fault);
--- a/crates/controller/src/user_api/tests.rs
+++ b/crates/controller/src/user_api/tests.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 use walnutlug_scheduler::storage::keys;
 
-use super::fake_cluster::{Fault, StandIn};
+use super::fake_cluster::{FakeStore, Fault};
 use super::submission::SubmissionError;
 use super::*;
 use crate::http::client::NotSent;
@@ -36,7 +36,7 @@
 /// memory after another node had told that the job was done.
 #[tokio::test(start_paused = true)]
 async fn a_repeat_after_the_end_is_told_the_end() {
-    let store = StandIn::default();
+    let store = FakeStore::default();
     let (a, b) = (store.node(), store.node());
     let play = async {
         assert_eq!(send(&a, &submission()).await.0, 201);
@@ -50,7 +50,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_submission_whose_answer_is_lost_is_accepted_once() {
-    let store = StandIn::default();
+    let store = FakeStore::default();
     let node = store.node();
     let play = async {
         store.fault(Fault::AppliedButLost);
@@ -66,7 +66,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn what_cannot_be_decided_is_refused_at_once_with_a_time_to_come_again() {
-    let store = StandIn::default();
+    let store = FakeStore::default();
     let node = store.node();
     let play = async {
         store.put(&keys::job("req-1"), json!(1));
@@ -92,7 +92,7 @@
 /// At 20 changes a second, a rush of submissions once waited 2.5 s each to be refused.
 #[tokio::test(start_paused = true)]
 async fn a_rush_beyond_the_write_rate_is_told_at_once_when_to_come_again() {
-    let store = StandIn::default();
+    let store = FakeStore::default();
     let node = store.node();
     let play = async {
         let tries: Vec<_> = (0..60)
@@ -127,7 +127,7 @@
 /// the next batch, and isn't refused for what is ahead of the rush's own.
 #[tokio::test(start_paused = true)]
 async fn a_rush_holds_up_no_other_lane() {
-    let store = StandIn::default();
+    let store = FakeStore::default();
     let node = store.node();
     let play = async {
         let send = |i: usize, priority: &str| {
@@ -155,7 +155,7 @@
 /// The chain that the README shows, sent as it stands there.
 #[tokio::test(start_paused = true)]
 async fn the_chain_in_the_readme_is_accepted_and_cancelled() {
-    let store = StandIn::default();
+    let store = FakeStore::default();
     let node = store.node();
     let play = async {
         let text = include_str!("../../../../README.md");
@@ -183,7 +183,7 @@
 /// A cancelled job named before an unknown one once hid the unknown one.
 #[tokio::test(start_paused = true)]
 async fn only_jobs_that_were_accepted_may_be_waited_for() {
-    let store = StandIn::default();
+    let store = FakeStore::default();
     let (a, b) = (store.node(), store.node());
     let play = async {
         assert_eq!(send(&a, &submission()).await.0, 201);
@@ -214,7 +214,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn what_is_done_is_not_waited_for_and_what_is_cancelled_cancels() {
-    let store = StandIn::default();
+    let store = FakeStore::default();
     let node = store.node();
     let play = async {
         for (name, end) in [("req-7", "aborted"), ("req-8", "done")] {
@@ -240,7 +240,7 @@
 /// queued that stands behind a cancelled one, at whatever depth.
 #[tokio::test(start_paused = true)]
 async fn a_poll_settles_what_stands_behind_a_cancelled_job() {
-    let store = StandIn::default();
+    let store = FakeStore::default();
     let (a, b) = (store.node(), store.node());
     let play = async {
         assert_eq!(send(&a, &submission()).await.0, 201);
@@ -264,7 +264,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn an_end_has_one_writer_and_every_node_tells_it() {
-    let store = StandIn::default();
+    let store = FakeStore::default();
     let (a, b) = (store.node(), store.node());
     let play = async {
         send(&a, &submission()).await;
@@ -289,7 +289,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn nobodys_jobs_are_not_found_and_odd_names_not_even_looked_for() {
-    let store = StandIn::default();
+    let store = FakeStore::default();
     let node = store.node();
     let play = async {
         assert_eq!(poll(node.clone(), "req-999999").await.status, 404);
@@ -305,7 +305,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn what_can_never_run_is_refused_unless_it_was_accepted() {
-    let store = StandIn::default();
+    let store = FakeStore::default();
     let node = store.node();
     let play = async {
         for (field, value) in
