--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -65,7 +65,7 @@
     /// Present while the node leads and has read the records.
     pub(crate) scheduler: RefCell<Option<Scheduler>>,
     /// The machine types as last read; none at first.
-    pub(crate) types: RefCell<Vec<MachineType>>,
+    pub(crate) machine_types: RefCell<Vec<MachineType>>,
     pub(crate) user_api: UserApi,
     /// Its part in answering the workers' heartbeats.
     pub(crate) delegation: HeartbeatDelegation,
@@ -133,7 +133,7 @@
             client,
             leadership: RefCell::default(),
             scheduler: RefCell::default(),
-            types: RefCell::default(),
+            machine_types: RefCell::default(),
             user_api: UserApi::default(),
             delegation,
             new_work: Notify::new(),
--- a/crates/controller/src/node/golden_tests.rs
+++ b/crates/controller/src/node/golden_tests.rs
@@ -177,7 +177,7 @@
 async fn outage_answers(store: &FakeStore) -> JobEndLookup {
     let node = store.node();
     let untyped = store.node();
-    untyped.types.borrow_mut().clear();
+    untyped.machine_types.borrow_mut().clear();
     let mut found = vec![("503, no types", submit(&untyped, &submission().to_string()).await)];
     store.fault(Fault::Down);
     let mut other = submission();
@@ -337,7 +337,7 @@
     let node =
         Node::new(settings.expect("settings"), Tunables::default(), client, PeerSenders::new([]));
     let node = Rc::new(node.expect("a node"));
-    node.types.borrow_mut().push(one_type());
+    node.machine_types.borrow_mut().push(one_type());
     node
 }
 
--- a/crates/controller/src/node/leader.rs
+++ b/crates/controller/src/node/leader.rs
@@ -199,7 +199,7 @@
 ///
 /// So may ends that other nodes sent meanwhile, and which count as known here because they were acknowledged.
 pub(super) fn install(node: &Node, mut scheduler: Scheduler) {
-    scheduler.cluster.set_types(node.types.borrow().clone());
+    scheduler.cluster.set_types(node.machine_types.borrow().clone());
     for (job, end) in node.cancellations.take_kept_ends() {
         scheduler.job_ended(node.now(), &job, end);
     }
--- a/crates/controller/src/node/leader/loading.rs
+++ b/crates/controller/src/node/leader/loading.rs
@@ -28,10 +28,10 @@
 pub(super) async fn load(node: &Rc<Node>, term: Term) -> Result<(), KeyValueError> {
     let (began, requested) = (Instant::now(), node.now());
     node.cancellations.take_kept_ends();
-    if node.types.borrow().is_empty() {
+    if node.machine_types.borrow().is_empty() {
         node.read_types().await;
     }
-    let types = node.types.borrow().clone();
+    let types = node.machine_types.borrow().clone();
     let (site, tunables) = (node.site.clone(), node.tunables.clone());
     let mut scheduler = Scheduler::new(site, tunables, term, types, node.now());
     let records = load_jobs(node, &mut scheduler).await?;
--- a/crates/controller/src/node/leader/reconciling/tests.rs
+++ b/crates/controller/src/node/leader/reconciling/tests.rs
@@ -16,7 +16,7 @@
         node.site.clone(),
         node.tunables.clone(),
         Term(7),
-        node.types.borrow().clone(),
+        node.machine_types.borrow().clone(),
         node.now(),
     ));
     reconcile_once(&node, Term(7)).await.expect("read");
--- a/crates/controller/src/node/machine_types.rs
+++ b/crates/controller/src/node/machine_types.rs
@@ -25,23 +25,23 @@
 pub(super) async fn keep_fresh(node: Rc<Node>) {
     let mut pause = FIRST_INTERVAL;
     loop {
-        if node.types.borrow().is_empty() {
+        if node.machine_types.borrow().is_empty() {
             node.read_types().await;
         }
         let leads = node.leadership.borrow().term().is_some();
         let fenced = node.tunables.fenced_duties;
         let shares = if fenced { node.machine_types_role.is_held(node.now()) } else { leads };
-        if node.types.borrow().is_empty() || shares {
+        if node.machine_types.borrow().is_empty() || shares {
             read_types_from_cloud(&node, shares || !fenced).await;
         } else if leads {
             node.read_types().await;
         }
-        if !node.types.borrow().is_empty() {
+        if !node.machine_types.borrow().is_empty() {
             pause = MAX_INTERVAL;
         }
         sleep(pause).await;
         pause = (pause * 2).min(MAX_INTERVAL);
-        if node.types.borrow().is_empty() {
+        if node.machine_types.borrow().is_empty() {
             pause = pause.min(MAX_INTERVAL_AT_FIRST);
         }
     }
@@ -83,10 +83,10 @@
 
     /// Replaces the machine types. Whether that changes them.
     fn set_types(&self, types: &[MachineType]) -> bool {
-        if *self.types.borrow() == types {
+        if *self.machine_types.borrow() == types {
             return false;
         }
-        self.types.replace(types.to_vec());
+        self.machine_types.replace(types.to_vec());
         if let Some(scheduler) = self.scheduler.borrow_mut().as_mut() {
             scheduler.cluster.set_types(types.to_vec());
         }
--- a/crates/controller/src/node/machine_types/tests.rs
+++ b/crates/controller/src/node/machine_types/tests.rs
@@ -6,7 +6,7 @@
 async fn machine_types_that_are_too_long_are_not_sent() {
     let store = FakeStore::default();
     let node = store.node();
-    let types = node.types.borrow().clone();
+    let types = node.machine_types.borrow().clone();
     assert!(matches!(
         share_unfenced(&node.key_value, &types).await,
         TransactionOutcome::Committed { .. }
--- a/crates/controller/src/node/machine_types_role/tests.rs
+++ b/crates/controller/src/node/machine_types_role/tests.rs
@@ -25,7 +25,7 @@
         assert!(first.machine_types_role.is_held(first.now()));
         assert_eq!(epoch(&second), None);
         assert!(first.machine_types_role.has_yet_to_share());
-        let types = first.types.borrow().clone();
+        let types = first.machine_types.borrow().clone();
         share(&first, &types).await;
         assert!(shared(&store).is_some() && !first.machine_types_role.has_yet_to_share());
         // Its lease ends while it stands still, and the other takes over.
--- a/crates/controller/src/node/readiness.rs
+++ b/crates/controller/src/node/readiness.rs
@@ -27,7 +27,7 @@
 /// of no use to anybody; nor is one that is cut off from the key-value store and from all other nodes, which are
 /// served for all it knows.
 pub(super) fn is_ready(node: &Node) -> bool {
-    if node.types.borrow().is_empty() || !node.readiness.loaded.get() {
+    if node.machine_types.borrow().is_empty() || !node.readiness.loaded.get() {
         return false;
     }
     let refused = node.key_value.unreachable_for() > UNREACHABLE_FOR;
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -163,7 +163,7 @@
         node.site.clone(),
         node.tunables.clone(),
         Term(5),
-        node.types.borrow().clone(),
+        node.machine_types.borrow().clone(),
         node.now(),
     );
     let description = serde_json::json!({"spec": {
--- a/crates/controller/src/user_api/concurrent_failures_tests.rs
+++ b/crates/controller/src/user_api/concurrent_failures_tests.rs
@@ -249,7 +249,7 @@
 async fn odd_submissions_are_refused_at_every_node_and_in_its_first_seconds() {
     let store = FakeStore::default();
     let (old, fresh) = (store.node(), store.node());
-    fresh.types.borrow_mut().clear();
+    fresh.machine_types.borrow_mut().clear();
     let play = async {
         let fields: Vec<String> =
             submission("req-1").as_object().expect("object").keys().cloned().collect();
--- a/crates/controller/src/user_api/fake_cluster.rs
+++ b/crates/controller/src/user_api/fake_cluster.rs
@@ -158,7 +158,7 @@
         let node =
             Node::new(settings, Tunables::default(), Rc::new(client), PeerSenders::new(queues));
         let node = node.expect("a node");
-        node.types.borrow_mut().push(MachineType {
+        node.machine_types.borrow_mut().push(MachineType {
             name: "t8".into(),
             cpus: 8.0,
             gpus: 0.0,
--- a/crates/controller/src/user_api/submission.rs
+++ b/crates/controller/src/user_api/submission.rs
@@ -211,7 +211,7 @@
     name: &str,
     spec: &JobSpec,
 ) -> Result<Option<Unrunnable>, SubmissionError> {
-    let types = node.types.borrow();
+    let types = node.machine_types.borrow();
     if types.is_empty() {
         return Err(SubmissionError::TypesUnknown);
     }
--- a/crates/controller/src/user_api/tests.rs
+++ b/crates/controller/src/user_api/tests.rs
@@ -321,11 +321,11 @@
         assert_eq!(send(&node, &over).await.0, 422);
         assert_eq!(send(&node, &submission()).await.0, 201);
         // The cloud offers no fitting type any more: the job stays accepted.
-        node.types.borrow_mut()[0].cpus = 1.0;
+        node.machine_types.borrow_mut()[0].cpus = 1.0;
         let again = store.node();
-        again.types.borrow_mut()[0].cpus = 1.0;
+        again.machine_types.borrow_mut()[0].cpus = 1.0;
         assert_eq!(send(&again, &submission()).await.0, 200);
-        again.types.borrow_mut().clear();
+        again.machine_types.borrow_mut().clear();
         let mut other = submission();
         other["ref"] = json!("req-000413");
         assert_eq!(send(&again, &other).await.0, 503, "no types known");
