--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -70,7 +70,7 @@
     /// Its part in answering the workers' heartbeats.
     pub(crate) delegation: HeartbeatDelegation,
     /// Wakes the leader's watches: there is something new to read.
-    pub(crate) new_work: Notify,
+    pub(crate) watch_wakeup: Notify,
     identity: Identity,
     clock: Clock,
     peers: PeerSenders,
@@ -136,7 +136,7 @@
             machine_types: RefCell::default(),
             user_api: UserApi::default(),
             delegation,
-            new_work: Notify::new(),
+            watch_wakeup: Notify::new(),
             identity,
             clock: Clock::start(),
             peers,
@@ -228,7 +228,7 @@
             }
             None => {}
         }
-        self.new_work.notify_one();
+        self.watch_wakeup.notify_one();
         self.wake_leader();
     }
 
--- a/crates/controller/src/node/leader/watches.rs
+++ b/crates/controller/src/node/leader/watches.rs
@@ -60,7 +60,7 @@
         let rest = rest_of_interval(opened.elapsed());
         if !rest.is_zero() {
             // A node that accepted or cancelled a job hints that there is something new to read.
-            let _ = timeout(rest, node.new_work.notified()).await;
+            let _ = timeout(rest, node.watch_wakeup.notified()).await;
         }
     }
 }
--- a/crates/controller/src/node/peer_messages.rs
+++ b/crates/controller/src/node/peer_messages.rs
@@ -31,7 +31,7 @@
             Frame::Invalidated { term, first, cache_entries } => {
                 self.delegation.follower().invalidate(term, first, &cache_entries);
             }
-            Frame::NewJob { .. } => self.new_work.notify_one(),
+            Frame::NewJob { .. } => self.watch_wakeup.notify_one(),
             Frame::LimitsLowered => self.key_value.learn_limits_lowered(),
             Frame::Machines(machines) => self.cluster_view.learn_addresses(machines),
         }
@@ -61,7 +61,7 @@
         }
         // Only a hint to look: a job becomes ready by what the key-value store says.
         self.user_api.known_jobs.forget_progress(job);
-        self.new_work.notify_one();
+        self.watch_wakeup.notify_one();
     }
 
     fn handle_cancellations(&self, part: &Cancellations) {
--- a/crates/controller/src/user_api/batch_writer.rs
+++ b/crates/controller/src/user_api/batch_writer.rs
@@ -174,7 +174,7 @@
         node.broadcast(&Frame::NewJob { job: name });
         let _ = reply.send(Acceptance::New);
     }
-    node.new_work.notify_one();
+    node.watch_wakeup.notify_one();
 }
 
 /// Some are known already, perhaps by a copy of this very transaction whose answer was lost. Answers
