--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -204,7 +204,7 @@
 
     /// The job has ended, for certain: the key-value store says so. The other nodes are told before any user
     /// learns it from this one.
-    pub(crate) fn learn_end(&self, job: &str, end: JobEnd) {
+    pub(crate) fn record_job_end(&self, job: &str, end: JobEnd) {
         if end == JobEnd::Cancelled && self.user_api.known_jobs.end(job).is_none() {
             self.cancellations.append(self.now(), job);
             self.send_cancellations();
--- a/crates/controller/src/node/golden_tests.rs
+++ b/crates/controller/src/node/golden_tests.rs
@@ -235,7 +235,7 @@
         found.push(("400, machine", heartbeat(&leader, &idle_report("", 1)).await));
         let no_address = idle_report("n-3", 1).replace("10.0.0.1:1", "here");
         found.push(("400, address", heartbeat(&leader, &no_address).await));
-        leader.learn_end(JOB, JobEnd::Cancelled);
+        leader.record_job_end(JOB, JobEnd::Cancelled);
         found.push(("200 with kill", heartbeat(&leader, &report_of(2, FencingToken(0))).await));
         found.push((
             "200, finished",
--- a/crates/controller/src/node/heartbeats/tests.rs
+++ b/crates/controller/src/node/heartbeats/tests.rs
@@ -108,7 +108,7 @@
     let test = async {
         let store = FakeStore::default();
         let (mut cluster, connection, sequence, token) = repeating(&store).await;
-        cluster.nodes[0].learn_end(JOB, JobEnd::Cancelled);
+        cluster.nodes[0].record_job_end(JOB, JobEnd::Cancelled);
         send_invalidations(&cluster.nodes[0]);
         cluster.deliver(|_, _| true).await;
         assert!(!repeats(&cluster, &connection, sequence, token));
@@ -154,7 +154,7 @@
     let test = async {
         let store = FakeStore::default();
         let (mut cluster, connection, sequence, token) = repeating(&store).await;
-        cluster.nodes[0].learn_end(JOB, JobEnd::Cancelled);
+        cluster.nodes[0].record_job_end(JOB, JobEnd::Cancelled);
         send_invalidations(&cluster.nodes[0]);
         cluster.deliver(|_, _| false).await;
         assert!(repeats(&cluster, &connection, sequence, token), "it hasn't heard");
@@ -173,7 +173,7 @@
     let test = async {
         let store = FakeStore::default();
         let (mut cluster, connection, sequence, token) = repeating(&store).await;
-        cluster.nodes[0].learn_end(JOB, JobEnd::Cancelled);
+        cluster.nodes[0].record_job_end(JOB, JobEnd::Cancelled);
         request_delegation(&cluster.nodes[1]);
         for _ in 0..3 {
             cluster.deliver(|_, _| true).await;
--- a/crates/controller/src/node/leader/reconciling.rs
+++ b/crates/controller/src/node/leader/reconciling.rs
@@ -49,7 +49,7 @@
     };
     for job in job_ends::find_ended(node, open).await? {
         if let Some(end) = node.key_value.job_end(&job).await? {
-            node.learn_end(&job, end);
+            node.record_job_end(&job, end);
         }
     }
     node.wake_leader();
--- a/crates/controller/src/node/leader/watches.rs
+++ b/crates/controller/src/node/leader/watches.rs
@@ -76,7 +76,7 @@
             }
         } else if let Some(job) = put.strip_prefix(keys::END) {
             if let Ok(end) = serde_json::from_value::<JobEnd>(value.clone()) {
-                node.learn_end(job, end);
+                node.record_job_end(job, end);
             }
         }
     }
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -274,7 +274,7 @@
                 scheduler.as_ref().and_then(|s| s.cluster.machines.first()).expect("a machine");
             assert_eq!((machine.sequence, machine.last_heartbeat), (39, leader.now()));
             drop(scheduler);
-            leader.learn_end(JOB, JobEnd::Cancelled);
+            leader.record_job_end(JOB, JobEnd::Cancelled);
             let (status, _, calls) = heartbeat_on(&leader, &last, 40, token);
             assert_eq!((status, calls), (200, vec!["\"kill\"".to_owned()]));
             // One that no longer leads renews nothing, whatever it remembers.
@@ -367,7 +367,7 @@
             }
             // The service is back, and its watch delivers the end: killed, and renewed again.
             store.fault(Fault::None);
-            leader.learn_end(JOB, JobEnd::Cancelled);
+            leader.record_job_end(JOB, JobEnd::Cancelled);
             leader.cancellations.ends_read(leader.now());
             let (status, calls) = heartbeat_once(&leader, 50);
             assert_eq!((status, calls.len()), (200, 1));
--- a/crates/controller/src/user_api/batch_writer.rs
+++ b/crates/controller/src/user_api/batch_writer.rs
@@ -167,7 +167,7 @@
     let known_jobs = &node.user_api.known_jobs;
     for PendingSubmission { name, dependencies, is_cancelled, reply, .. } in batch {
         if is_cancelled {
-            node.learn_end(&name, JobEnd::Cancelled);
+            node.record_job_end(&name, JobEnd::Cancelled);
         } else {
             known_jobs.learn_dependencies(&name, dependencies);
         }
--- a/crates/controller/src/user_api/cancellation.rs
+++ b/crates/controller/src/user_api/cancellation.rs
@@ -38,7 +38,7 @@
         match node.key_value.commit(RequestClass::Submission, &transaction).await {
             TransactionOutcome::Committed { .. } => {
                 info!(job = %name, "job cancelled by its user");
-                node.learn_end(name, JobEnd::Cancelled);
+                node.record_job_end(name, JobEnd::Cancelled);
                 return Answer::json(200, &job_response(name, JobStage::Cancelled, None));
             }
             // Ended meanwhile, or by a copy of this transaction: the next lookup shows.
@@ -70,7 +70,7 @@
             TransactionOutcome::Committed { .. } => {
                 for name in some {
                     info!(job = %name, "job cancelled: a job it depends on was cancelled");
-                    node.learn_end(name, JobEnd::Cancelled);
+                    node.record_job_end(name, JobEnd::Cancelled);
                 }
                 learned_any = true;
             }
@@ -91,7 +91,7 @@
 pub(super) async fn learn_stored_end(node: &Rc<Node>, name: &str) -> bool {
     match node.key_value.job_end(name).await {
         Ok(Some(end)) => {
-            node.learn_end(name, end);
+            node.record_job_end(name, end);
             true
         }
         Ok(None) | Err(_) => false,
--- a/crates/controller/src/user_api/concurrent_failures_tests.rs
+++ b/crates/controller/src/user_api/concurrent_failures_tests.rs
@@ -189,7 +189,7 @@
                     if let TransactionOutcome::Committed { .. } =
                         node.key_value.commit(RequestClass::Dispatch, &transaction).await
                     {
-                        node.learn_end(&job, JobEnd::Done);
+                        node.record_job_end(&job, JobEnd::Done);
                     }
                 }));
             }
