--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -158,7 +158,7 @@
     }
 
     /// The time of day in microseconds since 1970.
-    pub(crate) fn wall_us(&self) -> u64 {
+    pub(crate) fn wall_clock_us(&self) -> u64 {
         clock::wall_clock_us()
     }
 
--- a/crates/controller/src/node/leader/loading.rs
+++ b/crates/controller/src/node/leader/loading.rs
@@ -77,7 +77,7 @@
     let Listing { key_values: descriptions, store_revision } =
         list_until_answered(node, keys::DESCRIPTIONS).await?;
     let Listing { key_values: runs, .. } = list_until_answered(node, keys::RUN).await?;
-    let (read_at, wall) = (node.now(), node.wall_us());
+    let (read_at, wall) = (node.now(), node.wall_clock_us());
     for description in &descriptions {
         if let Some(job) = keys::described(&description.key) {
             // A damaged description is logged by the scheduler, and its job is passed over.
--- a/crates/controller/src/node/leader/reconciling.rs
+++ b/crates/controller/src/node/leader/reconciling.rs
@@ -57,7 +57,7 @@
 }
 
 fn add_missing_jobs(node: &Node, scheduler: &mut Scheduler, descriptions: &[KeyValue]) {
-    let (now, wall) = (node.now(), node.wall_us());
+    let (now, wall) = (node.now(), node.wall_clock_us());
     for description in descriptions {
         // One that was deleted since the list was read comes back here as a job to do; the precondition on its end
         // then fails, and it is deleted again.
--- a/crates/controller/src/node/leader/watches.rs
+++ b/crates/controller/src/node/leader/watches.rs
@@ -66,7 +66,7 @@
 }
 
 fn apply(node: &Node, events: &[WatchEvent]) {
-    let (now, wall) = (node.now(), node.wall_us());
+    let (now, wall) = (node.now(), node.wall_clock_us());
     for event in events {
         let WatchEvent::Put { put, value, .. } = event else { continue };
         if let Some(job) = keys::described(put) {
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -172,7 +172,7 @@
         "one_zone": false, "spread": false, "spot": true, "estimate_s": 9.0,
         "checkpoint_s": 0.0, "save_s": 0.0, "deadline_s": null}, "at": 1, "chunk": 50});
     store.put(&keys::todo(JOB), description.clone());
-    assert!(scheduler.add_job(node.now(), JOB, &description, node.wall_us()).is_ok());
+    assert!(scheduler.add_job(node.now(), JOB, &description, node.wall_clock_us()).is_ok());
     let value = serde_json::json!({"w": "x", "t": [[2, 1, "n-1", 1, 0]]});
     scheduler.load_chunks(
         node.now(),
--- a/crates/controller/src/user_api/submission.rs
+++ b/crates/controller/src/user_api/submission.rs
@@ -194,7 +194,7 @@
 fn describe(node: &Node, spec: &JobSpec) -> Result<Document, SubmissionError> {
     let site_limit = node.settings.site.value_bytes;
     let chunk = chunk_size(site_limit);
-    let description = Document::new(&description_record(spec, node.wall_us(), chunk));
+    let description = Document::new(&description_record(spec, node.wall_clock_us(), chunk));
     if description.size() > node.key_value.limits().value_bytes.min(site_limit) {
         return Err(SubmissionError::DescriptionTooLong);
     }
