--- a/crates/controller/src/heartbeat_delegation.rs
+++ b/crates/controller/src/heartbeat_delegation.rs
@@ -19,7 +19,7 @@
 
 use walnutlug_scheduler::tunables::Site;
 
-use crate::peers::MAX_CARRIED;
+use crate::peers::MAX_FORWARDED_BYTES;
 
 /// A node's part in answering heartbeats, as a follower and as the leader.
 pub(crate) struct HeartbeatDelegation {
@@ -70,7 +70,7 @@
     /// The node to which the worker should report instead, if this one has more than its share.
     pub(crate) fn another_node_for(&self, heartbeat_bytes: usize) -> Option<String> {
         // A longer heartbeat would come back: followers don't forward it.
-        if heartbeat_bytes > MAX_CARRIED / 2 {
+        if heartbeat_bytes > MAX_FORWARDED_BYTES / 2 {
             return None;
         }
         self.redirection.take()
--- a/crates/controller/src/node/heartbeats/follower.rs
+++ b/crates/controller/src/node/heartbeats/follower.rs
@@ -7,7 +7,7 @@
 use crate::node::Node;
 use crate::peers::{
     DelegationGranted, DelegationRequest, ForwardedHeartbeat, ForwardedResponse, Frame,
-    MAX_CARRIED, MAX_ENTRIES,
+    MAX_ENTRIES, MAX_FORWARDED_BYTES,
 };
 use crate::worker_api::{Repetition, WorkerConnection};
 
@@ -31,7 +31,7 @@
         let follower = self.delegation.follower();
         let term = follower.forwarding_term(self.now())?;
         let leader = self.leader_under(term)?;
-        if body.len() > MAX_CARRIED {
+        if body.len() > MAX_FORWARDED_BYTES {
             return None;
         }
         let pending = follower.begin_forward()?;
--- a/crates/controller/src/node/heartbeats/leader.rs
+++ b/crates/controller/src/node/heartbeats/leader.rs
@@ -13,7 +13,7 @@
 use crate::node::Node;
 use crate::peers::{
     DelegationGranted, DelegationRequest, ForwardedHeartbeat, ForwardedResponse, Frame,
-    RepeatedHeartbeat, MAX_CARRIED,
+    RepeatedHeartbeat, MAX_FORWARDED_BYTES,
 };
 use crate::worker_api::{self, CacheableResponse};
 
@@ -78,7 +78,7 @@
     let response = ForwardedResponse {
         asker_incarnation: forwarded.incarnation,
         number: forwarded.number,
-        answer: answer.filter(|body| body.len() <= MAX_CARRIED),
+        answer: answer.filter(|body| body.len() <= MAX_FORWARDED_BYTES),
         cache_entry,
     };
     node.send_to_peer(&forwarded.node, &Frame::ForwardedResponse(response));
--- a/crates/controller/src/node/heartbeats/tests.rs
+++ b/crates/controller/src/node/heartbeats/tests.rs
@@ -10,7 +10,7 @@
 use crate::heartbeat_delegation::{FOLLOWER_VALID, RESPONSE_TIMEOUT};
 use crate::node::tests::{idle_report, lead_with_a_task, leader_with_a_task, report_of, JOB};
 use crate::node::Node;
-use crate::peers::{Frame, MAX_CARRIED};
+use crate::peers::{Frame, MAX_FORWARDED_BYTES};
 use crate::settings::Sockets;
 use crate::user_api;
 use crate::user_api::fake_cluster::{Cluster, FakeStore, Fault};
@@ -235,7 +235,7 @@
         }
         assert_eq!(node.delegation.follower().pending(), 0, "what was refused can come again");
         // A heartbeat longer than a frame goes to the leader itself.
-        let long = format!("{}{}", report_of(1, FencingToken(0)), " ".repeat(MAX_CARRIED));
+        let long = format!("{}{}", report_of(1, FencingToken(0)), " ".repeat(MAX_FORWARDED_BYTES));
         let answer =
             worker_api::heartbeat(&node, &WorkerConnection::default(), long.as_bytes()).await;
         assert_eq!(answer.status, 421);
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -18,7 +18,7 @@
 pub(crate) use frame::{Frame, FrameError};
 pub(crate) use heartbeat_frames::{
     DelegationGranted, DelegationRequest, ForwardedHeartbeat, ForwardedResponse, RepeatedHeartbeat,
-    MAX_CARRIED, MAX_ENTRIES,
+    MAX_ENTRIES, MAX_FORWARDED_BYTES,
 };
 pub(crate) use job_frames::{CancellationLogEnd, Cancellations, CancellationsAck};
 pub(crate) use node_frames::{MachineAddress, NodeStatus, MAX_MACHINES};
--- a/crates/controller/src/peers/heartbeat_frames.rs
+++ b/crates/controller/src/peers/heartbeat_frames.rs
@@ -14,11 +14,11 @@
 use super::FrameError;
 
 /// Bytes of a heartbeat or an answer that fit one frame; a worker with longer ones reports to the leader itself.
-pub(crate) const MAX_CARRIED: usize = 3_500;
+pub(crate) const MAX_FORWARDED_BYTES: usize = 3_500;
 /// Entries in one frame.
 pub(crate) const MAX_ENTRIES: usize = 150;
 
-const _: () = assert!(size_of::<ForwardedResponseBody>() + MAX_CARRIED < MAX_BODY);
+const _: () = assert!(size_of::<ForwardedResponseBody>() + MAX_FORWARDED_BYTES < MAX_BODY);
 const _: () = assert!(
     size_of::<RepeatedHeartbeatsHead>() + MAX_ENTRIES * size_of::<RepeatedHeartbeatEntry>()
         < MAX_BODY
--- a/crates/controller/src/peers/tests.rs
+++ b/crates/controller/src/peers/tests.rs
@@ -64,11 +64,11 @@
             node: "kernel-1".into(),
             incarnation: 1 << 50,
             number: 70_000,
-            heartbeat: vec![b'x'; MAX_CARRIED],
+            heartbeat: vec![b'x'; MAX_FORWARDED_BYTES],
         }),
         Frame::ForwardedResponse(answer.clone()),
         Frame::ForwardedResponse(ForwardedResponse {
-            answer: Some(vec![b'y'; MAX_CARRIED]),
+            answer: Some(vec![b'y'; MAX_FORWARDED_BYTES]),
             cache_entry: Some(cache_entry),
             ..answer
         }),
