--- a/crates/controller/src/node/heartbeats/follower.rs
+++ b/crates/controller/src/node/heartbeats/follower.rs
@@ -82,7 +82,7 @@
     if before != Some(term) {
         info!(%term, leader = %granted.node, "answering workers on the leader's behalf");
     }
-    node.delegation.redirection().set(u32::from(granted.spare), granted.spare_to);
+    node.delegation.redirection().set(u32::from(granted.redirect_count), granted.redirect_to);
 }
 
 /// Tells the leader which machines repeated their heartbeats.
--- a/crates/controller/src/node/heartbeats/leader.rs
+++ b/crates/controller/src/node/heartbeats/leader.rs
@@ -103,8 +103,8 @@
         node: node.settings.node_name.clone(),
         asker_incarnation: request.incarnation,
         grant,
-        spare: redirected.map_or(0, |moved| moved.workers.min(u32::from(u16::MAX)) as u16),
-        spare_to: redirected.map(|moved| destination(node, moved)),
+        redirect_count: redirected.map_or(0, |moved| moved.workers.min(u32::from(u16::MAX)) as u16),
+        redirect_to: redirected.map(|moved| destination(node, moved)),
     };
     node.send_to_peer(&request.node, &Frame::DelegationGranted(granted));
 }
--- a/crates/controller/src/peers/golden_tests.rs
+++ b/crates/controller/src/peers/golden_tests.rs
@@ -176,7 +176,7 @@
 }
 
 fn grant_frames() -> Vec<(&'static str, Frame)> {
-    let granting = |spare, spare_to| {
+    let granting = |redirect_count, redirect_to| {
         Frame::DelegationGranted(DelegationGranted {
             node: "kernel-0".into(),
             asker_incarnation: 0x0102_0304_0506_0708,
@@ -186,8 +186,8 @@
                 unknown_for: TimeDelta(0x3132_3334_3536_3738),
                 invalidated: 0x4142_4344_4546_4748,
             },
-            spare,
-            spare_to,
+            redirect_count,
+            redirect_to,
         })
     };
     vec![
--- a/crates/controller/src/peers/heartbeat_frames.rs
+++ b/crates/controller/src/peers/heartbeat_frames.rs
@@ -84,9 +84,9 @@
     /// What the leader grants.
     pub(crate) grant: DelegationGrant,
     /// Workers that the follower should redirect.
-    pub(crate) spare: u16,
+    pub(crate) redirect_count: u16,
     /// The node to which it should redirect them.
-    pub(crate) spare_to: Option<String>,
+    pub(crate) redirect_to: Option<String>,
 }
 
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned, Clone, Copy)]
@@ -144,8 +144,8 @@
     asked: U64,
     unknown_for_us: U64,
     invalidated: U64,
-    spare: U16,
-    spare_to: [u8; NODE_NAME_BYTES],
+    redirect_count: U16,
+    redirect_to: [u8; NODE_NAME_BYTES],
 }
 
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned, Clone, Copy)]
@@ -308,8 +308,8 @@
             asked: self.grant.asked.into(),
             unknown_for_us: self.grant.unknown_for.0.into(),
             invalidated: self.grant.invalidated.into(),
-            spare: self.spare.into(),
-            spare_to: name_field(self.spare_to.as_deref().unwrap_or_default()),
+            redirect_count: self.redirect_count.into(),
+            redirect_to: name_field(self.redirect_to.as_deref().unwrap_or_default()),
         };
         body.as_bytes().to_vec()
     }
@@ -325,8 +325,8 @@
                 unknown_for: TimeDelta(body.unknown_for_us.get()),
                 invalidated: body.invalidated.get(),
             },
-            spare: body.spare.get(),
-            spare_to: optional_name(&body.spare_to),
+            redirect_count: body.redirect_count.get(),
+            redirect_to: optional_name(&body.redirect_to),
         })
     }
 }
--- a/crates/controller/src/peers/tests.rs
+++ b/crates/controller/src/peers/tests.rs
@@ -55,8 +55,8 @@
         node: "kernel-0".into(),
         asker_incarnation: 1 << 50,
         grant,
-        spare: 20,
-        spare_to: Some("kernel-2".into()),
+        redirect_count: 20,
+        redirect_to: Some("kernel-2".into()),
     };
     let heard = |machine| RepeatedHeartbeat { machine, number: 5, sequence: 1 << 34 };
     vec![
@@ -83,7 +83,7 @@
             workers: 300,
         }),
         Frame::DelegationGranted(granting.clone()),
-        Frame::DelegationGranted(DelegationGranted { spare_to: None, ..granting }),
+        Frame::DelegationGranted(DelegationGranted { redirect_to: None, ..granting }),
         Frame::Invalidated {
             term: Term(1 << 40),
             first: 8,
