--- a/crates/controller/src/node/machine_types/tests.rs
+++ b/crates/controller/src/node/machine_types/tests.rs
@@ -11,8 +11,8 @@
         share_unfenced(&node.key_value, &types).await,
         TransactionOutcome::Committed { .. }
     ));
-    let asked = store.asked.get();
+    let asked = store.request_count.get();
     let many: Vec<_> = (0..200).flat_map(|_| types.clone()).collect();
     assert_eq!(share_unfenced(&node.key_value, &many).await, TransactionOutcome::TooLarge);
-    assert_eq!(store.asked.get(), asked);
+    assert_eq!(store.request_count.get(), asked);
 }
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -74,11 +74,11 @@
     let _ = node.key_value.get(RequestClass::Poll, "x").await;
     assert!(node.key_value.is_down());
     assert!(!is_ready(&node), "alone with an unserved state");
-    let asked = store.asked.get();
+    let asked = store.request_count.get();
     let before = Instant::now();
     let answer = user_api::poll(node.clone(), "req-000412").await;
     assert_eq!((answer.status, answer.retry_after), (503, Some(1)));
-    assert_eq!(store.asked.get(), asked, "nobody is asked who does not answer");
+    assert_eq!(store.request_count.get(), asked, "nobody is asked who does not answer");
     assert_eq!(before.elapsed(), Duration::ZERO);
     // The leader's own probe finds the service again.
     store.fault(Fault::None);
@@ -301,7 +301,7 @@
                 assert_eq!(answer.status, 200, "{case}: nothing was confirmed");
                 let confirmed = Instant::now();
                 store.fault(Fault::Down);
-                let asked = store.asked.get();
+                let asked = store.request_count.get();
                 let window = Duration::from_micros(
                     walnutlug_scheduler::leadership::watermark::window(&leader.site).0,
                 );
@@ -326,7 +326,7 @@
                     tokio::time::advance(Duration::from_secs(1)).await;
                 }
                 assert_eq!(killed, lost_for < 40_000, "{case}");
-                assert_eq!(store.asked.get(), asked, "{case}: the state service was down");
+                assert_eq!(store.request_count.get(), asked, "{case}: the state service was down");
             }
         })
         .await;
--- a/crates/controller/src/user_api/fake_cluster.rs
+++ b/crates/controller/src/user_api/fake_cluster.rs
@@ -71,7 +71,7 @@
 pub(crate) struct FakeStore {
     store: Rc<RefCell<FakeKeyValueStore>>,
     /// Requests so far.
-    pub(crate) asked: Rc<Cell<u32>>,
+    pub(crate) request_count: Rc<Cell<u32>>,
     fault: Rc<Cell<Fault>>,
     disorder: Rc<RefCell<Option<Disorder>>>,
 }
@@ -90,7 +90,7 @@
     fn default() -> FakeStore {
         FakeStore {
             store: Rc::default(),
-            asked: Rc::default(),
+            request_count: Rc::default(),
             fault: Rc::new(Cell::new(Fault::None)),
             disorder: Rc::default(),
         }
@@ -250,7 +250,7 @@
 
     /// Carries out a request, and answers it at once.
     fn say(&self, method: &str, path: &str, body: &[u8]) -> Result<Response, HttpError> {
-        self.asked.set(self.asked.get() + 1);
+        self.request_count.set(self.request_count.get() + 1);
         match (self.fault.get(), method, path) {
             (Fault::Down, _, _) => answer(503, json!({})),
             (_, "GET", _) if path.starts_with("/keys?starts=") => {
--- a/crates/controller/src/user_api/tests.rs
+++ b/crates/controller/src/user_api/tests.rs
@@ -294,11 +294,11 @@
     let play = async {
         assert_eq!(poll(node.clone(), "req-999999").await.status, 404);
         assert_eq!(cancel(node.clone(), "req-999999").await.status, 404);
-        let before = store.asked.get();
+        let before = store.request_count.get();
         for odd in ["job-1", "req-", "req-1x", "leader", "..", "req-1%2f"] {
             assert_eq!(poll(node.clone(), odd).await.status, 404, "{odd}");
         }
-        assert_eq!(store.asked.get(), before);
+        assert_eq!(store.request_count.get(), before);
     };
     LocalSet::new().run_until(play).await;
 }
