--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -168,8 +168,8 @@
     }
 
     /// The other node that leads under exactly that term, as far as this one knows.
-    pub(crate) fn leader_under(&self, term: Term) -> Option<String> {
-        self.cluster_view.leader_under(term)
+    pub(crate) fn other_leader_in_term(&self, term: Term) -> Option<String> {
+        self.cluster_view.other_leader_in_term(term)
     }
 
     /// Sends the frame to all other nodes.
@@ -210,12 +210,12 @@
             self.send_cancellations();
         }
         self.broadcast(&Frame::Ended { job: job.to_owned(), end });
-        self.apply_end(job, end);
+        self.apply_job_end(job, end);
     }
 
     /// The job has ended, for certain: the key-value store says so, or another node that cancelled it, which sends
     /// only what is stored.
-    fn apply_end(&self, job: &str, end: JobEnd) {
+    fn apply_job_end(&self, job: &str, end: JobEnd) {
         let known = self.user_api.known_jobs.end(job).is_some();
         if known && !self.is_open_in_scheduler(job) {
             return;
@@ -224,7 +224,7 @@
         match self.scheduler.borrow_mut().as_mut() {
             Some(scheduler) => scheduler.job_ended(self.now(), job, end),
             None if self.leadership.borrow().term().is_some() => {
-                self.cancellations.keep_while_loading(job, end);
+                self.cancellations.buffer_end_while_loading(job, end);
             }
             None => {}
         }
@@ -244,15 +244,15 @@
     fn send_cancellations(&self) {
         let now = self.now();
         for peer in &self.settings.peers {
-            if let Some(part) = self.cancellations.unacknowledged_by(now, &peer.name) {
-                self.send_to_peer(&peer.name, &Frame::Cancellations(part));
+            if let Some(entries) = self.cancellations.entries_to_send(now, &peer.name) {
+                self.send_to_peer(&peer.name, &Frame::Cancellations(entries));
             }
         }
     }
 
     /// Records that the node leads under the term. If the term is newer than the own, this node leads no more.
-    fn learn_leader(&self, name: &str, term: Term) {
-        self.cluster_view.learn_leader(name, term);
+    fn record_leader(&self, name: &str, term: Term) {
+        self.cluster_view.record_leader(name, term);
         let own = self.leadership.borrow().term();
         if name != self.settings.node_name && own.is_some_and(|own| own < term) {
             self.step_down(StepDownCause::NewerTerm);
@@ -260,7 +260,7 @@
     }
 
     /// Whether this node leads under the term, and has read the records.
-    fn leads_under(&self, term: Term) -> bool {
+    fn leads_in_term(&self, term: Term) -> bool {
         self.leadership.borrow().role() == Role::Leader { term }
     }
 
@@ -270,7 +270,7 @@
         if self.leadership.borrow_mut().step(now, ElectionEvent::Lost) {
             info!(reason = %cause, "no longer leading");
             self.scheduler.take();
-            self.fleet_role.end();
+            self.fleet_role.end_term();
             self.key_value.set_leading(false);
             self.leader.signal_step_down();
         }
--- a/crates/controller/src/node/broadcast.rs
+++ b/crates/controller/src/node/broadcast.rs
@@ -17,30 +17,30 @@
 use crate::peers::{Frame, MachineAddress, NodeStatus, MAX_MACHINES};
 
 /// Broadcasts after which redirects are counted anew.
-const REDIRECTS_COUNTED_OVER: u32 = 6;
+const BROADCASTS_PER_REDIRECT_COUNT: u32 = 6;
 /// Seconds in which all machines' addresses are sent once, one frame a second at least: well within the time for
 /// which an address is valid, at any size.
-const ADDRESS_CYCLE: usize = 6;
+const ADDRESS_CYCLE_BROADCASTS: usize = 6;
 
 /// What was broadcast before.
 #[derive(Default)]
 pub(super) struct BroadcastState {
     /// Statuses sent by this incarnation.
-    statuses: Cell<u64>,
+    statuses_sent: Cell<u64>,
     /// Each open job's counts as they were sent last.
-    job_counts: RefCell<HashMap<String, (u32, u32)>>,
+    last_job_counts: RefCell<HashMap<String, (u32, u32)>>,
     /// The machine up to whose name addresses were sent in this cycle; empty at its beginning.
-    last_machine: RefCell<String>,
+    last_machine_sent: RefCell<String>,
 }
 
 /// Broadcasts for as long as the node lives.
 pub(super) async fn run(node: Rc<Node>) {
-    let mut count = 0u32;
+    let mut broadcasts = 0u32;
     loop {
         let leading = node.broadcast_status();
-        count += 1;
-        if count.is_multiple_of(REDIRECTS_COUNTED_OVER) {
-            node.load.reset_redirected();
+        broadcasts += 1;
+        if broadcasts.is_multiple_of(BROADCASTS_PER_REDIRECT_COUNT) {
+            node.load.reset_redirect_count();
         }
         if leading {
             if let Some(scheduler) = node.scheduler.borrow().as_ref() {
@@ -48,8 +48,8 @@
                 broadcast_addresses(&node, scheduler);
             }
         }
-        let probe = node.clone();
-        tokio::task::spawn_local(async move { probe.key_value.probe().await });
+        let probing_node = node.clone();
+        tokio::task::spawn_local(async move { probing_node.key_value.probe().await });
         sleep(Duration::from_micros(request_interval(&node.site).0)).await;
     }
 }
@@ -62,7 +62,7 @@
             Role::Leader { term } | Role::Loading { term } => (term, true),
             Role::Follower | Role::Candidate => (Term::NONE, false),
         };
-        let count = self.broadcasts.statuses.get();
+        let count = self.broadcasts.statuses_sent.get();
         if leading {
             self.cancellations.log_ends_requested(self.now(), count);
         }
@@ -71,11 +71,11 @@
             term,
             leading,
             store_reachable: self.key_value.store_reachable(),
-            redirected: self.load.redirected(),
+            redirected: self.load.redirect_count(),
             incarnation: self.identity.incarnation,
             count,
         }));
-        self.broadcasts.statuses.set(count + 1);
+        self.broadcasts.statuses_sent.set(count + 1);
         if self.key_value.limits_lowered() {
             // A node that comes to lead later would find out again, with refused writes.
             self.broadcast(&Frame::LimitsLowered);
@@ -86,7 +86,7 @@
 
 fn broadcast_progress(node: &Node, scheduler: &Scheduler) {
     let jobs = &scheduler.cluster.jobs_by_name;
-    let mut sent = node.broadcasts.job_counts.borrow_mut();
+    let mut sent = node.broadcasts.last_job_counts.borrow_mut();
     sent.retain(|job, _| jobs.contains_key(job));
     for (job, &index) in jobs {
         let Some(counts) = scheduler.cluster.counts(index) else { continue };
@@ -101,22 +101,23 @@
 /// Sends the addresses of the next few machines, by name, beginning anew after the last.
 fn broadcast_addresses(node: &Node, scheduler: &Scheduler) {
     let cluster = &scheduler.cluster;
-    let mut last = node.broadcasts.last_machine.borrow_mut();
+    let mut last_name = node.broadcasts.last_machine_sent.borrow_mut();
     let is_next = |(name, &index): &(&String, &MachineIndex)| {
-        **name > *last && cluster.machines[index].state == MachineState::Up
+        **name > *last_name && cluster.machines[index].state == MachineState::Up
     };
     let mut next: Vec<(&String, &MachineIndex)> =
         cluster.machines_by_name.iter().filter(is_next).collect();
     next.sort_unstable();
-    let most = cluster.machines_by_name.len().div_ceil(ADDRESS_CYCLE).max(MAX_MACHINES);
-    let last_sent = match next.get(most) {
-        Some(_) => next[most - 1].0.clone(),
+    let batch_size =
+        cluster.machines_by_name.len().div_ceil(ADDRESS_CYCLE_BROADCASTS).max(MAX_MACHINES);
+    let last_sent = match next.get(batch_size) {
+        Some(_) => next[batch_size - 1].0.clone(),
         None => String::new(),
     };
-    *last = last_sent;
-    next.truncate(most);
-    for some in next.chunks(MAX_MACHINES) {
-        let machines = some.iter().filter_map(|(name, &index)| {
+    *last_name = last_sent;
+    next.truncate(batch_size);
+    for chunk in next.chunks(MAX_MACHINES) {
+        let machines = chunk.iter().filter_map(|(name, &index)| {
             let address = cluster.machines[index].address.parse().ok()?;
             Some(MachineAddress { machine: (*name).clone(), address })
         });
--- a/crates/controller/src/node/cancellations.rs
+++ b/crates/controller/src/node/cancellations.rs
@@ -18,7 +18,7 @@
 pub(super) struct CancellationState {
     own_name: String,
     own_incarnation: u64,
-    /// This node's own cancellations, and which of the others acknowledged them.
+    /// This node's own cancellations, and which of the peer_names acknowledged them.
     log: RefCell<CancellationLog>,
     /// Up to when this node knows every node's cancellations.
     watermark: RefCell<Watermark>,
@@ -28,18 +28,18 @@
 }
 
 impl CancellationState {
-    /// Of a node that has just started, beside the named others.
+    /// Of a node that has just started, beside the named peer_names.
     pub(super) fn new(
         own_name: &str,
         own_incarnation: u64,
         site: &Site,
-        others: impl IntoIterator<Item = String>,
+        peer_names: impl IntoIterator<Item = String>,
     ) -> CancellationState {
         CancellationState {
             own_name: own_name.to_owned(),
             own_incarnation,
             log: RefCell::new(CancellationLog::new(site)),
-            watermark: RefCell::new(Watermark::new(others)),
+            watermark: RefCell::new(Watermark::new(peer_names)),
             ends_while_loading: RefCell::default(),
             leases_renewed: Cell::new(true),
         }
@@ -51,14 +51,14 @@
     }
 
     /// The part of the own log that the peer should be sent now.
-    pub(super) fn unacknowledged_by(&self, now: Timestamp, peer: &str) -> Option<Cancellations> {
+    pub(super) fn entries_to_send(&self, now: Timestamp, peer: &str) -> Option<Cancellations> {
         let LogEntries { first, jobs } = self.log.borrow_mut().entries_to_send(now, peer)?;
         let (node, incarnation) = (self.own_name.clone(), self.own_incarnation);
         Some(Cancellations { node, incarnation, first: first.0, jobs })
     }
 
     /// The peer has acknowledged a part of the own log, if it means this incarnation's.
-    pub(super) fn acknowledged(&self, ack: &CancellationsAck) {
+    pub(super) fn record_ack(&self, ack: &CancellationsAck) {
         if ack.log_incarnation == self.own_incarnation {
             let (reader, up_to) = (Incarnation(ack.incarnation), LogIndex(ack.up_to));
             self.log.borrow_mut().acknowledged(&ack.node, reader, up_to);
@@ -77,22 +77,22 @@
     }
 
     /// That incarnation of the peer reads the own log.
-    pub(super) fn reader_heard(&self, peer: &str, incarnation: u64) {
+    pub(super) fn record_log_reader(&self, peer: &str, incarnation: u64) {
         self.log.borrow_mut().peer_seen(peer, Incarnation(incarnation));
     }
 
     /// A status of that incarnation of the peer came, and was not stale.
-    pub(super) fn peer_heard(&self, now: Timestamp, peer: &str, incarnation: u64) {
+    pub(super) fn record_peer_incarnation(&self, now: Timestamp, peer: &str, incarnation: u64) {
         self.watermark.borrow_mut().peer_seen(now, peer, Incarnation(incarnation));
     }
 
     /// A part of a peer's log was applied. The acknowledgement to send, if its log is complete up to there.
-    pub(super) fn received(
+    pub(super) fn record_entries(
         &self,
         now: Timestamp,
-        part: &Cancellations,
+        entries: &Cancellations,
     ) -> Option<CancellationsAck> {
-        let Cancellations { node, incarnation, first, jobs } = part;
+        let Cancellations { node, incarnation, first, jobs } = entries;
         let LogIndex(up_to) = self.watermark.borrow_mut().entries_received(
             now,
             node,
@@ -112,19 +112,25 @@
     pub(super) fn log_end_received(&self, now: Timestamp, end: &CancellationLogEnd) {
         if end.asker_incarnation == self.own_incarnation {
             let mut watermark = self.watermark.borrow_mut();
-            let (peer, last) = (Incarnation(end.incarnation), LogIndex(end.last));
-            watermark.request_answered(now, &end.node, peer, last, RequestId(end.asked));
+            let (peer_incarnation, last) = (Incarnation(end.incarnation), LogIndex(end.last));
+            watermark.request_answered(
+                now,
+                &end.node,
+                peer_incarnation,
+                last,
+                RequestId(end.asked),
+            );
         }
     }
 
-    /// As the leader, asks the others with the status of that number how far their logs go.
-    pub(super) fn log_ends_requested(&self, now: Timestamp, number: u64) {
-        self.watermark.borrow_mut().request_sent(now, RequestId(number));
+    /// As the leader, asks the peer_names with the status of that number how far their logs go.
+    pub(super) fn log_ends_requested(&self, now: Timestamp, request_number: u64) {
+        self.watermark.borrow_mut().request_sent(now, RequestId(request_number));
     }
 
     /// All ends that were stored by then have been read from the key-value store.
-    pub(super) fn ends_read(&self, by: Timestamp) {
-        self.watermark.borrow_mut().records_read(by);
+    pub(super) fn job_ends_read(&self, until: Timestamp) {
+        self.watermark.borrow_mut().records_read(until);
     }
 
     /// Up to when every cancellation that any node confirmed is known here.
@@ -133,12 +139,12 @@
     }
 
     /// Keeps an end that came while the records are read.
-    pub(super) fn keep_while_loading(&self, job: &str, end: JobEnd) {
+    pub(super) fn buffer_end_while_loading(&self, job: &str, end: JobEnd) {
         self.ends_while_loading.borrow_mut().push((job.to_owned(), end));
     }
 
     /// Takes the ends that were kept.
-    pub(super) fn take_kept_ends(&self) -> Vec<(String, JobEnd)> {
+    pub(super) fn take_buffered_ends(&self) -> Vec<(String, JobEnd)> {
         self.ends_while_loading.take()
     }
 
--- a/crates/controller/src/node/cluster_view.rs
+++ b/crates/controller/src/node/cluster_view.rs
@@ -90,14 +90,14 @@
     }
 
     /// The other node that leads under exactly that term, as far as this one knows.
-    pub(super) fn leader_under(&self, term: Term) -> Option<String> {
+    pub(super) fn other_leader_in_term(&self, term: Term) -> Option<String> {
         let leader = self.leader.borrow();
         let leader = leader.as_ref().filter(|leader| leader.term == term)?;
         (leader.name != self.own_name).then(|| leader.name.clone())
     }
 
     /// Records that the node leads under the term, unless a newer term is known.
-    pub(super) fn learn_leader(&self, name: &str, term: Term) {
+    pub(super) fn record_leader(&self, name: &str, term: Term) {
         if name != self.own_name {
             let epoch = Epoch::try_from(term).ok();
             self.highest_term.set(self.highest_term.get().max(epoch));
@@ -148,22 +148,22 @@
     }
 
     /// Whether the key-value store serves another node.
-    pub(super) fn some_peer_reaches_store(&self) -> bool {
-        self.any_fresh(|status| status.store_reachable)
+    pub(super) fn any_peer_reaches_store(&self) -> bool {
+        self.any_fresh_peer(|status| status.store_reachable)
     }
 
     /// Whether workers report to another node.
     pub(super) fn workers_reach_other_nodes(&self) -> bool {
-        self.any_fresh(|status| status.redirected > 0)
+        self.any_fresh_peer(|status| status.redirected > 0)
     }
 
     /// Whether other nodes exist and none of them is heard.
     pub(super) fn is_isolated(&self) -> bool {
-        self.has_peers && self.created.elapsed() > STATUS_VALID && !self.any_fresh(|_| true)
+        self.has_peers && self.created.elapsed() > STATUS_VALID && !self.any_fresh_peer(|_| true)
     }
 
-    fn any_fresh(&self, holds: impl Fn(&NodeStatus) -> bool) -> bool {
-        self.peers.borrow().values().any(|peer| holds(&peer.status) && peer.is_fresh())
+    fn any_fresh_peer(&self, predicate: impl Fn(&NodeStatus) -> bool) -> bool {
+        self.peers.borrow().values().any(|peer| predicate(&peer.status) && peer.is_fresh())
     }
 
     /// The load of each other node that was heard lately.
@@ -178,7 +178,7 @@
     }
 
     /// Takes machines' addresses from the leader.
-    pub(super) fn learn_addresses(&self, machines: Vec<MachineAddress>) {
+    pub(super) fn record_addresses(&self, machines: Vec<MachineAddress>) {
         let mut addresses = self.addresses.borrow_mut();
         if addresses.len() + machines.len() > MAX_ADDRESSES {
             addresses.retain(|_, known| known.is_fresh());
--- a/crates/controller/src/node/election.rs
+++ b/crates/controller/src/node/election.rs
@@ -32,11 +32,11 @@
     loop {
         match node.key_value.get(RequestClass::Leadership, keys::LEADER).await {
             Ok(Some(key_value)) => {
-                node.readiness.set_loaded();
+                node.readiness.set_dependency_reached();
                 follow(&node, &key_value).await;
             }
             Ok(None) => {
-                node.readiness.set_loaded();
+                node.readiness.set_dependency_reached();
                 if node.leadership.borrow_mut().step(node.now(), ElectionEvent::Vacant) {
                     campaign(&node).await;
                 } else {
@@ -60,7 +60,7 @@
         release_former_lease(node, key_value).await;
     }
     let term = key_value.revision.into();
-    node.learn_leader(leader, term);
+    node.record_leader(leader, term);
     match node
         .key_value
         .watch(RequestClass::Leadership, keys::LEADER, key_value.revision, WATCH_HOLD)
@@ -114,7 +114,7 @@
     }
     info!(%term, "elected");
     node.key_value.set_leading(true);
-    node.learn_leader(&node.settings.node_name, term);
+    node.record_leader(&node.settings.node_name, term);
     leader::lead(node, term, HeldLease { id: lease, renewed: requested }).await;
     let _ = timeout(RELEASE_TIMEOUT, node.key_value.revoke_lease(lease)).await;
 }
--- a/crates/controller/src/node/election/tests.rs
+++ b/crates/controller/src/node/election/tests.rs
@@ -2,7 +2,7 @@
 use crate::user_api::fake_cluster::{FakeStore, Fault};
 use walnutlug_scheduler::storage::revision::Revision;
 
-fn key_for(incarnation: &str) -> Transaction {
+fn leader_key_transaction(incarnation: &str) -> Transaction {
     Transaction {
         compares: vec![Compare { key: keys::LEADER.into(), revision: Revision::NONE }],
         operations: vec![Operation::put(keys::LEADER, leader_record("kernel-0", incarnation, 5))],
@@ -10,21 +10,26 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lost_answer_on_election_is_read_back() {
+async fn election_with_a_lost_response_is_resolved_by_reading_the_leader_key() {
     let store = FakeStore::default();
     let node = store.node();
     store.fault(Fault::AppliedButLost);
-    let own = create_leader_key(&node.key_value, &key_for("mine"), "mine").await;
-    assert_eq!(own, Some(Term(1)), "elected after all");
-    let other = create_leader_key(&node.key_value, &key_for("theirs"), "theirs").await;
-    assert_eq!(other, None, "the key is taken");
+    let own_term =
+        create_leader_key(&node.key_value, &leader_key_transaction("mine"), "mine").await;
+    assert_eq!(own_term, Some(Term(1)), "elected after all");
+    let other_term =
+        create_leader_key(&node.key_value, &leader_key_transaction("theirs"), "theirs").await;
+    assert_eq!(other_term, None, "the key is taken");
     store.fault(Fault::NotApplied);
-    assert_eq!(create_leader_key(&node.key_value, &key_for("third"), "third").await, None);
+    assert_eq!(
+        create_leader_key(&node.key_value, &leader_key_transaction("third"), "third").await,
+        None
+    );
 }
 
 /// A process back within its former lease met its own key and waited for it to run out.
 #[tokio::test(start_paused = true)]
-async fn a_node_back_at_once_releases_its_former_lease_and_no_other() {
+async fn restarted_node_releases_only_the_leader_lease_of_its_earlier_incarnation() {
     let store = FakeStore::default();
     let node = store.node();
     store.put(keys::LEADER, leader_record("kernel-0", "former", 5));
--- a/crates/controller/src/node/fleet_role.rs
+++ b/crates/controller/src/node/fleet_role.rs
@@ -34,20 +34,20 @@
 
 impl FleetRole {
     /// The term is over.
-    pub(super) fn end(&self) {
+    pub(super) fn end_term(&self) {
         self.intent_log.take();
     }
 
-    fn begin(&self, intent_log: IntentLog) {
+    fn begin_term(&self, intent_log: IntentLog) {
         self.intent_log.replace(Some(intent_log));
     }
 
     /// Calls the function with the intent log of that term, if there is one.
-    fn with_intent_log<T>(&self, term: Term, call: impl FnOnce(&mut IntentLog) -> T) -> Option<T> {
+    fn with_intent_log<T>(&self, term: Term, apply: impl FnOnce(&mut IntentLog) -> T) -> Option<T> {
         let mut intent_log = self.intent_log.borrow_mut();
-        let of_term =
+        let belongs_to_term =
             |intent_log: &&mut IntentLog| intent_log.fence().epoch().revision() == term.into();
-        intent_log.as_mut().filter(of_term).map(call)
+        intent_log.as_mut().filter(belongs_to_term).map(apply)
     }
 }
 
@@ -67,7 +67,7 @@
         Ok(epoch) => epoch,
         Err(reason) => {
             error!(%term, %reason, "fleet role not taken");
-            node.fleet_role.end();
+            node.fleet_role.end_term();
             return Ok(());
         }
     };
@@ -86,7 +86,7 @@
         let ScaleOut { kind, zone, spot, count, .. } = scale_out;
         scheduler.adopt_scale_out(kind, zone, *spot, *count);
     }
-    node.fleet_role.begin(intent_log);
+    node.fleet_role.begin_term(intent_log);
     Ok(())
 }
 
@@ -125,9 +125,9 @@
     let scale_out = ScaleOut { request, kind, zone, spot, count };
     let mut intent_log = node.fleet_role.intent_log.borrow_mut();
     let (kind, zone) = (scale_out.kind.clone(), scale_out.zone.clone());
-    let taken = intent_log.as_mut().is_some_and(|intent_log| intent_log.scale_out(scale_out));
+    let accepted = intent_log.as_mut().is_some_and(|intent_log| intent_log.scale_out(scale_out));
     drop(intent_log);
-    if taken {
+    if accepted {
         return;
     }
     if let Some(scheduler) = node.scheduler.borrow_mut().as_mut() {
@@ -140,11 +140,11 @@
     let now = node.now();
     let mut scheduler = node.scheduler.borrow_mut();
     let Some(scheduler) = scheduler.as_mut() else { return };
-    let terminated = |machine: &String| TerminatedMachine {
+    let to_terminated_machine = |machine: &String| TerminatedMachine {
         machine: machine.clone(),
         holds_tasks: holds_tasks(scheduler, machine),
     };
-    let machines = machines.iter().map(terminated).collect();
+    let machines = machines.iter().map(to_terminated_machine).collect();
     let mut intent_log = node.fleet_role.intent_log.borrow_mut();
     let requests = intent_log.as_mut().map_or(0, |intent_log| intent_log.scale_in(now, machines));
     if requests == 0 {
@@ -154,10 +154,10 @@
 }
 
 /// Carries on with what is to be recorded, requested and deleted.
-pub(super) fn advance(node: &Rc<Node>, term: Term) {
+pub(super) fn advance_intents(node: &Rc<Node>, term: Term) {
     let commands = node.fleet_role.with_intent_log(term, |intent_log| {
         intent_log.set_limits(write_limits(node));
-        intent_log.tick(node.now(), is_held(node, term));
+        intent_log.tick(node.now(), holds_role(node, term));
         intent_log.take_commands()
     });
     for command in commands.unwrap_or_default() {
@@ -166,7 +166,7 @@
                 let node = node.clone();
                 tokio::task::spawn_local(async move {
                     let outcome = node.key_value.commit(RequestClass::Dispatch, &transaction).await;
-                    answered(&node, term, |intent_log| {
+                    apply_answer(&node, term, |intent_log| {
                         intent_log.written(node.now(), id, &outcome)
                     });
                 });
@@ -182,20 +182,20 @@
 }
 
 /// Applies an answer to the intent log of that term, and carries on.
-fn answered(node: &Rc<Node>, term: Term, apply: impl FnOnce(&mut IntentLog)) {
+fn apply_answer(node: &Rc<Node>, term: Term, apply: impl FnOnce(&mut IntentLog)) {
     let stopped = node.fleet_role.with_intent_log(term, |intent_log| {
         apply(intent_log);
         intent_log.stopped().cloned()
     });
     match stopped {
         Some(Some(stopped)) => node.step_down(StepDownCause::FleetRoleStopped(stopped)),
-        Some(None) => advance(node, term),
+        Some(None) => advance_intents(node, term),
         None => {}
     }
 }
 
 /// Whether this node still holds the role under that epoch, for certain and right now.
-fn is_held(node: &Node, term: Term) -> bool {
+fn holds_role(node: &Node, term: Term) -> bool {
     node.leadership.borrow().term() == Some(term) && node.leader.holds_lease()
 }
 
@@ -210,10 +210,10 @@
 }
 
 async fn send_scale_out(node: Rc<Node>, term: Term, id: ActionId, scale_out: ScaleOut) {
-    let answer = node.cloud.scale_out(&scale_out.request(), &|| is_held(&node, term)).await;
+    let answer = node.cloud.scale_out(&scale_out.request(), &|| holds_role(&node, term)).await;
     let outcome = action_answer(&answer);
     let granted = answer.as_deref().unwrap_or_default();
-    answered(&node, term, |intent_log| intent_log.answered(node.now(), id, outcome, granted));
+    apply_answer(&node, term, |intent_log| intent_log.answered(node.now(), id, outcome, granted));
     let granted = match answer {
         Ok(machines) => Ok(machines),
         Err(CloudError::NoCapacity { .. }) => Ok(Vec::new()),
@@ -231,12 +231,12 @@
 
 async fn send_scale_in(node: Rc<Node>, term: Term, id: ActionId, machines: Vec<TerminatedMachine>) {
     let machines: Vec<String> = machines.into_iter().map(|machine| machine.machine).collect();
-    let answer = node.cloud.terminate(&machines, &|| is_held(&node, term)).await;
+    let answer = node.cloud.terminate(&machines, &|| holds_role(&node, term)).await;
     let outcome = action_answer(&answer);
     if outcome != ActionAnswer::Done {
         debug!(%term, ?outcome, "machines not terminated yet");
     }
-    answered(&node, term, |intent_log| intent_log.answered(node.now(), id, outcome, &[]));
+    apply_answer(&node, term, |intent_log| intent_log.answered(node.now(), id, outcome, &[]));
     with_scheduler(&node, term, |scheduler, now| {
         scheduler.scale_in_answered(now, &machines, outcome == ActionAnswer::Done);
     });
--- a/crates/controller/src/node/golden_tests.rs
+++ b/crates/controller/src/node/golden_tests.rs
@@ -11,7 +11,7 @@
 use walnutlug_scheduler::storage::keys;
 
 use super::routes::handle;
-use super::tests::{idle_report, leader_with_a_task, report_of, JOB};
+use super::tests::{cluster_with_running_task, idle_heartbeat, running_task_heartbeat, JOB};
 use super::*;
 use crate::golden_file::Golden;
 use crate::http::client::{HttpError, Response};
@@ -21,18 +21,18 @@
 use crate::worker_api::{self, WorkerConnection};
 use tokio::time::Duration;
 
-const USERS: &str = "src/node/golden/users.txt";
-const WORKERS: &str = "src/node/golden/workers.txt";
-const COMMANDS: &str = "src/node/golden/commands.txt";
-const STATE: &str = "src/node/golden/state.txt";
+const USER_RESPONSES: &str = "src/node/golden/users.txt";
+const WORKER_RESPONSES: &str = "src/node/golden/workers.txt";
+const WORKER_COMMANDS: &str = "src/node/golden/commands.txt";
+const STORE_REQUESTS: &str = "src/node/golden/state.txt";
 
-const DUTIES: &str = "src/node/golden/duties.txt";
+const ROLE_REQUESTS: &str = "src/node/golden/duties.txt";
 /// Long enough for an election, the reading of the records and renewals of the lease.
-const ELECTION: Duration = Duration::from_secs(4);
+const ELECTION_DURATION: Duration = Duration::from_secs(4);
 /// Long enough to take the duty of the machine types and to share them.
-const ROLE: Duration = Duration::from_secs(150);
+const ROLE_DURATION: Duration = Duration::from_secs(150);
 
-type JobEndLookup = Vec<(&'static str, String)>;
+type GoldenEntries = Vec<(&'static str, String)>;
 
 fn submission() -> Value {
     json!({"ref": "req-000501", "shell": "c", "crew": "one", "husk": "batch", "rank": "high",
@@ -42,7 +42,7 @@
 }
 
 /// The submission with one field changed; a null leaves it out.
-fn changed(field: &str, value: Value) -> String {
+fn submission_with(field: &str, value: Value) -> String {
     let mut body = submission();
     match value {
         Value::Null => {
@@ -54,71 +54,72 @@
 }
 
 /// What the node answers to a request, to the byte.
-async fn ask(node: &Rc<Node>, method: &str, path: &str, body: &str) -> String {
+async fn send(node: &Rc<Node>, method: &str, path: &str, body: &str) -> String {
     let length = body.len();
     let request = format!("{method} {path} HTTP/1.1\r\nContent-Length: {length}\r\n\r\n{body}");
-    raw(node, request.as_bytes()).await
+    send_raw(node, request.as_bytes()).await
 }
 
-async fn raw(node: &Rc<Node>, bytes: &[u8]) -> String {
+async fn send_raw(node: &Rc<Node>, bytes: &[u8]) -> String {
     let connection = Rc::new(WorkerConnection::default());
     exchange(bytes, |request| handle(node.clone(), connection.clone(), request)).await
 }
 
-async fn unfinished(node: &Rc<Node>, bytes: &[u8]) -> String {
+async fn send_unfinished(node: &Rc<Node>, bytes: &[u8]) -> String {
     let connection = Rc::new(WorkerConnection::default());
     exchange_unfinished(bytes, |request| handle(node.clone(), connection.clone(), request)).await
 }
 
 async fn submit(node: &Rc<Node>, body: &str) -> String {
-    ask(node, "POST", "/submissions", body).await
+    send(node, "POST", "/submissions", body).await
 }
 
-async fn accepted_answers(store: &FakeStore) -> JobEndLookup {
+async fn accepted_answers(store: &FakeStore) -> GoldenEntries {
     let node = store.node();
-    let ready = |node: Rc<Node>| async move { ask(&node, "GET", "/ready", "").await };
-    let mut found = vec![("not ready", ready(node.clone()).await)];
-    node.readiness.set_loaded();
-    found.push(("ready", ready(node.clone()).await));
-    found.push(("accepted", submit(&node, &submission().to_string()).await));
-    found.push(("known", submit(&node, &submission().to_string()).await));
+    let check_readiness = |node: Rc<Node>| async move { send(&node, "GET", "/ready", "").await };
+    let mut entries = vec![("not ready", check_readiness(node.clone()).await)];
+    node.readiness.set_dependency_reached();
+    entries.push(("ready", check_readiness(node.clone()).await));
+    entries.push(("accepted", submit(&node, &submission().to_string()).await));
+    entries.push(("known", submit(&node, &submission().to_string()).await));
     let mut chained = submission();
     chained["ref"] = json!("req-000502");
     chained["waits"] = json!(["req-000501"]);
-    found.push(("accepted, chained", submit(&node, &chained.to_string()).await));
-    found.push(("poll, queued", ask(&node, "GET", "/submissions/req-000501", "").await));
+    entries.push(("accepted, chained", submit(&node, &chained.to_string()).await));
+    entries.push(("poll, queued", send(&node, "GET", "/submissions/req-000501", "").await));
     let counts = user_api::TaskCounts { done: 1, running: 2 };
     node.user_api.known_jobs.record_progress("req-000501", counts);
-    found.push(("poll, running", ask(&node, "GET", "/submissions/req-000501", "").await));
-    found.push(("known, running", submit(&node, &submission().to_string()).await));
-    found
+    entries.push(("poll, running", send(&node, "GET", "/submissions/req-000501", "").await));
+    entries.push(("known, running", submit(&node, &submission().to_string()).await));
+    entries
 }
 
-async fn ended_answers(store: &FakeStore) -> JobEndLookup {
+async fn ended_answers(store: &FakeStore) -> GoldenEntries {
     let node = store.node();
     let withdraw = "/submissions/req-000501/withdraw";
-    let mut found = vec![("withdrawn", ask(&node, "POST", withdraw, "").await)];
-    found.push(("withdrawn again", ask(&node, "POST", withdraw, "").await));
-    found.push(("poll, aborted", ask(&node, "GET", "/submissions/req-000501", "").await));
-    found.push(("known, aborted", submit(&node, &submission().to_string()).await));
+    let mut entries = vec![("withdrawn", send(&node, "POST", withdraw, "").await)];
+    entries.push(("withdrawn again", send(&node, "POST", withdraw, "").await));
+    entries.push(("poll, aborted", send(&node, "GET", "/submissions/req-000501", "").await));
+    entries.push(("known, aborted", submit(&node, &submission().to_string()).await));
     store.put(&keys::job("req-000503"), json!(1));
     store.put(&keys::end("req-000503"), json!("done"));
-    found.push(("poll, done", ask(&node, "GET", "/submissions/req-000503", "").await));
+    entries.push(("poll, done", send(&node, "GET", "/submissions/req-000503", "").await));
     let done = "/submissions/req-000503/withdraw";
-    found.push(("withdrawn when done", ask(&node, "POST", done, "").await));
+    entries.push(("withdrawn when done", send(&node, "POST", done, "").await));
     let mut behind = submission();
     behind["ref"] = json!("req-000504");
     behind["waits"] = json!(["req-000501"]);
-    found.push(("accepted, behind a withdrawn one", submit(&node, &behind.to_string()).await));
-    found
+    entries.push(("accepted, behind a withdrawn one", submit(&node, &behind.to_string()).await));
+    entries
 }
 
-async fn refusals(store: &FakeStore) -> JobEndLookup {
+async fn refusals(store: &FakeStore) -> GoldenEntries {
     let node = store.node();
-    let of = |field: &'static str, value: Value| {
+    let submit_with = |field: &'static str, value: Value| {
         let node = node.clone();
         async move {
-            let mut body: Value = serde_json::from_str(&changed(field, value)).expect("json");
+            let mut body: Value =
+                serde_json::from_str(&submission_with(field, value)).expect("json");
             if field != "ref" {
                 body["ref"] = json!("req-000505");
             }
@@ -128,126 +129,133 @@
     vec![
         ("400, not JSON", submit(&node, "{").await),
         ("400, no object", submit(&node, "[]").await),
-        ("400, id", of("ref", json!("job-1")).await),
-        ("400, kind", of("husk", json!("service")).await),
-        ("400, priority", of("rank", json!("urgent")).await),
-        ("400, tasks", of("nuts", json!(100_001)).await),
-        ("400, no tasks", of("nuts", Value::Null).await),
-        ("400, amount", of("vcpus", json!(-1)).await),
-        ("400, no amount", of("memoryGb", Value::Null).await),
-        ("400, types", of("breeds", json!([])).await),
-        ("400, zone", of("grove", json!(3)).await),
-        ("400, flag", of("spread", json!("no")).await),
-        ("400, no team", of("crew", Value::Null).await),
-        ("400, dependency", of("waits", json!(["job-1"])).await),
-        ("422, team", of("crew", json!("nobody")).await),
-        ("422, limit", of("vcpus", json!(65.0)).await),
-        ("422, type", of("memoryGb", json!(33.0)).await),
-        ("422, waits for itself", of("waits", json!(["req-000505"])).await),
-        ("422, waits for nobody's", of("waits", json!(["req-999999"])).await),
-        ("404, nobody's", ask(&node, "GET", "/submissions/req-999999", "").await),
-        ("404, no id", ask(&node, "GET", "/submissions/job-1", "").await),
-        ("404, withdrawn", ask(&node, "POST", "/submissions/req-999999/withdraw", "").await),
-        ("404, path", ask(&node, "GET", "/elsewhere", "").await),
-        ("404, longer path", ask(&node, "GET", "/submissions/req-000501/more", "").await),
-        ("405, submission", ask(&node, "GET", "/submissions", "").await),
-        ("405, poll", ask(&node, "POST", "/submissions/req-000501", "").await),
-        ("405, withdrawal", ask(&node, "GET", "/submissions/req-000501/withdraw", "").await),
-        ("405, ready", ask(&node, "POST", "/ready", "").await),
-        ("405, report", ask(&node, "GET", "/hello", "").await),
+        ("400, id", submit_with("ref", json!("job-1")).await),
+        ("400, kind", submit_with("husk", json!("service")).await),
+        ("400, priority", submit_with("rank", json!("urgent")).await),
+        ("400, tasks", submit_with("nuts", json!(100_001)).await),
+        ("400, no tasks", submit_with("nuts", Value::Null).await),
+        ("400, amount", submit_with("vcpus", json!(-1)).await),
+        ("400, no amount", submit_with("memoryGb", Value::Null).await),
+        ("400, types", submit_with("breeds", json!([])).await),
+        ("400, zone", submit_with("grove", json!(3)).await),
+        ("400, flag", submit_with("spread", json!("no")).await),
+        ("400, no team", submit_with("crew", Value::Null).await),
+        ("400, dependency", submit_with("waits", json!(["job-1"])).await),
+        ("422, team", submit_with("crew", json!("nobody")).await),
+        ("422, limit", submit_with("vcpus", json!(65.0)).await),
+        ("422, type", submit_with("memoryGb", json!(33.0)).await),
+        ("422, waits for itself", submit_with("waits", json!(["req-000505"])).await),
+        ("422, waits for nobody's", submit_with("waits", json!(["req-999999"])).await),
+        ("404, nobody's", send(&node, "GET", "/submissions/req-999999", "").await),
+        ("404, no id", send(&node, "GET", "/submissions/job-1", "").await),
+        ("404, withdrawn", send(&node, "POST", "/submissions/req-999999/withdraw", "").await),
+        ("404, path", send(&node, "GET", "/elsewhere", "").await),
+        ("404, longer path", send(&node, "GET", "/submissions/req-000501/more", "").await),
+        ("405, submission", send(&node, "GET", "/submissions", "").await),
+        ("405, poll", send(&node, "POST", "/submissions/req-000501", "").await),
+        ("405, withdrawal", send(&node, "GET", "/submissions/req-000501/withdraw", "").await),
+        ("405, ready", send(&node, "POST", "/ready", "").await),
+        ("405, report", send(&node, "GET", "/hello", "").await),
     ]
 }
 
-async fn server_refusals(store: &FakeStore) -> JobEndLookup {
+async fn server_refusals(store: &FakeStore) -> GoldenEntries {
     let node = store.node();
-    let long = format!("GET /{} HTTP/1.1\r\n", "x".repeat(9_000));
-    let close = b"GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n";
+    let long_path = format!("GET /{} HTTP/1.1\r\n", "x".repeat(9_000));
+    let close_request = b"GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n";
     vec![
-        ("a request cut short", raw(&node, b"GET /rea").await),
-        ("408", unfinished(&node, b"GET /rea").await),
-        ("413", raw(&node, b"POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n").await),
-        ("431", raw(&node, long.as_bytes()).await),
-        ("501", raw(&node, b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n").await),
-        ("400, length", raw(&node, b"POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n").await),
-        ("400, no HTTP", raw(&node, b"nonsense\x00\r\n\r\n").await),
-        ("closed when asked", raw(&node, close).await),
+        ("a request cut short", send_raw(&node, b"GET /rea").await),
+        ("408", send_unfinished(&node, b"GET /rea").await),
+        ("413", send_raw(&node, b"POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n").await),
+        ("431", send_raw(&node, long_path.as_bytes()).await),
+        ("501", send_raw(&node, b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n").await),
+        ("400, length", send_raw(&node, b"POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n").await),
+        ("400, no HTTP", send_raw(&node, b"nonsense\x00\r\n\r\n").await),
+        ("closed when asked", send_raw(&node, close_request).await),
     ]
 }
 
-async fn outage_answers(store: &FakeStore) -> JobEndLookup {
+async fn outage_answers(store: &FakeStore) -> GoldenEntries {
     let node = store.node();
-    let untyped = store.node();
-    untyped.machine_types.borrow_mut().clear();
-    let mut found = vec![("503, no types", submit(&untyped, &submission().to_string()).await)];
+    let node_without_types = store.node();
+    node_without_types.machine_types.borrow_mut().clear();
+    let mut entries =
+        vec![("503, no types", submit(&node_without_types, &submission().to_string()).await)];
     store.fault(Fault::Down);
-    let mut other = submission();
-    other["ref"] = json!("req-000506");
+    let mut other_submission = submission();
+    other_submission["ref"] = json!("req-000506");
     let unknown = "/submissions/req-000506";
-    found.push(("503, submission", submit(&node, &other.to_string()).await));
-    found.push(("503, poll", ask(&node, "GET", unknown, "").await));
+    entries.push(("503, submission", submit(&node, &other_submission.to_string()).await));
+    entries.push(("503, poll", send(&node, "GET", unknown, "").await));
     let withdraw = format!("{unknown}/withdraw");
-    found.push(("503, withdrawal", ask(&node, "POST", &withdraw, "").await));
-    found
+    entries.push(("503, withdrawal", send(&node, "POST", &withdraw, "").await));
+    entries
 }
 
 #[tokio::test(start_paused = true)]
-async fn users_are_answered_as_before() {
+async fn user_api_responses_match_the_golden_file() {
     let store = FakeStore::default();
-    let play = async {
-        let mut found = accepted_answers(&store).await;
-        found.extend(ended_answers(&store).await);
-        found.extend(refusals(&store).await);
-        found.extend(server_refusals(&store).await);
-        found.extend(outage_answers(&store).await);
-        Golden::check(USERS, &found);
+    let test = async {
+        let mut entries = accepted_answers(&store).await;
+        entries.extend(ended_answers(&store).await);
+        entries.extend(refusals(&store).await);
+        entries.extend(server_refusals(&store).await);
+        entries.extend(outage_answers(&store).await);
+        Golden::check(USER_RESPONSES, &entries);
     };
-    LocalSet::new().run_until(play).await;
+    LocalSet::new().run_until(test).await;
 }
 
 async fn heartbeat(node: &Rc<Node>, body: &str) -> String {
-    ask(node, "POST", "/hello", body).await
+    send(node, "POST", "/hello", body).await
 }
 
 /// The heartbeat of a worker on which the task has ended.
-fn finished_report(sequence: u64, token: FencingToken) -> String {
-    let mut heartbeat: Value = serde_json::from_str(&report_of(sequence, token)).expect("json");
+fn finished_task_heartbeat(sequence: u64, token: FencingToken) -> String {
+    let mut heartbeat: Value =
+        serde_json::from_str(&running_task_heartbeat(sequence, token)).expect("json");
     heartbeat["nuts"][0]["stage"] = json!("exited");
     heartbeat["nuts"][0]["cause"] = json!("done");
     heartbeat.to_string()
 }
 
 #[tokio::test(start_paused = true)]
-async fn workers_are_answered_as_before() {
-    let play = async {
+async fn heartbeat_responses_match_the_golden_file() {
+    let test = async {
         let store = FakeStore::default();
         let follower = store.node();
-        let mut found = vec![("421", heartbeat(&follower, &report_of(1, FencingToken(0))).await)];
-        follower.learn_leader("kernel-1", Term(9));
-        found.push((
+        let mut entries =
+            vec![("421", heartbeat(&follower, &running_task_heartbeat(1, FencingToken(0))).await)];
+        follower.record_leader("kernel-1", Term(9));
+        entries.push((
             "421 with a leader",
-            heartbeat(&follower, &report_of(1, FencingToken(0))).await,
+            heartbeat(&follower, &running_task_heartbeat(1, FencingToken(0))).await,
         ));
-        let cluster = leader_with_a_task(&store).await;
+        let cluster = cluster_with_running_task(&store).await;
         let leader = cluster.nodes[0].clone();
-        found.push(("200", heartbeat(&leader, &report_of(1, FencingToken(0))).await));
-        found.push(("200, idle", heartbeat(&leader, &idle_report("n-2", 1)).await));
-        found.push(("400", heartbeat(&leader, "{").await));
-        found.push(("400, machine", heartbeat(&leader, &idle_report("", 1)).await));
-        let no_address = idle_report("n-3", 1).replace("10.0.0.1:1", "here");
-        found.push(("400, address", heartbeat(&leader, &no_address).await));
+        entries
+            .push(("200", heartbeat(&leader, &running_task_heartbeat(1, FencingToken(0))).await));
+        entries.push(("200, idle", heartbeat(&leader, &idle_heartbeat("n-2", 1)).await));
+        entries.push(("400", heartbeat(&leader, "{").await));
+        entries.push(("400, machine", heartbeat(&leader, &idle_heartbeat("", 1)).await));
+        let no_address = idle_heartbeat("n-3", 1).replace("10.0.0.1:1", "here");
+        entries.push(("400, address", heartbeat(&leader, &no_address).await));
         leader.record_job_end(JOB, JobEnd::Cancelled);
-        found.push(("200 with kill", heartbeat(&leader, &report_of(2, FencingToken(0))).await));
-        found.push((
+        entries.push((
+            "200 with kill",
+            heartbeat(&leader, &running_task_heartbeat(2, FencingToken(0))).await,
+        ));
+        entries.push((
             "200, finished",
-            heartbeat(&leader, &finished_report(3, FencingToken(0))).await,
+            heartbeat(&leader, &finished_task_heartbeat(3, FencingToken(0))).await,
         ));
-        found.push((
+        entries.push((
             "200, finished and known",
-            heartbeat(&leader, &finished_report(4, FencingToken(5 << 20))).await,
+            heartbeat(&leader, &finished_task_heartbeat(4, FencingToken(5 << 20))).await,
         ));
-        Golden::check(WORKERS, &found);
+        Golden::check(WORKER_RESPONSES, &entries);
     };
-    LocalSet::new().run_until(play).await;
+    LocalSet::new().run_until(test).await;
 }
 
 fn calls() -> Vec<WorkerCommand> {
@@ -263,19 +271,19 @@
 
 /// What is sent to a worker, and what becomes of each answer.
 #[tokio::test(start_paused = true)]
-async fn commands_are_sent_as_before() {
-    let mut found = Vec::new();
+async fn commands_to_workers_match_the_golden_file() {
+    let mut entries = Vec::new();
     for (kind, calls, status) in [
         ("commands", calls(), 200),
         ("no commands, refused", Vec::new(), 409),
         ("malformed", Vec::new(), 400),
     ] {
-        let asked: Rc<RefCell<String>> = Rc::default();
-        let noted = asked.clone();
+        let requests: Rc<RefCell<String>> = Rc::default();
+        let recorded_request = requests.clone();
         let script = move |method: &str, path: &str, body: &[u8]| {
             let body = String::from_utf8(body.to_vec()).expect("text");
-            *noted.borrow_mut() = format!("{method} {path}\n{body}");
-            Ok(Response { status, body: report_of(88, FencingToken(41)).into_bytes() })
+            *recorded_request.borrow_mut() = format!("{method} {path}\n{body}");
+            Ok(Response { status, body: running_task_heartbeat(88, FencingToken(41)).into_bytes() })
         };
         let client = Client::scripted(Box::new(script));
         let outcome = worker_api::send_commands(
@@ -301,28 +309,31 @@
             MessageOutcome::Indeterminate => assert!(status == 400, "{kind}: taken for lost"),
             MessageOutcome::NotSent => panic!("{kind}: not sent"),
         }
-        let text = asked.borrow().clone();
-        found.push((kind, text));
+        let text = requests.borrow().clone();
+        entries.push((kind, text));
     }
-    Golden::check(COMMANDS, &found);
+    Golden::check(WORKER_COMMANDS, &entries);
 }
 
 /// Notes every request of a node to a service that answers as if nothing were stored.
-fn noting(asked: &Rc<RefCell<Vec<String>>>) -> Rc<Node> {
-    noting_with(asked, NOTHING)
+fn recording_node(requests: &Rc<RefCell<Vec<String>>>) -> Rc<Node> {
+    recording_node_with(requests, EMPTY_LISTING)
 }
 
 /// What a list of no keys looks like, and one of a job's description. Its acceptance lies far ahead,
 /// so that the job has no age whatever the time of day is.
-const NOTHING: &str = r#"{"pairs":[],"hasNext":false,"growth":431}"#;
-const ONE_JOB: &str = r#"{"pairs":[{"key":"todo/req-000501","mark":9,"value":{"at":9000000000000000,"chunk":168,"spec":{"checkpoint_s":0.0,"class":"c","cpus":2.0,"deadline_s":null,"estimate_s":20.0,"gpus":0.0,"image":"i","image_gb":1.0,"memory_gb":4.0,"one_zone":false,"rank":"High","save_s":0.0,"spot":true,"spread":false,"tasks":3,"team":"one","types":null,"zone":null}}}],"hasNext":false,"growth":431}"#;
+const EMPTY_LISTING: &str = r#"{"pairs":[],"hasNext":false,"growth":431}"#;
+const LISTING_WITH_ONE_JOB: &str = r#"{"pairs":[{"key":"todo/req-000501","mark":9,"value":{"at":9000000000000000,"chunk":168,"spec":{"checkpoint_s":0.0,"class":"c","cpus":2.0,"deadline_s":null,"estimate_s":20.0,"gpus":0.0,"image":"i","image_gb":1.0,"memory_gb":4.0,"one_zone":false,"rank":"High","save_s":0.0,"spot":true,"spread":false,"tasks":3,"team":"one","types":null,"zone":null}}}],"hasNext":false,"growth":431}"#;
 
 /// The same, with these descriptions of jobs stored.
-fn noting_with(asked: &Rc<RefCell<Vec<String>>>, descriptions: &'static str) -> Rc<Node> {
-    let asked = asked.clone();
+fn recording_node_with(
+    requests: &Rc<RefCell<Vec<String>>>,
+    descriptions: &'static str,
+) -> Rc<Node> {
+    let requests = requests.clone();
     let script = move |method: &str, path: &str, body: &[u8]| -> crate::http::client::Answering {
         let body = String::from_utf8(body.to_vec()).expect("text");
-        asked.borrow_mut().push(format!("{method} {path}\n{body}").trim_end().to_owned());
+        requests.borrow_mut().push(format!("{method} {path}\n{body}").trim_end().to_owned());
         if path.starts_with("/watch?") {
             return Box::pin(std::future::pending());
         }
@@ -330,18 +341,18 @@
             let body = descriptions.as_bytes().to_vec();
             return Box::pin(std::future::ready(Ok(Response { status: 200, body })));
         }
-        Box::pin(std::future::ready(empty_service(method, path)))
+        Box::pin(std::future::ready(answer_as_empty_store(method, path)))
     };
     let settings = Settings::parse(&crate::settings::tests::sample().to_string());
     let client = Rc::new(Client::scripted_slow(Box::new(script)));
     let node =
         Node::new(settings.expect("settings"), Tunables::default(), client, PeerSenders::new([]));
     let node = Rc::new(node.expect("a node"));
-    node.machine_types.borrow_mut().push(one_type());
+    node.machine_types.borrow_mut().push(machine_type());
     node
 }
 
-fn one_type() -> MachineType {
+fn machine_type() -> MachineType {
     MachineType {
         name: "t8".into(),
         cpus: 8.0,
@@ -356,13 +367,13 @@
     }
 }
 
-fn empty_service(method: &str, path: &str) -> Result<Response, HttpError> {
+fn answer_as_empty_store(method: &str, path: &str) -> Result<Response, HttpError> {
     let answer = |status, body: &str| Ok(Response { status, body: body.as_bytes().to_vec() });
     match (method, path) {
         ("POST", "/multi") => answer(200, r#"{"growth":432}"#),
         ("POST", "/leases") => answer(200, r#"{"hold":7}"#),
-        ("GET", "/machine_types") => answer(200, &json!({"breeds": [one_type()]}).to_string()),
-        ("GET", _) if path.starts_with("/keys?") => answer(200, NOTHING),
+        ("GET", "/machine_types") => answer(200, &json!({"breeds": [machine_type()]}).to_string()),
+        ("GET", _) if path.starts_with("/keys?") => answer(200, EMPTY_LISTING),
         ("GET", _) if path.starts_with("/keys/") => answer(404, r#"{"growth":431}"#),
         ("POST", "/machines") => answer(200, r#"{"trees":["n-000231"]}"#),
         ("GET", _) if path.starts_with("/machines?") => {
@@ -373,85 +384,91 @@
 }
 
 /// Each request once, in the order of its text: what runs side by side comes in no fixed order.
-fn distinct(asked: &RefCell<Vec<String>>) -> RefCell<Vec<String>> {
-    let all: std::collections::BTreeSet<String> = asked.borrow().iter().cloned().collect();
+fn sorted_unique(requests: &RefCell<Vec<String>>) -> RefCell<Vec<String>> {
+    let all: std::collections::BTreeSet<String> = requests.borrow().iter().cloned().collect();
     RefCell::new(all.into_iter().collect())
 }
 
 /// Which requests an election and the first seconds of a term consist of, and those of the duty to
 /// share the machine types.
 #[tokio::test(start_paused = true)]
-async fn elections_and_duties_reach_the_state_service_as_before() {
-    let play = async {
-        let mut found = Vec::new();
-        for (kind, descriptions) in
-            [("election and term", NOTHING), ("term with a job to rent for", ONE_JOB)]
-        {
-            let asked = Rc::default();
-            let node = noting_with(&asked, descriptions);
+async fn store_requests_of_elections_and_fenced_roles_match_the_golden_file() {
+    let test = async {
+        let mut entries = Vec::new();
+        for (kind, descriptions) in [
+            ("election and term", EMPTY_LISTING),
+            ("term with a job to rent for", LISTING_WITH_ONE_JOB),
+        ] {
+            let requests = Rc::default();
+            let node = recording_node_with(&requests, descriptions);
             let election = tokio::task::spawn_local(election::run(node.clone()));
-            tokio::time::sleep(ELECTION).await;
+            tokio::time::sleep(ELECTION_DURATION).await;
             election.abort();
             assert!(node.leadership.borrow().term() == Some(Term(432)), "elected");
-            found.push((kind, steady(&node, &distinct(&asked))));
+            entries.push((kind, normalized(&node, &sorted_unique(&requests))));
         }
-        let asked = Rc::default();
-        let node = noting(&asked);
-        let duty = tokio::task::spawn_local(machine_types_role::run(node.clone()));
-        let types = tokio::task::spawn_local(machine_types::keep_fresh(node.clone()));
-        tokio::time::sleep(ROLE).await;
-        duty.abort();
-        types.abort();
-        found.push(("machine types", steady(&node, &distinct(&asked))));
-        Golden::check(DUTIES, &found);
+        let requests = Rc::default();
+        let node = recording_node(&requests);
+        let role_task = tokio::task::spawn_local(machine_types_role::run(node.clone()));
+        let types_task = tokio::task::spawn_local(machine_types::keep_fresh(node.clone()));
+        tokio::time::sleep(ROLE_DURATION).await;
+        role_task.abort();
+        types_task.abort();
+        entries.push(("machine types", normalized(&node, &sorted_unique(&requests))));
+        Golden::check(ROLE_REQUESTS, &entries);
     };
-    LocalSet::new().run_until(play).await;
+    LocalSet::new().run_until(test).await;
 }
 
 /// With digits of times and this life's random name replaced.
-fn steady(node: &Node, asked: &RefCell<Vec<String>>) -> String {
-    let text = asked.borrow().join("\n").replace(&node.identity.election_nonce, "INCARNATION");
+fn normalized(node: &Node, requests: &RefCell<Vec<String>>) -> String {
+    let text = requests.borrow().join("\n").replace(&node.identity.election_nonce, "INCARNATION");
     let mut pieces = text.split("\"at\":");
-    let mut steady = pieces.next().unwrap_or_default().to_owned();
+    let mut result = pieces.next().unwrap_or_default().to_owned();
     for piece in pieces {
-        steady.push_str("\"at\":TIME");
-        steady.push_str(piece.trim_start_matches(|digit: char| digit.is_ascii_digit()));
+        result.push_str("\"at\":TIME");
+        result.push_str(piece.trim_start_matches(|digit: char| digit.is_ascii_digit()));
     }
-    steady
+    result
 }
 
 /// What a node writes for its users, and what it reads before it answers.
 #[tokio::test(start_paused = true)]
-async fn users_requests_reach_the_state_service_as_before() {
-    let play = async {
-        let mut found = Vec::new();
+async fn store_requests_of_user_requests_match_the_golden_file() {
+    let test = async {
+        let mut entries = Vec::new();
         for (kind, method, path, body) in [
             ("submission", "POST", "/submissions", submission().to_string()),
             ("poll", "GET", "/submissions/req-000501", String::new()),
             ("withdrawal", "POST", "/submissions/req-000501/withdraw", String::new()),
-            ("refused submission", "POST", "/submissions", changed("crew", json!("nobody"))),
+            (
+                "refused submission",
+                "POST",
+                "/submissions",
+                submission_with("crew", json!("nobody")),
+            ),
         ] {
-            let asked = Rc::default();
-            let node = noting(&asked);
-            ask(&node, method, path, &body).await;
-            found.push((kind, steady(&node, &asked)));
+            let requests = Rc::default();
+            let node = recording_node(&requests);
+            send(&node, method, path, &body).await;
+            entries.push((kind, normalized(&node, &requests)));
         }
         for (kind, method, path) in [
             ("poll of a known job", "GET", "/submissions/req-000501"),
             ("withdrawal of a known job", "POST", "/submissions/req-000501/withdraw"),
         ] {
-            let asked: Rc<RefCell<Vec<String>>> = Rc::default();
-            let node = noting(&asked);
+            let requests: Rc<RefCell<Vec<String>>> = Rc::default();
+            let node = recording_node(&requests);
             submit(&node, &submission().to_string()).await;
-            asked.borrow_mut().clear();
-            ask(&node, method, path, "").await;
-            found.push((kind, steady(&node, &asked)));
+            requests.borrow_mut().clear();
+            send(&node, method, path, "").await;
+            entries.push((kind, normalized(&node, &requests)));
         }
-        let asked = Rc::default();
-        let node = noting(&asked);
-        let _ = machine_types::share_unfenced(&node.key_value, &[one_type()]).await;
-        found.push(("machine types, unfenced", steady(&node, &asked)));
-        Golden::check(STATE, &found);
+        let requests = Rc::default();
+        let node = recording_node(&requests);
+        let _ = machine_types::share_unfenced(&node.key_value, &[machine_type()]).await;
+        entries.push(("machine types, unfenced", normalized(&node, &requests)));
+        Golden::check(STORE_REQUESTS, &entries);
     };
-    LocalSet::new().run_until(play).await;
+    LocalSet::new().run_until(test).await;
 }
--- a/crates/controller/src/node/heartbeats.rs
+++ b/crates/controller/src/node/heartbeats.rs
@@ -12,23 +12,23 @@
 use super::Node;
 
 /// How often the leader is told which machines repeated their heartbeats; they report every few seconds.
-const REPORT_EVERY: Duration = Duration::from_millis(500);
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 /// Every how many of these the leader is asked for a grant, or balances the workers.
-const REQUEST_EVERY: u32 = 2;
+const REPORTS_PER_REQUEST: u32 = 2;
 
 /// Keeps up this node's part for as long as it lives: as a follower it tells the leader who repeated a heartbeat and
 /// asks for grants, as the leader it balances the workers.
 pub(super) async fn run(node: Rc<Node>) {
-    let mut count = 0u32;
+    let mut reports = 0u32;
     loop {
-        sleep(REPORT_EVERY).await;
-        count = count.wrapping_add(1);
+        sleep(REPORT_INTERVAL).await;
+        reports = reports.wrapping_add(1);
         follower::send_repeated_heartbeats(&node);
-        if !count.is_multiple_of(REQUEST_EVERY) {
+        if !reports.is_multiple_of(REPORTS_PER_REQUEST) {
             continue;
         }
         match node.leadership.borrow().role() {
-            Role::Leader { .. } => leader::balance(&node),
+            Role::Leader { .. } => leader::balance_workers(&node),
             Role::Loading { .. } | Role::Candidate | Role::Follower => {
                 follower::request_delegation(&node)
             }
--- a/crates/controller/src/node/heartbeats/follower.rs
+++ b/crates/controller/src/node/heartbeats/follower.rs
@@ -30,7 +30,7 @@
     ) -> Option<Answer> {
         let follower = self.delegation.follower();
         let term = follower.forwarding_term(self.now())?;
-        let leader = self.leader_under(term)?;
+        let leader = self.other_leader_in_term(term)?;
         if body.len() > MAX_FORWARDED_BYTES {
             return None;
         }
@@ -69,17 +69,17 @@
 }
 
 /// Takes a grant that answers this incarnation.
-pub(in crate::node) fn take_grant(node: &Node, granted: DelegationGranted) {
+pub(in crate::node) fn apply_grant(node: &Node, granted: DelegationGranted) {
     if granted.asker_incarnation != node.identity.incarnation {
         return;
     }
     let follower = node.delegation.follower();
-    let before = follower.granted_term();
+    let previous_term = follower.granted_term();
     if !follower.take_grant(node.now(), &granted.grant) {
         return;
     }
     let term = granted.grant.term;
-    if before != Some(term) {
+    if previous_term != Some(term) {
         info!(%term, leader = %granted.node, "answering workers on the leader's behalf");
     }
     node.delegation.redirection().set(u32::from(granted.redirect_count), granted.redirect_to);
@@ -90,14 +90,14 @@
     let follower = node.delegation.follower();
     let repeated = follower.take_repeated();
     let Some(term) = follower.granted_term() else { return };
-    let Some(leader) = node.leader_under(term) else { return };
-    for some in repeated.chunks(MAX_ENTRIES) {
-        node.send_to_peer(&leader, &Frame::RepeatedHeartbeats { term, heard: some.to_vec() });
+    let Some(leader) = node.other_leader_in_term(term) else { return };
+    for chunk in repeated.chunks(MAX_ENTRIES) {
+        node.send_to_peer(&leader, &Frame::RepeatedHeartbeats { term, heard: chunk.to_vec() });
     }
 }
 
 /// Hands on the leader's answer to a forwarded heartbeat, if this incarnation forwarded it.
-pub(in crate::node) fn take_response(node: &Node, response: ForwardedResponse) {
+pub(in crate::node) fn apply_response(node: &Node, response: ForwardedResponse) {
     if response.asker_incarnation == node.identity.incarnation {
         node.delegation.follower().respond(response);
     }
--- a/crates/controller/src/node/heartbeats/leader.rs
+++ b/crates/controller/src/node/heartbeats/leader.rs
@@ -31,9 +31,9 @@
         by_holder.entry(entry.holder).or_default().push((machine, number));
     }
     for (holder, entries) in by_holder {
-        let place = usize::from(holder) - 1;
-        let peer = &node.settings.peers[place].name;
-        for frame in node.delegation.leader().invalidate(place, term, &entries) {
+        let peer_index = usize::from(holder) - 1;
+        let peer = &node.settings.peers[peer_index].name;
+        for frame in node.delegation.leader().invalidate(peer_index, term, &entries) {
             node.send_to_peer(peer, &frame);
         }
     }
@@ -57,14 +57,14 @@
 }
 
 /// A follower's place among the peers.
-fn peer_place(node: &Node, name: &str) -> Option<usize> {
+fn find_peer_index(node: &Node, name: &str) -> Option<usize> {
     node.settings.peers.iter().position(|peer| peer.name == name)
 }
 
 /// Answers a heartbeat that a follower forwarded.
 pub(in crate::node) fn answer_forwarded(node: &Node, forwarded: &ForwardedHeartbeat) {
-    let Some(place) = peer_place(node, &forwarded.node) else { return };
-    let Ok(holder) = CacheHolder::try_from(place + 1) else { return };
+    let Some(peer_index) = find_peer_index(node, &forwarded.node) else { return };
+    let Ok(holder) = CacheHolder::try_from(peer_index + 1) else { return };
     let handled = worker_api::handle_forwarded_heartbeat(node, &forwarded.heartbeat, holder);
     let (answer, cacheable) =
         handled.map_or((None, None), |handled| (Some(handled.body), handled.cacheable));
@@ -73,7 +73,7 @@
         cached,
         token,
         valid_for,
-        invalidated: node.delegation.leader().invalidated(place, cached.term),
+        invalidated: node.delegation.leader().invalidated(peer_index, cached.term),
     });
     let response = ForwardedResponse {
         asker_incarnation: forwarded.incarnation,
@@ -86,45 +86,46 @@
 }
 
 /// As the leader, lets a follower answer workers.
-pub(in crate::node) fn grant(node: &Node, request: &DelegationRequest) {
-    let Some(place) = peer_place(node, &request.node) else { return };
+pub(in crate::node) fn grant_delegation(node: &Node, request: &DelegationRequest) {
+    let Some(peer_index) = find_peer_index(node, &request.node) else { return };
     let Role::Leader { term } = node.leadership.borrow().role() else { return };
     send_invalidations(node);
     let leader = &node.delegation.leader();
-    leader.record_request(place, request.workers);
+    leader.record_request(peer_index, request.workers);
     let grant = DelegationGrant {
         term,
         asked: request.number,
         unknown_for: node.now().since(node.cancellations_known_until()),
-        invalidated: leader.invalidated(place, term),
+        invalidated: leader.invalidated(peer_index, term),
     };
-    let redirected = shares(node).and_then(|shares| shares.move_from_follower(request.workers));
+    let redirected =
+        worker_shares(node).and_then(|shares| shares.move_from_follower(request.workers));
     let granted = DelegationGranted {
         node: node.settings.node_name.clone(),
         asker_incarnation: request.incarnation,
         grant,
         redirect_count: redirected.map_or(0, |moved| moved.workers.min(u32::from(u16::MAX)) as u16),
-        redirect_to: redirected.map(|moved| destination(node, moved)),
+        redirect_to: redirected.map(|moved| redirect_target(node, moved)),
     };
     node.send_to_peer(&request.node, &Frame::DelegationGranted(granted));
 }
 
 /// As the leader, redirects some of its own workers to the follower that has fewest.
-pub(in crate::node) fn balance(node: &Node) {
+pub(in crate::node) fn balance_workers(node: &Node) {
     let own = node.delegation.worker_connections().get();
-    match shares(node).and_then(|shares| shares.move_from_leader(own)) {
+    match worker_shares(node).and_then(|shares| shares.move_from_leader(own)) {
         Some(moved) => {
-            node.delegation.redirection().set(moved.workers, Some(destination(node, moved)))
+            node.delegation.redirection().set(moved.workers, Some(redirect_target(node, moved)))
         }
         None => node.delegation.redirection().clear(),
     }
 }
 
 /// How the workers should be shared now.
-fn shares(node: &Node) -> Option<Shares> {
+fn worker_shares(node: &Node) -> Option<Shares> {
     Shares::of(node.delegation.worker_connections().get(), &node.delegation.leader().loads())
 }
 
-fn destination(node: &Node, moved: Move) -> String {
+fn redirect_target(node: &Node, moved: Move) -> String {
     node.settings.peers[moved.to].name.clone()
 }
--- a/crates/controller/src/node/heartbeats/tests.rs
+++ b/crates/controller/src/node/heartbeats/tests.rs
@@ -6,9 +6,12 @@
 use walnutlug_scheduler::model::job_spec::JobEnd;
 
 use super::follower::{request_delegation, send_repeated_heartbeats};
-use super::leader::{balance, send_invalidations};
+use super::leader::{balance_workers, send_invalidations};
 use crate::heartbeat_delegation::{FOLLOWER_VALID, RESPONSE_TIMEOUT};
-use crate::node::tests::{idle_report, lead_with_a_task, leader_with_a_task, report_of, JOB};
+use crate::node::tests::{
+    cluster_with_running_task, elect_leader_with_running_task, idle_heartbeat,
+    running_task_heartbeat, JOB,
+};
 use crate::node::Node;
 use crate::peers::{Frame, MAX_FORWARDED_BYTES};
 use crate::settings::Sockets;
@@ -25,7 +28,7 @@
     token: FencingToken,
 ) -> (u16, FencingToken, Vec<String>) {
     let (node, connection) = (cluster.nodes[at].clone(), connection.clone());
-    let body = report_of(sequence, token);
+    let body = running_task_heartbeat(sequence, token);
     let answer = tokio::task::spawn_local(async move {
         worker_api::heartbeat(&node, &connection, body.as_bytes()).await
     });
@@ -41,12 +44,12 @@
 }
 
 /// Node 0 leads and has a running task; node 1 was granted its share of the workers.
-async fn delegated(store: &FakeStore) -> Cluster {
-    let cluster = leader_with_a_task(store).await;
-    grant_a_share(cluster).await
+async fn cluster_with_delegation(store: &FakeStore) -> Cluster {
+    let cluster = cluster_with_running_task(store).await;
+    delegate_to_node_1(cluster).await
 }
 
-async fn grant_a_share(mut cluster: Cluster) -> Cluster {
+async fn delegate_to_node_1(mut cluster: Cluster) -> Cluster {
     request_delegation(&cluster.nodes[1]);
     for _ in 0..4 {
         cluster.deliver(|_, _| true).await;
@@ -60,33 +63,36 @@
 }
 
 /// The same, and node 1 answers repetitions by itself: the next sequence number and the token.
-async fn repeating(store: &FakeStore) -> (Cluster, Rc<WorkerConnection>, u64, FencingToken) {
-    let mut cluster = delegated(store).await;
+async fn cluster_with_cached_heartbeat(
+    store: &FakeStore,
+) -> (Cluster, Rc<WorkerConnection>, u64, FencingToken) {
+    let mut cluster = cluster_with_delegation(store).await;
     let connection = Rc::new(WorkerConnection::default());
     let (status, token, calls) = heartbeat(&mut cluster, 1, &connection, 1, FencingToken(0)).await;
     assert_eq!((status, calls), (200, vec![]), "the leader's answer");
     assert_eq!(heartbeat(&mut cluster, 1, &connection, 2, token).await, (200, token, vec![]));
-    assert!(repeats(&cluster, &connection, 3, token), "a settled report");
+    assert!(follower_can_answer(&cluster, &connection, 3, token), "a settled report");
     (cluster, connection, 3, token)
 }
 
 /// Whether the follower would answer the heartbeat by itself.
-fn repeats(
+fn follower_can_answer(
     cluster: &Cluster,
     connection: &WorkerConnection,
     sequence: u64,
     token: FencingToken,
 ) -> bool {
     cluster.nodes[1]
-        .repeated_heartbeat_token(connection, report_of(sequence, token).as_bytes())
+        .repeated_heartbeat_token(connection, running_task_heartbeat(sequence, token).as_bytes())
         .is_some()
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_follower_answers_what_is_cached_and_the_leader_learns_of_it() {
+async fn follower_answers_a_cached_heartbeat_and_reports_it_to_the_leader() {
     let test = async {
         let store = FakeStore::default();
-        let (mut cluster, connection, sequence, token) = repeating(&store).await;
+        let (mut cluster, connection, sequence, token) =
+            cluster_with_cached_heartbeat(&store).await;
         tokio::time::advance(Duration::from_secs(1)).await;
         let answer = heartbeat(&mut cluster, 1, &connection, sequence + 4, token).await;
         assert_eq!(answer, (200, token, vec![]));
@@ -104,14 +110,15 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_cancellation_at_the_leader_invalidates_what_its_follower_may_answer() {
+async fn cancelling_a_job_at_the_leader_invalidates_the_followers_cached_heartbeats() {
     let test = async {
         let store = FakeStore::default();
-        let (mut cluster, connection, sequence, token) = repeating(&store).await;
+        let (mut cluster, connection, sequence, token) =
+            cluster_with_cached_heartbeat(&store).await;
         cluster.nodes[0].record_job_end(JOB, JobEnd::Cancelled);
         send_invalidations(&cluster.nodes[0]);
         cluster.deliver(|_, _| true).await;
-        assert!(!repeats(&cluster, &connection, sequence, token));
+        assert!(!follower_can_answer(&cluster, &connection, sequence, token));
         let (status, _, calls) = heartbeat(&mut cluster, 1, &connection, sequence, token).await;
         assert_eq!((status, calls), (200, vec!["kill".to_owned()]));
     };
@@ -121,28 +128,32 @@
 /// The key-value store refuses everybody and the follower hears of nobody, while another node confirms that
 /// the job is cancelled.
 #[tokio::test(start_paused = true)]
-async fn a_follower_that_is_cut_off_renews_no_longer_than_the_window() {
+async fn isolated_follower_stops_renewing_leases_within_the_watermark_window() {
     let test = async {
         let store = FakeStore::default();
-        let (cluster, connection, mut sequence, token) = repeating(&store).await;
-        let confirmed_after = cluster.nodes[1].now();
+        let (cluster, connection, mut sequence, token) =
+            cluster_with_cached_heartbeat(&store).await;
+        let cancelled_at = cluster.nodes[1].now();
         assert_eq!(user_api::cancel(cluster.nodes[2].clone(), JOB).await.status, 200);
         store.fault(Fault::Down);
         let window = Duration::from_micros(window(&cluster.nodes[1].site).0);
         let began = Instant::now();
-        let (mut answered, mut last) = (0, Duration::ZERO);
+        let (mut answered, mut last_answered_after) = (0, Duration::ZERO);
         while began.elapsed() < window * 2 {
-            if repeats(&cluster, &connection, sequence, token) {
+            if follower_can_answer(&cluster, &connection, sequence, token) {
                 answered += 1;
-                last = began.elapsed();
+                last_answered_after = began.elapsed();
             }
             sequence += 1;
             tokio::time::advance(Duration::from_millis(100)).await;
         }
         assert!(answered > 20, "it answered {answered} times");
-        assert!(last <= window, "told at {confirmed_after:?}, renewed {last:?} later");
+        assert!(
+            last_answered_after <= window,
+            "cancelled at {cancelled_at:?}, but still answered after {last_answered_after:?}"
+        );
         // Then it sends the worker on.
-        let body = report_of(sequence, token);
+        let body = running_task_heartbeat(sequence, token);
         let answer = worker_api::heartbeat(&cluster.nodes[1], &connection, body.as_bytes()).await;
         assert_eq!(answer.status, 421);
     };
@@ -150,46 +161,48 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lost_invalidation_shows_with_the_next_grant() {
+async fn follower_detects_a_lost_invalidation_at_the_next_grant() {
     let test = async {
         let store = FakeStore::default();
-        let (mut cluster, connection, sequence, token) = repeating(&store).await;
+        let (mut cluster, connection, sequence, token) =
+            cluster_with_cached_heartbeat(&store).await;
         cluster.nodes[0].record_job_end(JOB, JobEnd::Cancelled);
         send_invalidations(&cluster.nodes[0]);
         cluster.deliver(|_, _| false).await;
-        assert!(repeats(&cluster, &connection, sequence, token), "it hasn't heard");
+        assert!(follower_can_answer(&cluster, &connection, sequence, token), "it hasn't heard");
         request_delegation(&cluster.nodes[1]);
         for _ in 0..3 {
             cluster.deliver(|_, _| true).await;
         }
-        assert!(!repeats(&cluster, &connection, sequence, token));
+        assert!(!follower_can_answer(&cluster, &connection, sequence, token));
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
 /// A grant says how far the leader's knowledge goes, so what it has withdrawn has to come first.
 #[tokio::test(start_paused = true)]
-async fn a_grant_comes_after_what_the_leader_invalidated_before_it() {
+async fn leader_sends_pending_invalidations_before_a_grant() {
     let test = async {
         let store = FakeStore::default();
-        let (mut cluster, connection, sequence, token) = repeating(&store).await;
+        let (mut cluster, connection, sequence, token) =
+            cluster_with_cached_heartbeat(&store).await;
         cluster.nodes[0].record_job_end(JOB, JobEnd::Cancelled);
         request_delegation(&cluster.nodes[1]);
         for _ in 0..3 {
             cluster.deliver(|_, _| true).await;
         }
-        assert!(!repeats(&cluster, &connection, sequence, token));
+        assert!(!follower_can_answer(&cluster, &connection, sequence, token));
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_worker_goes_to_the_leader_when_its_answer_does_not_come() {
+async fn worker_is_redirected_when_the_leader_does_not_answer_its_forwarded_heartbeat() {
     let test = async {
         let store = FakeStore::default();
-        let mut cluster = delegated(&store).await;
+        let mut cluster = cluster_with_delegation(&store).await;
         let (node, connection) = (cluster.nodes[1].clone(), WorkerConnection::default());
-        let body = report_of(1, FencingToken(0));
+        let body = running_task_heartbeat(1, FencingToken(0));
         let began = Instant::now();
         let answer = worker_api::heartbeat(&node, &connection, body.as_bytes()).await;
         assert_eq!(answer.status, 421);
@@ -211,33 +224,38 @@
 
 /// Reports that wait for a leader that doesn't answer are bounded; beyond that workers are sent on at once.
 #[tokio::test(start_paused = true)]
-async fn only_so_many_heartbeats_wait_for_the_leader() {
+async fn forwarded_heartbeats_above_the_limit_are_redirected_at_once() {
     let test = async {
         let store = FakeStore::default();
-        let cluster = delegated(&store).await;
+        let cluster = cluster_with_delegation(&store).await;
         let node = cluster.nodes[1].clone();
-        let most = Sockets::share(node.settings.fd_limit).inbound as usize;
-        let ask = |node: Rc<Node>| async move {
-            let body = report_of(1, FencingToken(0));
+        let max_pending = Sockets::share(node.settings.fd_limit).inbound as usize;
+        let send_heartbeat = |node: Rc<Node>| async move {
+            let body = running_task_heartbeat(1, FencingToken(0));
             worker_api::heartbeat(&node, &WorkerConnection::default(), body.as_bytes()).await
         };
-        let waiting: Vec<_> =
-            (0..most).map(|_| tokio::task::spawn_local(ask(node.clone()))).collect();
+        let responses: Vec<_> = (0..max_pending)
+            .map(|_| tokio::task::spawn_local(send_heartbeat(node.clone())))
+            .collect();
         for _ in 0..100 {
             tokio::task::yield_now().await;
         }
-        assert_eq!(node.delegation.follower().pending(), most);
+        assert_eq!(node.delegation.follower().pending(), max_pending);
         let began = Instant::now();
-        assert_eq!(ask(node.clone()).await.status, 421);
+        assert_eq!(send_heartbeat(node.clone()).await.status, 421);
         assert_eq!(began.elapsed(), Duration::ZERO);
-        for one in waiting {
-            assert_eq!(one.await.expect("an answer").status, 421);
+        for response in responses {
+            assert_eq!(response.await.expect("an answer").status, 421);
         }
         assert_eq!(node.delegation.follower().pending(), 0, "what was refused can come again");
         // A heartbeat longer than a frame goes to the leader itself.
-        let long = format!("{}{}", report_of(1, FencingToken(0)), " ".repeat(MAX_FORWARDED_BYTES));
+        let oversized = format!(
+            "{}{}",
+            running_task_heartbeat(1, FencingToken(0)),
+            " ".repeat(MAX_FORWARDED_BYTES)
+        );
         let answer =
-            worker_api::heartbeat(&node, &WorkerConnection::default(), long.as_bytes()).await;
+            worker_api::heartbeat(&node, &WorkerConnection::default(), oversized.as_bytes()).await;
         assert_eq!(answer.status, 421);
     };
     tokio::task::LocalSet::new().run_until(test).await;
@@ -246,7 +264,7 @@
 /// All workers of a fleet of 4,200 report something new to one follower at once: none is sent away, and no
 /// frame finds the queue full. (At most 1,000 reports waited once, whatever the settings said.)
 #[tokio::test(start_paused = true)]
-async fn a_burst_of_heartbeats_from_4_200_workers_waits_for_the_leader() {
+async fn follower_forwards_4_200_simultaneous_heartbeats_without_dropping_any() {
     const WORKERS: usize = 4_200;
     const MAX_FRAME_BYTES: usize = 600;
     let test = async {
@@ -254,17 +272,19 @@
         let mut settings = crate::settings::tests::sample();
         settings["facts"]["resources"]["fd_limit"] = serde_json::json!(WORKERS * 3 / 2);
         let cluster = store.cluster_of(3, &settings);
-        let mut cluster = grant_a_share(lead_with_a_task(&store, cluster).await).await;
+        let mut cluster =
+            delegate_to_node_1(elect_leader_with_running_task(&store, cluster).await).await;
         let node = cluster.nodes[1].clone();
-        let ask = |machine: usize| {
+        let send_heartbeat = |machine: usize| {
             let node = node.clone();
             async move {
-                let body = idle_report(&format!("n-{machine:06}"), 1);
+                let body = idle_heartbeat(&format!("n-{machine:06}"), 1);
                 let connection = WorkerConnection::default();
                 worker_api::heartbeat(&node, &connection, body.as_bytes()).await.status
             }
         };
-        let waiting: Vec<_> = (0..WORKERS).map(|i| tokio::task::spawn_local(ask(i))).collect();
+        let responses: Vec<_> =
+            (0..WORKERS).map(|i| tokio::task::spawn_local(send_heartbeat(i))).collect();
         for _ in 0..100 {
             tokio::task::yield_now().await;
         }
@@ -279,8 +299,8 @@
             cluster.nodes[0].handle_frame(frame);
         }
         cluster.deliver(|_, _| true).await;
-        for one in waiting {
-            assert_eq!(one.await.expect("an answer"), 200);
+        for response in responses {
+            assert_eq!(response.await.expect("an answer"), 200);
         }
         assert_eq!(node.delegation.follower().pending(), 0);
     };
@@ -288,26 +308,31 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_restarted_follower_answers_nothing_from_its_former_cache() {
+async fn restarted_follower_does_not_answer_from_its_earlier_cache() {
     let test = async {
         let store = FakeStore::default();
-        let (mut cluster, connection, sequence, token) = repeating(&store).await;
+        let (mut cluster, connection, sequence, token) =
+            cluster_with_cached_heartbeat(&store).await;
         cluster.nodes[1].delegation.follower().forget_grants(&cluster.nodes[1].site);
-        assert!(!repeats(&cluster, &connection, sequence, token));
+        assert!(!follower_can_answer(&cluster, &connection, sequence, token));
         request_delegation(&cluster.nodes[1]);
         for _ in 0..3 {
             cluster.deliver(|_, _| true).await;
         }
-        assert!(!repeats(&cluster, &connection, sequence, token), "granted anew, with no marks");
+        assert!(
+            !follower_can_answer(&cluster, &connection, sequence, token),
+            "granted anew, with no marks"
+        );
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_leader_redirects_workers_to_the_follower_with_fewest_and_not_their_first_heartbeat() {
+async fn leader_redirects_excess_workers_to_the_least_loaded_follower_after_their_first_heartbeat()
+{
     let test = async {
         let store = FakeStore::default();
-        let mut cluster = delegated(&store).await;
+        let mut cluster = cluster_with_delegation(&store).await;
         for node in [1, 2] {
             cluster.nodes[node].delegation.worker_connections().set(100 * node as u32);
             request_delegation(&cluster.nodes[node]);
@@ -316,21 +341,24 @@
             cluster.deliver(|_, _| true).await;
         }
         cluster.nodes[0].delegation.worker_connections().set(300);
-        balance(&cluster.nodes[0]);
+        balance_workers(&cluster.nodes[0]);
         let (node, connection) = (cluster.nodes[0].clone(), WorkerConnection::default());
-        let body = report_of(1, FencingToken(0));
+        let body = running_task_heartbeat(1, FencingToken(0));
         assert_eq!(worker_api::heartbeat(&node, &connection, body.as_bytes()).await.status, 200);
-        let body = report_of(2, FencingToken(0));
+        let body = running_task_heartbeat(2, FencingToken(0));
         let answer = worker_api::heartbeat(&node, &connection, body.as_bytes()).await;
-        let to = format!("{{\"keeper\":\"{}\"}}", cluster.nodes[1].settings.node_name);
-        assert_eq!((answer.status, String::from_utf8_lossy(&answer.body).as_ref()), (421, &*to));
+        let redirect_body = format!("{{\"keeper\":\"{}\"}}", cluster.nodes[1].settings.node_name);
+        assert_eq!(
+            (answer.status, String::from_utf8_lossy(&answer.body).as_ref()),
+            (421, &*redirect_body)
+        );
         // Within its part it keeps them, and so does everybody when no follower asks any more.
         node.delegation.worker_connections().set(40);
-        balance(&node);
+        balance_workers(&node);
         assert_eq!(node.delegation.another_node_for(100), None);
         node.delegation.worker_connections().set(300);
         tokio::time::advance(FOLLOWER_VALID).await;
-        balance(&node);
+        balance_workers(&node);
         assert_eq!(node.delegation.another_node_for(100), None);
     };
     tokio::task::LocalSet::new().run_until(test).await;
--- a/crates/controller/src/node/leader.rs
+++ b/crates/controller/src/node/leader.rs
@@ -30,7 +30,7 @@
 /// How long a leader that stepped down leaves the lead to others.
 const STEP_DOWN_BACKOFF: TimeDelta = TimeDelta::from_secs(15);
 /// Longest time between two rounds in which nothing wakes the leader.
-const MAX_IDLE: Duration = Duration::from_millis(100);
+const MAX_ROUND_INTERVAL: Duration = Duration::from_millis(100);
 /// Shortest and longest pause between two rounds.
 const MIN_PAUSE: Duration = Duration::from_millis(10);
 const MAX_PAUSE: Duration = Duration::from_millis(500);
@@ -43,9 +43,9 @@
     /// Until when the leader's lease is certainly held.
     lease_until: Cell<Instant>,
     /// Requests to scale out that this process named.
-    scale_out_requests: Cell<u64>,
+    last_scale_out_number: Cell<u64>,
     /// Whether the leader key is being read.
-    verifying: Cell<bool>,
+    verifying_leader_key: Cell<bool>,
 }
 
 impl LeaderState {
@@ -54,8 +54,8 @@
             wake: Notify::new(),
             step_down: Notify::new(),
             lease_until: Cell::new(Instant::now()),
-            scale_out_requests: Cell::default(),
-            verifying: Cell::default(),
+            last_scale_out_number: Cell::default(),
+            verifying_leader_key: Cell::default(),
         }
     }
 
@@ -85,15 +85,16 @@
     }
 
     fn next_scale_out_number(&self) -> u64 {
-        let number = self.scale_out_requests.get() + 1;
-        self.scale_out_requests.set(number);
+        let number = self.last_scale_out_number.get() + 1;
+        self.last_scale_out_number.set(number);
         number
     }
 }
 
 /// Everything that a leader does, until it leads no more.
 pub(super) async fn lead(node: &Rc<Node>, term: Term, held_lease: HeldLease) {
-    let renewing = tokio::task::spawn_local(lease::keep(node.clone(), held_lease));
+    let renewal_task =
+        tokio::task::spawn_local(lease::renew_until_expired(node.clone(), held_lease));
     let stepped_down = node.leader.step_down_signal();
     let work = async {
         match loading::load(node, term).await {
@@ -106,31 +107,31 @@
         _ = work => {}
     }
     node.step_down(StepDownCause::TermOver);
-    renewing.abort();
+    renewal_task.abort();
 }
 
 /// What the leader leaves to everything else after a round that took so long: as much of the node's part of a core as
 /// the round used. Under load the next round then decides more at once. (Without a pause, rounds of 2 ms each took all
 /// of a fiftieth of a core for ten seconds, and heartbeats and submissions waited behind them.)
-fn pause_after(round: Duration, cpu_share: f64) -> Duration {
+fn pause_after_round(round: Duration, cpu_share: f64) -> Duration {
     round.div_f64(cpu_share).clamp(MIN_PAUSE, MAX_PAUSE)
 }
 
 /// The leader's loop: whenever something happened, and now and then, the scheduler decides.
 async fn run_scheduler(node: &Rc<Node>, term: Term) {
-    let mut last = Instant::now();
-    while node.leads_under(term) {
-        let began = Instant::now();
+    let mut last_pause_end = Instant::now();
+    while node.leads_in_term(term) {
+        let round_start = Instant::now();
         if !run_round(node, term) {
             return;
         }
-        let pause = pause_after(began.elapsed(), node.settings.cpu_share);
-        let rest = pause.saturating_sub(last.elapsed());
-        if !rest.is_zero() {
-            sleep(rest).await;
+        let pause = pause_after_round(round_start.elapsed(), node.settings.cpu_share);
+        let remaining_pause = pause.saturating_sub(last_pause_end.elapsed());
+        if !remaining_pause.is_zero() {
+            sleep(remaining_pause).await;
         }
-        last = Instant::now();
-        let _ = timeout(MAX_IDLE, node.leader.wake.notified()).await;
+        last_pause_end = Instant::now();
+        let _ = timeout(MAX_ROUND_INTERVAL, node.leader.wake.notified()).await;
     }
 }
 
@@ -138,21 +139,21 @@
 fn run_round(node: &Rc<Node>, term: Term) -> bool {
     let now = node.now();
     let mut scheduler = node.scheduler.borrow_mut();
-    let Some(current) = scheduler.as_mut() else { return false };
-    if is_cut_off_from_workers(node, current, now) {
+    let Some(active_scheduler) = scheduler.as_mut() else { return false };
+    if is_cut_off_from_workers(node, active_scheduler, now) {
         drop(scheduler);
         // Leading from here serves nobody. Another node may, and this one holds back for a while.
         node.leadership.borrow_mut().back_off(now, STEP_DOWN_BACKOFF);
         node.step_down(StepDownCause::CutOffFromWorkers);
         return false;
     }
-    let commands = decide(node, current, now);
+    let commands = run_scheduler_tick(node, active_scheduler, now);
     drop(scheduler);
     heartbeats::leader::send_invalidations(node);
     for command in commands {
         commands::execute(node, term, command);
     }
-    fleet_role::advance(node, term);
+    fleet_role::advance_intents(node, term);
     true
 }
 
@@ -162,7 +163,7 @@
         || (node.delegation.has_followers() && scheduler.reaches_no_worker(now))
 }
 
-fn decide(node: &Node, scheduler: &mut Scheduler, now: Timestamp) -> Vec<Command> {
+fn run_scheduler_tick(node: &Node, scheduler: &mut Scheduler, now: Timestamp) -> Vec<Command> {
     let allowance = node.key_value.write_allowance();
     scheduler.set_write_allowance(WriteAllowance { left: allowance.now, most: allowance.most });
     let limits = node.key_value.limits();
@@ -198,9 +199,9 @@
 /// scaled out and placed nothing until a price moved.)
 ///
 /// So may ends that other nodes sent meanwhile, and which count as known here because they were acknowledged.
-pub(super) fn install(node: &Node, mut scheduler: Scheduler) {
+pub(super) fn install_scheduler(node: &Node, mut scheduler: Scheduler) {
     scheduler.cluster.set_types(node.machine_types.borrow().clone());
-    for (job, end) in node.cancellations.take_kept_ends() {
+    for (job, end) in node.cancellations.take_buffered_ends() {
         scheduler.job_ended(node.now(), &job, end);
     }
     node.scheduler.replace(Some(scheduler));
--- a/crates/controller/src/node/leader/commands.rs
+++ b/crates/controller/src/node/leader/commands.rs
@@ -74,7 +74,7 @@
 
 /// Reads whether the leader key is still this term's, unless that is being done already.
 fn verify_leadership(node: Rc<Node>, term: Term) {
-    if node.leader.verifying.replace(true) {
+    if node.leader.verifying_leader_key.replace(true) {
         return;
     }
     spawn_local(async move {
@@ -84,7 +84,7 @@
             }
         }
         sleep(VERIFY_INTERVAL).await;
-        node.leader.verifying.set(false);
+        node.leader.verifying_leader_key.set(false);
     });
 }
 
--- a/crates/controller/src/node/leader/job_ends.rs
+++ b/crates/controller/src/node/leader/job_ends.rs
@@ -21,14 +21,18 @@
 ) -> Result<Vec<String>, KeyValueError> {
     let mut found = Vec::new();
     while !open.is_empty() {
-        let keep = open.len().saturating_sub(node.key_value.max_compares());
+        let batch_start = open.len().saturating_sub(node.key_value.max_compares());
         let request = StoreRequest::Commit { operations: 0 };
-        match node.key_value.commit(RequestClass::Dispatch, &no_ends(&open[keep..])).await {
-            TransactionOutcome::Committed { .. } => open.truncate(keep),
+        match node
+            .key_value
+            .commit(RequestClass::Dispatch, &no_ends_transaction(&open[batch_start..]))
+            .await
+        {
+            TransactionOutcome::Committed { .. } => open.truncate(batch_start),
             TransactionOutcome::Conflict { failed } => {
-                let before = open.len();
+                let open_before = open.len();
                 open.retain(|job| !failed.contains(&keys::end(job)));
-                if open.len() == before {
+                if open.len() == open_before {
                     let source = InvalidResponse::UnrelatedConflict;
                     return Err(KeyValueError::InvalidResponse { request, source });
                 }
@@ -48,9 +52,9 @@
 }
 
 /// A transaction that succeeds if none of the jobs has ended.
-fn no_ends(jobs: &[String]) -> Transaction {
-    let no_end = |job: &String| Compare { key: keys::end(job), revision: Revision::NONE };
-    Transaction { compares: jobs.iter().map(no_end).collect(), operations: Vec::new() }
+fn no_ends_transaction(jobs: &[String]) -> Transaction {
+    let end_is_absent = |job: &String| Compare { key: keys::end(job), revision: Revision::NONE };
+    Transaction { compares: jobs.iter().map(end_is_absent).collect(), operations: Vec::new() }
 }
 
 /// The state of the jobs by what is stored, as far as it can be read.
@@ -70,7 +74,7 @@
     found
 }
 
-/// Whether a job that has not ended was accepted. What the scheduler has was; of anything else, the proof is looked
+/// Whether a job that has not ended was accepted. What the scheduler has was; of anything else, the submission_record is looked
 /// for once.
 async fn look_up_open(node: &Node, job: &str) -> Result<JobEndLookup, KeyValueError> {
     let known = node
@@ -81,6 +85,6 @@
     if known {
         return Ok(JobEndLookup::Open);
     }
-    let proof = node.key_value.get(RequestClass::Dispatch, &keys::job(job)).await?;
-    Ok(if proof.is_some() { JobEndLookup::Open } else { JobEndLookup::Missing })
+    let submission_record = node.key_value.get(RequestClass::Dispatch, &keys::job(job)).await?;
+    Ok(if submission_record.is_some() { JobEndLookup::Open } else { JobEndLookup::Missing })
 }
--- a/crates/controller/src/node/leader/lease.rs
+++ b/crates/controller/src/node/leader/lease.rs
@@ -12,9 +12,9 @@
 use crate::node::Node;
 
 /// The part of the lease's time after which it is renewed.
-const RENEW_AFTER: f64 = 0.28;
+const RENEWAL_FRACTION: f64 = 0.28;
 /// Pause after a renewal failed.
-const RETRY_AFTER: Duration = Duration::from_millis(150);
+const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
 /// A lease in the key-value store.
 pub(in crate::node) struct HeldLease {
@@ -30,11 +30,11 @@
 }
 
 /// Renews the lease until it expires.
-pub(super) async fn keep(node: Rc<Node>, lease: HeldLease) {
+pub(super) async fn renew_until_expired(node: Rc<Node>, lease: HeldLease) {
     let ttl = Duration::from_micros(node.tunables.leader_lease.0);
     let mut renewed = lease.renewed;
     loop {
-        sleep_until(renewed + ttl.mul_f64(RENEW_AFTER)).await;
+        sleep_until(renewed + ttl.mul_f64(RENEWAL_FRACTION)).await;
         let sent = Instant::now();
         match node.key_value.renew_lease(lease.id).await {
             Ok(()) => {
@@ -48,7 +48,7 @@
                 debug!(%error, "leader lease not renewed");
                 // In an outage the lease gets its full time again, so the leader stays and goes on answering its
                 // workers; what it may not do any more the key-value store and the workers' tokens refuse.
-                renewed = sent - ttl.mul_f64(RENEW_AFTER) + RETRY_AFTER;
+                renewed = sent - ttl.mul_f64(RENEWAL_FRACTION) + RETRY_PAUSE;
             }
         }
     }
--- a/crates/controller/src/node/leader/loading.rs
+++ b/crates/controller/src/node/leader/loading.rs
@@ -11,7 +11,7 @@
 use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::time::Timestamp;
 
-use super::{install, job_ends, machine_list, reconciling, watches};
+use super::{install_scheduler, job_ends, machine_list, reconciling, watches};
 use crate::key_value_client::{KeyValueError, Listing, RequestClass, StoreRequest};
 use crate::node::{fleet_role, Node};
 use crate::peers::MachineAddress;
@@ -26,8 +26,8 @@
 /// # Errors
 /// If the records can't be read, or the term is over.
 pub(super) async fn load(node: &Rc<Node>, term: Term) -> Result<(), KeyValueError> {
-    let (began, requested) = (Instant::now(), node.now());
-    node.cancellations.take_kept_ends();
+    let (load_start, load_requested) = (Instant::now(), node.now());
+    node.cancellations.take_buffered_ends();
     if node.machine_types.borrow().is_empty() {
         node.read_types().await;
     }
@@ -40,9 +40,9 @@
     for MachineAddress { machine, address } in node.cluster_view.fresh_addresses() {
         scheduler.cluster.hint_address(records.read_at, &machine, &address.to_string());
     }
-    log_loaded(&scheduler, began);
-    install(node, scheduler);
-    node.cancellations.ends_read(requested);
+    log_loaded(&scheduler, load_start);
+    install_scheduler(node, scheduler);
+    node.cancellations.job_ends_read(load_requested);
     if !node.leadership.borrow_mut().step(node.now(), ElectionEvent::Loaded { term }) {
         let request = StoreRequest::Get { key: keys::LEADER.to_owned() };
         return Err(KeyValueError::Expired { request });
@@ -77,11 +77,11 @@
     let Listing { key_values: descriptions, store_revision } =
         list_until_answered(node, keys::DESCRIPTIONS).await?;
     let Listing { key_values: runs, .. } = list_until_answered(node, keys::RUN).await?;
-    let (read_at, wall) = (node.now(), node.wall_clock_us());
+    let (read_at, wall_clock_us) = (node.now(), node.wall_clock_us());
     for description in &descriptions {
         if let Some(job) = keys::described(&description.key) {
             // A damaged description is logged by the scheduler, and its job is passed over.
-            let _ = scheduler.add_job(read_at, job, &description.value, wall);
+            let _ = scheduler.add_job(read_at, job, &description.value, wall_clock_us);
         }
     }
     for key in scheduler.load_chunks(read_at, &runs) {
@@ -113,13 +113,13 @@
     }
 }
 
-fn log_loaded(scheduler: &Scheduler, began: Instant) {
+fn log_loaded(scheduler: &Scheduler, load_start: Instant) {
     let placed: usize = scheduler.cluster.machines.iter().map(|machine| machine.tasks.len()).sum();
     info!(
         term = %scheduler.term,
         jobs = scheduler.cluster.jobs_by_name.len(),
         placed,
-        ms = began.elapsed().as_millis() as u64,
+        ms = load_start.elapsed().as_millis() as u64,
         "records read: leading"
     );
 }
--- a/crates/controller/src/node/leader/machine_list.rs
+++ b/crates/controller/src/node/leader/machine_list.rs
@@ -17,8 +17,8 @@
 pub(super) async fn run(node: Rc<Node>, term: Term) {
     let interval =
         Duration::from_micros(node.site.list_lag.0 / 2).clamp(MIN_INTERVAL, MAX_INTERVAL);
-    while node.leads_under(term) {
-        let requested = Instant::now();
+    while node.leads_in_term(term) {
+        let list_requested = Instant::now();
         let pause = match node.cloud.list().await {
             Ok(machines) => {
                 let now = node.now();
@@ -27,7 +27,7 @@
                 }
                 node.wake_leader();
                 // The pages of a large fleet's list leave half of the cloud's rate to scaling out and in.
-                interval.max(requested.elapsed())
+                interval.max(list_requested.elapsed())
             }
             Err(_) => RETRY_PAUSE,
         };
--- a/crates/controller/src/node/leader/reconciling.rs
+++ b/crates/controller/src/node/leader/reconciling.rs
@@ -15,13 +15,13 @@
 use crate::node::Node;
 
 /// How often a leader reads the records again.
-const RECONCILE_EVERY: Duration = Duration::from_secs(20);
+const RECONCILE_INTERVAL: Duration = Duration::from_secs(20);
 
 /// Reconciles until the term is over.
 pub(super) async fn run(node: Rc<Node>, term: Term) {
     loop {
-        sleep(RECONCILE_EVERY).await;
-        if !node.leads_under(term) {
+        sleep(RECONCILE_INTERVAL).await;
+        if !node.leads_in_term(term) {
             return;
         }
         if !node.key_value.store_reachable() {
@@ -57,13 +57,13 @@
 }
 
 fn add_missing_jobs(node: &Node, scheduler: &mut Scheduler, descriptions: &[KeyValue]) {
-    let (now, wall) = (node.now(), node.wall_clock_us());
+    let (now, wall_clock_us) = (node.now(), node.wall_clock_us());
     for description in descriptions {
         // One that was deleted since the list was read comes back here as a job to do; the precondition on its end
         // then fails, and it is deleted again.
         let Some(job) = keys::described(&description.key) else { continue };
         if !scheduler.cluster.jobs_by_name.contains_key(job)
-            && scheduler.add_job(now, job, &description.value, wall).is_ok()
+            && scheduler.add_job(now, job, &description.value, wall_clock_us).is_ok()
         {
             info!(%job, "missing job found by reconciliation");
         }
--- a/crates/controller/src/node/leader/reconciling/tests.rs
+++ b/crates/controller/src/node/leader/reconciling/tests.rs
@@ -3,7 +3,7 @@
 
 /// The watch's answer with the job in it was lost, and with it every mention of the job.
 #[tokio::test(start_paused = true)]
-async fn a_job_missing_from_all_messages_is_found_and_a_lost_end_too() {
+async fn reconciliation_adds_a_job_and_applies_an_end_that_the_watches_missed() {
     let store = FakeStore::default();
     let node = store.node();
     let spec = serde_json::json!({"spec": {
@@ -20,10 +20,10 @@
         node.now(),
     ));
     reconcile_once(&node, Term(7)).await.expect("read");
-    let open =
+    let open_jobs =
         || node.scheduler.borrow().as_ref().map(|s| s.cluster.open_jobs()).unwrap_or_default();
-    assert_eq!(open(), ["req-1"]);
+    assert_eq!(open_jobs(), ["req-1"]);
     store.put(&keys::end("req-1"), serde_json::json!("aborted"));
     reconcile_once(&node, Term(7)).await.expect("read");
-    assert!(open().is_empty());
+    assert!(open_jobs().is_empty());
 }
--- a/crates/controller/src/node/leader/watches.rs
+++ b/crates/controller/src/node/leader/watches.rs
@@ -28,7 +28,7 @@
 /// What is left of the interval. The clock is read once: between two readings the process may be suspended, and a
 /// time that was below the interval is beyond it. (Such a difference below zero ended a leader, with a fleet of two
 /// thousand, on a busy day.)
-fn rest_of_interval(elapsed: Duration) -> Duration {
+fn remaining_interval(elapsed: Duration) -> Duration {
     MIN_INTERVAL.saturating_sub(elapsed)
 }
 
@@ -37,18 +37,18 @@
     // The watch on ends moves the watermark each time it returns, so it returns often.
     let window = watermark::window(&node.site).0;
     let hold = Duration::from_micros(window / RETURNS_PER_WINDOW).clamp(MIN_HOLD, MAX_HOLD);
-    while node.leads_under(term) {
+    while node.leads_in_term(term) {
         let (opened, requested) = (Instant::now(), node.now());
         match node.key_value.watch(RequestClass::Dispatch, prefix, from, hold).await {
             Ok(watched) => {
                 from = watched.store_revision.max(from);
-                if !node.leads_under(term) {
+                if !node.leads_in_term(term) {
                     return;
                 }
                 apply(&node, &watched.events);
                 if prefix == keys::END {
                     // All that was stored when it was opened is in this answer or an earlier one.
-                    node.cancellations.ends_read(requested);
+                    node.cancellations.job_ends_read(requested);
                 }
                 node.wake_leader();
             }
@@ -57,22 +57,22 @@
             }
             Err(_) => sleep(RETRY_PAUSE).await,
         }
-        let rest = rest_of_interval(opened.elapsed());
-        if !rest.is_zero() {
+        let remaining = remaining_interval(opened.elapsed());
+        if !remaining.is_zero() {
             // A node that accepted or cancelled a job hints that there is something new to read.
-            let _ = timeout(rest, node.watch_wakeup.notified()).await;
+            let _ = timeout(remaining, node.watch_wakeup.notified()).await;
         }
     }
 }
 
 fn apply(node: &Node, events: &[WatchEvent]) {
-    let (now, wall) = (node.now(), node.wall_clock_us());
+    let (now, wall_clock_us) = (node.now(), node.wall_clock_us());
     for event in events {
         let WatchEvent::Put { put, value, .. } = event else { continue };
         if let Some(job) = keys::described(put) {
             if let Some(scheduler) = node.scheduler.borrow_mut().as_mut() {
                 // A damaged description is logged by the scheduler, and its job is passed over.
-                let _ = scheduler.add_job(now, job, value, wall);
+                let _ = scheduler.add_job(now, job, value, wall_clock_us);
             }
         } else if let Some(job) = put.strip_prefix(keys::END) {
             if let Ok(end) = serde_json::from_value::<JobEnd>(value.clone()) {
--- a/crates/controller/src/node/load.rs
+++ b/crates/controller/src/node/load.rs
@@ -10,10 +10,10 @@
 use super::Node;
 
 /// How often the figures are logged.
-const LOG_EVERY: Duration = Duration::from_secs(60);
+const LOG_INTERVAL: Duration = Duration::from_secs(60);
 /// Longest time of a submission that is told from longer ones, in milliseconds.
 const MAX_SUBMISSION_MS: u64 = 60_000;
-const SUBMISSION_DIGITS: u8 = 2;
+const SUBMISSION_MS_SIGNIFICANT_DIGITS: u8 = 2;
 
 /// One node's load.
 pub(super) struct Load {
@@ -22,7 +22,7 @@
     /// Workers' connections that were closed to leave room for users, since they were logged last.
     connections_closed: Cell<u32>,
     /// Heartbeats answered with a redirect in the last seconds.
-    redirected: Cell<u16>,
+    redirect_count: Cell<u16>,
     submission_ms: RefCell<Histogram<u64>>,
 }
 
@@ -35,11 +35,11 @@
         Ok(Load {
             open_connections: Rc::default(),
             connections_closed: Cell::default(),
-            redirected: Cell::default(),
+            redirect_count: Cell::default(),
             submission_ms: RefCell::new(Histogram::new_with_bounds(
                 1,
                 MAX_SUBMISSION_MS,
-                SUBMISSION_DIGITS,
+                SUBMISSION_MS_SIGNIFICANT_DIGITS,
             )?),
         })
     }
@@ -56,17 +56,17 @@
 
     /// A heartbeat was answered with a redirect.
     pub(super) fn count_redirect(&self) {
-        self.redirected.set(self.redirected.get().saturating_add(1));
+        self.redirect_count.set(self.redirect_count.get().saturating_add(1));
     }
 
     /// Heartbeats answered with a redirect since the count was reset.
-    pub(super) fn redirected(&self) -> u16 {
-        self.redirected.get()
+    pub(super) fn redirect_count(&self) -> u16 {
+        self.redirect_count.get()
     }
 
     /// Begins to count redirects anew.
-    pub(super) fn reset_redirected(&self) {
-        self.redirected.set(0);
+    pub(super) fn reset_redirect_count(&self) {
+        self.redirect_count.set(0);
     }
 
     /// A submission was answered after that many milliseconds.
@@ -96,7 +96,7 @@
 /// Logs the figures for as long as the node lives.
 pub(super) async fn log_periodically(node: Rc<Node>) {
     loop {
-        sleep(LOG_EVERY).await;
+        sleep(LOG_INTERVAL).await;
         node.load.log();
     }
 }
--- a/crates/controller/src/node/machine_types.rs
+++ b/crates/controller/src/node/machine_types.rs
@@ -16,23 +16,23 @@
 /// Longest time between two readings.
 const MAX_INTERVAL: Duration = Duration::from_secs(60);
 /// The same while no types are known.
-const MAX_INTERVAL_AT_FIRST: Duration = Duration::from_secs(2);
+const MAX_INTERVAL_WITHOUT_TYPES: Duration = Duration::from_secs(2);
 /// The first time between two readings, which then doubles.
-const FIRST_INTERVAL: Duration = Duration::from_millis(300);
+const INITIAL_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Gets the machine types, first from the key-value store, and keeps them fresh while the node leads or holds the role
 /// to share them.
 pub(super) async fn keep_fresh(node: Rc<Node>) {
-    let mut pause = FIRST_INTERVAL;
+    let mut pause = INITIAL_INTERVAL;
     loop {
         if node.machine_types.borrow().is_empty() {
             node.read_types().await;
         }
         let leads = node.leadership.borrow().term().is_some();
         let fenced = node.tunables.fenced_duties;
-        let shares = if fenced { node.machine_types_role.is_held(node.now()) } else { leads };
-        if node.machine_types.borrow().is_empty() || shares {
-            read_types_from_cloud(&node, shares || !fenced).await;
+        let is_sharer = if fenced { node.machine_types_role.is_held(node.now()) } else { leads };
+        if node.machine_types.borrow().is_empty() || is_sharer {
+            read_types_from_cloud(&node, is_sharer || !fenced).await;
         } else if leads {
             node.read_types().await;
         }
@@ -42,7 +42,7 @@
         sleep(pause).await;
         pause = (pause * 2).min(MAX_INTERVAL);
         if node.machine_types.borrow().is_empty() {
-            pause = pause.min(MAX_INTERVAL_AT_FIRST);
+            pause = pause.min(MAX_INTERVAL_WITHOUT_TYPES);
         }
     }
 }
@@ -52,10 +52,10 @@
         Ok(types) if types.is_empty() => warn!("cloud offers no usable machine type"),
         Ok(types) => {
             let changed = node.set_types(&types);
-            if share && (changed || node.machine_types_role.has_yet_to_share()) {
+            if share && (changed || node.machine_types_role.must_share()) {
                 share_types(node, &types).await;
             }
-            node.readiness.set_loaded();
+            node.readiness.set_dependency_reached();
         }
         Err(error) => debug!(%error, "machine types not read from the cloud"),
     }
@@ -74,7 +74,7 @@
     pub(super) async fn read_types(&self) {
         let found = self.key_value.get(RequestClass::Submission, keys::TYPES).await;
         let Ok(Some(key_value)) = found else { return };
-        self.readiness.set_loaded();
+        self.readiness.set_dependency_reached();
         let types = serde_json::from_value::<Vec<MachineType>>(key_value.value["breeds"].clone());
         if let Ok(types) = types {
             self.set_types(&usable_types(types));
--- a/crates/controller/src/node/machine_types_role.rs
+++ b/crates/controller/src/node/machine_types_role.rs
@@ -23,9 +23,9 @@
 use crate::key_value_client::{KeyValueError, RequestClass};
 
 const ROLE: LeasedRole = LeasedRole::MachineTypes;
-const LEASE: TimeDelta = TimeDelta::from_secs(12);
+const TTL: TimeDelta = TimeDelta::from_secs(12);
 /// How often, at least, the holder renews its lease and the others read who holds the role.
-const MAX_INTERVAL: Duration = Duration::from_secs(4);
+const MAX_CHECK_INTERVAL: Duration = Duration::from_secs(4);
 
 /// A node's part in the role.
 pub(super) struct MachineTypesRole {
@@ -34,19 +34,19 @@
     lease_id: Cell<Option<u64>>,
     balancer: RefCell<RoleBalancer>,
     /// The epoch under which the types were shared last.
-    shared_under: Cell<Option<Epoch>>,
+    last_shared_epoch: Cell<Option<Epoch>>,
     /// The fault of the stored record that was logged last; each is logged once.
-    logged_fault: RefCell<Option<RecordError>>,
+    last_logged_error: RefCell<Option<RecordError>>,
 }
 
 impl Default for MachineTypesRole {
     fn default() -> MachineTypesRole {
         MachineTypesRole {
-            lease: RefCell::new(RoleLease::new(LEASE)),
+            lease: RefCell::new(RoleLease::new(TTL)),
             lease_id: Cell::default(),
             balancer: RefCell::default(),
-            shared_under: Cell::default(),
-            logged_fault: RefCell::default(),
+            last_shared_epoch: Cell::default(),
+            last_logged_error: RefCell::default(),
         }
     }
 }
@@ -58,9 +58,9 @@
     }
 
     /// Whether this node holds the role and has not shared anything since it took it.
-    pub(super) fn has_yet_to_share(&self) -> bool {
+    pub(super) fn must_share(&self) -> bool {
         let epoch = self.lease.borrow().epoch();
-        epoch.is_some() && self.shared_under.get() != epoch
+        epoch.is_some() && self.last_shared_epoch.get() != epoch
     }
 
     /// The node holds the key of that revision, on the lease of that number.
@@ -77,7 +77,7 @@
 
     /// The stored record of the holder can't be read. Logs it, unless it was logged last.
     fn log_unreadable_holder(&self, fault: RecordError) {
-        let mut logged = self.logged_fault.borrow_mut();
+        let mut logged = self.last_logged_error.borrow_mut();
         if logged.as_ref() != Some(&fault) {
             warn!(role = ROLE.name(), reason = %fault, "role holder record unreadable");
             *logged = Some(fault);
@@ -117,7 +117,7 @@
             Some(_) => renew(&node).await,
             None => observe(&node).await,
         }
-        sleep(MAX_INTERVAL.mul_f64(rand::random_range(0.8..1.0))).await;
+        sleep(MAX_CHECK_INTERVAL.mul_f64(rand::random_range(0.8..1.0))).await;
     }
 }
 
@@ -186,7 +186,7 @@
 async fn acquire(node: &Rc<Node>) {
     let role = &node.machine_types_role;
     let sent = node.now();
-    let Ok(id) = node.key_value.grant_lease(Duration::from_micros(LEASE.0)).await else { return };
+    let Ok(id) = node.key_value.grant_lease(Duration::from_micros(TTL.0)).await else { return };
     role.step(LeaseInput::Granted { sent });
     match create_key(node, id).await {
         Some(revision) => role.acquired(id, revision),
@@ -231,7 +231,7 @@
     let mut write = FencedWrite::new(&Fence::new(ROLE, epoch));
     write.change(Operation::put(keys::TYPES, value));
     match node.key_value.commit(RequestClass::Watch, &write.into_transaction()).await {
-        TransactionOutcome::Committed { .. } => role.shared_under.set(Some(epoch)),
+        TransactionOutcome::Committed { .. } => role.last_shared_epoch.set(Some(epoch)),
         TransactionOutcome::Conflict { .. } => role.lost(),
         // The next reading from the cloud is soon enough.
         TransactionOutcome::Rejected
--- a/crates/controller/src/node/machine_types_role/tests.rs
+++ b/crates/controller/src/node/machine_types_role/tests.rs
@@ -1,21 +1,21 @@
 use super::*;
 use crate::user_api::fake_cluster::{FakeStore, Fault};
 
-fn epoch(node: &Node) -> Option<Epoch> {
+fn held_epoch(node: &Node) -> Option<Epoch> {
     node.machine_types_role.lease.borrow().epoch()
 }
 
 /// The types in the store, if any.
-fn shared(store: &FakeStore) -> Option<serde_json::Value> {
+fn shared_types(store: &FakeStore) -> Option<serde_json::Value> {
     store.value(keys::TYPES).map(|value| value["breeds"].clone())
 }
 
 #[tokio::test(start_paused = true)]
-async fn one_node_takes_the_role_and_a_replaced_one_writes_nothing() {
+async fn only_one_node_acquires_the_role_and_a_replaced_holder_cannot_write() {
     let test = async {
         let store = FakeStore::default();
-        let c = store.cluster(2);
-        let (first, second) = (c.nodes[0].clone(), c.nodes[1].clone());
+        let cluster = store.cluster(2);
+        let (first, second) = (cluster.nodes[0].clone(), cluster.nodes[1].clone());
         // A node that the key-value store has not answered lately doesn't try.
         for node in [&first, &second] {
             node.key_value.get(RequestClass::Watch, keys::LEADER).await.expect("an answer");
@@ -23,28 +23,28 @@
         observe(&first).await;
         observe(&second).await;
         assert!(first.machine_types_role.is_held(first.now()));
-        assert_eq!(epoch(&second), None);
-        assert!(first.machine_types_role.has_yet_to_share());
+        assert_eq!(held_epoch(&second), None);
+        assert!(first.machine_types_role.must_share());
         let types = first.machine_types.borrow().clone();
         share(&first, &types).await;
-        assert!(shared(&store).is_some() && !first.machine_types_role.has_yet_to_share());
+        assert!(shared_types(&store).is_some() && !first.machine_types_role.must_share());
         // Its lease ends while it stands still, and the other takes over.
-        tokio::time::advance(Duration::from_micros(LEASE.0)).await;
+        tokio::time::advance(Duration::from_micros(TTL.0)).await;
         assert!(!first.machine_types_role.is_held(first.now()), "it stops by itself");
         store.remove(&ROLE.key());
         second.key_value.get(RequestClass::Watch, keys::LEADER).await.expect("an answer");
         observe(&second).await;
-        assert!(epoch(&second) > epoch(&first));
-        let before = shared(&store);
+        assert!(held_epoch(&second) > held_epoch(&first));
+        let before = shared_types(&store);
         share(&first, &[]).await;
-        assert_eq!(shared(&store), before, "fenced");
-        assert_eq!(epoch(&first), None, "and it knows");
+        assert_eq!(shared_types(&store), before, "fenced");
+        assert_eq!(held_epoch(&first), None, "and it knows");
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_claim_whose_answer_is_lost_is_read_back() {
+async fn role_claim_with_a_lost_response_is_resolved_by_reading_the_key() {
     let test = async {
         let store = FakeStore::default();
         let node = store.node();
@@ -57,45 +57,45 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn records_that_cannot_be_acted_on_stay_and_nothing_is_done() {
-    let odd = [
+async fn unreadable_holder_record_is_logged_and_left_in_place() {
+    let unreadable_records = [
         serde_json::json!("no record"),
         serde_json::json!({"format": 9, "node": "kernel-1"}),
         serde_json::json!({"format": 1, "node": "stranger", "inc": "x", "lease": 1}),
     ];
-    for value in odd {
+    for value in unreadable_records {
         let store = FakeStore::default();
         let node = store.node();
         store.put(&ROLE.key(), value.clone());
         observe(&node).await;
-        assert_eq!(epoch(&node), None);
-        assert!(node.machine_types_role.logged_fault.borrow().is_some(), "{value} is logged");
+        assert_eq!(held_epoch(&node), None);
+        assert!(node.machine_types_role.last_logged_error.borrow().is_some(), "{value} is logged");
         assert_eq!(store.value(&ROLE.key()), Some(value.clone()), "and stays");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_former_incarnation_is_released_and_a_leader_hands_over_to_another() {
+async fn restarted_node_releases_its_earlier_lease_then_acquires_renews_and_releases_the_role() {
     let test = async {
         let store = FakeStore::default();
         let node = store.node();
-        let former = HolderRecord {
+        let earlier_holder = HolderRecord {
             format: HOLDER_FORMAT,
             node: node.settings.node_name.clone(),
             incarnation: "former".into(),
             lease: 77,
         };
-        store.put(&ROLE.key(), serde_json::to_value(&former).expect("a value"));
+        store.put(&ROLE.key(), serde_json::to_value(&earlier_holder).expect("a value"));
         observe(&node).await;
         assert!(!store.holds(&ROLE.key()), "its lease is ended");
         node.key_value.get(RequestClass::Watch, keys::LEADER).await.expect("an answer");
         observe(&node).await;
-        let held = epoch(&node);
+        let epoch_before = held_epoch(&node);
         renew(&node).await;
-        assert!(held.is_some() && epoch(&node) == held);
+        assert!(epoch_before.is_some() && held_epoch(&node) == epoch_before);
         let id = node.machine_types_role.lease_id.get().expect("a lease");
         release(&node, id).await;
-        assert!(epoch(&node).is_none() && !store.holds(&ROLE.key()));
+        assert!(held_epoch(&node).is_none() && !store.holds(&ROLE.key()));
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
--- a/crates/controller/src/node/peer_messages.rs
+++ b/crates/controller/src/node/peer_messages.rs
@@ -18,38 +18,38 @@
                 self.user_api.known_jobs.record_progress(&job, counts);
             }
             Frame::Ended { job, end } => self.handle_ended(&job, end),
-            Frame::Cancellations(part) => self.handle_cancellations(&part),
-            Frame::CancellationsAck(ack) => self.cancellations.acknowledged(&ack),
+            Frame::Cancellations(entries) => self.handle_cancellations(&entries),
+            Frame::CancellationsAck(ack) => self.cancellations.record_ack(&ack),
             Frame::CancellationLogEnd(end) => self.cancellations.log_end_received(self.now(), &end),
             Frame::ForwardedHeartbeat(heartbeat) => leader::answer_forwarded(self, &heartbeat),
-            Frame::ForwardedResponse(response) => follower::take_response(self, response),
+            Frame::ForwardedResponse(response) => follower::apply_response(self, response),
             Frame::RepeatedHeartbeats { term, heard } => {
                 leader::record_repeated_heartbeats(self, term, &heard);
             }
-            Frame::DelegationRequest(request) => leader::grant(self, &request),
-            Frame::DelegationGranted(granted) => follower::take_grant(self, granted),
+            Frame::DelegationRequest(request) => leader::grant_delegation(self, &request),
+            Frame::DelegationGranted(granted) => follower::apply_grant(self, granted),
             Frame::Invalidated { term, first, cache_entries } => {
                 self.delegation.follower().invalidate(term, first, &cache_entries);
             }
             Frame::NewJob { .. } => self.watch_wakeup.notify_one(),
             Frame::LimitsLowered => self.key_value.learn_limits_lowered(),
-            Frame::Machines(machines) => self.cluster_view.learn_addresses(machines),
+            Frame::Machines(machines) => self.cluster_view.record_addresses(machines),
         }
     }
 
     fn handle_status(&self, status: NodeStatus) {
         if status.leading {
-            self.learn_leader(&status.name, status.term);
+            self.record_leader(&status.name, status.term);
             follower::request_from_new_leader(self, status.term);
             let log_end = self.cancellations.log_end(status.incarnation, status.count);
             self.send_to_peer(&status.name, &Frame::CancellationLogEnd(log_end));
         }
-        self.cancellations.reader_heard(&status.name, status.incarnation);
+        self.cancellations.record_log_reader(&status.name, status.incarnation);
         self.send_cancellations();
         if self.cluster_view.is_stale(&status) {
             return;
         }
-        self.cancellations.peer_heard(self.now(), &status.name, status.incarnation);
+        self.cancellations.record_peer_incarnation(self.now(), &status.name, status.incarnation);
         self.cluster_view.record_status(status);
     }
 
@@ -57,19 +57,19 @@
         // Sent only once it is stored, so a fact: the job's tasks are stopped, also while the key-value store
         // refuses this node.
         if end == JobEnd::Cancelled && is_job_id(job) {
-            return self.apply_end(job, JobEnd::Cancelled);
+            return self.apply_job_end(job, JobEnd::Cancelled);
         }
         // Only a hint to look: a job becomes ready by what the key-value store says.
         self.user_api.known_jobs.forget_progress(job);
         self.watch_wakeup.notify_one();
     }
 
-    fn handle_cancellations(&self, part: &Cancellations) {
-        for job in &part.jobs {
-            self.apply_end(job, JobEnd::Cancelled);
+    fn handle_cancellations(&self, entries: &Cancellations) {
+        for job in &entries.jobs {
+            self.apply_job_end(job, JobEnd::Cancelled);
         }
-        if let Some(ack) = self.cancellations.received(self.now(), part) {
-            self.send_to_peer(&part.node, &Frame::CancellationsAck(ack));
+        if let Some(ack) = self.cancellations.record_entries(self.now(), entries) {
+            self.send_to_peer(&entries.node, &Frame::CancellationsAck(ack));
         }
     }
 }
--- a/crates/controller/src/node/routes.rs
+++ b/crates/controller/src/node/routes.rs
@@ -18,7 +18,7 @@
 ) -> Answer {
     let path = request.path.split('?').next().unwrap_or_default().to_owned();
     match (path.as_str(), request.method.as_str()) {
-        ("/ready", "GET") => ready(&node),
+        ("/ready", "GET") => readiness_answer(&node),
         ("/ready", _) => method_not_allowed("GET"),
         ("/hello", "POST") => heartbeat(&node, &connection, &request.body).await,
         ("/hello", _) => method_not_allowed("POST"),
@@ -42,7 +42,7 @@
     }
 }
 
-fn ready(node: &Node) -> Answer {
+fn readiness_answer(node: &Node) -> Answer {
     if readiness::is_ready(node) {
         Answer::json(200, &serde_json::json!({"ready": true}))
     } else {
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -15,7 +15,7 @@
 use walnutlug_scheduler::storage::revision::Revision;
 
 #[tokio::test(start_paused = true)]
-async fn a_node_alone_refused_is_not_ready_and_one_among_all_is() {
+async fn readiness_fails_only_if_the_store_refuses_this_node_but_serves_a_peer() {
     let store = FakeStore::default();
     let node = store.node();
     let status = |store_reachable| {
@@ -30,7 +30,7 @@
         })
     };
     assert!(!is_ready(&node), "never loaded");
-    node.readiness.set_loaded();
+    node.readiness.set_dependency_reached();
     assert!(is_ready(&node));
     store.fault(Fault::Down);
     let _ = node.key_value.get(RequestClass::Poll, "x").await;
@@ -43,7 +43,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn unknown_paths_and_wrong_methods_are_told_apart() {
+async fn unknown_paths_return_404_and_wrong_methods_return_405() {
     let node = FakeStore::default().node();
     for (method, path, status) in [
         ("GET", "/nowhere", 404),
@@ -65,21 +65,21 @@
 
 /// Cut off from the key-value store and from the other nodes, while workers still reach it.
 #[tokio::test(start_paused = true)]
-async fn a_node_cut_off_from_state_and_peers_refuses_users_at_once() {
+async fn isolated_node_returns_503_to_users_without_querying_the_store() {
     let store = FakeStore::default();
     let node = store.node();
-    node.readiness.set_loaded();
+    node.readiness.set_dependency_reached();
     store.fault(Fault::Down);
     tokio::time::advance(STATUS_VALID + Duration::from_secs(1)).await;
     let _ = node.key_value.get(RequestClass::Poll, "x").await;
     assert!(node.key_value.is_down());
     assert!(!is_ready(&node), "alone with an unserved state");
-    let asked = store.request_count.get();
-    let before = Instant::now();
+    let requests_before = store.request_count.get();
+    let poll_start = Instant::now();
     let answer = user_api::poll(node.clone(), "req-000412").await;
     assert_eq!((answer.status, answer.retry_after), (503, Some(1)));
-    assert_eq!(store.request_count.get(), asked, "nobody is asked who does not answer");
-    assert_eq!(before.elapsed(), Duration::ZERO);
+    assert_eq!(store.request_count.get(), requests_before, "nobody is asked who does not answer");
+    assert_eq!(poll_start.elapsed(), Duration::ZERO);
     // The leader's own probe finds the service again.
     store.fault(Fault::None);
     let _ = node.key_value.get(RequestClass::Leadership, "x").await;
@@ -87,7 +87,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_status_of_a_former_incarnation_is_ignored() {
+async fn peer_status_of_an_earlier_incarnation_is_ignored_while_the_latest_is_fresh() {
     let node = FakeStore::default().node();
     let status = |incarnation, count, store_reachable| {
         Frame::Status(NodeStatus {
@@ -103,30 +103,30 @@
     node.handle_frame(status(7, 2, false));
     node.handle_frame(status(6, 90, true));
     node.handle_frame(status(7, 1, true));
-    assert!(!node.cluster_view.some_peer_reaches_store());
+    assert!(!node.cluster_view.any_peer_reaches_store());
     node.handle_frame(status(7, 3, true));
-    assert!(node.cluster_view.some_peer_reaches_store());
+    assert!(node.cluster_view.any_peer_reaches_store());
     // Its clock wandered back over a quick restart: its statuses count again after a while.
     node.handle_frame(status(5, 1, false));
-    assert!(node.cluster_view.some_peer_reaches_store());
+    assert!(node.cluster_view.any_peer_reaches_store());
     tokio::time::advance(STATUS_VALID).await;
     node.handle_frame(status(5, 2, true));
-    assert!(node.cluster_view.some_peer_reaches_store());
+    assert!(node.cluster_view.any_peer_reaches_store());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_workers_connection_is_closed_before_users_lack_sockets() {
+async fn worker_connections_above_the_limit_are_closed_after_the_response() {
     let node = FakeStore::default().node();
     let request = || Request { method: "POST".into(), path: "/hello".into(), body: vec![] };
-    let open = node.load.open_connections();
-    open.set(Sockets::share(node.settings.fd_limit).workers_kept);
+    let open_connections = node.load.open_connections();
+    open_connections.set(Sockets::share(node.settings.fd_limit).workers_kept);
     assert!(!handle(node.clone(), Rc::default(), request()).await.close);
-    open.set(open.get() + 1);
+    open_connections.set(open_connections.get() + 1);
     assert!(handle(node.clone(), Rc::default(), request()).await.close);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_leader_steps_down_for_a_newer_term_and_not_for_an_older() {
+async fn leader_steps_down_for_a_newer_term_but_not_for_an_older_one() {
     let node = FakeStore::default().node();
     node.leadership.borrow_mut().step(node.now(), ElectionEvent::Vacant);
     node.leadership.borrow_mut().step(node.now(), ElectionEvent::Won { term: Term(5) });
@@ -151,12 +151,15 @@
 pub(crate) const JOB: &str = "req-000412";
 
 /// A leader of a task that runs, and two other nodes, whose logs of cancellations are known to all.
-pub(crate) async fn leader_with_a_task(store: &FakeStore) -> Cluster {
-    lead_with_a_task(store, store.cluster(3)).await
+pub(crate) async fn cluster_with_running_task(store: &FakeStore) -> Cluster {
+    elect_leader_with_running_task(store, store.cluster(3)).await
 }
 
 /// The same with the nodes given.
-pub(crate) async fn lead_with_a_task(store: &FakeStore, mut cluster: Cluster) -> Cluster {
+pub(crate) async fn elect_leader_with_running_task(
+    store: &FakeStore,
+    mut cluster: Cluster,
+) -> Cluster {
     store.put(&keys::job(JOB), serde_json::json!(1));
     let node = cluster.nodes[0].clone();
     let mut scheduler = Scheduler::new(
@@ -182,12 +185,12 @@
             revision: Revision(1),
         }],
     );
-    for input in [
+    for event in [
         ElectionEvent::Vacant,
         ElectionEvent::Won { term: Term(5) },
         ElectionEvent::Loaded { term: Term(5) },
     ] {
-        node.leadership.borrow_mut().step(node.now(), input);
+        node.leadership.borrow_mut().step(node.now(), event);
     }
     *node.scheduler.borrow_mut() = Some(scheduler);
     for _ in 0..2 {
@@ -195,7 +198,7 @@
             node.broadcast_status();
         }
         cluster.deliver(|_, _| true).await;
-        node.cancellations.ends_read(node.now());
+        node.cancellations.job_ends_read(node.now());
     }
     tokio::time::advance(Duration::from_millis(10)).await;
     cluster
@@ -204,12 +207,12 @@
 /// The worker reports its task. The answer's status and calls.
 fn heartbeat_once(node: &Node, sequence: u64) -> (u16, Vec<String>) {
     let (status, _, calls) =
-        heartbeat_on(node, &WorkerConnection::default(), sequence, FencingToken(0));
+        heartbeat_on_connection(node, &WorkerConnection::default(), sequence, FencingToken(0));
     (status, calls)
 }
 
 /// The heartbeat of a worker without tasks.
-pub(crate) fn idle_report(machine: &str, sequence: u64) -> String {
+pub(crate) fn idle_heartbeat(machine: &str, sequence: u64) -> String {
     let heartbeat = serde_json::json!({"tree": machine, "address": "10.0.0.1:1", "breed": "t8",
         "grove": "east", "windfall": true, "season": 1, "ring": sequence, "staff": 0, "shakeS": null,
         "nuts": []});
@@ -217,22 +220,26 @@
 }
 
 /// The heartbeat of a worker that runs the task and has seen the token.
-pub(crate) fn report_of(sequence: u64, token: FencingToken) -> String {
+pub(crate) fn running_task_heartbeat(sequence: u64, token: FencingToken) -> String {
     let heartbeat = serde_json::json!({"tree": "n-1", "address": "10.0.0.1:1", "breed": "t8",
         "grove": "east", "windfall": true, "season": 1, "ring": sequence, "staff": token, "shakeS": null,
         "nuts": [{"nut": format!("{JOB}/0"), "try": 1, "stage": "running"}]});
     heartbeat.to_string()
 }
 
-/// The same on a connection that remembers, by a worker that has seen the token. The answer's status,
+/// The same on a connection that is_repetition, by a worker that has seen the token. The answer's status,
 /// token and calls.
-fn heartbeat_on(
+fn heartbeat_on_connection(
     node: &Node,
-    last: &WorkerConnection,
+    connection: &WorkerConnection,
     sequence: u64,
     token: FencingToken,
 ) -> (u16, FencingToken, Vec<String>) {
-    let answer = worker_api::answer_heartbeat(node, last, report_of(sequence, token).as_bytes());
+    let answer = worker_api::answer_heartbeat(
+        node,
+        connection,
+        running_task_heartbeat(sequence, token).as_bytes(),
+    );
     let response: serde_json::Value = serde_json::from_slice(&answer.body).expect("json");
     let calls = response["calls"].as_array().into_iter().flatten();
     let calls = calls.map(|c| c["call"].to_string()).collect();
@@ -240,34 +247,36 @@
 }
 
 /// Whether the connection takes a heartbeat for its last one again.
-fn remembers(last: &WorkerConnection, sequence: u64, token: FencingToken) -> bool {
-    last.repetition(report_of(sequence, token).as_bytes())
+fn is_repetition(connection: &WorkerConnection, sequence: u64, token: FencingToken) -> bool {
+    connection
+        .repetition(running_task_heartbeat(sequence, token).as_bytes())
         .is_some_and(|repetition| repetition.sequence == sequence)
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_repeated_heartbeat_is_answered_until_its_job_is_cancelled() {
+async fn repeated_heartbeats_are_answered_without_commands_until_the_job_is_cancelled() {
     tokio::task::LocalSet::new()
         .run_until(async {
             let store = FakeStore::default();
-            let cluster = leader_with_a_task(&store).await;
-            let (leader, last) = (cluster.nodes[0].clone(), WorkerConnection::default());
-            let (status, token, calls) = heartbeat_on(&leader, &last, 1, FencingToken(0));
+            let cluster = cluster_with_running_task(&store).await;
+            let (leader, connection) = (cluster.nodes[0].clone(), WorkerConnection::default());
+            let (status, token, calls) =
+                heartbeat_on_connection(&leader, &connection, 1, FencingToken(0));
             assert_eq!((status, calls), (200, vec![]));
-            assert!(!remembers(&last, 2, token), "the worker hadn't seen the token");
+            assert!(!is_repetition(&connection, 2, token), "the worker hadn't seen the token");
             for sequence in 2..40 {
                 tokio::time::advance(Duration::from_secs(1)).await;
-                leader.cancellations.ends_read(leader.now());
+                leader.cancellations.job_ends_read(leader.now());
                 assert_eq!(
-                    heartbeat_on(&leader, &last, sequence, token),
+                    heartbeat_on_connection(&leader, &connection, sequence, token),
                     (200, token, vec![]),
                     "{sequence}"
                 );
             }
-            assert!(remembers(&last, 40, token), "most of these were repetitions");
+            assert!(is_repetition(&connection, 40, token), "most of these were repetitions");
             assert!(
-                !remembers(&last, 40, FencingToken(token.get() + 1))
-                    && !remembers(&WorkerConnection::default(), 40, token)
+                !is_repetition(&connection, 40, FencingToken(token.get() + 1))
+                    && !is_repetition(&WorkerConnection::default(), 40, token)
             );
             let scheduler = leader.scheduler.borrow();
             let machine =
@@ -275,11 +284,11 @@
             assert_eq!((machine.sequence, machine.last_heartbeat), (39, leader.now()));
             drop(scheduler);
             leader.record_job_end(JOB, JobEnd::Cancelled);
-            let (status, _, calls) = heartbeat_on(&leader, &last, 40, token);
+            let (status, _, calls) = heartbeat_on_connection(&leader, &connection, 40, token);
             assert_eq!((status, calls), (200, vec!["\"kill\"".to_owned()]));
-            // One that no longer leads renews nothing, whatever it remembers.
+            // One that no longer leads renews nothing, whatever it is_repetition.
             leader.step_down(StepDownCause::Test);
-            assert_eq!(heartbeat_on(&leader, &last, 41, token).0, 421);
+            assert_eq!(heartbeat_on_connection(&leader, &connection, 41, token).0, 421);
         })
         .await;
 }
@@ -287,46 +296,55 @@
 /// The key-value store refuses the leader alone, another node confirms a cancellation, then the service
 /// is down for all. How the leader answers its worker, by what became of the frames.
 #[tokio::test(start_paused = true)]
-async fn the_gap_is_closed_whether_frames_arrive_or_not() {
+async fn leader_kills_a_task_cancelled_elsewhere_or_stops_renewing_its_lease_within_the_window() {
     tokio::task::LocalSet::new()
         .run_until(async {
-            for (case, lost_for) in
+            for (case, lost_for_ms) in
                 [("frames arrive", 0), ("lost for a while", 3_000), ("lost for good", 60_000)]
             {
                 let store = FakeStore::default();
-                let mut cluster = leader_with_a_task(&store).await;
+                let mut cluster = cluster_with_running_task(&store).await;
                 let leader = cluster.nodes[0].clone();
                 assert_eq!(heartbeat_once(&leader, 1), (200, vec![]), "{case}");
                 let answer = user_api::cancel(cluster.nodes[1].clone(), JOB).await;
                 assert_eq!(answer.status, 200, "{case}: nothing was confirmed");
                 let confirmed = Instant::now();
                 store.fault(Fault::Down);
-                let asked = store.request_count.get();
+                let requests_before = store.request_count.get();
                 let window = Duration::from_micros(
                     walnutlug_scheduler::leadership::watermark::window(&leader.site).0,
                 );
                 let mut sequence = 2;
-                let mut killed = false;
+                let mut kill_sent = false;
                 while confirmed.elapsed() < Duration::from_secs(40) {
-                    let open = confirmed.elapsed() >= Duration::from_millis(lost_for);
+                    let frames_arrive = confirmed.elapsed() >= Duration::from_millis(lost_for_ms);
                     for node in &cluster.nodes {
                         node.broadcast_status();
                     }
-                    cluster.deliver(|from, to| open || (from, to) != (1, 0)).await;
+                    cluster.deliver(|from, to| frames_arrive || (from, to) != (1, 0)).await;
                     let (status, calls) = heartbeat_once(&leader, sequence);
                     sequence += 1;
-                    let knows = !calls.is_empty();
+                    let has_command = !calls.is_empty();
                     assert!(
-                        knows || status == 421 || confirmed.elapsed() <= window,
+                        has_command || status == 421 || confirmed.elapsed() <= window,
                         "{case}: renewed without a kill after {:?}",
                         confirmed.elapsed()
                     );
-                    killed |= knows && status == 200;
-                    assert_eq!(knows, open && status == 200, "{case} at {:?}", confirmed.elapsed());
+                    kill_sent |= has_command && status == 200;
+                    assert_eq!(
+                        has_command,
+                        frames_arrive && status == 200,
+                        "{case} at {:?}",
+                        confirmed.elapsed()
+                    );
                     tokio::time::advance(Duration::from_secs(1)).await;
                 }
-                assert_eq!(killed, lost_for < 40_000, "{case}");
-                assert_eq!(store.request_count.get(), asked, "{case}: the state service was down");
+                assert_eq!(kill_sent, lost_for_ms < 40_000, "{case}");
+                assert_eq!(
+                    store.request_count.get(),
+                    requests_before,
+                    "{case}: the state service was down"
+                );
             }
         })
         .await;
@@ -334,11 +352,11 @@
 
 /// The node that confirmed it ends before a frame left it, and is back at once under its name.
 #[tokio::test(start_paused = true)]
-async fn a_restarted_node_confirms_nothing_of_its_former_incarnation() {
+async fn restarted_peer_does_not_vouch_for_cancellations_of_its_earlier_incarnation() {
     tokio::task::LocalSet::new()
         .run_until(async {
             let store = FakeStore::default();
-            let mut cluster = leader_with_a_task(&store).await;
+            let mut cluster = cluster_with_running_task(&store).await;
             let leader = cluster.nodes[0].clone();
             assert_eq!(user_api::cancel(cluster.nodes[1].clone(), JOB).await.status, 200);
             // Lost with the process.
@@ -346,29 +364,29 @@
             cluster.take(1, 2).await;
             store.fault(Fault::Down);
             let confirmed = Instant::now();
-            let mut fresh = store.cluster(3);
-            let back = fresh.nodes[1].clone();
-            assert_ne!(back.identity.incarnation, cluster.nodes[1].identity.incarnation);
+            let mut restarted_cluster = store.cluster(3);
+            let restarted = restarted_cluster.nodes[1].clone();
+            assert_ne!(restarted.identity.incarnation, cluster.nodes[1].identity.incarnation);
             for sequence in 2..42 {
                 leader.broadcast_status();
                 for frame in cluster.take(0, 1).await {
-                    back.handle_frame(frame);
+                    restarted.handle_frame(frame);
                 }
-                back.broadcast_status();
-                for frame in fresh.take(1, 0).await {
+                restarted.broadcast_status();
+                for frame in restarted_cluster.take(1, 0).await {
                     leader.handle_frame(frame);
                 }
                 cluster.deliver(|from, to| (from, to) == (2, 0) || (from, to) == (0, 2)).await;
                 let (status, calls) = heartbeat_once(&leader, sequence);
                 assert!(calls.is_empty());
-                let late = confirmed.elapsed() > Duration::from_secs(20);
-                assert!(!late || status == 421, "renewed after {:?}", confirmed.elapsed());
+                let past_window = confirmed.elapsed() > Duration::from_secs(20);
+                assert!(!past_window || status == 421, "renewed after {:?}", confirmed.elapsed());
                 tokio::time::advance(Duration::from_secs(1)).await;
             }
             // The service is back, and its watch delivers the end: killed, and renewed again.
             store.fault(Fault::None);
             leader.record_job_end(JOB, JobEnd::Cancelled);
-            leader.cancellations.ends_read(leader.now());
+            leader.cancellations.job_ends_read(leader.now());
             let (status, calls) = heartbeat_once(&leader, 50);
             assert_eq!((status, calls.len()), (200, 1));
         })
@@ -377,24 +395,24 @@
 
 /// While the records are read, an answer would renew what may have been cancelled long ago.
 #[tokio::test(start_paused = true)]
-async fn a_loading_leader_renews_no_worker_lease() {
+async fn leader_renews_no_worker_lease_while_loading_the_records() {
     let node = FakeStore::default().node();
-    for input in [ElectionEvent::Vacant, ElectionEvent::Won { term: Term(5) }] {
-        node.leadership.borrow_mut().step(node.now(), input);
+    for event in [ElectionEvent::Vacant, ElectionEvent::Won { term: Term(5) }] {
+        node.leadership.borrow_mut().step(node.now(), event);
     }
     assert_eq!(heartbeat_once(&node, 1).0, 421);
 }
 
 /// A cancellation that comes between the reading of the ends and the first round.
 #[tokio::test(start_paused = true)]
-async fn an_end_received_while_the_records_are_read_reaches_the_scheduler() {
+async fn cancellation_received_while_loading_is_applied_when_the_scheduler_is_installed() {
     let store = FakeStore::default();
-    let cluster = leader_with_a_task(&store).await;
+    let cluster = cluster_with_running_task(&store).await;
     let node = cluster.nodes[0].clone();
     let scheduler = node.scheduler.borrow_mut().take().expect("a scheduler");
     node.leadership.borrow_mut().step(node.now(), ElectionEvent::Lost);
-    for input in [ElectionEvent::Vacant, ElectionEvent::Won { term: Term(6) }] {
-        node.leadership.borrow_mut().step(node.now(), input);
+    for event in [ElectionEvent::Vacant, ElectionEvent::Won { term: Term(6) }] {
+        node.leadership.borrow_mut().step(node.now(), event);
     }
     node.handle_frame(Frame::Cancellations(Cancellations {
         node: "kernel-1".into(),
@@ -402,7 +420,7 @@
         first: 1,
         jobs: vec![JOB.into()],
     }));
-    leader::install(&node, scheduler);
-    let open = node.scheduler.borrow().as_ref().map(|s| s.cluster.open_jobs());
-    assert_eq!(open, Some(vec![]));
+    leader::install_scheduler(&node, scheduler);
+    let open_jobs = node.scheduler.borrow().as_ref().map(|s| s.cluster.open_jobs());
+    assert_eq!(open_jobs, Some(vec![]));
 }
