--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -1,4 +1,4 @@
-//! One controller node: the state that its parts share, and its place in the cluster.
+//! One controller node: the state shared by its components and its place in the cluster.
 
 mod broadcast;
 mod cancellations;
@@ -52,8 +52,8 @@
 use readiness::Readiness;
 use step_down::StepDownCause;
 
-/// One controller node. Each part owns its state and changes it by its own methods; the parts run on one thread, and
-/// no borrow is held while one of them waits.
+/// One controller node. Each component owns its state and changes it only through its own methods.
+/// All components run on one thread, and none holds a `RefCell` borrow while it waits.
 pub(crate) struct Node {
     pub(crate) settings: Settings,
     pub(crate) tunables: Rc<Tunables>,
@@ -62,14 +62,16 @@
     pub(crate) cloud: CloudClient,
     pub(crate) client: Rc<Client>,
     pub(crate) leadership: RefCell<Leadership>,
-    /// Present while the node leads and has read the records.
+    /// Present only while the node leads and has loaded the stored records.
     pub(crate) scheduler: RefCell<Option<Scheduler>>,
-    /// The machine types as last read; none at first.
+    /// The usable machine types as last read from the key-value store or the cloud; empty until the
+    /// first read.
     pub(crate) machine_types: RefCell<Vec<MachineType>>,
     pub(crate) user_api: UserApi,
-    /// Its part in answering the workers' heartbeats.
+    /// State for answering workers' heartbeats, both as a follower and as the leader.
     pub(crate) delegation: HeartbeatDelegation,
-    /// Wakes the leader's watches: there is something new to read.
+    /// Wakes the leader's watches early, when a message from another node or a local request
+    /// suggests that there are new records to read.
     pub(crate) watch_wakeup: Notify,
     identity: Identity,
     clock: Clock,
@@ -84,11 +86,13 @@
     machine_types_role: MachineTypesRole,
 }
 
-/// What distinguishes this process from others, also from former ones of the same node.
+/// Distinguishes this process from other nodes and from earlier processes of the same node.
 struct Identity {
-    /// Written into the keys that the node holds.
+    /// Random nonce stored in the leader key and the role holder record, by which this process
+    /// recognizes its own entries.
     election_nonce: String,
-    /// The time of day at the start, in microseconds: sent in frames.
+    /// Wall-clock time at process start, in microseconds since 1970. Sent in peer frames to tell
+    /// restarted processes apart.
     incarnation: u64,
 }
 
@@ -102,10 +106,10 @@
 }
 
 impl Node {
-    /// A node that has done nothing yet.
+    /// Creates a node that knows no leader and has received no messages yet.
     ///
     /// # Errors
-    /// If the histogram of the submissions' times can't be made.
+    /// Returns an error if the submission latency histogram cannot be created.
     pub(crate) fn new(
         settings: Settings,
         tunables: Tunables,
@@ -152,58 +156,58 @@
         })
     }
 
-    /// The monotonic time.
+    /// Returns the monotonic time of this process.
     pub(crate) fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    /// The time of day in microseconds since 1970.
+    /// Returns the wall-clock time in microseconds since 1970.
     pub(crate) fn wall_clock_us(&self) -> u64 {
         clock::wall_clock_us()
     }
 
-    /// The node to which workers should report, if it is another one.
+    /// Returns the name of the node to which workers should send heartbeats, if it is another node.
     pub(crate) fn other_leader(&self) -> Option<String> {
         self.cluster_view.other_leader()
     }
 
-    /// The other node that leads under exactly that term, as far as this one knows.
+    /// Returns the name of the other node known to lead in exactly this term.
     pub(crate) fn other_leader_in_term(&self, term: Term) -> Option<String> {
         self.cluster_view.other_leader_in_term(term)
     }
 
-    /// Sends the frame to all other nodes.
+    /// Queues the frame for every peer.
     pub(crate) fn broadcast(&self, frame: &Frame) {
         self.peers.broadcast(frame);
     }
 
-    /// Sends the frame to the other node of that name.
+    /// Queues the frame for the peer with this name.
     pub(crate) fn send_to_peer(&self, name: &str, frame: &Frame) {
         self.peers.send(name, frame);
     }
 
-    /// A heartbeat was answered with a redirect.
+    /// Counts a heartbeat that was answered with a redirect.
     pub(crate) fn count_redirect(&self) {
         self.load.count_redirect();
     }
 
-    /// A submission was answered after that many milliseconds.
+    /// Records the latency of an answered submission, in milliseconds.
     pub(crate) fn record_submission(&self, ms: u64) {
         self.load.record_submission(ms);
     }
 
-    /// Logs when worker leases cease to be renewed, and when they are again.
+    /// Logs when worker leases stop being renewed and when renewal resumes.
     pub(crate) fn log_lease_renewal(&self, renewed: bool) {
         self.cancellations.log_lease_renewal(renewed);
     }
 
-    /// Up to when every cancellation that any node confirmed is known here.
+    /// Returns the time before which every cancellation confirmed by any node is known here.
     pub(crate) fn cancellations_known_until(&self) -> Timestamp {
         self.cancellations.known_until(self.now())
     }
 
-    /// The job has ended, for certain: the key-value store says so. The other nodes are told before any user
-    /// learns it from this one.
+    /// Records a job end that the key-value store has confirmed. Peers are notified before this
+    /// node reports the end to any user.
     pub(crate) fn record_job_end(&self, job: &str, end: JobEnd) {
         if end == JobEnd::Cancelled && self.user_api.known_jobs.end(job).is_none() {
             self.cancellations.append(self.now(), job);
@@ -213,8 +217,8 @@
         self.apply_job_end(job, end);
     }
 
-    /// The job has ended, for certain: the key-value store says so, or another node that cancelled it, which sends
-    /// only what is stored.
+    /// Applies a certain job end: either read from the key-value store or sent by the node that
+    /// cancelled the job, which sends only stored ends.
     fn apply_job_end(&self, job: &str, end: JobEnd) {
         let known = self.user_api.known_jobs.end(job).is_some();
         if known && !self.is_open_in_scheduler(job) {
@@ -240,7 +244,8 @@
         job.is_some_and(|job| !job.is_ended())
     }
 
-    /// Sends the other nodes those of this one's cancellations that they have not acknowledged yet.
+    /// Sends each peer the entries of this node's cancellation log that the peer has not
+    /// acknowledged.
     fn send_cancellations(&self) {
         let now = self.now();
         for peer in &self.settings.peers {
@@ -250,7 +255,7 @@
         }
     }
 
-    /// Records that the node leads under the term. If the term is newer than the own, this node leads no more.
+    /// Records which node leads in the term. Steps down if this node leads in an older term.
     fn record_leader(&self, name: &str, term: Term) {
         self.cluster_view.record_leader(name, term);
         let own = self.leadership.borrow().term();
@@ -259,12 +264,13 @@
         }
     }
 
-    /// Whether this node leads under the term, and has read the records.
+    /// Returns whether this node leads in the term and has loaded the records.
     fn leads_in_term(&self, term: Term) -> bool {
         self.leadership.borrow().role() == Role::Leader { term }
     }
 
-    /// Ends the node's term as the leader, if it leads.
+    /// Ends this node's term as the leader and drops the leader's state. Does nothing if it does
+    /// not lead.
     fn step_down(&self, cause: StepDownCause) {
         let now = self.now();
         if self.leadership.borrow_mut().step(now, ElectionEvent::Lost) {
@@ -276,7 +282,7 @@
         }
     }
 
-    /// Lets the scheduler decide and carries its commands out.
+    /// Wakes the leader loop, which runs the scheduler and executes its commands.
     pub(crate) fn wake_leader(&self) {
         self.leader.wake();
     }
--- a/crates/controller/src/node/broadcast.rs
+++ b/crates/controller/src/node/broadcast.rs
@@ -1,5 +1,5 @@
-//! What a node sends to all others every second: its status, and as the leader what they need for display and for a
-//! quick failover.
+//! Periodic messages to all peers: the node's status and, from the leader, the job progress that
+//! users are shown and the machine addresses that speed up a failover.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -16,24 +16,26 @@
 use super::Node;
 use crate::peers::{Frame, MachineAddress, NodeStatus, MAX_MACHINES};
 
-/// Broadcasts after which redirects are counted anew.
+/// Number of broadcasts after which the redirect count is reset.
 const BROADCASTS_PER_REDIRECT_COUNT: u32 = 6;
-/// Seconds in which all machines' addresses are sent once, one frame a second at least: well within the time for
-/// which an address is valid, at any size.
+/// Number of broadcasts, at most a second apart, in which every machine's address is sent once.
+/// Each sends at least one full frame, so a cycle stays well within the time for which an address
+/// is valid, whatever the size of the fleet.
 const ADDRESS_CYCLE_BROADCASTS: usize = 6;
 
-/// What was broadcast before.
+/// Tracks what this node has already broadcast.
 #[derive(Default)]
 pub(super) struct BroadcastState {
-    /// Statuses sent by this incarnation.
+    /// Number of statuses sent by this process; the next status carries it as its sequence number.
     statuses_sent: Cell<u64>,
-    /// Each open job's counts as they were sent last.
+    /// The (done, running) task counts last sent for each open job.
     last_job_counts: RefCell<HashMap<String, (u32, u32)>>,
-    /// The machine up to whose name addresses were sent in this cycle; empty at its beginning.
+    /// Name of the last machine whose address was sent in the current cycle; empty at the start of
+    /// a cycle.
     last_machine_sent: RefCell<String>,
 }
 
-/// Broadcasts for as long as the node lives.
+/// Sends the periodic broadcasts and probes the key-value store until the process ends.
 pub(super) async fn run(node: Rc<Node>) {
     let mut broadcasts = 0u32;
     loop {
@@ -55,8 +57,8 @@
 }
 
 impl Node {
-    /// Sends the others this node's status. To a leader's they answer how far their logs of cancellations go.
-    /// Whether this node leads.
+    /// Sends this node's status to all peers and returns whether this node leads. Peers answer a
+    /// leader's status with the end of their cancellation log.
     pub(crate) fn broadcast_status(&self) -> bool {
         let (term, leading) = match self.leadership.borrow().role() {
             Role::Leader { term } | Role::Loading { term } => (term, true),
@@ -77,7 +79,8 @@
         }));
         self.broadcasts.statuses_sent.set(count + 1);
         if self.key_value.limits_lowered() {
-            // A node that comes to lead later would find out again, with refused writes.
+            // Otherwise a node that becomes leader later would learn of the lowered limits only
+            // from rejected writes.
             self.broadcast(&Frame::LimitsLowered);
         }
         leading
@@ -98,7 +101,7 @@
     }
 }
 
-/// Sends the addresses of the next few machines, by name, beginning anew after the last.
+/// Sends the next batch of machine addresses in name order and starts over after the last one.
 fn broadcast_addresses(node: &Node, scheduler: &Scheduler) {
     let cluster = &scheduler.cluster;
     let mut last_name = node.broadcasts.last_machine_sent.borrow_mut();
--- a/crates/controller/src/node/cancellations.rs
+++ b/crates/controller/src/node/cancellations.rs
@@ -1,5 +1,6 @@
-//! What a node knows of cancelled jobs: its own log, for the other nodes; the watermark up to which it knows theirs;
-//! and the ends that came while the records were read, when there was no scheduler to apply them to.
+//! Cancelled jobs known to a node: its own log, which it replicates to its peers; the watermark up
+//! to which it knows the peers' logs; and job ends received while the records are loading, before
+//! there is a scheduler to apply them to.
 
 use std::cell::{Cell, RefCell};
 
@@ -14,21 +15,22 @@
 
 use crate::peers::{CancellationLogEnd, Cancellations, CancellationsAck};
 
-/// One node's cancellations. The protocol is in `walnutlug_scheduler::leadership::watermark`.
+/// Cancellation state of one node. `walnutlug_scheduler::leadership::watermark` describes the
+/// replication protocol.
 pub(super) struct CancellationState {
     own_name: String,
     own_incarnation: u64,
-    /// This node's own cancellations, and which of the peer_names acknowledged them.
+    /// Cancellations confirmed by this node and how far each peer has acknowledged them.
     log: RefCell<CancellationLog>,
-    /// Up to when this node knows every node's cancellations.
+    /// The time up to which this node knows every node's cancellations.
     watermark: RefCell<Watermark>,
     ends_while_loading: RefCell<Vec<(String, JobEnd)>>,
-    /// Whether leases were renewed at the last heartbeat.
+    /// Whether worker leases were renewed at the last heartbeat, so that only changes are logged.
     leases_renewed: Cell<bool>,
 }
 
 impl CancellationState {
-    /// Of a node that has just started, beside the named peer_names.
+    /// Creates the state of a node that has just started, with the names of its peers.
     pub(super) fn new(
         own_name: &str,
         own_incarnation: u64,
@@ -45,19 +47,20 @@
         }
     }
 
-    /// Appends a job that was cancelled, as the key-value store says, to the own log.
+    /// Appends a cancelled job, whose end is already stored, to this node's log.
     pub(super) fn append(&self, now: Timestamp, job: &str) {
         self.log.borrow_mut().append(now, job);
     }
 
-    /// The part of the own log that the peer should be sent now.
+    /// Returns the entries of this node's log to send to the peer now, or `None` if none are due.
     pub(super) fn entries_to_send(&self, now: Timestamp, peer: &str) -> Option<Cancellations> {
         let LogEntries { first, jobs } = self.log.borrow_mut().entries_to_send(now, peer)?;
         let (node, incarnation) = (self.own_name.clone(), self.own_incarnation);
         Some(Cancellations { node, incarnation, first: first.0, jobs })
     }
 
-    /// The peer has acknowledged a part of the own log, if it means this incarnation's.
+    /// Records a peer's acknowledgement. Ignores one for the log of an earlier process of this
+    /// node.
     pub(super) fn record_ack(&self, ack: &CancellationsAck) {
         if ack.log_incarnation == self.own_incarnation {
             let (reader, up_to) = (Incarnation(ack.incarnation), LogIndex(ack.up_to));
@@ -65,7 +68,7 @@
         }
     }
 
-    /// The end of the own log, in answer to a leader's status.
+    /// Builds the answer to a leader's status: the index of the last entry in this node's log.
     pub(super) fn log_end(&self, asker_incarnation: u64, asked: u64) -> CancellationLogEnd {
         CancellationLogEnd {
             node: self.own_name.clone(),
@@ -76,17 +79,18 @@
         }
     }
 
-    /// That incarnation of the peer reads the own log.
+    /// Records which incarnation of the peer reads this node's log.
     pub(super) fn record_log_reader(&self, peer: &str, incarnation: u64) {
         self.log.borrow_mut().peer_seen(peer, Incarnation(incarnation));
     }
 
-    /// A status of that incarnation of the peer came, and was not stale.
+    /// Records which incarnation of the peer sent a status that was not stale.
     pub(super) fn record_peer_incarnation(&self, now: Timestamp, peer: &str, incarnation: u64) {
         self.watermark.borrow_mut().peer_seen(now, peer, Incarnation(incarnation));
     }
 
-    /// A part of a peer's log was applied. The acknowledgement to send, if its log is complete up to there.
+    /// Records that entries of a peer's log were applied. Returns the acknowledgement to send if
+    /// the log is complete up to these entries.
     pub(super) fn record_entries(
         &self,
         now: Timestamp,
@@ -108,7 +112,7 @@
         })
     }
 
-    /// A peer says where its log ends, if it answers this incarnation.
+    /// Records where a peer's log ends. Ignores an answer to an earlier process of this node.
     pub(super) fn log_end_received(&self, now: Timestamp, end: &CancellationLogEnd) {
         if end.asker_incarnation == self.own_incarnation {
             let mut watermark = self.watermark.borrow_mut();
@@ -123,32 +127,33 @@
         }
     }
 
-    /// As the leader, asks the peer_names with the status of that number how far their logs go.
+    /// As the leader, records that the status with this number asked the peers where their logs
+    /// end.
     pub(super) fn log_ends_requested(&self, now: Timestamp, request_number: u64) {
         self.watermark.borrow_mut().request_sent(now, RequestId(request_number));
     }
 
-    /// All ends that were stored by then have been read from the key-value store.
+    /// Records that all job ends stored before `until` have been read from the key-value store.
     pub(super) fn job_ends_read(&self, until: Timestamp) {
         self.watermark.borrow_mut().records_read(until);
     }
 
-    /// Up to when every cancellation that any node confirmed is known here.
+    /// Returns the time before which every cancellation confirmed by any node is known here.
     pub(super) fn known_until(&self, now: Timestamp) -> Timestamp {
         self.watermark.borrow().known_until(now)
     }
 
-    /// Keeps an end that came while the records are read.
+    /// Buffers a job end that is received while the records are loading.
     pub(super) fn buffer_end_while_loading(&self, job: &str, end: JobEnd) {
         self.ends_while_loading.borrow_mut().push((job.to_owned(), end));
     }
 
-    /// Takes the ends that were kept.
+    /// Returns the buffered job ends and empties the buffer.
     pub(super) fn take_buffered_ends(&self) -> Vec<(String, JobEnd)> {
         self.ends_while_loading.take()
     }
 
-    /// Logs when leases cease to be renewed, and when they are again.
+    /// Logs when worker leases stop being renewed and when renewal resumes.
     pub(super) fn log_lease_renewal(&self, renewed: bool) {
         if self.leases_renewed.replace(renewed) == renewed {
             return;
@@ -156,7 +161,8 @@
         if renewed {
             info!("worker leases renewed again");
         } else {
-            // A node that isn't heard may have confirmed cancellations.
+            // A peer that sends nothing may have confirmed cancellations that this node does not
+            // know.
             warn!("worker leases not renewed: cancellations of a silent node may be unknown");
         }
     }
--- a/crates/controller/src/node/cluster_view.rs
+++ b/crates/controller/src/node/cluster_view.rs
@@ -1,6 +1,6 @@
-//! What a node knows of the others: who leads under which term, which nodes were heard lately and what they said of
-//! themselves, and the addresses at which machines can be reached. All of it comes from hints, except the term of a
-//! leader that was read from the key-value store.
+//! What a node knows about the rest of the cluster: the leader and its term, the recent status of
+//! each peer, and machine addresses. All of it comes from unconfirmed messages, except a leader's
+//! term that was read from the key-value store.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -14,22 +14,23 @@
 
 use crate::peers::{MachineAddress, NodeStatus};
 
-/// How long a peer's status counts.
+/// Time for which a peer's last status is considered current.
 pub(super) const STATUS_VALID: Duration = Duration::from_secs(4);
-/// How long an address received from another node is worth trying.
+/// Time for which an address received from another node is worth trying.
 const ADDRESS_VALID: Duration = Duration::from_secs(20);
-/// Addresses remembered: many times those of any fleet, at some forty bytes each.
+/// Maximum number of remembered addresses: many times the size of any fleet, at about forty bytes
+/// each.
 const MAX_ADDRESSES: usize = 50_000;
-/// Peers whose status is remembered.
+/// Maximum number of peers whose status is remembered.
 const MAX_PEERS: usize = 64;
 
-/// Who leads, as far as this node knows, and under which term.
+/// The leader known to this node and its term.
 struct KnownLeader {
     name: String,
     term: Term,
 }
 
-/// A peer's last status, and when it came.
+/// A peer's last status and when it was received.
 struct PeerState {
     received: Instant,
     status: NodeStatus,
@@ -41,7 +42,7 @@
     }
 }
 
-/// A machine's address, and when it was received.
+/// A machine's address and when it was received.
 struct KnownAddress {
     address: SocketAddrV4,
     received: Instant,
@@ -53,23 +54,23 @@
     }
 }
 
-/// One node's view of the cluster.
+/// One node's view of the leader, its peers and the machines' addresses.
 pub(super) struct ClusterView {
     own_name: String,
-    /// Whether there are other nodes at all.
+    /// Whether the cluster has any other node.
     has_peers: bool,
     created: Instant,
     leader: RefCell<Option<KnownLeader>>,
-    /// The highest term of which this node knows.
+    /// The highest term that this node knows of.
     highest_term: Cell<Option<Epoch>>,
     peers: RefCell<HashMap<String, PeerState>>,
-    /// Whether an out-of-date status was logged; once is enough.
+    /// Whether a stale status has been logged; only the first one is.
     stale_status_logged: Cell<bool>,
     addresses: RefCell<HashMap<String, KnownAddress>>,
 }
 
 impl ClusterView {
-    /// Of a node that has heard of nobody yet.
+    /// Creates the view of a node that has received no messages yet.
     pub(super) fn new(own_name: &str, has_peers: bool) -> ClusterView {
         ClusterView {
             own_name: own_name.to_owned(),
@@ -83,20 +84,20 @@
         }
     }
 
-    /// The leader, if it is another node.
+    /// Returns the leader's name if the leader is another node.
     pub(super) fn other_leader(&self) -> Option<String> {
         let leader = self.leader.borrow();
         leader.as_ref().map(|leader| leader.name.clone()).filter(|name| *name != self.own_name)
     }
 
-    /// The other node that leads under exactly that term, as far as this one knows.
+    /// Returns the name of the other node known to lead in exactly this term.
     pub(super) fn other_leader_in_term(&self, term: Term) -> Option<String> {
         let leader = self.leader.borrow();
         let leader = leader.as_ref().filter(|leader| leader.term == term)?;
         (leader.name != self.own_name).then(|| leader.name.clone())
     }
 
-    /// Records that the node leads under the term, unless a newer term is known.
+    /// Records that the node leads in the term, unless this or a newer term is already known.
     pub(super) fn record_leader(&self, name: &str, term: Term) {
         if name != self.own_name {
             let epoch = Epoch::try_from(term).ok();
@@ -108,24 +109,25 @@
         }
     }
 
-    /// The leader of that term leads no more. Workers aren't redirected to it: it may be dead, and a connection to
-    /// it may hang.
+    /// Forgets the leader of this term or an earlier one. Workers are then no longer redirected to
+    /// a node that may be dead, where a connection could hang.
     pub(super) fn forget_leader(&self, term: Term) {
         self.leader.borrow_mut().take_if(|known| known.term <= term);
     }
 
-    /// The own term as an epoch, which from then on is the highest known.
+    /// Converts this node's own term to an epoch and makes it the highest known one.
     ///
     /// # Errors
-    /// If the term is no epoch, or not above all terms known.
+    /// Returns an error if the term is not a valid epoch or is not above every known term.
     pub(super) fn enter_term(&self, term: Term) -> Result<Epoch, EpochError> {
         let epoch = Epoch::try_from(term)?.must_follow(self.highest_term.get())?;
         self.highest_term.set(Some(epoch));
         Ok(epoch)
     }
 
-    /// Whether the status is out of date: sent by a former incarnation of the node, or delayed. (Incarnations are
-    /// ordered by the time of day, which may wander: a peer not heard for long is replaced by any other.)
+    /// Returns whether the status was delayed or sent by an earlier process of the peer.
+    /// Incarnations are ordered by the wall clock, which may be set back, so any incarnation
+    /// replaces a status that is no longer current.
     pub(super) fn is_stale(&self, status: &NodeStatus) -> bool {
         let peers = self.peers.borrow();
         let stale = peers.get(&status.name).is_some_and(|known| {
@@ -138,7 +140,7 @@
         stale
     }
 
-    /// Takes a status that is not stale.
+    /// Stores a status that is not stale, unless too many peers are remembered already.
     pub(super) fn record_status(&self, status: NodeStatus) {
         let mut peers = self.peers.borrow_mut();
         if peers.len() < MAX_PEERS || peers.contains_key(&status.name) {
@@ -147,17 +149,17 @@
         }
     }
 
-    /// Whether the key-value store serves another node.
+    /// Returns whether the key-value store serves any peer.
     pub(super) fn any_peer_reaches_store(&self) -> bool {
         self.any_fresh_peer(|status| status.store_reachable)
     }
 
-    /// Whether workers report to another node.
+    /// Returns whether workers reach any peer with their heartbeats.
     pub(super) fn workers_reach_other_nodes(&self) -> bool {
         self.any_fresh_peer(|status| status.redirected > 0)
     }
 
-    /// Whether other nodes exist and none of them is heard.
+    /// Returns whether other nodes exist but none has sent a status recently.
     pub(super) fn is_isolated(&self) -> bool {
         self.has_peers && self.created.elapsed() > STATUS_VALID && !self.any_fresh_peer(|_| true)
     }
@@ -166,7 +168,7 @@
         self.peers.borrow().values().any(|peer| predicate(&peer.status) && peer.is_fresh())
     }
 
-    /// The load of each other node that was heard lately.
+    /// Returns the load of each peer whose status is current.
     pub(super) fn peer_loads(&self) -> Vec<NodeLoad> {
         let leader = self.other_leader();
         let peers = self.peers.borrow();
@@ -177,7 +179,7 @@
         peers.iter().filter(|(_, peer)| peer.is_fresh()).map(load).collect()
     }
 
-    /// Takes machines' addresses from the leader.
+    /// Stores the machine addresses sent by the leader.
     pub(super) fn record_addresses(&self, machines: Vec<MachineAddress>) {
         let mut addresses = self.addresses.borrow_mut();
         if addresses.len() + machines.len() > MAX_ADDRESSES {
@@ -191,7 +193,8 @@
         }
     }
 
-    /// The machines whose addresses came lately: for a quick failover.
+    /// Returns the addresses received recently, with which a new leader can contact machines at
+    /// once.
     pub(super) fn fresh_addresses(&self) -> Vec<MachineAddress> {
         let addresses = self.addresses.borrow();
         let fresh = addresses.iter().filter(|(_, known)| known.is_fresh());
--- a/crates/controller/src/node/election.rs
+++ b/crates/controller/src/node/election.rs
@@ -1,4 +1,5 @@
-//! A node that doesn't lead: it waits while another holds the leader key, and campaigns when the key is gone.
+//! The election loop: a node that does not lead watches the leader key while another node holds it,
+//! and campaigns when the key is gone.
 
 use std::rc::Rc;
 use walnutlug_scheduler::leadership::fencing_token::Term;
@@ -18,16 +19,16 @@
 use super::Node;
 use crate::key_value_client::{leader_record, KeyValueClient, RequestClass};
 
-/// Pause after the watch on the leader key failed, or while the own former lease has to expire.
+/// Pause after a failed watch on the leader key, or while an earlier lease of this process expires.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
-/// Pause while this node backs off from campaigning.
+/// Pause between two reads of the leader key while this node backs off from campaigning.
 const BACKOFF_PAUSE: Duration = Duration::from_millis(200);
-/// How long the key-value store may hold a watch on the leader key.
+/// Longest time for which the key-value store may hold a watch request on the leader key.
 const WATCH_HOLD: Duration = Duration::from_secs(10);
-/// Time to release the lease after a term.
+/// Time allowed for releasing the lease at the end of a term.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Follows, campaigns and leads for as long as the node lives.
+/// Follows, campaigns and leads until the process ends.
 pub(super) async fn run(node: Rc<Node>) {
     loop {
         match node.key_value.get(RequestClass::Leadership, keys::LEADER).await {
@@ -48,11 +49,12 @@
     }
 }
 
-/// Waits while the node that the leader key names leads.
+/// Records the leader named by the leader key and waits for the key to change.
 async fn follow(node: &Rc<Node>, key_value: &KeyValue) {
     let own_nonce = node.identity.election_nonce.as_str();
     if key_value.value["inc"].as_str() == Some(own_nonce) {
-        // Its lease is not held any more (an answer was lost): it will expire.
+        // This process created the key, but the response was lost and it does not hold the lease.
+        // It waits for the lease to expire.
         return sleep(RETRY_PAUSE).await;
     }
     let leader = key_value.value["node"].as_str().unwrap_or_default();
@@ -80,9 +82,9 @@
     matches!(event, WatchEvent::Delete { drop, .. } if drop == keys::LEADER)
 }
 
-/// The key names this node, but not this incarnation of it: the process ended while it led, and came back before its
-/// lease expired. Nobody leads, so the lease is ended at once. Were the former process alive against all order, its
-/// writes would fail, and nothing worse.
+/// Revokes the lease of a leader key created by an earlier process of this node, which ended while
+/// it led and restarted before the lease expired. Nobody leads in that state, so there is nothing
+/// to wait for. Even if the earlier process were still running, its writes would only be rejected.
 async fn release_former_lease(node: &Node, key_value: &KeyValue) {
     if let Some(lease) = key_value.value["lease"].as_u64() {
         info!(term = %key_value.revision, "leader lease of a former incarnation released");
@@ -90,7 +92,7 @@
     }
 }
 
-/// Tries to create the leader key, and leads if that succeeds.
+/// Tries to create the leader key and leads if that succeeds.
 async fn campaign(node: &Rc<Node>) {
     let ttl = Duration::from_micros(node.tunables.leader_lease.0);
     let campaign_failed = || {
@@ -105,7 +107,8 @@
     let nonce = &node.identity.election_nonce;
     let claim = leader_key_claim(&node.settings.node_name, nonce, lease);
     let Some(term) = create_leader_key(&node.key_value, &claim, nonce).await else {
-        // Ending the lease ends whatever a late copy of the transaction might yet create.
+        // Revoking the lease also removes a key that a delayed copy of the transaction may still
+        // create.
         let _ = node.key_value.revoke_lease(lease).await;
         return campaign_failed();
     };
@@ -119,7 +122,7 @@
     let _ = timeout(RELEASE_TIMEOUT, node.key_value.revoke_lease(lease)).await;
 }
 
-/// The transaction that creates the leader key, if there is none.
+/// Builds the transaction that creates the leader key if it does not exist.
 fn leader_key_claim(node_name: &str, election_nonce: &str, lease: u64) -> Transaction {
     let value = leader_record(node_name, election_nonce, lease);
     Transaction {
@@ -132,7 +135,8 @@
     }
 }
 
-/// Creates the key. The new term if this node did: if only the answer was lost, the key holds its nonce.
+/// Commits the claim and returns the new term if this node was elected. If the response was lost,
+/// the stored key still shows it by this process's nonce.
 async fn create_leader_key(
     key_value_client: &KeyValueClient,
     claim: &Transaction,
--- a/crates/controller/src/node/election/tests.rs
+++ b/crates/controller/src/node/election/tests.rs
@@ -27,7 +27,8 @@
     );
 }
 
-/// A process back within its former lease met its own key and waited for it to run out.
+/// A process that restarted before its earlier lease expired used to wait for its own leader key to
+/// run out.
 #[tokio::test(start_paused = true)]
 async fn restarted_node_releases_only_the_leader_lease_of_its_earlier_incarnation() {
     let store = FakeStore::default();
--- a/crates/controller/src/node/event_log.rs
+++ b/crates/controller/src/node/event_log.rs
@@ -1,5 +1,5 @@
-//! The scheduler's events as lines of the log: a constant message, and the rest as fields.
-//! `docs/operations.md` says what each message means and what to do about it.
+//! Writes the scheduler's events to the log, with a constant message and the details as fields.
+//! `docs/operations.md` explains each message and how to respond to it.
 
 use tracing::info;
 use walnutlug_scheduler::event::{
@@ -7,7 +7,7 @@
 };
 use walnutlug_scheduler::model::machine::DrainReason;
 
-/// Writes one event to the log.
+/// Writes one scheduler event to the log.
 pub(super) fn write(event: &Event) {
     match event {
         Event::JobDone(done) => write_job_done(done),
--- a/crates/controller/src/node/fleet_role.rs
+++ b/crates/controller/src/node/fleet_role.rs
@@ -1,5 +1,6 @@
-//! The leader's role over the fleet, fenced: scaling out and in is recorded as an intent before it is requested, the
-//! lease is checked directly before each request, and the intents of former leaders are settled first.
+//! The leader's fenced role of scaling the fleet. Each scale-out and scale-in is stored as an
+//! intent before it is requested, the lease is checked directly before each request, and intents
+//! left by earlier leaders are settled first.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -21,19 +22,20 @@
 use crate::cloud_client::CloudError;
 use crate::key_value_client::{KeyValueError, RequestClass};
 
-/// Lags of the cloud's list after which a machine is on it for certain; it may lag twice as long as stated.
+/// Multiple of the stated list lag after which a new machine is certainly on the cloud's list; the
+/// list may lag twice as long as stated.
 const LISTED_AFTER_LAGS: f64 = 3.0;
-/// Faulty records that are logged at a failover.
+/// Maximum number of invalid stored intents that are logged one by one at a failover.
 const MAX_FAULTS_LOGGED: usize = 5;
 
-/// The intents of this node's term as the leader, if roles are fenced.
+/// Holds the intent log of this node's term as the leader, if roles are fenced.
 #[derive(Default)]
 pub(super) struct FleetRole {
     intent_log: RefCell<Option<IntentLog>>,
 }
 
 impl FleetRole {
-    /// The term is over.
+    /// Drops the intent log when the term ends.
     pub(super) fn end_term(&self) {
         self.intent_log.take();
     }
@@ -42,7 +44,7 @@
         self.intent_log.replace(Some(intent_log));
     }
 
-    /// Calls the function with the intent log of that term, if there is one.
+    /// Calls the function with the intent log if it belongs to the term.
     fn with_intent_log<T>(&self, term: Term, apply: impl FnOnce(&mut IntentLog) -> T) -> Option<T> {
         let mut intent_log = self.intent_log.borrow_mut();
         let belongs_to_term =
@@ -51,10 +53,11 @@
     }
 }
 
-/// Takes the role over with the lead: reads the intents of former holders that were not seen to settle.
+/// Takes over the fleet role at the start of a term: reads the intents that earlier holders left
+/// unsettled and hands their effects to the scheduler.
 ///
 /// # Errors
-/// If the intents can't be read.
+/// Returns an error if the intents cannot be read.
 pub(super) async fn take_over(
     node: &Rc<Node>,
     term: Term,
@@ -71,7 +74,8 @@
             return Ok(());
         }
     };
-    // The term is a precondition of every write, so no intent of an earlier one can come after this.
+    // Every write requires the current term, so no intent of an earlier term can be stored after
+    // this read.
     let stored = list_until_answered(node, INTENT_PREFIX).await?.key_values;
     let listed_within = node.site.list_lag.mul_f64(LISTED_AFTER_LAGS);
     let fence = Fence::new(LeasedRole::Fleet, epoch);
@@ -90,7 +94,7 @@
     Ok(())
 }
 
-/// Whether tasks are placed on the machine.
+/// Returns whether any task is placed on the machine.
 fn holds_tasks(scheduler: &Scheduler, machine: &str) -> bool {
     let cluster = &scheduler.cluster;
     let index = cluster.machines_by_name.get(machine);
@@ -119,7 +123,8 @@
     }
 }
 
-/// Scales out under the fence.
+/// Adds a scale-out to the intent log. If the log does not accept it, tells the scheduler that it
+/// failed.
 pub(super) fn scale_out(node: &Node, request: &ScaleOutRequest) {
     let ScaleOutRequest { request, kind, zone, spot, count } = request.clone();
     let scale_out = ScaleOut { request, kind, zone, spot, count };
@@ -135,7 +140,7 @@
     }
 }
 
-/// Scales in under the fence.
+/// Adds a scale-in to the intent log.
 pub(super) fn scale_in(node: &Node, machines: &[String]) {
     let now = node.now();
     let mut scheduler = node.scheduler.borrow_mut();
@@ -148,12 +153,12 @@
     let mut intent_log = node.fleet_role.intent_log.borrow_mut();
     let requests = intent_log.as_mut().map_or(0, |intent_log| intent_log.scale_in(now, machines));
     if requests == 0 {
-        // Nothing new comes of it, so no answer will either.
+        // No new request results from this, so no response will follow.
         scheduler.scale_in_answered(now, &[], false);
     }
 }
 
-/// Carries on with what is to be recorded, requested and deleted.
+/// Starts the writes and cloud requests that the intent log has ready.
 pub(super) fn advance_intents(node: &Rc<Node>, term: Term) {
     let commands = node.fleet_role.with_intent_log(term, |intent_log| {
         intent_log.set_limits(write_limits(node));
@@ -181,7 +186,8 @@
     }
 }
 
-/// Applies an answer to the intent log of that term, and carries on.
+/// Applies a response to the intent log of the term and continues with it. Steps down if the log
+/// has stopped.
 fn apply_answer(node: &Rc<Node>, term: Term, apply: impl FnOnce(&mut IntentLog)) {
     let stopped = node.fleet_role.with_intent_log(term, |intent_log| {
         apply(intent_log);
@@ -194,12 +200,12 @@
     }
 }
 
-/// Whether this node still holds the role under that epoch, for certain and right now.
+/// Returns whether this node certainly holds the role for the term at this moment.
 fn holds_role(node: &Node, term: Term) -> bool {
     node.leadership.borrow().term() == Some(term) && node.leader.holds_lease()
 }
 
-/// What the answer of the cloud means for the intent.
+/// Translates the cloud's response into the outcome of the intent's action.
 fn action_answer<T>(answer: &Result<T, CloudError>) -> ActionAnswer {
     match answer {
         Ok(_) => ActionAnswer::Done,
@@ -218,7 +224,7 @@
         Ok(machines) => Ok(machines),
         Err(CloudError::NoCapacity { .. }) => Ok(Vec::new()),
         Err(CloudError::Rejected { .. }) => Err(()),
-        // It is requested again, and the machines may come.
+        // The request is repeated, and its machines may still arrive.
         Err(CloudError::NotSent { .. } | CloudError::Indeterminate { .. }) => {
             return with_scheduler(&node, term, |scheduler, now| scheduler.cloud_in_trouble(now));
         }
--- a/crates/controller/src/node/golden_tests.rs
+++ b/crates/controller/src/node/golden_tests.rs
@@ -1,5 +1,6 @@
-//! Answers to users and workers as the bytes on their connections, commands to workers, and what this
-//! node sends to the key-value store for each. Kept in `golden/`.
+//! Golden tests against the files in `golden/`: the bytes of responses to users and workers, the
+//! commands sent to workers, and the requests that a node sends to the key-value store in each
+//! case.
 
 use serde_json::{json, Value};
 use tokio::task::LocalSet;
@@ -27,9 +28,9 @@
 const STORE_REQUESTS: &str = "src/node/golden/state.txt";
 
 const ROLE_REQUESTS: &str = "src/node/golden/duties.txt";
-/// Long enough for an election, the reading of the records and renewals of the lease.
+/// Long enough for an election, loading the records and renewing the lease several times.
 const ELECTION_DURATION: Duration = Duration::from_secs(4);
-/// Long enough to take the duty of the machine types and to share them.
+/// Long enough to acquire the machine-types role and share the types.
 const ROLE_DURATION: Duration = Duration::from_secs(150);
 
 type GoldenEntries = Vec<(&'static str, String)>;
@@ -41,7 +42,7 @@
         "ripenS": 20.0, "stashS": 0.0, "buryS": 0.0, "harvestS": null})
 }
 
-/// The submission with one field changed; a null leaves it out.
+/// Returns the submission with one field replaced; a null value removes the field.
 fn submission_with(field: &str, value: Value) -> String {
     let mut body = submission();
     match value {
@@ -53,7 +54,7 @@
     body.to_string()
 }
 
-/// What the node answers to a request, to the byte.
+/// Sends a request and returns the bytes of the node's response.
 async fn send(node: &Rc<Node>, method: &str, path: &str, body: &str) -> String {
     let length = body.len();
     let request = format!("{method} {path} HTTP/1.1\r\nContent-Length: {length}\r\n\r\n{body}");
@@ -210,7 +211,7 @@
     send(node, "POST", "/hello", body).await
 }
 
-/// The heartbeat of a worker on which the task has ended.
+/// Heartbeat of a worker whose task has ended.
 fn finished_task_heartbeat(sequence: u64, token: FencingToken) -> String {
     let mut heartbeat: Value =
         serde_json::from_str(&running_task_heartbeat(sequence, token)).expect("json");
@@ -269,7 +270,7 @@
     ]
 }
 
-/// What is sent to a worker, and what becomes of each answer.
+/// Checks the request sent to a worker and how each response is interpreted.
 #[tokio::test(start_paused = true)]
 async fn commands_to_workers_match_the_golden_file() {
     let mut entries = Vec::new();
@@ -315,17 +316,17 @@
     Golden::check(WORKER_COMMANDS, &entries);
 }
 
-/// Notes every request of a node to a service that answers as if nothing were stored.
+/// Creates a node that records all its requests; the store responds as if it were empty.
 fn recording_node(requests: &Rc<RefCell<Vec<String>>>) -> Rc<Node> {
     recording_node_with(requests, EMPTY_LISTING)
 }
 
-/// What a list of no keys looks like, and one of a job's description. Its acceptance lies far ahead,
-/// so that the job has no age whatever the time of day is.
+/// Listings returned by the store: one without keys, and one with a single job description. The
+/// job's acceptance time is far in the future, so that its age is zero at any time of day.
 const EMPTY_LISTING: &str = r#"{"pairs":[],"hasNext":false,"growth":431}"#;
 const LISTING_WITH_ONE_JOB: &str = r#"{"pairs":[{"key":"todo/req-000501","mark":9,"value":{"at":9000000000000000,"chunk":168,"spec":{"checkpoint_s":0.0,"class":"c","cpus":2.0,"deadline_s":null,"estimate_s":20.0,"gpus":0.0,"image":"i","image_gb":1.0,"memory_gb":4.0,"one_zone":false,"rank":"High","save_s":0.0,"spot":true,"spread":false,"tasks":3,"team":"one","types":null,"zone":null}}}],"hasNext":false,"growth":431}"#;
 
-/// The same, with these descriptions of jobs stored.
+/// Like `recording_node`, but the store returns this listing of job descriptions.
 fn recording_node_with(
     requests: &Rc<RefCell<Vec<String>>>,
     descriptions: &'static str,
@@ -383,14 +384,14 @@
     }
 }
 
-/// Each request once, in the order of its text: what runs side by side comes in no fixed order.
+/// Sorts the requests and removes duplicates, because concurrent tasks send them in no fixed order.
 fn sorted_unique(requests: &RefCell<Vec<String>>) -> RefCell<Vec<String>> {
     let all: std::collections::BTreeSet<String> = requests.borrow().iter().cloned().collect();
     RefCell::new(all.into_iter().collect())
 }
 
-/// Which requests an election and the first seconds of a term consist of, and those of the duty to
-/// share the machine types.
+/// Covers the requests of an election, of the first seconds of a term, and of the role that shares
+/// the machine types.
 #[tokio::test(start_paused = true)]
 async fn store_requests_of_elections_and_fenced_roles_match_the_golden_file() {
     let test = async {
@@ -420,7 +421,7 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// With digits of times and this life's random name replaced.
+/// Joins the requests, with timestamps and the process's random nonce replaced by fixed text.
 fn normalized(node: &Node, requests: &RefCell<Vec<String>>) -> String {
     let text = requests.borrow().join("\n").replace(&node.identity.election_nonce, "INCARNATION");
     let mut pieces = text.split("\"at\":");
@@ -432,7 +433,7 @@
     result
 }
 
-/// What a node writes for its users, and what it reads before it answers.
+/// Covers what a node writes for user requests and what it reads before it responds.
 #[tokio::test(start_paused = true)]
 async fn store_requests_of_user_requests_match_the_golden_file() {
     let test = async {
--- a/crates/controller/src/node/heartbeats.rs
+++ b/crates/controller/src/node/heartbeats.rs
@@ -1,5 +1,5 @@
-//! Workers' heartbeats between the nodes. The rules are in [`crate::heartbeat_delegation`]; here its two sides meet the
-//! node's scheduler and its peers.
+//! Exchange of worker heartbeats between nodes. [`crate::heartbeat_delegation`] holds the rules;
+//! these modules connect both sides of it to the node's scheduler and peers.
 
 pub(super) mod follower;
 pub(super) mod leader;
@@ -11,13 +11,15 @@
 
 use super::Node;
 
-/// How often the leader is told which machines repeated their heartbeats; they report every few seconds.
+/// Interval at which a follower tells the leader which machines repeated their heartbeats. Workers
+/// send heartbeats every few seconds.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
-/// Every how many of these the leader is asked for a grant, or balances the workers.
+/// Number of report intervals after which a follower requests a delegation, or the leader balances
+/// the workers.
 const REPORTS_PER_REQUEST: u32 = 2;
 
-/// Keeps up this node's part for as long as it lives: as a follower it tells the leader who repeated a heartbeat and
-/// asks for grants, as the leader it balances the workers.
+/// Runs the node's side until the process ends. A follower reports repeated heartbeats to the
+/// leader and requests delegations; the leader balances the workers.
 pub(super) async fn run(node: Rc<Node>) {
     let mut reports = 0u32;
     loop {
--- a/crates/controller/src/node/heartbeats/follower.rs
+++ b/crates/controller/src/node/heartbeats/follower.rs
@@ -1,4 +1,5 @@
-//! This node as a follower: it answers repeated heartbeats on the leader's behalf, and forwards the others.
+//! The follower's side: answers repeated heartbeats on the leader's behalf and forwards all others
+//! to the leader.
 
 use tracing::info;
 use walnutlug_scheduler::leadership::fencing_token::{FencingToken, Term};
@@ -12,7 +13,8 @@
 use crate::worker_api::{Repetition, WorkerConnection};
 
 impl Node {
-    /// The token with which a follower may answer the heartbeat, if it repeats a cached one.
+    /// Returns the token for answering the heartbeat, if it repeats a cached one that this node may
+    /// answer itself.
     pub(crate) fn repeated_heartbeat_token(
         &self,
         connection: &WorkerConnection,
@@ -22,7 +24,8 @@
         self.delegation.follower().answer_repeated(self.now(), cached, sequence)
     }
 
-    /// Forwards the heartbeat to the leader. `None`: the worker should report elsewhere.
+    /// Forwards the heartbeat to the leader and returns its response. `None` means that the worker
+    /// should send its heartbeat to another node.
     pub(crate) async fn forward_heartbeat(
         &self,
         connection: &WorkerConnection,
@@ -49,7 +52,7 @@
     }
 }
 
-/// As a follower, asks whoever leads for a grant.
+/// As a follower, requests a delegation from the current leader.
 pub(in crate::node) fn request_delegation(node: &Node) {
     let Some(leader) = node.other_leader() else { return };
     let request = DelegationRequest {
@@ -61,14 +64,14 @@
     node.send_to_peer(&leader, &Frame::DelegationRequest(request));
 }
 
-/// Asks at once if the leader of that term has not granted anything yet.
+/// Requests a delegation at once if the leader of this term has not granted one yet.
 pub(in crate::node) fn request_from_new_leader(node: &Node, term: Term) {
     if node.delegation.follower().granted_term().is_none_or(|granted| granted < term) {
         request_delegation(node);
     }
 }
 
-/// Takes a grant that answers this incarnation.
+/// Applies a grant, unless it answers a request of an earlier process of this node.
 pub(in crate::node) fn apply_grant(node: &Node, granted: DelegationGranted) {
     if granted.asker_incarnation != node.identity.incarnation {
         return;
@@ -96,7 +99,8 @@
     }
 }
 
-/// Hands on the leader's answer to a forwarded heartbeat, if this incarnation forwarded it.
+/// Passes the leader's response to the heartbeat that waits for it, unless an earlier process of
+/// this node forwarded that heartbeat.
 pub(in crate::node) fn apply_response(node: &Node, response: ForwardedResponse) {
     if response.asker_incarnation == node.identity.incarnation {
         node.delegation.follower().respond(response);
--- a/crates/controller/src/node/heartbeats/leader.rs
+++ b/crates/controller/src/node/heartbeats/leader.rs
@@ -1,5 +1,5 @@
-//! This node as the leader: it answers the heartbeats that followers forward, lets them answer repetitions, and balances
-//! the workers among the nodes.
+//! The leader's side: answers the heartbeats that followers forward, lets followers answer
+//! repetitions, and balances the workers among the nodes.
 
 use std::collections::HashMap;
 use walnutlug_scheduler::leadership::fencing_token::Term;
@@ -17,8 +17,9 @@
 };
 use crate::worker_api::{self, CacheableResponse};
 
-/// As the leader, tells followers which of their cache entries are valid no more. Before anything that says how far
-/// the leader's knowledge goes, since that is worth nothing without these.
+/// As the leader, tells followers which of their cached heartbeats are no longer valid. Must be
+/// sent before any message that states up to when the leader knows all cancellations, since such a
+/// statement holds only together with these invalidations.
 pub(in crate::node) fn send_invalidations(node: &Node) {
     let (term, invalidated) = {
         let mut scheduler = node.scheduler.borrow_mut();
@@ -39,7 +40,7 @@
     }
 }
 
-/// Records the repetitions that a follower answered under the term.
+/// Records the repeated heartbeats that a follower answered in the term.
 pub(in crate::node) fn record_repeated_heartbeats(
     node: &Node,
     term: Term,
@@ -56,12 +57,12 @@
     }
 }
 
-/// A follower's place among the peers.
+/// Returns the follower's index in the list of peers.
 fn find_peer_index(node: &Node, name: &str) -> Option<usize> {
     node.settings.peers.iter().position(|peer| peer.name == name)
 }
 
-/// Answers a heartbeat that a follower forwarded.
+/// Answers a heartbeat that a follower forwarded, and lets the follower cache it if possible.
 pub(in crate::node) fn answer_forwarded(node: &Node, forwarded: &ForwardedHeartbeat) {
     let Some(peer_index) = find_peer_index(node, &forwarded.node) else { return };
     let Ok(holder) = CacheHolder::try_from(peer_index + 1) else { return };
@@ -85,7 +86,7 @@
     node.wake_leader();
 }
 
-/// As the leader, lets a follower answer workers.
+/// As the leader, lets a follower answer workers and tells it how many of them to redirect.
 pub(in crate::node) fn grant_delegation(node: &Node, request: &DelegationRequest) {
     let Some(peer_index) = find_peer_index(node, &request.node) else { return };
     let Role::Leader { term } = node.leadership.borrow().role() else { return };
@@ -110,7 +111,7 @@
     node.send_to_peer(&request.node, &Frame::DelegationGranted(granted));
 }
 
-/// As the leader, redirects some of its own workers to the follower that has fewest.
+/// As the leader, redirects some of its own workers to the follower that has the fewest.
 pub(in crate::node) fn balance_workers(node: &Node) {
     let own = node.delegation.worker_connections().get();
     match worker_shares(node).and_then(|shares| shares.move_from_leader(own)) {
@@ -121,7 +122,7 @@
     }
 }
 
-/// How the workers should be shared now.
+/// Returns how the workers should currently be shared among the nodes, if that can be computed.
 fn worker_shares(node: &Node) -> Option<Shares> {
     Shares::of(node.delegation.worker_connections().get(), &node.delegation.leader().loads())
 }
--- a/crates/controller/src/node/heartbeats/tests.rs
+++ b/crates/controller/src/node/heartbeats/tests.rs
@@ -19,7 +19,8 @@
 use crate::user_api::fake_cluster::{Cluster, FakeStore, Fault};
 use crate::worker_api::{self, WorkerConnection};
 
-/// A worker's heartbeat to a node, with frames delivered meanwhile. The status, the token and the calls.
+/// Sends a worker's heartbeat to a node and delivers frames until it is answered. Returns the
+/// status, token and commands of the response.
 async fn heartbeat(
     cluster: &mut Cluster,
     at: usize,
@@ -43,7 +44,7 @@
     (answer.status, FencingToken(response["staff"].as_u64().unwrap_or(0)), calls)
 }
 
-/// Node 0 leads and has a running task; node 1 was granted its share of the workers.
+/// Creates a cluster in which node 0 leads with one running task and node 1 may answer workers.
 async fn cluster_with_delegation(store: &FakeStore) -> Cluster {
     let cluster = cluster_with_running_task(store).await;
     delegate_to_node_1(cluster).await
@@ -62,7 +63,8 @@
     cluster
 }
 
-/// The same, and node 1 answers repetitions by itself: the next sequence number and the token.
+/// Creates the same cluster, in which node 1 also answers repetitions of a cached heartbeat.
+/// Returns the worker's connection, the next sequence number and the token as well.
 async fn cluster_with_cached_heartbeat(
     store: &FakeStore,
 ) -> (Cluster, Rc<WorkerConnection>, u64, FencingToken) {
@@ -75,7 +77,7 @@
     (cluster, connection, 3, token)
 }
 
-/// Whether the follower would answer the heartbeat by itself.
+/// Returns whether the follower would answer the heartbeat without asking the leader.
 fn follower_can_answer(
     cluster: &Cluster,
     connection: &WorkerConnection,
@@ -125,8 +127,8 @@
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// The key-value store refuses everybody and the follower hears of nobody, while another node confirms that
-/// the job is cancelled.
+/// The key-value store fails for all nodes and the follower receives no messages, after another
+/// node has confirmed that the job is cancelled.
 #[tokio::test(start_paused = true)]
 async fn isolated_follower_stops_renewing_leases_within_the_watermark_window() {
     let test = async {
@@ -152,7 +154,7 @@
             last_answered_after <= window,
             "cancelled at {cancelled_at:?}, but still answered after {last_answered_after:?}"
         );
-        // Then it sends the worker on.
+        // Once the window has passed, the follower redirects the worker.
         let body = running_task_heartbeat(sequence, token);
         let answer = worker_api::heartbeat(&cluster.nodes[1], &connection, body.as_bytes()).await;
         assert_eq!(answer.status, 421);
@@ -179,7 +181,8 @@
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// A grant says how far the leader's knowledge goes, so what it has withdrawn has to come first.
+/// A grant states up to when the leader knows all cancellations, so the invalidations from before
+/// it must arrive first.
 #[tokio::test(start_paused = true)]
 async fn leader_sends_pending_invalidations_before_a_grant() {
     let test = async {
@@ -209,11 +212,11 @@
         assert!(String::from_utf8_lossy(&answer.body).contains("keeper"));
         assert!(began.elapsed() <= RESPONSE_TIMEOUT, "the worker waits for four seconds");
         assert_eq!(node.delegation.follower().pending(), 0);
-        // The answer that comes after all is for nobody.
+        // The leader's response arrives after the timeout and is discarded.
         for _ in 0..3 {
             cluster.deliver(|_, _| true).await;
         }
-        // And without a grant it is told so at once.
+        // Without a valid grant the worker is redirected at once.
         tokio::time::advance(Duration::from_secs(4)).await;
         let began = Instant::now();
         assert_eq!(worker_api::heartbeat(&node, &connection, body.as_bytes()).await.status, 421);
@@ -222,7 +225,8 @@
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// Reports that wait for a leader that doesn't answer are bounded; beyond that workers are sent on at once.
+/// The number of heartbeats that wait for a leader that does not respond is limited; above it,
+/// workers are redirected at once.
 #[tokio::test(start_paused = true)]
 async fn forwarded_heartbeats_above_the_limit_are_redirected_at_once() {
     let test = async {
@@ -248,7 +252,7 @@
             assert_eq!(response.await.expect("an answer").status, 421);
         }
         assert_eq!(node.delegation.follower().pending(), 0, "what was refused can come again");
-        // A heartbeat longer than a frame goes to the leader itself.
+        // A heartbeat that does not fit into a frame is not forwarded.
         let oversized = format!(
             "{}{}",
             running_task_heartbeat(1, FencingToken(0)),
@@ -261,8 +265,9 @@
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// All workers of a fleet of 4,200 report something new to one follower at once: none is sent away, and no
-/// frame finds the queue full. (At most 1,000 reports waited once, whatever the settings said.)
+/// All workers of a fleet of 4,200 send a new heartbeat to one follower at once. None is redirected
+/// and no frame finds the queue full. An earlier version let at most 1,000 heartbeats wait,
+/// whatever the settings said.
 #[tokio::test(start_paused = true)]
 async fn follower_forwards_4_200_simultaneous_heartbeats_without_dropping_any() {
     const WORKERS: usize = 4_200;
@@ -352,7 +357,8 @@
             (answer.status, String::from_utf8_lossy(&answer.body).as_ref()),
             (421, &*redirect_body)
         );
-        // Within its part it keeps them, and so does everybody when no follower asks any more.
+        // A node with no more than its share of workers redirects none, and neither does the leader
+        // once no follower requests delegations any more.
         node.delegation.worker_connections().set(40);
         balance_workers(&node);
         assert_eq!(node.delegation.another_node_for(100), None);
--- a/crates/controller/src/node/leader.rs
+++ b/crates/controller/src/node/leader.rs
@@ -1,5 +1,5 @@
-//! A node that leads: it keeps its lease, reads the records, and then lets the scheduler decide whenever something
-//! happened. All of it ends with the term.
+//! The work of a node that leads: it renews its lease, loads the records, and then runs the
+//! scheduler whenever something has changed. All of it ends with the term.
 
 mod commands;
 mod job_ends;
@@ -27,24 +27,24 @@
 use super::{fleet_role, heartbeats, Node};
 use lease::HeldLease;
 
-/// How long a leader that stepped down leaves the lead to others.
+/// Time for which a leader that was cut off from workers does not campaign again.
 const STEP_DOWN_BACKOFF: TimeDelta = TimeDelta::from_secs(15);
-/// Longest time between two rounds in which nothing wakes the leader.
+/// Longest time between two rounds when nothing wakes the leader.
 const MAX_ROUND_INTERVAL: Duration = Duration::from_millis(100);
 /// Shortest and longest pause between two rounds.
 const MIN_PAUSE: Duration = Duration::from_millis(10);
 const MAX_PAUSE: Duration = Duration::from_millis(500);
 
-/// What a leader keeps beside the scheduler.
+/// State of the leader that is not part of the scheduler.
 pub(super) struct LeaderState {
-    /// Something is to be decided.
+    /// Signals that there is something for the scheduler to decide.
     wake: Notify,
     step_down: Notify,
-    /// Until when the leader's lease is certainly held.
+    /// Time until which the leader's lease is certainly held.
     lease_until: Cell<Instant>,
-    /// Requests to scale out that this process named.
+    /// Number used in the name of the last scale-out request of this process.
     last_scale_out_number: Cell<u64>,
-    /// Whether the leader key is being read.
+    /// Whether a check of the leader key, or the pause after it, is in progress.
     verifying_leader_key: Cell<bool>,
 }
 
@@ -59,12 +59,12 @@
         }
     }
 
-    /// Begins the next round soon.
+    /// Makes the leader loop start its next round soon.
     pub(super) fn wake(&self) {
         self.wake.notify_one();
     }
 
-    /// Ends the leader's tasks.
+    /// Tells the leader's tasks to end.
     pub(super) fn signal_step_down(&self) {
         self.step_down.notify_waiters();
     }
@@ -73,13 +73,13 @@
         self.step_down.notified()
     }
 
-    /// The lease was granted or renewed by a request that was sent at that time.
+    /// Extends the lease after it was granted or renewed by a request sent at `sent`.
     pub(super) fn lease_renewed(&self, sent: Instant, ttl: Duration) {
         self.lease_until.set(sent + lease::safe_lease_duration(ttl));
     }
 
-    /// Whether the lease is certainly held. By this node's own clock, and from before the request was sent, so never
-    /// too long.
+    /// Returns whether the lease is certainly held. It is measured by this node's own clock from
+    /// before the request was sent, so it is never assumed to last too long.
     pub(super) fn holds_lease(&self) -> bool {
         Instant::now() < self.lease_until.get()
     }
@@ -91,7 +91,7 @@
     }
 }
 
-/// Everything that a leader does, until it leads no more.
+/// Performs all work of a leader until its term ends.
 pub(super) async fn lead(node: &Rc<Node>, term: Term, held_lease: HeldLease) {
     let renewal_task =
         tokio::task::spawn_local(lease::renew_until_expired(node.clone(), held_lease));
@@ -110,14 +110,15 @@
     renewal_task.abort();
 }
 
-/// What the leader leaves to everything else after a round that took so long: as much of the node's part of a core as
-/// the round used. Under load the next round then decides more at once. (Without a pause, rounds of 2 ms each took all
-/// of a fiftieth of a core for ten seconds, and heartbeats and submissions waited behind them.)
+/// Returns the pause after a round that took this long, which leaves the rest of the node's CPU
+/// share to other tasks. Under load the next round then handles more changes at once. Without a
+/// pause, rounds of 2 ms each used the whole share of 1/50 core for ten seconds, and heartbeats and
+/// submissions waited behind them.
 fn pause_after_round(round: Duration, cpu_share: f64) -> Duration {
     round.div_f64(cpu_share).clamp(MIN_PAUSE, MAX_PAUSE)
 }
 
-/// The leader's loop: whenever something happened, and now and then, the scheduler decides.
+/// Runs the scheduler whenever something has changed, and at least every `MAX_ROUND_INTERVAL`.
 async fn run_scheduler(node: &Rc<Node>, term: Term) {
     let mut last_pause_end = Instant::now();
     while node.leads_in_term(term) {
@@ -135,14 +136,15 @@
     }
 }
 
-/// One round. False if there is nothing to lead any more.
+/// Runs one round of the scheduler. Returns false if this node no longer leads.
 fn run_round(node: &Rc<Node>, term: Term) -> bool {
     let now = node.now();
     let mut scheduler = node.scheduler.borrow_mut();
     let Some(active_scheduler) = scheduler.as_mut() else { return false };
     if is_cut_off_from_workers(node, active_scheduler, now) {
         drop(scheduler);
-        // Leading from here serves nobody. Another node may, and this one holds back for a while.
+        // A leader that no worker reaches is of no use. It backs off for a while so that another
+        // node can lead.
         node.leadership.borrow_mut().back_off(now, STEP_DOWN_BACKOFF);
         node.step_down(StepDownCause::CutOffFromWorkers);
         return false;
@@ -157,7 +159,7 @@
     true
 }
 
-/// Whether no worker reaches this node while they reach another one.
+/// Returns whether workers reach another node but not this one.
 fn is_cut_off_from_workers(node: &Node, scheduler: &Scheduler, now: Timestamp) -> bool {
     (node.cluster_view.workers_reach_other_nodes() && scheduler.hears_no_worker(now))
         || (node.delegation.has_followers() && scheduler.reaches_no_worker(now))
@@ -178,7 +180,7 @@
     scheduler.take_commands()
 }
 
-/// Applies an answer to the scheduler of that term, and wakes the leader.
+/// Applies a response to the scheduler if it still runs in the term, and wakes the leader.
 pub(super) fn with_scheduler(
     node: &Node,
     term: Term,
@@ -186,7 +188,7 @@
 ) {
     let now = node.now();
     if let Some(scheduler) = node.scheduler.borrow_mut().as_mut() {
-        // Answers to a former term's requests mean nothing to this one's records.
+        // A response to a request of an earlier term has no meaning for the records of this one.
         if scheduler.term == term {
             apply(scheduler, now);
         }
@@ -194,11 +196,14 @@
     node.wake_leader();
 }
 
-/// Puts a scheduler that has read the records in charge. The machine types may have come meanwhile, when there was no
-/// scheduler to give them to. (Seen on loopback, where the cloud answers within that time: a leader without types
-/// scaled out and placed nothing until a price moved.)
+/// Puts a scheduler that has loaded the records into use.
 ///
-/// So may ends that other nodes sent meanwhile, and which count as known here because they were acknowledged.
+/// Machine types may have been read during the loading, when there was no scheduler to receive
+/// them. On loopback, where the cloud responds within that time, a leader without types neither
+/// scaled out nor placed tasks until a price changed.
+///
+/// Job ends sent by other nodes during the loading are applied too: they count as known here
+/// because this node has acknowledged them.
 pub(super) fn install_scheduler(node: &Node, mut scheduler: Scheduler) {
     scheduler.cluster.set_types(node.machine_types.borrow().clone());
     for (job, end) in node.cancellations.take_buffered_ends() {
--- a/crates/controller/src/node/leader/commands.rs
+++ b/crates/controller/src/node/leader/commands.rs
@@ -1,4 +1,5 @@
-//! Carries the scheduler's commands out. Each answer goes back to the scheduler, if its term still lasts.
+//! Executes the scheduler's commands and passes each response back to the scheduler if its term
+//! still lasts.
 
 use std::rc::Rc;
 use walnutlug_scheduler::leadership::fencing_token::Term;
@@ -16,10 +17,10 @@
 use crate::node::{event_log, fleet_role, Node};
 use crate::worker_api;
 
-/// Shortest time between two readings of the leader key.
+/// Shortest time between two checks of the leader key.
 const VERIFY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Starts one command. None of them is waited for.
+/// Starts executing a command without waiting for it to finish.
 pub(super) fn execute(node: &Rc<Node>, term: Term, command: Command) {
     let node = node.clone();
     match command {
@@ -72,7 +73,7 @@
     }
 }
 
-/// Reads whether the leader key is still this term's, unless that is being done already.
+/// Checks that the leader key still belongs to this term, unless a check is already in progress.
 fn verify_leadership(node: Rc<Node>, term: Term) {
     if node.leader.verifying_leader_key.replace(true) {
         return;
@@ -88,7 +89,8 @@
     });
 }
 
-/// Term, nonce and counter: a name that no other node or time ever uses.
+/// Returns a request name made of term, nonce and counter, which no other node or process ever
+/// uses.
 fn scale_out_request_name(node: &Node, term: Term) -> String {
     let number = node.leader.next_scale_out_number();
     format!("{term}-{}-{number}", node.identity.election_nonce)
@@ -110,7 +112,7 @@
     }
 }
 
-/// Scales out without a stored intent, as all versions did before there were fenced roles.
+/// Scales out without a stored intent, as all versions without fenced roles did.
 async fn scale_out_unfenced(node: Rc<Node>, term: Term, request: ScaleOutRequest) {
     let answer = match node.cloud.scale_out(&request, &|| true).await {
         Ok(machines) => Ok(machines),
--- a/crates/controller/src/node/leader/job_ends.rs
+++ b/crates/controller/src/node/leader/job_ends.rs
@@ -1,4 +1,5 @@
-//! Whether jobs have ended, by what is stored. The ends of all jobs ever are never listed: they are compared.
+//! Looks up in the key-value store whether jobs have ended. The ends of all jobs ever run are too
+//! many to list, so transactions compare just the keys in question.
 
 use walnutlug_scheduler::command::TransactionOutcome;
 use walnutlug_scheduler::protocol::key_value::{Compare, Transaction};
@@ -11,10 +12,10 @@
 };
 use crate::node::Node;
 
-/// Which of the jobs have ended.
+/// Returns those of the jobs that have ended.
 ///
 /// # Errors
-/// If the key-value store doesn't answer, or its answer makes no sense.
+/// Returns an error if the key-value store does not respond or its response is invalid.
 pub(super) async fn find_ended(
     node: &Node,
     mut open: Vec<String>,
@@ -51,13 +52,13 @@
     Ok(found)
 }
 
-/// A transaction that succeeds if none of the jobs has ended.
+/// Builds a transaction that succeeds only if none of the jobs has ended.
 fn no_ends_transaction(jobs: &[String]) -> Transaction {
     let end_is_absent = |job: &String| Compare { key: keys::end(job), revision: Revision::NONE };
     Transaction { compares: jobs.iter().map(end_is_absent).collect(), operations: Vec::new() }
 }
 
-/// The state of the jobs by what is stored, as far as it can be read.
+/// Returns the stored state of the jobs. Omits jobs whose state cannot be read.
 pub(super) async fn look_up(node: &Node, jobs: Vec<String>) -> Vec<(String, JobEndLookup)> {
     let mut found = Vec::new();
     let Ok(ended) = find_ended(node, jobs.clone()).await else { return found };
@@ -74,8 +75,8 @@
     found
 }
 
-/// Whether a job that has not ended was accepted. What the scheduler has was; of anything else, the submission_record is looked
-/// for once.
+/// Returns whether a job that has not ended was ever accepted. A job known to the scheduler was;
+/// for any other job, its submission record is read once.
 async fn look_up_open(node: &Node, job: &str) -> Result<JobEndLookup, KeyValueError> {
     let known = node
         .scheduler
--- a/crates/controller/src/node/leader/lease.rs
+++ b/crates/controller/src/node/leader/lease.rs
@@ -1,4 +1,4 @@
-//! The leader's lease.
+//! Renewal of the leader's lease.
 
 use std::rc::Rc;
 
@@ -11,25 +11,25 @@
 use crate::node::step_down::StepDownCause;
 use crate::node::Node;
 
-/// The part of the lease's time after which it is renewed.
+/// Fraction of the lease's time to live after which the lease is renewed.
 const RENEWAL_FRACTION: f64 = 0.28;
-/// Pause after a renewal failed.
+/// Pause after a failed renewal.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// A lease in the key-value store.
+/// A lease granted by the key-value store.
 pub(in crate::node) struct HeldLease {
-    /// Its number in the key-value store.
+    /// Identifier of the lease in the key-value store.
     pub(in crate::node) id: u64,
-    /// When the last successful request for it was sent.
+    /// When the last successful grant or renewal request was sent.
     pub(in crate::node) renewed: Instant,
 }
 
-/// For how long after it was requested the lease is certainly held, whatever the clocks do.
+/// Returns how long after its request was sent a lease is certainly held, despite clock drift.
 pub(super) fn safe_lease_duration(ttl: Duration) -> Duration {
     Duration::from_micros(safe_lease_time(TimeDelta(ttl.as_micros() as u64)).0)
 }
 
-/// Renews the lease until it expires.
+/// Renews the leader's lease until it expires.
 pub(super) async fn renew_until_expired(node: Rc<Node>, lease: HeldLease) {
     let ttl = Duration::from_micros(node.tunables.leader_lease.0);
     let mut renewed = lease.renewed;
@@ -46,8 +46,9 @@
             }
             Err(error) => {
                 debug!(%error, "leader lease not renewed");
-                // In an outage the lease gets its full time again, so the leader stays and goes on answering its
-                // workers; what it may not do any more the key-value store and the workers' tokens refuse.
+                // After an outage the store gives leases their full time again, so the leader stays
+                // and keeps answering its workers. The store and the workers' token checks reject
+                // what it may no longer do.
                 renewed = sent - ttl.mul_f64(RENEWAL_FRACTION) + RETRY_PAUSE;
             }
         }
--- a/crates/controller/src/node/leader/loading.rs
+++ b/crates/controller/src/node/leader/loading.rs
@@ -1,4 +1,4 @@
-//! Reads the records of the former term, whole, before anything is decided.
+//! Loads all records of earlier terms before the scheduler makes any decision.
 
 use std::rc::Rc;
 use walnutlug_scheduler::leadership::fencing_token::Term;
@@ -16,15 +16,15 @@
 use crate::node::{fleet_role, Node};
 use crate::peers::MachineAddress;
 
-/// Pause after a read that failed.
+/// Pause after a failed read.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// Times that a list is tried again.
+/// Number of times that a failed list request is repeated.
 const MAX_RETRIES: u32 = 21;
 
-/// Reads the records, puts the scheduler in charge and starts the tasks that keep it up to date.
+/// Loads the records, puts the scheduler into use and starts the tasks that keep it up to date.
 ///
 /// # Errors
-/// If the records can't be read, or the term is over.
+/// Returns an error if the records cannot be read or the term has ended.
 pub(super) async fn load(node: &Rc<Node>, term: Term) -> Result<(), KeyValueError> {
     let (load_start, load_requested) = (Instant::now(), node.now());
     node.cancellations.take_buffered_ends();
@@ -47,13 +47,13 @@
         let request = StoreRequest::Get { key: keys::LEADER.to_owned() };
         return Err(KeyValueError::Expired { request });
     }
-    // The others learn of it at once, and go on answering workers under this term.
+    // Tells the peers at once, so that they continue to answer workers in this term.
     node.broadcast_status();
     start_tasks(node, term, records.store_revision);
     Ok(())
 }
 
-/// What runs beside the leader's loop, until the term is over.
+/// Starts the tasks that run beside the leader loop until the term ends.
 fn start_tasks(node: &Rc<Node>, term: Term, store_revision: Revision) {
     for prefix in [keys::DESCRIPTIONS, keys::END] {
         tokio::task::spawn_local(watches::run(node.clone(), term, prefix, store_revision));
@@ -62,14 +62,14 @@
     tokio::task::spawn_local(reconciling::run(node.clone(), term));
 }
 
-/// What was read.
+/// When the records were read, and at which revision of the store.
 struct LoadedRecords {
     read_at: Timestamp,
-    /// The revision from which the watches go on.
+    /// The store revision from which the watches continue.
     store_revision: Revision,
 }
 
-/// Reads the jobs and their runs.
+/// Adds the stored jobs and their task runs to the scheduler.
 async fn load_jobs(
     node: &Rc<Node>,
     scheduler: &mut Scheduler,
@@ -80,19 +80,20 @@
     let (read_at, wall_clock_us) = (node.now(), node.wall_clock_us());
     for description in &descriptions {
         if let Some(job) = keys::described(&description.key) {
-            // A damaged description is logged by the scheduler, and its job is passed over.
+            // The scheduler logs an unreadable description and skips its job.
             let _ = scheduler.add_job(read_at, job, &description.value, wall_clock_us);
         }
     }
     for key in scheduler.load_chunks(read_at, &runs) {
-        // Descriptions are deleted last, so this is damage from outside. Its tasks are unknown to the scheduler and
-        // will be stopped where they are reported.
+        // Descriptions are deleted last, so a run without one means that the records were damaged
+        // from outside. The scheduler does not know its tasks and stops them when a worker reports
+        // them.
         warn!(%key, "stored run belongs to no job: ignored");
     }
     Ok(LoadedRecords { read_at, store_revision })
 }
 
-/// Removes the jobs that have ended.
+/// Removes the jobs that have ended from the scheduler.
 async fn remove_ended_jobs(
     node: &Rc<Node>,
     scheduler: &mut Scheduler,
@@ -124,10 +125,11 @@
     );
 }
 
-/// Reads all keys under the prefix, trying again for some seconds. Also the store's revision.
+/// Lists all keys under the prefix together with the store's revision, and retries for some
+/// seconds.
 ///
 /// # Errors
-/// If the key-value store doesn't answer within that time.
+/// Returns an error if the key-value store does not respond within that time.
 pub(in crate::node) async fn list_until_answered(
     node: &Rc<Node>,
     prefix: &str,
--- a/crates/controller/src/node/leader/machine_list.rs
+++ b/crates/controller/src/node/leader/machine_list.rs
@@ -1,4 +1,4 @@
-//! Reads the cloud's list of machines, again and again.
+//! Periodically reads the cloud's list of machines.
 
 use std::rc::Rc;
 use walnutlug_scheduler::leadership::fencing_token::Term;
@@ -7,13 +7,13 @@
 
 use crate::node::Node;
 
-/// Shortest and longest time between two lists.
+/// Shortest and longest time between two list requests.
 const MIN_INTERVAL: Duration = Duration::from_secs(3);
 const MAX_INTERVAL: Duration = Duration::from_secs(10);
-/// Pause after the cloud didn't answer.
+/// Pause after a failed list request.
 const RETRY_PAUSE: Duration = Duration::from_secs(2);
 
-/// Lists the machines until the term is over.
+/// Lists the machines until the term ends.
 pub(super) async fn run(node: Rc<Node>, term: Term) {
     let interval =
         Duration::from_micros(node.site.list_lag.0 / 2).clamp(MIN_INTERVAL, MAX_INTERVAL);
@@ -26,7 +26,8 @@
                     scheduler.machine_list(now, &machines);
                 }
                 node.wake_leader();
-                // The pages of a large fleet's list leave half of the cloud's rate to scaling out and in.
+                // The list of a large fleet takes many pages. A pause as long as the listing leaves
+                // half of the cloud's request rate to scaling out and in.
                 interval.max(list_requested.elapsed())
             }
             Err(_) => RETRY_PAUSE,
--- a/crates/controller/src/node/leader/reconciling.rs
+++ b/crates/controller/src/node/leader/reconciling.rs
@@ -1,5 +1,5 @@
-//! Reads the records again, now and then: which jobs there are, and which of them have ended. The watches say the same
-//! sooner; but no job may depend on one message that was lost.
+//! Periodically reads the records again: which jobs exist and which of them have ended. The watches
+//! report the same sooner, but no job may depend on a single message that can be lost.
 
 use std::rc::Rc;
 use walnutlug_scheduler::leadership::fencing_token::Term;
@@ -14,10 +14,10 @@
 use crate::key_value_client::{KeyValueError, Listing, RequestClass};
 use crate::node::Node;
 
-/// How often a leader reads the records again.
+/// Interval at which a leader reads the records again.
 const RECONCILE_INTERVAL: Duration = Duration::from_secs(20);
 
-/// Reconciles until the term is over.
+/// Reconciles periodically until the term ends.
 pub(super) async fn run(node: Rc<Node>, term: Term) {
     loop {
         sleep(RECONCILE_INTERVAL).await;
@@ -33,10 +33,10 @@
     }
 }
 
-/// Adds jobs that are missing, and applies ends that were missed.
+/// Adds jobs missing from the scheduler and applies job ends that it missed.
 ///
 /// # Errors
-/// If the records can't be read.
+/// Returns an error if the records cannot be read.
 pub(super) async fn reconcile_once(node: &Rc<Node>, term: Term) -> Result<(), KeyValueError> {
     let Listing { key_values: descriptions, .. } =
         node.key_value.list(RequestClass::Poll, keys::DESCRIPTIONS).await?;
@@ -59,8 +59,8 @@
 fn add_missing_jobs(node: &Node, scheduler: &mut Scheduler, descriptions: &[KeyValue]) {
     let (now, wall_clock_us) = (node.now(), node.wall_clock_us());
     for description in descriptions {
-        // One that was deleted since the list was read comes back here as a job to do; the precondition on its end
-        // then fails, and it is deleted again.
+        // A job deleted since the list was read is added again here. The precondition that it has
+        // not ended then fails, and the job is deleted again.
         let Some(job) = keys::described(&description.key) else { continue };
         if !scheduler.cluster.jobs_by_name.contains_key(job)
             && scheduler.add_job(now, job, &description.value, wall_clock_us).is_ok()
@@ -70,7 +70,8 @@
     }
 }
 
-/// The open jobs, and the dependencies of others that the scheduler doesn't have: their ends are needed all the same.
+/// Returns the open jobs, and the dependencies that the scheduler does not know, because their ends
+/// are needed as well.
 fn jobs_to_look_up(scheduler: &Scheduler) -> Vec<String> {
     let cluster = &scheduler.cluster;
     let dependencies = scheduler.open_dependencies().into_iter();
--- a/crates/controller/src/node/leader/reconciling/tests.rs
+++ b/crates/controller/src/node/leader/reconciling/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::user_api::fake_cluster::FakeStore;
 
-/// The watch's answer with the job in it was lost, and with it every mention of the job.
+/// The watch response that contained the job was lost, and so was every other message about it.
 #[tokio::test(start_paused = true)]
 async fn reconciliation_adds_a_job_and_applies_an_end_that_the_watches_missed() {
     let store = FakeStore::default();
--- a/crates/controller/src/node/leader/watches.rs
+++ b/crates/controller/src/node/leader/watches.rs
@@ -1,5 +1,5 @@
-//! Watches the key-value store for new jobs and for ends. A watch is opened again at a bounded pace, since every
-//! opening counts against the allowance.
+//! Watches the key-value store for new jobs and job ends. Watches are reopened at a limited rate,
+//! since each request counts against the store's request allowance.
 
 use std::rc::Rc;
 use walnutlug_scheduler::leadership::fencing_token::Term;
@@ -15,26 +15,27 @@
 use crate::node::step_down::StepDownCause;
 use crate::node::Node;
 
-/// Shortest time between two openings of a watch.
+/// Shortest time between opening a watch and opening it again.
 const MIN_INTERVAL: Duration = Duration::from_millis(150);
-/// Pause after a watch failed.
+/// Pause after a failed watch.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
-/// Shortest and longest time for which the key-value store may hold a watch.
+/// Shortest and longest time for which the key-value store may hold a watch request.
 const MIN_HOLD: Duration = Duration::from_millis(100);
 const MAX_HOLD: Duration = Duration::from_secs(10);
-/// Times that a watch returns, at least, within the watermark's window.
+/// Minimum number of times that a watch returns within the watermark's window.
 const RETURNS_PER_WINDOW: u64 = 6;
 
-/// What is left of the interval. The clock is read once: between two readings the process may be suspended, and a
-/// time that was below the interval is beyond it. (Such a difference below zero ended a leader, with a fleet of two
-/// thousand, on a busy day.)
+/// Returns the remaining part of the minimum interval. The clock is read only once: if the process
+/// is suspended between two readings, a time that was below the interval at the first can be above
+/// it at the second. The resulting negative difference once ended a leader with a fleet of two
+/// thousand machines under load.
 fn remaining_interval(elapsed: Duration) -> Duration {
     MIN_INTERVAL.saturating_sub(elapsed)
 }
 
-/// Watches the keys under the prefix until the term is over.
+/// Watches the keys under the prefix until the term ends.
 pub(super) async fn run(node: Rc<Node>, term: Term, prefix: &'static str, mut from: Revision) {
-    // The watch on ends moves the watermark each time it returns, so it returns often.
+    // The watch on job ends advances the watermark whenever it returns, so it has to return often.
     let window = watermark::window(&node.site).0;
     let hold = Duration::from_micros(window / RETURNS_PER_WINDOW).clamp(MIN_HOLD, MAX_HOLD);
     while node.leads_in_term(term) {
@@ -47,7 +48,8 @@
                 }
                 apply(&node, &watched.events);
                 if prefix == keys::END {
-                    // All that was stored when it was opened is in this answer or an earlier one.
+                    // This response and earlier ones contain every end that was stored before the
+                    // watch was opened.
                     node.cancellations.job_ends_read(requested);
                 }
                 node.wake_leader();
@@ -59,7 +61,8 @@
         }
         let remaining = remaining_interval(opened.elapsed());
         if !remaining.is_zero() {
-            // A node that accepted or cancelled a job hints that there is something new to read.
+            // A node that accepted or cancelled a job sends a hint that there are new records to
+            // read.
             let _ = timeout(remaining, node.watch_wakeup.notified()).await;
         }
     }
@@ -71,7 +74,7 @@
         let WatchEvent::Put { put, value, .. } = event else { continue };
         if let Some(job) = keys::described(put) {
             if let Some(scheduler) = node.scheduler.borrow_mut().as_mut() {
-                // A damaged description is logged by the scheduler, and its job is passed over.
+                // The scheduler logs an unreadable description and skips its job.
                 let _ = scheduler.add_job(now, job, value, wall_clock_us);
             }
         } else if let Some(job) = put.strip_prefix(keys::END) {
--- a/crates/controller/src/node/load.rs
+++ b/crates/controller/src/node/load.rs
@@ -1,4 +1,4 @@
-//! How busy a node is: its connections, the heartbeats that it redirected, and how long submissions took.
+//! Load figures of a node: open connections, redirected heartbeats and submission latency.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -9,28 +9,31 @@
 
 use super::Node;
 
-/// How often the figures are logged.
+/// Interval at which the load figures are logged.
 const LOG_INTERVAL: Duration = Duration::from_secs(60);
-/// Longest time of a submission that is told from longer ones, in milliseconds.
+/// Highest submission latency that the histogram tells apart, in milliseconds; longer ones count as
+/// this.
 const MAX_SUBMISSION_MS: u64 = 60_000;
 const SUBMISSION_MS_SIGNIFICANT_DIGITS: u8 = 2;
 
-/// One node's load.
+/// Load figures of one node.
 pub(super) struct Load {
-    /// Connections from users and workers.
+    /// Number of open connections from users and workers.
     open_connections: Rc<Cell<u32>>,
-    /// Workers' connections that were closed to leave room for users, since they were logged last.
+    /// Number of worker connections closed to keep sockets free for users, since the figure was
+    /// last logged.
     connections_closed: Cell<u32>,
-    /// Heartbeats answered with a redirect in the last seconds.
+    /// Number of heartbeats answered with a redirect since the last reset, a few seconds ago at
+    /// most.
     redirect_count: Cell<u16>,
     submission_ms: RefCell<Histogram<u64>>,
 }
 
 impl Load {
-    /// Of a node that has served nothing yet.
+    /// Creates the figures of a node that has served no requests yet.
     ///
     /// # Errors
-    /// If the histogram can't be made.
+    /// Returns an error if the latency histogram cannot be created.
     pub(super) fn new() -> Result<Load, CreationError> {
         Ok(Load {
             open_connections: Rc::default(),
@@ -44,32 +47,32 @@
         })
     }
 
-    /// The count of open connections, which the server keeps.
+    /// Returns the number of open connections, which the HTTP server keeps up to date.
     pub(super) fn open_connections(&self) -> &Rc<Cell<u32>> {
         &self.open_connections
     }
 
-    /// A worker's connection is closed to leave room for users.
+    /// Counts a worker connection that is closed to keep sockets free for users.
     pub(super) fn count_closed_connection(&self) {
         self.connections_closed.set(self.connections_closed.get() + 1);
     }
 
-    /// A heartbeat was answered with a redirect.
+    /// Counts a heartbeat that was answered with a redirect.
     pub(super) fn count_redirect(&self) {
         self.redirect_count.set(self.redirect_count.get().saturating_add(1));
     }
 
-    /// Heartbeats answered with a redirect since the count was reset.
+    /// Returns the number of heartbeats answered with a redirect since the last reset.
     pub(super) fn redirect_count(&self) -> u16 {
         self.redirect_count.get()
     }
 
-    /// Begins to count redirects anew.
+    /// Resets the number of redirected heartbeats to zero.
     pub(super) fn reset_redirect_count(&self) {
         self.redirect_count.set(0);
     }
 
-    /// A submission was answered after that many milliseconds.
+    /// Records the latency of an answered submission, in milliseconds.
     pub(super) fn record_submission(&self, ms: u64) {
         self.submission_ms.borrow_mut().saturating_record(ms);
     }
@@ -93,7 +96,7 @@
     }
 }
 
-/// Logs the figures for as long as the node lives.
+/// Logs the load figures periodically until the process ends.
 pub(super) async fn log_periodically(node: Rc<Node>) {
     loop {
         sleep(LOG_INTERVAL).await;
--- a/crates/controller/src/node/machine_types.rs
+++ b/crates/controller/src/node/machine_types.rs
@@ -1,4 +1,4 @@
-//! The machine types and their prices, as a node knows them.
+//! Reads the machine types and their prices and keeps them up to date.
 
 use std::rc::Rc;
 
@@ -13,15 +13,15 @@
 use crate::cloud_client::usable_types;
 use crate::key_value_client::{KeyValueClient, RequestClass};
 
-/// Longest time between two readings.
+/// Longest time between two reads of the machine types.
 const MAX_INTERVAL: Duration = Duration::from_secs(60);
-/// The same while no types are known.
+/// Longest time between two reads while no machine types are known.
 const MAX_INTERVAL_WITHOUT_TYPES: Duration = Duration::from_secs(2);
-/// The first time between two readings, which then doubles.
+/// Time between the first two reads; it doubles from read to read.
 const INITIAL_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Gets the machine types, first from the key-value store, and keeps them fresh while the node leads or holds the role
-/// to share them.
+/// Reads the machine types, first from the key-value store, and refreshes them while the node leads
+/// or holds the role that shares them.
 pub(super) async fn keep_fresh(node: Rc<Node>) {
     let mut pause = INITIAL_INTERVAL;
     loop {
@@ -70,7 +70,7 @@
 }
 
 impl Node {
-    /// Reads the types that a node has shared in the key-value store.
+    /// Reads the machine types that some node has shared in the key-value store.
     pub(super) async fn read_types(&self) {
         let found = self.key_value.get(RequestClass::Submission, keys::TYPES).await;
         let Ok(Some(key_value)) = found else { return };
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Replaces the machine types. Whether that changes them.
+    /// Replaces the machine types and returns whether they changed.
     fn set_types(&self, types: &[MachineType]) -> bool {
         if *self.machine_types.borrow() == types {
             return false;
@@ -94,7 +94,7 @@
     }
 }
 
-/// Keeps the types in the store for nodes that start while the cloud is down, where duties aren't
+/// Stores the types for nodes that start while the cloud is unavailable. Used only if roles are not
 /// fenced.
 pub(super) async fn share_unfenced(
     key_value: &KeyValueClient,
@@ -102,7 +102,8 @@
 ) -> TransactionOutcome {
     let value = serde_json::json!({"breeds": types});
     if value.to_string().len() > key_value.limits().value_bytes {
-        // Sent all the same, each refusal would be taken for limits that fell once more.
+        // The client takes each rejection for size as a sign that the store's limits were lowered
+        // again.
         debug!("the machine types are too long to be kept");
         return TransactionOutcome::TooLarge;
     }
--- a/crates/controller/src/node/machine_types/tests.rs
+++ b/crates/controller/src/node/machine_types/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
 use crate::user_api::fake_cluster::FakeStore;
 
-/// Refused for its size again and again, it would lower what is taken for the limits each time.
+/// The client takes each rejection for size as a sign of lower limits, so repeated oversized writes
+/// would keep lowering the limits that it assumes.
 #[tokio::test(start_paused = true)]
 async fn machine_types_above_the_value_size_limit_are_not_sent_to_the_store() {
     let store = FakeStore::default();
--- a/crates/controller/src/node/machine_types_role.rs
+++ b/crates/controller/src/node/machine_types_role.rs
@@ -1,5 +1,5 @@
-//! The role of reading machine types and prices from the cloud and sharing them, which any node may hold on a lease of
-//! its own. The leader leaves it to another node if there is one.
+//! The role that reads machine types and prices from the cloud and shares them. Any node may hold
+//! it under a lease of its own; the leader leaves it to another node if there is one.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -24,18 +24,20 @@
 
 const ROLE: LeasedRole = LeasedRole::MachineTypes;
 const TTL: TimeDelta = TimeDelta::from_secs(12);
-/// How often, at least, the holder renews its lease and the others read who holds the role.
+/// Longest time between two lease renewals by the holder, or between two reads of the holder record
+/// by the other nodes.
 const MAX_CHECK_INTERVAL: Duration = Duration::from_secs(4);
 
-/// A node's part in the role.
+/// This node's state in the machine-types role.
 pub(super) struct MachineTypesRole {
     lease: RefCell<RoleLease>,
-    /// The number of the lease in the key-value store, while there is one.
+    /// Identifier of the lease in the key-value store, while this node has one.
     lease_id: Cell<Option<u64>>,
     balancer: RefCell<RoleBalancer>,
-    /// The epoch under which the types were shared last.
+    /// The epoch in which this node last shared the types.
     last_shared_epoch: Cell<Option<Epoch>>,
-    /// The fault of the stored record that was logged last; each is logged once.
+    /// The last logged error of the stored holder record; the same error is not logged twice in a
+    /// row.
     last_logged_error: RefCell<Option<RecordError>>,
 }
 
@@ -52,30 +54,30 @@
 }
 
 impl MachineTypesRole {
-    /// Whether this node certainly holds the role now.
+    /// Returns whether this node certainly holds the role now.
     pub(super) fn is_held(&self, now: Timestamp) -> bool {
         self.lease.borrow().permit(now).is_some()
     }
 
-    /// Whether this node holds the role and has not shared anything since it took it.
+    /// Returns whether this node holds the role and has shared nothing in its current epoch.
     pub(super) fn must_share(&self) -> bool {
         let epoch = self.lease.borrow().epoch();
         epoch.is_some() && self.last_shared_epoch.get() != epoch
     }
 
-    /// The node holds the key of that revision, on the lease of that number.
+    /// Records that this node holds the role's key at this revision, under this lease.
     fn acquired(&self, lease_id: u64, revision: Revision) {
         self.lease_id.set(Some(lease_id));
         self.step(LeaseInput::Won { revision });
     }
 
-    /// The node holds the role no more.
+    /// Records that this node no longer holds the role.
     fn lost(&self) {
         self.lease_id.set(None);
         self.step(LeaseInput::Ended);
     }
 
-    /// The stored record of the holder can't be read. Logs it, unless it was logged last.
+    /// Logs that the stored holder record cannot be read, unless the same error was logged last.
     fn log_unreadable_holder(&self, fault: RecordError) {
         let mut logged = self.last_logged_error.borrow_mut();
         if logged.as_ref() != Some(&fault) {
@@ -106,7 +108,7 @@
     }
 }
 
-/// Takes, keeps and hands over the role for as long as the node lives.
+/// Acquires, renews and hands over the role until the process ends, if roles are fenced.
 pub(super) async fn run(node: Rc<Node>) {
     if !node.tunables.fenced_duties {
         return;
@@ -146,7 +148,7 @@
     let _ = node.key_value.revoke_lease(id).await;
 }
 
-/// Reads who holds the role, and takes it if nobody does.
+/// Reads who holds the role, and acquires it if nobody does.
 async fn observe(node: &Rc<Node>) {
     let role = &node.machine_types_role;
     match node.key_value.get(RequestClass::Watch, &ROLE.key()).await {
@@ -164,21 +166,22 @@
     }
 }
 
-/// Takes the holder's epoch as known. A lease that a former incarnation of this node left is released.
+/// Records the holder's epoch, and revokes the lease if an earlier process of this node left it.
 async fn observe_holder(node: &Rc<Node>, key_value: &KeyValue) {
     let mut names: Vec<&str> = node.settings.peers.iter().map(|peer| peer.name.as_str()).collect();
     names.push(&node.settings.node_name);
     let held = match HeldRole::read(key_value, &names) {
         Ok(held) => held,
         Err(fault) => {
-            // Left as it is: its lease will expire, or a version that can read it will take care of it.
+            // The record stays in place: its lease will expire, or a version that can read it will
+            // handle it.
             return node.machine_types_role.log_unreadable_holder(fault);
         }
     };
     node.machine_types_role.lease.borrow_mut().observe(held.epoch);
     let own_name = held.holder.node == node.settings.node_name;
     if own_name && held.holder.incarnation != node.identity.election_nonce {
-        // A former incarnation of this node held it; nobody does now.
+        // An earlier process of this node held the role, so nobody holds it now.
         let _ = node.key_value.revoke_lease(held.holder.lease).await;
     }
 }
@@ -192,13 +195,15 @@
         Some(revision) => role.acquired(id, revision),
         None => {
             role.step(LeaseInput::Failed);
-            // Ending the lease ends whatever a late copy of the transaction might yet create.
+            // Revoking the lease also removes a key that a delayed copy of the transaction may
+            // still create.
             let _ = node.key_value.revoke_lease(id).await;
         }
     }
 }
 
-/// Creates the role's key. Its revision if this node did, also where only the answer was lost.
+/// Creates the role's key. Returns its revision if this node created it, even if the response was
+/// lost.
 async fn create_key(node: &Node, lease: u64) -> Option<Revision> {
     let holder = HolderRecord {
         format: HOLDER_FORMAT,
@@ -218,7 +223,7 @@
     }
 }
 
-/// Writes the types for all nodes, if this one still holds the role when the write is carried out.
+/// Stores the types for all nodes. The write succeeds only if this node still holds the role.
 pub(super) async fn share(node: &Node, types: &[MachineType]) {
     let role = &node.machine_types_role;
     let epoch = role.lease.borrow().epoch();
@@ -233,7 +238,7 @@
     match node.key_value.commit(RequestClass::Watch, &write.into_transaction()).await {
         TransactionOutcome::Committed { .. } => role.last_shared_epoch.set(Some(epoch)),
         TransactionOutcome::Conflict { .. } => role.lost(),
-        // The next reading from the cloud is soon enough.
+        // Not retried: the next read from the cloud is soon enough.
         TransactionOutcome::Rejected
         | TransactionOutcome::TooLarge
         | TransactionOutcome::Indeterminate => {}
--- a/crates/controller/src/node/machine_types_role/tests.rs
+++ b/crates/controller/src/node/machine_types_role/tests.rs
@@ -5,7 +5,7 @@
     node.machine_types_role.lease.borrow().epoch()
 }
 
-/// The types in the store, if any.
+/// Returns the machine types in the store, if there are any.
 fn shared_types(store: &FakeStore) -> Option<serde_json::Value> {
     store.value(keys::TYPES).map(|value| value["breeds"].clone())
 }
@@ -16,7 +16,7 @@
         let store = FakeStore::default();
         let cluster = store.cluster(2);
         let (first, second) = (cluster.nodes[0].clone(), cluster.nodes[1].clone());
-        // A node that the key-value store has not answered lately doesn't try.
+        // A node tries to acquire the role only after a recent response from the key-value store.
         for node in [&first, &second] {
             node.key_value.get(RequestClass::Watch, keys::LEADER).await.expect("an answer");
         }
@@ -28,7 +28,7 @@
         let types = first.machine_types.borrow().clone();
         share(&first, &types).await;
         assert!(shared_types(&store).is_some() && !first.machine_types_role.must_share());
-        // Its lease ends while it stands still, and the other takes over.
+        // The lease expires while its holder makes no progress, and the other node takes over.
         tokio::time::advance(Duration::from_micros(TTL.0)).await;
         assert!(!first.machine_types_role.is_held(first.now()), "it stops by itself");
         store.remove(&ROLE.key());
--- a/crates/controller/src/node/peer_messages.rs
+++ b/crates/controller/src/node/peer_messages.rs
@@ -1,4 +1,4 @@
-//! What a node does with the frames of the others.
+//! Handles the frames that a node receives from its peers.
 
 use walnutlug_scheduler::model::job_spec::JobEnd;
 use walnutlug_scheduler::protocol::users::is_job_id;
@@ -9,7 +9,7 @@
 use crate::user_api::TaskCounts;
 
 impl Node {
-    /// Handles a frame from another node.
+    /// Passes a frame from a peer to the component that handles it.
     pub(crate) fn handle_frame(&self, frame: Frame) {
         match frame {
             Frame::Status(status) => self.handle_status(status),
@@ -54,12 +54,13 @@
     }
 
     fn handle_ended(&self, job: &str, end: JobEnd) {
-        // Sent only once it is stored, so a fact: the job's tasks are stopped, also while the key-value store
-        // refuses this node.
+        // Sent only after the end is stored, so it is certain. The job's tasks are stopped even
+        // while the key-value store rejects this node's requests.
         if end == JobEnd::Cancelled && is_job_id(job) {
             return self.apply_job_end(job, JobEnd::Cancelled);
         }
-        // Only a hint to look: a job becomes ready by what the key-value store says.
+        // Only a hint to read the records: what the key-value store contains decides whether a job
+        // is ready.
         self.user_api.known_jobs.forget_progress(job);
         self.watch_wakeup.notify_one();
     }
--- a/crates/controller/src/node/readiness.rs
+++ b/crates/controller/src/node/readiness.rs
@@ -1,4 +1,4 @@
-//! Whether the platform should send users to this node.
+//! Tells the platform whether to send user requests to this node.
 
 use std::cell::Cell;
 
@@ -6,26 +6,29 @@
 
 use super::Node;
 
-/// Time for which the key-value store may refuse a node that stays ready.
+/// Time for which a node stays ready while the key-value store refuses its requests.
 const UNREACHABLE_GRACE: Duration = Duration::from_millis(1_500);
 
-/// Whether the node has ever reached what it needs.
+/// Tracks whether the node has ever reached the key-value store or the cloud.
 #[derive(Default)]
 pub(super) struct Readiness {
     dependency_reached: Cell<bool>,
 }
 
 impl Readiness {
-    /// The node has had an answer from the key-value store or the cloud.
+    /// Records that the key-value store or the cloud has responded.
     pub(super) fn set_dependency_reached(&self) {
         self.dependency_reached.set(true);
     }
 }
 
-/// Ready once the node can decide. In an outage for all it stays ready and says 503 with a time to come again: users
-/// are served sooner so than through the balancer's growing pauses. A node that is refused while others are served is
-/// of no use to anybody; nor is one that is cut off from the key-value store and from all other nodes, which are
-/// served for all it knows.
+/// Returns whether the node should receive user requests: it has to know machine types and have
+/// reached the store or the cloud.
+///
+/// In an outage that affects all nodes it stays ready and answers 503 with a retry time, since
+/// users are then served sooner than through the load balancer's growing pauses. A node is not
+/// ready if the key-value store refuses it but serves a peer, or if it is cut off from the store
+/// and from all peers, which may well be served.
 pub(super) fn is_ready(node: &Node) -> bool {
     if node.machine_types.borrow().is_empty() || !node.readiness.dependency_reached.get() {
         return false;
--- a/crates/controller/src/node/routes.rs
+++ b/crates/controller/src/node/routes.rs
@@ -1,4 +1,4 @@
-//! Routes HTTP requests to the APIs of users and workers, and to the platform's check of readiness.
+//! Routes HTTP requests to the user API, the worker API and the platform's readiness check.
 
 use std::rc::Rc;
 
@@ -10,7 +10,7 @@
 use crate::worker_api::WorkerConnection;
 use crate::{user_api, worker_api};
 
-/// Answers one request.
+/// Answers one HTTP request.
 pub(super) async fn handle(
     node: Rc<Node>,
     connection: Rc<WorkerConnection>,
@@ -31,7 +31,7 @@
     }
 }
 
-/// Requests about one submission.
+/// Answers requests under `/submissions/`.
 async fn submission(node: Rc<Node>, method: &str, path: &str) -> Answer {
     match (path.split_once('/'), method) {
         (None, "GET") => user_api::poll(node, path).await,
@@ -52,13 +52,14 @@
 
 async fn heartbeat(node: &Node, connection: &WorkerConnection, body: &[u8]) -> Answer {
     let mut answer = worker_api::heartbeat(node, connection, body).await;
-    // Workers find their way back with the next heartbeat; a user may not find a socket.
+    // A worker reconnects with its next heartbeat, but a user may find no free socket.
     let workers_kept = Sockets::share(node.settings.fd_limit).workers_kept;
     if node.load.open_connections().get() > workers_kept {
         answer.close = true;
         node.load.count_closed_connection();
     }
-    // A worker silent for longer than its lease has begun anew on another connection.
+    // A worker that is silent for longer than its lease has already started over on another
+    // connection.
     answer.idle = Some(Duration::from_micros(node.site.worker_lease.0));
     answer
 }
--- a/crates/controller/src/node/startup.rs
+++ b/crates/controller/src/node/startup.rs
@@ -1,5 +1,6 @@
-//! Starts a node: its listeners, the queues to its peers, and the tasks that run for as long as it lives. There is no
-//! orderly shutdown: a node may be killed at any time, and what it held ends with its leases.
+//! Starts a node: its listeners, the queues to its peers and its long-running tasks. There is no
+//! orderly shutdown: a node may be killed at any time, and what it held is released when its leases
+//! expire.
 
 use std::rc::Rc;
 
@@ -21,7 +22,7 @@
 /// Runs a node until it is killed.
 ///
 /// # Errors
-/// If the node can't listen, or the runtime can't be started.
+/// Returns an error if the node cannot listen or the runtime cannot be started.
 pub(crate) fn run(settings: Settings, tunables: Tunables) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let local = tokio::task::LocalSet::new();
@@ -46,7 +47,7 @@
     Ok(())
 }
 
-/// Everything that runs beside the server of users and workers.
+/// Starts all long-running tasks except the server for users and workers.
 fn start_tasks(node: &Rc<Node>, peer_listener: TcpListener) {
     let receiver = node.clone();
     spawn_local(peers::listen(peer_listener, move |frame| receiver.handle_frame(frame)));
@@ -58,7 +59,7 @@
     spawn_local(heartbeats::run(node.clone()));
 }
 
-/// One queue and one sending task for each peer.
+/// Creates one queue and starts one sending task for each peer.
 fn start_senders(peers: &[Peer], sockets: Sockets) -> PeerSenders {
     let start = |peer: &Peer| {
         debug!(peer = %peer.name, "peer");
--- a/crates/controller/src/node/step_down.rs
+++ b/crates/controller/src/node/step_down.rs
@@ -1,4 +1,4 @@
-//! Why a node ends its term as the leader.
+//! Reasons for which a node steps down as the leader.
 
 use std::fmt;
 
@@ -7,26 +7,26 @@
 
 use crate::key_value_client::KeyValueError;
 
-/// Why a node ends its term as the leader.
+/// Reason for which a node ends its term as the leader; written to the log when it steps down.
 #[derive(Debug)]
 pub(super) enum StepDownCause {
-    /// Another node leads under a newer term.
+    /// Another node leads in a newer term.
     NewerTerm,
-    /// The leader key is gone, or belongs to another term.
+    /// The leader key was deleted or belongs to another term.
     LeaderKeyChanged,
     /// The lease of the leader key expired.
     LeaseExpired,
-    /// The key-value store has dropped the history from which a watch would go on.
+    /// The key-value store has dropped the history from which a watch would continue.
     WatchExpired,
-    /// The records of the former term can't be read.
+    /// The records of earlier terms cannot be read.
     RecordsUnreadable(KeyValueError),
-    /// No worker reaches this node, while they reach others.
+    /// Workers reach other nodes but not this one.
     CutOffFromWorkers,
-    /// The intent log of the fleet role has stopped.
+    /// The fleet role's intent log has stopped, for example because another node holds the role.
     FleetRoleStopped(Stopped),
-    /// The scheduler has found that it may not decide any more.
+    /// The scheduler found that it may no longer make decisions.
     Scheduler(StepDownReason),
-    /// The leader's tasks have ended.
+    /// The leader's tasks ended without any other cause.
     TermOver,
     /// A test ends the term.
     #[cfg(test)]
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// Cut off from the key-value store and from the other nodes, while workers still reach it.
+/// The node is cut off from the key-value store and from its peers, while workers still reach it.
 #[tokio::test(start_paused = true)]
 async fn isolated_node_returns_503_to_users_without_querying_the_store() {
     let store = FakeStore::default();
@@ -80,7 +80,8 @@
     assert_eq!((answer.status, answer.retry_after), (503, Some(1)));
     assert_eq!(store.request_count.get(), requests_before, "nobody is asked who does not answer");
     assert_eq!(poll_start.elapsed(), Duration::ZERO);
-    // The leader's own probe finds the service again.
+    // The election loop's reads are sent even while the store counts as down, and find that it is
+    // back.
     store.fault(Fault::None);
     let _ = node.key_value.get(RequestClass::Leadership, "x").await;
     assert!(!node.key_value.is_down() && is_ready(&node));
@@ -106,7 +107,8 @@
     assert!(!node.cluster_view.any_peer_reaches_store());
     node.handle_frame(status(7, 3, true));
     assert!(node.cluster_view.any_peer_reaches_store());
-    // Its clock wandered back over a quick restart: its statuses count again after a while.
+    // The peer restarted quickly with its clock set back: its statuses count again once the last
+    // one is no longer current.
     node.handle_frame(status(5, 1, false));
     assert!(node.cluster_view.any_peer_reaches_store());
     tokio::time::advance(STATUS_VALID).await;
@@ -150,12 +152,13 @@
 
 pub(crate) const JOB: &str = "req-000412";
 
-/// A leader of a task that runs, and two other nodes, whose logs of cancellations are known to all.
+/// Creates three nodes: a leader with one running task and two followers, all of which know each
+/// other's cancellation logs.
 pub(crate) async fn cluster_with_running_task(store: &FakeStore) -> Cluster {
     elect_leader_with_running_task(store, store.cluster(3)).await
 }
 
-/// The same with the nodes given.
+/// Does the same with the given nodes.
 pub(crate) async fn elect_leader_with_running_task(
     store: &FakeStore,
     mut cluster: Cluster,
@@ -204,14 +207,15 @@
     cluster
 }
 
-/// The worker reports its task. The answer's status and calls.
+/// Sends the running task's heartbeat on a new connection. Returns the status and the commands of
+/// the response.
 fn heartbeat_once(node: &Node, sequence: u64) -> (u16, Vec<String>) {
     let (status, _, calls) =
         heartbeat_on_connection(node, &WorkerConnection::default(), sequence, FencingToken(0));
     (status, calls)
 }
 
-/// The heartbeat of a worker without tasks.
+/// Heartbeat of a worker without tasks.
 pub(crate) fn idle_heartbeat(machine: &str, sequence: u64) -> String {
     let heartbeat = serde_json::json!({"tree": machine, "address": "10.0.0.1:1", "breed": "t8",
         "grove": "east", "windfall": true, "season": 1, "ring": sequence, "staff": 0, "shakeS": null,
@@ -219,7 +223,7 @@
     heartbeat.to_string()
 }
 
-/// The heartbeat of a worker that runs the task and has seen the token.
+/// Heartbeat of the worker that runs the task and has seen the token.
 pub(crate) fn running_task_heartbeat(sequence: u64, token: FencingToken) -> String {
     let heartbeat = serde_json::json!({"tree": "n-1", "address": "10.0.0.1:1", "breed": "t8",
         "grove": "east", "windfall": true, "season": 1, "ring": sequence, "staff": token, "shakeS": null,
@@ -227,8 +231,8 @@
     heartbeat.to_string()
 }
 
-/// The same on a connection that is_repetition, by a worker that has seen the token. The answer's status,
-/// token and calls.
+/// Sends the running task's heartbeat on an existing connection. Returns the status, token and
+/// commands of the response.
 fn heartbeat_on_connection(
     node: &Node,
     connection: &WorkerConnection,
@@ -246,7 +250,7 @@
     (answer.status, FencingToken(response["staff"].as_u64().unwrap_or(0)), calls)
 }
 
-/// Whether the connection takes a heartbeat for its last one again.
+/// Returns whether the connection recognizes the heartbeat as a repetition of its last one.
 fn is_repetition(connection: &WorkerConnection, sequence: u64, token: FencingToken) -> bool {
     connection
         .repetition(running_task_heartbeat(sequence, token).as_bytes())
@@ -286,15 +290,16 @@
             leader.record_job_end(JOB, JobEnd::Cancelled);
             let (status, _, calls) = heartbeat_on_connection(&leader, &connection, 40, token);
             assert_eq!((status, calls), (200, vec!["\"kill\"".to_owned()]));
-            // One that no longer leads renews nothing, whatever it is_repetition.
+            // A node that no longer leads renews no lease, whatever its connections remember.
             leader.step_down(StepDownCause::Test);
             assert_eq!(heartbeat_on_connection(&leader, &connection, 41, token).0, 421);
         })
         .await;
 }
 
-/// The key-value store refuses the leader alone, another node confirms a cancellation, then the service
-/// is down for all. How the leader answers its worker, by what became of the frames.
+/// The key-value store refuses only the leader while another node confirms a cancellation, and then
+/// fails for all nodes. Checks how the leader answers its worker, depending on which frames from
+/// the other node arrive.
 #[tokio::test(start_paused = true)]
 async fn leader_kills_a_task_cancelled_elsewhere_or_stops_renewing_its_lease_within_the_window() {
     tokio::task::LocalSet::new()
@@ -350,7 +355,8 @@
         .await;
 }
 
-/// The node that confirmed it ends before a frame left it, and is back at once under its name.
+/// The node that confirmed the cancellation ends before a frame leaves it, and restarts at once
+/// under the same name.
 #[tokio::test(start_paused = true)]
 async fn restarted_peer_does_not_vouch_for_cancellations_of_its_earlier_incarnation() {
     tokio::task::LocalSet::new()
@@ -359,7 +365,7 @@
             let mut cluster = cluster_with_running_task(&store).await;
             let leader = cluster.nodes[0].clone();
             assert_eq!(user_api::cancel(cluster.nodes[1].clone(), JOB).await.status, 200);
-            // Lost with the process.
+            // These frames are lost with the process.
             assert!(!cluster.take(1, 0).await.is_empty());
             cluster.take(1, 2).await;
             store.fault(Fault::Down);
@@ -383,7 +389,8 @@
                 assert!(!past_window || status == 421, "renewed after {:?}", confirmed.elapsed());
                 tokio::time::advance(Duration::from_secs(1)).await;
             }
-            // The service is back, and its watch delivers the end: killed, and renewed again.
+            // The store is back and its watch delivers the end: the task is killed and leases are
+            // renewed again.
             store.fault(Fault::None);
             leader.record_job_end(JOB, JobEnd::Cancelled);
             leader.cancellations.job_ends_read(leader.now());
@@ -393,7 +400,8 @@
         .await;
 }
 
-/// While the records are read, an answer would renew what may have been cancelled long ago.
+/// While the records are loading, a response would renew the lease of a task that may have been
+/// cancelled long ago.
 #[tokio::test(start_paused = true)]
 async fn leader_renews_no_worker_lease_while_loading_the_records() {
     let node = FakeStore::default().node();
@@ -403,7 +411,7 @@
     assert_eq!(heartbeat_once(&node, 1).0, 421);
 }
 
-/// A cancellation that comes between the reading of the ends and the first round.
+/// The cancellation arrives after the ends were read and before the first round of the scheduler.
 #[tokio::test(start_paused = true)]
 async fn cancellation_received_while_loading_is_applied_when_the_scheduler_is_installed() {
     let store = FakeStore::default();
