--- a/crates/controller/src/node/cancellations.rs
+++ b/crates/controller/src/node/cancellations.rs
@@ -163,7 +163,7 @@
         } else {
             // A peer that sends nothing may have confirmed cancellations that this node does not
             // know.
-            warn!("worker leases not renewed: cancellations of a silent node may be unknown");
+            warn!("worker leases not renewed: cancellations of an unreachable node may be unknown");
         }
     }
 }
--- a/crates/controller/src/node/election.rs
+++ b/crates/controller/src/node/election.rs
@@ -115,7 +115,7 @@
     if !node.leadership.borrow_mut().step(node.now(), ElectionEvent::Won { term }) {
         return;
     }
-    info!(%term, "elected");
+    info!(%term, "elected as leader");
     node.key_value.set_leading(true);
     node.record_leader(&node.settings.node_name, term);
     leader::lead(node, term, HeldLease { id: lease, renewed: requested }).await;
--- a/crates/controller/src/node/event_log.rs
+++ b/crates/controller/src/node/event_log.rs
@@ -37,7 +37,7 @@
         Event::Shares { shares } => write_shares(shares),
         Event::OverloadEntered { waiting } => {
             let waiting = format_args!("{waiting:.2}");
-            info!(%waiting, "fleet overloaded: shared by team and class");
+            info!(%waiting, "fleet overloaded: capacity now shared by team and class");
         }
         Event::OverloadLeft => info!("fleet no longer overloaded"),
         Event::Anomaly { name, kind } => write_anomaly(name, *kind),
@@ -95,7 +95,7 @@
         jobs_deleted = written.jobs_deleted,
         tasks_placed = written.tasks_placed,
         image_cached = written.image_cached,
-        "writes and placements"
+        "store writes and task placements"
     );
 }
 
@@ -105,17 +105,17 @@
         format!("{}/{class} {:.3}", held.team, held.share)
     };
     let shares = shares.iter().map(one).collect::<Vec<_>>().join(", ");
-    info!(%shares, "shares of the overloaded fleet");
+    info!(%shares, "shares of the overloaded fleet by team and class");
 }
 
 fn write_anomaly(name: &str, kind: Anomaly) {
     match kind {
-        Anomaly::NewerTerm => info!(machine = %name, "heartbeat shows a newer term"),
+        Anomaly::NewerTerm => info!(machine = %name, "heartbeat carries a token of a newer term"),
         Anomaly::HeartbeatAfterTermination => {
-            info!(machine = %name, "heartbeat of a terminated machine");
+            info!(machine = %name, "heartbeat received from a terminated machine");
         }
         Anomaly::LateHeartbeat => {
-            info!(machine = %name, "late heartbeat of an earlier agent epoch")
+            info!(machine = %name, "late heartbeat from an earlier agent epoch")
         }
         Anomaly::UnexpectedTasks => info!(machine = %name, "machine runs unexpected tasks"),
         Anomaly::DependencyNeverSubmitted => info!(job = %name, "dependency was never submitted"),
--- a/crates/controller/src/node/fleet_role.rs
+++ b/crates/controller/src/node/fleet_role.rs
@@ -69,7 +69,7 @@
     let epoch = match node.cluster_view.enter_term(term) {
         Ok(epoch) => epoch,
         Err(reason) => {
-            error!(%term, %reason, "fleet role not taken");
+            error!(%term, %reason, "fleet role not acquired");
             node.fleet_role.end_term();
             return Ok(());
         }
@@ -112,14 +112,14 @@
         info!(%term, scale_outs, scale_ins, "settling intents of former holders of the fleet role");
     }
     for machine in &adopted.overruled {
-        warn!(%term, machine, "intent to scale in dropped: tasks were placed on the machine after it"
+        warn!(%term, machine, "scale-in intent dropped: tasks were placed on the machine after it was stored"
         );
     }
     for fault in adopted.faults.iter().take(MAX_FAULTS_LOGGED) {
-        error!(%term, reason = %fault, "stored intent ignored");
+        error!(%term, reason = %fault, "invalid stored intent ignored");
     }
     if let Some(count) = adopted.faults.len().checked_sub(MAX_FAULTS_LOGGED).filter(|n| *n > 0) {
-        error!(%term, count, "more stored intents ignored");
+        error!(%term, count, "further invalid stored intents ignored");
     }
 }
 
@@ -240,7 +240,7 @@
     let answer = node.cloud.terminate(&machines, &|| holds_role(&node, term)).await;
     let outcome = action_answer(&answer);
     if outcome != ActionAnswer::Done {
-        debug!(%term, ?outcome, "machines not terminated yet");
+        debug!(%term, ?outcome, "scale-in request not completed");
     }
     apply_answer(&node, term, |intent_log| intent_log.answered(node.now(), id, outcome, &[]));
     with_scheduler(&node, term, |scheduler, now| {
--- a/crates/controller/src/node/golden_tests.rs
+++ b/crates/controller/src/node/golden_tests.rs
@@ -47,7 +47,7 @@
     let mut body = submission();
     match value {
         Value::Null => {
-            body.as_object_mut().expect("an object").remove(field);
+            body.as_object_mut().expect("a JSON object").remove(field);
         }
         value => body[field] = value,
     }
@@ -120,7 +120,7 @@
         let node = node.clone();
         async move {
             let mut body: Value =
-                serde_json::from_str(&submission_with(field, value)).expect("json");
+                serde_json::from_str(&submission_with(field, value)).expect("body is JSON");
             if field != "ref" {
                 body["ref"] = json!("req-000505");
             }
@@ -214,7 +214,7 @@
 /// Heartbeat of a worker whose task has ended.
 fn finished_task_heartbeat(sequence: u64, token: FencingToken) -> String {
     let mut heartbeat: Value =
-        serde_json::from_str(&running_task_heartbeat(sequence, token)).expect("json");
+        serde_json::from_str(&running_task_heartbeat(sequence, token)).expect("body is JSON");
     heartbeat["nuts"][0]["stage"] = json!("exited");
     heartbeat["nuts"][0]["cause"] = json!("done");
     heartbeat.to_string()
@@ -282,7 +282,7 @@
         let requests: Rc<RefCell<String>> = Rc::default();
         let recorded_request = requests.clone();
         let script = move |method: &str, path: &str, body: &[u8]| {
-            let body = String::from_utf8(body.to_vec()).expect("text");
+            let body = String::from_utf8(body.to_vec()).expect("request body is UTF-8");
             *recorded_request.borrow_mut() = format!("{method} {path}\n{body}");
             Ok(Response { status, body: running_task_heartbeat(88, FencingToken(41)).into_bytes() })
         };
@@ -297,18 +297,21 @@
         .await;
         match outcome {
             MessageOutcome::Answered(heartbeat) => {
-                assert!(status == 200 || status == 409, "{kind}: the status was read otherwise");
+                assert!(
+                    status == 200 || status == 409,
+                    "{kind}: unexpected outcome for status {status}"
+                );
                 assert!(
                     heartbeat.machine == "n-1" && heartbeat.sequence == 88,
-                    "{kind}: the report"
+                    "{kind}: wrong heartbeat in the response"
                 );
                 assert!(
                     heartbeat.token == FencingToken(41) && heartbeat.tasks.len() == 1,
-                    "{kind}: the report"
+                    "{kind}: wrong heartbeat in the response"
                 );
             }
-            MessageOutcome::Indeterminate => assert!(status == 400, "{kind}: taken for lost"),
-            MessageOutcome::NotSent => panic!("{kind}: not sent"),
+            MessageOutcome::Indeterminate => assert!(status == 400, "{kind}: indeterminate"),
+            MessageOutcome::NotSent => panic!("{kind}: the request was not sent"),
         }
         let text = requests.borrow().clone();
         entries.push((kind, text));
@@ -333,7 +336,7 @@
 ) -> Rc<Node> {
     let requests = requests.clone();
     let script = move |method: &str, path: &str, body: &[u8]| -> crate::http::client::Answering {
-        let body = String::from_utf8(body.to_vec()).expect("text");
+        let body = String::from_utf8(body.to_vec()).expect("request body is UTF-8");
         requests.borrow_mut().push(format!("{method} {path}\n{body}").trim_end().to_owned());
         if path.starts_with("/watch?") {
             return Box::pin(std::future::pending());
@@ -346,9 +349,13 @@
     };
     let settings = Settings::parse(&crate::settings::tests::sample().to_string());
     let client = Rc::new(Client::scripted_slow(Box::new(script)));
-    let node =
-        Node::new(settings.expect("settings"), Tunables::default(), client, PeerSenders::new([]));
-    let node = Rc::new(node.expect("a node"));
+    let node = Node::new(
+        settings.expect("valid settings"),
+        Tunables::default(),
+        client,
+        PeerSenders::new([]),
+    );
+    let node = Rc::new(node.expect("node creation"));
     node.machine_types.borrow_mut().push(machine_type());
     node
 }
@@ -405,7 +412,10 @@
             let election = tokio::task::spawn_local(election::run(node.clone()));
             tokio::time::sleep(ELECTION_DURATION).await;
             election.abort();
-            assert!(node.leadership.borrow().term() == Some(Term(432)), "elected");
+            assert!(
+                node.leadership.borrow().term() == Some(Term(432)),
+                "the node should be elected"
+            );
             entries.push((kind, normalized(&node, &sorted_unique(&requests))));
         }
         let requests = Rc::default();
--- a/crates/controller/src/node/heartbeats/tests.rs
+++ b/crates/controller/src/node/heartbeats/tests.rs
@@ -37,8 +37,9 @@
         tokio::task::yield_now().await;
         cluster.deliver(|_, _| true).await;
     }
-    let answer = answer.await.expect("an answer");
-    let response: serde_json::Value = serde_json::from_slice(&answer.body).expect("json");
+    let answer = answer.await.expect("heartbeat task finished");
+    let response: serde_json::Value =
+        serde_json::from_slice(&answer.body).expect("response body is JSON");
     let calls = response["calls"].as_array().into_iter().flatten();
     let calls = calls.map(|c| c["call"].as_str().unwrap_or_default().to_owned()).collect();
     (answer.status, FencingToken(response["staff"].as_u64().unwrap_or(0)), calls)
@@ -71,9 +72,9 @@
     let mut cluster = cluster_with_delegation(store).await;
     let connection = Rc::new(WorkerConnection::default());
     let (status, token, calls) = heartbeat(&mut cluster, 1, &connection, 1, FencingToken(0)).await;
-    assert_eq!((status, calls), (200, vec![]), "the leader's answer");
+    assert_eq!((status, calls), (200, vec![]), "the first heartbeat is answered by the leader");
     assert_eq!(heartbeat(&mut cluster, 1, &connection, 2, token).await, (200, token, vec![]));
-    assert!(follower_can_answer(&cluster, &connection, 3, token), "a settled report");
+    assert!(follower_can_answer(&cluster, &connection, 3, token), "the heartbeat should be cached");
     (cluster, connection, 3, token)
 }
 
@@ -101,8 +102,10 @@
         send_repeated_heartbeats(&cluster.nodes[1]);
         cluster.deliver(|_, _| true).await;
         let scheduler = cluster.nodes[0].scheduler.borrow();
-        let machine =
-            scheduler.as_ref().and_then(|s| s.cluster.machines.first()).expect("a machine");
+        let machine = scheduler
+            .as_ref()
+            .and_then(|s| s.cluster.machines.first())
+            .expect("one machine in the scheduler");
         assert_eq!(
             (machine.sequence, machine.last_heartbeat),
             (sequence + 4, cluster.nodes[0].now())
@@ -149,7 +152,7 @@
             sequence += 1;
             tokio::time::advance(Duration::from_millis(100)).await;
         }
-        assert!(answered > 20, "it answered {answered} times");
+        assert!(answered > 20, "the follower answered only {answered} times");
         assert!(
             last_answered_after <= window,
             "cancelled at {cancelled_at:?}, but still answered after {last_answered_after:?}"
@@ -171,7 +174,10 @@
         cluster.nodes[0].record_job_end(JOB, JobEnd::Cancelled);
         send_invalidations(&cluster.nodes[0]);
         cluster.deliver(|_, _| false).await;
-        assert!(follower_can_answer(&cluster, &connection, sequence, token), "it hasn't heard");
+        assert!(
+            follower_can_answer(&cluster, &connection, sequence, token),
+            "the follower has not received the invalidation"
+        );
         request_delegation(&cluster.nodes[1]);
         for _ in 0..3 {
             cluster.deliver(|_, _| true).await;
@@ -210,7 +216,10 @@
         let answer = worker_api::heartbeat(&node, &connection, body.as_bytes()).await;
         assert_eq!(answer.status, 421);
         assert!(String::from_utf8_lossy(&answer.body).contains("keeper"));
-        assert!(began.elapsed() <= RESPONSE_TIMEOUT, "the worker waits for four seconds");
+        assert!(
+            began.elapsed() <= RESPONSE_TIMEOUT,
+            "must be answered before the worker's timeout of four seconds"
+        );
         assert_eq!(node.delegation.follower().pending(), 0);
         // The leader's response arrives after the timeout and is discarded.
         for _ in 0..3 {
@@ -249,9 +258,13 @@
         assert_eq!(send_heartbeat(node.clone()).await.status, 421);
         assert_eq!(began.elapsed(), Duration::ZERO);
         for response in responses {
-            assert_eq!(response.await.expect("an answer").status, 421);
+            assert_eq!(response.await.expect("heartbeat task finished").status, 421);
         }
-        assert_eq!(node.delegation.follower().pending(), 0, "what was refused can come again");
+        assert_eq!(
+            node.delegation.follower().pending(),
+            0,
+            "redirected heartbeats must not stay pending"
+        );
         // A heartbeat that does not fit into a frame is not forwarded.
         let oversized = format!(
             "{}{}",
@@ -296,16 +309,16 @@
         assert_eq!(node.delegation.follower().pending(), WORKERS);
         let frames = cluster.take(1, 0).await;
         let bytes: usize = frames.iter().map(|frame| frame.encode().len()).sum();
-        assert!(bytes <= WORKERS * MAX_FRAME_BYTES, "{bytes} bytes wait");
+        assert!(bytes <= WORKERS * MAX_FRAME_BYTES, "{bytes} bytes are queued");
         let heartbeats =
             frames.iter().filter(|f| matches!(f, Frame::ForwardedHeartbeat(_))).count();
-        assert_eq!(heartbeats, WORKERS, "each in a frame of its own");
+        assert_eq!(heartbeats, WORKERS, "each heartbeat is forwarded in its own frame");
         for frame in frames {
             cluster.nodes[0].handle_frame(frame);
         }
         cluster.deliver(|_, _| true).await;
         for response in responses {
-            assert_eq!(response.await.expect("an answer"), 200);
+            assert_eq!(response.await.expect("heartbeat task finished"), 200);
         }
         assert_eq!(node.delegation.follower().pending(), 0);
     };
@@ -326,7 +339,7 @@
         }
         assert!(
             !follower_can_answer(&cluster, &connection, sequence, token),
-            "granted anew, with no marks"
+            "a new grant must not restore the cached heartbeats"
         );
     };
     tokio::task::LocalSet::new().run_until(test).await;
--- a/crates/controller/src/node/leader/lease.rs
+++ b/crates/controller/src/node/leader/lease.rs
@@ -45,7 +45,7 @@
                 return node.step_down(StepDownCause::LeaseExpired)
             }
             Err(error) => {
-                debug!(%error, "leader lease not renewed");
+                debug!(%error, "leader lease renewal failed");
                 // After an outage the store gives leases their full time again, so the leader stays
                 // and keeps answering its workers. The store and the workers' token checks reject
                 // what it may no longer do.
--- a/crates/controller/src/node/leader/loading.rs
+++ b/crates/controller/src/node/leader/loading.rs
@@ -88,7 +88,7 @@
         // Descriptions are deleted last, so a run without one means that the records were damaged
         // from outside. The scheduler does not know its tasks and stops them when a worker reports
         // them.
-        warn!(%key, "stored run belongs to no job: ignored");
+        warn!(%key, "stored task run ignored: its job does not exist");
     }
     Ok(LoadedRecords { read_at, store_revision })
 }
@@ -121,7 +121,7 @@
         jobs = scheduler.cluster.jobs_by_name.len(),
         placed,
         ms = load_start.elapsed().as_millis() as u64,
-        "records read: leading"
+        "records loaded; now leading"
     );
 }
 
--- a/crates/controller/src/node/leader/reconciling.rs
+++ b/crates/controller/src/node/leader/reconciling.rs
@@ -28,7 +28,7 @@
             continue;
         }
         if let Err(error) = reconcile_once(&node, term).await {
-            debug!(%error, "records not read again");
+            debug!(%error, "reconciliation failed: records could not be read");
         }
     }
 }
--- a/crates/controller/src/node/load.rs
+++ b/crates/controller/src/node/load.rs
@@ -81,7 +81,10 @@
         let closed = self.connections_closed.replace(0);
         if closed > 0 {
             let open = self.open_connections.get();
-            warn!(heartbeats = closed, open, "worker connections closed: too many for the sockets");
+            warn!(
+                heartbeats = closed,
+                open, "worker connections closed to keep sockets free for users"
+            );
         }
         let mut submission_ms = self.submission_ms.borrow_mut();
         if !submission_ms.is_empty() {
@@ -89,7 +92,7 @@
                 count = submission_ms.len(),
                 p50_ms = submission_ms.value_at_quantile(0.5),
                 p99_ms = submission_ms.value_at_quantile(0.99),
-                "submissions of the last minute"
+                "submission latency over the last minute"
             );
             submission_ms.reset();
         }
--- a/crates/controller/src/node/machine_types.rs
+++ b/crates/controller/src/node/machine_types.rs
@@ -49,7 +49,7 @@
 
 async fn read_types_from_cloud(node: &Rc<Node>, share: bool) {
     match node.cloud.types().await {
-        Ok(types) if types.is_empty() => warn!("cloud offers no usable machine type"),
+        Ok(types) if types.is_empty() => warn!("cloud offers no usable machine types"),
         Ok(types) => {
             let changed = node.set_types(&types);
             if share && (changed || node.machine_types_role.must_share()) {
@@ -57,7 +57,7 @@
             }
             node.readiness.set_dependency_reached();
         }
-        Err(error) => debug!(%error, "machine types not read from the cloud"),
+        Err(error) => debug!(%error, "failed to read machine types from the cloud"),
     }
 }
 
@@ -104,7 +104,7 @@
     if value.to_string().len() > key_value.limits().value_bytes {
         // The client takes each rejection for size as a sign that the store's limits were lowered
         // again.
-        debug!("the machine types are too long to be kept");
+        debug!("machine types not stored: value exceeds the store's size limit");
         return TransactionOutcome::TooLarge;
     }
     let transaction =
--- a/crates/controller/src/node/machine_types_role.rs
+++ b/crates/controller/src/node/machine_types_role.rs
@@ -81,7 +81,7 @@
     fn log_unreadable_holder(&self, fault: RecordError) {
         let mut logged = self.last_logged_error.borrow_mut();
         if logged.as_ref() != Some(&fault) {
-            warn!(role = ROLE.name(), reason = %fault, "role holder record unreadable");
+            warn!(role = ROLE.name(), reason = %fault, "stored role holder record is unreadable");
             *logged = Some(fault);
         }
     }
@@ -101,7 +101,7 @@
                 info!(role, %epoch, "role lost or handed over");
             }
             (_, LeaseState::Stopped { error }) => {
-                error!(role, reason = %error, "role stopped at this node");
+                error!(role, reason = %error, "role disabled at this node until it restarts");
             }
             _ => {}
         }
@@ -133,13 +133,13 @@
     let Some(id) = role.lease_id.get() else { return };
     let (now, own, others) = (node.now(), own_load(node), node.cluster_view.peer_loads());
     if role.balancer.borrow_mut().should_hand_over(now, own, &others) {
-        info!(role = ROLE.name(), "role handed over: this node leads");
+        info!(role = ROLE.name(), "handing over the role because this node leads");
         return release(node, id).await;
     }
     match node.key_value.renew_lease(id).await {
         Ok(()) => role.step(LeaseInput::Renewed { sent: now }),
         Err(KeyValueError::Expired { .. }) => role.lost(),
-        Err(error) => debug!(role = ROLE.name(), %error, "role lease not renewed"),
+        Err(error) => debug!(role = ROLE.name(), %error, "role lease renewal failed"),
     }
 }
 
@@ -162,7 +162,7 @@
                 acquire(node).await;
             }
         }
-        Err(error) => debug!(role = ROLE.name(), %error, "role holder not read"),
+        Err(error) => debug!(role = ROLE.name(), %error, "failed to read the role holder"),
     }
 }
 
@@ -230,7 +230,7 @@
     let Some(epoch) = epoch else { return };
     let value = serde_json::json!({"breeds": types});
     if value.to_string().len() > node.key_value.limits().value_bytes {
-        debug!("machine types too long to be shared");
+        debug!("machine types not shared: value exceeds the store's size limit");
         return;
     }
     let mut write = FencedWrite::new(&Fence::new(ROLE, epoch));
--- a/crates/controller/src/node/machine_types_role/tests.rs
+++ b/crates/controller/src/node/machine_types_role/tests.rs
@@ -18,7 +18,10 @@
         let (first, second) = (cluster.nodes[0].clone(), cluster.nodes[1].clone());
         // A node tries to acquire the role only after a recent response from the key-value store.
         for node in [&first, &second] {
-            node.key_value.get(RequestClass::Watch, keys::LEADER).await.expect("an answer");
+            node.key_value
+                .get(RequestClass::Watch, keys::LEADER)
+                .await
+                .expect("a response from the store");
         }
         observe(&first).await;
         observe(&second).await;
@@ -30,15 +33,23 @@
         assert!(shared_types(&store).is_some() && !first.machine_types_role.must_share());
         // The lease expires while its holder makes no progress, and the other node takes over.
         tokio::time::advance(Duration::from_micros(TTL.0)).await;
-        assert!(!first.machine_types_role.is_held(first.now()), "it stops by itself");
+        assert!(!first.machine_types_role.is_held(first.now()), "the role ends with its lease");
         store.remove(&ROLE.key());
-        second.key_value.get(RequestClass::Watch, keys::LEADER).await.expect("an answer");
+        second
+            .key_value
+            .get(RequestClass::Watch, keys::LEADER)
+            .await
+            .expect("a response from the store");
         observe(&second).await;
         assert!(held_epoch(&second) > held_epoch(&first));
         let before = shared_types(&store);
         share(&first, &[]).await;
-        assert_eq!(shared_types(&store), before, "fenced");
-        assert_eq!(held_epoch(&first), None, "and it knows");
+        assert_eq!(shared_types(&store), before, "the replaced holder's write must be rejected");
+        assert_eq!(
+            held_epoch(&first),
+            None,
+            "the rejected write ends the role at the replaced holder"
+        );
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
@@ -48,7 +59,10 @@
     let test = async {
         let store = FakeStore::default();
         let node = store.node();
-        node.key_value.get(RequestClass::Watch, keys::LEADER).await.expect("an answer");
+        node.key_value
+            .get(RequestClass::Watch, keys::LEADER)
+            .await
+            .expect("a response from the store");
         store.fault(Fault::AppliedButLost);
         observe(&node).await;
         assert!(node.machine_types_role.is_held(node.now()));
@@ -69,8 +83,15 @@
         store.put(&ROLE.key(), value.clone());
         observe(&node).await;
         assert_eq!(held_epoch(&node), None);
-        assert!(node.machine_types_role.last_logged_error.borrow().is_some(), "{value} is logged");
-        assert_eq!(store.value(&ROLE.key()), Some(value.clone()), "and stays");
+        assert!(
+            node.machine_types_role.last_logged_error.borrow().is_some(),
+            "{value} must be logged"
+        );
+        assert_eq!(
+            store.value(&ROLE.key()),
+            Some(value.clone()),
+            "the unreadable record must stay"
+        );
     }
 }
 
@@ -85,15 +106,18 @@
             incarnation: "former".into(),
             lease: 77,
         };
-        store.put(&ROLE.key(), serde_json::to_value(&earlier_holder).expect("a value"));
+        store.put(&ROLE.key(), serde_json::to_value(&earlier_holder).expect("record as JSON"));
         observe(&node).await;
-        assert!(!store.holds(&ROLE.key()), "its lease is ended");
-        node.key_value.get(RequestClass::Watch, keys::LEADER).await.expect("an answer");
+        assert!(!store.holds(&ROLE.key()), "the earlier lease must be revoked");
+        node.key_value
+            .get(RequestClass::Watch, keys::LEADER)
+            .await
+            .expect("a response from the store");
         observe(&node).await;
         let epoch_before = held_epoch(&node);
         renew(&node).await;
         assert!(epoch_before.is_some() && held_epoch(&node) == epoch_before);
-        let id = node.machine_types_role.lease_id.get().expect("a lease");
+        let id = node.machine_types_role.lease_id.get().expect("the held lease");
         release(&node, id).await;
         assert!(held_epoch(&node).is_none() && !store.holds(&ROLE.key()));
     };
--- a/crates/controller/src/node/startup.rs
+++ b/crates/controller/src/node/startup.rs
@@ -62,7 +62,7 @@
 /// Creates one queue and starts one sending task for each peer.
 fn start_senders(peers: &[Peer], sockets: Sockets) -> PeerSenders {
     let start = |peer: &Peer| {
-        debug!(peer = %peer.name, "peer");
+        debug!(peer = %peer.name, "starting sender for peer");
         let (sender, queue) = mpsc::channel(peers::queue_length(sockets));
         spawn_local(peers::run_sender(peer.addr, queue));
         (peer.name.clone(), sender)
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -29,7 +29,7 @@
             count: 1 + u64::from(store_reachable),
         })
     };
-    assert!(!is_ready(&node), "never loaded");
+    assert!(!is_ready(&node), "no service has responded yet");
     node.readiness.set_dependency_reached();
     assert!(is_ready(&node));
     store.fault(Fault::Down);
@@ -37,9 +37,9 @@
     tokio::time::advance(Duration::from_secs(2)).await;
     let _ = node.key_value.get(RequestClass::Poll, "x").await;
     node.handle_frame(status(false));
-    assert!(is_ready(&node), "an outage for all");
+    assert!(is_ready(&node), "stays ready in an outage for all nodes");
     node.handle_frame(status(true));
-    assert!(!is_ready(&node), "alone refused");
+    assert!(!is_ready(&node), "the store refuses only this node");
 }
 
 #[tokio::test(start_paused = true)]
@@ -73,12 +73,16 @@
     tokio::time::advance(STATUS_VALID + Duration::from_secs(1)).await;
     let _ = node.key_value.get(RequestClass::Poll, "x").await;
     assert!(node.key_value.is_down());
-    assert!(!is_ready(&node), "alone with an unserved state");
+    assert!(!is_ready(&node), "isolated without a reachable store");
     let requests_before = store.request_count.get();
     let poll_start = Instant::now();
     let answer = user_api::poll(node.clone(), "req-000412").await;
     assert_eq!((answer.status, answer.retry_after), (503, Some(1)));
-    assert_eq!(store.request_count.get(), requests_before, "nobody is asked who does not answer");
+    assert_eq!(
+        store.request_count.get(),
+        requests_before,
+        "a store that is down must not be queried"
+    );
     assert_eq!(poll_start.elapsed(), Duration::ZERO);
     // The election loop's reads are sent even while the store counts as down, and find that it is
     // back.
@@ -244,7 +248,8 @@
         connection,
         running_task_heartbeat(sequence, token).as_bytes(),
     );
-    let response: serde_json::Value = serde_json::from_slice(&answer.body).expect("json");
+    let response: serde_json::Value =
+        serde_json::from_slice(&answer.body).expect("response body is JSON");
     let calls = response["calls"].as_array().into_iter().flatten();
     let calls = calls.map(|c| c["call"].to_string()).collect();
     (answer.status, FencingToken(response["staff"].as_u64().unwrap_or(0)), calls)
@@ -267,7 +272,7 @@
             let (status, token, calls) =
                 heartbeat_on_connection(&leader, &connection, 1, FencingToken(0));
             assert_eq!((status, calls), (200, vec![]));
-            assert!(!is_repetition(&connection, 2, token), "the worker hadn't seen the token");
+            assert!(!is_repetition(&connection, 2, token), "the worker had not seen the token yet");
             for sequence in 2..40 {
                 tokio::time::advance(Duration::from_secs(1)).await;
                 leader.cancellations.job_ends_read(leader.now());
@@ -277,14 +282,19 @@
                     "{sequence}"
                 );
             }
-            assert!(is_repetition(&connection, 40, token), "most of these were repetitions");
+            assert!(
+                is_repetition(&connection, 40, token),
+                "the last heartbeat should count as a repetition"
+            );
             assert!(
                 !is_repetition(&connection, 40, FencingToken(token.get() + 1))
                     && !is_repetition(&WorkerConnection::default(), 40, token)
             );
             let scheduler = leader.scheduler.borrow();
-            let machine =
-                scheduler.as_ref().and_then(|s| s.cluster.machines.first()).expect("a machine");
+            let machine = scheduler
+                .as_ref()
+                .and_then(|s| s.cluster.machines.first())
+                .expect("one machine in the scheduler");
             assert_eq!((machine.sequence, machine.last_heartbeat), (39, leader.now()));
             drop(scheduler);
             leader.record_job_end(JOB, JobEnd::Cancelled);
@@ -312,7 +322,7 @@
                 let leader = cluster.nodes[0].clone();
                 assert_eq!(heartbeat_once(&leader, 1), (200, vec![]), "{case}");
                 let answer = user_api::cancel(cluster.nodes[1].clone(), JOB).await;
-                assert_eq!(answer.status, 200, "{case}: nothing was confirmed");
+                assert_eq!(answer.status, 200, "{case}: the cancellation was not confirmed");
                 let confirmed = Instant::now();
                 store.fault(Fault::Down);
                 let requests_before = store.request_count.get();
@@ -332,7 +342,7 @@
                     let has_command = !calls.is_empty();
                     assert!(
                         has_command || status == 421 || confirmed.elapsed() <= window,
-                        "{case}: renewed without a kill after {:?}",
+                        "{case}: lease renewed without a kill command after {:?}",
                         confirmed.elapsed()
                     );
                     kill_sent |= has_command && status == 200;
@@ -348,7 +358,7 @@
                 assert_eq!(
                     store.request_count.get(),
                     requests_before,
-                    "{case}: the state service was down"
+                    "{case}: no request may reach the store while it is down"
                 );
             }
         })
@@ -386,7 +396,11 @@
                 let (status, calls) = heartbeat_once(&leader, sequence);
                 assert!(calls.is_empty());
                 let past_window = confirmed.elapsed() > Duration::from_secs(20);
-                assert!(!past_window || status == 421, "renewed after {:?}", confirmed.elapsed());
+                assert!(
+                    !past_window || status == 421,
+                    "lease still renewed after {:?}",
+                    confirmed.elapsed()
+                );
                 tokio::time::advance(Duration::from_secs(1)).await;
             }
             // The store is back and its watch delivers the end: the task is killed and leases are
@@ -417,7 +431,7 @@
     let store = FakeStore::default();
     let cluster = cluster_with_running_task(&store).await;
     let node = cluster.nodes[0].clone();
-    let scheduler = node.scheduler.borrow_mut().take().expect("a scheduler");
+    let scheduler = node.scheduler.borrow_mut().take().expect("the leader's scheduler");
     node.leadership.borrow_mut().step(node.now(), ElectionEvent::Lost);
     for event in [ElectionEvent::Vacant, ElectionEvent::Won { term: Term(6) }] {
         node.leadership.borrow_mut().step(node.now(), event);
