--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -156,7 +156,7 @@
         })
     }
 
-    /// Returns the monotonic time of this process.
+    /// Returns the time of the node's monotonic clock, by which leases and timeouts are measured.
     pub(crate) fn now(&self) -> Timestamp {
         self.clock.now()
     }
@@ -186,7 +186,8 @@
         self.peers.send(name, frame);
     }
 
-    /// Counts a heartbeat that was answered with a redirect.
+    /// Counts a heartbeat that was answered with a redirect; peers learn the count from this node's
+    /// status.
     pub(crate) fn count_redirect(&self) {
         self.load.count_redirect();
     }
--- a/crates/controller/src/node/event_log.rs
+++ b/crates/controller/src/node/event_log.rs
@@ -7,7 +7,7 @@
 };
 use walnutlug_scheduler::model::machine::DrainReason;
 
-/// Writes one scheduler event to the log.
+/// Writes one scheduler event to the log, always at level info.
 pub(super) fn write(event: &Event) {
     match event {
         Event::JobDone(done) => write_job_done(done),
--- a/crates/controller/src/node/fleet_role.rs
+++ b/crates/controller/src/node/fleet_role.rs
@@ -112,7 +112,7 @@
         info!(%term, scale_outs, scale_ins, "settling intents of former holders of the fleet role");
     }
     for machine in &adopted.overruled {
-        warn!(%term, machine, "scale-in intent dropped: tasks were placed on the machine after it was stored"
+        warn!(%term, machine, "scale-in intent dropped: tasks were placed on the machine later"
         );
     }
     for fault in adopted.faults.iter().take(MAX_FAULTS_LOGGED) {
--- a/crates/controller/src/node/leader.rs
+++ b/crates/controller/src/node/leader.rs
@@ -110,10 +110,10 @@
     renewal_task.abort();
 }
 
-/// Returns the pause after a round that took this long, which leaves the rest of the node's CPU
-/// share to other tasks. Under load the next round then handles more changes at once. Without a
-/// pause, rounds of 2 ms each used the whole share of 1/50 core for ten seconds, and heartbeats and
-/// submissions waited behind them.
+/// Returns the pause after a round of this duration: long enough that the node's CPU share gives
+/// other tasks as much CPU time as the round used. Under load the next round then handles more
+/// changes at once. Without a pause, rounds of 2 ms each used the whole share of 1/50 core for ten
+/// seconds, and heartbeats and submissions waited behind them.
 fn pause_after_round(round: Duration, cpu_share: f64) -> Duration {
     round.div_f64(cpu_share).clamp(MIN_PAUSE, MAX_PAUSE)
 }
--- a/crates/controller/src/node/leader/lease.rs
+++ b/crates/controller/src/node/leader/lease.rs
@@ -1,4 +1,5 @@
-//! Renewal of the leader's lease.
+//! Renews the lease that the leader key is attached to, and works out how long it is certainly
+//! held.
 
 use std::rc::Rc;
 
@@ -13,10 +14,10 @@
 
 /// Fraction of the lease's time to live after which the lease is renewed.
 const RENEWAL_FRACTION: f64 = 0.28;
-/// Pause after a failed renewal.
+/// Pause before a failed renewal is repeated.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// A lease granted by the key-value store.
+/// The leader's lease as granted by the key-value store.
 pub(in crate::node) struct HeldLease {
     /// Identifier of the lease in the key-value store.
     pub(in crate::node) id: u64,
@@ -29,7 +30,7 @@
     Duration::from_micros(safe_lease_time(TimeDelta(ttl.as_micros() as u64)).0)
 }
 
-/// Renews the leader's lease until it expires.
+/// Renews the leader's lease until the key-value store reports it expired, then steps down.
 pub(super) async fn renew_until_expired(node: Rc<Node>, lease: HeldLease) {
     let ttl = Duration::from_micros(node.tunables.leader_lease.0);
     let mut renewed = lease.renewed;
--- a/crates/controller/src/node/leader/loading.rs
+++ b/crates/controller/src/node/leader/loading.rs
@@ -16,7 +16,7 @@
 use crate::node::{fleet_role, Node};
 use crate::peers::MachineAddress;
 
-/// Pause after a failed read.
+/// Pause before a failed read is repeated.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 /// Number of times that a failed list request is repeated.
 const MAX_RETRIES: u32 = 21;
--- a/crates/controller/src/node/leader/machine_list.rs
+++ b/crates/controller/src/node/leader/machine_list.rs
@@ -10,10 +10,10 @@
 /// Shortest and longest time between two list requests.
 const MIN_INTERVAL: Duration = Duration::from_secs(3);
 const MAX_INTERVAL: Duration = Duration::from_secs(10);
-/// Pause after a failed list request.
+/// Pause before a failed list request is repeated.
 const RETRY_PAUSE: Duration = Duration::from_secs(2);
 
-/// Lists the machines until the term ends.
+/// Passes the cloud's machine list to the scheduler until the term ends.
 pub(super) async fn run(node: Rc<Node>, term: Term) {
     let interval =
         Duration::from_micros(node.site.list_lag.0 / 2).clamp(MIN_INTERVAL, MAX_INTERVAL);
--- a/crates/controller/src/node/leader/reconciling.rs
+++ b/crates/controller/src/node/leader/reconciling.rs
@@ -17,7 +17,8 @@
 /// Interval at which a leader reads the records again.
 const RECONCILE_INTERVAL: Duration = Duration::from_secs(20);
 
-/// Reconciles periodically until the term ends.
+/// Reads the records again every `RECONCILE_INTERVAL` until the term ends, except while the
+/// key-value store is unreachable.
 pub(super) async fn run(node: Rc<Node>, term: Term) {
     loop {
         sleep(RECONCILE_INTERVAL).await;
--- a/crates/controller/src/node/leader/watches.rs
+++ b/crates/controller/src/node/leader/watches.rs
@@ -17,7 +17,7 @@
 
 /// Shortest time between opening a watch and opening it again.
 const MIN_INTERVAL: Duration = Duration::from_millis(150);
-/// Pause after a failed watch.
+/// Pause before a failed watch is opened again.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 /// Shortest and longest time for which the key-value store may hold a watch request.
 const MIN_HOLD: Duration = Duration::from_millis(100);
@@ -33,7 +33,7 @@
     MIN_INTERVAL.saturating_sub(elapsed)
 }
 
-/// Watches the keys under the prefix until the term ends.
+/// Watches the keys under the prefix and applies changes to the scheduler until the term ends.
 pub(super) async fn run(node: Rc<Node>, term: Term, prefix: &'static str, mut from: Revision) {
     // The watch on job ends advances the watermark whenever it returns, so it has to return often.
     let window = watermark::window(&node.site).0;
--- a/crates/controller/src/node/load.rs
+++ b/crates/controller/src/node/load.rs
@@ -16,7 +16,7 @@
 const MAX_SUBMISSION_MS: u64 = 60_000;
 const SUBMISSION_MS_SIGNIFICANT_DIGITS: u8 = 2;
 
-/// Load figures of one node.
+/// Load figures of one node, updated by the HTTP server and the user and worker APIs.
 pub(super) struct Load {
     /// Number of open connections from users and workers.
     open_connections: Rc<Cell<u32>>,
@@ -57,7 +57,8 @@
         self.connections_closed.set(self.connections_closed.get() + 1);
     }
 
-    /// Counts a heartbeat that was answered with a redirect.
+    /// Counts a heartbeat that was answered with a redirect; peers learn the count from this node's
+    /// status.
     pub(super) fn count_redirect(&self) {
         self.redirect_count.set(self.redirect_count.get().saturating_add(1));
     }
@@ -99,7 +100,7 @@
     }
 }
 
-/// Logs the load figures periodically until the process ends.
+/// Logs the load figures every `LOG_INTERVAL` until the process ends.
 pub(super) async fn log_periodically(node: Rc<Node>) {
     loop {
         sleep(LOG_INTERVAL).await;
--- a/crates/controller/src/node/routes.rs
+++ b/crates/controller/src/node/routes.rs
@@ -10,7 +10,8 @@
 use crate::worker_api::WorkerConnection;
 use crate::{user_api, worker_api};
 
-/// Answers one HTTP request.
+/// Answers an HTTP request according to its path and method; other paths and methods get 404 or
+/// 405.
 pub(super) async fn handle(
     node: Rc<Node>,
     connection: Rc<WorkerConnection>,
--- a/crates/controller/src/node/startup.rs
+++ b/crates/controller/src/node/startup.rs
@@ -19,7 +19,7 @@
 use crate::settings::{Peer, Settings, Sockets};
 use crate::worker_api::WorkerConnection;
 
-/// Runs a node until it is killed.
+/// Runs a node on a single-threaded runtime until the process is killed.
 ///
 /// # Errors
 /// Returns an error if the node cannot listen or the runtime cannot be started.
--- a/crates/controller/src/node/step_down.rs
+++ b/crates/controller/src/node/step_down.rs
@@ -14,7 +14,7 @@
     NewerTerm,
     /// The leader key was deleted or belongs to another term.
     LeaderKeyChanged,
-    /// The lease of the leader key expired.
+    /// The key-value store reports that the lease of the leader key expired.
     LeaseExpired,
     /// The key-value store has dropped the history from which a watch would continue.
     WatchExpired,
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -162,7 +162,8 @@
     elect_leader_with_running_task(store, store.cluster(3)).await
 }
 
-/// Does the same with the given nodes.
+/// Makes node 0 of the given cluster the leader with one running task, and shares the cancellation
+/// logs among its nodes.
 pub(crate) async fn elect_leader_with_running_task(
     store: &FakeStore,
     mut cluster: Cluster,
