--- a/crates/controller/src/node/broadcast.rs
+++ b/crates/controller/src/node/broadcast.rs
@@ -1,5 +1,5 @@
-//! What a node sends to all others every second: its status, and as the leader what they need for display and for a
-//! quick failover.
+//! Periodic messages to all peers: the node's status and, from the leader, the job progress that
+//! users are shown and the machine addresses that speed up a failover.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -16,31 +16,33 @@
 use super::Node;
 use crate::peers::{Frame, MachineAddress, NodeStatus, MAX_MACHINES};
 
-/// Broadcasts after which redirects are counted anew.
-const REDIRECTS_COUNTED_OVER: u32 = 6;
-/// Seconds in which all machines' addresses are sent once, one frame a second at least: well within the time for
-/// which an address is valid, at any size.
-const ADDRESS_CYCLE: usize = 6;
+/// Number of broadcasts after which the redirect count is reset.
+const BROADCASTS_PER_REDIRECT_COUNT: u32 = 6;
+/// Number of broadcasts, at most a second apart, in which every machine's address is sent once.
+/// Each sends at least one full frame, so a cycle stays well within the time for which an address
+/// is valid, whatever the size of the fleet.
+const ADDRESS_CYCLE_BROADCASTS: usize = 6;
 
-/// What was broadcast before.
+/// Tracks what this node has already broadcast.
 #[derive(Default)]
 pub(super) struct BroadcastState {
-    /// Statuses sent by this incarnation.
-    statuses: Cell<u64>,
-    /// Each open job's counts as they were sent last.
-    job_counts: RefCell<HashMap<String, (u32, u32)>>,
-    /// The machine up to whose name addresses were sent in this cycle; empty at its beginning.
-    last_machine: RefCell<String>,
+    /// Number of statuses sent by this process; the next status carries it as its sequence number.
+    statuses_sent: Cell<u64>,
+    /// The (done, running) task counts last sent for each open job.
+    last_job_counts: RefCell<HashMap<String, (u32, u32)>>,
+    /// Name of the last machine whose address was sent in the current cycle; empty at the start of
+    /// a cycle.
+    last_machine_sent: RefCell<String>,
 }
 
-/// Broadcasts for as long as the node lives.
+/// Sends the periodic broadcasts and probes the key-value store until the process ends.
 pub(super) async fn run(node: Rc<Node>) {
-    let mut count = 0u32;
+    let mut broadcasts = 0u32;
     loop {
         let leading = node.broadcast_status();
-        count += 1;
-        if count.is_multiple_of(REDIRECTS_COUNTED_OVER) {
-            node.load.reset_redirected();
+        broadcasts += 1;
+        if broadcasts.is_multiple_of(BROADCASTS_PER_REDIRECT_COUNT) {
+            node.load.reset_redirect_count();
         }
         if leading {
             if let Some(scheduler) = node.scheduler.borrow().as_ref() {
@@ -48,21 +50,21 @@
                 broadcast_addresses(&node, scheduler);
             }
         }
-        let probe = node.clone();
-        tokio::task::spawn_local(async move { probe.key_value.probe().await });
+        let probing_node = node.clone();
+        tokio::task::spawn_local(async move { probing_node.key_value.probe().await });
         sleep(Duration::from_micros(request_interval(&node.site).0)).await;
     }
 }
 
 impl Node {
-    /// Sends the others this node's status. To a leader's they answer how far their logs of cancellations go.
-    /// Whether this node leads.
+    /// Sends this node's status to all peers and returns whether this node leads. Peers answer a
+    /// leader's status with the end of their cancellation log.
     pub(crate) fn broadcast_status(&self) -> bool {
         let (term, leading) = match self.leadership.borrow().role() {
             Role::Leader { term } | Role::Loading { term } => (term, true),
             Role::Follower | Role::Candidate => (Term::NONE, false),
         };
-        let count = self.broadcasts.statuses.get();
+        let count = self.broadcasts.statuses_sent.get();
         if leading {
             self.cancellations.log_ends_requested(self.now(), count);
         }
@@ -71,13 +73,14 @@
             term,
             leading,
             store_reachable: self.key_value.store_reachable(),
-            redirected: self.load.redirected(),
+            redirected: self.load.redirect_count(),
             incarnation: self.identity.incarnation,
             count,
         }));
-        self.broadcasts.statuses.set(count + 1);
+        self.broadcasts.statuses_sent.set(count + 1);
         if self.key_value.limits_lowered() {
-            // A node that comes to lead later would find out again, with refused writes.
+            // Otherwise a node that becomes leader later would learn of the lowered limits only
+            // from rejected writes.
             self.broadcast(&Frame::LimitsLowered);
         }
         leading
@@ -86,7 +89,7 @@
 
 fn broadcast_progress(node: &Node, scheduler: &Scheduler) {
     let jobs = &scheduler.cluster.jobs_by_name;
-    let mut sent = node.broadcasts.job_counts.borrow_mut();
+    let mut sent = node.broadcasts.last_job_counts.borrow_mut();
     sent.retain(|job, _| jobs.contains_key(job));
     for (job, &index) in jobs {
         let Some(counts) = scheduler.cluster.counts(index) else { continue };
@@ -98,25 +101,26 @@
     }
 }
 
-/// Sends the addresses of the next few machines, by name, beginning anew after the last.
+/// Sends the next batch of machine addresses in name order and starts over after the last one.
 fn broadcast_addresses(node: &Node, scheduler: &Scheduler) {
     let cluster = &scheduler.cluster;
-    let mut last = node.broadcasts.last_machine.borrow_mut();
+    let mut last_name = node.broadcasts.last_machine_sent.borrow_mut();
     let is_next = |(name, &index): &(&String, &MachineIndex)| {
-        **name > *last && cluster.machines[index].state == MachineState::Up
+        **name > *last_name && cluster.machines[index].state == MachineState::Up
     };
     let mut next: Vec<(&String, &MachineIndex)> =
         cluster.machines_by_name.iter().filter(is_next).collect();
     next.sort_unstable();
-    let most = cluster.machines_by_name.len().div_ceil(ADDRESS_CYCLE).max(MAX_MACHINES);
-    let last_sent = match next.get(most) {
-        Some(_) => next[most - 1].0.clone(),
+    let batch_size =
+        cluster.machines_by_name.len().div_ceil(ADDRESS_CYCLE_BROADCASTS).max(MAX_MACHINES);
+    let last_sent = match next.get(batch_size) {
+        Some(_) => next[batch_size - 1].0.clone(),
         None => String::new(),
     };
-    *last = last_sent;
-    next.truncate(most);
-    for some in next.chunks(MAX_MACHINES) {
-        let machines = some.iter().filter_map(|(name, &index)| {
+    *last_name = last_sent;
+    next.truncate(batch_size);
+    for chunk in next.chunks(MAX_MACHINES) {
+        let machines = chunk.iter().filter_map(|(name, &index)| {
             let address = cluster.machines[index].address.parse().ok()?;
             Some(MachineAddress { machine: (*name).clone(), address })
         });
--- a/crates/controller/src/node/fleet_role.rs
+++ b/crates/controller/src/node/fleet_role.rs
@@ -1,5 +1,6 @@
-//! The leader's role over the fleet, fenced: scaling out and in is recorded as an intent before it is requested, the
-//! lease is checked directly before each request, and the intents of former leaders are settled first.
+//! The leader's fenced role of scaling the fleet. Each scale-out and scale-in is stored as an
+//! intent before it is requested, the lease is checked directly before each request, and intents
+//! left by earlier leaders are settled first.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -21,40 +22,42 @@
 use crate::cloud_client::CloudError;
 use crate::key_value_client::{KeyValueError, RequestClass};
 
-/// Lags of the cloud's list after which a machine is on it for certain; it may lag twice as long as stated.
+/// Multiple of the stated list lag after which a new machine is certainly on the cloud's list; the
+/// list may lag twice as long as stated.
 const LISTED_AFTER_LAGS: f64 = 3.0;
-/// Faulty records that are logged at a failover.
+/// Maximum number of invalid stored intents that are logged one by one at a failover.
 const MAX_FAULTS_LOGGED: usize = 5;
 
-/// The intents of this node's term as the leader, if roles are fenced.
+/// Holds the intent log of this node's term as the leader, if roles are fenced.
 #[derive(Default)]
 pub(super) struct FleetRole {
     intent_log: RefCell<Option<IntentLog>>,
 }
 
 impl FleetRole {
-    /// The term is over.
-    pub(super) fn end(&self) {
+    /// Drops the intent log when the term ends.
+    pub(super) fn end_term(&self) {
         self.intent_log.take();
     }
 
-    fn begin(&self, intent_log: IntentLog) {
+    fn begin_term(&self, intent_log: IntentLog) {
         self.intent_log.replace(Some(intent_log));
     }
 
-    /// Calls the function with the intent log of that term, if there is one.
-    fn with_intent_log<T>(&self, term: Term, call: impl FnOnce(&mut IntentLog) -> T) -> Option<T> {
+    /// Calls the function with the intent log if it belongs to the term.
+    fn with_intent_log<T>(&self, term: Term, apply: impl FnOnce(&mut IntentLog) -> T) -> Option<T> {
         let mut intent_log = self.intent_log.borrow_mut();
-        let of_term =
+        let belongs_to_term =
             |intent_log: &&mut IntentLog| intent_log.fence().epoch().revision() == term.into();
-        intent_log.as_mut().filter(of_term).map(call)
+        intent_log.as_mut().filter(belongs_to_term).map(apply)
     }
 }
 
-/// Takes the role over with the lead: reads the intents of former holders that were not seen to settle.
+/// Takes over the fleet role at the start of a term: reads the intents that earlier holders left
+/// unsettled and hands their effects to the scheduler.
 ///
 /// # Errors
-/// If the intents can't be read.
+/// Returns an error if the intents cannot be read.
 pub(super) async fn take_over(
     node: &Rc<Node>,
     term: Term,
@@ -66,12 +69,13 @@
     let epoch = match node.cluster_view.enter_term(term) {
         Ok(epoch) => epoch,
         Err(reason) => {
-            error!(%term, %reason, "fleet role not taken");
-            node.fleet_role.end();
+            error!(%term, %reason, "fleet role not acquired");
+            node.fleet_role.end_term();
             return Ok(());
         }
     };
-    // The term is a precondition of every write, so no intent of an earlier one can come after this.
+    // Every write requires the current term, so no intent of an earlier term can be stored after
+    // this read.
     let stored = list_until_answered(node, INTENT_PREFIX).await?.key_values;
     let listed_within = node.site.list_lag.mul_f64(LISTED_AFTER_LAGS);
     let fence = Fence::new(LeasedRole::Fleet, epoch);
@@ -86,11 +90,11 @@
         let ScaleOut { kind, zone, spot, count, .. } = scale_out;
         scheduler.adopt_scale_out(kind, zone, *spot, *count);
     }
-    node.fleet_role.begin(intent_log);
+    node.fleet_role.begin_term(intent_log);
     Ok(())
 }
 
-/// Whether tasks are placed on the machine.
+/// Returns whether any task is placed on the machine.
 fn holds_tasks(scheduler: &Scheduler, machine: &str) -> bool {
     let cluster = &scheduler.cluster;
     let index = cluster.machines_by_name.get(machine);
@@ -108,26 +112,27 @@
         info!(%term, scale_outs, scale_ins, "settling intents of former holders of the fleet role");
     }
     for machine in &adopted.overruled {
-        warn!(%term, machine, "intent to scale in dropped: tasks were placed on the machine after it"
+        warn!(%term, machine, "scale-in intent dropped: tasks were placed on the machine later"
         );
     }
     for fault in adopted.faults.iter().take(MAX_FAULTS_LOGGED) {
-        error!(%term, reason = %fault, "stored intent ignored");
+        error!(%term, reason = %fault, "invalid stored intent ignored");
     }
     if let Some(count) = adopted.faults.len().checked_sub(MAX_FAULTS_LOGGED).filter(|n| *n > 0) {
-        error!(%term, count, "more stored intents ignored");
+        error!(%term, count, "further invalid stored intents ignored");
     }
 }
 
-/// Scales out under the fence.
+/// Adds a scale-out to the intent log. If the log does not accept it, tells the scheduler that it
+/// failed.
 pub(super) fn scale_out(node: &Node, request: &ScaleOutRequest) {
     let ScaleOutRequest { request, kind, zone, spot, count } = request.clone();
     let scale_out = ScaleOut { request, kind, zone, spot, count };
     let mut intent_log = node.fleet_role.intent_log.borrow_mut();
     let (kind, zone) = (scale_out.kind.clone(), scale_out.zone.clone());
-    let taken = intent_log.as_mut().is_some_and(|intent_log| intent_log.scale_out(scale_out));
+    let accepted = intent_log.as_mut().is_some_and(|intent_log| intent_log.scale_out(scale_out));
     drop(intent_log);
-    if taken {
+    if accepted {
         return;
     }
     if let Some(scheduler) = node.scheduler.borrow_mut().as_mut() {
@@ -135,29 +140,29 @@
     }
 }
 
-/// Scales in under the fence.
+/// Adds a scale-in to the intent log.
 pub(super) fn scale_in(node: &Node, machines: &[String]) {
     let now = node.now();
     let mut scheduler = node.scheduler.borrow_mut();
     let Some(scheduler) = scheduler.as_mut() else { return };
-    let terminated = |machine: &String| TerminatedMachine {
+    let to_terminated_machine = |machine: &String| TerminatedMachine {
         machine: machine.clone(),
         holds_tasks: holds_tasks(scheduler, machine),
     };
-    let machines = machines.iter().map(terminated).collect();
+    let machines = machines.iter().map(to_terminated_machine).collect();
     let mut intent_log = node.fleet_role.intent_log.borrow_mut();
     let requests = intent_log.as_mut().map_or(0, |intent_log| intent_log.scale_in(now, machines));
     if requests == 0 {
-        // Nothing new comes of it, so no answer will either.
+        // No new request results from this, so no response will follow.
         scheduler.scale_in_answered(now, &[], false);
     }
 }
 
-/// Carries on with what is to be recorded, requested and deleted.
-pub(super) fn advance(node: &Rc<Node>, term: Term) {
+/// Starts the writes and cloud requests that the intent log has ready.
+pub(super) fn advance_intents(node: &Rc<Node>, term: Term) {
     let commands = node.fleet_role.with_intent_log(term, |intent_log| {
         intent_log.set_limits(write_limits(node));
-        intent_log.tick(node.now(), is_held(node, term));
+        intent_log.tick(node.now(), holds_role(node, term));
         intent_log.take_commands()
     });
     for command in commands.unwrap_or_default() {
@@ -166,7 +171,7 @@
                 let node = node.clone();
                 tokio::task::spawn_local(async move {
                     let outcome = node.key_value.commit(RequestClass::Dispatch, &transaction).await;
-                    answered(&node, term, |intent_log| {
+                    apply_answer(&node, term, |intent_log| {
                         intent_log.written(node.now(), id, &outcome)
                     });
                 });
@@ -181,25 +186,26 @@
     }
 }
 
-/// Applies an answer to the intent log of that term, and carries on.
-fn answered(node: &Rc<Node>, term: Term, apply: impl FnOnce(&mut IntentLog)) {
+/// Applies a response to the intent log of the term and continues with it. Steps down if the log
+/// has stopped.
+fn apply_answer(node: &Rc<Node>, term: Term, apply: impl FnOnce(&mut IntentLog)) {
     let stopped = node.fleet_role.with_intent_log(term, |intent_log| {
         apply(intent_log);
         intent_log.stopped().cloned()
     });
     match stopped {
         Some(Some(stopped)) => node.step_down(StepDownCause::FleetRoleStopped(stopped)),
-        Some(None) => advance(node, term),
+        Some(None) => advance_intents(node, term),
         None => {}
     }
 }
 
-/// Whether this node still holds the role under that epoch, for certain and right now.
-fn is_held(node: &Node, term: Term) -> bool {
+/// Returns whether this node certainly holds the role for the term at this moment.
+fn holds_role(node: &Node, term: Term) -> bool {
     node.leadership.borrow().term() == Some(term) && node.leader.holds_lease()
 }
 
-/// What the answer of the cloud means for the intent.
+/// Translates the cloud's response into the outcome of the intent's action.
 fn action_answer<T>(answer: &Result<T, CloudError>) -> ActionAnswer {
     match answer {
         Ok(_) => ActionAnswer::Done,
@@ -210,15 +216,15 @@
 }
 
 async fn send_scale_out(node: Rc<Node>, term: Term, id: ActionId, scale_out: ScaleOut) {
-    let answer = node.cloud.scale_out(&scale_out.request(), &|| is_held(&node, term)).await;
+    let answer = node.cloud.scale_out(&scale_out.request(), &|| holds_role(&node, term)).await;
     let outcome = action_answer(&answer);
     let granted = answer.as_deref().unwrap_or_default();
-    answered(&node, term, |intent_log| intent_log.answered(node.now(), id, outcome, granted));
+    apply_answer(&node, term, |intent_log| intent_log.answered(node.now(), id, outcome, granted));
     let granted = match answer {
         Ok(machines) => Ok(machines),
         Err(CloudError::NoCapacity { .. }) => Ok(Vec::new()),
         Err(CloudError::Rejected { .. }) => Err(()),
-        // It is requested again, and the machines may come.
+        // The request is repeated, and its machines may still arrive.
         Err(CloudError::NotSent { .. } | CloudError::Indeterminate { .. }) => {
             return with_scheduler(&node, term, |scheduler, now| scheduler.cloud_in_trouble(now));
         }
@@ -231,12 +237,12 @@
 
 async fn send_scale_in(node: Rc<Node>, term: Term, id: ActionId, machines: Vec<TerminatedMachine>) {
     let machines: Vec<String> = machines.into_iter().map(|machine| machine.machine).collect();
-    let answer = node.cloud.terminate(&machines, &|| is_held(&node, term)).await;
+    let answer = node.cloud.terminate(&machines, &|| holds_role(&node, term)).await;
     let outcome = action_answer(&answer);
     if outcome != ActionAnswer::Done {
-        debug!(%term, ?outcome, "machines not terminated yet");
+        debug!(%term, ?outcome, "scale-in request not completed");
     }
-    answered(&node, term, |intent_log| intent_log.answered(node.now(), id, outcome, &[]));
+    apply_answer(&node, term, |intent_log| intent_log.answered(node.now(), id, outcome, &[]));
     with_scheduler(&node, term, |scheduler, now| {
         scheduler.scale_in_answered(now, &machines, outcome == ActionAnswer::Done);
     });
--- a/crates/controller/src/node/heartbeats/follower.rs
+++ b/crates/controller/src/node/heartbeats/follower.rs
@@ -1,4 +1,5 @@
-//! This node as a follower: it answers repeated heartbeats on the leader's behalf, and forwards the others.
+//! The follower's side: answers repeated heartbeats on the leader's behalf and forwards all others
+//! to the leader.
 
 use tracing::info;
 use walnutlug_scheduler::leadership::fencing_token::{FencingToken, Term};
@@ -7,12 +8,13 @@
 use crate::node::Node;
 use crate::peers::{
     DelegationGranted, DelegationRequest, ForwardedHeartbeat, ForwardedResponse, Frame,
-    MAX_CARRIED, MAX_ENTRIES,
+    MAX_ENTRIES, MAX_FORWARDED_BYTES,
 };
 use crate::worker_api::{Repetition, WorkerConnection};
 
 impl Node {
-    /// The token with which a follower may answer the heartbeat, if it repeats a cached one.
+    /// Returns the token for answering the heartbeat, if it repeats a cached one that this node may
+    /// answer itself.
     pub(crate) fn repeated_heartbeat_token(
         &self,
         connection: &WorkerConnection,
@@ -22,7 +24,8 @@
         self.delegation.follower().answer_repeated(self.now(), cached, sequence)
     }
 
-    /// Forwards the heartbeat to the leader. `None`: the worker should report elsewhere.
+    /// Forwards the heartbeat to the leader and returns its response. `None` means that the worker
+    /// should send its heartbeat to another node.
     pub(crate) async fn forward_heartbeat(
         &self,
         connection: &WorkerConnection,
@@ -30,8 +33,8 @@
     ) -> Option<Answer> {
         let follower = self.delegation.follower();
         let term = follower.forwarding_term(self.now())?;
-        let leader = self.leader_under(term)?;
-        if body.len() > MAX_CARRIED {
+        let leader = self.other_leader_in_term(term)?;
+        if body.len() > MAX_FORWARDED_BYTES {
             return None;
         }
         let pending = follower.begin_forward()?;
@@ -49,7 +52,7 @@
     }
 }
 
-/// As a follower, asks whoever leads for a grant.
+/// As a follower, requests a delegation from the current leader.
 pub(in crate::node) fn request_delegation(node: &Node) {
     let Some(leader) = node.other_leader() else { return };
     let request = DelegationRequest {
@@ -61,28 +64,28 @@
     node.send_to_peer(&leader, &Frame::DelegationRequest(request));
 }
 
-/// Asks at once if the leader of that term has not granted anything yet.
+/// Requests a delegation at once if the leader of this term has not granted one yet.
 pub(in crate::node) fn request_from_new_leader(node: &Node, term: Term) {
     if node.delegation.follower().granted_term().is_none_or(|granted| granted < term) {
         request_delegation(node);
     }
 }
 
-/// Takes a grant that answers this incarnation.
-pub(in crate::node) fn take_grant(node: &Node, granted: DelegationGranted) {
+/// Applies a grant, unless it answers a request of an earlier process of this node.
+pub(in crate::node) fn apply_grant(node: &Node, granted: DelegationGranted) {
     if granted.asker_incarnation != node.identity.incarnation {
         return;
     }
     let follower = node.delegation.follower();
-    let before = follower.granted_term();
+    let previous_term = follower.granted_term();
     if !follower.take_grant(node.now(), &granted.grant) {
         return;
     }
     let term = granted.grant.term;
-    if before != Some(term) {
+    if previous_term != Some(term) {
         info!(%term, leader = %granted.node, "answering workers on the leader's behalf");
     }
-    node.delegation.redirection().set(u32::from(granted.spare), granted.spare_to);
+    node.delegation.redirection().set(u32::from(granted.redirect_count), granted.redirect_to);
 }
 
 /// Tells the leader which machines repeated their heartbeats.
@@ -90,14 +93,15 @@
     let follower = node.delegation.follower();
     let repeated = follower.take_repeated();
     let Some(term) = follower.granted_term() else { return };
-    let Some(leader) = node.leader_under(term) else { return };
-    for some in repeated.chunks(MAX_ENTRIES) {
-        node.send_to_peer(&leader, &Frame::RepeatedHeartbeats { term, heard: some.to_vec() });
+    let Some(leader) = node.other_leader_in_term(term) else { return };
+    for chunk in repeated.chunks(MAX_ENTRIES) {
+        node.send_to_peer(&leader, &Frame::RepeatedHeartbeats { term, heard: chunk.to_vec() });
     }
 }
 
-/// Hands on the leader's answer to a forwarded heartbeat, if this incarnation forwarded it.
-pub(in crate::node) fn take_response(node: &Node, response: ForwardedResponse) {
+/// Passes the leader's response to the heartbeat that waits for it, unless an earlier process of
+/// this node forwarded that heartbeat.
+pub(in crate::node) fn apply_response(node: &Node, response: ForwardedResponse) {
     if response.asker_incarnation == node.identity.incarnation {
         node.delegation.follower().respond(response);
     }
--- a/crates/controller/src/node/leader/lease.rs
+++ b/crates/controller/src/node/leader/lease.rs
@@ -1,4 +1,5 @@
-//! The leader's lease.
+//! Renews the lease that the leader key is attached to, and works out how long it is certainly
+//! held.
 
 use std::rc::Rc;
 
@@ -11,30 +12,30 @@
 use crate::node::step_down::StepDownCause;
 use crate::node::Node;
 
-/// The part of the lease's time after which it is renewed.
-const RENEW_AFTER: f64 = 0.28;
-/// Pause after a renewal failed.
-const RETRY_AFTER: Duration = Duration::from_millis(150);
+/// Fraction of the lease's time to live after which the lease is renewed.
+const RENEWAL_FRACTION: f64 = 0.28;
+/// Pause before a failed renewal is repeated.
+const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// A lease in the key-value store.
+/// The leader's lease as granted by the key-value store.
 pub(in crate::node) struct HeldLease {
-    /// Its number in the key-value store.
+    /// Identifier of the lease in the key-value store.
     pub(in crate::node) id: u64,
-    /// When the last successful request for it was sent.
+    /// When the last successful grant or renewal request was sent.
     pub(in crate::node) renewed: Instant,
 }
 
-/// For how long after it was requested the lease is certainly held, whatever the clocks do.
+/// Returns how long after its request was sent a lease is certainly held, despite clock drift.
 pub(super) fn safe_lease_duration(ttl: Duration) -> Duration {
     Duration::from_micros(safe_lease_time(TimeDelta(ttl.as_micros() as u64)).0)
 }
 
-/// Renews the lease until it expires.
-pub(super) async fn keep(node: Rc<Node>, lease: HeldLease) {
+/// Renews the leader's lease until the key-value store reports it expired, then steps down.
+pub(super) async fn renew_until_expired(node: Rc<Node>, lease: HeldLease) {
     let ttl = Duration::from_micros(node.tunables.leader_lease.0);
     let mut renewed = lease.renewed;
     loop {
-        sleep_until(renewed + ttl.mul_f64(RENEW_AFTER)).await;
+        sleep_until(renewed + ttl.mul_f64(RENEWAL_FRACTION)).await;
         let sent = Instant::now();
         match node.key_value.renew_lease(lease.id).await {
             Ok(()) => {
@@ -45,10 +46,11 @@
                 return node.step_down(StepDownCause::LeaseExpired)
             }
             Err(error) => {
-                debug!(%error, "leader lease not renewed");
-                // In an outage the lease gets its full time again, so the leader stays and goes on answering its
-                // workers; what it may not do any more the key-value store and the workers' tokens refuse.
-                renewed = sent - ttl.mul_f64(RENEW_AFTER) + RETRY_AFTER;
+                debug!(%error, "leader lease renewal failed");
+                // After an outage the store gives leases their full time again, so the leader stays
+                // and keeps answering its workers. The store and the workers' token checks reject
+                // what it may no longer do.
+                renewed = sent - ttl.mul_f64(RENEWAL_FRACTION) + RETRY_PAUSE;
             }
         }
     }
--- a/crates/controller/src/node/leader/loading.rs
+++ b/crates/controller/src/node/leader/loading.rs
@@ -1,4 +1,4 @@
-//! Reads the records of the former term, whole, before anything is decided.
+//! Loads all records of earlier terms before the scheduler makes any decision.
 
 use std::rc::Rc;
 use walnutlug_scheduler::leadership::fencing_token::Term;
@@ -11,27 +11,27 @@
 use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::time::Timestamp;
 
-use super::{install, job_ends, machine_list, reconciling, watches};
+use super::{install_scheduler, job_ends, machine_list, reconciling, watches};
 use crate::key_value_client::{KeyValueError, Listing, RequestClass, StoreRequest};
 use crate::node::{fleet_role, Node};
 use crate::peers::MachineAddress;
 
-/// Pause after a read that failed.
+/// Pause before a failed read is repeated.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// Times that a list is tried again.
+/// Number of times that a failed list request is repeated.
 const MAX_RETRIES: u32 = 21;
 
-/// Reads the records, puts the scheduler in charge and starts the tasks that keep it up to date.
+/// Loads the records, puts the scheduler into use and starts the tasks that keep it up to date.
 ///
 /// # Errors
-/// If the records can't be read, or the term is over.
+/// Returns an error if the records cannot be read or the term has ended.
 pub(super) async fn load(node: &Rc<Node>, term: Term) -> Result<(), KeyValueError> {
-    let (began, requested) = (Instant::now(), node.now());
-    node.cancellations.take_kept_ends();
-    if node.types.borrow().is_empty() {
+    let (load_start, load_requested) = (Instant::now(), node.now());
+    node.cancellations.take_buffered_ends();
+    if node.machine_types.borrow().is_empty() {
         node.read_types().await;
     }
-    let types = node.types.borrow().clone();
+    let types = node.machine_types.borrow().clone();
     let (site, tunables) = (node.site.clone(), node.tunables.clone());
     let mut scheduler = Scheduler::new(site, tunables, term, types, node.now());
     let records = load_jobs(node, &mut scheduler).await?;
@@ -40,20 +40,20 @@
     for MachineAddress { machine, address } in node.cluster_view.fresh_addresses() {
         scheduler.cluster.hint_address(records.read_at, &machine, &address.to_string());
     }
-    log_loaded(&scheduler, began);
-    install(node, scheduler);
-    node.cancellations.ends_read(requested);
+    log_loaded(&scheduler, load_start);
+    install_scheduler(node, scheduler);
+    node.cancellations.job_ends_read(load_requested);
     if !node.leadership.borrow_mut().step(node.now(), ElectionEvent::Loaded { term }) {
         let request = StoreRequest::Get { key: keys::LEADER.to_owned() };
         return Err(KeyValueError::Expired { request });
     }
-    // The others learn of it at once, and go on answering workers under this term.
+    // Tells the peers at once, so that they continue to answer workers in this term.
     node.broadcast_status();
     start_tasks(node, term, records.store_revision);
     Ok(())
 }
 
-/// What runs beside the leader's loop, until the term is over.
+/// Starts the tasks that run beside the leader loop until the term ends.
 fn start_tasks(node: &Rc<Node>, term: Term, store_revision: Revision) {
     for prefix in [keys::DESCRIPTIONS, keys::END] {
         tokio::task::spawn_local(watches::run(node.clone(), term, prefix, store_revision));
@@ -62,14 +62,14 @@
     tokio::task::spawn_local(reconciling::run(node.clone(), term));
 }
 
-/// What was read.
+/// When the records were read, and at which revision of the store.
 struct LoadedRecords {
     read_at: Timestamp,
-    /// The revision from which the watches go on.
+    /// The store revision from which the watches continue.
     store_revision: Revision,
 }
 
-/// Reads the jobs and their runs.
+/// Adds the stored jobs and their task runs to the scheduler.
 async fn load_jobs(
     node: &Rc<Node>,
     scheduler: &mut Scheduler,
@@ -77,22 +77,23 @@
     let Listing { key_values: descriptions, store_revision } =
         list_until_answered(node, keys::DESCRIPTIONS).await?;
     let Listing { key_values: runs, .. } = list_until_answered(node, keys::RUN).await?;
-    let (read_at, wall) = (node.now(), node.wall_us());
+    let (read_at, wall_clock_us) = (node.now(), node.wall_clock_us());
     for description in &descriptions {
         if let Some(job) = keys::described(&description.key) {
-            // A damaged description is logged by the scheduler, and its job is passed over.
-            let _ = scheduler.add_job(read_at, job, &description.value, wall);
+            // The scheduler logs an unreadable description and skips its job.
+            let _ = scheduler.add_job(read_at, job, &description.value, wall_clock_us);
         }
     }
     for key in scheduler.load_chunks(read_at, &runs) {
-        // Descriptions are deleted last, so this is damage from outside. Its tasks are unknown to the scheduler and
-        // will be stopped where they are reported.
-        warn!(%key, "stored run belongs to no job: ignored");
+        // Descriptions are deleted last, so a run without one means that the records were damaged
+        // from outside. The scheduler does not know its tasks and stops them when a worker reports
+        // them.
+        warn!(%key, "stored task run ignored: its job does not exist");
     }
     Ok(LoadedRecords { read_at, store_revision })
 }
 
-/// Removes the jobs that have ended.
+/// Removes the jobs that have ended from the scheduler.
 async fn remove_ended_jobs(
     node: &Rc<Node>,
     scheduler: &mut Scheduler,
@@ -113,21 +114,22 @@
     }
 }
 
-fn log_loaded(scheduler: &Scheduler, began: Instant) {
+fn log_loaded(scheduler: &Scheduler, load_start: Instant) {
     let placed: usize = scheduler.cluster.machines.iter().map(|machine| machine.tasks.len()).sum();
     info!(
         term = %scheduler.term,
         jobs = scheduler.cluster.jobs_by_name.len(),
         placed,
-        ms = began.elapsed().as_millis() as u64,
-        "records read: leading"
+        ms = load_start.elapsed().as_millis() as u64,
+        "records loaded; now leading"
     );
 }
 
-/// Reads all keys under the prefix, trying again for some seconds. Also the store's revision.
+/// Lists all keys under the prefix together with the store's revision, and retries for some
+/// seconds.
 ///
 /// # Errors
-/// If the key-value store doesn't answer within that time.
+/// Returns an error if the key-value store does not respond within that time.
 pub(in crate::node) async fn list_until_answered(
     node: &Rc<Node>,
     prefix: &str,
--- a/crates/controller/src/node/machine_types_role.rs
+++ b/crates/controller/src/node/machine_types_role.rs
@@ -1,5 +1,5 @@
-//! The role of reading machine types and prices from the cloud and sharing them, which any node may hold on a lease of
-//! its own. The leader leaves it to another node if there is one.
+//! The role that reads machine types and prices from the cloud and shares them. Any node may hold
+//! it under a lease of its own; the leader leaves it to another node if there is one.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -23,63 +23,65 @@
 use crate::key_value_client::{KeyValueError, RequestClass};
 
 const ROLE: LeasedRole = LeasedRole::MachineTypes;
-const LEASE: TimeDelta = TimeDelta::from_secs(12);
-/// How often, at least, the holder renews its lease and the others read who holds the role.
-const MAX_INTERVAL: Duration = Duration::from_secs(4);
+const TTL: TimeDelta = TimeDelta::from_secs(12);
+/// Longest time between two lease renewals by the holder, or between two reads of the holder record
+/// by the other nodes.
+const MAX_CHECK_INTERVAL: Duration = Duration::from_secs(4);
 
-/// A node's part in the role.
+/// This node's state in the machine-types role.
 pub(super) struct MachineTypesRole {
     lease: RefCell<RoleLease>,
-    /// The number of the lease in the key-value store, while there is one.
+    /// Identifier of the lease in the key-value store, while this node has one.
     lease_id: Cell<Option<u64>>,
     balancer: RefCell<RoleBalancer>,
-    /// The epoch under which the types were shared last.
-    shared_under: Cell<Option<Epoch>>,
-    /// The fault of the stored record that was logged last; each is logged once.
-    logged_fault: RefCell<Option<RecordError>>,
+    /// The epoch in which this node last shared the types.
+    last_shared_epoch: Cell<Option<Epoch>>,
+    /// The last logged error of the stored holder record; the same error is not logged twice in a
+    /// row.
+    last_logged_error: RefCell<Option<RecordError>>,
 }
 
 impl Default for MachineTypesRole {
     fn default() -> MachineTypesRole {
         MachineTypesRole {
-            lease: RefCell::new(RoleLease::new(LEASE)),
+            lease: RefCell::new(RoleLease::new(TTL)),
             lease_id: Cell::default(),
             balancer: RefCell::default(),
-            shared_under: Cell::default(),
-            logged_fault: RefCell::default(),
+            last_shared_epoch: Cell::default(),
+            last_logged_error: RefCell::default(),
         }
     }
 }
 
 impl MachineTypesRole {
-    /// Whether this node certainly holds the role now.
+    /// Returns whether this node certainly holds the role now.
     pub(super) fn is_held(&self, now: Timestamp) -> bool {
         self.lease.borrow().permit(now).is_some()
     }
 
-    /// Whether this node holds the role and has not shared anything since it took it.
-    pub(super) fn has_yet_to_share(&self) -> bool {
+    /// Returns whether this node holds the role and has shared nothing in its current epoch.
+    pub(super) fn must_share(&self) -> bool {
         let epoch = self.lease.borrow().epoch();
-        epoch.is_some() && self.shared_under.get() != epoch
+        epoch.is_some() && self.last_shared_epoch.get() != epoch
     }
 
-    /// The node holds the key of that revision, on the lease of that number.
+    /// Records that this node holds the role's key at this revision, under this lease.
     fn acquired(&self, lease_id: u64, revision: Revision) {
         self.lease_id.set(Some(lease_id));
         self.step(LeaseInput::Won { revision });
     }
 
-    /// The node holds the role no more.
+    /// Records that this node no longer holds the role.
     fn lost(&self) {
         self.lease_id.set(None);
         self.step(LeaseInput::Ended);
     }
 
-    /// The stored record of the holder can't be read. Logs it, unless it was logged last.
+    /// Logs that the stored holder record cannot be read, unless the same error was logged last.
     fn log_unreadable_holder(&self, fault: RecordError) {
-        let mut logged = self.logged_fault.borrow_mut();
+        let mut logged = self.last_logged_error.borrow_mut();
         if logged.as_ref() != Some(&fault) {
-            warn!(role = ROLE.name(), reason = %fault, "role holder record unreadable");
+            warn!(role = ROLE.name(), reason = %fault, "stored role holder record is unreadable");
             *logged = Some(fault);
         }
     }
@@ -99,14 +101,14 @@
                 info!(role, %epoch, "role lost or handed over");
             }
             (_, LeaseState::Stopped { error }) => {
-                error!(role, reason = %error, "role stopped at this node");
+                error!(role, reason = %error, "role disabled at this node until it restarts");
             }
             _ => {}
         }
     }
 }
 
-/// Takes, keeps and hands over the role for as long as the node lives.
+/// Acquires, renews and hands over the role until the process ends, if roles are fenced.
 pub(super) async fn run(node: Rc<Node>) {
     if !node.tunables.fenced_duties {
         return;
@@ -117,7 +119,7 @@
             Some(_) => renew(&node).await,
             None => observe(&node).await,
         }
-        sleep(MAX_INTERVAL.mul_f64(rand::random_range(0.8..1.0))).await;
+        sleep(MAX_CHECK_INTERVAL.mul_f64(rand::random_range(0.8..1.0))).await;
     }
 }
 
@@ -131,13 +133,13 @@
     let Some(id) = role.lease_id.get() else { return };
     let (now, own, others) = (node.now(), own_load(node), node.cluster_view.peer_loads());
     if role.balancer.borrow_mut().should_hand_over(now, own, &others) {
-        info!(role = ROLE.name(), "role handed over: this node leads");
+        info!(role = ROLE.name(), "handing over the role because this node leads");
         return release(node, id).await;
     }
     match node.key_value.renew_lease(id).await {
         Ok(()) => role.step(LeaseInput::Renewed { sent: now }),
         Err(KeyValueError::Expired { .. }) => role.lost(),
-        Err(error) => debug!(role = ROLE.name(), %error, "role lease not renewed"),
+        Err(error) => debug!(role = ROLE.name(), %error, "role lease renewal failed"),
     }
 }
 
@@ -146,7 +148,7 @@
     let _ = node.key_value.revoke_lease(id).await;
 }
 
-/// Reads who holds the role, and takes it if nobody does.
+/// Reads who holds the role, and acquires it if nobody does.
 async fn observe(node: &Rc<Node>) {
     let role = &node.machine_types_role;
     match node.key_value.get(RequestClass::Watch, &ROLE.key()).await {
@@ -160,25 +162,26 @@
                 acquire(node).await;
             }
         }
-        Err(error) => debug!(role = ROLE.name(), %error, "role holder not read"),
+        Err(error) => debug!(role = ROLE.name(), %error, "failed to read the role holder"),
     }
 }
 
-/// Takes the holder's epoch as known. A lease that a former incarnation of this node left is released.
+/// Records the holder's epoch, and revokes the lease if an earlier process of this node left it.
 async fn observe_holder(node: &Rc<Node>, key_value: &KeyValue) {
     let mut names: Vec<&str> = node.settings.peers.iter().map(|peer| peer.name.as_str()).collect();
     names.push(&node.settings.node_name);
     let held = match HeldRole::read(key_value, &names) {
         Ok(held) => held,
         Err(fault) => {
-            // Left as it is: its lease will expire, or a version that can read it will take care of it.
+            // The record stays in place: its lease will expire, or a version that can read it will
+            // handle it.
             return node.machine_types_role.log_unreadable_holder(fault);
         }
     };
     node.machine_types_role.lease.borrow_mut().observe(held.epoch);
     let own_name = held.holder.node == node.settings.node_name;
     if own_name && held.holder.incarnation != node.identity.election_nonce {
-        // A former incarnation of this node held it; nobody does now.
+        // An earlier process of this node held the role, so nobody holds it now.
         let _ = node.key_value.revoke_lease(held.holder.lease).await;
     }
 }
@@ -186,19 +189,21 @@
 async fn acquire(node: &Rc<Node>) {
     let role = &node.machine_types_role;
     let sent = node.now();
-    let Ok(id) = node.key_value.grant_lease(Duration::from_micros(LEASE.0)).await else { return };
+    let Ok(id) = node.key_value.grant_lease(Duration::from_micros(TTL.0)).await else { return };
     role.step(LeaseInput::Granted { sent });
     match create_key(node, id).await {
         Some(revision) => role.acquired(id, revision),
         None => {
             role.step(LeaseInput::Failed);
-            // Ending the lease ends whatever a late copy of the transaction might yet create.
+            // Revoking the lease also removes a key that a delayed copy of the transaction may
+            // still create.
             let _ = node.key_value.revoke_lease(id).await;
         }
     }
 }
 
-/// Creates the role's key. Its revision if this node did, also where only the answer was lost.
+/// Creates the role's key. Returns its revision if this node created it, even if the response was
+/// lost.
 async fn create_key(node: &Node, lease: u64) -> Option<Revision> {
     let holder = HolderRecord {
         format: HOLDER_FORMAT,
@@ -218,22 +223,22 @@
     }
 }
 
-/// Writes the types for all nodes, if this one still holds the role when the write is carried out.
+/// Stores the types for all nodes. The write succeeds only if this node still holds the role.
 pub(super) async fn share(node: &Node, types: &[MachineType]) {
     let role = &node.machine_types_role;
     let epoch = role.lease.borrow().epoch();
     let Some(epoch) = epoch else { return };
     let value = serde_json::json!({"breeds": types});
     if value.to_string().len() > node.key_value.limits().value_bytes {
-        debug!("machine types too long to be shared");
+        debug!("machine types not shared: value exceeds the store's size limit");
         return;
     }
     let mut write = FencedWrite::new(&Fence::new(ROLE, epoch));
     write.change(Operation::put(keys::TYPES, value));
     match node.key_value.commit(RequestClass::Watch, &write.into_transaction()).await {
-        TransactionOutcome::Committed { .. } => role.shared_under.set(Some(epoch)),
+        TransactionOutcome::Committed { .. } => role.last_shared_epoch.set(Some(epoch)),
         TransactionOutcome::Conflict { .. } => role.lost(),
-        // The next reading from the cloud is soon enough.
+        // Not retried: the next read from the cloud is soon enough.
         TransactionOutcome::Rejected
         | TransactionOutcome::TooLarge
         | TransactionOutcome::Indeterminate => {}
--- a/crates/controller/src/user_api/batch_writer.rs
+++ b/crates/controller/src/user_api/batch_writer.rs
@@ -167,14 +167,14 @@
     let known_jobs = &node.user_api.known_jobs;
     for PendingSubmission { name, dependencies, is_cancelled, reply, .. } in batch {
         if is_cancelled {
-            node.learn_end(&name, JobEnd::Cancelled);
+            node.record_job_end(&name, JobEnd::Cancelled);
         } else {
             known_jobs.learn_dependencies(&name, dependencies);
         }
         node.broadcast(&Frame::NewJob { job: name });
         let _ = reply.send(Acceptance::New);
     }
-    node.new_work.notify_one();
+    node.watch_wakeup.notify_one();
 }
 
 /// Some are known already, perhaps by a copy of this very transaction whose answer was lost. Answers
--- a/crates/controller/src/user_api/fake_cluster.rs
+++ b/crates/controller/src/user_api/fake_cluster.rs
@@ -68,10 +68,10 @@
 
 /// A key-value store that stands in for the real one, shared by its clones.
 #[derive(Clone)]
-pub(crate) struct StandIn {
+pub(crate) struct FakeStore {
     store: Rc<RefCell<FakeKeyValueStore>>,
     /// Requests so far.
-    pub(crate) asked: Rc<Cell<u32>>,
+    pub(crate) request_count: Rc<Cell<u32>>,
     fault: Rc<Cell<Fault>>,
     disorder: Rc<RefCell<Option<Disorder>>>,
 }
@@ -86,18 +86,18 @@
     seen: (u32, u32),
 }
 
-impl Default for StandIn {
-    fn default() -> StandIn {
-        StandIn {
+impl Default for FakeStore {
+    fn default() -> FakeStore {
+        FakeStore {
             store: Rc::default(),
-            asked: Rc::default(),
+            request_count: Rc::default(),
             fault: Rc::new(Cell::new(Fault::None)),
             disorder: Rc::default(),
         }
     }
 }
 
-impl StandIn {
+impl FakeStore {
     /// From here on this goes wrong.
     pub(crate) fn fault(&self, fault: Fault) {
         self.fault.set(fault);
@@ -158,7 +158,7 @@
         let node =
             Node::new(settings, Tunables::default(), Rc::new(client), PeerSenders::new(queues));
         let node = node.expect("a node");
-        node.types.borrow_mut().push(MachineType {
+        node.machine_types.borrow_mut().push(MachineType {
             name: "t8".into(),
             cpus: 8.0,
             gpus: 0.0,
@@ -250,7 +250,7 @@
 
     /// Carries out a request, and answers it at once.
     fn say(&self, method: &str, path: &str, body: &[u8]) -> Result<Response, HttpError> {
-        self.asked.set(self.asked.get() + 1);
+        self.request_count.set(self.request_count.get() + 1);
         match (self.fault.get(), method, path) {
             (Fault::Down, _, _) => answer(503, json!({})),
             (_, "GET", _) if path.starts_with("/keys?starts=") => {
--- a/crates/controller/src/user_api/submission.rs
+++ b/crates/controller/src/user_api/submission.rs
@@ -194,7 +194,7 @@
 fn describe(node: &Node, spec: &JobSpec) -> Result<Document, SubmissionError> {
     let site_limit = node.settings.site.value_bytes;
     let chunk = chunk_size(site_limit);
-    let description = Document::new(&description_record(spec, node.wall_us(), chunk));
+    let description = Document::new(&description_record(spec, node.wall_clock_us(), chunk));
     if description.size() > node.key_value.limits().value_bytes.min(site_limit) {
         return Err(SubmissionError::DescriptionTooLong);
     }
@@ -211,7 +211,7 @@
     name: &str,
     spec: &JobSpec,
 ) -> Result<Option<Unrunnable>, SubmissionError> {
-    let types = node.types.borrow();
+    let types = node.machine_types.borrow();
     if types.is_empty() {
         return Err(SubmissionError::TypesUnknown);
     }
