--- a/crates/controller/src/node/leader/loading.rs
+++ b/crates/controller/src/node/leader/loading.rs
@@ -79,7 +79,7 @@
     let Listing { key_values: runs, .. } = list_until_answered(node, keys::RUN).await?;
     let (read_at, wall_clock_us) = (node.now(), node.wall_clock_us());
     for description in &descriptions {
-        if let Some(job) = keys::described(&description.key) {
+        if let Some(job) = keys::described_job(&description.key) {
             // The scheduler logs an unreadable description and skips its job.
             let _ = scheduler.add_job(read_at, job, &description.value, wall_clock_us);
         }
--- a/crates/controller/src/node/leader/reconciling.rs
+++ b/crates/controller/src/node/leader/reconciling.rs
@@ -62,7 +62,7 @@
     for description in descriptions {
         // A job deleted since the list was read is added again here. The precondition that it has
         // not ended then fails, and the job is deleted again.
-        let Some(job) = keys::described(&description.key) else { continue };
+        let Some(job) = keys::described_job(&description.key) else { continue };
         if !scheduler.cluster.jobs_by_name.contains_key(job)
             && scheduler.add_job(now, job, &description.value, wall_clock_us).is_ok()
         {
--- a/crates/controller/src/node/leader/watches.rs
+++ b/crates/controller/src/node/leader/watches.rs
@@ -72,7 +72,7 @@
     let (now, wall_clock_us) = (node.now(), node.wall_clock_us());
     for event in events {
         let WatchEvent::Put { put, value, .. } = event else { continue };
-        if let Some(job) = keys::described(put) {
+        if let Some(job) = keys::described_job(put) {
             if let Some(scheduler) = node.scheduler.borrow_mut().as_mut() {
                 // The scheduler logs an unreadable description and skips its job.
                 let _ = scheduler.add_job(now, job, value, wall_clock_us);
--- a/crates/scheduler/src/storage/keys.rs
+++ b/crates/scheduler/src/storage/keys.rs
@@ -37,7 +37,7 @@
 }
 
 /// The job whose description the key holds, of either kind.
-pub fn described(key: &str) -> Option<&str> {
+pub fn described_job(key: &str) -> Option<&str> {
     key.strip_prefix(TODO).or_else(|| key.strip_prefix(CHAINED))
 }
 
--- a/crates/scheduler/tests/golden_bytes.rs
+++ b/crates/scheduler/tests/golden_bytes.rs
@@ -136,7 +136,7 @@
 /// Reads the description as a new leader does, and writes it again.
 fn read_description(kind: &str, entry: &str, spec: &JobSpec) {
     let (key, value) = split(entry);
-    assert!(keys::described(&key) == Some(JOB), "{kind}: its key");
+    assert!(keys::described_job(&key) == Some(JOB), "{kind}: its key");
     let mut world = World::new(&[]);
     assert!(
         world.leader.add_job(world.now, JOB, &value, ACCEPTED_US).is_ok(),
@@ -156,7 +156,7 @@
         serde_json::from_str(include_str!("fixtures/production-records.json")).expect("records");
     let mut world = World::new(&[]);
     for key_value in former.iter().filter(|key_value| key_value.key.starts_with(keys::TODO)) {
-        let name = keys::described(&key_value.key).expect("a description");
+        let name = keys::described_job(&key_value.key).expect("a description");
         let wall = key_value.value["at"].as_u64().expect("a time");
         assert!(
             world.leader.add_job(world.now, name, &key_value.value, wall).is_ok(),
--- a/crates/scheduler/tests/version_compatibility.rs
+++ b/crates/scheduler/tests/version_compatibility.rs
@@ -111,7 +111,7 @@
 fn what_is_new_lies_where_production_does_not_look() {
     let chained = keys::description("req-000001", true);
     assert!(!chained.starts_with(keys::TODO) && chained.starts_with(keys::DESCRIPTIONS));
-    assert_eq!(keys::described(&chained), Some("req-000001"));
+    assert_eq!(keys::described_job(&chained), Some("req-000001"));
     let part = keys::part("req-000001", 3, 40);
     let place = part.rsplit_once('/').expect("a place").1;
     assert!(place.parse::<usize>().is_err(), "{place}");
--- a/crates/scheduler/tests/world/mod.rs
+++ b/crates/scheduler/tests/world/mod.rs
@@ -546,7 +546,7 @@
         let (site, tunables) = (self.leader.site.clone(), self.leader.tunables.clone());
         let mut s = Scheduler::new(site, tunables, term.into(), types(), self.now);
         for (key, (value, _)) in &self.store.keys {
-            if let Some(name) = keys::described(key) {
+            if let Some(name) = keys::described_job(key) {
                 if !former || key.starts_with(keys::TODO) {
                     // Damaged descriptions are passed over, as by the program.
                     let _ = s.add_job(self.now, name, value, self.wall_us());
