--- a/crates/controller/src/node/heartbeats/tests.rs
+++ b/crates/controller/src/node/heartbeats/tests.rs
@@ -2,7 +2,7 @@
 
 use tokio::time::{Duration, Instant};
 use walnutlug_scheduler::leadership::fencing_token::FencingToken;
-use walnutlug_scheduler::leadership::watermark::window;
+use walnutlug_scheduler::leadership::watermark::lease_renewal_window;
 use walnutlug_scheduler::model::job_spec::JobEnd;
 
 use super::follower::{request_delegation, send_repeated_heartbeats};
@@ -141,7 +141,7 @@
         let cancelled_at = cluster.nodes[1].now();
         assert_eq!(user_api::cancel(cluster.nodes[2].clone(), JOB).await.status, 200);
         store.fault(Fault::Down);
-        let window = Duration::from_micros(window(&cluster.nodes[1].site).0);
+        let window = Duration::from_micros(lease_renewal_window(&cluster.nodes[1].site).0);
         let began = Instant::now();
         let (mut answered, mut last_answered_after) = (0, Duration::ZERO);
         while began.elapsed() < window * 2 {
--- a/crates/controller/src/node/leader/watches.rs
+++ b/crates/controller/src/node/leader/watches.rs
@@ -36,7 +36,7 @@
 /// Watches the keys under the prefix and applies changes to the scheduler until the term ends.
 pub(super) async fn run(node: Rc<Node>, term: Term, prefix: &'static str, mut from: Revision) {
     // The watch on job ends advances the watermark whenever it returns, so it has to return often.
-    let window = watermark::window(&node.site).0;
+    let window = watermark::lease_renewal_window(&node.site).0;
     let hold = Duration::from_micros(window / RETURNS_PER_WINDOW).clamp(MIN_HOLD, MAX_HOLD);
     while node.leads_in_term(term) {
         let (opened, requested) = (Instant::now(), node.now());
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -328,7 +328,8 @@
                 store.fault(Fault::Down);
                 let requests_before = store.request_count.get();
                 let window = Duration::from_micros(
-                    walnutlug_scheduler::leadership::watermark::window(&leader.site).0,
+                    walnutlug_scheduler::leadership::watermark::lease_renewal_window(&leader.site)
+                        .0,
                 );
                 let mut sequence = 2;
                 let mut kill_sent = false;
--- a/crates/scheduler/src/leadership/authority.rs
+++ b/crates/scheduler/src/leadership/authority.rs
@@ -18,7 +18,7 @@
 impl LeaderAuthority {
     /// Of a leader that has just read the records.
     pub(crate) fn new(site: &Site, now: Timestamp) -> LeaderAuthority {
-        let window = watermark::window(site);
+        let window = watermark::lease_renewal_window(site);
         LeaderAuthority { holds_lease: true, cancellations_known_until: now, window }
     }
 
--- a/crates/scheduler/src/leadership/watermark.rs
+++ b/crates/scheduler/src/leadership/watermark.rs
@@ -34,7 +34,7 @@
 /// For how long after its watermark a leader may go on renewing leases: a cancellation that it doesn't
 /// know of was confirmed after the watermark, and a lease renewed now must have ended
 /// [`Site::cancel_within`] after that.
-pub fn window(site: &Site) -> TimeDelta {
+pub fn lease_renewal_window(site: &Site) -> TimeDelta {
     let drift = (site.worker_lease + site.cancel_within).mul_f64(DRIFT);
     let window = site.cancel_within - site.worker_lease - MARGIN - drift;
     window.max(LEAST_WINDOW)
@@ -43,7 +43,7 @@
 /// How often a leader requests the ends of the others' logs, so that the watermark stays well inside
 /// the window.
 pub fn request_interval(site: &Site) -> TimeDelta {
-    let interval = window(site).mul_f64(1.0 / REQUESTS_PER_WINDOW);
+    let interval = lease_renewal_window(site).mul_f64(1.0 / REQUESTS_PER_WINDOW);
     interval.min(MAX_REQUEST_INTERVAL).max(MIN_REQUEST_INTERVAL)
 }
 
--- a/crates/scheduler/src/reconciliation/delegation.rs
+++ b/crates/scheduler/src/reconciliation/delegation.rs
@@ -98,7 +98,7 @@
 impl FollowerDelegation {
     /// Without a delegation yet.
     pub fn new(site: &Site) -> FollowerDelegation {
-        let window = watermark::window(site);
+        let window = watermark::lease_renewal_window(site);
         FollowerDelegation { window, last_request: 0, requests: VecDeque::new(), delegation: None }
     }
 
--- a/crates/scheduler/tests/cancellations.rs
+++ b/crates/scheduler/tests/cancellations.rs
@@ -6,7 +6,9 @@
 use walnutlug_scheduler::leadership::cancellation_log::{
     CancellationLog, Incarnation, LogEntries, LogIndex,
 };
-use walnutlug_scheduler::leadership::watermark::{request_interval, window, RequestId, Watermark};
+use walnutlug_scheduler::leadership::watermark::{
+    lease_renewal_window, request_interval, RequestId, Watermark,
+};
 use walnutlug_scheduler::model::ids::AgentEpoch;
 use walnutlug_scheduler::model::job_spec::JobEnd;
 use walnutlug_scheduler::reconciliation::heartbeats::HeartbeatAnswer;
@@ -323,7 +325,7 @@
     let far = Meeting { name: "cut", frames: Frames::Cut, outage_at: 0, told_at: u64::MAX / 2 };
     let mut p = Play::new(&site);
     let began = p.w.now;
-    p.play(began, window(&site).0 / 1_000 - 2 * STEP, &far);
+    p.play(began, lease_renewal_window(&site).0 / 1_000 - 2 * STEP, &far);
     assert!(p.w.leader.authority.may_renew_leases(p.w.now));
     // The last heartbeat within the window came at 18 s.
     p.play(began, 18_000 + 24_000 - STEP, &far);
--- a/crates/scheduler/tests/delegation.rs
+++ b/crates/scheduler/tests/delegation.rs
@@ -67,7 +67,7 @@
 fn repetitions_are_answered_for_the_window_after_the_question_and_no_longer() {
     for (lease_s, cancel_s) in [(24, 44), (16, 36), (20, 21), (20, 15)] {
         let site = site(lease_s, cancel_s);
-        let window = watermark::window(&site);
+        let window = watermark::lease_renewal_window(&site);
         let (mut follower, new) = granted(&site);
         assert_eq!(follower.cached_response_token(START + window, new.cached), Some(new.token));
         assert_eq!(follower.cached_response_token(START + window + TimeDelta(1), new.cached), None);
@@ -86,7 +86,7 @@
 #[test]
 fn a_grant_to_a_question_that_was_not_asked_is_worth_nothing() {
     let (mut follower, new) = granted(&site(24, 44));
-    let later = START + watermark::window(&site(24, 44)) + TimeDelta(1);
+    let later = START + watermark::lease_renewal_window(&site(24, 44)) + TimeDelta(1);
     let grant =
         DelegationGrant { term: TERM, asked: 99, unknown_for: TimeDelta::ZERO, invalidated: 0 };
     assert!(!follower.accept_grant(later, &grant));
@@ -196,7 +196,7 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let (lease_s, cancel_s) = [(24, 44), (16, 36), (20, 22)][seed as usize % 3];
         let site = site(lease_s, cancel_s);
-        let window = watermark::window(&site);
+        let window = watermark::lease_renewal_window(&site);
         let mut follower = FollowerDelegation::new(&site);
         let mut now = START;
         let mut wire: Vec<(Timestamp, ToFollower)> = Vec::new();
