--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -15,7 +15,7 @@
 use crate::model::task::{TaskEvent, TaskPhase};
 use crate::protocol::workers::{Heartbeat, WorkerCommand};
 use crate::reconciliation::response::MAX_COMMANDS;
-use crate::scheduler::OVERDUE;
+use crate::scheduler::OVERDUE_INTERVALS;
 use crate::time::{TimeDelta, Timestamp};
 use crate::tunables::Site;
 
@@ -199,7 +199,7 @@
         let owes_token = owes_token(machine, cluster.term, now);
         // One whose heartbeat is overdue is asked: if it answers it is not silent, and if it doesn't
         // it can be given up sooner.
-        let overdue_after = pass.site.heartbeat_interval.mul_f64(OVERDUE);
+        let overdue_after = pass.site.heartbeat_interval.mul_f64(OVERDUE_INTERVALS);
         let is_overdue =
             machine.state == MachineState::Up && now.since(machine.last_heartbeat) > overdue_after;
         let is_sending = can_send && pass.gate.authority.holds_lease();
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -11,7 +11,7 @@
 use crate::model::task::TaskPhase;
 use crate::model::EPSILON;
 use crate::queue::order::{Aging, QueueKey};
-use crate::scheduler::{Scheduler, OVERDUE};
+use crate::scheduler::{Scheduler, OVERDUE_INTERVALS};
 use crate::time::{TimeDelta, Timestamp};
 
 /// Without a job of a class for this long, no room is kept for its next one.
@@ -114,7 +114,8 @@
             && m.unexpected_tasks == 0
             && !m.channel.is_paused(now)
             && now.since(m.last_heartbeat)
-                <= self.site.heartbeat_interval.mul_f64(OVERDUE) + TimeDelta::from_millis(300)
+                <= self.site.heartbeat_interval.mul_f64(OVERDUE_INTERVALS)
+                    + TimeDelta::from_millis(300)
     }
 
     /// Whether one more task of the job fits the machine as it is.
--- a/crates/scheduler/src/reconciliation/failure_detector.rs
+++ b/crates/scheduler/src/reconciliation/failure_detector.rs
@@ -6,7 +6,7 @@
 use crate::model::cluster::Cluster;
 use crate::model::ids::MachineIndex;
 use crate::model::machine::{DrainReason, Machine, MachineState};
-use crate::scheduler::OVERDUE;
+use crate::scheduler::OVERDUE_INTERVALS;
 use crate::time::{TimeDelta, Timestamp};
 use crate::tunables::{Site, Tunables};
 
@@ -28,7 +28,7 @@
 /// has had the time to answer. (Counted in seconds that suited heartbeats every three, every
 /// machine whose heartbeats came six seconds apart was given back as soon as one was a bit late.)
 pub(crate) fn suspicion_timeout(site: &Site, tunables: &Tunables) -> TimeDelta {
-    site.heartbeat_interval.mul_f64(OVERDUE) + tunables.patience
+    site.heartbeat_interval.mul_f64(OVERDUE_INTERVALS) + tunables.patience
 }
 
 /// Whether all of several machines that should report have been silent for a while: more likely this
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -81,7 +81,7 @@
 
 /// Heartbeat intervals after which a worker is overdue. (Each is up to a quarter longer than the one
 /// that the worker is given.)
-pub const OVERDUE: f64 = 1.4;
+pub const OVERDUE_INTERVALS: f64 = 1.4;
 
 impl Scheduler {
     /// Without jobs and machines: the stored records are to be added next.
