--- a/crates/scheduler/src/reconciliation/failure_detector.rs
+++ b/crates/scheduler/src/reconciliation/failure_detector.rs
@@ -34,7 +34,7 @@
 /// Whether all of several machines that should report have been silent for a while: more likely this
 /// node can't be reached than that all of them failed at once. Of many machines some report at any
 /// moment, so that one interval without any is enough.
-pub(crate) fn hears_no_worker(
+pub(crate) fn receives_no_heartbeats(
     cluster: &Cluster,
     now: Timestamp,
     leading_since: Timestamp,
--- a/crates/scheduler/src/scheduler/machine_health.rs
+++ b/crates/scheduler/src/scheduler/machine_health.rs
@@ -10,9 +10,9 @@
 impl Scheduler {
     /// Whether all of several machines that should report have been silent for a while: more likely
     /// this node can't be reached than that all of them failed at once.
-    pub fn hears_no_worker(&self, now: Timestamp) -> bool {
+    pub fn receives_no_heartbeats(&self, now: Timestamp) -> bool {
         let interval = self.site.heartbeat_interval;
-        failure_detector::hears_no_worker(&self.cluster, now, self.started_at, interval)
+        failure_detector::receives_no_heartbeats(&self.cluster, now, self.started_at, interval)
     }
 
     /// Whether no worker is reached any more: for a heartbeat's interval every request was lost, and
--- a/crates/scheduler/tests/autoscaling.rs
+++ b/crates/scheduler/tests/autoscaling.rs
@@ -67,11 +67,11 @@
 #[test]
 fn a_leader_that_hears_of_no_worker_is_deaf() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "b")]);
-    assert!(!w.leader.hears_no_worker(w.now));
+    assert!(!w.leader.receives_no_heartbeats(w.now));
     w.wait(20_000);
-    assert!(w.leader.hears_no_worker(w.now));
+    assert!(w.leader.receives_no_heartbeats(w.now));
     w.heartbeat("n-2");
-    assert!(!w.leader.hears_no_worker(w.now), "one worker is heard");
+    assert!(!w.leader.receives_no_heartbeats(w.now), "one worker is heard");
 }
 
 /// The fleet once stopped growing at 400 machines, rented and wanted together, whatever waited.
@@ -402,7 +402,7 @@
             w.wait(75);
             w.tick();
             w.leader.autoscale(w.now);
-            if deaf_at.is_none() && w.leader.hears_no_worker(w.now) {
+            if deaf_at.is_none() && w.leader.receives_no_heartbeats(w.now) {
                 deaf_at = Some(at_ms);
             }
             w.commands.extend(w.leader.take_commands());
@@ -686,7 +686,7 @@
         w.tick();
         lost(&mut w);
     }
-    assert!(!w.leader.hears_no_worker(w.now), "reports come");
+    assert!(!w.leader.receives_no_heartbeats(w.now), "reports come");
     assert!(w.leader.reaches_no_worker(w.now));
     // One answer, and it does.
     let direct = |c: &Command| matches!(c, Command::SendToWorker { .. });
