--- a/crates/controller/src/node/leader.rs
+++ b/crates/controller/src/node/leader.rs
@@ -162,7 +162,7 @@
 /// Returns whether workers reach another node but not this one.
 fn is_cut_off_from_workers(node: &Node, scheduler: &Scheduler, now: Timestamp) -> bool {
     (node.cluster_view.workers_reach_other_nodes() && scheduler.receives_no_heartbeats(now))
-        || (node.delegation.has_followers() && scheduler.reaches_no_worker(now))
+        || (node.delegation.has_followers() && scheduler.workers_unreachable(now))
 }
 
 fn run_scheduler_tick(node: &Node, scheduler: &mut Scheduler, now: Timestamp) -> Vec<Command> {
--- a/crates/scheduler/src/scheduler/machine_health.rs
+++ b/crates/scheduler/src/scheduler/machine_health.rs
@@ -21,7 +21,7 @@
     /// so for 40 s, lost each start that it sent, and gave machines back that other nodes reach.) Without
     /// machines there is nothing to reach. (A leader that had returned its whole idle fleet stepped down
     /// for the requests that were in flight to it, and so did the next: nobody led for six seconds.)
-    pub fn reaches_no_worker(&self, now: Timestamp) -> bool {
+    pub fn workers_unreachable(&self, now: Timestamp) -> bool {
         self.messages.all_lost_for(now, self.site.heartbeat_interval)
             && self.cluster.machines.iter().any(|machine| machine.state == MachineState::Up)
     }
--- a/crates/scheduler/tests/autoscaling.rs
+++ b/crates/scheduler/tests/autoscaling.rs
@@ -679,7 +679,7 @@
         }
     };
     lost(&mut w);
-    assert!(!w.leader.reaches_no_worker(w.now), "all at once may be one moment's trouble");
+    assert!(!w.leader.workers_unreachable(w.now), "all at once may be one moment's trouble");
     for _ in 0..4 {
         w.wait(1_000);
         w.all_report();
@@ -687,7 +687,7 @@
         lost(&mut w);
     }
     assert!(!w.leader.receives_no_heartbeats(w.now), "reports come");
-    assert!(w.leader.reaches_no_worker(w.now));
+    assert!(w.leader.workers_unreachable(w.now));
     // One answer, and it does.
     let direct = |c: &Command| matches!(c, Command::SendToWorker { .. });
     for _ in 0..20 {
@@ -698,13 +698,13 @@
             break;
         }
     }
-    assert!(w.leader.reaches_no_worker(w.now));
+    assert!(w.leader.workers_unreachable(w.now));
     let at = w.commands.iter().position(direct).expect("a message");
     if let Command::SendToWorker { machine, token, agent_epoch, calls, .. } = w.commands.remove(at)
     {
         w.deliver(machine, token, agent_epoch, &calls);
     }
-    assert!(!w.leader.reaches_no_worker(w.now));
+    assert!(!w.leader.workers_unreachable(w.now));
 }
 
 /// Seen on loopback: the whole fleet was idle and returned, and the messages under way to it were lost.
@@ -721,7 +721,7 @@
         }
     }
     w.wait(4_000);
-    assert!(w.leader.reaches_no_worker(w.now), "twenty messages were lost");
+    assert!(w.leader.workers_unreachable(w.now), "twenty messages were lost");
     w.leader.scale_in_answered(w.now, &names, true);
-    assert!(!w.leader.reaches_no_worker(w.now), "there is nothing to reach");
+    assert!(!w.leader.workers_unreachable(w.now), "there is nothing to reach");
 }
