--- a/crates/scheduler/src/queue/dependencies.rs
+++ b/crates/scheduler/src/queue/dependencies.rs
@@ -217,7 +217,7 @@
     }
 
     /// The end of a job is known to be written, but not which: a write met it.
-    pub(crate) fn job_ended_unknown_how(&mut self, now: Timestamp, name: &str) {
+    pub(crate) fn job_ended_with_unknown_outcome(&mut self, now: Timestamp, name: &str) {
         self.mark_job_ended(now, name);
         if self.dependency_graph.dependencies.contains_key(name) {
             self.dependency_graph.unread.insert(name.to_owned());
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -217,7 +217,7 @@
         match resolution {
             Resolution::Unknown | Resolution::Open => {}
             Resolution::ReadBack { read, ended } => {
-                self.jobs_ended_unknown_how(now, &ended);
+                self.jobs_ended_with_unknown_outcome(now, &ended);
                 self.commands.push(read);
             }
             Resolution::Committed { batch, revision } => {
@@ -225,7 +225,7 @@
                 self.committed(now, effects);
             }
             Resolution::NotExecuted { batch, ended } => {
-                self.jobs_ended_unknown_how(now, &ended);
+                self.jobs_ended_with_unknown_outcome(now, &ended);
                 batch.not_executed(&mut self.cluster, now);
             }
             Resolution::StepDown { batch, reason } => {
@@ -235,9 +235,9 @@
         }
     }
 
-    fn jobs_ended_unknown_how(&mut self, now: Timestamp, names: &[String]) {
+    fn jobs_ended_with_unknown_outcome(&mut self, now: Timestamp, names: &[String]) {
         for name in names {
-            self.job_ended_unknown_how(now, name);
+            self.job_ended_with_unknown_outcome(now, name);
         }
     }
 
