--- a/crates/scheduler/src/storage/transactions.rs
+++ b/crates/scheduler/src/storage/transactions.rs
@@ -39,7 +39,7 @@
     /// Now.
     pub left: f64,
     /// At most: those of one second.
-    pub most: f64,
+    pub per_s: f64,
 }
 
 /// What an answer means for the transaction that it belongs to.
@@ -138,13 +138,13 @@
 
     /// Operations that may be written now, keeping the given part of the most for what is more urgent.
     pub(crate) fn write_allowance(&self, keep: f64) -> usize {
-        let spare = |a: WriteAllowance| (a.left - keep * a.most).max(0.0) as usize;
+        let spare = |a: WriteAllowance| (a.left - keep * a.per_s).max(0.0) as usize;
         self.allowance.map_or(usize::MAX, spare)
     }
 
     /// Operations that the write rate has room for in a second; `None`: any number.
     pub(crate) fn writes_per_second(&self) -> Option<f64> {
-        self.allowance.map(|allowance| allowance.most.max(1.0))
+        self.allowance.map(|allowance| allowance.per_s.max(1.0))
     }
 
     /// Whether a round may write anything now.
--- a/crates/scheduler/tests/autoscaling.rs
+++ b/crates/scheduler/tests/autoscaling.rs
@@ -144,7 +144,7 @@
         &JobSpec { priority: walnutlug_scheduler::model::job_spec::Priority::High, ..spec(4) },
     );
     w.wait(50);
-    w.leader.set_write_allowance(WriteAllowance { left: 1.0, most: 16.0 });
+    w.leader.set_write_allowance(WriteAllowance { left: 1.0, per_s: 16.0 });
     w.leader.tick(w.now);
     let commits: Vec<_> = w
         .leader
