--- a/crates/scheduler/src/storage.rs
+++ b/crates/scheduler/src/storage.rs
@@ -1,10 +1,10 @@
-//! What is kept in the key-value store: the keys, the codec of the records, and the transactions that
-//! write them.
+//! Persistence in the key-value store: key layout, record codec, and the transactions that write
+//! the records.
 //!
-//! A round (`write_round`) puts what was decided into batches (`batch`): changed chunks of tasks
-//! (`chunk_writes`), ends of jobs, and deletions (`deletion`). [`transactions`] sends each batch as one
-//! transaction and follows it to a certain outcome; the batch then says what that outcome changes in
-//! the cluster. [`loader`] reads the records back when a node begins to lead.
+//! A round of writes (`write_round`) collects pending changes into batches (`batch`): changed
+//! chunks of tasks (`chunk_writes`), job ends, and deletions (`deletion`). [`transactions`] sends
+//! each batch as one transaction and tracks it until its outcome is certain; the batch then applies
+//! the outcome to the cluster. [`loader`] reads the records back when a node becomes leader.
 
 pub(crate) mod batch;
 pub(crate) mod chunk_writes;
--- a/crates/scheduler/src/storage/batch.rs
+++ b/crates/scheduler/src/storage/batch.rs
@@ -1,4 +1,5 @@
-//! What one transaction writes, and what its outcome changes in the cluster.
+//! Batches: the writes of one transaction, and the changes to the cluster that follow from its
+//! outcome.
 
 use crate::event::{Event, JobDone};
 use crate::leadership::fencing_token::Term;
@@ -15,112 +16,113 @@
 use crate::storage::revision::Revision;
 use crate::time::Timestamp;
 
-/// Operations are added to a batch until its transaction is larger than this.
+/// Size above which no more operations are added to a batch.
 const MAX_TRANSACTION_BYTES: usize = 40 * 1024;
-/// What an operation takes beside its value and, twice, its key.
+/// Encoded size of an operation in addition to its value and twice its key.
 const OPERATION_OVERHEAD_BYTES: usize = 64;
 
-/// A chunk of a job's tasks.
+/// Identifies a chunk of a job's tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ChunkId {
     pub(crate) job: JobIndex,
     pub(crate) chunk: usize,
 }
 
-/// A record of some of a chunk's tasks: all of them, or a part.
+/// Identifies a task record: a whole chunk, or a part of one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct TaskRecordId {
     pub(crate) chunk: ChunkId,
-    /// The first task of a part; `None` for the whole chunk.
+    /// Number of the part's first task; `None` for the whole chunk.
     pub(crate) part: Option<u32>,
 }
 
-/// The end of a job, to be written.
+/// The end of a job that a batch writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct JobEnding {
     job: JobIndex,
     end: JobEnd,
 }
 
-/// What one transaction writes, and what its outcome decides.
+/// The operations of one transaction, and the state to update once its outcome is certain.
 #[derive(Debug, Default)]
 pub(crate) struct Batch {
     transaction: Transaction,
     bytes: usize,
-    /// Chunks written, whole or in part.
+    /// Chunks of which the batch writes the whole or a part.
     chunks: Vec<ChunkId>,
-    /// What was written of them.
+    /// Records that the batch writes for these chunks.
     records: Vec<TaskRecordId>,
-    /// All tasks whose records are written anew.
+    /// Tasks that changed since their last write and are written by this batch.
     changed: Vec<TaskId>,
-    /// Tasks whose starts may be sent once this is committed.
+    /// Tasks whose starts may be sent to workers once the batch commits.
     starts: Vec<TaskId>,
-    /// Tasks whose completion is recorded by it.
+    /// Tasks whose completion becomes durable with the batch.
     completions: Vec<TaskId>,
     ends: Vec<JobEnding>,
     deletions: Vec<RecordDeletion>,
     background: bool,
 }
 
-/// What a committed batch leaves to do.
+/// Follow-up work of a committed batch, left to the scheduler.
 #[derive(Debug, Default)]
 pub(crate) struct CommitEffects {
-    /// Starts that may be sent from now on.
+    /// Tasks whose starts may now be sent to workers.
     pub(crate) starts: Vec<TaskId>,
-    /// Ends that are stored from now on.
+    /// Job ends that are now stored.
     pub(crate) ends: Vec<StoredEnd>,
 }
 
-/// An end of a job that this leader has stored.
+/// A job's end that a committed batch of this leader has stored.
 #[derive(Debug)]
 pub(crate) struct StoredEnd {
-    /// The job's name.
+    /// Name of the ended job.
     pub(crate) job: String,
     pub(crate) end: JobEnd,
-    /// For the log.
+    /// Log event for the end.
     pub(crate) event: Event,
 }
 
 impl Batch {
-    /// One of task states and deletions alone: nothing waits for it.
+    /// Creates an empty batch for task states and deletions only, which no start or job end depends
+    /// on.
     pub(crate) fn background() -> Batch {
         Batch { background: true, ..Batch::default() }
     }
 
-    /// Whether nothing waits for it.
+    /// Returns whether the batch holds only task states and deletions.
     pub(crate) fn is_background(&self) -> bool {
         self.background
     }
 
-    /// What is sent.
     pub(crate) fn transaction(&self) -> &Transaction {
         &self.transaction
     }
 
-    /// How many operations it has.
+    /// Returns the number of write operations in the transaction.
     pub(crate) fn operations(&self) -> usize {
         self.transaction.operations.len()
     }
 
-    /// Whether it takes nothing more, with room for that many operations.
+    /// Returns whether no more operations fit, given a limit of `max_operations`.
     pub(crate) fn is_full(&self, max_operations: usize) -> bool {
         self.operations() >= max_operations || self.bytes > MAX_TRANSACTION_BYTES
     }
 
-    /// Makes everything depend on this node's leadership.
+    /// Makes the transaction conditional on this node still holding the leader key of `term`.
     pub(crate) fn compare_term(&mut self, term: Term) {
         let compare = Compare { key: keys::LEADER.to_owned(), revision: term.into() };
         self.transaction.compares.insert(0, compare);
     }
 
-    /// Makes everything depend on the key's revision (0: no such key).
+    /// Makes the transaction conditional on the key's revision; `Revision::NONE` requires that the
+    /// key does not exist.
     fn compare(&mut self, key: &str, revision: Revision) {
         if !self.transaction.compares.iter().any(|compare| compare.key == key) {
             self.transaction.compares.push(Compare { key: key.to_owned(), revision });
         }
     }
 
-    /// Adds the record of some tasks of a chunk.
+    /// Adds the record of a chunk, or of a part of it.
     pub(crate) fn put_tasks(&mut self, job: &Job, record: TaskRecordId, value: Document) {
         let TaskRecordId { chunk: ChunkId { chunk, .. }, part } = record;
         let whole = keys::run(&job.name, chunk);
@@ -136,15 +138,15 @@
             }
             None => whole,
         };
-        // After an acknowledged cancellation nothing can be dispatched: the end's absence is part
-        // of the write itself.
+        // No task may be dispatched after its job's cancellation was confirmed, so the write itself
+        // requires that the job has no end.
         self.compare(&keys::end(&job.name), Revision::NONE);
         self.bytes += value.size() + key.len() * 2 + OPERATION_OVERHEAD_BYTES;
         self.transaction.operations.push(Operation::put_document(key, value));
         self.records.push(record);
     }
 
-    /// Adds a job's end, which is written only if it has none.
+    /// Adds a job's end; the transaction fails if the job already has one.
     pub(crate) fn put_end(&mut self, job_index: JobIndex, job_name: &str, end: JobEnd) {
         let key = keys::end(job_name);
         self.transaction.compares.push(Compare { key: key.clone(), revision: Revision::NONE });
@@ -152,37 +154,36 @@
         self.ends.push(JobEnding { job: job_index, end });
     }
 
-    /// Adds the deletion of a key.
     pub(crate) fn delete(&mut self, key: String) {
         self.transaction.operations.push(Operation::delete(key));
     }
 
-    /// Notes that the chunk is written, whole or in part.
+    /// Registers a chunk of which the batch writes the whole or a part.
     pub(crate) fn note_chunk(&mut self, chunk: ChunkId) {
         self.chunks.push(chunk);
     }
 
-    /// Notes a task whose record is written anew.
+    /// Registers a task that changed since its last write and is written by this batch.
     pub(crate) fn note_changed(&mut self, task: TaskId) {
         self.changed.push(task);
     }
 
-    /// Notes a task that may be started once this is committed.
+    /// Registers a task that may be started once the batch commits.
     pub(crate) fn note_start(&mut self, task: TaskId) {
         self.starts.push(task);
     }
 
-    /// Notes a task whose completion is recorded by this.
+    /// Registers a task whose completion becomes durable with the batch.
     pub(crate) fn note_completion(&mut self, task: TaskId) {
         self.completions.push(task);
     }
 
-    /// Notes what is deleted of an ended job.
+    /// Registers the records of an ended job that the batch deletes.
     pub(crate) fn note_deletion(&mut self, deletion: RecordDeletion) {
         self.deletions.push(deletion);
     }
 
-    /// The transaction was committed, at that revision of the store.
+    /// Applies a commit of the transaction at the given revision of the store to the cluster.
     pub(crate) fn committed(
         self,
         cluster: &mut Cluster,
@@ -216,8 +217,8 @@
         CommitEffects { starts: self.starts, ends }
     }
 
-    /// The transaction certainly had no effect and will have none: what it would have started is
-    /// pending again.
+    /// Applies a transaction that was not executed and never will be: the starts that it contained
+    /// are pending again, and the tasks that it wrote count as changed.
     pub(crate) fn not_executed(self, cluster: &mut Cluster, now: Timestamp) {
         for ChunkId { job, chunk } in self.chunks {
             if let Some(job) = cluster.jobs.get_mut(&job) {
--- a/crates/scheduler/src/storage/chunk_writes.rs
+++ b/crates/scheduler/src/storage/chunk_writes.rs
@@ -1,10 +1,11 @@
 //! Adds changed chunks of tasks to a batch.
 //!
-//! A chunk is written whole where it is small enough a value. One that isn't (a former version made
-//! chunks for larger values than the service takes by now) stays as it is, and those of its tasks that
-//! changed go into parts beside it. Each record of either kind holds its tasks as they are at that
-//! moment and is guarded by its own revision; whoever reads them takes, of each task, the one that was
-//! written last. So it makes no difference which parts were written before a leader ended.
+//! A chunk is written as one value if that is small enough. Otherwise (an earlier version created
+//! chunks for a larger value limit than the service now has) the stored chunk is left as it is, and
+//! its changed tasks are written to parts: separate records that each cover some of its tasks.
+//! Every record holds the current state of its tasks and is guarded by its own revision. A reader
+//! uses, for each task, the record that was written last, so the records are consistent even if a
+//! leader stops after writing only some of the parts.
 
 use std::collections::BTreeSet;
 use std::ops::Range;
@@ -17,7 +18,7 @@
 use crate::storage::records;
 use crate::storage::transactions::Transactions;
 
-/// Adds changed chunks to a batch that takes a number of operations.
+/// Adds changed chunks to a batch until it holds `max_operations` operations.
 pub(crate) struct ChunkWriter<'a> {
     pub(crate) cluster: &'a mut Cluster,
     pub(crate) transactions: &'a mut Transactions,
@@ -26,7 +27,7 @@
 }
 
 impl ChunkWriter<'_> {
-    /// Adds what changed of the chunk, as far as the batch takes it.
+    /// Adds the changes of the chunk, as far as they fit into the batch.
     pub(crate) fn add_chunk(&mut self, id: ChunkId) {
         let Some(job) = self.cluster.jobs.get(&id.job) else { return };
         let tasks = job.chunk_tasks(id.chunk);
@@ -42,18 +43,19 @@
         self.mark_in_flight(id, Progress::Whole);
     }
 
-    /// Adds the changed tasks in parts.
+    /// Adds the changed tasks as parts of the chunk.
     fn add_parts(&mut self, id: ChunkId, tasks: Range<u32>, nonce: &str) {
         let size = records::part_size(self.transactions.limits().value_bytes);
         let Some(job) = self.cluster.jobs.get(&id.job) else { return };
-        // By the start of their window, counted from the chunk's: the same windows each time.
+        // First tasks of the fixed-size windows that contain changed tasks. Windows are aligned to
+        // the start of the chunk, so every write uses the same part keys.
         let windows: BTreeSet<u32> = job
             .changed
             .range(tasks.clone())
             .map(|task| task - (task - tasks.start) % size)
             .collect();
         if windows.is_empty() {
-            // All of it is written: nothing to wait for an answer to.
+            // Every change of the chunk is already stored, so there is no write to wait for.
             if let Some(chunk) = self.chunk_mut(id) {
                 (chunk.start_due, chunk.unpersisted_since) = (None, None);
             }
@@ -61,7 +63,7 @@
         }
         for from in windows {
             if self.batch.is_full(self.max_operations) {
-                // The rest of it waits for the next round.
+                // The remaining parts are written in the next round.
                 return self.mark_in_flight(id, Progress::Partly);
             }
             self.add_part(id, from..(from + size).min(tasks.end), nonce);
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Notes what the record of these tasks means for each of them.
+    /// Registers with the batch how its outcome affects each of these tasks.
     fn note_tasks(&mut self, id: ChunkId, tasks: Range<u32>) {
         let Some(job) = self.cluster.jobs.get_mut(&id.job) else { return };
         for index in tasks {
@@ -91,7 +93,7 @@
         }
     }
 
-    /// The chunk has something in the batch.
+    /// Marks the chunk as having writes in the batch.
     fn mark_in_flight(&mut self, id: ChunkId, progress: Progress) {
         if let Some(chunk) = self.chunk_mut(id) {
             chunk.in_flight = true;
@@ -107,7 +109,7 @@
     }
 }
 
-/// How much of what a chunk has to write is in the batch.
+/// How many of a chunk's changes the batch contains.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Progress {
     Whole,
--- a/crates/scheduler/src/storage/deletion.rs
+++ b/crates/scheduler/src/storage/deletion.rs
@@ -1,7 +1,7 @@
 //! Deletion of the records of ended jobs.
 //!
-//! Several transactions may be needed for one job. The description goes last, so that a chunk never
-//! outlives it.
+//! One job may need several transactions. The description is deleted last, so that a chunk never
+//! exists without it.
 
 use crate::model::cluster::Cluster;
 use crate::model::ids::JobIndex;
@@ -11,20 +11,21 @@
 use crate::storage::keys;
 use crate::storage::revision::Revision;
 
-/// A part of a chunk, by the chunk's number and the part's first task.
+/// Identifies a part of a chunk by the chunk's number and the part's first task.
 type PartId = (usize, u32);
 
-/// What one transaction deletes of a job's records.
+/// The records of a job that one transaction deletes.
 #[derive(Debug)]
 pub(crate) struct RecordDeletion {
     job: JobIndex,
-    /// Whether nothing is left of them after it.
+    /// Whether the job has no records left after this transaction.
     last: bool,
     parts: Vec<PartId>,
 }
 
-/// Adds the deletion of an ended job's records to the batch, as many as it takes, if nothing of the
-/// job can be on a machine or on its way to the store any more. Returns whether all of them go.
+/// Adds as many deletions of an ended job's records as fit into the batch, provided that no task of
+/// the job can still be on a machine and no write of it is in flight. Returns whether the batch
+/// deletes all of its remaining records.
 pub(crate) fn delete_records(
     batch: &mut Batch,
     cluster: &mut Cluster,
@@ -71,7 +72,7 @@
 }
 
 impl RecordDeletion {
-    /// The records are gone, and with the last of them the job.
+    /// Applies the committed deletion; the job is removed together with its last record.
     pub(crate) fn committed(self, cluster: &mut Cluster) {
         if self.last {
             cluster.remove_job(self.job);
@@ -80,14 +81,13 @@
         }
     }
 
-    /// The transaction had no effect for certain, or a lost answer to an earlier copy hides that it
-    /// had one.
+    /// Handles a deletion that was certainly not executed, or whose earlier copy took effect
+    /// although its answer was lost.
     pub(crate) fn not_executed(self, cluster: &mut Cluster) {
         let Some(job) = cluster.jobs.get_mut(&self.job) else { return };
         job.apply(JobEvent::DeletionIncomplete);
         job.parts.extend(self.parts.into_iter().map(|part| (part, Revision::UNKNOWN)));
-        // Which chunks still exist is not known any more; deleting a key that does not exist does no
-        // harm.
+        // It is unknown which chunks still exist; deleting a missing key has no effect.
         for chunk in &mut job.chunks {
             chunk.revision = chunk.revision.max(Revision::UNKNOWN);
         }
--- a/crates/scheduler/src/storage/document.rs
+++ b/crates/scheduler/src/storage/document.rs
@@ -1,9 +1,9 @@
-//! Stored values, encoded once.
+//! Values of the key-value store, kept as encoded JSON text.
 //!
-//! A value of the key-value store is measured, copied into a transaction, kept until the transaction's
-//! outcome is certain, and sent, perhaps several times. Kept as text it is encoded once and shared after
-//! that. (Kept as a tree, a round that wrote a dozen records made thousands of small allocations, three
-//! times over.)
+//! A value is measured, copied into a transaction, kept until the transaction's outcome is certain,
+//! and possibly sent several times. As text it is encoded once and then shared. Kept as a tree
+//! instead, the values of a round that wrote a dozen records caused thousands of small allocations,
+//! three times over.
 
 use std::rc::Rc;
 
@@ -11,22 +11,23 @@
 use serde_json::value::{to_raw_value, RawValue};
 use serde_json::Value;
 
-/// An encoded JSON value. Clones share the text.
+/// An encoded JSON value. Clones share the same text.
 #[derive(Debug, Clone)]
 pub struct Document(Rc<RawValue>);
 
 impl Document {
-    /// Encodes `value`; `null` if it has no JSON form (a map whose keys are not strings).
+    /// Encodes `value`. The result is `null` if the value has no JSON form, such as a map with keys
+    /// that are not strings.
     pub fn new(value: &impl Serialize) -> Document {
         Document(to_raw_value(value).unwrap_or_default().into())
     }
 
-    /// The bytes that it takes in a transaction.
+    /// Returns the number of bytes that the value takes in a transaction.
     pub fn size(&self) -> usize {
         self.0.get().len()
     }
 
-    /// Decodes it as a tree.
+    /// Decodes the text into a JSON tree.
     pub fn to_value(&self) -> Value {
         serde_json::from_str(self.0.get()).unwrap_or_default()
     }
--- a/crates/scheduler/src/storage/in_flight.rs
+++ b/crates/scheduler/src/storage/in_flight.rs
@@ -1,13 +1,13 @@
-//! One transaction on its way to a certain outcome, as a state machine.
+//! The state machine that tracks one transaction until its outcome is certain.
 //!
 //! ```text
-//!         +--(refused after a lost answer, answer lost, read failed)--> waiting to be retried
+//!         +--(refused after a lost answer, answer lost, read failed)--> waiting to retry
 //!  sent --+                                                               |       |
-//!    ^    +--(conflict with a record, limits fell)--> reading back -------+       |
+//!    ^    +--(conflict with a record, limits lowered)--> reading back ----+       |
 //!    +----------------------------------------------------------------------------+
 //! ```
 //!
-//! It ends when the outcome is certain: committed, or not executed now or ever.
+//! The tracking ends when the transaction is committed, or certainly not executed now or later.
 
 use crate::protocol::key_value::{Operation, Transaction};
 use crate::storage::batch::Batch;
@@ -15,30 +15,30 @@
 use crate::storage::revision::Revision;
 use crate::time::Timestamp;
 
-/// What the transaction waits for.
+/// What the transaction is waiting for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
-    /// The answer to the transaction.
+    /// Waiting for the answer to the transaction.
     Sent,
-    /// The time to send it again.
+    /// Waiting for the time at which to resend it.
     WaitingToRetry { at: Timestamp },
-    /// The answer to the reading of one of its records.
+    /// Waiting for the answer to a read of one of its records.
     ReadingBack,
 }
 
-/// What may have become of the copies that were sent earlier.
+/// What is known about the copies of the transaction that were sent earlier.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum EarlierCopies {
-    /// Every answer arrived: none took effect.
+    /// Every copy was answered, and none took effect.
     NotExecuted,
-    /// An answer was lost at least once, so that a conflict may be with its own earlier copy.
+    /// At least one answer was lost, so a conflict may be with an earlier copy of this transaction.
     Indeterminate,
-    /// One may have taken effect, but the transaction is over the service's limits by now: none will
-    /// any more.
+    /// An earlier copy may have taken effect, but the transaction now exceeds the service's limits,
+    /// so no copy will take effect from now on.
     IndeterminateAndTooLarge,
 }
 
-/// A transaction whose outcome is open.
+/// A transaction whose outcome is not yet certain.
 #[derive(Debug)]
 pub(crate) struct InFlightTransaction {
     batch: Batch,
@@ -48,13 +48,14 @@
 }
 
 impl InFlightTransaction {
-    /// Sent for the first time. `nonce` names it in the records that it writes.
+    /// Creates a transaction that was sent for the first time. `nonce` identifies it in the records
+    /// that it writes.
     pub(crate) fn sent(batch: Batch, nonce: String) -> InFlightTransaction {
         let earlier_copies = EarlierCopies::NotExecuted;
         InFlightTransaction { batch, nonce, stage: Stage::Sent, earlier_copies }
     }
 
-    /// Sends it again, if that is due.
+    /// Marks the transaction as sent and returns a copy to send, if its time to be resent has come.
     pub(crate) fn resend_if_due(&mut self, now: Timestamp) -> Option<Transaction> {
         match self.stage {
             Stage::WaitingToRetry { at } if now >= at => {
@@ -65,50 +66,51 @@
         }
     }
 
-    /// It is to be sent again.
+    /// Schedules the transaction to be resent at the given time.
     pub(crate) fn retry(&mut self, at: Timestamp) {
         self.stage = Stage::WaitingToRetry { at };
     }
 
-    /// The copy that was sent last may have been executed, or may be yet.
+    /// Registers that the copy sent last may have been executed, or may still be.
     pub(crate) fn became_indeterminate(&mut self) {
         if self.earlier_copies == EarlierCopies::NotExecuted {
             self.earlier_copies = EarlierCopies::Indeterminate;
         }
     }
 
-    /// The limits fell below it. No copy will be executed any more, but an earlier one may have been
-    /// before.
+    /// Registers that the service's limits fell below the size of the transaction: no copy will be
+    /// executed from now on, but an earlier one may have been.
     pub(crate) fn became_too_large(&mut self) {
         self.earlier_copies = EarlierCopies::IndeterminateAndTooLarge;
     }
 
-    /// One of its records is being read.
+    /// Registers that one of the transaction's records is being read.
     pub(crate) fn reading_back(&mut self) {
         self.stage = Stage::ReadingBack;
     }
 
-    /// Whether an earlier copy may have taken effect.
+    /// Returns whether an earlier copy may have taken effect.
     pub(crate) fn is_indeterminate(&self) -> bool {
         self.earlier_copies != EarlierCopies::NotExecuted
     }
 
-    /// Whether no copy can take effect any more.
+    /// Returns whether the transaction exceeds the service's limits, so that no copy can take
+    /// effect from now on.
     pub(crate) fn is_too_large(&self) -> bool {
         self.earlier_copies == EarlierCopies::IndeterminateAndTooLarge
     }
 
-    /// Whether nothing waits for it.
+    /// Returns whether the transaction holds only task states and deletions.
     pub(crate) fn is_background(&self) -> bool {
         self.batch.is_background()
     }
 
-    /// Its name in the records that it writes.
+    /// Returns the nonce that identifies the transaction in the records that it writes.
     pub(crate) fn nonce(&self) -> &str {
         &self.nonce
     }
 
-    /// The first chunk or part that it writes.
+    /// Returns the key of the first chunk or part that the transaction writes.
     pub(crate) fn first_chunk_key(&self) -> Option<&str> {
         self.batch.transaction().operations.iter().find_map(|operation| match operation {
             Operation::Put { put, .. } if put.starts_with(keys::RUN) => Some(put.as_str()),
@@ -116,13 +118,13 @@
         })
     }
 
-    /// Whether a record that it writes had this revision before.
+    /// Returns whether the transaction requires this revision of any chunk or part.
     pub(crate) fn expects_revision(&self, revision: Revision) -> bool {
         let compares = &self.batch.transaction().compares;
         compares.iter().any(|c| c.key.starts_with(keys::RUN) && c.revision == revision)
     }
 
-    /// Its outcome is certain: what is left is what it was to write.
+    /// Returns the batch once the outcome is certain.
     pub(crate) fn into_batch(self) -> Batch {
         self.batch
     }
--- a/crates/scheduler/src/storage/keys.rs
+++ b/crates/scheduler/src/storage/keys.rs
@@ -1,34 +1,37 @@
-//! The key under which each record is kept.
+//! Layout of the keys in the key-value store.
 
-/// Held by the leader; its revision is the term.
+/// Key held by the current leader; its revision is the leader's term.
 pub const LEADER: &str = "leader";
-/// The machine types that the cloud offers.
+/// Key of the machine types that the cloud offers.
 pub const TYPES: &str = "types";
 /// Prefix of the descriptions of jobs without dependencies.
 pub const TODO: &str = "todo/";
-/// Prefix of the descriptions of jobs that depend on others. A version without dependencies reads
-/// `todo/` alone: it never sees these, and so can't start one too early, whenever it comes to lead.
+/// Prefix of the descriptions of jobs with dependencies. Versions without support for dependencies
+/// read only `todo/`, so they can't start such a job too early if one of their nodes becomes
+/// leader.
 pub const CHAINED: &str = "todo-chain/";
-/// Common prefix of both kinds of descriptions: one list and one watch serve both.
+/// Common prefix of the descriptions of all jobs, so that one list and one watch cover both kinds.
 pub const DESCRIPTIONS: &str = "todo";
 /// Prefix of the chunks of task records.
 pub const RUN: &str = "run/";
-/// Prefix of the proofs of acceptance.
+/// Prefix of the records that prove the acceptance of jobs.
 pub const JOB: &str = "job/";
-/// Prefix of the ends of jobs.
+/// Prefix of the records of job ends.
 pub const END: &str = "end/";
 
-/// Proof that the job was accepted. Created once, never deleted.
+/// Returns the key of the record that proves the job's acceptance. It is created once and never
+/// deleted.
 pub fn job(name: &str) -> String {
     format!("{JOB}{name}")
 }
 
-/// The description of a job without dependencies, kept until the job's records are deleted.
+/// Returns the key of the description of a job without dependencies. It is kept until the job's
+/// records are deleted.
 pub fn todo(name: &str) -> String {
     format!("{TODO}{name}")
 }
 
-/// The description of a job; `chained` if it depends on others.
+/// Returns the key of a job's description; `chained` is whether the job depends on others.
 pub fn description(name: &str, chained: bool) -> String {
     match chained {
         true => format!("{CHAINED}{name}"),
@@ -36,40 +39,40 @@
     }
 }
 
-/// The job whose description the key holds, of either kind.
+/// Returns the name of the job that a description's key belongs to, with or without dependencies.
 pub fn described_job(key: &str) -> Option<&str> {
     key.strip_prefix(TODO).or_else(|| key.strip_prefix(CHAINED))
 }
 
-/// The end of a job. Created once, by whoever ends the job first.
+/// Returns the key of a job's end. It is created once, by the first node that ends the job.
 pub fn end(name: &str) -> String {
     format!("{END}{name}")
 }
 
-/// A chunk of a job's task records.
+/// Returns the key of a chunk of a job's task records.
 pub fn run(name: &str, chunk: usize) -> String {
     format!("{RUN}{name}/{chunk:05}")
 }
 
-/// Tasks of a chunk, from the one with that number on, that are kept apart from it because the
-/// whole would be too large a value.
+/// Returns the key of a part of a chunk: a separate record of the tasks from number `from` on, used
+/// when the whole chunk is too large a value.
 pub fn part(name: &str, chunk: usize, from: u32) -> String {
     format!("{RUN}{name}/{chunk:05}.{from:06}")
 }
 
-/// What a key of a chunk, or of a part of one, names.
+/// The parsed key of a chunk or of a part of a chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RunKey<'a> {
-    /// The job's name.
+    /// Name of the job that the tasks belong to.
     pub job: &'a str,
-    /// The chunk's number in the job.
+    /// Number of the chunk within the job, from 0.
     pub chunk: usize,
-    /// The first task of a part; `None` for a whole chunk.
+    /// Number of the part's first task; `None` for a whole chunk.
     pub part: Option<u32>,
 }
 
 impl<'a> RunKey<'a> {
-    /// Reads a key made by [`run`] or [`part`]; `None` for any other key.
+    /// Parses a key built by [`run`] or [`part`]; returns `None` for any other key.
     pub fn parse(key: &'a str) -> Option<RunKey<'a>> {
         let (job, place) = key.strip_prefix(RUN)?.rsplit_once('/')?;
         let (chunk, part) = match place.split_once('.') {
--- a/crates/scheduler/src/storage/loader.rs
+++ b/crates/scheduler/src/storage/loader.rs
@@ -1,4 +1,4 @@
-//! Reads the stored records into the cluster.
+//! Loads the stored records into the cluster.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
@@ -20,26 +20,26 @@
 };
 use crate::time::{TimeDelta, Timestamp};
 
-/// Why a job's stored description was not taken over.
+/// The reason for which a job's stored description was rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum DescriptionError {
-    /// It is no description, or one of its fields has another form.
+    /// The value is not a description, or one of its fields has the wrong type.
     #[error("the job's stored description can't be read")]
     Unreadable(#[source] serde_json::Error),
-    /// The number of its tasks, or of those in a chunk, is out of range.
+    /// The number of tasks, or of tasks per chunk, is out of range.
     #[error(
         "the job's stored description is out of range: {tasks} tasks in chunks of {chunk_size}"
     )]
     OutOfRange {
-        /// The job's tasks.
+        /// Number of tasks in the description.
         tasks: u32,
-        /// Tasks in a chunk.
+        /// Number of tasks per chunk in the description.
         chunk_size: u64,
     },
 }
 
 impl DescriptionError {
-    /// As it is logged, once for each job.
+    /// Returns the anomaly to log for this error.
     pub(crate) fn anomaly(&self) -> Anomaly {
         match self {
             DescriptionError::Unreadable(_) => Anomaly::UnreadableDescription,
@@ -48,17 +48,17 @@
     }
 }
 
-/// What came of a job's stored description.
+/// The result of loading a job's stored description.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LoadedJob {
-    /// The job is new to the cluster.
+    /// The job was not in the cluster before and has been added.
     Added(JobIndex),
-    /// The job was in the cluster before, and nothing changed.
+    /// The job was already in the cluster, which is unchanged.
     Known,
 }
 
-/// Adds a job from its stored description. `wall_us` is the wall clock now, in microseconds, from
-/// which its acceptance on this node's clock is worked out.
+/// Adds a job from its stored description. `wall_us` is the current wall-clock time in
+/// microseconds, used to convert the time of acceptance to this node's clock.
 pub(crate) fn load_job(
     cluster: &mut Cluster,
     now: Timestamp,
@@ -82,11 +82,12 @@
     Ok(LoadedJob::Added(cluster.add_job(job)))
 }
 
-/// Takes over the stored chunks, all of them at once. All that was placed keeps its machine;
-/// deadlines start again. Returns the keys that belong to no job or can't be read.
+/// Loads the stored chunks, all of which must be passed at once. Placed tasks keep their machine;
+/// their deadlines start again. Returns the keys that belong to no job or can't be decoded.
 ///
-/// A task may stand in its chunk and in a part that was written later, or the other way round:
-/// each holds all of its tasks as they were when it was written, so the newer one counts.
+/// A task may be stored both in its chunk and in a part, and either may have been written later.
+/// Each record holds all of its tasks as they were when it was written, so the newer record is
+/// used.
 pub(crate) fn load_chunks(
     cluster: &mut Cluster,
     now: Timestamp,
@@ -112,8 +113,8 @@
     unreadable
 }
 
-/// Reads a chunk or a part, and notes its revision with the job. `None` if it belongs to no job, or
-/// can't be read.
+/// Decodes a chunk or a part, and stores its revision in the job. Returns `None` if it belongs to
+/// no job or can't be decoded.
 fn read_chunk<'a>(
     cluster: &mut Cluster,
     key_value: &'a KeyValue,
@@ -139,7 +140,7 @@
     Some((first..end).zip(records).map(|(task, record)| ((job_index, task), record)).collect())
 }
 
-/// A task that a record shows on a machine.
+/// A task that is on a machine according to its record.
 struct LoadedPlacement {
     id: TaskId,
     machine: String,
@@ -173,7 +174,7 @@
     }
 }
 
-/// Takes over one task's record. Returns the machine on which it is, if it is placed.
+/// Loads one task from its record. Returns the name of its machine if the task is placed.
 fn load_task<'a>(
     job: &mut Job,
     now: Timestamp,
@@ -195,12 +196,13 @@
         }
         StoredProgress::Placed(placement) => {
             task.placed_at = placement.placed_at(job.accepted, now).unwrap_or(task.placed_at);
-            // Whatever it was, all that is certain now is that it may be there.
+            // Whichever phase was stored, it is only certain that the task may be on the machine.
             task.phase = TaskPhase::Dispatching;
             task.agent_epoch = placement.agent_epoch;
-            // Sent under an older term, so with a token below all of this one's. Only a worker
-            // that has seen this term refuses it for certain; a lower bar would take a heartbeat
-            // from before the old start's arrival for proof.
+            // The start was sent in an earlier term, with a token below all tokens of this term.
+            // Only a worker that has seen this term certainly rejects it. With a lower token here,
+            // a heartbeat from before the old start arrived would count as proof of the task's
+            // absence.
             task.token = loaded_token;
             Some(placement.machine)
         }
--- a/crates/scheduler/src/storage/records.rs
+++ b/crates/scheduler/src/storage/records.rs
@@ -1,8 +1,8 @@
-//! The codec of the records: jobs' descriptions, and their tasks in chunks.
+//! Codec of the stored records: job descriptions, and tasks in chunks.
 //!
-//! A job's description is one value, written when it is accepted. Its tasks are kept in chunks of
-//! [`chunk_size`], or in parts of a chunk where a whole one is too large a value by now. The names and
-//! the order of all fields are those of every version.
+//! A job's description is one value, written when the job is accepted. Its tasks are stored in
+//! chunks of [`chunk_size`], or in parts of a chunk if the whole chunk has become too large a
+//! value. All versions use the same names and order of fields.
 
 use std::borrow::Cow;
 use std::ops::Range;
@@ -19,58 +19,61 @@
 use crate::storage::document::Document;
 use crate::time::{TimeDelta, Timestamp};
 
-/// The unit in which a task's placement is stored, counted from its job's acceptance.
+/// Unit of a task's stored placement time, which is counted from its job's acceptance.
 const PLACED_UNIT: TimeDelta = TimeDelta::from_millis(100);
 
-/// How many tasks one stored chunk holds, so that its value stays below the limit even with long
-/// machine names and large attempt numbers.
+/// Returns how many tasks one stored chunk holds, so that its value stays within the limit even
+/// with long machine names and large attempt numbers.
 pub fn chunk_size(value_bytes: usize) -> u32 {
     ((value_bytes.saturating_sub(96)) / 48).clamp(1, 200) as u32
 }
 
-/// How many tasks a part of a chunk holds: few enough for the longest records.
+/// Returns how many tasks one part of a chunk holds, so that its value stays within the limit even
+/// with the longest records.
 pub(crate) fn part_size(value_bytes: usize) -> u32 {
     (value_bytes.saturating_sub(96) / 64).clamp(1, 200) as u32
 }
 
-/// The stored form of a job's description.
+/// Stored form of a job's description.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct DescriptionRecord<'a> {
     pub(crate) spec: Cow<'a, JobSpec>,
-    /// Microseconds of the wall clock at the job's acceptance.
+    /// Wall-clock time of the job's acceptance, in microseconds.
     #[serde(rename = "at")]
     pub(crate) accepted_wall_us: u64,
-    /// Tasks in each of its chunks.
+    /// Number of tasks in each of the job's chunks.
     #[serde(rename = "chunk")]
     pub(crate) chunk_size: u64,
 }
 
-/// The stored form of a job's description. `accepted_wall_us` is the wall clock in microseconds.
+/// Encodes a job's description. `accepted_wall_us` is the wall-clock time of its acceptance in
+/// microseconds.
 pub fn description_record(spec: &JobSpec, accepted_wall_us: u64, chunk_size: u32) -> Value {
     let (spec, chunk_size) = (Cow::Borrowed(spec), u64::from(chunk_size));
     let record = DescriptionRecord { spec, accepted_wall_us, chunk_size };
     serde_json::to_value(record).unwrap_or_default()
 }
 
-/// Some of a job's tasks, to be written.
+/// Stored form of a chunk or of a part of one, as written.
 #[derive(Serialize)]
 struct ChunkRecord<'a> {
     #[serde(rename = "t")]
     tasks: Vec<TaskRecord<'a>>,
-    /// Names the transaction that wrote it.
+    /// Identifies the transaction that wrote the record.
     #[serde(rename = "w")]
     nonce: &'a str,
 }
 
-/// One task, to be written.
+/// Stored form of one task, as written.
 #[derive(Serialize)]
 #[serde(untagged)]
 enum TaskRecord<'a> {
-    /// Pending, and never placed before.
+    /// Pending, and never placed before. Always the number 0.
     Untouched(u8),
-    /// Phase and attempt.
+    /// Not on a machine: phase code and attempt.
     NotPlaced(u8, Attempt),
-    /// Phase, attempt, machine, its agent epoch, and when it was placed.
+    /// On a machine: phase code, attempt, machine, its agent epoch, and time of placement in
+    /// [`PLACED_UNIT`]s after the job's acceptance.
     Placed(u8, Attempt, &'a str, AgentEpoch, u64),
 }
 
@@ -89,7 +92,8 @@
     }
 }
 
-/// Encodes the job's tasks of that range; `nonce` names the transaction that will write them.
+/// Encodes the job's tasks in the given range. `nonce` identifies the transaction that will write
+/// them.
 pub(crate) fn encode_tasks(
     cluster: &Cluster,
     job: &Job,
@@ -101,26 +105,27 @@
     Document::new(&ChunkRecord { tasks, nonce })
 }
 
-/// A stored chunk, or a part of one, as it is read.
+/// Stored form of a chunk or of a part of one, as read.
 #[derive(Debug, Deserialize)]
 pub(crate) struct StoredChunk<'a> {
     #[serde(rename = "t", borrow)]
     pub(crate) tasks: Vec<StoredTask<'a>>,
 }
 
-/// One task of a [`StoredChunk`]. Unreadable ones don't make the rest of the chunk unreadable.
+/// Stored form of one task, as read. A task that can't be decoded doesn't prevent the decoding of
+/// the others in its chunk.
 #[derive(Debug, Deserialize)]
 #[serde(untagged)]
 pub(crate) enum StoredTask<'a> {
     /// Any number: pending, and never placed before.
     Untouched(#[expect(dead_code, reason = "any number means the same")] f64),
-    /// The fields of a [`TaskRecord`], and perhaps more from a later version.
+    /// The fields of a [`TaskRecord`], possibly followed by fields that a later version added.
     Fields(#[serde(borrow)] Vec<StoredField<'a>>),
-    /// Anything else.
+    /// Any other value, which is skipped.
     Unreadable(IgnoredAny),
 }
 
-/// One field of a [`StoredTask`].
+/// One field of a [`StoredTask`], typed loosely so that unknown fields can be skipped.
 #[derive(Debug, Deserialize)]
 #[serde(untagged)]
 pub(crate) enum StoredField<'a> {
@@ -129,40 +134,42 @@
     Other(IgnoredAny),
 }
 
-/// What a record says of one task.
+/// Decoded state of a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct TaskState<'a> {
     pub(crate) attempt: Attempt,
     pub(crate) progress: StoredProgress<'a>,
 }
 
-/// How far a record says that a task has come.
+/// Progress of a task according to its record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum StoredProgress<'a> {
     Pending,
-    /// On a machine, or on its way there; or it was, and has not been proven absent.
+    /// The task is or was on a machine or on its way there, and has not been proven absent from it.
     Placed(StoredPlacement<'a>),
     Done,
 }
 
-/// Where and when a record says that a task was placed.
+/// Place and time at which a task was placed, according to its record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct StoredPlacement<'a> {
     pub(crate) machine: &'a str,
     pub(crate) agent_epoch: AgentEpoch,
-    /// From the job's acceptance; `None` in records of a version that did not store it.
+    /// Time from the job's acceptance to the placement; `None` in records of a version that did not
+    /// store it.
     pub(crate) after_acceptance: Option<TimeDelta>,
 }
 
 impl StoredPlacement<'_> {
-    /// The time of the placement of a task of a job accepted at `accepted`, never later than `now`.
+    /// Returns when the task was placed, but not later than `now`. `accepted` is the time of its
+    /// job's acceptance.
     pub(crate) fn placed_at(&self, accepted: Timestamp, now: Timestamp) -> Option<Timestamp> {
         self.after_acceptance.map(|after| (accepted + after).min(now))
     }
 }
 
 impl<'a> StoredTask<'a> {
-    /// What the record says; `None` if it can't be read.
+    /// Decodes the task's state; returns `None` if the record is malformed.
     pub(crate) fn state(&self) -> Option<TaskState<'a>> {
         let fields = match self {
             StoredTask::Untouched(_) => {
@@ -202,7 +209,7 @@
     Some(StoredPlacement { machine, agent_epoch: AgentEpoch(*agent_epoch), after_acceptance })
 }
 
-/// Whether the stored value was written by the transaction with that nonce.
+/// Returns whether the stored value was written by the transaction with the given nonce.
 pub(crate) fn was_written_by(value: &Value, nonce: &str) -> bool {
     #[derive(Deserialize)]
     struct Writer<'a> {
--- a/crates/scheduler/src/storage/revision.rs
+++ b/crates/scheduler/src/storage/revision.rs
@@ -1,4 +1,4 @@
-//! The revisions of the key-value store.
+//! Revisions of the key-value store, and their conversion to and from terms.
 
 use std::fmt;
 
@@ -6,8 +6,8 @@
 
 use crate::leadership::fencing_token::Term;
 
-/// The version of a key, or of the whole store: the number of the change that it was made by. Revisions
-/// only rise.
+/// The revision of a key or of the whole store: the number of the change that produced it.
+/// Revisions only increase.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -15,12 +15,12 @@
 pub struct Revision(pub u64);
 
 impl Revision {
-    /// Of a key that does not exist.
+    /// Revision of a key that does not exist.
     pub const NONE: Revision = Revision(0);
-    /// Stands for that of a key of which it is only known that it may exist.
+    /// Placeholder for the unknown revision of a key that may or may not exist.
     pub const UNKNOWN: Revision = Revision(1);
 
-    /// The number, as on the wire.
+    /// Returns the number as sent on the wire.
     pub const fn get(self) -> u64 {
         self.0
     }
@@ -32,14 +32,14 @@
     }
 }
 
-/// The term of the leader whose key has this revision.
+/// Converts the revision of the `leader` key to the term of the leader that created it.
 impl From<Revision> for Term {
     fn from(revision: Revision) -> Term {
         Term(revision.0)
     }
 }
 
-/// The revision that the `leader` key has under this term.
+/// Converts a term to the revision of the `leader` key in that term.
 impl From<Term> for Revision {
     fn from(term: Term) -> Revision {
         Revision(term.0)
--- a/crates/scheduler/src/storage/transactions.rs
+++ b/crates/scheduler/src/storage/transactions.rs
@@ -1,4 +1,4 @@
-//! The transactions in flight, what their answers mean, and how much may be written beside them.
+//! Tracks the transactions in flight, interprets their answers, and limits the rate of writes.
 
 use std::collections::BTreeMap;
 
@@ -16,65 +16,67 @@
 use crate::time::{TimeDelta, Timestamp};
 use crate::tunables::Tunables;
 
-/// Until a transaction is sent again whose answer was lost.
+/// Delay before resending a transaction whose answer was lost.
 const RETRY_AFTER_LOST_ANSWER: TimeDelta = TimeDelta::from_millis(250);
-/// Until a transaction with an open outcome is sent again that was refused, or of which a record could
-/// not be read.
+/// Delay before resending a transaction whose outcome is still uncertain after a refusal or a
+/// failed read of one of its records.
 const RETRY_AFTER_REFUSAL: TimeDelta = TimeDelta::from_millis(500);
-/// Until anything is written after a transaction was refused.
+/// Time after a refused transaction during which nothing is written.
 const PAUSE_AFTER_REFUSAL: TimeDelta = TimeDelta::from_millis(300);
 
-/// What the key-value store takes at once.
+/// Limits of the key-value store on one transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TransactionLimits {
-    /// The largest value, in bytes.
+    /// Maximum size of a value, in bytes.
     pub value_bytes: usize,
-    /// The most operations in a transaction.
+    /// Maximum number of operations in a transaction.
     pub operations: usize,
 }
 
-/// Operations that the write rate has room for.
+/// Number of operations that the write rate allows.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WriteAllowance {
-    /// Now.
+    /// Operations that may be written now.
     pub left: f64,
-    /// At most: those of one second.
+    /// Operations that may be written per second, which is also the most that may be written at
+    /// once.
     pub per_s: f64,
 }
 
-/// What an answer means for the transaction that it belongs to.
+/// The meaning of an answer for the transaction that it belongs to.
 #[derive(Debug)]
 pub(crate) enum Resolution {
-    /// No such transaction is in flight.
+    /// No transaction with this ID is in flight.
     Unknown,
-    /// Its outcome is still open.
+    /// The outcome is still uncertain.
     Open,
-    /// Its outcome is still open; it met the ends of these jobs, and one of its records has to be read.
+    /// The outcome is still uncertain, and one of the transaction's records must be read to
+    /// determine it. The conflict also shows that some jobs have ended.
     ReadBack {
-        /// To be sent.
+        /// The read command to issue.
         read: Command,
-        /// Jobs whose ends are stored, whichever they are.
+        /// Jobs whose ends are stored; whether as done or cancelled is unknown.
         ended: Vec<String>,
     },
-    /// It was executed.
+    /// The transaction was executed.
     Committed {
-        /// What it wrote.
+        /// The writes that took effect.
         batch: Batch,
-        /// The store's revision of it.
+        /// Revision of the store after the transaction.
         revision: Revision,
     },
-    /// It was not executed, and will not be.
+    /// The transaction was not executed and never will be.
     NotExecuted {
-        /// What it would have written.
+        /// The writes that did not take effect.
         batch: Batch,
-        /// Jobs whose ends are stored, whichever they are.
+        /// Jobs whose ends are stored; whether as done or cancelled is unknown.
         ended: Vec<String>,
     },
-    /// It was not executed, and this node may lead no longer.
+    /// The transaction was not executed, and this node must stop leading.
     StepDown {
-        /// What it would have written.
+        /// The writes that did not take effect.
         batch: Batch,
-        /// Why.
+        /// The reason to report for the end of the term.
         reason: StepDownReason,
     },
 }
@@ -85,26 +87,27 @@
     }
 }
 
-/// The transactions whose outcome is open, and what may be written beside them.
+/// The transactions whose outcome is uncertain, and the limits and counts of writes.
 #[derive(Debug)]
 pub(crate) struct Transactions {
-    /// The leader's term, on which every transaction depends.
+    /// The leader's term; every transaction requires that it is current.
     term: Term,
     in_flight: BTreeMap<u64, InFlightTransaction>,
     next_id: u64,
-    /// The store refused the last write: nothing is decided until it answers again.
+    /// Nothing is written before this time, because the store refused the last write. A commit
+    /// resets it.
     paused_until: Timestamp,
-    /// As far as is known.
+    /// The limits reported last; the service may have lowered them since.
     limits: TransactionLimits,
-    /// `None`: any number.
+    /// Remaining writes under the rate limit; `None` without a limit.
     allowance: Option<WriteAllowance>,
-    /// Chunks with planned starts that are not on their way to the store.
+    /// Number of chunks with planned starts that are not yet in a transaction.
     planned_chunks: usize,
     counts: WriteCounts,
 }
 
 impl Transactions {
-    /// With nothing in flight, and no limit to the rate.
+    /// Creates an empty set of transactions without a limit on the write rate.
     pub(crate) fn new(term: Term, limits: TransactionLimits) -> Transactions {
         Transactions {
             term,
@@ -118,110 +121,111 @@
         }
     }
 
-    // ---- what may be written --------------------------------------------------------------
+    // ---- write limits ---------------------------------------------------------------------
 
-    /// Sets what the key-value store takes at once; it may become less at any time.
+    /// Sets the limits of the key-value store on a transaction, which may be lowered at any time.
     pub(crate) fn set_limits(&mut self, limits: TransactionLimits) {
         self.limits = TransactionLimits { operations: limits.operations.max(1), ..limits };
     }
 
-    /// What the key-value store takes at once.
+    /// Returns the limits of the key-value store on a transaction.
     pub(crate) fn limits(&self) -> TransactionLimits {
         self.limits
     }
 
-    /// Sets how many operations the write rate has room for. What is decided beyond that waits here,
-    /// where the most urgent goes first, and not in front of the service.
+    /// Sets how many operations the write rate currently allows. Writes beyond it wait in the
+    /// scheduler, which sends the most urgent first, instead of queueing in front of the service.
     pub(crate) fn set_write_allowance(&mut self, allowance: WriteAllowance) {
         self.allowance = Some(allowance);
     }
 
-    /// Operations that may be written now, keeping the given part of the most for what is more urgent.
+    /// Returns how many operations may be written now, if the given fraction of one second's writes
+    /// is reserved for more urgent ones.
     pub(crate) fn write_allowance(&self, keep: f64) -> usize {
         let spare = |a: WriteAllowance| (a.left - keep * a.per_s).max(0.0) as usize;
         self.allowance.map_or(usize::MAX, spare)
     }
 
-    /// Operations that the write rate has room for in a second; `None`: any number.
+    /// Returns the number of operations that may be written per second, `None` without a limit.
     pub(crate) fn writes_per_second(&self) -> Option<f64> {
         self.allowance.map(|allowance| allowance.per_s.max(1.0))
     }
 
-    /// Whether a round may write anything now.
+    /// Returns whether a round of writes may send anything now.
     pub(crate) fn may_write(&self, now: Timestamp, tunables: &Tunables) -> bool {
         now >= self.paused_until
             && self.in_flight.len() < tunables.txns_in_flight as usize
             && self.write_allowance(0.0) >= 1
     }
 
-    /// How many transactions are in flight.
+    /// Returns the number of transactions in flight.
     pub(crate) fn in_flight_count(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// Whether one of task states and deletions alone is in flight.
+    /// Returns whether a transaction with only task states and deletions is in flight.
     pub(crate) fn background_in_flight(&self) -> bool {
         self.in_flight.values().any(InFlightTransaction::is_background)
     }
 
-    // ---- counts ---------------------------------------------------------------------------
+    // ---- write counts ---------------------------------------------------------------------
 
-    /// Chunks with planned starts that are not on their way to the store.
+    /// Returns the number of chunks with planned starts that are not yet in a transaction.
     pub(crate) fn planned_chunks(&self) -> usize {
         self.planned_chunks
     }
 
-    /// Counts the chunks with planned starts anew.
+    /// Replaces the count of chunks with planned starts.
     pub(crate) fn set_planned_chunks(&mut self, chunks: usize) {
         self.planned_chunks = chunks;
     }
 
-    /// A start was planned, which waits to be written.
+    /// Counts a start that was planned and waits to be written.
     pub(crate) fn start_planned(&mut self, planned: StartPlanned) {
         self.planned_chunks += usize::from(planned.first_of_chunk);
         self.counts.tasks_placed += 1;
         self.counts.image_cached += usize::from(planned.image_cached);
     }
 
-    /// A chunk with planned starts is on its way to the store.
+    /// Counts a chunk with planned starts as added to a transaction.
     pub(crate) fn planned_chunk_taken(&mut self) {
         self.planned_chunks -= 1;
     }
 
-    /// A chunk, or a part of one, is written because of planned starts.
+    /// Counts the write of a chunk, or a part of one, that contains planned starts.
     pub(crate) fn count_starts_written(&mut self) {
         self.counts.starts += 1;
     }
 
-    /// A chunk, or a part of one, is written because of task states alone.
+    /// Counts the write of a chunk, or a part of one, that contains only task state changes.
     pub(crate) fn count_task_states_written(&mut self) {
         self.counts.task_states += 1;
     }
 
-    /// Ends of jobs are written.
+    /// Counts written job ends.
     pub(crate) fn count_ends_written(&mut self, ends: usize) {
         self.counts.job_ends += ends;
     }
 
-    /// Records of a job are deleted, perhaps the last of them.
+    /// Counts deleted records of a job; `last` is whether none of its records remain.
     pub(crate) fn count_deletions(&mut self, records: usize, last: bool) {
         self.counts.deletes += records;
         self.counts.jobs_deleted += usize::from(last);
     }
 
-    /// The counts since they were taken last.
+    /// Returns the counts since the last call, and resets them.
     pub(crate) fn take_counts(&mut self) -> WriteCounts {
         std::mem::take(&mut self.counts)
     }
 
     // ---- transactions in flight -----------------------------------------------------------
 
-    /// Names the next transaction in the records that it writes.
+    /// Returns the nonce that identifies the next transaction in the records that it writes.
     pub(crate) fn next_nonce(&self) -> String {
         format!("{}-{}", self.term, self.next_id)
     }
 
-    /// Sends the batch, unless it is empty.
+    /// Sends the batch as a transaction, unless it is empty.
     pub(crate) fn send(&mut self, mut batch: Batch) -> Option<Command> {
         if batch.operations() == 0 {
             return None;
@@ -238,7 +242,7 @@
         Some(Command::Commit { id, transaction })
     }
 
-    /// Sends again what is due.
+    /// Resends the transactions whose retry time has come.
     pub(crate) fn resend_due(&mut self, now: Timestamp) -> Vec<Command> {
         let due = self.in_flight.iter_mut().filter_map(|(&id, in_flight)| {
             let transaction = in_flight.resend_if_due(now)?;
@@ -247,7 +251,7 @@
         due.collect()
     }
 
-    /// The answer to a [`Command::Commit`].
+    /// Determines what the outcome of a [`Command::Commit`] means for its transaction.
     pub(crate) fn answered(
         &mut self,
         now: Timestamp,
@@ -258,8 +262,8 @@
         match outcome {
             TransactionOutcome::Committed { revision } => self.committed(transaction, revision),
             TransactionOutcome::Indeterminate => {
-                // It may have been executed, or may be yet. Sending the same again with the same
-                // guards settles it: only one of the copies can ever take effect.
+                // The transaction may have been executed, or may still be. Resending it with the
+                // same compares resolves this, because at most one of the copies can take effect.
                 transaction.became_indeterminate();
                 transaction.retry(now + RETRY_AFTER_LOST_ANSWER);
                 self.keep_open(id, transaction)
@@ -277,7 +281,7 @@
         }
     }
 
-    /// The answer to a [`Command::Read`].
+    /// Determines what the outcome of a [`Command::Read`] means for its transaction.
     pub(crate) fn read_answered(
         &mut self,
         now: Timestamp,
@@ -318,8 +322,9 @@
         Resolution::Committed { batch: transaction.into_batch(), revision }
     }
 
-    /// The limits fell. This copy was not executed, and no earlier one will be any more; but one may
-    /// have been before they fell.
+    /// Handles a transaction that exceeds the service's lowered limits. Neither this copy nor an
+    /// earlier one can still be executed, but an earlier one may have been executed before the
+    /// limits were lowered.
     fn too_large(&mut self, id: u64, mut transaction: InFlightTransaction) -> Resolution {
         let key = transaction.first_chunk_key().map(str::to_owned);
         match key {
@@ -327,12 +332,13 @@
                 transaction.became_too_large();
                 self.keep_reading(id, transaction, key, Vec::new())
             }
-            // An end or a deletion that took effect unheard is met by its next try.
+            // If a job end or a deletion took effect but its answer was lost, the next attempt
+            // finds that out.
             _ => Resolution::not_executed(transaction),
         }
     }
 
-    /// These keys are not what the transaction expects.
+    /// Handles a transaction whose compares failed on the given keys.
     fn conflict(
         &mut self,
         id: u64,
@@ -346,14 +352,16 @@
         let ended = failed.iter().filter_map(|key| key.strip_prefix(keys::END));
         let ended = ended.map(str::to_owned).collect();
         match failed.iter().find(|key| key.starts_with(keys::RUN)) {
-            // Of an indeterminate transaction, most likely its own first copy: the value says so.
-            // Until it is read the outcome stays open.
+            // If an answer was lost before, the conflict is most likely with the transaction's own
+            // earlier copy, which the nonce in the value shows. The outcome stays uncertain until
+            // the record is read.
             Some(key) => self.keep_reading(id, transaction, key.clone(), ended),
             None => Resolution::NotExecuted { batch: transaction.into_batch(), ended },
         }
     }
 
-    /// One of the transaction's records has this value and revision (0: no such key).
+    /// Determines the outcome from the value and revision of one of the transaction's records; a
+    /// missing record has `Revision::NONE`.
     fn read_back(
         &mut self,
         transaction: InFlightTransaction,
@@ -366,8 +374,9 @@
         if transaction.is_too_large() && transaction.expects_revision(revision) {
             return Resolution::not_executed(transaction);
         }
-        // Under this term only this leader writes chunks, so a strange value means that the cluster
-        // is not what is stored. Reading everything again is the safe way.
+        // In this term only this leader writes chunks, so an unexpected value means that the state
+        // in memory differs from the stored state. Reading all records again in a new term is the
+        // safe response.
         let (batch, reason) = (transaction.into_batch(), StepDownReason::UnexpectedChunk);
         Resolution::StepDown { batch, reason }
     }
--- a/crates/scheduler/src/storage/transactions/tests.rs
+++ b/crates/scheduler/src/storage/transactions/tests.rs
@@ -44,7 +44,7 @@
     let later = now + RETRY_AFTER_LOST_ANSWER;
     assert!(matches!(transactions.resend_due(later)[..], [Command::Commit { id: 1, .. }]));
     assert!(transactions.resend_due(later).is_empty(), "once");
-    // A refusal says nothing of the first copy.
+    // A refusal of the second copy says nothing about the first.
     assert!(matches!(
         transactions.answered(later, id, TransactionOutcome::Rejected),
         Resolution::Open
--- a/crates/scheduler/src/storage/write_round.rs
+++ b/crates/scheduler/src/storage/write_round.rs
@@ -1,8 +1,10 @@
-//! What one round writes: everything that was decided, before anything of it is sent.
+//! Decides what one round of writes contains, before any of it is sent.
 //!
-//! Ends and starts go first, as few transactions as the limits allow. What finds no room waits for the
-//! next round, which takes more at once. (Task states and deletions once went out beside the starts: at 20
-//! changes a second they took most of it, and a start or an acceptance waited whole seconds.)
+//! Job ends and starts go first, in as few transactions as the limits allow. Writes that don't fit
+//! wait for the next round, which combines more of them in each transaction. Task states and
+//! deletions are sent separately, with part of the allowance withheld: sent along with the starts
+//! at 20 changes per second, they used most of it and delayed starts and acceptances by whole
+//! seconds.
 
 use std::cmp::Reverse;
 
@@ -20,13 +22,14 @@
 use crate::time::{TimeDelta, Timestamp};
 use crate::tunables::Tunables;
 
-/// The part of the write allowance that task states and deletions leave to starts and ends.
+/// Fraction of the write allowance that task states and deletions leave for starts and job ends.
 const KEEP_FOR_STARTS: f64 = 0.4;
-/// Times its delay after which a task state waits for nothing any more.
+/// Multiple of the `evidence_delay` setting after which an unwritten task state may also use the
+/// allowance reserved for starts and job ends.
 const OVERDUE_STATUS_WRITE: u64 = 5;
 
-/// A chunk with planned starts. The order is the one in which they are written: the highest priority
-/// first, then the one that has waited longest.
+/// A chunk with planned starts. The ordering is that of the writes: highest priority first, then
+/// longest waiting.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct PlannedStarts {
     priority: Reverse<Priority>,
@@ -35,7 +38,7 @@
     chunk: usize,
 }
 
-/// A chunk with task states that are not stored, in the order in which they are written.
+/// A chunk with unwritten task states. The ordering is that of the writes: longest waiting first.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct UnpersistedChunk {
     since: Timestamp,
@@ -43,14 +46,14 @@
     chunk: usize,
 }
 
-/// All that waits to be written.
+/// All changes that wait to be written.
 #[derive(Debug, Default)]
 struct PendingWrites {
     starts: Vec<PlannedStarts>,
-    /// Jobs of which all tasks are done.
+    /// Jobs whose tasks are all done and whose end is not yet written.
     done: Vec<JobIndex>,
     task_states: Vec<UnpersistedChunk>,
-    /// Jobs whose records may be deleted.
+    /// Ended jobs whose records may be deleted.
     ended: Vec<JobIndex>,
 }
 
@@ -87,7 +90,7 @@
     }
 }
 
-/// The owners that a round of writes reads and changes.
+/// The parts of the scheduler's state that a round of writes reads and changes.
 pub(crate) struct WriteRound<'a> {
     pub(crate) cluster: &'a mut Cluster,
     pub(crate) transactions: &'a mut Transactions,
@@ -97,11 +100,12 @@
 }
 
 impl WriteRound<'_> {
-    /// Writes what waits, and returns the transactions to send.
+    /// Adds the waiting changes to transactions, and returns the commands that send them.
     pub(crate) fn run(mut self) -> Vec<Command> {
         let mut commits = Vec::new();
         let mut pending = PendingWrites::collect(self.cluster, self.tunables, self.now);
-        // A user was told that these are cancelled with the job before them: nothing goes first.
+        // The user was already told that these jobs are cancelled along with the job that they
+        // depend on, so their ends are written first.
         let cancelled: Vec<JobIndex> = self.dependency_graph.dependency_cancelled().collect();
         self.write_ends(&cancelled, JobEnd::Cancelled, &mut commits);
         pending.done.sort_by_key(|&index| Reverse(self.dependent_count(index)));
@@ -113,7 +117,8 @@
         commits
     }
 
-    /// How many jobs wait for this one; an end that releases others is written first.
+    /// Returns how many jobs depend on this one; the ends of jobs with the most dependents are
+    /// written first.
     fn dependent_count(&self, index: JobIndex) -> usize {
         self.cluster.job(index).map_or(0, |job| self.dependency_graph.dependent_count(&job.name))
     }
@@ -122,8 +127,8 @@
         self.transactions.in_flight_count() < self.tunables.txns_in_flight as usize
     }
 
-    /// Writes the jobs' ends, as many as may be written now, each written once by whoever comes first:
-    /// all tasks are done, or a job that they depend on was cancelled.
+    /// Writes as many of the jobs' ends as is possible now. An end is written only once, as
+    /// completion or as cancellation through a dependency, whichever comes first.
     fn write_ends(&mut self, jobs: &[JobIndex], end: JobEnd, commits: &mut Vec<Command>) {
         let is_open = |index: &&JobIndex| {
             let job = self.cluster.job(**index);
@@ -149,7 +154,7 @@
         self.transactions.send(batch)
     }
 
-    /// Writes planned starts, the most urgent first, with what else changed of their chunks.
+    /// Writes planned starts, most urgent first, together with the other changes of their chunks.
     fn write_starts(&mut self, starts: Vec<PlannedStarts>, commits: &mut Vec<Command>) {
         self.transactions.set_planned_chunks(starts.len());
         let mut starts = starts.into_iter().peekable();
@@ -169,7 +174,7 @@
         }
     }
 
-    /// Writes task states and deletes records, in one transaction at a time.
+    /// Writes task states and deletes records, with at most one such transaction in flight.
     fn write_background(
         &mut self,
         task_states: &[UnpersistedChunk],
@@ -198,7 +203,8 @@
         commits.extend(self.transactions.send(batch));
     }
 
-    /// Operations that a transaction may have now, keeping that part of the allowance.
+    /// Returns how many operations a transaction may contain now, if the given fraction of the
+    /// allowance is reserved.
     fn room(&self, keep: f64) -> usize {
         self.transactions.write_allowance(keep).min(self.transactions.limits().operations)
     }
