--- a/crates/scheduler/src/command.rs
+++ b/crates/scheduler/src/command.rs
@@ -1,4 +1,5 @@
-//! What the scheduler wants done, and what became of it.
+//! Commands that the scheduler issues to the program, and the outcomes that the program reports
+//! back.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -12,112 +13,117 @@
 use crate::protocol::workers::{Heartbeat, WorkerCommand};
 use crate::storage::revision::Revision;
 
-/// Something for the program to do.
+/// An action for the program to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Command {
-    /// Send the transaction and answer with [`Scheduler::transaction_answered`](crate::scheduler::Scheduler::transaction_answered).
+    /// Sends a transaction to the key-value store. The program reports the outcome through
+    /// [`Scheduler::transaction_answered`](crate::scheduler::Scheduler::transaction_answered).
     Commit {
-        /// Of the transaction, in this term.
+        /// Identifies the transaction within this term; a resent transaction keeps its ID.
         id: u64,
-        /// What to send.
+        /// The compares and operations to execute atomically.
         transaction: Transaction,
     },
-    /// Read one key and answer with [`Scheduler::read_answered`](crate::scheduler::Scheduler::read_answered).
+    /// Reads one key. The program reports the outcome through
+    /// [`Scheduler::read_answered`](crate::scheduler::Scheduler::read_answered).
     Read {
-        /// Of the transaction whose outcome it decides.
+        /// Identifies the transaction whose outcome the key's value decides.
         id: u64,
-        /// The key.
+        /// Full key of the record to read.
         key: String,
     },
-    /// Find out which of the jobs have ended, and answer with [`Scheduler::job_ends_found`](crate::scheduler::Scheduler::job_ends_found).
+    /// Looks up which of the jobs have ended. The program reports the result through
+    /// [`Scheduler::job_ends_found`](crate::scheduler::Scheduler::job_ends_found).
     FindJobEnds {
-        /// The jobs.
+        /// Names of the jobs to look up.
         names: Vec<String>,
     },
-    /// Send the commands to a worker once, never again, and answer with
+    /// Sends commands to a worker once, without retries. The program reports the outcome through
     /// [`Scheduler::message_answered`](crate::scheduler::Scheduler::message_answered).
     SendToWorker {
-        /// The worker's machine.
+        /// The machine that the worker runs on.
         machine: MachineIndex,
-        /// Where the worker can be reached.
+        /// Network address of the worker.
         address: String,
-        /// The fencing token of the message.
+        /// Fencing token of the message; a worker rejects tokens lower than the highest that it has
+        /// seen.
         token: FencingToken,
-        /// The agent epoch of the worker that it is for.
+        /// Agent epoch of the worker that the commands are meant for.
         agent_epoch: AgentEpoch,
-        /// The commands; none if only an answer is wanted.
+        /// Commands to execute; empty if the leader only wants the worker's heartbeat in the
+        /// answer.
         calls: Vec<WorkerCommand>,
     },
-    /// Request machines from the cloud.
+    /// Requests machines from the cloud.
     ScaleOut {
-        /// Their type.
+        /// Machine type to request.
         kind: String,
-        /// Their zone.
+        /// Zone in which the machines are to run.
         zone: String,
-        /// Whether spot machines.
+        /// Whether to request spot machines instead of ordinary ones.
         spot: bool,
-        /// How many.
+        /// Number of machines to request.
         count: u32,
     },
-    /// Return machines to the cloud.
+    /// Returns machines to the cloud.
     ScaleIn {
-        /// Their names.
+        /// Names of the machines to return.
         machines: Vec<String>,
     },
-    /// Write an event to the log.
+    /// Writes an event to the log.
     Log(Event),
-    /// Read the leader key: a worker reports a newer term, which alone proves nothing.
+    /// Reads the leader key, because a worker reported a newer term. The report alone doesn't prove
+    /// that another node leads.
     VerifyLeadership,
-    /// End the term.
+    /// Ends this node's term as leader.
     StepDown(StepDownReason),
 }
 
-/// How many anomalies are remembered as logged: several for each machine of any fleet.
+/// Maximum number of anomalies remembered as already logged: enough for several per machine in a
+/// fleet of any size. Anomalies beyond it are not logged.
 const MAX_ANOMALIES: usize = 20_000;
 
-/// The commands that were decided and not yet taken, in their order.
+/// Commands that were decided but not yet taken by the program, in the order of their execution.
 #[derive(Debug, Default)]
 pub(crate) struct CommandQueue {
     commands: Vec<Command>,
-    /// Anomalies that were logged, each once.
+    /// Anomalies logged so far, by machine or job name; each is logged only once.
     logged: BTreeSet<(String, Anomaly)>,
 }
 
 impl CommandQueue {
-    /// Adds a command.
     pub(crate) fn push(&mut self, command: Command) {
         self.commands.push(command);
     }
 
-    /// Adds commands.
     pub(crate) fn extend(&mut self, commands: impl IntoIterator<Item = Command>) {
         self.commands.extend(commands);
     }
 
-    /// Logs an event.
     pub(crate) fn log(&mut self, event: Event) {
         self.push(Command::Log(event));
     }
 
-    /// Logs an anomaly, once for each machine or job and kind.
+    /// Logs an anomaly unless the same kind was already logged for this machine or job.
     pub(crate) fn log_once(&mut self, name: &str, kind: Anomaly) {
         if self.logged.len() < MAX_ANOMALIES && self.logged.insert((name.to_owned(), kind)) {
             self.log(Event::Anomaly { name: name.to_owned(), kind });
         }
     }
 
-    /// Takes all commands.
+    /// Removes and returns all queued commands.
     pub(crate) fn take(&mut self) -> Vec<Command> {
         std::mem::take(&mut self.commands)
     }
 }
 
-/// Why a leader ends its own term.
+/// The reason for which a leader ends its own term.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StepDownReason {
-    /// A transaction found the leader key under another revision than this term's.
+    /// A transaction found that the leader key's revision is not this term's.
     LeaderKeyTaken,
-    /// A chunk holds what this leader did not write: its table is not what is stored.
+    /// A chunk holds tasks that this leader did not write, so its state in memory differs from the
+    /// stored state.
     UnexpectedChunk,
 }
 
@@ -130,51 +136,52 @@
     }
 }
 
-/// What came of the reading of a key.
+/// The outcome of reading a key.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ReadOutcome {
-    /// The key's value.
+    /// The key exists.
     Found {
-        /// The value.
+        /// The stored JSON value.
         value: Value,
-        /// The key's revision.
+        /// Revision at which the key was last written.
         revision: Revision,
     },
-    /// There is no such key.
+    /// The key does not exist.
     Missing,
-    /// It could not be read.
+    /// The key-value store did not answer the read.
     Unavailable,
 }
 
-/// What became of a transaction.
+/// The outcome of a transaction.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TransactionOutcome {
-    /// Executed.
+    /// The transaction was executed.
     Committed {
-        /// The store's revision of it.
+        /// Revision of the store after the transaction.
         revision: Revision,
     },
-    /// Not executed: these keys have other revisions than it expects.
+    /// The transaction was not executed, because some keys have revisions other than it requires.
     Conflict {
-        /// The keys.
+        /// Keys whose compares failed.
         failed: Vec<String>,
     },
-    /// Certainly not executed.
+    /// The transaction was certainly not executed.
     Rejected,
-    /// Certainly not executed, now or later: a value or the transaction is over the service's
-    /// limits.
+    /// The transaction was certainly not executed and never will be: one of its values, or the
+    /// transaction itself, exceeds the service's limits.
     TooLarge,
-    /// May have been executed, or may be later.
+    /// The transaction may have been executed, or may still be.
     Indeterminate,
 }
 
-/// What became of a message to a worker.
+/// The outcome of a message to a worker.
 #[derive(Debug, Clone)]
 pub enum MessageOutcome {
-    /// 200 or 409: the worker's heartbeat after it.
+    /// The worker answered with status 200 or 409 and a heartbeat taken after it handled the
+    /// message.
     Answered(Box<Heartbeat>),
     /// The connection was refused, so nothing was sent.
     NotSent,
-    /// Anything else: it may be executed, even minutes later.
+    /// Any other failure. The worker may still execute the commands, even minutes later.
     Indeterminate,
 }
--- a/crates/scheduler/src/event.rs
+++ b/crates/scheduler/src/event.rs
@@ -1,195 +1,198 @@
-//! What the scheduler did or found, for the log: typed, so that the program writes each as a constant
-//! message with fields.
+//! Typed log events of the scheduler. The program writes each as a constant message with structured
+//! fields.
 
 use crate::model::job_spec::Priority;
 use crate::model::machine::DrainReason;
 use crate::time::TimeDelta;
 
-/// Something worth a line in the log. Jobs, tasks and machines are given by their names.
+/// An event to be logged. Jobs, tasks and machines are identified by their names.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// All tasks of the job are done, and its end is stored.
     JobDone(JobDone),
-    /// The job's end is stored as cancelled, since a job that it depends on was cancelled.
+    /// The job's end is stored as cancelled because a job that it depends on was cancelled.
     JobCancelledByDependency {
-        /// The job.
+        /// Name of the cancelled job.
         job: String,
     },
-    /// All jobs that the job depends on are done.
+    /// All jobs that the job depends on are done, so its tasks may be placed.
     JobReady {
-        /// The job.
+        /// Name of the job that became ready.
         job: String,
-        /// From its acceptance until now.
+        /// Time from the job's acceptance to this event.
         waited: TimeDelta,
-        /// The highest priority of its own and of the jobs that depend on it.
+        /// Highest priority among the job and the jobs that depend on it.
         priority: Priority,
-        /// The jobs that it depended on.
+        /// Names of the jobs that it depended on.
         dependencies: Vec<String>,
     },
-    /// A running task is stopped for a job of higher priority, or for a team's guarantee.
+    /// A running task is stopped in favour of a job with higher priority or of a team below its
+    /// guaranteed share.
     TaskPreempted {
-        /// The task.
+        /// Name of the stopped task.
         task: String,
     },
     /// An attempt of the task ended with an error.
     TaskFailed {
-        /// The task.
+        /// Name of the failed task.
         task: String,
-        /// Where it ran.
+        /// Name of the machine that the attempt ran on.
         machine: String,
     },
-    /// Neither a heartbeat nor an answer confirmed the start by its deadline.
+    /// No heartbeat and no answer confirmed the task's start by its deadline.
     StartUnconfirmed {
-        /// The task, which is unknown from now on.
+        /// Name of the task; its state is unknown from this event on.
         task: String,
     },
-    /// The cloud will take the machine.
+    /// The cloud announced that it will reclaim the machine.
     MachineInterruptionNotice {
-        /// The machine.
+        /// Name of the machine to be reclaimed.
         machine: String,
     },
-    /// Nothing more is placed on the machine, and it will be returned.
+    /// The machine is excluded from placement and will be returned to the cloud.
     MachineDrained {
-        /// The machine.
+        /// Name of the drained machine.
         machine: String,
-        /// Why.
+        /// The condition that led to the drain.
         reason: DrainReason,
     },
-    /// Machines are to be returned to the cloud.
+    /// The autoscaler decided to return machines to the cloud.
     ScaleIn {
-        /// Which, and why.
+        /// The machines, each with the reason for its return.
         machines: Vec<MachineScaledIn>,
     },
     /// The cloud answered a request for machines.
     ScaleOutAnswered {
-        /// How many were asked for.
+        /// Number of machines requested.
         requested: u32,
-        /// How many it gave.
+        /// Number of machines that the cloud granted.
         granted: usize,
-        /// Their type.
+        /// Type of the requested machines.
         machine_type: String,
-        /// Their zone.
+        /// Zone of the requested machines.
         zone: String,
-        /// Spot machines.
+        /// Whether spot machines were requested.
         spot: bool,
     },
-    /// What the machines of the last minute cost.
+    /// Cost of the fleet over the last minute.
     FleetCost(FleetCost),
-    /// What was written in the last minute.
+    /// Number of operations written over the last minute.
     Writes(WriteCounts),
-    /// Who holds the overloaded fleet, the largest share first.
+    /// Shares of the fleet that classes hold while it is overloaded, largest first.
     Shares {
-        /// The classes with most.
+        /// The classes that hold the largest shares.
         shares: Vec<HeldShare>,
     },
-    /// The fleet is overloaded from now on: shares decide.
+    /// The fleet became overloaded: shares now decide which work gets capacity.
     OverloadEntered {
-        /// The work that finds no room, as a part of the fleet.
+        /// Work that no machine has capacity for, as a fraction of the fleet's capacity.
         waiting: f64,
     },
     /// The fleet is no longer overloaded.
     OverloadLeft,
-    /// Something that should not be; told once for each name and kind.
+    /// An unexpected condition; logged once for each name and kind.
     Anomaly {
-        /// The machine or job.
+        /// Name of the machine or job that shows the condition.
         name: String,
-        /// What is wrong.
+        /// The kind of unexpected condition.
         kind: Anomaly,
     },
 }
 
-/// A job that is done, beside what was expected of it.
+/// A finished job, with its expected and actual times.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobDone {
-    /// The job.
+    /// Name of the finished job.
     pub job: String,
-    /// Its class.
+    /// Class of the job, by which fair sharing accounts for it.
     pub class: String,
-    /// How many tasks it had.
+    /// Number of tasks in the job.
     pub tasks: u32,
-    /// From its acceptance until now.
+    /// Time from the job's acceptance to this event.
     pub elapsed: TimeDelta,
-    /// When it should have been done, in seconds from its acceptance.
+    /// Requested completion time, in seconds from the job's acceptance; `None` without a deadline.
     pub deadline_s: Option<f64>,
-    /// Its owner's estimate of a task's run time, in seconds.
+    /// The submitter's estimate of a task's run time, in seconds.
     pub estimate_s: f64,
-    /// The mean run time of its tasks, in seconds.
+    /// Mean measured run time of the job's tasks, in seconds.
     pub mean_run_s: f64,
 }
 
 /// A machine that is returned to the cloud.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MachineScaledIn {
-    /// The machine.
+    /// Name of the returned machine.
     pub machine: String,
-    /// Why; `None` if an earlier request is repeated.
+    /// The reason for draining it; `None` if this repeats an earlier request.
     pub reason: Option<DrainReason>,
 }
 
-/// Cost of the fleet since the last such event, in the prices' unit, by what it went to.
+/// Cost of the fleet since the last event of this kind, in the unit of the cloud's prices. `spot`
+/// and `ordinary` split the cost by type of machine, the other fields by use.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct FleetCost {
-    /// Of spot machines, whatever they did.
+    /// Cost of spot machines, whether used or idle.
     pub spot: f64,
-    /// Of ordinary machines, whatever they did.
+    /// Cost of ordinary machines, whether used or idle.
     pub ordinary: f64,
-    /// Tasks that run.
+    /// Cost of capacity used by running tasks.
     pub running: f64,
-    /// Tasks that wait for their image.
+    /// Cost of capacity held by tasks that wait for their image.
     pub fetching: f64,
-    /// Machines that boot.
+    /// Cost of machines that are booting.
     pub booting: f64,
-    /// Room of spot machines that nothing uses.
+    /// Cost of unused capacity on spot machines.
     pub idle_spot: f64,
-    /// Room of ordinary machines that nothing uses.
+    /// Cost of unused capacity on ordinary machines.
     pub idle_ordinary: f64,
 }
 
-/// Operations written since the last such event, by kind, and tasks placed.
+/// Number of operations written since the last event of this kind, and number of tasks placed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WriteCounts {
-    /// Chunks with task starts.
+    /// Writes of chunks that contain task starts.
     pub starts: usize,
-    /// Chunks with task states alone.
+    /// Writes of chunks that contain only task state changes.
     pub task_states: usize,
-    /// Ends of jobs.
+    /// Writes of job ends.
     pub job_ends: usize,
-    /// Deletions of what ended jobs left.
+    /// Deletions of records of ended jobs.
     pub deletes: usize,
     /// Jobs whose last record was deleted.
     pub jobs_deleted: usize,
-    /// Tasks placed.
+    /// Tasks assigned to a machine.
     pub tasks_placed: usize,
-    /// Those of them that were placed where their image is known to be.
+    /// Tasks assigned to a machine that is known to have their image.
     pub image_cached: usize,
 }
 
-/// A class's part of the fleet.
+/// The share of the fleet that one class of a team holds.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HeldShare {
-    /// The team.
+    /// Name of the team that the class belongs to.
     pub team: String,
-    /// The class; `None` for all further classes of the team together.
+    /// Name of the class; `None` for the sum of the team's remaining classes.
     pub class: Option<String>,
-    /// Its dominant share of the fleet.
+    /// Dominant share: the largest fraction of the fleet held of any one resource.
     pub share: f64,
 }
 
-/// What may be wrong with a heartbeat or a record.
+/// An unexpected condition in a heartbeat or a stored record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Anomaly {
-    /// A heartbeat shows a fencing token of a newer term than this one.
+    /// A heartbeat carries a fencing token of a term newer than this leader's.
     NewerTerm,
-    /// A heartbeat of a machine that was returned.
+    /// A machine that was returned to the cloud sent a heartbeat.
     HeartbeatAfterTermination,
-    /// A heartbeat of an earlier agent epoch came late.
+    /// A heartbeat of an earlier agent epoch arrived late.
     LateHeartbeat,
-    /// The machine runs tasks that were not placed there.
+    /// The machine runs tasks that were not placed on it.
     UnexpectedTasks,
-    /// Jobs depend on this one, which nobody ever submitted.
+    /// Other jobs depend on this job, but it was never submitted.
     DependencyNeverSubmitted,
-    /// The job's stored description can't be read.
+    /// The job's stored description can't be decoded.
     UnreadableDescription,
-    /// The job's stored description is out of range.
+    /// The job's stored description has a number of tasks, or of tasks per chunk, that is out of
+    /// range.
     DescriptionOutOfRange,
 }
--- a/crates/scheduler/src/leadership.rs
+++ b/crates/scheduler/src/leadership.rs
@@ -1,4 +1,5 @@
-//! Who leads, and up to when a leader knows every cancellation.
+//! Leader election, fencing tokens, and the point in time up to which a leader knows all
+//! cancellations.
 
 pub mod authority;
 pub mod cancellation_log;
--- a/crates/scheduler/src/leadership/authority.rs
+++ b/crates/scheduler/src/leadership/authority.rs
@@ -1,13 +1,13 @@
-//! What a leader may do by what it knows of its lease and of cancellations.
+//! Determines which actions a leader may take, given its lease and the cancellations that it knows.
 
 use crate::leadership::watermark;
 use crate::time::{TimeDelta, Timestamp};
 use crate::tunables::Site;
 
-/// The part of the window for which a start that was placed may still be sent.
+/// Fraction of the lease renewal window during which a planned start may still be sent.
 const START_WINDOW: f64 = 0.5;
 
-/// What the leader knows of its lease and of cancellations; set anew before each decision.
+/// State of the leader's lease and of its knowledge of cancellations, updated before each decision.
 #[derive(Debug)]
 pub struct LeaderAuthority {
     holds_lease: bool,
@@ -16,42 +16,43 @@
 }
 
 impl LeaderAuthority {
-    /// Of a leader that has just read the records.
+    /// Creates the authority of a leader that has just loaded all records.
     pub(crate) fn new(site: &Site, now: Timestamp) -> LeaderAuthority {
         let window = watermark::lease_renewal_window(site);
         LeaderAuthority { holds_lease: true, cancellations_known_until: now, window }
     }
 
-    /// Sets whether the lease is certainly held. Without it another node may lead: this one goes on
-    /// answering its workers, so that their tasks live, and starts, rents and returns nothing.
-    /// (A leader cut off from the key-value store once gave back machines that had merely gone over
-    /// to its successor.)
+    /// Sets whether the lease is certainly held. Without the lease another node may lead, so this
+    /// node keeps answering heartbeats to let running tasks continue, but starts no tasks and
+    /// neither requests nor returns machines. Without this rule, a leader cut off from the
+    /// key-value store returned machines that its successor was already managing.
     pub fn set_holds_lease(&mut self, holds_lease: bool) {
         self.holds_lease = holds_lease;
     }
 
-    /// Whether the lease is certainly held.
+    /// Returns whether the lease is certainly held.
     pub fn holds_lease(&self) -> bool {
         self.holds_lease
     }
 
-    /// Sets the time before which every cancellation that was acknowledged to a user is in the table;
+    /// Sets the time before which every cancellation confirmed to a user is known to this leader;
     /// see [`crate::leadership::watermark`].
     pub fn set_cancellations_known_until(&mut self, time: Timestamp) {
         self.cancellations_known_until = time;
     }
 
-    /// Whether a lease renewed now ends in time for whatever cancellation isn't known here. (A leader
-    /// that the key-value store alone refused went on renewing through the outage that followed: tasks
-    /// of jobs that others had cancelled meanwhile ran for as long as it lasted.)
+    /// Returns whether a worker's lease renewed now would end in time for any cancellation that
+    /// this leader doesn't know yet. Without this check, a leader that only the key-value store
+    /// refused kept renewing leases through the outage that followed, and tasks of jobs cancelled
+    /// through other nodes ran until it ended.
     pub fn may_renew_leases(&self, now: Timestamp) -> bool {
         now.since(self.cancellations_known_until) <= self.window
     }
 
-    /// Whether a start that was placed then may still be sent. Its write was guarded by the absence of
-    /// the job's end, but since then the end may have been written: after an outage a start that had
-    /// waited through it, or whose write was only then found to be committed, would come long after the
-    /// cancellation was acknowledged to a user.
+    /// Returns whether a start planned at `placed` may still be sent. The write of the start
+    /// required that the job had no end, but the end may have been written since. After an outage,
+    /// a start that waited through it, or whose commit was only then discovered, could be sent long
+    /// after the job's cancellation was confirmed to a user.
     pub(crate) fn may_send_start(&self, now: Timestamp, placed: Timestamp) -> bool {
         let known_until = placed.max(self.cancellations_known_until);
         now.since(known_until) <= self.window.mul_f64(START_WINDOW)
--- a/crates/scheduler/src/leadership/cancellation_log.rs
+++ b/crates/scheduler/src/leadership/cancellation_log.rs
@@ -1,39 +1,39 @@
-//! The cancellations that this node has confirmed to users, replicated to every other node.
+//! Log of the cancellations that this node has confirmed to users, replicated to every other node.
 //!
-//! Entries are numbered from 1 and belong to one incarnation of the node. They are sent to each peer
-//! until it acknowledges them. How far the log goes is the answer to a leader's request, from which the
-//! leader works out its [`Watermark`](crate::leadership::watermark::Watermark).
+//! Entries are numbered from 1 and belong to one incarnation of the node. They are resent to each
+//! peer until it acknowledges them. A leader asks each node for the number of its last log entry
+//! and computes its [`Watermark`](crate::leadership::watermark::Watermark) from the answers.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::time::{TimeDelta, Timestamp};
 use crate::tunables::Site;
 
-/// How long an entry is kept, in times that a cancellation may take: until its tasks must be gone, and
-/// half that again.
+/// Retention time of an entry, as a multiple of the time that a cancellation may take: until its tasks must be gone, and half of that time again.
 const RETENTION: f64 = 1.5;
-/// Entries kept at most, at some hundred bytes each. What is dropped unacknowledged leaves a gap in the
-/// numbers, by which a peer sees that it missed something.
+/// Maximum number of retained entries, at about a hundred bytes each. Dropping an unacknowledged
+/// entry leaves a gap in the numbers, which tells the peer that it missed something.
 const MAX_ENTRIES: usize = 4_096;
-/// Entries in one message.
+/// Maximum number of entries in one message.
 pub const MAX_ENTRIES_PER_MESSAGE: usize = 100;
-/// How long an acknowledgement may take before all that is not acknowledged is sent again.
+/// Time without an acknowledgement after which all unacknowledged entries are resent.
 const RESEND_AFTER: TimeDelta = TimeDelta::from_secs(1);
 
-/// One life of a node's process. Another number is another life, which knows nothing of the last one's.
+/// Identifies one run of a node's process. A restarted process has a different incarnation and no
+/// knowledge of what the previous one confirmed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Incarnation(pub u64);
 
-/// The number of an entry in a node's log; the first is 1, and 0 stands before it.
+/// Number of an entry in a node's log. The first entry is 1; 0 means that no entry exists yet.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LogIndex(pub u64);
 
-/// Successive entries of a log.
+/// Consecutive entries of a log, as sent in one message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogEntries {
-    /// The number of the first.
+    /// Number of the first entry in `jobs`.
     pub first: LogIndex,
-    /// The cancelled jobs.
+    /// Names of the cancelled jobs, in log order.
     pub jobs: Vec<String>,
 }
 
@@ -43,7 +43,7 @@
     job: String,
 }
 
-/// How far the log has been sent to one peer.
+/// How far the log has been sent to and acknowledged by one peer.
 #[derive(Debug, Default, Clone, Copy)]
 struct PeerProgress {
     incarnation: Incarnation,
@@ -52,30 +52,32 @@
     sent_at: Timestamp,
 }
 
-/// The cancellations that this incarnation of the node has confirmed to users.
+/// Cancellations that this incarnation of the node has confirmed to users, with the progress of
+/// their replication to each peer.
 #[derive(Debug)]
 pub struct CancellationLog {
     retention: TimeDelta,
-    /// The number of the first entry that is still kept.
+    /// Number of the oldest retained entry.
     first: u64,
     entries: VecDeque<Entry>,
     peers: BTreeMap<String, PeerProgress>,
 }
 
 impl CancellationLog {
-    /// An empty log.
+    /// Creates an empty log whose retention follows from the site's cancellation time limit.
     pub fn new(site: &Site) -> CancellationLog {
         let retention = site.cancel_within.mul_f64(RETENTION);
         CancellationLog { retention, first: 1, entries: VecDeque::new(), peers: BTreeMap::new() }
     }
 
-    /// Adds a job's cancellation. Called once the end is stored, and before any user is told of it.
+    /// Appends a job's cancellation. Must be called after the job's end is stored and before the
+    /// cancellation is confirmed to any user.
     pub fn append(&mut self, now: Timestamp, job: &str) {
         self.trim(now);
         self.entries.push_back(Entry { confirmed_at: now, job: job.to_owned() });
     }
 
-    /// The number of the last entry.
+    /// Returns the number of the last entry, 0 if nothing was ever appended.
     pub fn last(&self) -> LogIndex {
         LogIndex(self.first + self.entries.len() as u64 - 1)
     }
@@ -88,8 +90,8 @@
         }
     }
 
-    /// A message of the peer has arrived. Entries are sent to it from now on; a new incarnation of it
-    /// has none of them.
+    /// Registers that a message from the peer has arrived. The peer is sent entries from now on; a
+    /// new incarnation of it starts from the first retained entry.
     pub fn peer_seen(&mut self, peer: &str, incarnation: Incarnation) {
         let progress = self.peers.entry(peer.to_owned()).or_default();
         if progress.incarnation != incarnation {
@@ -97,7 +99,7 @@
         }
     }
 
-    /// That incarnation of the peer has all entries up to that number.
+    /// Registers that the given incarnation of the peer has received all entries up to `up_to`.
     pub fn acknowledged(&mut self, peer: &str, incarnation: Incarnation, up_to: LogIndex) {
         let last = self.last();
         let progress = self.peers.get_mut(peer).filter(|p| p.incarnation == incarnation);
@@ -106,8 +108,8 @@
         }
     }
 
-    /// The entries to send to the peer now: those that were not sent yet, or all that it has not
-    /// acknowledged if its last acknowledgement is overdue. They count as sent.
+    /// Returns the entries to send to the peer now: those not sent yet or, if its last
+    /// acknowledgement is overdue, all unacknowledged ones. The returned entries count as sent.
     pub fn entries_to_send(&mut self, now: Timestamp, peer: &str) -> Option<LogEntries> {
         self.trim(now);
         let (first, last) = (self.first, self.last().0);
--- a/crates/scheduler/src/leadership/election.rs
+++ b/crates/scheduler/src/leadership/election.rs
@@ -1,57 +1,58 @@
-//! Who leads. One state machine per node; [`Leadership::step`] is the only place where it changes.
+//! Leader election, as one state machine per node. Only [`Leadership::step`] changes the role.
 //!
-//! The term is the revision of the `leader` key, which only rises. Safety does not depend on anything
-//! here: every write of a leader is conditional on its term, so a leader that doesn't know that it is
-//! deposed can write nothing. The election only keeps two nodes from doing the same work.
+//! The term is the revision of the `leader` key, which only increases. Safety does not depend on
+//! this module: every write of a leader is conditional on its term, so a leader that is unaware of
+//! having been replaced can't write anything. The election only prevents two nodes from doing the
+//! same work.
 
 use crate::leadership::fencing_token::Term;
 use crate::time::{TimeDelta, Timestamp};
 
-/// A node's part in the cluster.
+/// The role of a node in the cluster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// Another node leads, or none: waits for the leader key to be deleted.
+    /// Another node leads, or none does. The node waits for the leader key to be deleted.
     Follower,
-    /// Requests a lease and creates the leader key.
+    /// The node requests a lease and tries to create the leader key.
     Candidate,
-    /// Holds the leader key; reads the records before it decides anything.
+    /// The node holds the leader key and reads the stored records before it makes decisions.
     Loading {
-        /// Its term.
+        /// Revision of the leader key that the node created.
         term: Term,
     },
-    /// Holds the leader key, and decides.
+    /// The node holds the leader key and makes the scheduling decisions.
     Leader {
-        /// Its term.
+        /// Revision of the leader key that the node created.
         term: Term,
     },
 }
 
-/// What can happen to a node's role.
+/// An event that can change a node's role.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ElectionEvent {
     /// The leader key was deleted, or its lease expired.
     Vacant,
-    /// This node created the key.
+    /// This node created the leader key.
     Won {
-        /// The key's revision.
+        /// Revision of the created key.
         term: Term,
     },
-    /// Another node created it, or the attempt failed.
+    /// Another node created the leader key, or the attempt failed.
     Failed,
-    /// The records have been read.
+    /// The stored records have been read.
     Loaded {
-        /// The term under which they were read.
+        /// The term in which the records were read; ignored unless it is the current one.
         term: Term,
     },
-    /// The lease expired, the key is another node's, or this node steps down.
+    /// The lease expired, another node holds the leader key, or this node steps down.
     Lost,
 }
 
-/// A node's role, and when it may be a candidate again.
+/// The role of a node, and the time from which it may be a candidate again.
 #[derive(Debug)]
 pub struct Leadership {
     role: Role,
-    /// Until when this node is no candidate, having just stepped down.
+    /// Time before which this node does not become a candidate, because it has just stepped down.
     backing_off_until: Timestamp,
 }
 
@@ -62,12 +63,12 @@
 }
 
 impl Leadership {
-    /// The node's role.
+    /// Returns the node's current role.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// The term of which this node holds the leader key.
+    /// Returns the term in which this node holds the leader key, `None` if it doesn't hold it.
     pub fn term(&self) -> Option<Term> {
         match self.role {
             Role::Loading { term } | Role::Leader { term } => Some(term),
@@ -75,12 +76,14 @@
         }
     }
 
-    /// Leaves the lead to others for that long: this node is no candidate until then.
+    /// Keeps this node from becoming a candidate for the given duration, so that another node can
+    /// become leader.
     pub fn back_off(&mut self, now: Timestamp, span: TimeDelta) {
         self.backing_off_until = now + span;
     }
 
-    /// Changes the role, if the event means anything in it; returns whether it did.
+    /// Applies the event to the role. Returns `false`, leaving the role as it is, if the event has
+    /// no effect in the current role.
     pub fn step(&mut self, now: Timestamp, event: ElectionEvent) -> bool {
         let next = match (self.role, event) {
             (Role::Follower, ElectionEvent::Vacant) if now >= self.backing_off_until => {
--- a/crates/scheduler/src/leadership/fencing_token.rs
+++ b/crates/scheduler/src/leadership/fencing_token.rs
@@ -1,10 +1,10 @@
-//! The term of a leader, and the token by which workers refuse what older leaders sent.
+//! Terms, and the fencing tokens by which workers reject messages from earlier leaders.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// A leader's term: the revision of the `leader` key that it created, which only rises.
+/// The term of a leader: the revision of the `leader` key that it created, which only increases.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -12,10 +12,10 @@
 pub struct Term(pub u64);
 
 impl Term {
-    /// On the wire, of a node that does not lead.
+    /// The value sent on the wire by a node that does not lead.
     pub const NONE: Term = Term(0);
 
-    /// The number, as on the wire.
+    /// Returns the number as sent on the wire.
     pub const fn get(self) -> u64 {
         self.0
     }
@@ -27,11 +27,13 @@
     }
 }
 
-/// Bits of a token below the term: the worker's fencing counter.
+/// Number of low bits of a fencing token that hold the worker's fencing counter; the term is above
+/// them.
 const FENCING_COUNTER_BITS: u32 = 20;
 
-/// The token for a worker: the term above, the worker's fencing counter below. A new term or a raised
-/// counter each make a worker refuse everything sent before.
+/// A fencing token for one worker: the term in the high bits, the worker's fencing counter in the
+/// low bits. Either a new term or a higher counter makes the worker reject everything sent with an
+/// earlier token.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -39,31 +41,33 @@
 pub struct FencingToken(pub u64);
 
 impl FencingToken {
-    /// Below every token of a leader: the start of a task was not sent yet, or the worker has seen none.
+    /// Lower than every token of a leader. Used for a task whose start was not sent yet and for a
+    /// worker that has seen no token.
     pub const NONE: FencingToken = FencingToken(0);
 
-    /// A counter beyond what fits counts as the largest that does.
+    /// Combines a term and a fencing counter. A counter that exceeds its bits is clamped to the
+    /// largest value that fits.
     pub fn new(term: Term, fencing_counter: u64) -> FencingToken {
         let counter = fencing_counter.min((1 << FENCING_COUNTER_BITS) - 1);
         FencingToken((term.0 << FENCING_COUNTER_BITS) | counter)
     }
 
-    /// The least token of a term.
+    /// Returns the lowest token of a term.
     pub fn first_of(term: Term) -> FencingToken {
         FencingToken::new(term, 0)
     }
 
-    /// The greatest token below all of that term's.
+    /// Returns the highest token below all tokens of a term.
     pub fn last_before(term: Term) -> FencingToken {
         FencingToken(FencingToken::first_of(term).0 - 1)
     }
 
-    /// The term under which the token was made.
+    /// Returns the term in which the token was issued.
     pub fn term(self) -> Term {
         Term(self.0 >> FENCING_COUNTER_BITS)
     }
 
-    /// The number, as on the wire.
+    /// Returns the number as sent on the wire.
     pub const fn get(self) -> u64 {
         self.0
     }
--- a/crates/scheduler/src/leadership/watermark.rs
+++ b/crates/scheduler/src/leadership/watermark.rs
@@ -1,11 +1,13 @@
-//! Up to when a leader knows every cancellation that any node has confirmed to a user.
+//! The watermark: the time up to which a leader knows every cancellation that any node has
+//! confirmed to a user.
 //!
-//! A worker's lease is renewed by the answers to its heartbeats, and a task of a cancelled job that is
-//! renewed unknowingly lives on. So each node replicates its
-//! [`CancellationLog`](crate::leadership::cancellation_log::CancellationLog) to the others. A leader
-//! requests the ends of their logs again and again; from the answers, and from what it reads itself, its
-//! [`Watermark`] works out the time before which no cancellation can have escaped it. Both tell
-//! incarnations apart: a restarted process answers for nothing that the last one confirmed.
+//! The answer to a heartbeat renews the worker's lease, so a leader that doesn't know of a
+//! cancellation would keep the cancelled job's tasks running. Each node therefore replicates its
+//! [`CancellationLog`](crate::leadership::cancellation_log::CancellationLog) to the others. A
+//! leader regularly requests the number of the last entry of each log; from the answers and from
+//! its own reads of the key-value store, [`Watermark`] computes the time before which it can't have
+//! missed a cancellation. Both distinguish incarnations: a restarted process can't answer for what
+//! the previous one confirmed.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -13,41 +15,43 @@
 use crate::time::{TimeDelta, Timestamp};
 use crate::tunables::Site;
 
-/// Requests whose answers still count.
+/// Maximum number of requests whose answers are still accepted; older requests are dropped.
 const MAX_OPEN_REQUESTS: usize = 64;
 
-/// Beyond the drift of two clocks, how long after its time was read an answer may be written.
+/// Allowance, in addition to clock drift, for the delay between reading the time for an answer and
+/// writing that answer.
 const MARGIN: TimeDelta = TimeDelta::from_millis(250);
-/// Drift of two monotonic clocks against each other, doubled.
+/// Twice the relative drift of two monotonic clocks.
 const DRIFT: f64 = 0.002;
-/// The least window, for sites whose leases outlast the time that a cancellation may take. There the
-/// lease can't be the last resort, whoever renews it.
+/// Lower bound of the lease renewal window, for sites whose worker leases last longer than a
+/// cancellation may take. On such sites the expiry of a lease can't ensure that a cancellation
+/// takes effect in time, whichever node renews it.
 const LEAST_WINDOW: TimeDelta = TimeDelta::from_millis(300);
 
-/// Requests in one window.
+/// Number of requests sent during one lease renewal window.
 const REQUESTS_PER_WINDOW: f64 = 6.0;
-/// The longest time between two requests.
+/// Upper bound of the time between two requests.
 const MAX_REQUEST_INTERVAL: TimeDelta = TimeDelta::from_secs(1);
-/// The shortest time between two requests.
+/// Lower bound of the time between two requests.
 const MIN_REQUEST_INTERVAL: TimeDelta = TimeDelta::from_millis(50);
 
-/// For how long after its watermark a leader may go on renewing leases: a cancellation that it doesn't
-/// know of was confirmed after the watermark, and a lease renewed now must have ended
-/// [`Site::cancel_within`] after that.
+/// Returns how long after its watermark a leader may still renew leases. An unknown cancellation
+/// was confirmed after the watermark, and a lease renewed now must have ended
+/// [`Site::cancel_within`] after that confirmation.
 pub fn lease_renewal_window(site: &Site) -> TimeDelta {
     let drift = (site.worker_lease + site.cancel_within).mul_f64(DRIFT);
     let window = site.cancel_within - site.worker_lease - MARGIN - drift;
     window.max(LEAST_WINDOW)
 }
 
-/// How often a leader requests the ends of the others' logs, so that the watermark stays well inside
-/// the window.
+/// Returns the time between a leader's requests for the last entries of the other nodes' logs,
+/// short enough to keep the watermark well inside the lease renewal window.
 pub fn request_interval(site: &Site) -> TimeDelta {
     let interval = lease_renewal_window(site).mul_f64(1.0 / REQUESTS_PER_WINDOW);
     interval.min(MAX_REQUEST_INTERVAL).max(MIN_REQUEST_INTERVAL)
 }
 
-/// The number of a leader's request.
+/// Identifies a leader's request for the last entries of the other nodes' logs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestId(pub u64);
 
@@ -57,41 +61,43 @@
     sent_at: Timestamp,
 }
 
-/// One other node's log, as far as it has arrived here.
+/// State of one other node's log, as received by this node.
 #[derive(Debug, Default)]
 struct PeerLog {
     incarnation: Incarnation,
-    /// The number of the last entry that has arrived.
+    /// Number of the last entry received.
     received: LogIndex,
-    /// All that the node confirmed before this is known here.
+    /// Every cancellation that the node confirmed before this time is known here.
     complete_until: Timestamp,
-    /// Something that it, or its last incarnation, confirmed before this may have been missed: its
-    /// answers count for nothing until the records were read later than that.
+    /// Set if a cancellation that the node, or its previous incarnation, confirmed before this time
+    /// may have been missed. The node's answers are ignored until the records have been read at a
+    /// later time.
     gap_at: Option<Timestamp>,
 }
 
-/// Up to when every cancellation that any node has confirmed is known here.
+/// Computes the time up to which every cancellation confirmed by any node is known here.
 #[derive(Debug)]
 pub struct Watermark {
-    /// All ends that were stored before this have been read.
+    /// Every job end stored before this time has been read from the key-value store.
     records_read_at: Timestamp,
     peers: BTreeMap<String, PeerLog>,
     requests: VecDeque<OpenRequest>,
 }
 
 impl Watermark {
-    /// Of a node with these peers, of which nothing is known yet.
+    /// Creates the watermark of a node with the given peers, of whose cancellations nothing is
+    /// known yet.
     pub fn new(peers: impl IntoIterator<Item = String>) -> Watermark {
         let peers = peers.into_iter().map(|name| (name, PeerLog::default())).collect();
         Watermark { records_read_at: Timestamp(0), peers, requests: VecDeque::new() }
     }
 
-    /// All ends that were stored by then have been read from the key-value store.
+    /// Registers that all job ends stored before `as_of` have been read from the key-value store.
     pub fn records_read(&mut self, as_of: Timestamp) {
         self.records_read_at = self.records_read_at.max(as_of);
     }
 
-    /// The ends of the others' logs are requested now.
+    /// Registers that the numbers of the last entries of the other nodes' logs are requested now.
     pub fn request_sent(&mut self, now: Timestamp, id: RequestId) {
         if self.requests.len() >= MAX_OPEN_REQUESTS {
             self.requests.pop_front();
@@ -99,7 +105,8 @@
         self.requests.push_back(OpenRequest { id, sent_at: now });
     }
 
-    /// The peer's log, from its start if this is a new incarnation of the peer.
+    /// Returns the state of the peer's log, reset if the incarnation is new, or `None` for a node
+    /// that is not a peer.
     fn peer_log(
         &mut self,
         now: Timestamp,
@@ -108,23 +115,23 @@
     ) -> Option<&mut PeerLog> {
         let log = self.peers.get_mut(peer)?;
         if log.incarnation != incarnation {
-            // What the last incarnation confirmed at its end may never have been sent.
+            // The last entries of the previous incarnation may never have been sent.
             let (received, complete_until) = (LogIndex(0), log.complete_until);
             *log = PeerLog { incarnation, received, complete_until, gap_at: Some(now) };
         }
         Some(log)
     }
 
-    /// A message of that incarnation of the peer has arrived. A node that comes to lead has to know the
-    /// others' incarnations from before it reads the records. (Met first with their first answers,
-    /// after the records were read, they answered for nothing until the next read; a leader elected just
-    /// before an outage let all leases run out in it.)
+    /// Registers that a message of the given incarnation of the peer has arrived. A node that
+    /// becomes leader must know its peers' incarnations before it reads the records. If it first
+    /// learned them from answers after that read, those answers would be ignored until the next
+    /// read; this let all leases expire when a leader was elected just before an outage.
     pub fn peer_seen(&mut self, now: Timestamp, peer: &str, incarnation: Incarnation) {
         self.peer_log(now, peer, incarnation);
     }
 
-    /// Successive entries of the peer's log have arrived. Returns up to which they are to be
-    /// acknowledged, or `None` if the node is no peer.
+    /// Registers the arrival of consecutive entries of the peer's log. Returns the number up to
+    /// which to acknowledge them, or `None` if the node is not a peer.
     pub fn entries_received(
         &mut self,
         now: Timestamp,
@@ -142,7 +149,8 @@
         Some(log.received)
     }
 
-    /// The peer has answered a request: all that it has confirmed by now has numbers up to `last`.
+    /// Registers the peer's answer to a request: every cancellation that it has confirmed so far
+    /// has a number up to `last`.
     pub fn request_answered(
         &mut self,
         now: Timestamp,
@@ -158,14 +166,15 @@
             log.gap_at = None;
         }
         let complete = log.gap_at.is_none() && log.received >= last;
-        // It answered after the request was sent, so what it confirmed before that is among those.
+        // The peer answered after the request was sent, so `last` covers everything that it
+        // confirmed before `sent_at`.
         if let Some(sent_at) = sent_at.filter(|_| complete) {
             log.complete_until = log.complete_until.max(sent_at);
         }
     }
 
-    /// Every cancellation that was confirmed before this is known here. This node's own are at any
-    /// time.
+    /// Returns the time before which every confirmed cancellation is known here. This node always
+    /// knows the cancellations that it confirmed itself.
     pub fn known_until(&self, now: Timestamp) -> Timestamp {
         let peers = self.peers.values().map(|log| log.complete_until).min().unwrap_or(now);
         peers.max(self.records_read_at)
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,5 +1,5 @@
-//! The decisions of walnutlug. Time and events come in, commands go out; there is no input or
-//! output, no clock and no randomness here, so that every history can be played in a test.
+//! The scheduling logic of walnutlug, without I/O, clocks or randomness. Callers pass in the time
+//! and events and carry out the returned commands, so a test can replay any sequence of events.
 
 #![warn(missing_docs)]
 
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -1,8 +1,9 @@
-//! The leader's scheduler: holds the owners of its state and routes each event to them.
+//! The leader's scheduler, which owns the scheduling state and routes each event to the component
+//! that handles it.
 //!
-//! A [`Scheduler`] lives for one term. It is built from the stored records, takes events, and returns
-//! commands; when the term is lost it is discarded. Rounds of writes are in
-//! `storage::write_round`, what workers' heartbeats prove in [`crate::reconciliation`].
+//! A [`Scheduler`] lives for one term. It is built from the stored records, takes events, and
+//! returns commands; it is discarded when the term ends. `storage::write_round` writes the
+//! decisions, and [`crate::reconciliation`] evaluates the heartbeats of workers.
 
 mod machine_health;
 mod worker_events;
@@ -35,56 +36,58 @@
 use crate::time::Timestamp;
 use crate::tunables::{Site, Tunables};
 
-/// The leader's table of jobs and machines, and the decisions about them; lives for one term.
+/// The leader's state for one term, and the decisions on starting and stopping tasks and on scaling
+/// the fleet.
 pub struct Scheduler {
-    /// The platform's settings.
+    /// Settings of the platform: service limits, intervals and objectives.
     pub site: Rc<Site>,
-    /// The operators' settings.
+    /// Parameters set by the operators.
     pub tunables: Rc<Tunables>,
-    /// The term for which it decides.
+    /// The term in which this scheduler makes decisions.
     pub term: Term,
-    /// When it began to decide.
+    /// Time at which this node began to make decisions in this term.
     pub started_at: Timestamp,
-    /// Jobs, tasks and machines.
+    /// Jobs, tasks and machines, as known to the leader.
     pub cluster: Cluster,
     pub(crate) dependency_graph: DependencyGraph,
-    /// Whether the fleet is overloaded, and what each class keeps of it then.
+    /// Overload state of the fleet, and the share that each class keeps during an overload.
     pub fair_share: FairShare,
     pub(crate) run_times: RunTimes,
-    /// The machines that were requested and returned.
+    /// Requested and returned machines, and the state of scaling decisions.
     pub autoscaler: Autoscaler,
     pub(crate) transactions: Transactions,
     pub(crate) messages: Messages,
-    /// What this leader may do by what it knows of its lease and of cancellations.
+    /// Actions that the leader may take, given its lease and the cancellations that it knows.
     pub authority: LeaderAuthority,
-    /// When the last round was.
+    /// Time of the last round of placement and writes.
     pub(crate) last_round: Timestamp,
-    /// When preemption was last considered.
+    /// Time at which preemption was last considered.
     pub(crate) last_preempt: Timestamp,
-    /// Processors of the machines that are up, as of the last round.
+    /// Number of processors of all machines that are up, as of the last round.
     pub(crate) fleet_cpus: f64,
     pub(crate) commands: CommandQueue,
-    /// What decisions cost, for tests.
+    /// Counters of the work done by decisions, for tests.
     pub examined: Examined,
 }
 
-/// How many entries were looked at to decide, counted for tests of what a round or a heartbeat costs.
+/// Counts the entries examined by decisions, so that tests can bound the cost of a round or a
+/// heartbeat.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Examined {
-    /// Machines looked at for placing.
+    /// Machines examined by placement.
     pub machines: u64,
-    /// Jobs looked at for placing, once for each pass over them.
+    /// Jobs examined by placement, once for each pass over them.
     pub jobs: u64,
-    /// Machines looked at for something to send.
+    /// Machines examined for messages to send.
     pub send_checks: u64,
 }
 
-/// Heartbeat intervals after which a worker is overdue. (Each is up to a quarter longer than the one
-/// that the worker is given.)
+/// Number of heartbeat intervals without a heartbeat after which a worker is overdue. The actual
+/// intervals are up to a quarter longer than the one that the worker is given.
 pub const OVERDUE_INTERVALS: f64 = 1.4;
 
 impl Scheduler {
-    /// Without jobs and machines: the stored records are to be added next.
+    /// Creates a scheduler without jobs or machines; the stored records are added next.
     pub fn new(
         site: Rc<Site>,
         tunables: Rc<Tunables>,
@@ -115,22 +118,23 @@
         }
     }
 
-    /// Sets what the key-value store takes at once; it may become less at any time.
+    /// Sets the limits of the key-value store on a transaction, which may be lowered at any time.
     pub fn set_limits(&mut self, limits: TransactionLimits) {
         self.transactions.set_limits(limits);
     }
 
-    /// Sets how many operations the write rate has room for.
+    /// Sets how many operations the write rate currently allows.
     pub fn set_write_allowance(&mut self, allowance: WriteAllowance) {
         self.transactions.set_write_allowance(allowance);
     }
 
-    /// Adds a job from its stored description; a job that is known already is left as it is. `wall_us`
-    /// is the wall clock now, in microseconds.
+    /// Adds a job from its stored description; a job that was already added is left unchanged.
+    /// `wall_us` is the current wall-clock time in microseconds.
     ///
     /// # Errors
     ///
-    /// If the description is damaged. It is logged, and the job is passed over.
+    /// Returns an error if the description can't be decoded or is out of range. The error is logged
+    /// once per job, and the job is skipped.
     pub fn add_job(
         &mut self,
         now: Timestamp,
@@ -158,13 +162,14 @@
         self.add_dependencies(now, index);
     }
 
-    /// Takes over the stored chunks of tasks, all of them at once, after the jobs' descriptions.
-    /// Returns the keys that belong to no job or can't be read.
+    /// Loads the stored chunks of tasks. All chunks must be passed at once, after the jobs'
+    /// descriptions were added. Returns the keys that belong to no job or can't be decoded.
     pub fn load_chunks(&mut self, now: Timestamp, stored: &[KeyValue]) -> Vec<String> {
         loader::load_chunks(&mut self.cluster, now, stored)
     }
 
-    /// Called often: starts a round if there is something to do, and sends what is due.
+    /// Advances the scheduler to `now`: runs a round if one is due, and sends or resends what is
+    /// due. Called at short intervals.
     pub fn tick(&mut self, now: Timestamp) {
         self.commands.extend(self.transactions.resend_due(now));
         let sweep = self.messages.begin_sweep(now);
@@ -183,7 +188,7 @@
         self.send_messages(now, sweep);
     }
 
-    /// Places what waits, and writes what was decided.
+    /// Places waiting tasks and writes the decisions.
     fn run_round(&mut self, now: Timestamp) {
         self.last_round = now;
         if self.cluster.placement_needed && !self.waits_for_writes() {
@@ -200,19 +205,19 @@
         self.commands.extend(round.run());
     }
 
-    /// The answer to a [`Command::Commit`].
+    /// Handles the outcome of a [`Command::Commit`].
     pub fn transaction_answered(&mut self, now: Timestamp, id: u64, outcome: TransactionOutcome) {
         let resolution = self.transactions.answered(now, id, outcome);
         self.resolved(now, resolution);
     }
 
-    /// The answer to a [`Command::Read`].
+    /// Handles the outcome of a [`Command::Read`].
     pub fn read_answered(&mut self, now: Timestamp, id: u64, outcome: ReadOutcome) {
         let resolution = self.transactions.read_answered(now, id, outcome);
         self.resolved(now, resolution);
     }
 
-    /// Hands on what an answer of the key-value store means.
+    /// Applies the result of a transaction to the cluster.
     fn resolved(&mut self, now: Timestamp, resolution: Resolution) {
         match resolution {
             Resolution::Unknown | Resolution::Open => {}
@@ -241,36 +246,35 @@
         }
     }
 
-    /// Hands on what a committed transaction leaves to do.
+    /// Queues the starts that a committed transaction stored, and processes its job ends.
     fn committed(&mut self, now: Timestamp, effects: CommitEffects) {
         for id in effects.starts {
             self.messages.start_stored(&mut self.cluster, id);
         }
         for StoredEnd { job, end, event } in effects.ends {
             self.log(event);
-            // Committed, so stored: what waits for it may begin in this very turn.
+            // The end is stored, so dependent jobs may be placed in the same tick.
             self.job_ended(now, &job, end);
         }
     }
 
-    /// Takes the commands that were decided since the last call, in the order in which they are to be
-    /// carried out.
+    /// Returns the commands decided since the last call, in the order in which to carry them out.
     pub fn take_commands(&mut self) -> Vec<Command> {
         self.commands.take()
     }
 
-    /// Logs an event.
     pub(crate) fn log(&mut self, event: Event) {
         self.commands.log(event);
     }
 
-    /// Logs an anomaly, once for each machine or job and kind.
+    /// Logs an anomaly unless the same kind was already logged for this machine or job.
     pub(crate) fn log_once(&mut self, name: &str, kind: Anomaly) {
         self.commands.log_once(name, kind);
     }
 
-    /// The job's end is stored, but not known: nothing of it is started any more, what is placed is
-    /// stopped, and no other job is released by it; see [`Scheduler::job_ended`].
+    /// Marks a job as ended when its end is stored but not known to be completion or cancellation:
+    /// no further task is started, placed tasks are stopped, and dependent jobs stay blocked. See
+    /// [`Scheduler::job_ended`].
     pub fn mark_job_ended(&mut self, now: Timestamp, name: &str) {
         let Some(index) = self.cluster.end_job(name) else { return };
         self.remove_dependencies(now, index);
@@ -279,15 +283,16 @@
         }
     }
 
-    /// Plans a start: written with the next transactions, sent after they are committed.
+    /// Plans the start of a task, which is written with the next transactions and sent after they
+    /// commit.
     pub(crate) fn plan_start(&mut self, now: Timestamp, id: TaskId, machine: MachineIndex) {
         if let Some(planned) = self.cluster.plan_start(now, id, machine) {
             self.transactions.start_planned(planned);
         }
     }
 
-    /// Sends what waits for workers. In a sweep all machines are examined, otherwise those that
-    /// something happened to.
+    /// Sends pending messages to workers. A sweep examines all machines, otherwise only those with
+    /// new events are examined.
     fn send_messages(&mut self, now: Timestamp, is_sweep: bool) {
         let gate = StartGate { now, authority: &self.authority };
         let due = self.messages.take_due(&mut self.cluster, &self.site, &gate, is_sweep);
@@ -295,7 +300,7 @@
         self.commands.extend(due.commands);
     }
 
-    /// Commands a task's machine to stop it, with that many seconds to save its work.
+    /// Orders a task's machine to stop it, with `grace_s` seconds to save its work.
     pub(crate) fn stop(&mut self, now: Timestamp, id: TaskId, grace_s: f64) {
         self.messages.stop_task(&mut self.cluster, now, id, grace_s);
     }
--- a/crates/scheduler/src/scheduler/machine_health.rs
+++ b/crates/scheduler/src/scheduler/machine_health.rs
@@ -1,5 +1,4 @@
-//! Routes the findings of the failure detector and of health assessment: machines to drain, tasks to
-//! stop.
+//! Acts on the results of failure detection and health checks: drains machines and stops tasks.
 
 use crate::model::ids::MachineIndex;
 use crate::model::machine::{DrainReason, MachineState};
@@ -8,30 +7,32 @@
 use crate::time::Timestamp;
 
 impl Scheduler {
-    /// Whether all of several machines that should report have been silent for a while: more likely
-    /// this node can't be reached than that all of them failed at once.
+    /// Returns whether all of several machines that should report have been silent for a while. It
+    /// is then more likely that this node is unreachable than that all of them failed at once.
     pub fn receives_no_heartbeats(&self, now: Timestamp) -> bool {
         let interval = self.site.heartbeat_interval;
         failure_detector::receives_no_heartbeats(&self.cluster, now, self.started_at, interval)
     }
 
-    /// Whether no worker is reached any more: for a heartbeat's interval every request was lost, and
-    /// there were several. Their heartbeats may still come, through other nodes, so this leader may
-    /// still be heard from; but whatever it starts is lost. (A leader cut off from the workers went on
-    /// so for 40 s, lost each start that it sent, and gave machines back that other nodes reach.) Without
-    /// machines there is nothing to reach. (A leader that had returned its whole idle fleet stepped down
-    /// for the requests that were in flight to it, and so did the next: nobody led for six seconds.)
+    /// Returns whether no worker can be reached: every request failed for a heartbeat interval, and
+    /// there were several. Heartbeats may still arrive through other nodes, but every start that
+    /// this leader sends is lost. Without this check, a leader cut off from its workers continued
+    /// for 40 s, lost every start that it sent, and returned machines that other nodes could reach.
+    ///
+    /// Returns `false` without machines, because there is nothing to reach: a leader that had
+    /// returned its whole idle fleet stepped down over the requests still in flight to it, and so
+    /// did its successor, leaving the cluster without a leader for six seconds.
     pub fn workers_unreachable(&self, now: Timestamp) -> bool {
         self.messages.all_lost_for(now, self.site.heartbeat_interval)
             && self.cluster.machines.iter().any(|machine| machine.state == MachineState::Up)
     }
 
-    /// The zones whose machines are silent as a whole.
+    /// Returns the zones in which all machines are silent.
     pub(crate) fn silent_zones(&self, now: Timestamp) -> Vec<String> {
         failure_detector::silent_zones(&self.cluster, now, self.site.heartbeat_interval)
     }
 
-    /// Drains machines that have to go: silent, overdue, slow.
+    /// Drains machines that are silent, overdue to boot, or slow.
     pub(crate) fn assess_health(&mut self, now: Timestamp, silent_zones: &[String]) {
         let timeout = failure_detector::suspicion_timeout(&self.site, &self.tunables);
         let suspects =
@@ -51,7 +52,8 @@
         }
     }
 
-    /// Stops what won't be done on a machine before the cloud takes it, where it can run elsewhere.
+    /// Stops tasks that will not finish before the cloud reclaims their machine, if they can run
+    /// elsewhere.
     pub(crate) fn evict_before_interruption(&mut self, now: Timestamp) {
         if !health::any_interrupted(&self.cluster) {
             return;
@@ -71,7 +73,7 @@
         }
     }
 
-    /// Nothing more is placed on the machine, and it is returned to the cloud.
+    /// Excludes the machine from placement, to be returned to the cloud.
     pub(crate) fn drain(&mut self, machine: MachineIndex, reason: DrainReason) {
         let event = health::drain(&mut self.cluster.machines[machine], reason);
         self.log(event);
--- a/crates/scheduler/src/scheduler/worker_events.rs
+++ b/crates/scheduler/src/scheduler/worker_events.rs
@@ -1,5 +1,4 @@
-//! Routes what comes from workers to its owners: heartbeats, their repetitions, and the outcomes of
-//! requests.
+//! Handles input from workers: heartbeats, repeated heartbeats, and the outcomes of requests.
 
 use crate::command::{Command, MessageOutcome};
 use crate::event::{Anomaly, Event};
@@ -16,12 +15,13 @@
 use crate::time::{TimeDelta, Timestamp};
 
 impl Scheduler {
-    /// Reconciles a worker's heartbeat and answers it.
+    /// Reconciles the state of the cluster with a worker's heartbeat, and returns the answer to the
+    /// worker.
     ///
     /// # Errors
     ///
-    /// This node may not answer, since another leads or since it can't renew a lease safely. In the
-    /// second case what the heartbeat proves counts all the same.
+    /// Returns an error if this node may not answer, because another node leads or because it can't
+    /// renew a lease safely. In the second case the information in the heartbeat is still applied.
     pub fn handle_heartbeat(
         &mut self,
         now: Timestamp,
@@ -29,8 +29,8 @@
     ) -> Result<HeartbeatAnswer, HeartbeatRefusal> {
         let acknowledged = heartbeat.token.term();
         if acknowledged > self.term {
-            // Most likely true: then the leader key shows it. A token that came from nowhere must not
-            // end a term.
+            // If the reported term is real, the leader key confirms it. A corrupt token must not
+            // end this term.
             self.log_once(&heartbeat.machine, Anomaly::NewerTerm);
             self.commands.push(Command::VerifyLeadership);
             return Err(HeartbeatRefusal::NewerTerm { acknowledged, term: self.term });
@@ -49,7 +49,7 @@
         Ok(answer)
     }
 
-    /// The outcome of a [`Command::SendToWorker`].
+    /// Handles the outcome of a [`Command::SendToWorker`].
     pub fn message_answered(
         &mut self,
         now: Timestamp,
@@ -84,7 +84,7 @@
         machine
     }
 
-    /// Logs the events in their order, an anomaly once for each name and kind.
+    /// Logs the events in order, with each anomaly only once per name and kind.
     pub(crate) fn log_all(&mut self, events: Vec<Event>) {
         for event in events {
             match event {
@@ -94,8 +94,9 @@
         }
     }
 
-    /// To be called right after a heartbeat was answered without commands. `None`: a repetition of it
-    /// has to be read in full.
+    /// Caches a heartbeat so that repetitions of it needn't be parsed. Must be called right after
+    /// the heartbeat was answered without commands. Returns `None` if a repetition must be handled
+    /// in full.
     pub fn cache_heartbeat(
         &mut self,
         now: Timestamp,
@@ -105,13 +106,15 @@
         repeated_heartbeats::cache(&mut self.cluster, now, heartbeat, holder)
     }
 
-    /// For how long repetitions of the cached heartbeat mean nothing, if nothing happens.
+    /// Returns how long repetitions of the cached heartbeat carry no new information, unless
+    /// another event invalidates the entry.
     pub fn cached_for(&self, now: Timestamp, cached: CachedHeartbeat) -> TimeDelta {
         self.cluster.heartbeat_cache.valid_for(now, cached)
     }
 
-    /// The cached heartbeat came again, the same but for its sequence number. The token to answer with,
-    /// and no commands; `None`: the heartbeat has to be read in full.
+    /// Answers a repetition of the cached heartbeat that differs only in its sequence number.
+    /// Returns the token to answer with, without any commands, or `None` if the heartbeat must be
+    /// handled in full.
     pub fn answer_repeated_heartbeat(
         &mut self,
         now: Timestamp,
@@ -127,7 +130,9 @@
         Some(machine.token(self.term))
     }
 
-    /// The cached heartbeat came again, here or at its holder, who answered it. Whether it was of use.
+    /// Records a repetition of the cached heartbeat, received here or answered by the follower that
+    /// holds the cache entry. Returns whether the entry was still valid and the repetition newer
+    /// than the last.
     pub fn record_repeated_heartbeat(
         &mut self,
         now: Timestamp,
@@ -137,7 +142,7 @@
         repeated_heartbeats::record_repetition(&mut self.cluster, now, cached, sequence)
     }
 
-    /// The machine and all that was on it are certainly gone.
+    /// Handles the confirmed termination of a machine and of everything that ran on it.
     pub fn machine_gone(&mut self, now: Timestamp, name: &str) {
         machine_loss::machine_terminated(&mut self.cluster, &mut self.messages, now, name);
     }
