--- a/crates/scheduler/src/leadership/authority.rs
+++ b/crates/scheduler/src/leadership/authority.rs
@@ -5,7 +5,7 @@
 use crate::tunables::Site;
 
 /// Fraction of the lease renewal window during which a planned start may still be sent.
-const START_WINDOW: f64 = 0.5;
+const START_WINDOW_FRACTION: f64 = 0.5;
 
 /// State of the leader's lease and of its knowledge of cancellations, updated before each decision.
 #[derive(Debug)]
@@ -55,6 +55,6 @@
     /// after the job's cancellation was confirmed to a user.
     pub(crate) fn may_send_start(&self, now: Timestamp, placed: Timestamp) -> bool {
         let known_until = placed.max(self.cancellations_known_until);
-        now.since(known_until) <= self.window.mul_f64(START_WINDOW)
+        now.since(known_until) <= self.window.mul_f64(START_WINDOW_FRACTION)
     }
 }
--- a/crates/scheduler/src/leadership/cancellation_log.rs
+++ b/crates/scheduler/src/leadership/cancellation_log.rs
@@ -10,7 +10,7 @@
 use crate::tunables::Site;
 
 /// Retention time of an entry, as a multiple of the time that a cancellation may take: until its tasks must be gone, and half of that time again.
-const RETENTION: f64 = 1.5;
+const RETENTION_FACTOR: f64 = 1.5;
 /// Maximum number of retained entries, at about a hundred bytes each. Dropping an unacknowledged
 /// entry leaves a gap in the numbers, which tells the peer that it missed something.
 const MAX_ENTRIES: usize = 4_096;
@@ -66,7 +66,7 @@
 impl CancellationLog {
     /// Creates an empty log whose retention follows from the site's cancellation time limit.
     pub fn new(site: &Site) -> CancellationLog {
-        let retention = site.cancel_within.mul_f64(RETENTION);
+        let retention = site.cancel_within.mul_f64(RETENTION_FACTOR);
         CancellationLog { retention, first: 1, entries: VecDeque::new(), peers: BTreeMap::new() }
     }
 
@@ -114,12 +114,12 @@
         self.trim(now);
         let (first, last) = (self.first, self.last().0);
         let progress = self.peers.get_mut(peer)?;
-        let awaits_acknowledgement = now.since(progress.sent_at) < RESEND_AFTER;
-        let delivered = match awaits_acknowledgement {
+        let acknowledgement_pending = now.since(progress.sent_at) < RESEND_AFTER;
+        let skip_up_to = match acknowledgement_pending {
             true => progress.sent.max(progress.acknowledged),
             false => progress.acknowledged,
         };
-        let from = (delivered + 1).max(first);
+        let from = (skip_up_to + 1).max(first);
         if from > last {
             return None;
         }
--- a/crates/scheduler/src/leadership/election.rs
+++ b/crates/scheduler/src/leadership/election.rs
@@ -78,8 +78,8 @@
 
     /// Keeps this node from becoming a candidate for the given duration, so that another node can
     /// become leader.
-    pub fn back_off(&mut self, now: Timestamp, span: TimeDelta) {
-        self.backing_off_until = now + span;
+    pub fn back_off(&mut self, now: Timestamp, duration: TimeDelta) {
+        self.backing_off_until = now + duration;
     }
 
     /// Applies the event to the role. Returns `false`, leaving the role as it is, if the event has
--- a/crates/scheduler/src/leadership/watermark.rs
+++ b/crates/scheduler/src/leadership/watermark.rs
@@ -20,13 +20,13 @@
 
 /// Allowance, in addition to clock drift, for the delay between reading the time for an answer and
 /// writing that answer.
-const MARGIN: TimeDelta = TimeDelta::from_millis(250);
+const ANSWER_DELAY_MARGIN: TimeDelta = TimeDelta::from_millis(250);
 /// Twice the relative drift of two monotonic clocks.
-const DRIFT: f64 = 0.002;
+const DOUBLE_CLOCK_DRIFT: f64 = 0.002;
 /// Lower bound of the lease renewal window, for sites whose worker leases last longer than a
 /// cancellation may take. On such sites the expiry of a lease can't ensure that a cancellation
 /// takes effect in time, whichever node renews it.
-const LEAST_WINDOW: TimeDelta = TimeDelta::from_millis(300);
+const MIN_WINDOW: TimeDelta = TimeDelta::from_millis(300);
 
 /// Number of requests sent during one lease renewal window.
 const REQUESTS_PER_WINDOW: f64 = 6.0;
@@ -39,9 +39,9 @@
 /// was confirmed after the watermark, and a lease renewed now must have ended
 /// [`Site::cancel_within`] after that confirmation.
 pub fn lease_renewal_window(site: &Site) -> TimeDelta {
-    let drift = (site.worker_lease + site.cancel_within).mul_f64(DRIFT);
-    let window = site.cancel_within - site.worker_lease - MARGIN - drift;
-    window.max(LEAST_WINDOW)
+    let drift = (site.worker_lease + site.cancel_within).mul_f64(DOUBLE_CLOCK_DRIFT);
+    let window = site.cancel_within - site.worker_lease - ANSWER_DELAY_MARGIN - drift;
+    window.max(MIN_WINDOW)
 }
 
 /// Returns the time between a leader's requests for the last entries of the other nodes' logs,
@@ -72,7 +72,7 @@
     /// Set if a cancellation that the node, or its previous incarnation, confirmed before this time
     /// may have been missed. The node's answers are ignored until the records have been read at a
     /// later time.
-    gap_at: Option<Timestamp>,
+    gap_detected_at: Option<Timestamp>,
 }
 
 /// Computes the time up to which every cancellation confirmed by any node is known here.
@@ -117,7 +117,7 @@
         if log.incarnation != incarnation {
             // The last entries of the previous incarnation may never have been sent.
             let (received, complete_until) = (LogIndex(0), log.complete_until);
-            *log = PeerLog { incarnation, received, complete_until, gap_at: Some(now) };
+            *log = PeerLog { incarnation, received, complete_until, gap_detected_at: Some(now) };
         }
         Some(log)
     }
@@ -142,7 +142,7 @@
     ) -> Option<LogIndex> {
         let log = self.peer_log(now, peer, incarnation)?;
         if first.0 > log.received.0 + 1 {
-            log.gap_at = Some(now);
+            log.gap_detected_at = Some(now);
         }
         let last = LogIndex((first.0 + count as u64).saturating_sub(1));
         log.received = log.received.max(last);
@@ -162,10 +162,10 @@
         let records_read_at = self.records_read_at;
         let sent_at = self.requests.iter().find(|r| r.id == id).map(|request| request.sent_at);
         let Some(log) = self.peer_log(now, peer, incarnation) else { return };
-        if log.gap_at.is_some_and(|gap| gap <= records_read_at) {
-            log.gap_at = None;
+        if log.gap_detected_at.is_some_and(|gap| gap <= records_read_at) {
+            log.gap_detected_at = None;
         }
-        let complete = log.gap_at.is_none() && log.received >= last;
+        let complete = log.gap_detected_at.is_none() && log.received >= last;
         // The peer answered after the request was sent, so `last` covers everything that it
         // confirmed before `sent_at`.
         if let Some(sent_at) = sent_at.filter(|_| complete) {
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -29,7 +29,7 @@
 use crate::queue::dependencies::DependencyGraph;
 use crate::queue::fair_share::{self, FairShare};
 use crate::reconciliation::expiry::expire_unconfirmed_starts;
-use crate::storage::batch::{CommitEffects, StoredEnd};
+use crate::storage::batch::{CommitEffects, StoredJobEnd};
 use crate::storage::loader::{self, DescriptionError, LoadedJob};
 use crate::storage::transactions::{Resolution, TransactionLimits, Transactions, WriteAllowance};
 use crate::storage::write_round::WriteRound;
@@ -143,7 +143,7 @@
         wall_us: u64,
     ) -> Result<(), DescriptionError> {
         match loader::load_job(&mut self.cluster, now, name, value, wall_us) {
-            Ok(LoadedJob::Known) => Ok(()),
+            Ok(LoadedJob::AlreadyLoaded) => Ok(()),
             Ok(LoadedJob::Added(index)) => {
                 self.job_added(now, index);
                 Ok(())
@@ -208,19 +208,19 @@
     /// Handles the outcome of a [`Command::Commit`].
     pub fn transaction_answered(&mut self, now: Timestamp, id: u64, outcome: TransactionOutcome) {
         let resolution = self.transactions.answered(now, id, outcome);
-        self.resolved(now, resolution);
+        self.apply_resolution(now, resolution);
     }
 
     /// Handles the outcome of a [`Command::Read`].
     pub fn read_answered(&mut self, now: Timestamp, id: u64, outcome: ReadOutcome) {
         let resolution = self.transactions.read_answered(now, id, outcome);
-        self.resolved(now, resolution);
+        self.apply_resolution(now, resolution);
     }
 
     /// Applies the result of a transaction to the cluster.
-    fn resolved(&mut self, now: Timestamp, resolution: Resolution) {
+    fn apply_resolution(&mut self, now: Timestamp, resolution: Resolution) {
         match resolution {
-            Resolution::Unknown | Resolution::Open => {}
+            Resolution::Unknown | Resolution::Uncertain => {}
             Resolution::ReadBack { read, ended } => {
                 self.jobs_ended_with_unknown_outcome(now, &ended);
                 self.commands.push(read);
@@ -251,7 +251,7 @@
         for id in effects.starts {
             self.messages.start_stored(&mut self.cluster, id);
         }
-        for StoredEnd { job, end, event } in effects.ends {
+        for StoredJobEnd { job, end, event } in effects.ends {
             self.log(event);
             // The end is stored, so dependent jobs may be placed in the same tick.
             self.job_ended(now, &job, end);
@@ -287,7 +287,7 @@
     /// commit.
     pub(crate) fn plan_start(&mut self, now: Timestamp, id: TaskId, machine: MachineIndex) {
         if let Some(planned) = self.cluster.plan_start(now, id, machine) {
-            self.transactions.start_planned(planned);
+            self.transactions.count_planned_start(planned);
         }
     }
 
--- a/crates/scheduler/src/storage/batch.rs
+++ b/crates/scheduler/src/storage/batch.rs
@@ -38,7 +38,7 @@
 
 /// The end of a job that a batch writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct JobEnding {
+struct JobEndWrite {
     job: JobIndex,
     end: JobEnd,
 }
@@ -58,7 +58,7 @@
     starts: Vec<TaskId>,
     /// Tasks whose completion becomes durable with the batch.
     completions: Vec<TaskId>,
-    ends: Vec<JobEnding>,
+    ends: Vec<JobEndWrite>,
     deletions: Vec<RecordDeletion>,
     background: bool,
 }
@@ -69,12 +69,12 @@
     /// Tasks whose starts may now be sent to workers.
     pub(crate) starts: Vec<TaskId>,
     /// Job ends that are now stored.
-    pub(crate) ends: Vec<StoredEnd>,
+    pub(crate) ends: Vec<StoredJobEnd>,
 }
 
 /// A job's end that a committed batch of this leader has stored.
 #[derive(Debug)]
-pub(crate) struct StoredEnd {
+pub(crate) struct StoredJobEnd {
     /// Name of the ended job.
     pub(crate) job: String,
     pub(crate) end: JobEnd,
@@ -151,7 +151,7 @@
         let key = keys::end(job_name);
         self.transaction.compares.push(Compare { key: key.clone(), revision: Revision::NONE });
         self.transaction.operations.push(Operation::put(key, end));
-        self.ends.push(JobEnding { job: job_index, end });
+        self.ends.push(JobEndWrite { job: job_index, end });
     }
 
     pub(crate) fn delete(&mut self, key: String) {
@@ -234,7 +234,7 @@
         for id in self.starts {
             cluster.apply(now, id, TaskEvent::Retract);
         }
-        for JobEnding { job, .. } in self.ends {
+        for JobEndWrite { job, .. } in self.ends {
             if let Some(job) = cluster.jobs.get_mut(&job) {
                 job.apply(JobEvent::EndWriteFailed);
             }
@@ -246,7 +246,7 @@
     }
 }
 
-fn stored_end(cluster: &Cluster, now: Timestamp, ending: &JobEnding) -> Option<StoredEnd> {
+fn stored_end(cluster: &Cluster, now: Timestamp, ending: &JobEndWrite) -> Option<StoredJobEnd> {
     let job = cluster.job(ending.job)?;
     let event = match ending.end {
         JobEnd::Cancelled => Event::JobCancelledByDependency { job: job.name.clone() },
@@ -260,5 +260,5 @@
             mean_run_s: job.run_times.0 / f64::from(job.run_times.1.max(1)),
         }),
     };
-    Some(StoredEnd { job: job.name.clone(), end: ending.end, event })
+    Some(StoredJobEnd { job: job.name.clone(), end: ending.end, event })
 }
--- a/crates/scheduler/src/storage/chunk_writes.rs
+++ b/crates/scheduler/src/storage/chunk_writes.rs
@@ -40,7 +40,7 @@
         if let Some(job) = self.cluster.jobs.get(&id.job) {
             self.batch.put_tasks(job, TaskRecordId { chunk: id, part: None }, value);
         }
-        self.mark_in_flight(id, Progress::Whole);
+        self.mark_in_flight(id, BatchedChanges::All);
     }
 
     /// Adds the changed tasks as parts of the chunk.
@@ -64,11 +64,11 @@
         for from in windows {
             if self.batch.is_full(self.max_operations) {
                 // The remaining parts are written in the next round.
-                return self.mark_in_flight(id, Progress::Partly);
+                return self.mark_in_flight(id, BatchedChanges::Partial);
             }
             self.add_part(id, from..(from + size).min(tasks.end), nonce);
         }
-        self.mark_in_flight(id, Progress::Whole);
+        self.mark_in_flight(id, BatchedChanges::All);
     }
 
     fn add_part(&mut self, id: ChunkId, tasks: Range<u32>, nonce: &str) {
@@ -94,10 +94,10 @@
     }
 
     /// Marks the chunk as having writes in the batch.
-    fn mark_in_flight(&mut self, id: ChunkId, progress: Progress) {
+    fn mark_in_flight(&mut self, id: ChunkId, batched: BatchedChanges) {
         if let Some(chunk) = self.chunk_mut(id) {
             chunk.in_flight = true;
-            if progress == Progress::Whole {
+            if batched == BatchedChanges::All {
                 (chunk.start_due, chunk.unpersisted_since) = (None, None);
             }
         }
@@ -111,9 +111,9 @@
 
 /// How many of a chunk's changes the batch contains.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Progress {
-    Whole,
-    Partly,
+enum BatchedChanges {
+    All,
+    Partial,
 }
 
 fn note_task(batch: &mut Batch, job: &mut Job, chunk: ChunkId, index: u32) {
--- a/crates/scheduler/src/storage/deletion.rs
+++ b/crates/scheduler/src/storage/deletion.rs
@@ -19,7 +19,7 @@
 pub(crate) struct RecordDeletion {
     job: JobIndex,
     /// Whether the job has no records left after this transaction.
-    last: bool,
+    is_complete: bool,
     parts: Vec<PartId>,
 }
 
@@ -38,14 +38,14 @@
     job.apply(JobEvent::DeletionStarted);
     delete_chunks(batch, job, max_operations);
     let parts = delete_parts(batch, job, max_operations);
-    let some_left =
+    let records_remain =
         !job.parts.is_empty() || job.chunks.iter().any(|chunk| chunk.revision > Revision::NONE);
-    let last = !some_left && !batch.is_full(max_operations);
-    if last {
+    let is_complete = !records_remain && !batch.is_full(max_operations);
+    if is_complete {
         batch.delete(keys::description(&job.name, !job.spec.dependencies.is_empty()));
     }
-    batch.note_deletion(RecordDeletion { job: job_index, last, parts });
-    last
+    batch.note_deletion(RecordDeletion { job: job_index, is_complete, parts });
+    is_complete
 }
 
 fn is_deletable(job: &Job) -> bool {
@@ -74,7 +74,7 @@
 impl RecordDeletion {
     /// Applies the committed deletion; the job is removed together with its last record.
     pub(crate) fn committed(self, cluster: &mut Cluster) {
-        if self.last {
+        if self.is_complete {
             cluster.remove_job(self.job);
         } else if let Some(job) = cluster.jobs.get_mut(&self.job) {
             job.apply(JobEvent::DeletionIncomplete);
--- a/crates/scheduler/src/storage/loader.rs
+++ b/crates/scheduler/src/storage/loader.rs
@@ -54,7 +54,7 @@
     /// The job was not in the cluster before and has been added.
     Added(JobIndex),
     /// The job was already in the cluster, which is unchanged.
-    Known,
+    AlreadyLoaded,
 }
 
 /// Adds a job from its stored description. `wall_us` is the current wall-clock time in
@@ -67,7 +67,7 @@
     wall_us: u64,
 ) -> Result<LoadedJob, DescriptionError> {
     if cluster.jobs_by_name.contains_key(name) {
-        return Ok(LoadedJob::Known);
+        return Ok(LoadedJob::AlreadyLoaded);
     }
     let record = DescriptionRecord::deserialize(value).map_err(DescriptionError::Unreadable)?;
     let (tasks, chunk_size) = (record.spec.tasks, record.chunk_size);
--- a/crates/scheduler/src/storage/records.rs
+++ b/crates/scheduler/src/storage/records.rs
@@ -69,7 +69,7 @@
 #[serde(untagged)]
 enum TaskRecord<'a> {
     /// Pending, and never placed before. Always the number 0.
-    Untouched(u8),
+    NeverPlaced(u8),
     /// Not on a machine: phase code and attempt.
     NotPlaced(u8, Attempt),
     /// On a machine: phase code, attempt, machine, its agent epoch, and time of placement in
@@ -81,7 +81,7 @@
     fn new(cluster: &'a Cluster, job: &Job, task: &Task) -> TaskRecord<'a> {
         let code = task.phase.code();
         match task.phase {
-            TaskPhase::Pending if task.attempt == Attempt::FIRST => TaskRecord::Untouched(0),
+            TaskPhase::Pending if task.attempt == Attempt::FIRST => TaskRecord::NeverPlaced(0),
             TaskPhase::Pending | TaskPhase::Done => TaskRecord::NotPlaced(code, task.attempt),
             _ => {
                 let machine = &cluster.machines[task.machine].name;
@@ -118,7 +118,7 @@
 #[serde(untagged)]
 pub(crate) enum StoredTask<'a> {
     /// Any number: pending, and never placed before.
-    Untouched(#[expect(dead_code, reason = "any number means the same")] f64),
+    NeverPlaced(#[expect(dead_code, reason = "any number means the same")] f64),
     /// The fields of a [`TaskRecord`], possibly followed by fields that a later version added.
     Fields(#[serde(borrow)] Vec<StoredField<'a>>),
     /// Any other value, which is skipped.
@@ -172,7 +172,7 @@
     /// Decodes the task's state; returns `None` if the record is malformed.
     pub(crate) fn state(&self) -> Option<TaskState<'a>> {
         let fields = match self {
-            StoredTask::Untouched(_) => {
+            StoredTask::NeverPlaced(_) => {
                 return Some(TaskState {
                     attempt: Attempt::FIRST,
                     progress: StoredProgress::Pending,
--- a/crates/scheduler/src/storage/transactions.rs
+++ b/crates/scheduler/src/storage/transactions.rs
@@ -49,7 +49,7 @@
     /// No transaction with this ID is in flight.
     Unknown,
     /// The outcome is still uncertain.
-    Open,
+    Uncertain,
     /// The outcome is still uncertain, and one of the transaction's records must be read to
     /// determine it. The conflict also shows that some jobs have ended.
     ReadBack {
@@ -141,9 +141,10 @@
 
     /// Returns how many operations may be written now, if the given fraction of one second's writes
     /// is reserved for more urgent ones.
-    pub(crate) fn write_allowance(&self, keep: f64) -> usize {
-        let spare = |a: WriteAllowance| (a.left - keep * a.per_s).max(0.0) as usize;
-        self.allowance.map_or(usize::MAX, spare)
+    pub(crate) fn write_allowance(&self, reserved_fraction: f64) -> usize {
+        let available =
+            |a: WriteAllowance| (a.left - reserved_fraction * a.per_s).max(0.0) as usize;
+        self.allowance.map_or(usize::MAX, available)
     }
 
     /// Returns the number of operations that may be written per second, `None` without a limit.
@@ -181,14 +182,14 @@
     }
 
     /// Counts a start that was planned and waits to be written.
-    pub(crate) fn start_planned(&mut self, planned: StartPlanned) {
+    pub(crate) fn count_planned_start(&mut self, planned: StartPlanned) {
         self.planned_chunks += usize::from(planned.first_of_chunk);
         self.counts.tasks_placed += 1;
         self.counts.image_cached += usize::from(planned.image_cached);
     }
 
     /// Counts a chunk with planned starts as added to a transaction.
-    pub(crate) fn planned_chunk_taken(&mut self) {
+    pub(crate) fn planned_chunk_batched(&mut self) {
         self.planned_chunks -= 1;
     }
 
@@ -207,10 +208,10 @@
         self.counts.job_ends += ends;
     }
 
-    /// Counts deleted records of a job; `last` is whether none of its records remain.
-    pub(crate) fn count_deletions(&mut self, records: usize, last: bool) {
+    /// Counts deleted records of a job; `is_complete` is whether none of its records remain.
+    pub(crate) fn count_deletions(&mut self, records: usize, is_complete: bool) {
         self.counts.deletes += records;
-        self.counts.jobs_deleted += usize::from(last);
+        self.counts.jobs_deleted += usize::from(is_complete);
     }
 
     /// Returns the counts since the last call, and resets them.
@@ -266,11 +267,11 @@
                 // same compares resolves this, because at most one of the copies can take effect.
                 transaction.became_indeterminate();
                 transaction.retry(now + RETRY_AFTER_LOST_ANSWER);
-                self.keep_open(id, transaction)
+                self.keep_in_flight(id, transaction)
             }
             TransactionOutcome::Rejected if transaction.is_indeterminate() => {
                 transaction.retry(now + RETRY_AFTER_REFUSAL);
-                self.keep_open(id, transaction)
+                self.keep_in_flight(id, transaction)
             }
             TransactionOutcome::Rejected => {
                 self.paused_until = now + PAUSE_AFTER_REFUSAL;
@@ -293,19 +294,19 @@
             ReadOutcome::Unavailable => {
                 transaction.became_indeterminate();
                 transaction.retry(now + RETRY_AFTER_REFUSAL);
-                self.keep_open(id, transaction)
+                self.keep_in_flight(id, transaction)
             }
             ReadOutcome::Found { value, revision } => self.read_back(transaction, &value, revision),
             ReadOutcome::Missing => self.read_back(transaction, &Value::Null, Revision::NONE),
         }
     }
 
-    fn keep_open(&mut self, id: u64, transaction: InFlightTransaction) -> Resolution {
+    fn keep_in_flight(&mut self, id: u64, transaction: InFlightTransaction) -> Resolution {
         self.in_flight.insert(id, transaction);
-        Resolution::Open
+        Resolution::Uncertain
     }
 
-    fn keep_reading(
+    fn start_read_back(
         &mut self,
         id: u64,
         mut transaction: InFlightTransaction,
@@ -330,7 +331,7 @@
         match key {
             Some(key) if transaction.is_indeterminate() => {
                 transaction.became_too_large();
-                self.keep_reading(id, transaction, key, Vec::new())
+                self.start_read_back(id, transaction, key, Vec::new())
             }
             // If a job end or a deletion took effect but its answer was lost, the next attempt
             // finds that out.
@@ -355,7 +356,7 @@
             // If an answer was lost before, the conflict is most likely with the transaction's own
             // earlier copy, which the nonce in the value shows. The outcome stays uncertain until
             // the record is read.
-            Some(key) => self.keep_reading(id, transaction, key.clone(), ended),
+            Some(key) => self.start_read_back(id, transaction, key.clone(), ended),
             None => Resolution::NotExecuted { batch: transaction.into_batch(), ended },
         }
     }
--- a/crates/scheduler/src/storage/transactions/tests.rs
+++ b/crates/scheduler/src/storage/transactions/tests.rs
@@ -38,7 +38,7 @@
     let (mut transactions, id) = sent(with_an_end());
     assert!(matches!(
         transactions.answered(now, id, TransactionOutcome::Indeterminate),
-        Resolution::Open
+        Resolution::Uncertain
     ));
     assert!(transactions.resend_due(now).is_empty(), "not yet");
     let later = now + RETRY_AFTER_LOST_ANSWER;
@@ -47,7 +47,7 @@
     // A refusal of the second copy says nothing about the first.
     assert!(matches!(
         transactions.answered(later, id, TransactionOutcome::Rejected),
-        Resolution::Open
+        Resolution::Uncertain
     ));
     let later = later + RETRY_AFTER_REFUSAL;
     assert_eq!(transactions.resend_due(later).len(), 1);
@@ -119,6 +119,6 @@
 
     let (mut transactions, id) = read_back();
     let resolution = transactions.read_answered(now, id, ReadOutcome::Unavailable);
-    assert!(matches!(resolution, Resolution::Open));
+    assert!(matches!(resolution, Resolution::Uncertain));
     assert_eq!(transactions.resend_due(now + RETRY_AFTER_REFUSAL).len(), 1);
 }
--- a/crates/scheduler/src/storage/write_round.rs
+++ b/crates/scheduler/src/storage/write_round.rs
@@ -23,10 +23,10 @@
 use crate::tunables::Tunables;
 
 /// Fraction of the write allowance that task states and deletions leave for starts and job ends.
-const KEEP_FOR_STARTS: f64 = 0.4;
+const RESERVED_FOR_STARTS_AND_ENDS: f64 = 0.4;
 /// Multiple of the `evidence_delay` setting after which an unwritten task state may also use the
 /// allowance reserved for starts and job ends.
-const OVERDUE_STATUS_WRITE: u64 = 5;
+const OVERDUE_DELAY_MULTIPLE: u64 = 5;
 
 /// A chunk with planned starts. The ordering is that of the writes: highest priority first, then
 /// longest waiting.
@@ -130,15 +130,15 @@
     /// Writes as many of the jobs' ends as is possible now. An end is written only once, as
     /// completion or as cancellation through a dependency, whichever comes first.
     fn write_ends(&mut self, jobs: &[JobIndex], end: JobEnd, commits: &mut Vec<Command>) {
-        let is_open = |index: &&JobIndex| {
+        let can_write_end = |index: &&JobIndex| {
             let job = self.cluster.job(**index);
             job.is_some_and(|job| !job.state().is_writing_end() && !job.is_ended())
         };
-        let jobs: Vec<JobIndex> = jobs.iter().filter(is_open).copied().collect();
-        for some in jobs.chunks(self.transactions.limits().operations) {
-            let room = self.transactions.write_allowance(0.0).min(some.len());
-            if self.has_free_transaction() && room > 0 {
-                commits.extend(self.send_ends(&some[..room], end));
+        let jobs: Vec<JobIndex> = jobs.iter().filter(can_write_end).copied().collect();
+        for group in jobs.chunks(self.transactions.limits().operations) {
+            let budget = self.transactions.write_allowance(0.0).min(group.len());
+            if self.has_free_transaction() && budget > 0 {
+                commits.extend(self.send_ends(&group[..budget], end));
             }
         }
     }
@@ -159,16 +159,16 @@
         self.transactions.set_planned_chunks(starts.len());
         let mut starts = starts.into_iter().peekable();
         while starts.peek().is_some() {
-            let room = self.room(0.0);
-            if !self.has_free_transaction() || room == 0 {
+            let budget = self.budget(0.0);
+            if !self.has_free_transaction() || budget == 0 {
                 self.cluster.placement_needed = true;
                 break;
             }
             let mut batch = Batch::default();
-            while !batch.is_full(room) {
+            while !batch.is_full(budget) {
                 let Some(PlannedStarts { job, chunk, .. }) = starts.next() else { break };
-                self.transactions.planned_chunk_taken();
-                self.add_chunk(&mut batch, ChunkId { job, chunk }, room);
+                self.transactions.planned_chunk_batched();
+                self.add_chunk(&mut batch, ChunkId { job, chunk }, budget);
             }
             commits.extend(self.transactions.send(batch));
         }
@@ -181,32 +181,35 @@
         ended: &[JobIndex],
         commits: &mut Vec<Command>,
     ) {
-        let limit = TimeDelta(self.tunables.evidence_delay.0.saturating_mul(OVERDUE_STATUS_WRITE));
+        let limit =
+            TimeDelta(self.tunables.evidence_delay.0.saturating_mul(OVERDUE_DELAY_MULTIPLE));
         let overdue = task_states.first().is_some_and(|s| self.now.since(s.since) > limit);
-        let room = self.room(if overdue { 0.0 } else { KEEP_FOR_STARTS });
-        if room == 0 || self.transactions.background_in_flight() || !self.has_free_transaction() {
+        let budget = self.budget(if overdue { 0.0 } else { RESERVED_FOR_STARTS_AND_ENDS });
+        if budget == 0 || self.transactions.background_in_flight() || !self.has_free_transaction() {
             return;
         }
         let mut batch = Batch::background();
         for &UnpersistedChunk { job, chunk, .. } in task_states {
-            if batch.is_full(room) {
+            if batch.is_full(budget) {
                 break;
             }
-            self.add_chunk(&mut batch, ChunkId { job, chunk }, room);
+            self.add_chunk(&mut batch, ChunkId { job, chunk }, budget);
         }
         for &job in ended {
-            if batch.is_full(room) {
+            if batch.is_full(budget) {
                 break;
             }
-            self.delete_records(&mut batch, job, room);
+            self.delete_records(&mut batch, job, budget);
         }
         commits.extend(self.transactions.send(batch));
     }
 
     /// Returns how many operations a transaction may contain now, if the given fraction of the
     /// allowance is reserved.
-    fn room(&self, keep: f64) -> usize {
-        self.transactions.write_allowance(keep).min(self.transactions.limits().operations)
+    fn budget(&self, reserved_fraction: f64) -> usize {
+        self.transactions
+            .write_allowance(reserved_fraction)
+            .min(self.transactions.limits().operations)
     }
 
     fn add_chunk(&mut self, batch: &mut Batch, chunk: ChunkId, max_operations: usize) {
@@ -216,7 +219,7 @@
 
     fn delete_records(&mut self, batch: &mut Batch, job: JobIndex, max_operations: usize) {
         let before = batch.operations();
-        let last = deletion::delete_records(batch, self.cluster, job, max_operations);
-        self.transactions.count_deletions(batch.operations() - before, last);
+        let is_complete = deletion::delete_records(batch, self.cluster, job, max_operations);
+        self.transactions.count_deletions(batch.operations() - before, is_complete);
     }
 }
