--- a/crates/scheduler/src/storage/records/tests.rs
+++ b/crates/scheduler/src/storage/records/tests.rs
@@ -14,28 +14,36 @@
 }
 
 #[test]
-fn a_task_is_read_whichever_version_wrote_it() {
+fn decodes_task_records_of_all_versions() {
     let pending =
         |attempt| Some(TaskState { attempt: Attempt(attempt), progress: StoredProgress::Pending });
     let done =
         |attempt| Some(TaskState { attempt: Attempt(attempt), progress: StoredProgress::Done });
     assert_eq!(read(&json!(0)), pending(1));
-    assert_eq!(read(&json!(1.5)), pending(1), "any number");
-    assert_eq!(read(&json!(-1)), pending(1), "any number");
+    assert_eq!(read(&json!(1.5)), pending(1), "any number means never placed");
+    assert_eq!(read(&json!(-1)), pending(1), "any number means never placed");
     assert_eq!(read(&json!([0, 3])), pending(3));
     assert_eq!(read(&json!([5, 2])), done(2));
-    assert_eq!(read(&json!([5, 2, "m", 9, 7])), done(2), "more than is needed");
+    assert_eq!(read(&json!([5, 2, "m", 9, 7])), done(2), "additional fields are ignored");
     for phase in 1..=4 {
         assert_eq!(read(&json!([phase, 2, "m", 9, 70])), placed(2, "m", Some(7_000)));
     }
-    assert_eq!(read(&json!([1, 2, "m", 9])), placed(2, "m", None), "without a time");
-    assert_eq!(read(&json!([1, 2, "m", 9, "x"])), placed(2, "m", None), "without a time");
+    assert_eq!(
+        read(&json!([1, 2, "m", 9])),
+        placed(2, "m", None),
+        "placement time missing or unreadable"
+    );
+    assert_eq!(
+        read(&json!([1, 2, "m", 9, "x"])),
+        placed(2, "m", None),
+        "placement time missing or unreadable"
+    );
     assert_eq!(read(&json!([1, 2, "m", 9, 70, {"later": true}])), placed(2, "m", Some(7_000)));
 }
 
 #[test]
-fn what_is_no_task_is_passed_over_alone() {
-    let strange = json!([
+fn malformed_task_does_not_affect_the_rest_of_its_chunk() {
+    let malformed = json!([
         null,
         "0",
         {},
@@ -51,7 +59,7 @@
         [1, 2, "m", "9"],
         [[1], 2]
     ]);
-    for record in strange.as_array().expect("records") {
+    for record in malformed.as_array().expect("records") {
         assert_eq!(read(record), None, "{record}");
     }
     let value = json!({"t": [0, {}, [5, 1]], "w": "7-1", "later": 1});
@@ -64,7 +72,7 @@
 }
 
 #[test]
-fn a_chunk_names_the_transaction_that_wrote_it() {
+fn chunk_identifies_the_transaction_that_wrote_it() {
     assert!(was_written_by(&json!({"t": [0], "w": "7-1"}), "7-1"));
     for other in [json!({"t": [0], "w": "7-2"}), json!({"t": [0]}), json!({"w": 7}), json!(null)] {
         assert!(!was_written_by(&other, "7-1"), "{other}");
--- a/crates/scheduler/tests/storage_limits.rs
+++ b/crates/scheduler/tests/storage_limits.rs
@@ -1,5 +1,5 @@
-//! The key-value store's limits fall without notice: what was kept in large chunks goes on in small
-//! parts beside them, and what is stored is right after every one of the writes.
+//! Tests of the key-value store lowering its limits without notice. Chunks that are now too large
+//! are continued in small parts, and the stored state is correct after every single write.
 
 mod world;
 
@@ -15,64 +15,68 @@
 use world::{spec, World};
 
 const JOB: &str = "req-000001";
-/// As the version before made them, for values of 8 KiB.
-const LARGE: u32 = 168;
-const SMALL: (usize, usize) = (2_048, 4);
+/// Chunk size that the previous version chose for values of up to 8 KiB.
+const OLD_CHUNK_SIZE: u32 = 168;
+const LOWERED_LIMITS: (usize, usize) = (2_048, 4);
 
-fn long_named(n: usize) -> World {
+fn world_with_machines(n: usize) -> World {
     let names: Vec<String> = (0..n).map(|i| format!("n-{i:06}")).collect();
     let machines: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "a")).collect();
     World::new(&machines)
 }
 
-fn fall(w: &mut World) {
-    w.store.limits = Some(SMALL);
-    w.leader.set_limits(TransactionLimits { value_bytes: SMALL.0, operations: SMALL.1 });
+fn lower_limits(w: &mut World) {
+    w.store.limits = Some(LOWERED_LIMITS);
+    w.leader.set_limits(TransactionLimits {
+        value_bytes: LOWERED_LIMITS.0,
+        operations: LOWERED_LIMITS.1,
+    });
 }
 
-fn run_keys(w: &World) -> BTreeSet<String> {
+fn chunk_keys(w: &World) -> BTreeSet<String> {
     w.store.key_values(keys::RUN).into_iter().map(|p| p.key).collect()
 }
 
-/// What is stored tells of every task that is anywhere.
-fn nothing_is_forgotten(w: &mut World) {
+/// Makes a new leader load the stored records, and asserts that it knows every placed task.
+fn assert_new_leader_knows_placed_tasks(w: &mut World) {
     let places = w.places();
-    let live = w.take_over();
-    let ix = w.leader.cluster.jobs_by_name[JOB];
+    let former_leader = w.take_over();
+    let job_index = w.leader.cluster.jobs_by_name[JOB];
     for (task, machines) in places {
         let index: usize = task.rsplit_once('/').and_then(|t| t.1.parse().ok()).expect("a task");
-        let known = &w.leader.cluster.job(ix).expect("job").tasks[index];
+        let known = &w.leader.cluster.job(job_index).expect("job").tasks[index];
         assert!(
             known.phase.placed() || known.phase == TaskPhase::Done,
-            "{task} is on {machines:?}"
+            "the new leader does not know that {task} is on {machines:?}"
         );
     }
-    drop(live);
+    drop(former_leader);
     w.all_report();
     w.all_report();
 }
 
 #[test]
-fn a_large_chunk_goes_on_in_parts_and_every_step_holds_for_a_take_over() {
-    let mut w = long_named(40);
-    w.submit_in_chunks(JOB, &spec(160), LARGE);
+fn large_chunk_continues_in_parts_and_any_new_leader_knows_all_placed_tasks() {
+    let mut w = world_with_machines(40);
+    w.submit_in_chunks(JOB, &spec(160), OLD_CHUNK_SIZE);
     w.settle();
     assert_eq!(w.places().len(), 160);
-    assert_eq!(run_keys(&w).len(), 1);
-    assert!(w.store.key_values(keys::RUN)[0].value.to_string().len() > SMALL.0);
-    fall(&mut w);
-    // Some finish, some are lost with their machines, each write being followed by a new leader.
+    assert_eq!(chunk_keys(&w).len(), 1);
+    assert!(w.store.key_values(keys::RUN)[0].value.to_string().len() > LOWERED_LIMITS.0);
+    lower_limits(&mut w);
+    // In each round some tasks finish, and in some rounds a machine is lost. In every other round a
+    // new leader takes over after each write.
     for round in 0..12 {
         let places = w.places();
         for (task, machines) in places.iter().take(13) {
             w.finish(&machines[0], task);
         }
         if round % 3 == 1 {
-            let dead = format!("n-{:06}", 39 - round);
-            let worker = w.workers.get_mut(&dead).expect("worker");
+            let lost_machine = format!("n-{:06}", 39 - round);
+            let worker = w.workers.get_mut(&lost_machine).expect("worker");
             worker.alive = false;
             worker.tasks.clear();
-            w.leader.machine_gone(w.now, &dead);
+            w.leader.machine_gone(w.now, &lost_machine);
         }
         w.all_report();
         for _ in 0..200 {
@@ -86,51 +90,53 @@
             assert!(matches!(outcome, TransactionOutcome::Committed { .. }), "{outcome:?}");
             w.leader.transaction_answered(w.now, id, outcome);
             if round % 2 == 0 {
-                nothing_is_forgotten(&mut w);
+                assert_new_leader_knows_placed_tasks(&mut w);
             }
         }
         w.settle();
         w.wait(6_000);
     }
-    assert!(run_keys(&w).iter().any(|k| k.contains('.')), "{:?}", run_keys(&w));
+    assert!(chunk_keys(&w).iter().any(|k| k.contains('.')), "{:?}", chunk_keys(&w));
     w.run_out();
     assert_eq!(w.end(JOB), Some(&json!("done")));
-    assert_eq!(run_keys(&w).len(), 0, "parts go with the chunks");
+    assert_eq!(chunk_keys(&w).len(), 0, "parts were not deleted with the chunks");
     assert!(!w.store.keys.contains_key(&keys::todo(JOB)));
 }
 
-/// A refusal for size is certain: what would have been started is planned anew, at once and smaller.
+/// A refusal for size is a certain outcome, so the refused starts must be planned again at once, in
+/// smaller transactions.
 #[test]
-fn a_transaction_that_is_too_large_loses_no_round() {
-    let mut w = long_named(40);
-    w.submit_in_chunks(JOB, &spec(160), LARGE);
+fn starts_of_a_too_large_transaction_are_planned_again_within_the_lowered_limits() {
+    let mut w = world_with_machines(40);
+    w.submit_in_chunks(JOB, &spec(160), OLD_CHUNK_SIZE);
     w.tick();
     let (id, transaction) = w.take_commit();
-    w.store.limits = Some(SMALL);
+    w.store.limits = Some(LOWERED_LIMITS);
     let outcome = w.store.apply(&transaction);
     assert_eq!(outcome, TransactionOutcome::TooLarge);
     w.leader.transaction_answered(w.now, id, outcome);
-    fall(&mut w);
+    lower_limits(&mut w);
     w.settle();
     assert_eq!(w.places().len(), 160);
     w.run_out();
     assert_eq!(w.end(JOB), Some(&json!("done")));
 }
 
-/// The first copy took effect unheard, then the limits fell: the refusal of the second says nothing of
-/// the first, and only what is stored does.
+/// The first copy of a transaction may have been committed although its answer was lost, and then
+/// the limits were lowered. The refusal of the second copy for its size says nothing about the
+/// first, so only reading the chunk resolves the outcome.
 #[test]
-fn a_refusal_for_size_after_a_lost_answer_is_read_back() {
+fn refusal_for_size_after_a_lost_answer_is_resolved_by_reading_the_chunk() {
     for applied in [true, false] {
-        let mut w = long_named(40);
-        w.submit_in_chunks(JOB, &spec(160), LARGE);
+        let mut w = world_with_machines(40);
+        w.submit_in_chunks(JOB, &spec(160), OLD_CHUNK_SIZE);
         w.tick();
         let (id, transaction) = w.take_commit();
         if applied {
             w.store.apply(&transaction);
         }
         w.leader.transaction_answered(w.now, id, TransactionOutcome::Indeterminate);
-        fall(&mut w);
+        lower_limits(&mut w);
         w.wait(1_000);
         w.tick();
         let (id, transaction) = w.take_commit();
@@ -138,13 +144,17 @@
         assert_eq!(outcome, TransactionOutcome::TooLarge);
         w.leader.transaction_answered(w.now, id, outcome);
         w.tick();
-        let sends =
+        let sends_commands =
             |c: &Command| matches!(c, Command::SendToWorker { calls, .. } if !calls.is_empty());
-        assert!(!w.commands.iter().any(sends), "the outcome is open until it is read");
+        assert!(
+            !w.commands.iter().any(sends_commands),
+            "commands were sent before the chunk was read"
+        );
         w.settle();
         assert_eq!(w.places().len(), 160, "applied: {applied}");
-        let ix = w.leader.cluster.jobs_by_name[JOB];
-        let attempts = w.leader.cluster.job(ix).expect("job").tasks.iter().map(|t| t.attempt);
+        let job_index = w.leader.cluster.jobs_by_name[JOB];
+        let attempts =
+            w.leader.cluster.job(job_index).expect("job").tasks.iter().map(|t| t.attempt);
         assert_eq!(attempts.max(), Some(Attempt(1)), "applied: {applied}");
         w.run_out();
         assert_eq!(w.end(JOB), Some(&json!("done")));
@@ -152,16 +162,17 @@
 }
 
 #[test]
-fn of_a_chunk_and_its_parts_the_one_written_last_counts() {
+fn newest_record_of_a_task_counts_whether_chunk_or_part() {
     let mut w = World::new(&[("n-1", "a")]);
-    w.submit_in_chunks(JOB, &JobSpec { cpus: 0.1, ..spec(4) }, LARGE);
+    w.submit_in_chunks(JOB, &JobSpec { cpus: 0.1, ..spec(4) }, OLD_CHUNK_SIZE);
     let put = |w: &mut World, key: String, records: serde_json::Value| {
         w.store.put(&key, json!({"w": "x", "t": records}));
     };
     put(&mut w, keys::part(JOB, 0, 2), json!([[5, 1], [0, 7]]));
     put(&mut w, keys::run(JOB, 0), json!([0, [2, 3, "n-1", 1, 0], [5, 1], [0, 8]]));
     put(&mut w, keys::part(JOB, 0, 0), json!([[5, 2], [5, 3]]));
-    // Not this job's, not of this form, beyond its tasks: passed over, never a panic.
+    // Records of an unknown job, with a malformed key or value, or beyond the job's tasks. They
+    // must be skipped without a panic.
     for (key, value) in [
         ("run/req-000009/00000", json!({"t": []})),
         ("run/req-000001/00000.x", json!({"t": []})),
@@ -171,8 +182,8 @@
     ] {
         w.store.put(key, value);
     }
-    let strange = w.leader.load_chunks(w.now, &w.store.key_values(keys::RUN));
-    assert_eq!(strange.len(), 5, "{strange:?}");
+    let unreadable = w.leader.load_chunks(w.now, &w.store.key_values(keys::RUN));
+    assert_eq!(unreadable.len(), 5, "{unreadable:?}");
     let tasks = &w.leader.cluster.job(w.leader.cluster.jobs_by_name[JOB]).expect("job").tasks;
     let seen: Vec<(TaskPhase, Attempt)> = tasks.iter().map(|t| (t.phase, t.attempt)).collect();
     let done = TaskPhase::Done;
@@ -188,11 +199,15 @@
 }
 
 #[test]
-fn new_jobs_fit_the_smaller_limits_from_the_start() {
-    let mut w = long_named(70);
-    w.submit_in_chunks(JOB, &spec(200), walnutlug_scheduler::storage::records::chunk_size(SMALL.0));
-    w.store.limits = Some(SMALL);
-    w.leader.set_limits(TransactionLimits { value_bytes: 8_192, operations: SMALL.1 });
+fn chunks_sized_for_the_lowered_limits_fit_them() {
+    let mut w = world_with_machines(70);
+    w.submit_in_chunks(
+        JOB,
+        &spec(200),
+        walnutlug_scheduler::storage::records::chunk_size(LOWERED_LIMITS.0),
+    );
+    w.store.limits = Some(LOWERED_LIMITS);
+    w.leader.set_limits(TransactionLimits { value_bytes: 8_192, operations: LOWERED_LIMITS.1 });
     w.run_out();
     assert_eq!(w.end(JOB), Some(&json!("done")));
 }
--- a/crates/scheduler/tests/version_compatibility.rs
+++ b/crates/scheduler/tests/version_compatibility.rs
@@ -1,5 +1,6 @@
-//! Both versions on one another's data: records as the production version wrote them (made by its own
-//! code, kept in `fixtures/`), and new ones held against the shape that it reads.
+//! Tests of compatibility between the production version and this one. `fixtures/` holds records
+//! written by the code of the production version, which this version must load; records written by
+//! this version must have the shape that the production version reads.
 
 mod world;
 
@@ -14,22 +15,22 @@
 use walnutlug_scheduler::storage::records::{chunk_size, description_record};
 use world::{spec, World};
 
-const RECORDS: &str = include_str!("fixtures/production-records.json");
+const PRODUCTION_RECORDS: &str = include_str!("fixtures/production-records.json");
 
-fn production() -> Vec<KeyValue> {
-    serde_json::from_str(RECORDS).expect("the fixture")
+fn production_records() -> Vec<KeyValue> {
+    serde_json::from_str(PRODUCTION_RECORDS).expect("the fixture")
 }
 
 #[test]
-fn what_production_wrote_is_taken_over_and_done() {
+fn records_of_the_production_version_are_loaded_and_their_jobs_completed() {
     let mut w = World::new(&[("n-000001", "a"), ("n-000002", "b")]);
-    for key_value in production() {
+    for key_value in production_records() {
         if key_value.key != keys::LEADER {
             w.store.store_revision.0 += 1;
             w.store.keys.insert(key_value.key, (key_value.value, w.store.store_revision));
         }
     }
-    // The worker tells of what the former leader started there.
+    // The workers report the tasks that the previous leader started on them.
     for (machine, task) in [
         ("n-000001", "req-000001/2"),
         ("n-000001", "req-000001/3"),
@@ -43,8 +44,8 @@
     }
     w.take_over();
     let phases: Vec<TaskPhase> = (0..5).map(|i| w.phase("req-000001", i)).collect();
-    let there = TaskPhase::Dispatching;
-    assert_eq!(phases, [TaskPhase::Done, TaskPhase::Done, there, there, there]);
+    let placed = TaskPhase::Dispatching;
+    assert_eq!(phases, [TaskPhase::Done, TaskPhase::Done, placed, placed, placed]);
     let job = w.leader.cluster.job(w.leader.cluster.jobs_by_name["req-000002"]).expect("job");
     assert_eq!((job.spec.zone.as_deref(), job.spec.priority), (Some("a"), Priority::Normal));
     assert!(job.spec.dependencies.is_empty() && !job.is_blocked());
@@ -56,7 +57,7 @@
     assert!(!w.store.keys.keys().any(|k| k.starts_with("run/") || k.starts_with("todo")));
 }
 
-/// The names and the kinds of values of an object, at every depth.
+/// Returns the type of each field of an object, by its path; nested objects are included.
 fn shape(value: &Value) -> BTreeMap<String, &'static str> {
     let mut found = BTreeMap::new();
     for (name, value) in value.as_object().expect("an object") {
@@ -78,50 +79,51 @@
 }
 
 #[test]
-fn what_is_written_now_has_the_shape_that_production_reads() {
-    let written = production();
-    let of = |key: &str| &written.iter().find(|p| p.key == key).expect("a record").value;
+fn written_records_have_the_shape_that_the_production_version_reads() {
+    let written = production_records();
+    let stored = |key: &str| &written.iter().find(|p| p.key == key).expect("a record").value;
     let chunk = chunk_size(2_048);
-    // A job that waits for nothing, under the same key, without a field more or less.
-    assert_eq!(shape(&description_record(&spec(5), 1, chunk)), shape(of("todo/req-000001")));
+    // Without dependencies, a job uses the same key and exactly the same fields.
+    assert_eq!(shape(&description_record(&spec(5), 1, chunk)), shape(stored("todo/req-000001")));
     let zoned = JobSpec {
         types: Some(vec!["t8".into()]),
         zone: Some("a".into()),
         deadline_s: None,
         ..spec(2)
     };
-    assert_eq!(shape(&description_record(&zoned, 1, chunk)), shape(of("todo/req-000002")));
+    assert_eq!(shape(&description_record(&zoned, 1, chunk)), shape(stored("todo/req-000002")));
     assert_eq!(keys::description("req-000001", false), "todo/req-000001");
-    // A chunk, record by record.
+    // The task records of a chunk have the same fields.
     let mut w = World::new(&[("n-000001", "a"), ("n-000002", "b")]);
     w.submit("req-000001", &spec(5));
     w.settle();
-    let (now, _) = &w.store.keys[&keys::run("req-000001", 0)];
-    let then = of("run/req-000001/00000");
-    assert_eq!(shape(now), shape(then));
-    for record in now["t"].as_array().expect("records") {
+    let (written_now, _) = &w.store.keys[&keys::run("req-000001", 0)];
+    let production = stored("run/req-000001/00000");
+    assert_eq!(shape(written_now), shape(production));
+    for record in written_now["t"].as_array().expect("records") {
         assert_eq!(record.as_array().map(Vec::len), Some(5), "{record}");
         assert!(record[2].is_string() && record[3].is_u64() && record[4].is_u64());
     }
 }
 
-/// What the former version would misread it never reads: it lists `todo/` and takes `run/` records of
-/// the jobs that it found there, by a chunk number alone.
+/// The production version lists `todo/`, and reads `run/` records with a plain chunk number for the
+/// jobs found there. Records that it would misread must have other keys.
 #[test]
-fn what_is_new_lies_where_production_does_not_look() {
+fn new_kinds_of_records_have_keys_that_the_production_version_ignores() {
     let chained = keys::description("req-000001", true);
     assert!(!chained.starts_with(keys::TODO) && chained.starts_with(keys::DESCRIPTIONS));
     assert_eq!(keys::described_job(&chained), Some("req-000001"));
     let part = keys::part("req-000001", 3, 40);
-    let place = part.rsplit_once('/').expect("a place").1;
-    assert!(place.parse::<usize>().is_err(), "{place}");
+    let suffix = part.rsplit_once('/').expect("a chunk key").1;
+    assert!(suffix.parse::<usize>().is_err(), "{suffix}");
     let key = RunKey { job: "req-000001", chunk: 3, part: Some(40) };
     assert_eq!(RunKey::parse(&part), Some(key));
 }
 
-/// Either takes over from the other, and again within moments, while a chain is under way.
+/// Leaders of both versions replace each other repeatedly, at short intervals, while a chain of
+/// dependent jobs runs.
 #[test]
-fn the_lead_goes_to_and_fro_between_the_versions() {
+fn leaders_of_both_versions_alternate_while_a_dependency_chain_runs() {
     let mut w = World::new(&[("n-000001", "a"), ("n-000002", "b")]);
     let dependencies = |names: &[&str]| names.iter().map(|n| (*n).to_owned()).collect::<Vec<_>>();
     w.submit_in_chunks("req-000001", &spec(3), 168);
@@ -142,7 +144,7 @@
             assert!(w.places().keys().all(|t| t.starts_with("req-000001/")), "{:?}", w.places());
         }
     }
-    // The last leader of the new version saw the first job done; the second runs, and only once.
+    // A leader of this version has seen the first job complete; the second job then runs only once.
     w.take_over();
     w.all_report();
     w.run_out();
