--- a/crates/controller/src/node/leader.rs
+++ b/crates/controller/src/node/leader.rs
@@ -161,13 +161,13 @@
 
 /// Returns whether workers reach another node but not this one.
 fn is_cut_off_from_workers(node: &Node, scheduler: &Scheduler, now: Timestamp) -> bool {
-    (node.cluster_view.workers_reach_other_nodes() && scheduler.hears_no_worker(now))
-        || (node.delegation.has_followers() && scheduler.reaches_no_worker(now))
+    (node.cluster_view.workers_reach_other_nodes() && scheduler.receives_no_heartbeats(now))
+        || (node.delegation.has_followers() && scheduler.workers_unreachable(now))
 }
 
 fn run_scheduler_tick(node: &Node, scheduler: &mut Scheduler, now: Timestamp) -> Vec<Command> {
     let allowance = node.key_value.write_allowance();
-    scheduler.set_write_allowance(WriteAllowance { left: allowance.now, most: allowance.most });
+    scheduler.set_write_allowance(WriteAllowance { left: allowance.now, per_s: allowance.most });
     let limits = node.key_value.limits();
     scheduler.set_limits(TransactionLimits {
         value_bytes: limits.value_bytes,
--- a/crates/scheduler/tests/autoscaling.rs
+++ b/crates/scheduler/tests/autoscaling.rs
@@ -67,11 +67,11 @@
 #[test]
 fn a_leader_that_hears_of_no_worker_is_deaf() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "b")]);
-    assert!(!w.leader.hears_no_worker(w.now));
+    assert!(!w.leader.receives_no_heartbeats(w.now));
     w.wait(20_000);
-    assert!(w.leader.hears_no_worker(w.now));
+    assert!(w.leader.receives_no_heartbeats(w.now));
     w.heartbeat("n-2");
-    assert!(!w.leader.hears_no_worker(w.now), "one worker is heard");
+    assert!(!w.leader.receives_no_heartbeats(w.now), "one worker is heard");
 }
 
 /// The fleet once stopped growing at 400 machines, rented and wanted together, whatever waited.
@@ -144,7 +144,7 @@
         &JobSpec { priority: walnutlug_scheduler::model::job_spec::Priority::High, ..spec(4) },
     );
     w.wait(50);
-    w.leader.set_write_allowance(WriteAllowance { left: 1.0, most: 16.0 });
+    w.leader.set_write_allowance(WriteAllowance { left: 1.0, per_s: 16.0 });
     w.leader.tick(w.now);
     let commits: Vec<_> = w
         .leader
@@ -402,7 +402,7 @@
             w.wait(75);
             w.tick();
             w.leader.autoscale(w.now);
-            if deaf_at.is_none() && w.leader.hears_no_worker(w.now) {
+            if deaf_at.is_none() && w.leader.receives_no_heartbeats(w.now) {
                 deaf_at = Some(at_ms);
             }
             w.commands.extend(w.leader.take_commands());
@@ -679,15 +679,15 @@
         }
     };
     lost(&mut w);
-    assert!(!w.leader.reaches_no_worker(w.now), "all at once may be one moment's trouble");
+    assert!(!w.leader.workers_unreachable(w.now), "all at once may be one moment's trouble");
     for _ in 0..4 {
         w.wait(1_000);
         w.all_report();
         w.tick();
         lost(&mut w);
     }
-    assert!(!w.leader.hears_no_worker(w.now), "reports come");
-    assert!(w.leader.reaches_no_worker(w.now));
+    assert!(!w.leader.receives_no_heartbeats(w.now), "reports come");
+    assert!(w.leader.workers_unreachable(w.now));
     // One answer, and it does.
     let direct = |c: &Command| matches!(c, Command::SendToWorker { .. });
     for _ in 0..20 {
@@ -698,13 +698,13 @@
             break;
         }
     }
-    assert!(w.leader.reaches_no_worker(w.now));
+    assert!(w.leader.workers_unreachable(w.now));
     let at = w.commands.iter().position(direct).expect("a message");
     if let Command::SendToWorker { machine, token, agent_epoch, calls, .. } = w.commands.remove(at)
     {
         w.deliver(machine, token, agent_epoch, &calls);
     }
-    assert!(!w.leader.reaches_no_worker(w.now));
+    assert!(!w.leader.workers_unreachable(w.now));
 }
 
 /// Seen on loopback: the whole fleet was idle and returned, and the messages under way to it were lost.
@@ -721,7 +721,7 @@
         }
     }
     w.wait(4_000);
-    assert!(w.leader.reaches_no_worker(w.now), "twenty messages were lost");
+    assert!(w.leader.workers_unreachable(w.now), "twenty messages were lost");
     w.leader.scale_in_answered(w.now, &names, true);
-    assert!(!w.leader.reaches_no_worker(w.now), "there is nothing to reach");
+    assert!(!w.leader.workers_unreachable(w.now), "there is nothing to reach");
 }
