--- a/crates/admission/src/deal.rs
+++ b/crates/admission/src/deal.rs
@@ -138,7 +138,7 @@
 /// One round of dealing. It reckons with the shares as they were at its start and the portions taken
 /// since.
 #[derive(Debug)]
-pub struct Deal {
+pub struct ProgressiveFilling {
     fleet: Resources,
     rules: Rules,
     jobs: Vec<Waiting>,
@@ -150,10 +150,14 @@
     offered: Option<Offered>,
 }
 
-impl Deal {
+impl ProgressiveFilling {
     /// `jobs` in the order of the queue. Jobs without tasks to place are passed over.
-    pub fn new(shares: &Shares, jobs: impl IntoIterator<Item = Waiting>, rules: Rules) -> Deal {
-        let mut deal = Deal {
+    pub fn new(
+        shares: &Shares,
+        jobs: impl IntoIterator<Item = Waiting>,
+        rules: Rules,
+    ) -> ProgressiveFilling {
+        let mut deal = ProgressiveFilling {
             fleet: shares.fleet(),
             rules,
             jobs: Vec::new(),
@@ -238,7 +242,7 @@
     }
 
     /// Takes the team, and the class with it, out of the order of every tier; to be put back by
-    /// [`Deal::restore`] with the shares as they are then.
+    /// [`ProgressiveFilling::restore`] with the shares as they are then.
     fn lift_out(&mut self, class: ClassId) {
         let share = self.class_share(class);
         let team = self.class_states[&class].team;
@@ -289,7 +293,7 @@
     }
 
     /// What may be placed next; nothing once every job is placed or found no room. Each portion has to
-    /// be answered with [`Deal::taken`].
+    /// be answered with [`ProgressiveFilling::taken`].
     pub fn next_portion(&mut self) -> Option<Portion> {
         if self.stage == Stage::Floors {
             if let Some((tier, class, job, missing)) = self.below_floor() {
--- a/crates/admission/tests/sharing.rs
+++ b/crates/admission/tests/sharing.rs
@@ -5,7 +5,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
-use walnutlug_admission::deal::{Deal, Rules, Waiting};
+use walnutlug_admission::deal::{ProgressiveFilling, Rules, Waiting};
 use walnutlug_admission::resources::Resources;
 use walnutlug_admission::saturation::{Change, Saturation, Thresholds};
 use walnutlug_admission::shares::{Entitlement, Shares, MAX_CLASSES};
@@ -27,7 +27,7 @@
     let mut left = free;
     let mut placed = vec![0; jobs.len()];
     let mut portions = 0;
-    let mut deal = Deal::new(shares, jobs.iter().copied(), RULES);
+    let mut deal = ProgressiveFilling::new(shares, jobs.iter().copied(), RULES);
     while let Some(portion) = deal.next_portion() {
         portions += 1;
         let job = jobs[portion.job];
--- a/crates/admission/tests/transcripts.rs
+++ b/crates/admission/tests/transcripts.rs
@@ -11,7 +11,7 @@
 use std::collections::HashMap;
 
 use golden::{Dice, Transcript};
-use walnutlug_admission::deal::{Deal, Rules, Waiting};
+use walnutlug_admission::deal::{ProgressiveFilling, Rules, Waiting};
 use walnutlug_admission::resources::Resources;
 use walnutlug_admission::saturation::{Change, Saturation, Thresholds};
 use walnutlug_admission::shares::{ClassId, Entitlement, HeldShare, Shares};
@@ -96,7 +96,7 @@
         self.transcript.next_step();
         let jobs = self.waiting();
         let mut left = self.dice.below(900) as f64;
-        let mut deal = Deal::new(&self.shares, jobs.iter().copied(), RULES);
+        let mut deal = ProgressiveFilling::new(&self.shares, jobs.iter().copied(), RULES);
         let floors: Vec<String> = deal.floors().values().map(|floor| exact(*floor)).collect();
         self.transcript.line("floors", &floors.join(" "));
         let mut placed = vec![0; jobs.len()];
--- a/crates/scheduler/src/queue/fair_share.rs
+++ b/crates/scheduler/src/queue/fair_share.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use walnutlug_admission::deal::{Deal, Rules, Waiting};
+use walnutlug_admission::deal::{ProgressiveFilling, Rules, Waiting};
 use walnutlug_admission::resources::Resources;
 use walnutlug_admission::saturation::{Change, Saturation, Thresholds};
 use walnutlug_admission::shares::{ClassId, Entitlement, Shares, TeamId};
@@ -137,7 +137,7 @@
         self.examined.jobs += queue.len() as u64;
         let waiting =
             queue.iter().map(|&(queue_key, ix)| self.waiting(ix, queue_key.priority as u8));
-        let mut deal = Deal::new(&self.cluster.shares, waiting, self.rules());
+        let mut deal = ProgressiveFilling::new(&self.cluster.shares, waiting, self.rules());
         self.fair_share.floors = deal.floors();
         let mut blocked: Vec<(QueueKey, JobIndex)> = Vec::new();
         let mut preempting = 0;
@@ -198,7 +198,7 @@
             }
         });
         let rules = Rules { floor: 0.0, ..self.rules() };
-        let mut deal = Deal::new(&self.cluster.shares, waiting, rules);
+        let mut deal = ProgressiveFilling::new(&self.cluster.shares, waiting, rules);
         while let Some(portion) = deal.next_portion() {
             let &(queue_key, ix) = aged[portion.job];
             let Some(job) = self.cluster.job(ix) else { break };
