--- a/crates/admission/src/turns.rs
+++ b/crates/admission/src/turns.rs
@@ -7,19 +7,19 @@
 
 /// Entries by lane; lanes are served in turn, and within a lane the first comes first.
 #[derive(Debug)]
-pub struct TurnQueue<Lane, Entry> {
+pub struct RoundRobinQueue<Lane, Entry> {
     lanes: BTreeMap<Lane, VecDeque<Entry>>,
     /// The lane that was served last.
     last: Option<Lane>,
 }
 
-impl<Lane, Entry> Default for TurnQueue<Lane, Entry> {
+impl<Lane, Entry> Default for RoundRobinQueue<Lane, Entry> {
     fn default() -> Self {
-        TurnQueue { lanes: BTreeMap::new(), last: None }
+        RoundRobinQueue { lanes: BTreeMap::new(), last: None }
     }
 }
 
-impl<Lane: Ord + Clone, Entry> TurnQueue<Lane, Entry> {
+impl<Lane: Ord + Clone, Entry> RoundRobinQueue<Lane, Entry> {
     /// Adds an entry behind those of its lane.
     pub fn push(&mut self, lane: Lane, entry: Entry) {
         self.lanes.entry(lane).or_default().push_back(entry);
@@ -47,7 +47,7 @@
         after.or_else(|| self.lanes.keys().next())
     }
 
-    /// The entry that [`TurnQueue::pop`] would give.
+    /// The entry that [`RoundRobinQueue::pop`] would give.
     pub fn peek(&self) -> Option<&Entry> {
         self.lanes.get(self.next_lane()?)?.front()
     }
--- a/crates/admission/tests/sharing.rs
+++ b/crates/admission/tests/sharing.rs
@@ -9,7 +9,7 @@
 use walnutlug_admission::resources::Resources;
 use walnutlug_admission::saturation::{Change, Saturation, Thresholds};
 use walnutlug_admission::shares::{Entitlement, Shares, MAX_CLASSES};
-use walnutlug_admission::turns::TurnQueue;
+use walnutlug_admission::turns::RoundRobinQueue;
 use walnutlug_time::{TimeDelta, Timestamp};
 
 const RULES: Rules = Rules { portion: 1.0 / 64.0, floor: 0.1, all_floors: 0.5 };
@@ -141,7 +141,7 @@
     /// told when it came, if nothing comes after it.
     #[test]
     fn lanes_take_turns(lanes in prop::collection::vec(0..4u8, 1..60), popped in 0..20usize) {
-        let mut queue = TurnQueue::default();
+        let mut queue = RoundRobinQueue::default();
         for (at, &lane) in lanes.iter().enumerate() {
             queue.push(lane, at);
         }
@@ -149,7 +149,7 @@
         let ahead = queue.ahead_of(&9);
         let in_turn: Vec<usize> = (0..4u8).map(|lane| queue.ahead_of(&lane)).collect();
         for lane in [0, 1, 2, 3, 9] {
-            let mut copy = TurnQueue::default();
+            let mut copy = RoundRobinQueue::default();
             let left = (0..lanes.len()).filter(|at| !out.contains(at));
             left.for_each(|at| copy.push(lanes[at], at));
             copy.push(lane, usize::MAX);
--- a/crates/admission/tests/transcripts.rs
+++ b/crates/admission/tests/transcripts.rs
@@ -15,7 +15,7 @@
 use walnutlug_admission::resources::Resources;
 use walnutlug_admission::saturation::{Change, Saturation, Thresholds};
 use walnutlug_admission::shares::{ClassId, Entitlement, HeldShare, Shares};
-use walnutlug_admission::turns::TurnQueue;
+use walnutlug_admission::turns::RoundRobinQueue;
 use walnutlug_time::{TimeDelta, Timestamp};
 
 const RULES: Rules = Rules { portion: 1.0 / 64.0, floor: 0.1, all_floors: 0.5 };
@@ -174,7 +174,7 @@
 fn turns_are_as_they_were() {
     let mut transcript = Transcript::new("turns");
     let mut dice = Dice::new(32);
-    let mut queue: TurnQueue<usize, usize> = TurnQueue::default();
+    let mut queue: RoundRobinQueue<usize, usize> = RoundRobinQueue::default();
     for entry in 0..3_000 {
         transcript.next_step();
         match dice.below(20) {
--- a/crates/controller/src/user_api/batch_writer.rs
+++ b/crates/controller/src/user_api/batch_writer.rs
@@ -6,7 +6,7 @@
 
 use tokio::sync::oneshot;
 use tokio::time::{timeout, Duration, Instant};
-use walnutlug_admission::turns::TurnQueue;
+use walnutlug_admission::turns::RoundRobinQueue;
 use walnutlug_scheduler::command::TransactionOutcome;
 use walnutlug_scheduler::model::job_spec::{JobEnd, Priority};
 use walnutlug_scheduler::protocol::key_value::{Compare, Operation, Transaction};
@@ -59,7 +59,7 @@
 /// The submissions that wait to be written.
 #[derive(Debug)]
 pub(super) struct SubmissionQueue {
-    lanes: RefCell<TurnQueue<Lane, PendingSubmission>>,
+    lanes: RefCell<RoundRobinQueue<Lane, PendingSubmission>>,
     writers: TaskSlots,
 }
 
