--- a/crates/admission/src/shares.rs
+++ b/crates/admission/src/shares.rs
@@ -238,7 +238,7 @@
 
     /// Whether the class's team holds as much as its part of the fleet, were that divided between the
     /// teams that have jobs.
-    pub fn has_its_part(&self, id: ClassId) -> bool {
+    pub fn has_fair_share(&self, id: ClassId) -> bool {
         let team = &self.teams[self.team_of(id).0 as usize];
         let with_jobs = self.teams.iter().filter(|team| team.jobs > 0);
         let weights: f64 = with_jobs.map(|team| team.entitlement.weight).sum();
--- a/crates/admission/tests/transcripts.rs
+++ b/crates/admission/tests/transcripts.rs
@@ -134,7 +134,7 @@
                 "{} {} {} {} {} {}",
                 exact(self.shares.class_share(held.class)),
                 exact(self.shares.share_without(held.class, held.task)),
-                self.shares.has_its_part(held.class),
+                self.shares.has_fair_share(held.class),
                 exact(used.cpus),
                 exact(used.gpus),
                 exact(used.memory_gb)
--- a/crates/scheduler/src/queue/fair_share.rs
+++ b/crates/scheduler/src/queue/fair_share.rs
@@ -113,7 +113,7 @@
         self.is_urgent(queue_key)
             && (queue_key.within_guarantee
                 || !self.fair_share.is_active()
-                || !self.cluster.shares.has_its_part(job.share_class()))
+                || !self.cluster.shares.has_fair_share(job.share_class()))
     }
 
     /// Whether one task less would leave the job's class with less than it keeps.
