--- a/crates/admission/src/shares.rs
+++ b/crates/admission/src/shares.rs
@@ -121,7 +121,7 @@
     }
 
     /// A job of the class is there; to be undone by [`Shares::job_gone`].
-    pub fn job_came(&mut self, team: &str, class: &str) -> ClassId {
+    pub fn add_job(&mut self, team: &str, class: &str) -> ClassId {
         let team = self.team_id(team);
         let key = (team, class.to_owned());
         let id = match self.class_ids.get(&key) {
--- a/crates/admission/tests/sharing.rs
+++ b/crates/admission/tests/sharing.rs
@@ -82,7 +82,7 @@
         let mut shares = Shares::new(HashMap::new());
         shares.set_fleet(fleet(1_000.0));
         let jobs: Vec<Waiting> = queue.iter().map(|q| {
-            let class = shares.job_came(&format!("team-{}", q.team), &format!("class-{}", q.class));
+            let class = shares.add_job(&format!("team-{}", q.team), &format!("class-{}", q.class));
             Waiting { tier: q.tier, class, task: cpus(q.cpus), tasks: q.tasks }
         }).collect();
         let (placed, portions) = deal_out(&shares, &jobs, room);
@@ -175,7 +175,7 @@
         shares.set_fleet(fleet(100.0));
         let mut open = Vec::new();
         for (team, class, size) in steps {
-            let id = shares.job_came(&format!("team-{team}"), &format!("class-{class}"));
+            let id = shares.add_job(&format!("team-{team}"), &format!("class-{class}"));
             shares.task_placed(id, cpus(size));
             shares.task_stopping(id, cpus(size));
             open.push((id, size));
@@ -203,7 +203,7 @@
         .iter()
         .zip(tasks)
         .map(|(team, tasks)| {
-            let class = shares.job_came(team, "class");
+            let class = shares.add_job(team, "class");
             Waiting { tier: 0, class, task: cpus(1.0), tasks }
         })
         .collect();
@@ -237,7 +237,7 @@
     assert_eq!(split(&mut shares, [29_000, 40], 1_000.0), [960, 40]);
     // Whoever has much already waits for those that have less.
     let mut shares = two_teams(Entitlement::default(), Entitlement::default());
-    let flood = shares.job_came("one", "class");
+    let flood = shares.add_job("one", "class");
     (0..900).for_each(|_| shares.task_placed(flood, cpus(1.0)));
     let placed = split(&mut shares, [29_000, 90], 100.0);
     assert_eq!(placed[1], 90, "{placed:?}");
--- a/crates/admission/tests/transcripts.rs
+++ b/crates/admission/tests/transcripts.rs
@@ -85,7 +85,7 @@
                 let cpus = [0.5, 2.0, 8.0, 0.1][self.dice.below(4)];
                 let gpus = [0.0, 0.0, 0.0, 1.0][self.dice.below(4)];
                 let task = Resources { cpus, gpus, memory_gb: cpus * 3.0 };
-                let class = self.shares.job_came(&team, &class);
+                let class = self.shares.add_job(&team, &class);
                 let tier = self.dice.below(3) as u8;
                 Waiting { tier, class, task, tasks: self.dice.below(300) as u32 }
             })
--- a/crates/scheduler/src/storage/loader.rs
+++ b/crates/scheduler/src/storage/loader.rs
@@ -77,7 +77,7 @@
     let chunk_size = chunk_size.min(u64::from(u32::MAX)) as u32;
     let accepted = now - TimeDelta(wall_us.saturating_sub(record.accepted_wall_us));
     let spec = Cow::into_owned(record.spec);
-    let class = cluster.shares.job_came(&spec.team, &spec.class);
+    let class = cluster.shares.add_job(&spec.team, &spec.class);
     let job = Job::new(now, name, spec, accepted, chunk_size, class);
     Ok(LoadedJob::Added(cluster.add_job(job)))
 }
