--- a/crates/admission/src/shares.rs
+++ b/crates/admission/src/shares.rs
@@ -120,7 +120,7 @@
         id
     }
 
-    /// A job of the class is there; to be undone by [`Shares::job_gone`].
+    /// A job of the class is there; to be undone by [`Shares::remove_job`].
     pub fn add_job(&mut self, team: &str, class: &str) -> ClassId {
         let team = self.team_id(team);
         let key = (team, class.to_owned());
@@ -162,7 +162,7 @@
     }
 
     /// The job is forgotten, and nothing of it is placed any more.
-    pub fn job_gone(&mut self, id: ClassId) {
+    pub fn remove_job(&mut self, id: ClassId) {
         let class = &mut self.classes[id.0 as usize];
         class.jobs = class.jobs.saturating_sub(1);
         let team = &mut self.teams[class.team.0 as usize];
--- a/crates/admission/tests/sharing.rs
+++ b/crates/admission/tests/sharing.rs
@@ -185,7 +185,7 @@
             prop_assert!(shares.class_share(id) >= size / 100.0 - 1e-9);
             shares.task_stopped(id, cpus(size));
             shares.task_gone(id, cpus(size));
-            shares.job_gone(id);
+            shares.remove_job(id);
         }
         prop_assert_eq!(shares.classes_kept(), 0);
     }
--- a/crates/admission/tests/transcripts.rs
+++ b/crates/admission/tests/transcripts.rs
@@ -157,7 +157,7 @@
                 }
                 self.shares.task_gone(class, task);
             }
-            self.shares.job_gone(class);
+            self.shares.remove_job(class);
         }
         self.transcript.line("classes kept", &self.shares.classes_kept().to_string());
     }
--- a/crates/scheduler/src/model/cluster.rs
+++ b/crates/scheduler/src/model/cluster.rs
@@ -117,7 +117,7 @@
     pub(crate) fn remove_job(&mut self, index: JobIndex) {
         if let Some(job) = self.jobs.remove(&index) {
             self.jobs_by_name.remove(&job.name);
-            self.shares.job_gone(job.share_class);
+            self.shares.remove_job(job.share_class);
         }
     }
 
