--- a/crates/scheduler/src/model/machine/failures.rs
+++ b/crates/scheduler/src/model/machine/failures.rs
@@ -33,7 +33,7 @@
     }
 
     /// The job itself is at fault.
-    pub(crate) fn exonerate(&mut self, job: JobIndex) {
+    pub(crate) fn remove_job(&mut self, job: JobIndex) {
         self.jobs.remove(&job);
     }
 }
--- a/crates/scheduler/src/reconciliation/task_ends.rs
+++ b/crates/scheduler/src/reconciliation/task_ends.rs
@@ -102,7 +102,7 @@
         let task = format!("{}/{}", job.name, id.1);
         if job_is_suspect {
             for &other in job.error_machines.keys() {
-                self.cluster.machines[other].failures.exonerate(id.0);
+                self.cluster.machines[other].failures.remove_job(id.0);
             }
         }
         let machine_name = self.cluster.machines[machine].name.clone();
