--- a/crates/controller/src/user_api/submission.rs
+++ b/crates/controller/src/user_api/submission.rs
@@ -215,7 +215,7 @@
     if types.is_empty() {
         return Err(SubmissionError::TypesUnknown);
     }
-    let impossible = spec.impossible(&node.settings.site.teams, &types);
+    let impossible = spec.infeasibility_reason(&node.settings.site.teams, &types);
     let depends_on_itself = spec.dependencies.iter().any(|dependency| dependency == name);
     Ok(impossible
         .map(Unrunnable::Impossible)
--- a/crates/scheduler/src/model/job_spec.rs
+++ b/crates/scheduler/src/model/job_spec.rs
@@ -114,7 +114,7 @@
     }
 
     /// Why the job can never run, if so. Only called once teams and types are known.
-    pub fn impossible(&self, teams: &[Team], types: &[MachineType]) -> Option<String> {
+    pub fn infeasibility_reason(&self, teams: &[Team], types: &[MachineType]) -> Option<String> {
         let Some(team) = teams.iter().find(|t| t.name == self.team) else {
             return Some(format!("crew: unknown team {:?}", self.team));
         };
