--- a/crates/scheduler/src/model/cluster.rs
+++ b/crates/scheduler/src/model/cluster.rs
@@ -314,7 +314,7 @@
     }
 
     /// Whether the task was placed under an earlier term and hasn't been seen under this one.
-    pub(crate) fn placed_before(&self, task: &Task) -> bool {
+    pub(crate) fn predates_term(&self, task: &Task) -> bool {
         task.phase == TaskPhase::Dispatching && task.token == self.loaded_token
     }
 
@@ -323,7 +323,7 @@
     /// too short, every task that ran on looked slow beside them, and a fifth of a fleet without a
     /// slow machine was drained.)
     pub(crate) fn began(&self, now: Timestamp, task: &Task) -> Timestamp {
-        if self.placed_before(task) {
+        if self.predates_term(task) {
             (task.placed_at + START_TAKES).min(now)
         } else {
             now
