--- a/crates/scheduler/src/autoscaling.rs
+++ b/crates/scheduler/src/autoscaling.rs
@@ -341,7 +341,7 @@
                     Some(&since) => since,
                     // Right after a failover nothing has been seen running yet. (Taken for work
                     // that frees nothing, it made a new leader rent three hundred dear machines.)
-                    None if self.cluster.predates_term(t) => self.cluster.began(now, t),
+                    None if self.cluster.predates_term(t) => self.cluster.run_started_at(now, t),
                     None => return false,
                 };
                 t.phase.placed() && run - now.since(since).as_secs_f64() < boot
--- a/crates/scheduler/src/model/cluster.rs
+++ b/crates/scheduler/src/model/cluster.rs
@@ -322,7 +322,7 @@
     /// placed has run since then. (Counted from the failover, run times were learned that were far
     /// too short, every task that ran on looked slow beside them, and a fifth of a fleet without a
     /// slow machine was drained.)
-    pub(crate) fn began(&self, now: Timestamp, task: &Task) -> Timestamp {
+    pub(crate) fn run_started_at(&self, now: Timestamp, task: &Task) -> Timestamp {
         if self.predates_term(task) {
             (task.placed_at + START_TAKES).min(now)
         } else {
--- a/crates/scheduler/src/reconciliation/absence.rs
+++ b/crates/scheduler/src/reconciliation/absence.rs
@@ -127,7 +127,7 @@
 fn observed_running(cluster: &mut Cluster, now: Timestamp, machine: MachineIndex, id: TaskId) {
     let Some(job) = cluster.job(id.0) else { return };
     let image = job.spec.image.clone();
-    let began = cluster.began(now, &job.tasks[id.1 as usize]);
+    let began = cluster.run_started_at(now, &job.tasks[id.1 as usize]);
     if let Some(job) = cluster.jobs.get_mut(&id.0) {
         let since = *job.started.entry(id.1).or_insert(began);
         job.has_started |= now.since(since) >= STARTED_AFTER;
