--- a/crates/scheduler/src/autoscaling.rs
+++ b/crates/scheduler/src/autoscaling.rs
@@ -473,7 +473,7 @@
                 && m.termination_sent_at.is_some_and(|t| now.since(t) > TERMINATION_RETRY);
             // A drained machine is returned when empty; a silent one is returned because it holds
             // tasks that nothing else can prove off it. One that never came up is just returned.
-            let hopeless = m.drain_reason.is_some_and(DrainReason::is_hopeless);
+            let hopeless = m.drain_reason.is_some_and(DrainReason::terminates_with_tasks);
             let due = m.state != MachineState::Terminated
                 && m.state != MachineState::Terminating
                 && (hopeless
--- a/crates/scheduler/src/model/machine.rs
+++ b/crates/scheduler/src/model/machine.rs
@@ -112,7 +112,7 @@
 
 impl DrainReason {
     /// Whether the machine is returned with the tasks that are on it: nothing else proves them gone.
-    pub fn is_hopeless(self) -> bool {
+    pub fn terminates_with_tasks(self) -> bool {
         match self {
             DrainReason::Silent
             | DrainReason::Unreachable
