--- a/crates/admission/src/deal.rs
+++ b/crates/admission/src/deal.rs
@@ -293,7 +293,7 @@
     }
 
     /// What may be placed next; nothing once every job is placed or found no room. Each portion has to
-    /// be answered with [`ProgressiveFilling::taken`].
+    /// be answered with [`ProgressiveFilling::record_placed`].
     pub fn next_portion(&mut self) -> Option<Portion> {
         if self.stage == Stage::Floors {
             if let Some((tier, class, job, missing)) = self.below_floor() {
@@ -328,7 +328,7 @@
 
     /// How many tasks of the portion offered last were placed. With fewer than offered, nothing more
     /// of the job finds room in this round.
-    pub fn taken(&mut self, placed: u32) {
+    pub fn record_placed(&mut self, placed: u32) {
         let Some(Offered { tier, class, portion }) = self.offered.take() else { return };
         self.lift_out(class);
         let waiting = &mut self.jobs[portion.job];
--- a/crates/admission/tests/sharing.rs
+++ b/crates/admission/tests/sharing.rs
@@ -36,7 +36,7 @@
         let taken = fit.min(portion.tasks);
         left -= f64::from(taken) * job.task.cpus;
         placed[portion.job] += taken;
-        deal.taken(taken);
+        deal.record_placed(taken);
     }
     (placed, portions)
 }
--- a/crates/admission/tests/transcripts.rs
+++ b/crates/admission/tests/transcripts.rs
@@ -105,7 +105,7 @@
             let taken = portion.tasks.min(((left + 1e-6) / job.task.cpus) as u32);
             left -= f64::from(taken) * job.task.cpus;
             placed[portion.job] += taken;
-            deal.taken(taken);
+            deal.record_placed(taken);
             let kind = if portion.for_floor { "portion for a floor" } else { "portion" };
             let text = format!("job={} tasks={} taken={taken}", portion.job, portion.tasks);
             self.transcript.line(kind, &text);
--- a/crates/scheduler/src/queue/fair_share.rs
+++ b/crates/scheduler/src/queue/fair_share.rs
@@ -151,7 +151,7 @@
             }
             let (queue_key, ix) = queue[portion.job];
             let (placed, stuck) = self.place_job(now, ix, &open, portion.tasks);
-            deal.taken(placed);
+            deal.record_placed(placed);
             if stuck {
                 let queue_key = QueueKey { aging: Aging::None, ..queue_key };
                 blocked.push((queue_key, ix));
@@ -208,7 +208,7 @@
                 _ => portion.tasks.min((room / cpus).max(0.0) as u32),
             };
             let (placed, stuck) = self.place_job(now, ix, open, most);
-            deal.taken(placed);
+            deal.record_placed(placed);
             room -= f64::from(placed) * cpus;
             if stuck && reserved.len() < max_reserved {
                 reserved.extend(self.machines_to_reserve(now, ix, &reserved, 1));
