--- a/crates/scheduler/src/model.rs
+++ b/crates/scheduler/src/model.rs
@@ -1,4 +1,4 @@
-//! What the scheduler reasons about: jobs, tasks, machines and teams, each with its states.
+//! Data model of the scheduler: jobs, tasks, machines and teams, with their state machines.
 
 pub mod cluster;
 pub mod ids;
@@ -10,5 +10,5 @@
 pub mod task;
 pub mod team;
 
-/// Room for sums of decimal amounts: a tenth added ten times must still count as one.
+/// Tolerance for comparing sums of decimal amounts: 0.1 added ten times must still count as 1.
 pub const EPSILON: f64 = 1e-6;
--- a/crates/scheduler/src/model/cluster.rs
+++ b/crates/scheduler/src/model/cluster.rs
@@ -1,7 +1,8 @@
-//! The jobs, tasks and machines of a term, and the one way to change what connects them.
+//! State of the cluster during one term: jobs, tasks and machines, and the assignments between
+//! them.
 //!
-//! Every change of a task goes through `Cluster::apply`, so that the sums of its job, its machine, its team
-//! and its class always agree with it.
+//! Every change of a task's state goes through `Cluster::apply`, which keeps the aggregates of its
+//! job, machine, team and class consistent with it.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -17,63 +18,67 @@
 use crate::reconciliation::heartbeat_cache::{CacheInvalidation, HeartbeatCache};
 use crate::time::{TimeDelta, Timestamp};
 
-/// How long a machine that is gone is remembered, against late heartbeats of it.
-const FORGET_AFTER: TimeDelta = TimeDelta::from_secs(600);
-/// What a task that was placed needs at least until it runs: a write, a message, mostly an image.
-const START_TAKES: TimeDelta = TimeDelta::from_secs(1);
+/// How long a terminated machine keeps its table entry, so that its late heartbeats are still
+/// recognised.
+const TERMINATED_RETENTION: TimeDelta = TimeDelta::from_secs(600);
+/// Minimum time from the placement of a task until it runs: one storage write, one request to the
+/// worker and, in most cases, an image fetch.
+const MIN_START_LATENCY: TimeDelta = TimeDelta::from_secs(1);
 
-/// What a team's tasks use that aren't proven absent.
+/// Resources used by a team's tasks, including every task that is not yet proven absent.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct TeamUsage {
-    /// Processors.
+    /// Number of CPUs.
     pub cpus: f64,
-    /// Accelerators.
+    /// Number of GPUs.
     pub gpus: f64,
 }
 
-/// What a planned start means for the writes.
+/// Properties of a planned task start that decide how its record is written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct StartPlanned {
-    /// Whether no other start of its chunk waits to be written.
+    /// Whether no other start in the same chunk is waiting to be written.
     pub(crate) first_of_chunk: bool,
-    /// Whether the machine is known to have the job's image.
+    /// Whether the machine already has the job's image, or is fetching it.
     pub(crate) image_cached: bool,
 }
 
-/// Jobs, tasks and machines as the leader of one term knows them.
+/// State of all jobs, tasks and machines as known to the leader of one term.
 #[derive(Debug)]
 pub struct Cluster {
     pub(crate) term: Term,
-    /// Stands for the unknown token of a start that an earlier term sent.
+    /// Placeholder token for starts that were sent by an earlier term, whose real token is not
+    /// known.
     pub(crate) loaded_token: FencingToken,
-    /// By a number that is never used again, so that a late answer can't mean another job.
+    /// Jobs by index. An index is never reused, so a late response cannot refer to a different job.
     pub jobs: BTreeMap<JobIndex, Job>,
     next_job: JobIndex,
-    /// The indices of the jobs.
+    /// Maps a job's name to its index in `jobs`.
     pub jobs_by_name: HashMap<String, JobIndex>,
-    /// All machines, also those that are gone until their place is used again.
+    /// All machines, including terminated ones until their entry is reused.
     pub machines: Vec<Machine>,
-    /// The indices of the machines.
+    /// Maps a machine's name to its index in `machines`.
     pub machines_by_name: HashMap<String, MachineIndex>,
-    /// Machines that are gone, in the order in which they went.
+    /// Terminated machines with the time they were queued for reuse, oldest first.
     pub(crate) terminated: VecDeque<(Timestamp, MachineIndex)>,
-    /// What the cloud offers; a type's place never changes.
+    /// Machine types offered by the cloud. A type's index never changes, because machines refer to
+    /// it.
     pub machine_types: Vec<MachineType>,
-    /// What the teams use.
+    /// Resources in use, by team name.
     pub team_usage: HashMap<String, TeamUsage>,
-    /// What the teams and their classes hold of the fleet.
+    /// Shares of the fleet held by each team and each of its job classes.
     pub shares: Shares,
-    /// Tasks that a machine shows live under an attempt that is not the table's, and where. Whatever the
-    /// table says, they are there.
+    /// Tasks that a machine reports as live under an attempt other than the recorded one, with that
+    /// machine. They still occupy the machine, whatever the task table says.
     pub(crate) conflicting_replicas: BTreeMap<TaskId, MachineIndex>,
-    /// Something changed that a round of placement may act on.
+    /// Set when a change may allow the next placement round to place or preempt tasks.
     pub placement_needed: bool,
-    /// The machines' last heartbeats, as far as repetitions of them mean nothing.
+    /// Last heartbeat of each machine whose exact repetition needs no processing.
     pub(crate) heartbeat_cache: HeartbeatCache,
 }
 
 impl Cluster {
-    /// Without jobs and machines.
+    /// Creates a cluster without jobs or machines.
     pub(crate) fn new(
         term: Term,
         loaded_token: FencingToken,
@@ -98,12 +103,12 @@
         }
     }
 
-    /// The job of that index, until its last record is deleted.
+    /// Returns the job with this index. A job stays in the table until its last record is deleted.
     pub fn job(&self, ix: JobIndex) -> Option<&Job> {
         self.jobs.get(&ix)
     }
 
-    /// Adds a job under a number that was never used before.
+    /// Adds a job and returns its index, which was never used before.
     pub(crate) fn add_job(&mut self, job: Job) -> JobIndex {
         let index = self.next_job;
         self.next_job = index.next();
@@ -113,7 +118,7 @@
         index
     }
 
-    /// Removes a job whose last record was deleted.
+    /// Removes a job after its last stored record was deleted.
     pub(crate) fn remove_job(&mut self, index: JobIndex) {
         if let Some(job) = self.jobs.remove(&index) {
             self.jobs_by_name.remove(&job.name);
@@ -121,8 +126,8 @@
         }
     }
 
-    /// Marks the job as ended, whichever its end. Returns it, unless it was marked before or is
-    /// unknown.
+    /// Marks the job as ended, whether it completed or was cancelled. Returns its index, or `None`
+    /// if it is unknown or was already marked.
     pub(crate) fn end_job(&mut self, name: &str) -> Option<JobIndex> {
         let &index = self.jobs_by_name.get(name)?;
         if !self.jobs.get_mut(&index)?.apply(JobEvent::Ended) {
@@ -132,15 +137,15 @@
         Some(index)
     }
 
-    /// The job's tasks that are not proven absent.
+    /// Returns the job's tasks that are not proven absent from a machine.
     pub(crate) fn placed_tasks(&self, index: JobIndex) -> Vec<TaskId> {
         let Some(job) = self.job(index) else { return Vec::new() };
         let tasks = (0..).zip(&job.tasks);
         tasks.filter(|(_, task)| task.phase.placed()).map(|(task, _)| (index, task)).collect()
     }
 
-    /// Plans a task's start on a machine, to be written before it is sent. `None` if the task is not
-    /// pending.
+    /// Plans the start of a task on a machine. The start is sent only after it has been written.
+    /// Returns `None` if the task is not pending.
     pub(crate) fn plan_start(
         &mut self,
         now: Timestamp,
@@ -160,23 +165,25 @@
             image_cached: self.machines[machine].has_image(&image),
         };
         start_due.get_or_insert(now);
-        // It will be there once fetched; the next task for it need not fetch it elsewhere.
+        // The worker will fetch the image, so later tasks with the same image should prefer this
+        // machine.
         self.machines[machine].add_image(image);
         Some(planned)
     }
 
-    /// The indices of all machines, in the order of the table.
+    /// Returns the indices of all machines in table order.
     pub(crate) fn machine_indices(&self) -> impl Iterator<Item = MachineIndex> {
         (0..self.machines.len()).map(MachineIndex::from)
     }
 
-    /// The machine of that name, made up as silent if nothing is known of it.
+    /// Returns the index of the machine with this name. An unknown machine is added in the state
+    /// `Booting`, without an address.
     pub fn machine_named(&mut self, now: Timestamp, name: &str) -> MachineIndex {
         if let Some(&ix) = self.machines_by_name.get(name) {
             return ix;
         }
         let machine = Machine::new(now, name);
-        let ix = match self.free_place(now) {
+        let ix = match self.reusable_entry(now) {
             Some(ix) => {
                 self.machines_by_name.remove(&self.machines[ix].name);
                 self.machines[ix] = machine;
@@ -191,12 +198,13 @@
         ix
     }
 
-    /// The place of a machine that is long gone, for a new one: the table would grow for as long as a
-    /// leader leads. Nothing may refer to it any more. Only the one that went first is looked at (a
-    /// look at all of them for each new machine made a failover's list cost its square).
-    fn free_place(&mut self, now: Timestamp) -> Option<MachineIndex> {
+    /// Returns a table entry that can be reused, so that the table does not grow for the whole term
+    /// of a leader. The machine must have been terminated for [`TERMINATED_RETENTION`], with
+    /// nothing left that refers to it. Only the oldest entry is checked: checking all of them for
+    /// every new machine made loading the machine list after a failover quadratic.
+    fn reusable_entry(&mut self, now: Timestamp) -> Option<MachineIndex> {
         let &(gone_at, ix) = self.terminated.front()?;
-        if now.since(gone_at) <= FORGET_AFTER {
+        if now.since(gone_at) <= TERMINATED_RETENTION {
             return None;
         }
         self.terminated.pop_front();
@@ -211,7 +219,8 @@
         None
     }
 
-    /// Another node tells where a machine can be reached: only worth asking there.
+    /// Records a machine's address as told by another node. The address is unverified, so
+    /// it is only used to ask the machine for a heartbeat.
     pub fn hint_address(&mut self, now: Timestamp, name: &str, address: &str) {
         let m = self.machine_named(now, name);
         let machine = &mut self.machines[m];
@@ -221,12 +230,12 @@
         }
     }
 
-    /// Names of the jobs that have not ended as far as is known here.
+    /// Returns the names of all jobs that have not ended as far as this leader knows.
     pub fn open_jobs(&self) -> Vec<String> {
         self.jobs.values().filter(|j| !j.is_ended()).map(|j| j.name.clone()).collect()
     }
 
-    /// Counts a placed task on its machine, for its team and its zone.
+    /// Assigns a task to a machine and adds it to the usage of its job, team, class and zone.
     pub(crate) fn attach(&mut self, id: TaskId, m: MachineIndex) {
         let Some(job) = self.jobs.get_mut(&id.0) else { return };
         let machine = &mut self.machines[m];
@@ -242,7 +251,7 @@
         self.shares.task_placed(job.share_class, job.spec.task());
     }
 
-    /// The reverse of [`Cluster::attach`]; only called on proof.
+    /// Reverses [`Cluster::attach`]. Called only when the task is proven absent from its machine.
     pub(crate) fn detach(&mut self, now: Timestamp, id: TaskId) {
         let Some(job) = self.jobs.get_mut(&id.0) else { return };
         let machine = &mut self.machines[job.tasks[id.1 as usize].machine];
@@ -266,18 +275,18 @@
         self.placement_needed = true;
     }
 
-    /// Applies an event to a task; whether it changed anything. Every change of a task's state goes through here,
-    /// so that the sums always agree with it.
-    pub(crate) fn apply(&mut self, now: Timestamp, id: TaskId, input: TaskEvent) -> bool {
+    /// Applies an event to a task and updates all aggregates that depend on the task's state.
+    /// Returns whether the event changed anything. This is the only way to change a task's state.
+    pub(crate) fn apply(&mut self, now: Timestamp, id: TaskId, event: TaskEvent) -> bool {
         let Some(job) = self.jobs.get_mut(&id.0) else { return false };
         let Some(task) = job.tasks.get_mut(id.1 as usize) else { return false };
         let before = task.phase;
-        if !task.step(now, input) {
+        if !task.step(now, event) {
             return false;
         }
         let after = task.phase;
         let machine = task.machine;
-        match input {
+        match event {
             TaskEvent::Completed | TaskEvent::ProvenAbsent | TaskEvent::ConfirmationExpired => {
                 let chunk = job.chunk_of(id.1);
                 job.chunks[chunk].unpersisted_since.get_or_insert(now);
@@ -307,36 +316,38 @@
         }
         if before.placed() && !after.placed() {
             self.detach(now, id);
-        } else if let TaskEvent::Dispatch { machine, .. } = input {
+        } else if let TaskEvent::Dispatch { machine, .. } = event {
             self.attach(id, machine);
         }
         true
     }
 
-    /// Whether the task was placed under an earlier term and hasn't been seen under this one.
+    /// Returns whether the task was placed in an earlier term and has not been observed in this
+    /// one.
     pub(crate) fn predates_term(&self, task: &Task) -> bool {
         task.phase == TaskPhase::Dispatching && task.token == self.loaded_token
     }
 
-    /// Since when a task runs that is seen running for the first time. One that an earlier leader
-    /// placed has run since then. (Counted from the failover, run times were learned that were far
-    /// too short, every task that ran on looked slow beside them, and a fifth of a fleet without a
-    /// slow machine was drained.)
+    /// Returns the time from which to count the run of a task that is observed running for the
+    /// first time. For a task placed by an earlier leader, that is its placement plus
+    /// [`MIN_START_LATENCY`]. Counting from the failover instead made the learned run times far too
+    /// short, so that every task still running looked slow and a fifth of a fleet without any slow
+    /// machine was drained.
     pub(crate) fn run_started_at(&self, now: Timestamp, task: &Task) -> Timestamp {
         if self.predates_term(task) {
-            (task.placed_at + START_TAKES).min(now)
+            (task.placed_at + MIN_START_LATENCY).min(now)
         } else {
             now
         }
     }
 
-    /// Tasks of the job that are done and that run, for display.
+    /// Returns the numbers of completed and of running tasks, for the job's status.
     pub fn counts(&self, ix: JobIndex) -> Option<(u32, u32)> {
         let job = self.job(ix)?;
         Some((job.done, job.started.len() as u32))
     }
 
-    /// Whether that attempt of the task is on the machine as far as is known here.
+    /// Returns whether this attempt of the task is recorded as being on the machine.
     pub(crate) fn is_placed(&self, m: MachineIndex, id: TaskId, attempt: Attempt) -> bool {
         self.job(id.0).is_some_and(|job| {
             let task = &job.tasks[id.1 as usize];
@@ -358,24 +369,26 @@
         }
     }
 
-    /// A repetition of the machine's last heartbeat may mean something from now on. The only place where
-    /// a cache entry is ended, so that its holder is always told.
+    /// Drops the cached heartbeat of a machine, so that its next repetition is processed in full.
+    /// Every invalidation goes through here, so that the node that holds the cached entry is always
+    /// notified.
     pub(crate) fn invalidate_cached_heartbeat(&mut self, machine: MachineIndex) {
         self.heartbeat_cache.invalidate(machine);
     }
 
-    /// The cache entries of other holders that were invalidated since the last call, in their order.
+    /// Returns the cached heartbeats held by other nodes that were invalidated since the last call,
+    /// in order of invalidation.
     pub fn take_invalidations(&mut self) -> Vec<CacheInvalidation> {
         self.heartbeat_cache.take_invalidations()
     }
 
-    /// What the team's tasks use.
+    /// Returns the resources used by the team's tasks.
     pub(crate) fn team_usage(&self, team: &str) -> TeamUsage {
         self.team_usage.get(team).copied().unwrap_or_default()
     }
 
-    /// Takes over newer machine types. The places of known ones don't change, since machines
-    /// refer to them.
+    /// Updates known machine types and appends new ones. Known types keep their index, because
+    /// machines refer to it.
     pub fn set_types(&mut self, types: Vec<MachineType>) {
         for new in types {
             match self.machine_types.iter_mut().find(|t| t.name == new.name) {
--- a/crates/scheduler/src/model/ids.rs
+++ b/crates/scheduler/src/model/ids.rs
@@ -1,4 +1,4 @@
-//! What jobs, tasks, machines and their lives are known by.
+//! Identifiers of jobs, tasks and machines, and the counters that tell their incarnations apart.
 
 use std::fmt;
 use std::ops::{Index, IndexMut};
@@ -7,7 +7,7 @@
 
 use crate::model::machine::Machine;
 
-/// Which start of the agent on a machine: a worker that was restarted reports under a higher one.
+/// Incarnation of the agent on a machine. A restarted worker reports a higher epoch.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -15,10 +15,10 @@
 pub struct AgentEpoch(pub u64);
 
 impl AgentEpoch {
-    /// Of a machine whose worker has not reported, and of a task that was never placed.
+    /// Epoch of a machine whose worker has not reported yet, and of a task that was never placed.
     pub const NONE: AgentEpoch = AgentEpoch(0);
 
-    /// The number itself.
+    /// Returns the epoch as a plain number.
     pub const fn get(self) -> u64 {
         self.0
     }
@@ -30,22 +30,23 @@
     }
 }
 
-/// Which time a task is started: 1 for its first start, one more each time that it is started anew.
-/// Workers may report any number; records hold numbers up to `u32::MAX`.
+/// Number of a task's start: 1 for the first, increased by one each time the task is started anew.
+/// Workers may report any number; stored records hold numbers up to `u32::MAX`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Attempt(pub u64);
 
 impl Attempt {
-    /// The attempt that every task begins with.
+    /// Attempt number of a task that was never restarted.
     pub const FIRST: Attempt = Attempt(1);
 
-    /// The number itself.
+    /// Returns the attempt as a plain number.
     pub const fn get(self) -> u64 {
         self.0
     }
 
-    /// The attempt after this one, of a task in the table: its number has the 32 bits of the records.
+    /// Returns the following attempt of a task in the table. The number wraps at 32 bits, the width
+    /// used in stored records.
     #[must_use]
     pub fn next(self) -> Attempt {
         Attempt(u64::from((self.0 as u32).wrapping_add(1)))
@@ -58,30 +59,30 @@
     }
 }
 
-/// A job's number in the scheduler's table. It is never used again, so that a late answer can't mean
-/// another job.
+/// Index of a job in the scheduler's table. It is never reused, so a late response cannot refer to
+/// a different job.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobIndex(pub u32);
 
 impl JobIndex {
-    /// The index of the job that comes after this one.
+    /// Returns the index that is assigned to the next job.
     #[must_use]
     pub fn next(self) -> JobIndex {
         JobIndex(self.0 + 1)
     }
 }
 
-/// Index of a machine in the scheduler's table, which it indexes itself.
+/// Index of a machine in the scheduler's machine table, a `Vec<Machine>` that it indexes directly.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MachineIndex(pub u32);
 
 impl MachineIndex {
-    /// The number itself.
+    /// Returns the index as a plain number.
     pub const fn get(self) -> u32 {
         self.0
     }
 
-    /// The place in the table.
+    /// Returns the index as a position in the machine table.
     pub const fn as_usize(self) -> usize {
         self.0 as usize
     }
--- a/crates/scheduler/src/model/job.rs
+++ b/crates/scheduler/src/model/job.rs
@@ -1,4 +1,5 @@
-//! A job in the scheduler's table: its tasks, their records, and what was learned of it.
+//! A job in the scheduler's table: its tasks, the state of its stored records, and what was learned
+//! from its runs.
 
 use std::collections::{BTreeMap, HashMap};
 use std::ops::Range;
@@ -14,83 +15,85 @@
 use crate::storage::revision::Revision;
 use crate::time::{TimeDelta, Timestamp};
 
-/// A task: its job, and its number in the array.
+/// Identifies a task by its job and its index in the job's array.
 pub type TaskId = (JobIndex, u32);
 
-/// The stored record of some of a job's tasks.
+/// State of the stored record that holds a contiguous range of a job's tasks.
 #[derive(Debug, Clone, Default)]
 pub struct Chunk {
-    /// The revision of its key.
+    /// Revision of the record's key in the key-value store.
     pub revision: Revision,
-    /// Whether a transaction with it is in flight.
+    /// Whether a transaction that writes this record is in flight.
     pub in_flight: bool,
-    /// Since when a planned start waits for its write.
+    /// When the oldest planned start that is still to be written was planned.
     pub start_due: Option<Timestamp>,
-    /// Since when unpersisted_since waits that is not written yet. It may wait longer, or go along with a
-    /// start: until it is written the worker keeps it.
+    /// When the oldest unwritten task end was reported. The write may be deferred, or combined with
+    /// that of a start: the worker keeps an exited task until its end is written.
     pub unpersisted_since: Option<Timestamp>,
 }
 
-/// A job that has not been deleted from the table.
+/// A job that is in the scheduler's table until its records are deleted.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// Its id.
+    /// Job id, such as `req-000412`.
     pub name: String,
-    /// What its owner asked for.
+    /// Requirements that the user submitted.
     pub spec: JobSpec,
-    /// When it was accepted, on this node's clock.
+    /// When the job was accepted, on this node's clock.
     pub accepted: Timestamp,
-    /// When the last job that it needs was found to be done; its acceptance, if it needs none. All
-    /// times but the deadline count from here.
+    /// When the last dependency was found to be completed, or when the job was accepted if it has
+    /// no dependencies. All times of the job except its deadline count from here.
     pub ready_at: Timestamp,
-    /// Jobs that it needs and whose end `done` was not read yet. While there are any, nothing of
-    /// it is started and it counts for nothing.
+    /// Number of dependencies that are not known to be completed. Until it is 0, none of the job's
+    /// tasks is started and the job does not count as demand.
     pub unmet_dependencies: usize,
-    /// The highest priority of its own and of the jobs that need it.
+    /// Highest priority among the job itself and the jobs that depend on it.
     pub priority: Priority,
-    /// Its team's class, for what that holds of the fleet.
+    /// Class of the job's team, under which its share of the fleet is accounted.
     pub(crate) share_class: ClassId,
-    /// The deadline that presses it most: its own, or that of a job that needs it.
+    /// Most urgent deadline among the job's own and those of the jobs that depend on it.
     pub effective_deadline: Option<EffectiveDeadline>,
-    /// Tasks in one chunk, as its description says.
+    /// Number of tasks per chunk, as fixed in the job's stored description.
     pub chunk_size: u32,
-    /// Its chunks, in the order of its tasks.
+    /// Chunks in task order.
     pub chunks: Vec<Chunk>,
-    /// Marks of the parts of its chunks that are kept apart, by chunk and first task.
+    /// Revisions of chunk parts that are stored under separate keys, by chunk and first task.
     pub parts: BTreeMap<(usize, u32), Revision>,
-    /// Tasks that changed since their records were written last.
+    /// Tasks that changed since their records were last written.
     pub changed: RoaringBitmap,
-    /// Its tasks, by number.
+    /// Tasks by index in the array.
     pub tasks: Vec<Task>,
-    /// Which finishes are written; only then may the worker forget them.
+    /// Tasks whose completion is written. Only then may the worker be told to forget them.
     pub recorded: RoaringBitmap,
     state: JobState,
-    /// Tasks that are done.
+    /// Number of completed tasks.
     pub done: u32,
-    /// Tasks that are not proven absent from a machine.
+    /// Number of tasks that are placed and not proven absent from their machine.
     pub placed: u32,
-    /// Of those placed, the ones told to stop.
+    /// Number of placed tasks that were told to stop.
     pub stopping: u32,
-    /// Tasks not proven absent, by zone.
+    /// Number of placed tasks by zone.
     pub zones: BTreeMap<String, u32>,
-    /// No task below this index is pending.
+    /// Lower bound for the search for pending tasks: no task below this index is pending.
     pub scan_from: u32,
-    /// Times in a row that it was found to be at fault itself, tasks that fail together counted once.
+    /// Number of consecutive failures attributed to the job itself. Tasks that fail together count
+    /// as one failure.
     pub errors: u32,
-    /// Where its tasks failed, and when last.
+    /// Machines on which tasks of the job failed, with the time of the last failure.
     pub error_machines: BTreeMap<MachineIndex, Timestamp>,
-    /// Before this none of its tasks is placed: it has failed everywhere, or was refused.
+    /// Earliest time at which the job's tasks may be placed again, after they failed on all
+    /// machines or a start was refused.
     pub not_before: Timestamp,
-    /// When each running task was first seen with its image.
+    /// When each running task was first observed running, by task index.
     pub started: HashMap<u32, Timestamp>,
-    /// Whether any of its tasks has run for long enough to count as a start, or to its end.
+    /// Whether any task of the job completed, or ran long enough to count as started.
     pub has_started: bool,
-    /// Run times of its tasks that ran to their end: the sum in seconds, and the count.
+    /// Run times of completed tasks: their sum in seconds, and their count.
     pub run_times: (f64, u32),
 }
 
 impl Job {
-    /// A job of which nothing is placed yet.
+    /// Creates a job with none of its tasks placed.
     pub(crate) fn new(
         now: Timestamp,
         name: &str,
@@ -130,56 +133,59 @@
         }
     }
 
-    /// Its team's class, by which its share of the fleet is kept.
+    /// Returns the class under which the job's share of the fleet is accounted.
     pub fn share_class(&self) -> ClassId {
         self.share_class
     }
 
-    /// How far it is from its end.
+    /// Returns the job's position in its life cycle.
     pub fn state(&self) -> JobState {
         self.state
     }
 
-    /// Changes its state, if the event means anything in it.
+    /// Applies an event to the job's state. Returns whether the state changed.
     pub(crate) fn apply(&mut self, event: JobEvent) -> bool {
         let next = self.state.next(event);
         self.state = next.unwrap_or(self.state);
         next.is_some()
     }
 
-    /// Whether it has ended for its users: nothing more is started, all that is left is stopped.
+    /// Returns whether the job's end is stored. Nothing of an ended job is started any more, and
+    /// its remaining tasks are stopped.
     pub fn is_ended(&self) -> bool {
         self.state.is_ended()
     }
 
-    /// Whether a deletion of its records may be sent now.
+    /// Returns whether a transaction that deletes the job's records may be sent now.
     pub(crate) fn may_delete_records(&self) -> bool {
         matches!(self.state, JobState::Ended { .. })
     }
 
-    /// Whether it waits for other jobs.
+    /// Returns whether dependencies keep the job from starting.
     pub fn is_blocked(&self) -> bool {
         self.unmet_dependencies > 0 || self.state.is_dependency_cancelled()
     }
 
-    /// Tasks that are to be placed.
+    /// Returns the number of tasks that are still to be placed.
     pub fn pending(&self) -> u32 {
         self.spec.tasks - self.done - self.placed
     }
 
-    /// Whether the job itself is likely at fault: it failed on several machines and never came off.
+    /// Returns whether the job itself is the likely cause of its failures: it failed on
+    /// [`MIN_FAILED_MACHINES`] or more machines and none of its tasks ever completed.
     pub(crate) fn suspect(&self) -> bool {
-        self.done == 0 && self.error_machines.len() >= SUSPECT_AFTER
+        self.done == 0 && self.error_machines.len() >= MIN_FAILED_MACHINES
     }
 
-    /// Whether its tasks keep away from the machine because they failed there lately. (Sent there
-    /// again, as the machine was the first to be free each time, one job's tasks failed 412 times on
-    /// one of 42 sick machines; three such machines made the job look at fault, and nobody was blamed.)
+    /// Returns whether the job's tasks are kept off the machine because they failed there recently.
+    /// Without this rule, one job's tasks failed 412 times on one of 42 faulty machines, which was
+    /// always the first to have free room. Three such machines made the job look at fault, so that
+    /// no machine was blamed.
     pub(crate) fn avoids(&self, now: Timestamp, m: MachineIndex) -> bool {
-        self.error_machines.get(&m).is_some_and(|&at| now.since(at) < AVOID_FOR)
+        self.error_machines.get(&m).is_some_and(|&at| now.since(at) < AVOIDANCE_PERIOD)
     }
 
-    /// The tasks of a chunk.
+    /// Returns the indices of the tasks in a chunk.
     pub(crate) fn chunk_tasks(&self, chunk: usize) -> Range<u32> {
         let start = chunk as u32 * self.chunk_size;
         start..start.saturating_add(self.chunk_size).min(self.spec.tasks)
@@ -190,8 +196,8 @@
     }
 }
 
-/// Machines on which a job has to fail to be at fault itself.
-const SUSPECT_AFTER: usize = 3;
+/// Number of machines on which a job has to fail before the job itself is considered at fault.
+const MIN_FAILED_MACHINES: usize = 3;
 
-/// For how long a job keeps away from a machine that failed it.
-const AVOID_FOR: TimeDelta = TimeDelta::from_secs(120);
+/// How long a job's tasks are kept off a machine after one of them failed there.
+const AVOIDANCE_PERIOD: TimeDelta = TimeDelta::from_secs(120);
--- a/crates/scheduler/src/model/job_spec.rs
+++ b/crates/scheduler/src/model/job_spec.rs
@@ -1,4 +1,4 @@
-//! What the owner of a job asked for, and how a job can end.
+//! Requirements of a job as submitted by its user, and the ways in which a job can end.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,91 +8,93 @@
 use crate::model::EPSILON;
 use crate::protocol::cloud::MachineType;
 
-/// Priority of a job; the greater comes first.
+/// Priority of a job. Variants are in ascending order, so a greater value is placed first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Priority {
-    /// What can wait.
+    /// Work that can wait.
     Low,
-    /// The usual.
+    /// Ordinary work.
     Normal,
-    /// What is urgent.
+    /// Urgent work.
     High,
-    /// What production depends on.
+    /// Work that production systems depend on.
     Prod,
 }
 
 impl Priority {
-    /// How many there are.
+    /// Number of priority levels.
     pub const COUNT: usize = Priority::ALL.len();
-    /// All of them, the lowest first, each at the place of its number.
+    /// All priorities in ascending order, each at the index given by its discriminant.
     pub const ALL: [Priority; 4] =
         [Priority::Low, Priority::Normal, Priority::High, Priority::Prod];
 }
 
-/// What the owner asked for. Stored in the key-value store as it is.
+/// Requirements of a job. Stored unchanged in the key-value store.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The class of jobs that it belongs to, by which objectives are set and run times learned.
+    /// Class of similar jobs. Objectives are set and run times are learned per class.
     pub class: String,
-    /// The team whose quota and limit apply.
+    /// Team whose quota and limit apply.
     pub team: String,
-    /// Its priority.
+    /// Priority given by the user; jobs that depend on this one may raise its effective priority.
     #[serde(rename = "rank")]
     pub priority: Priority,
-    /// Tasks in the array.
+    /// Number of tasks in the job array.
     pub tasks: u32,
-    /// Processors that one task takes.
+    /// Number of CPUs per task.
     pub cpus: f64,
-    /// Accelerators that one task takes.
+    /// Number of GPUs per task.
     pub gpus: f64,
-    /// Gigabytes of memory that one task takes.
+    /// Memory per task in gigabytes.
     pub memory_gb: f64,
-    /// The image that a machine must have before a task can run.
+    /// Image that a machine must have fetched before a task can run on it.
     pub image: String,
-    /// Gigabytes of the image.
+    /// Size of the image in gigabytes.
     pub image_gb: f64,
-    /// Allowed machine types; `None`: any.
+    /// Names of the allowed machine types; `None` allows all.
     pub types: Option<Vec<String>>,
-    /// The only allowed zone; `None`: any.
+    /// Zone in which all tasks must run; `None` allows all zones.
     pub zone: Option<String>,
-    /// Gang scheduling: all tasks have to be in the same zone.
+    /// Gang scheduling: whether all tasks must run in the same zone.
     pub one_zone: bool,
-    /// At most half of the tasks, rounded up, may be in one zone.
+    /// Whether at most half of the tasks, rounded up, may run in one zone.
     pub spread: bool,
-    /// Whether it may use spot machines.
+    /// Whether tasks may run on spot machines.
     pub spot: bool,
-    /// The owner's estimate of a task's run time in seconds, without the image fetch.
+    /// User's estimate of a task's run time in seconds, without the image fetch.
     pub estimate_s: f64,
-    /// Seconds of progress between checkpoints; 0: it saves none.
+    /// Interval between checkpoints in seconds of progress; 0 if the tasks write no checkpoints.
     pub checkpoint_s: f64,
-    /// Seconds that a task needs to save when it is stopped.
+    /// Time in seconds that a stopped task needs to save a checkpoint.
     pub save_s: f64,
-    /// When the job should be done, in seconds from its submission.
+    /// Deadline in seconds from submission; `None` if the job has none.
     pub deadline_s: Option<f64>,
-    /// Jobs that have to be done before any task of this one starts, each once. Left out when there
-    /// are none, so that such a record is the one that versions without chains wrote.
+    /// Ids of jobs that must complete before any task of this job starts, without duplicates.
+    /// Omitted when empty, so that the record is identical to one written by versions without
+    /// dependencies.
     #[serde(default, rename = "needs", skip_serializing_if = "Vec::is_empty")]
     pub dependencies: Vec<String>,
 }
 
-/// How a job ended. Written once to `end/{ref}`; whoever writes first wins.
+/// How a job ended. Written once to `end/{ref}`; the first writer wins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobEnd {
-    /// All of its tasks are done.
+    /// All tasks completed.
     Done,
-    /// Its user cancelled it, or a job that it depends on was cancelled.
+    /// The user cancelled the job, or a job that it depends on was cancelled.
     #[serde(rename = "aborted")]
     Cancelled,
 }
 
 impl JobSpec {
-    /// What one task takes of its machine.
+    /// Returns the resources of one task.
     pub fn task(&self) -> Resources {
         Resources { cpus: self.cpus, gpus: self.gpus, memory_gb: self.memory_gb }
     }
 
-    /// How many seconds a task that is stopped may take to save a checkpoint; 0 if it makes none.
+    /// Returns the time in seconds that a stopped task gets to save a checkpoint; 0 if it writes
+    /// none.
     pub fn stop_grace_s(&self) -> f64 {
         match self.checkpoint_s > 0.0 {
             true => self.save_s,
@@ -100,12 +102,12 @@
         }
     }
 
-    /// Whether the type of that name is allowed.
+    /// Returns whether the job's tasks may run on the machine type with this name.
     pub fn allows_type(&self, name: &str) -> bool {
         self.types.as_ref().is_none_or(|types| types.iter().any(|t| t == name))
     }
 
-    /// Whether a task fits an empty machine of the type, and the type is allowed.
+    /// Returns whether the machine type is allowed and an empty machine of it has room for a task.
     pub fn fits_type(&self, kind: &MachineType) -> bool {
         self.allows_type(&kind.name)
             && self.cpus <= kind.cpus + EPSILON
@@ -113,7 +115,8 @@
             && self.memory_gb <= kind.memory_gb + EPSILON
     }
 
-    /// Why the job can never run, if so. Only called once teams and types are known.
+    /// Returns why the job can never run, or `None` if it can. Requires the teams and machine types
+    /// to be known.
     pub fn infeasibility_reason(&self, teams: &[Team], types: &[MachineType]) -> Option<String> {
         let Some(team) = teams.iter().find(|t| t.name == self.team) else {
             return Some(format!("crew: unknown team {:?}", self.team));
--- a/crates/scheduler/src/model/job_state.rs
+++ b/crates/scheduler/src/model/job_state.rs
@@ -1,4 +1,4 @@
-//! One job's life as a state machine. [`JobState::next`] is the only place that says which state follows.
+//! State machine of a job. [`JobState::next`] defines all transitions.
 //!
 //! ```text
 //! open ----------------> completing --------+
@@ -6,50 +6,51 @@
 //!  +--> dependency cancelled -> cancelling -+--> ended <-> deleting
 //! ```
 //!
-//! Any state may be followed by `ended`: the end is a stored fact, whoever wrote it.
+//! Every state before `ended` may go to `ended` directly, because the end is a stored record that
+//! any node may have written.
 
-/// How far a job is from its end, and from the deletion of its records.
+/// Position of a job in its life cycle, from acceptance to the deletion of its records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobState {
-    /// Accepted and not ended.
+    /// Accepted, and neither ended nor cancelled.
     Open,
-    /// All of its tasks are done, and its end is being written.
+    /// All tasks completed; the end of the job is being written.
     Completing,
-    /// A job that it depends on, directly or through others, was cancelled: so will this one be.
+    /// A direct or indirect dependency was cancelled, so this job has to be cancelled too.
     DependencyCancelled,
-    /// The same, and its end is being written.
+    /// A dependency was cancelled; the end of the job is being written.
     Cancelling,
-    /// Ended for its users: nothing more is started, and all that is left is stopped.
+    /// The end is stored. Nothing more is started, and remaining tasks are stopped.
     Ended {
-        /// Whether it had been found to depend on a cancelled job.
+        /// Whether a dependency of the job was cancelled.
         dependency_cancelled: bool,
     },
-    /// Ended, and a deletion of its records is being written.
+    /// Ended; a transaction that deletes records of the job is in flight.
     Deleting {
-        /// Whether it had been found to depend on a cancelled job.
+        /// Whether a dependency of the job was cancelled.
         dependency_cancelled: bool,
     },
 }
 
-/// What can happen to a job.
+/// Event that can change a job's state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobEvent {
-    /// A job that it depends on was cancelled.
+    /// A direct or indirect dependency was cancelled.
     DependencyCancelled,
-    /// A transaction with its end was sent.
+    /// A transaction that writes the job's end was sent.
     EndWriteStarted,
-    /// That transaction certainly had no effect.
+    /// The transaction that writes the end is certain to have had no effect.
     EndWriteFailed,
-    /// Its end is stored.
+    /// The job's end is stored.
     Ended,
-    /// A transaction that deletes records of it was sent.
+    /// A transaction that deletes records of the job was sent.
     DeletionStarted,
-    /// That transaction is settled, and records are left.
+    /// The deleting transaction is settled, but some records are left.
     DeletionIncomplete,
 }
 
 impl JobState {
-    /// The state that follows, or `None` where the event changes nothing.
+    /// Returns the state after the event, or `None` if the event does not apply in this state.
     pub fn next(self, event: JobEvent) -> Option<JobState> {
         match (self, event) {
             (JobState::Open, JobEvent::DependencyCancelled) => Some(JobState::DependencyCancelled),
@@ -76,17 +77,17 @@
         }
     }
 
-    /// Whether its end is stored.
+    /// Returns whether the job's end is stored.
     pub fn is_ended(self) -> bool {
         matches!(self, JobState::Ended { .. } | JobState::Deleting { .. })
     }
 
-    /// Whether its end is being written.
+    /// Returns whether the job's end is being written.
     pub fn is_writing_end(self) -> bool {
         matches!(self, JobState::Completing | JobState::Cancelling)
     }
 
-    /// Whether it depends on a job that was cancelled.
+    /// Returns whether a dependency of the job was cancelled.
     pub fn is_dependency_cancelled(self) -> bool {
         match self {
             JobState::DependencyCancelled | JobState::Cancelling => true,
--- a/crates/scheduler/src/model/machine.rs
+++ b/crates/scheduler/src/model/machine.rs
@@ -1,4 +1,4 @@
-//! A machine: what is known of it, what is on it and what is being sent to it.
+//! State of one machine: its properties, the tasks placed on it and the requests to its worker.
 
 mod failures;
 mod fence;
@@ -17,101 +17,105 @@
 use crate::model::task::TaskPhase;
 use crate::time::Timestamp;
 
-/// Images that are remembered to be on a machine.
+/// Number of images remembered per machine.
 const MAX_IMAGES: usize = 32;
 
-/// How far a machine is between its request and its end.
+/// Position of a machine in its life cycle, from the request to the cloud until its termination.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineState {
-    /// Requested; no heartbeat of it came yet.
+    /// Requested from the cloud; no heartbeat has arrived yet.
     Booting,
-    /// Its worker reports.
+    /// The machine's worker sends heartbeats.
     Up,
-    /// Being returned to the cloud; whatever was on it is still on it.
+    /// Being returned to the cloud. Its tasks still count as running on it.
     Terminating,
-    /// Certainly gone, and everything on it.
+    /// Certain to be gone, with all tasks that were on it.
     Terminated,
 }
 
-/// One machine of the fleet, as the leader knows it.
+/// State of one machine of the fleet, as the leader knows it.
 #[derive(Debug, Clone)]
 pub struct Machine {
-    /// Its name in the cloud, never used twice.
+    /// Name assigned by the cloud, never reused.
     pub name: String,
-    /// Where its worker takes requests; empty while unknown.
+    /// Address at which the worker accepts requests; empty while unknown.
     pub address: String,
-    /// Its place in [`crate::model::cluster::Cluster::machine_types`]; `None` while unknown.
+    /// Index of the machine's type in [`crate::model::cluster::Cluster::machine_types`]; `None`
+    /// while unknown.
     pub kind: Option<usize>,
-    /// Its zone; empty while unknown.
+    /// Zone in which the machine runs; empty while unknown.
     pub zone: String,
-    /// Whether the cloud may take it at any time.
+    /// Whether this is a spot machine, which the cloud may reclaim at any time.
     pub spot: bool,
-    /// How far it is between its request and its end.
+    /// Position in the machine's life cycle.
     pub state: MachineState,
-    /// The incarnation of its worker, by its newest heartbeat; 0: none came.
+    /// Incarnation of the worker, from its newest heartbeat; 0 before the first heartbeat.
     pub agent_epoch: AgentEpoch,
-    /// The sequence number of its newest heartbeat within the agent epoch.
+    /// Sequence number of the newest heartbeat within the agent epoch.
     pub sequence: u64,
-    /// Requested by this leader or listed by the cloud, so that it can be counted on to come. What a
-    /// late heartbeat alone shows may be long gone.
+    /// Whether this leader requested the machine or the cloud lists it, so that its capacity can be
+    /// planned with. A machine known only from a late heartbeat may be long gone.
     pub(crate) expected: bool,
-    /// Which fencing token its worker is sent, and has acknowledged.
+    /// Fencing token sent to the worker and the one that the worker has acknowledged.
     pub fence: Fence,
-    /// Since when it is said to be running, by the cloud, another node or a heartbeat that may be a
-    /// late copy: worth asking directly.
+    /// Since when the cloud, another node or a possibly outdated heartbeat has indicated that the
+    /// machine runs. It is then asked directly for a heartbeat.
     pub(crate) hinted_up_at: Option<Timestamp>,
-    /// When a heartbeat last proved it alive; when it became known, if none has.
+    /// When a heartbeat last proved the machine alive, or when it became known if none has.
     pub last_heartbeat: Timestamp,
-    /// When it was requested, as far as is known.
+    /// When the machine was requested from the cloud, as far as known.
     pub(crate) requested_at: Timestamp,
-    /// When the cloud will take it, by its interruption notice.
+    /// When the cloud will reclaim the machine, according to its interruption notice.
     pub interruption_at: Option<Timestamp>,
-    /// Tasks that are placed on it and not proven absent. Changed by `attach` and `detach` alone.
+    /// Tasks placed on the machine and not proven absent. Changed only by `attach` and `detach`.
     pub tasks: BTreeSet<TaskId>,
-    /// How many of them the jobs gave each priority to, the lowest first. A job may count with a higher
-    /// one that needs it, never with a lower one.
+    /// Number of placed tasks per priority submitted with their job, in ascending order. Dependent
+    /// jobs may raise a job's effective priority above it, but never lower it.
     tasks_by_priority: [u32; Priority::COUNT],
-    /// How many of them are told to stop.
+    /// Number of placed tasks that were told to stop.
     stopping: u32,
-    /// Tasks that it reports and the tables don't place there: room that can't be counted on.
+    /// Number of tasks that the worker reports but that are not recorded as placed here. The room
+    /// that they take cannot be used.
     pub(crate) unexpected_tasks: u32,
-    /// What the tasks on it take.
+    /// Sum of the resources of all placed tasks.
     used: Resources,
-    /// Images that are on it, or will be, the one used last at the end.
+    /// Images that the machine has or is fetching, least recently used first.
     images: Vec<String>,
-    /// What is being sent to it.
+    /// Requests being sent to the worker.
     pub(crate) channel: WorkerChannel,
-    /// Since when it has had no tasks, if it has none.
+    /// When the machine last became empty; meaningless while it has tasks.
     pub(crate) idle_since: Timestamp,
-    /// Jobs whose failures are attributed to it.
+    /// Jobs whose failures are attributed to the machine.
     pub(crate) failures: MachineFailures,
-    /// Why nothing more is placed on it and it is returned to the cloud, if so.
+    /// Why the machine is being drained, after which it is returned to the cloud; `None` if it is
+    /// not.
     pub drain_reason: Option<DrainReason>,
-    /// When its return to the cloud was requested last.
+    /// When the return to the cloud was last requested.
     pub(crate) termination_sent_at: Option<Timestamp>,
 }
 
-/// Why a machine is returned to the cloud.
+/// Why a machine is drained and returned to the cloud.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DrainReason {
-    /// No heartbeat came for too long.
+    /// No heartbeat arrived for too long.
     Silent,
-    /// Its heartbeats come, but nothing sent to it arrives.
+    /// Heartbeats arrive, but requests do not reach the worker.
     Unreachable,
-    /// Its boot is overdue.
+    /// The machine did not send a heartbeat within its boot time limit.
     NeverCameUp,
-    /// The cloud lists it as failed.
+    /// The cloud lists the machine as failed.
     Failed,
-    /// Its tasks run far longer than their siblings elsewhere.
+    /// Tasks run far longer on it than other tasks of the same job do elsewhere.
     Slow,
     /// Tasks of several jobs failed on it.
     FailsTasks,
-    /// It has had nothing to do for a while.
+    /// It has had no tasks for too long.
     Idle,
 }
 
 impl DrainReason {
-    /// Whether the machine is returned with the tasks that are on it: nothing else proves them gone.
+    /// Returns whether the machine is returned to the cloud with tasks still on it, because only
+    /// its termination can prove them absent.
     pub fn terminates_with_tasks(self) -> bool {
         match self {
             DrainReason::Silent
@@ -126,7 +130,7 @@
 impl std::fmt::Display for DrainReason {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            DrainReason::Silent => "silent",
+            DrainReason::Silent => "no heartbeats",
             DrainReason::Unreachable => "unreachable",
             DrainReason::NeverCameUp => "never came up",
             DrainReason::Failed => "failed",
@@ -138,7 +142,7 @@
 }
 
 impl Machine {
-    /// A machine of which nothing but its name is known.
+    /// Creates a booting machine of which only the name is known.
     pub(crate) fn new(now: Timestamp, name: &str) -> Machine {
         Machine {
             name: name.to_owned(),
@@ -169,12 +173,12 @@
         }
     }
 
-    /// The fencing token that a request to it carries now.
+    /// Returns the fencing token for the next request to the worker.
     pub fn token(&self, term: Term) -> FencingToken {
         self.fence.token(term)
     }
 
-    /// Counts a task that was placed on it. Whether it was not counted before.
+    /// Adds a placed task to the machine's usage. Returns `false` if it was already added.
     pub(crate) fn attach(&mut self, task: TaskId, spec: &JobSpec) -> bool {
         let is_new = self.tasks.insert(task);
         if is_new {
@@ -184,45 +188,47 @@
         is_new
     }
 
-    /// The reverse of [`Machine::attach`]. Whether it was counted.
+    /// Reverses [`Machine::attach`]. Returns `false` if the task was not placed here.
     pub(crate) fn detach(&mut self, now: Timestamp, task: TaskId, spec: &JobSpec) -> bool {
         if !self.tasks.remove(&task) {
             return false;
         }
         self.tasks_by_priority[spec.priority as usize] -= 1;
         if self.tasks.is_empty() {
-            // Sums of decimals drift; an empty machine is a chance to start from nothing.
+            // Rounding errors add up in the sum; an empty machine is a chance to reset it.
             self.used = Resources::NONE;
             self.idle_since = now;
         } else {
-            // Not bounded at zero: what drifts below it is corrected when the machine is empty.
+            // Not clamped to zero: a rounding error below zero is corrected when the machine
+            // becomes empty.
             self.used += spec.task().times(-1.0);
         }
         true
     }
 
-    /// Counts a task that was told to stop, or no longer is.
+    /// Updates the number of stopping tasks after a task's phase changed.
     pub(crate) fn count_stopping(&mut self, before: TaskPhase, after: TaskPhase) {
         self.stopping += u32::from(after == TaskPhase::Stopping);
         self.stopping -= u32::from(before == TaskPhase::Stopping && after != TaskPhase::Stopping);
     }
 
-    /// How many of its tasks are told to stop.
+    /// Returns the number of placed tasks that were told to stop.
     pub(crate) fn stopping(&self) -> u32 {
         self.stopping
     }
 
-    /// What the tasks on it take.
+    /// Returns the sum of the resources of all placed tasks.
     pub fn used(&self) -> Resources {
         self.used
     }
 
-    /// Whether the image is on it, or will be.
+    /// Returns whether the machine has the image or is fetching it.
     pub(crate) fn has_image(&self, image: &str) -> bool {
         self.images.iter().any(|known| known == image)
     }
 
-    /// Notes that the image is on it, or will be. Those used longest ago are forgotten.
+    /// Records that the machine has the image or is fetching it. Beyond [`MAX_IMAGES`], the least
+    /// recently used image is forgotten.
     pub(crate) fn add_image(&mut self, image: String) {
         if self.images.last() == Some(&image) {
             return;
@@ -234,13 +240,14 @@
         }
     }
 
-    /// The lowest priority that a job gave to one of its tasks.
+    /// Returns the lowest submitted priority among the placed tasks.
     pub(crate) fn lowest_priority(&self) -> Option<Priority> {
         let lowest = self.tasks_by_priority.iter().position(|&tasks| tasks > 0)?;
         Priority::ALL.get(lowest).copied()
     }
 
-    /// Takes over the token that its worker has seen. Whether it owed one until now.
+    /// Records the highest token that the worker has seen. Returns whether this ends the wait for a
+    /// required token.
     pub(crate) fn acknowledge(&mut self, now: Timestamp, token: FencingToken) -> bool {
         let owed = self.fence.acknowledge(token);
         if !self.fence.owes_required() {
@@ -249,7 +256,8 @@
         owed
     }
 
-    /// Its last heartbeat came again under that sequence number. Whether that is a later one.
+    /// Records that the last heartbeat was repeated with this sequence number. Returns whether the
+    /// number is new, so that the repetition proves the machine alive.
     pub(crate) fn record_repeated_heartbeat(&mut self, now: Timestamp, sequence: u64) -> bool {
         let is_later = sequence > self.sequence;
         if is_later {
--- a/crates/scheduler/src/model/machine/failures.rs
+++ b/crates/scheduler/src/model/machine/failures.rs
@@ -1,38 +1,38 @@
-//! Failed jobs that are attributed to one machine.
+//! Tracks the job failures that are attributed to one machine.
 
 use std::collections::BTreeSet;
 
 use crate::model::ids::JobIndex;
 use crate::time::Timestamp;
 
-/// Jobs that failed on a machine since anything completed there.
+/// Jobs that failed on a machine since a task last completed there.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct MachineFailures {
-    /// Each job is counted once.
+    /// A set, so that each job counts once.
     jobs: BTreeSet<JobIndex>,
-    /// When a task completed there last.
+    /// When a task last completed on the machine.
     completed_at: Timestamp,
 }
 
 impl MachineFailures {
-    /// A task completed there, so the machine is not at fault.
+    /// Clears the attributed failures: a completed task shows that the machine works.
     pub(crate) fn task_completed(&mut self, now: Timestamp) {
         self.jobs.clear();
         self.completed_at = now;
     }
 
-    /// Whether anything completed there since.
+    /// Returns whether a task completed on the machine at or after this time.
     pub(crate) fn completed_since(&self, at: Timestamp) -> bool {
         self.completed_at >= at
     }
 
-    /// Attributes the job's failure to the machine. How many jobs that makes.
+    /// Attributes a job's failure to the machine. Returns the number of jobs attributed so far.
     pub(crate) fn attribute(&mut self, job: JobIndex) -> usize {
         self.jobs.insert(job);
         self.jobs.len()
     }
 
-    /// The job itself is at fault.
+    /// Removes the job's failure, because the job itself was found to be at fault.
     pub(crate) fn remove_job(&mut self, job: JobIndex) {
         self.jobs.remove(&job);
     }
--- a/crates/scheduler/src/model/run_times.rs
+++ b/crates/scheduler/src/model/run_times.rs
@@ -1,4 +1,5 @@
-//! What the leader learns of classes of jobs: how far estimates are off, and how large jobs are.
+//! Statistics per job class: how far the users' run time estimates are off, and how large the jobs
+//! are.
 
 use std::collections::HashMap;
 
@@ -6,26 +7,28 @@
 use crate::model::job_spec::JobSpec;
 use crate::time::Timestamp;
 
-/// Classes to learn about; more than any deployment has, fewer than would hurt.
+/// Limit on the number of classes with statistics, to bound memory. It is above the number of
+/// classes in any known deployment.
 const MAX_CLASSES: usize = 1_000;
 
-/// Ratios of run time to estimate: the sum of their logarithms and their count, older ones counting less.
+/// Ratio of actual run time to estimate, as an exponentially weighted mean of its logarithm: the
+/// weighted sum and the total weight.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct RunTimeRatio {
     pub(crate) log_sum: f64,
     pub(crate) count: f64,
 }
 
-/// The size of a class's jobs.
+/// Typical size of the jobs of one class.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct JobSize {
-    /// Processors of all tasks of a job, averaged.
+    /// Moving average of the CPUs that all tasks of a job request together.
     pub(crate) cpus: f64,
-    /// When a job of the class came last.
+    /// When the last job of the class became ready to start.
     pub(crate) last_seen: Timestamp,
 }
 
-/// What was learned, by class.
+/// Run time ratios and job sizes by class.
 #[derive(Debug, Default)]
 pub struct RunTimes {
     pub(crate) ratios: HashMap<String, RunTimeRatio>,
@@ -33,7 +36,7 @@
 }
 
 impl RunTimes {
-    /// Learns how large the class's jobs are, from one that can begin.
+    /// Updates the class's typical job size with a job that became ready at `since`.
     pub(crate) fn learn_size(&mut self, spec: &JobSpec, now: Timestamp, since: Timestamp) {
         if self.sizes.len() > MAX_CLASSES {
             self.sizes.clear();
@@ -46,9 +49,10 @@
         known.last_seen = known.last_seen.max(since);
     }
 
-    /// How long a task of the job is expected to run. The owner's estimate is corrected by what
-    /// the class's tasks took so far, and by the job's own once some have completed; an estimate
-    /// of nothing, or an absurd one, is bounded so that it can't upset the order.
+    /// Returns the expected run time in seconds of a task of the job. Uses the mean of the job's
+    /// own completed tasks from the second one on; before that, the user's estimate, corrected by
+    /// the ratio observed for the class. The estimate is clamped, so that a value of zero or an
+    /// absurd one cannot distort the queue order.
     pub fn expected_run(&self, job: &Job) -> f64 {
         if job.run_times.1 >= 2 {
             return job.run_times.0 / f64::from(job.run_times.1);
@@ -60,7 +64,7 @@
         }
     }
 
-    /// Learns from a task that ran to its end.
+    /// Updates the class's run time ratio with a completed task.
     pub(crate) fn learn_ratio(&mut self, class: String, ran_s: f64, estimate_s: f64) {
         let ratio = self.ratios.entry(class).or_default();
         if estimate_s > 0.0 && ran_s > 0.0 {
--- a/crates/scheduler/src/model/task.rs
+++ b/crates/scheduler/src/model/task.rs
@@ -1,4 +1,4 @@
-//! One task's life as a state machine. [`Task::step`] is the only place where a task changes.
+//! State machine of a task. [`Task::step`] defines all transitions.
 //!
 //! ```text
 //! pending -> dispatching -> running -> done
@@ -8,32 +8,33 @@
 //!                +-------+--(absent)--+--> pending, next attempt
 //! ```
 //!
-//! A task leaves its machine only on proof ([`TaskEvent::ProvenAbsent`]); no state knows a time-out that
-//! frees it. `unknown` is the paper's: it may have started, and is never resent under its attempt.
+//! A task leaves its machine only on completion or on proof of absence
+//! ([`TaskEvent::ProvenAbsent`]); no timeout frees it. A task in `unknown` may have started, so its
+//! start is never resent under the same attempt.
 
 use crate::leadership::fencing_token::FencingToken;
 use crate::model::ids::{AgentEpoch, Attempt, MachineIndex};
 use crate::time::Timestamp;
 
-/// Where a task is in its life.
+/// Position of a task in its life cycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskPhase {
-    /// To be placed, under the attempt given.
+    /// Waiting to be placed under the current attempt.
     Pending,
-    /// Recorded, or being recorded, as given to a machine; the start may be under way.
+    /// Assigned to a machine: the start is being written, is ready to be sent or was sent.
     Dispatching,
-    /// A heartbeat showed it on its machine.
+    /// A heartbeat reported the task running on its machine.
     Running,
-    /// Told to stop; still on its machine as far as anybody knows.
+    /// Told to stop, but not proven absent from its machine.
     Stopping,
-    /// Its start was not confirmed by the deadline.
+    /// The start was not confirmed by its deadline, so the task may or may not have started.
     Unknown,
-    /// Completed. Final.
+    /// Completed. No event changes this phase.
     Done,
 }
 
 impl TaskPhase {
-    /// The number under which the phase is stored.
+    /// Returns the number under which the phase is stored.
     pub fn code(self) -> u8 {
         match self {
             TaskPhase::Pending => 0,
@@ -45,7 +46,7 @@
         }
     }
 
-    /// The phase that is stored under the number; `None` if no version writes it.
+    /// Returns the phase stored under this number, or `None` if no version writes it.
     pub fn from_code(code: u64) -> Option<TaskPhase> {
         Some(match code {
             0 => TaskPhase::Pending,
@@ -58,64 +59,65 @@
         })
     }
 
-    /// Whether the task counts as on its machine: everything not proven absent does.
+    /// Returns whether the task counts as being on its machine. That holds for every task that is
+    /// neither pending nor completed, since it is not proven absent.
     pub fn placed(self) -> bool {
         !matches!(self, TaskPhase::Pending | TaskPhase::Done)
     }
 }
 
-/// One task of a job array.
+/// State of one task of a job array.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Task {
-    /// Its phase.
+    /// Position in the task's life cycle.
     pub phase: TaskPhase,
-    /// The attempt that is to be started, or was.
+    /// Attempt of the current or next start.
     pub attempt: Attempt,
-    /// Where it is placed; of no meaning while it is pending.
+    /// Machine on which the task is placed; meaningless while it is pending.
     pub machine: MachineIndex,
-    /// The worker's agent epoch that the start was sent to.
+    /// Agent epoch of the worker to which the start is addressed.
     pub agent_epoch: AgentEpoch,
-    /// The token that the start was sent with; [`FencingToken::NONE`] until it is sent. Proof of absence needs a
-    /// report that had already seen a higher one.
+    /// Token with which the start was sent; [`FencingToken::NONE`] until then. Only a report from a
+    /// worker that had already seen a higher token proves the task absent.
     pub token: FencingToken,
-    /// When the phase was entered.
+    /// When the current phase was entered.
     pub since: Timestamp,
-    /// When it was placed where it is, by whichever leader did. Stored, so that a new leader knows
-    /// about how long a task has run that it first sees running.
+    /// When the task was placed on its machine, by this leader or an earlier one. Stored, so that a
+    /// new leader can estimate how long a task has run that it observes for the first time.
     pub placed_at: Timestamp,
 }
 
-/// What can happen to a task.
+/// Event that can change a task's state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskEvent {
-    /// Placed by a round, to be written before it is sent.
+    /// A placement round assigned the task to a machine. The start is written before it is sent.
     Dispatch {
-        /// Where it is placed.
+        /// Machine on which the task is placed.
         machine: MachineIndex,
-        /// The agent epoch that the start is meant for.
+        /// Agent epoch of the worker to which the start is addressed.
         agent_epoch: AgentEpoch,
     },
-    /// The round's write is certain to have failed: nothing was sent.
+    /// The write of the start is certain to have failed, so nothing was sent.
     Retract,
-    /// The start goes out, once, with this token.
+    /// The start is sent with this token. This happens once per attempt.
     Sent {
-        /// The fencing token of the request that carries it.
+        /// Fencing token of the request that carries the start.
         token: FencingToken,
     },
-    /// A heartbeat shows the attempt on the machine, with its image.
+    /// A heartbeat reported the attempt running on the machine.
     Observed,
-    /// A command to stop it goes out.
+    /// A stop command for the task is sent.
     Stop,
-    /// Its deadline passed without a receipt.
+    /// The confirmation deadline passed without a report of the task.
     ConfirmationExpired,
-    /// Proven off its machine without having completed.
+    /// The task is proven absent from its machine without having completed.
     ProvenAbsent,
-    /// A heartbeat shows that it completed.
+    /// A heartbeat reported the task as completed.
     Completed,
 }
 
 impl Task {
-    /// A task that was never placed.
+    /// Creates a pending task that was never placed.
     pub fn new(now: Timestamp) -> Task {
         Task {
             phase: TaskPhase::Pending,
@@ -128,33 +130,33 @@
         }
     }
 
-    /// Makes the change that `input` asks for, if the state allows it. A finish is final, and
-    /// evidence never moves a task backwards without proof.
-    pub fn step(&mut self, now: Timestamp, input: TaskEvent) -> bool {
-        use TaskEvent as I;
+    /// Applies an event if the current phase allows it. Returns whether the task changed. A
+    /// completion is final, and no event returns a sent start to pending without proof of absence.
+    pub fn step(&mut self, now: Timestamp, event: TaskEvent) -> bool {
+        use TaskEvent as E;
         use TaskPhase as P;
-        let next = match (self.phase, input) {
-            (P::Pending, I::Dispatch { machine, agent_epoch }) => {
+        let next = match (self.phase, event) {
+            (P::Pending, E::Dispatch { machine, agent_epoch }) => {
                 self.machine = machine;
                 self.agent_epoch = agent_epoch;
                 self.token = FencingToken::NONE;
                 self.placed_at = now;
                 P::Dispatching
             }
-            // Only a start that was never sent may go back under the same attempt.
-            (P::Dispatching, I::Retract) if self.token == FencingToken::NONE => P::Pending,
-            (P::Dispatching, I::Sent { token }) if self.token == FencingToken::NONE => {
+            // A start that was never sent can be retried under the same attempt.
+            (P::Dispatching, E::Retract) if self.token == FencingToken::NONE => P::Pending,
+            (P::Dispatching, E::Sent { token }) if self.token == FencingToken::NONE => {
                 self.token = token;
                 P::Dispatching
             }
-            (P::Dispatching | P::Unknown, I::Observed) => P::Running,
-            (P::Dispatching | P::Running | P::Unknown, I::Stop) => P::Stopping,
-            (P::Dispatching, I::ConfirmationExpired) => P::Unknown,
-            (P::Dispatching | P::Running | P::Stopping | P::Unknown, I::ProvenAbsent) => {
+            (P::Dispatching | P::Unknown, E::Observed) => P::Running,
+            (P::Dispatching | P::Running | P::Unknown, E::Stop) => P::Stopping,
+            (P::Dispatching, E::ConfirmationExpired) => P::Unknown,
+            (P::Dispatching | P::Running | P::Stopping | P::Unknown, E::ProvenAbsent) => {
                 self.attempt = self.attempt.next();
                 P::Pending
             }
-            (P::Pending | P::Dispatching | P::Running | P::Stopping | P::Unknown, I::Completed) => {
+            (P::Pending | P::Dispatching | P::Running | P::Stopping | P::Unknown, E::Completed) => {
                 P::Done
             }
             _ => return false,
--- a/crates/scheduler/src/model/task/tests.rs
+++ b/crates/scheduler/src/model/task/tests.rs
@@ -1,14 +1,17 @@
 use super::*;
 
 #[test]
-fn a_sent_start_is_never_taken_back_without_proof() {
+fn sent_start_returns_to_pending_only_on_proof_of_absence() {
     let mut t = Task::new(Timestamp(0));
     assert!(t.step(
         Timestamp(1),
         TaskEvent::Dispatch { machine: MachineIndex(3), agent_epoch: AgentEpoch(1) }
     ));
     assert!(t.step(Timestamp(2), TaskEvent::Sent { token: FencingToken(9) }));
-    assert!(!t.step(Timestamp(3), TaskEvent::Sent { token: FencingToken(9) }), "sent once");
+    assert!(
+        !t.step(Timestamp(3), TaskEvent::Sent { token: FencingToken(9) }),
+        "a start is sent only once"
+    );
     assert!(!t.step(Timestamp(3), TaskEvent::Retract));
     assert!(t.step(Timestamp(4), TaskEvent::ConfirmationExpired));
     assert!(!t.step(
@@ -20,7 +23,7 @@
 }
 
 #[test]
-fn a_finish_is_final() {
+fn completed_task_ignores_all_events() {
     let mut t = Task::new(Timestamp(0));
     t.step(
         Timestamp(1),
@@ -28,20 +31,20 @@
     );
     t.step(Timestamp(2), TaskEvent::Sent { token: FencingToken(9) });
     t.step(Timestamp(3), TaskEvent::Completed);
-    for input in [
+    for event in [
         TaskEvent::ProvenAbsent,
         TaskEvent::ConfirmationExpired,
         TaskEvent::Stop,
         TaskEvent::Observed,
         TaskEvent::Retract,
     ] {
-        assert!(!t.step(Timestamp(4), input));
+        assert!(!t.step(Timestamp(4), event));
     }
     assert_eq!(t.phase, TaskPhase::Done);
 }
 
 #[test]
-fn codes_round_trip() {
+fn phase_codes_round_trip() {
     for code in 0..6 {
         assert_eq!(TaskPhase::from_code(code).map(|p| u64::from(p.code())), Some(code));
     }
--- a/crates/scheduler/src/model/team.rs
+++ b/crates/scheduler/src/model/team.rs
@@ -1,24 +1,24 @@
-//! A team: its guaranteed quota and its limit.
+//! A team's guaranteed quota and its limit.
 
 use crate::model::EPSILON;
 
-/// A team's guarantee and limit. A limit of 0 means none.
+/// Guaranteed quota and usage limit of a team.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Team {
-    /// Its name.
+    /// Team name, as given in job submissions.
     pub name: String,
-    /// Processors of its guaranteed quota.
+    /// Guaranteed number of CPUs.
     pub cpus: f64,
-    /// Processors that it may use at most; 0: no limit.
+    /// Maximum number of CPUs in use at once; 0 means no limit.
     pub cpus_max: f64,
-    /// Accelerators of its guaranteed quota.
+    /// Guaranteed number of GPUs.
     pub gpus: f64,
-    /// Accelerators that it may use at most; 0: no limit.
+    /// Maximum number of GPUs in use at once; 0 means no limit.
     pub gpus_max: f64,
 }
 
 impl Team {
-    /// Whether the team may use this much at once.
+    /// Returns whether the team's limit permits this total usage.
     pub fn allows(&self, cpus: f64, gpus: f64) -> bool {
         (self.cpus_max <= 0.0 || cpus <= self.cpus_max + EPSILON)
             && (self.gpus_max <= 0.0 || gpus <= self.gpus_max + EPSILON)
