--- a/crates/scheduler/src/protocol.rs
+++ b/crates/scheduler/src/protocol.rs
@@ -1,6 +1,7 @@
-//! The words of the platform's protocols, as serde types: one module for each interface.
+//! Messages of the platform's protocols as serde types, with one module per interface.
 //!
-//! Nothing outside these modules spells them; everything else uses the terms of the field.
+//! The protocols' own field names appear only in these modules; all other code uses the usual terms
+//! of the field.
 
 pub mod cloud;
 pub mod key_value;
--- a/crates/scheduler/src/protocol/cloud.rs
+++ b/crates/scheduler/src/protocol/cloud.rs
@@ -1,121 +1,122 @@
-//! What the cloud offers, is asked for and lists.
+//! Messages of the cloud API: machine types, scale-out and return requests, and the machine list.
 
 use serde::{Deserialize, Serialize};
 
-/// A machine type as the cloud publishes it.
+/// A machine type as published by the cloud.
 #[derive(Debug, Clone, PartialEq, Deserialize, Serialize)]
 pub struct MachineType {
-    /// The type's name.
+    /// Name by which requests and machines refer to the type.
     #[serde(rename = "sku")]
     pub name: String,
-    /// Processors.
+    /// Number of CPUs.
     #[serde(rename = "vcpus")]
     pub cpus: f64,
-    /// Accelerators.
+    /// Number of GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// Gigabytes of memory.
+    /// Memory in gigabytes.
     #[serde(rename = "memoryGb")]
     pub memory_gb: f64,
-    /// Gigabytes that it has for images.
+    /// Local storage for images in gigabytes.
     #[serde(rename = "localGb", default)]
     pub cache_gb: f64,
-    /// Gigabytes a second at which it fetches images.
+    /// Image download rate in gigabytes per second.
     #[serde(rename = "pullGbPerS", default)]
     pub fetch_gb_per_s: f64,
-    /// Price of an ordinary machine for an hour.
+    /// Price of an on-demand machine per hour.
     #[serde(default)]
     pub price: f64,
-    /// Price of a spot machine for an hour.
+    /// Price of a spot machine per hour.
     #[serde(rename = "lowPrice", default)]
     pub spot_price: f64,
-    /// Seconds that a boot usually takes.
+    /// Typical boot time in seconds.
     #[serde(rename = "bootS", default)]
     pub boot_s: f64,
-    /// Zones in which it is offered.
+    /// Zones in which the type is offered.
     #[serde(rename = "groves", default)]
     pub zones: Vec<String>,
 }
 
-/// The answer to a request for the machine types.
+/// Response to a request for the machine types.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct MachineTypes {
-    /// The types.
+    /// All machine types that the cloud offers.
     #[serde(rename = "breeds")]
     pub types: Vec<MachineType>,
 }
 
-/// A request for machines. Under a name that was used before it gets the same answer again.
+/// Request to start machines. It is idempotent: repeating it under the same name returns the first
+/// response again.
 #[derive(Debug, Clone, Serialize)]
 pub struct ScaleOutRequest {
-    /// The request's name.
+    /// Idempotency key: the name of this request.
     #[serde(rename = "ask")]
     pub request: String,
-    /// The machine type.
+    /// Name of the machine type.
     #[serde(rename = "breed")]
     pub kind: String,
-    /// The zone.
+    /// Zone in which the machines are started.
     #[serde(rename = "grove")]
     pub zone: String,
-    /// Spot machines.
+    /// Whether to start spot machines.
     #[serde(rename = "windfall")]
     pub spot: bool,
-    /// How many machines.
+    /// Number of machines to start.
     pub count: u32,
 }
 
-/// Names of machines: those that were started, or those to return.
+/// List of machine names: those started by a scale-out request, or those to return to the cloud.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct MachineIds {
-    /// The names.
+    /// Machine names as assigned by the cloud.
     #[serde(rename = "trees")]
     pub machines: Vec<String>,
 }
 
-/// A machine's state as the cloud lists it.
+/// State of a machine in the cloud's machine list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum CloudMachineState {
-    /// Not up yet.
+    /// Started, but not yet up.
     Booting,
-    /// Up.
+    /// Up and able to run a worker.
     Running,
-    /// Stopped by itself; nothing runs on it.
+    /// Stopped without having been returned; nothing runs on it.
     Failed,
-    /// A state of a later protocol.
+    /// Any state that this version does not know.
     #[serde(other)]
     Other,
 }
 
-/// A machine on the cloud's list, which lags.
+/// Entry of the cloud's machine list, which may be out of date.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct ListedMachine {
-    /// Its name.
+    /// Machine name as assigned by the cloud.
     #[serde(rename = "ref")]
     pub name: String,
-    /// Where its worker listens, once that is known.
+    /// Address of the machine's worker, once known.
     #[serde(default)]
     pub address: Option<String>,
-    /// Its type.
+    /// Name of the machine type.
     #[serde(rename = "breed")]
     pub kind: String,
-    /// Its zone.
+    /// Zone in which the machine runs.
     #[serde(rename = "grove")]
     pub zone: String,
-    /// A spot machine.
+    /// Whether this is a spot machine.
     #[serde(rename = "windfall")]
     pub spot: bool,
-    /// Its state.
+    /// State of the machine when the list was made.
     pub stage: CloudMachineState,
-    /// Seconds since it was asked for.
+    /// Time in seconds since the machine was requested.
     #[serde(rename = "ageS", default)]
     pub age_s: f64,
 }
 
-/// One page of the list.
+/// One page of the machine list.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct MachineList {
-    /// The machines, ordered by name.
+    /// Machines of this page, ordered by name.
     #[serde(rename = "trees")]
     pub machines: Vec<ListedMachine>,
     /// Whether more pages follow.
--- a/crates/scheduler/src/protocol/key_value.rs
+++ b/crates/scheduler/src/protocol/key_value.rs
@@ -1,4 +1,4 @@
-//! The key-value store: transactions on conditions, pages of keys, leases and watches.
+//! Messages of the key-value store: conditional transactions, paged listings, leases and watches.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -6,141 +6,141 @@
 use crate::storage::document::Document;
 use crate::storage::revision::Revision;
 
-/// A condition of a transaction: the key has this version (0: it does not exist).
+/// Condition of a transaction: the key must have this revision; 0 means that it must not exist.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Compare {
-    /// The key.
+    /// Key to compare.
     pub key: String,
-    /// The revision that it must have.
+    /// Revision that the key must have.
     #[serde(rename = "mark")]
     pub revision: Revision,
 }
 
-/// A change made by a transaction.
+/// Change made by a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Operation {
-    /// Stores a value.
+    /// Stores a value under a key.
     Put {
-        /// The key.
+        /// Key to write.
         put: String,
-        /// The value.
+        /// Value to store.
         value: Document,
-        /// The lease that the key is attached to.
+        /// Lease to which the key is attached; the key is deleted when the lease ends.
         #[serde(rename = "hold", skip_serializing_if = "Option::is_none", default)]
         lease: Option<u64>,
     },
     /// Deletes a key.
     Delete {
-        /// The key.
+        /// Key to delete.
         drop: String,
     },
 }
 
 impl Operation {
-    /// Stores a value that is encoded here.
+    /// Creates an operation that stores `value`, encoded as JSON.
     pub fn put(key: impl Into<String>, value: impl Serialize) -> Operation {
         Operation::put_document(key, Document::new(&value))
     }
-    /// Stores a value that is encoded already.
+    /// Creates an operation that stores a value that is already encoded.
     pub fn put_document(key: impl Into<String>, value: Document) -> Operation {
         Operation::Put { put: key.into(), value, lease: None }
     }
-    /// Deletes the key.
+    /// Creates an operation that deletes the key.
     pub fn delete(key: impl Into<String>) -> Operation {
         Operation::Delete { drop: key.into() }
     }
 }
 
-/// A compare-and-swap: the operations are executed if all compares hold.
+/// Conditional transaction: the operations are executed atomically if all compares hold.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// The compares.
+    /// Conditions, all of which must hold.
     #[serde(rename = "guards")]
     pub compares: Vec<Compare>,
-    /// The operations.
+    /// Changes to make, in order.
     #[serde(rename = "apply")]
     pub operations: Vec<Operation>,
 }
 
-/// The answer to a transaction that was executed.
+/// Response to a transaction that was executed.
 #[derive(Debug, Deserialize)]
 pub struct Committed {
-    /// The store's revision after it, which all keys that it put have now.
+    /// Revision of the store after the transaction. Every key that it put has this revision.
     #[serde(rename = "growth")]
     pub store_revision: Revision,
 }
 
-/// The answer to a transaction that was not executed.
+/// Response to a transaction that was rejected because a compare failed.
 #[derive(Debug, Deserialize)]
 pub struct Conflict {
-    /// The keys whose compares failed.
+    /// Keys whose compares failed.
     pub failed: Vec<String>,
 }
 
-/// A stored key.
+/// A stored key with its value.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct KeyValue {
-    /// The key.
+    /// Key under which the value is stored.
     pub key: String,
-    /// Its value.
+    /// Value as decoded JSON.
     pub value: Value,
-    /// The revision of its last change.
+    /// Store revision of the key's last change.
     #[serde(rename = "mark")]
     pub revision: Revision,
 }
 
-/// One page of a listing.
+/// One page of a key listing.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct Page {
-    /// The keys, in order.
+    /// Keys of this page in ascending order, with their values.
     #[serde(rename = "pairs")]
     pub key_values: Vec<KeyValue>,
     /// Whether more pages follow.
     #[serde(rename = "hasNext", default)]
     pub more: bool,
-    /// The store's revision when the page was read.
+    /// Revision of the store when the page was read.
     #[serde(rename = "growth")]
     pub store_revision: Revision,
 }
 
-/// The answer to a request for a lease.
+/// Response to a request for a new lease.
 #[derive(Debug, Deserialize)]
 pub struct LeaseGrant {
-    /// The lease's number.
+    /// Id of the granted lease.
     pub hold: u64,
 }
 
-/// A change that a watch saw.
+/// Change reported by a watch.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(untagged)]
 pub enum WatchEvent {
-    /// A key was put.
+    /// A value was stored under a key.
     Put {
-        /// The key.
+        /// Key that was written.
         put: String,
-        /// Its value.
+        /// Value that was stored.
         value: Value,
-        /// Its revision.
+        /// Revision of the key after this change.
         #[serde(rename = "mark")]
         revision: Revision,
     },
     /// A key was deleted.
     Delete {
-        /// The key.
+        /// Key that was deleted.
         drop: String,
-        /// The revision of the deletion.
+        /// Revision of the store at which the key was deleted.
         #[serde(rename = "mark")]
         revision: Revision,
     },
 }
 
-/// The answer to a watch.
+/// Response to a watch request.
 #[derive(Debug, Deserialize)]
 pub struct Watched {
-    /// The revision from which to watch on.
+    /// Revision from which the next watch request continues.
     #[serde(rename = "growth")]
     pub store_revision: Revision,
-    /// What changed, the oldest first.
+    /// Changes since the requested revision, oldest first.
     pub events: Vec<WatchEvent>,
 }
--- a/crates/scheduler/src/protocol/tests.rs
+++ b/crates/scheduler/src/protocol/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn submission_is_read_whole() {
+fn valid_submission_is_parsed_completely() {
     let (name, spec) = parse_submission(sample().to_string().as_bytes()).expect("valid");
     assert_eq!(name, "req-000412");
     assert_eq!((spec.tasks, spec.priority, spec.deadline_s), (16, Priority::High, Some(900.0)));
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn every_bad_field_is_named() {
+fn invalid_submission_is_rejected_with_the_field_name() {
     let cases = [
         ("ref", json!("job-1")),
         ("husk", json!("group")),
@@ -55,11 +55,11 @@
         assert_eq!(err.field, field);
     }
     assert_eq!(parse_submission(b"[1]").expect_err("array").field, "body");
-    assert_eq!(parse_submission(b"{").expect_err("cut").field, "body");
+    assert_eq!(parse_submission(b"{").expect_err("truncated JSON").field, "body");
 }
 
 #[test]
-fn what_a_job_waits_for_is_read_once_each() {
+fn duplicate_dependencies_are_removed() {
     let mut body = sample();
     for (waits, read) in [
         (json!(null), vec![]),
@@ -70,24 +70,25 @@
         let (_, spec) = parse_submission(body.to_string().as_bytes()).expect("valid");
         assert_eq!(spec.dependencies, read);
     }
-    // Named too often is no fault while they are few.
+    // Only distinct names count towards the limit.
     body["waits"] = json!(vec!["req-1"; 500]);
     assert!(parse_submission(body.to_string().as_bytes()).is_ok());
 }
 
 #[test]
-fn task_names_are_split_strictly() {
+fn malformed_task_ids_are_rejected() {
     assert_eq!(parse_task_id("req-000412/3"), Some(("req-000412", 3)));
-    for odd in ["req-000412", "req-000412/", "req-000412/x", "x/3", "req-1/03", "req-1/-1"] {
-        assert_eq!(parse_task_id(odd), None, "{odd}");
+    for malformed in ["req-000412", "req-000412/", "req-000412/x", "x/3", "req-1/03", "req-1/-1"] {
+        assert_eq!(parse_task_id(malformed), None, "{malformed}");
     }
 }
 
 #[test]
-fn commands_use_the_words_of_the_protocol() {
-    let call = WorkerCommand::Kill { task: "req-1/0".into(), attempt: Attempt(2), grace_s: 10.0 };
+fn kill_command_uses_the_wire_field_names() {
+    let command =
+        WorkerCommand::Kill { task: "req-1/0".into(), attempt: Attempt(2), grace_s: 10.0 };
     assert_eq!(
-        serde_json::to_value(&call).expect("json"),
+        serde_json::to_value(&command).expect("command serializes"),
         json!({"call":"kill","nut":"req-1/0","try":2,"dropS":10.0})
     );
 }
--- a/crates/scheduler/src/protocol/users.rs
+++ b/crates/scheduler/src/protocol/users.rs
@@ -1,17 +1,17 @@
-//! What users submit, and what they are answered.
+//! Messages of the user API: job submissions and status responses.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Map, Value};
 
 use crate::model::job_spec::{JobSpec, Priority};
 
-/// What a submission may be refused for as malformed: the field and what is wrong with it.
+/// Reason for rejecting a submission as malformed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {fault}")]
 pub struct InvalidField {
-    /// The field's name on the wire.
+    /// Name of the field as used in the submission.
     pub field: &'static str,
-    /// What is wrong with it.
+    /// Description of the problem, for the user.
     pub fault: String,
 }
 
@@ -19,17 +19,18 @@
     InvalidField { field, fault: fault.into() }
 }
 
-/// The largest number of tasks in one job.
+/// Maximum number of tasks in one job.
 pub const MAX_TASKS: u64 = 100_000;
 
-/// Whether `name` has the form of a job's id: `req-` and decimal digits. Everything else is no id,
-/// and is never looked up in the key-value store.
+/// Returns whether `name` has the form of a job id: `req-` followed by 1 to 20 decimal digits. Any
+/// other name is rejected without a lookup in the key-value store.
 pub fn is_job_id(name: &str) -> bool {
     name.strip_prefix("req-")
         .is_some_and(|n| (1..=20).contains(&n.len()) && n.bytes().all(|b| b.is_ascii_digit()))
 }
 
-/// Reads a submission, naming the first field that is missing or invalid.
+/// Parses a submission into the job's id and requirements. The error names the first field that is
+/// missing or invalid.
 pub fn parse_submission(body: &[u8]) -> Result<(String, JobSpec), InvalidField> {
     let value: Value =
         serde_json::from_slice(body).map_err(|e| invalid("body", format!("not JSON: {e}")))?;
@@ -123,11 +124,11 @@
     }
 }
 
-/// The most jobs that one may wait for. With names of the usual length their list takes a quarter of
-/// the smallest value that a key-value store is planned to hold.
+/// Maximum number of dependencies of one job. With ids of the usual length, the list takes a
+/// quarter of the smallest value size limit that a key-value store is expected to have.
 pub const MAX_DEPENDENCIES: usize = 64;
 
-/// The jobs that have to be done first, each once.
+/// Parses the ids of the jobs that must complete first and removes duplicates.
 fn dependencies(map: &Map<String, Value>) -> Result<Vec<String>, InvalidField> {
     let items = match map.get("waits") {
         None | Some(Value::Null) => return Ok(Vec::new()),
@@ -178,22 +179,23 @@
     }
 }
 
-/// How a job stands, for its user.
+/// Job status as shown to users.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobStage {
-    /// None of its tasks runs.
+    /// None of the tasks is running.
     Queued,
-    /// Some of its tasks run.
+    /// At least one task is running.
     Running,
-    /// All of its tasks are done.
+    /// All tasks completed.
     Done,
-    /// It was cancelled.
+    /// The job was cancelled.
     #[serde(rename = "aborted")]
     Cancelled,
 }
 
-/// The answer to a submission, a poll or a withdrawal.
+/// Builds the response to a submission, a status request or a cancellation. `counts` holds the
+/// numbers of completed and of running tasks.
 pub fn job_response(name: &str, stage: JobStage, counts: Option<(u32, u32)>) -> Value {
     match counts {
         Some((done, running)) => {
--- a/crates/scheduler/src/protocol/workers.rs
+++ b/crates/scheduler/src/protocol/workers.rs
@@ -1,4 +1,4 @@
-//! Workers' heartbeats, and the commands that answer them.
+//! Messages between scheduler and workers: heartbeats, and the commands sent in response.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,36 +6,37 @@
 use crate::model::ids::{AgentEpoch, Attempt};
 use crate::protocol::users::is_job_id;
 
-/// One task in a worker's heartbeat.
+/// Status of one task in a worker's heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize, Serialize)]
 pub struct TaskStatus {
-    /// The task's name: its job's id, a slash and its number.
+    /// Task id: the job id, a slash and the task's index, as in `req-000412/3`.
     #[serde(rename = "nut")]
     pub task: String,
-    /// Its attempt.
+    /// Attempt under which the task is on the machine.
     #[serde(rename = "try")]
     pub attempt: Attempt,
-    /// Its state.
+    /// State of the task on the machine.
     #[serde(rename = "stage")]
     pub state: TaskState,
-    /// Why it exited, if it did.
+    /// Why the task exited; `None` unless it has.
     #[serde(rename = "cause", default)]
     pub cause: Option<ExitReason>,
 }
 
-/// A task's state on its machine.
+/// State of a task on its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskState {
-    /// Waits for its image.
+    /// Waiting for the download of its image.
     Fetching,
-    /// Runs.
+    /// Executing its program.
     Running,
-    /// Was told to stop, and saves its progress.
+    /// Told to stop, and saving a checkpoint.
     Flushing,
-    /// Has ended.
+    /// No longer running, with an [`ExitReason`].
     Exited,
-    /// A state of a later protocol: on the machine, not exited.
+    /// Any state that this version does not know. The task is treated as on the machine and not
+    /// exited.
     #[serde(other)]
     Other,
 }
@@ -44,78 +45,81 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExitReason {
-    /// It completed.
+    /// The task completed.
     Done,
-    /// It was stopped by command.
+    /// The task was stopped by a command.
     Stopped,
-    /// It failed.
+    /// The task failed.
     Error,
-    /// Its start was refused: not enough free resources on the machine.
+    /// The start was rejected: the machine has too few free resources.
     NoRoom,
-    /// Its start was refused: the task is on the machine under another attempt.
+    /// The start was rejected: the task is on the machine under another attempt.
     InUse,
-    /// Its start was refused: the worker knows no such task.
+    /// The start was rejected: the worker does not know the task.
     Unknown,
-    /// A cause of a later protocol.
+    /// Any reason that this version does not know.
     #[serde(other)]
     Other,
 }
 
-/// A worker's heartbeat, also the answer to `/commands` and `/show`.
+/// A worker's heartbeat. Workers also send it in response to `/commands` and `/show`.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Heartbeat {
-    /// The machine's name.
+    /// Machine name as assigned by the cloud.
     #[serde(rename = "tree")]
     pub machine: String,
-    /// Where the worker listens.
+    /// Address at which the worker accepts requests.
     pub address: String,
-    /// The machine's type.
+    /// Name of the machine type.
     #[serde(rename = "breed")]
     pub kind: String,
-    /// The machine's zone.
+    /// Zone in which the machine runs.
     #[serde(rename = "grove")]
     pub zone: String,
-    /// A spot machine.
+    /// Whether this is a spot machine.
     #[serde(rename = "windfall")]
     pub spot: bool,
-    /// Rises each time the worker's lease expires; its tasks are gone then.
+    /// Incarnation of the agent. It is increased each time the worker's lease expires, at which
+    /// point all of its tasks are gone.
     #[serde(rename = "season")]
     pub agent_epoch: AgentEpoch,
-    /// Rises with every heartbeat and every answer to a command.
+    /// Sequence number, increased with every heartbeat and every response to a command.
     #[serde(rename = "ring")]
     pub sequence: u64,
-    /// The highest fencing token that the worker has seen.
+    /// Highest fencing token that the worker has seen.
     #[serde(rename = "staff")]
     pub token: FencingToken,
-    /// Seconds until the cloud takes the machine, if it will.
+    /// Time in seconds until the cloud reclaims the machine; `None` if no interruption is
+    /// announced.
     #[serde(rename = "shakeS", default)]
     pub interruption_notice_s: Option<f64>,
-    /// All tasks on the machine, exited ones until they are forgotten by command.
+    /// All tasks on the machine, including exited ones until a command tells the worker to forget
+    /// them.
     #[serde(rename = "nuts", default)]
     pub tasks: Vec<TaskStatus>,
 }
 
-/// The name of a heartbeat's sequence number, as it stands in the text.
+/// JSON key of a heartbeat's sequence number, as it appears in the encoded text.
 const SEQUENCE_KEY: &[u8] = b"\"ring\":";
 
-/// Where the digits of a heartbeat's sequence number stand in its text. `None`: nowhere, or in more than
-/// one place, or not as plain digits. (Inside of a string the key can't stand like that: its quotation
-/// marks would be escaped.)
+/// Returns the byte range of the sequence number's digits in an encoded heartbeat. Returns `None`
+/// if the key is missing, occurs more than once, or is not followed by plain digits. The key cannot
+/// be matched inside of a string value, where its quotation marks would be escaped.
 pub fn sequence_digits(heartbeat: &[u8]) -> Option<std::ops::Range<usize>> {
-    let mut places = heartbeat
+    let mut matches = heartbeat
         .windows(SEQUENCE_KEY.len())
         .enumerate()
         .filter(|(_, window)| *window == SEQUENCE_KEY);
-    let start = places.next()?.0 + SEQUENCE_KEY.len();
-    if places.next().is_some() {
+    let start = matches.next()?.0 + SEQUENCE_KEY.len();
+    if matches.next().is_some() {
         return None;
     }
     let digits = heartbeat[start..].iter().take_while(|byte| byte.is_ascii_digit()).count();
-    let ends_there = matches!(heartbeat.get(start + digits), Some(b',' | b'}'));
-    (digits > 0 && ends_there).then_some(start..start + digits)
+    let is_terminated = matches!(heartbeat.get(start + digits), Some(b',' | b'}'));
+    (digits > 0 && is_terminated).then_some(start..start + digits)
 }
 
-/// Splits `req-000412/3` into the job and the task's number.
+/// Splits a task id such as `req-000412/3` into the job id and the task's index.
 pub fn parse_task_id(name: &str) -> Option<(&str, u32)> {
     let (job, index) = name.rsplit_once('/')?;
     if !is_job_id(job) || (index.len() > 1 && index.starts_with('0')) {
@@ -124,69 +128,70 @@
     Some((job, index.parse().ok()?))
 }
 
-/// A command to a worker.
+/// Command to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "call", rename_all = "lowercase")]
 pub enum WorkerCommand {
-    /// Stop a task.
+    /// Stops a task.
     Kill {
-        /// The task.
+        /// Id of the task to stop.
         #[serde(rename = "nut")]
         task: String,
-        /// Its attempt.
+        /// Attempt to stop.
         #[serde(rename = "try")]
         attempt: Attempt,
-        /// Seconds that it may take to save its progress.
+        /// Time in seconds that the task gets to save a checkpoint.
         #[serde(rename = "dropS")]
         grace_s: f64,
     },
-    /// Forget a task that has exited.
+    /// Tells the worker to forget a task that has exited.
     Reap {
-        /// The task.
+        /// Id of the task to forget.
         #[serde(rename = "nut")]
         task: String,
-        /// Its attempt.
+        /// Attempt to forget.
         #[serde(rename = "try")]
         attempt: Attempt,
     },
-    /// Start a task.
+    /// Starts a task.
     Run {
-        /// The task.
+        /// Id of the task to start.
         #[serde(rename = "nut")]
         task: String,
-        /// Its attempt.
+        /// Attempt under which the task is started.
         #[serde(rename = "try")]
         attempt: Attempt,
     },
 }
 
-/// The answer to a heartbeat.
+/// Response to a heartbeat.
 #[derive(Debug, Serialize)]
 pub struct HeartbeatResponse {
-    /// The fencing token under which the commands are valid.
+    /// Fencing token under which the commands are valid.
     #[serde(rename = "staff")]
     pub token: FencingToken,
-    /// The commands, in the order in which they are executed.
+    /// Commands in the order in which the worker executes them.
     pub calls: Vec<WorkerCommand>,
 }
 
-/// The body of an answer that sends a worker to another node.
+/// Response that redirects a worker to another node.
 #[derive(Debug, Serialize)]
 pub struct Redirect {
-    /// Where it should report; `None`: to whichever answers.
+    /// Address of the node to report to; `None` lets the worker try any node.
     #[serde(rename = "keeper", skip_serializing_if = "Option::is_none")]
     pub node: Option<String>,
 }
 
-/// The body of `/commands`.
+/// Body of a request to `/commands`.
 #[derive(Debug, Serialize)]
 pub struct CommandsRequest<'a> {
-    /// The fencing token; the worker refuses one below the highest that it has seen.
+    /// Fencing token of the request. The worker rejects a token below the highest one that it has
+    /// seen.
     #[serde(rename = "staff")]
     pub token: FencingToken,
-    /// The agent epoch that is meant; the worker refuses any other.
+    /// Agent epoch for which the commands are meant. The worker rejects any other.
     #[serde(rename = "season")]
     pub agent_epoch: AgentEpoch,
-    /// The commands, in the order in which they are executed.
+    /// Commands in the order in which the worker executes them.
     pub calls: &'a [WorkerCommand],
 }
