--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,14 +1,13 @@
-//! Sharing an overloaded fleet between teams and their classes of jobs.
+//! Fair sharing of an overloaded fleet between teams and their classes of jobs.
 //!
-//! While there is room for everything, the order of the queue is nobody's concern but the
-//! scheduler's. When work waits that finds no room ([`saturation`]), room is dealt out in small
-//! portions ([`deal`]) by the shares that teams and classes hold of the fleet ([`shares`]), so that
-//! neither one team's flood of jobs nor a flood of one class keeps the others from their part.
+//! As long as there is room for all jobs, the scheduler's queue order applies unchanged. When
+//! waiting work finds no room ([`saturation`]), free resources are divided in small portions
+//! ([`deal`]) according to the shares of the fleet that teams and classes hold ([`shares`]). A
+//! flood of jobs from one team, or of one class, then cannot keep the others from their share.
 //!
-//! Where jobs are accepted, teams take turns as well ([`turns`]).
+//! Submissions are accepted in round-robin order of the teams ([`turns`]).
 //!
-//! Everything here is a plain state machine: no input or output and no clock. See
-//! `docs/admission.md`.
+//! All types are plain state machines without I/O and without a clock. See `docs/admission.md`.
 
 pub mod deal;
 pub mod resources;
--- a/crates/admission/src/resources.rs
+++ b/crates/admission/src/resources.rs
@@ -1,23 +1,23 @@
-//! Amounts of what a machine has and a task takes.
+//! Resource amounts of machines and tasks.
 
 use std::ops::{Add, AddAssign};
 
-/// Processors, accelerators and gigabytes of memory.
+/// Amounts of CPU, GPU and memory.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Resources {
-    /// Processors.
+    /// Number of CPUs, possibly fractional.
     pub cpus: f64,
-    /// Accelerators.
+    /// Number of GPUs, possibly fractional.
     pub gpus: f64,
-    /// Gigabytes of memory.
+    /// Memory in gigabytes.
     pub memory_gb: f64,
 }
 
 impl Resources {
-    /// Nothing of any of them.
+    /// Zero of every resource.
     pub const NONE: Resources = Resources { cpus: 0.0, gpus: 0.0, memory_gb: 0.0 };
 
-    /// The same amount several times.
+    /// Multiplies every amount by `count`.
     pub fn times(self, count: f64) -> Resources {
         Resources {
             cpus: self.cpus * count,
@@ -26,7 +26,8 @@
         }
     }
 
-    /// What is left after taking `other` away, never less than nothing: sums of decimals drift.
+    /// Subtracts `other`. The result is clamped at zero, since sums of decimal amounts accumulate
+    /// rounding errors.
     pub fn less(self, other: Resources) -> Resources {
         Resources {
             cpus: (self.cpus - other.cpus).max(0.0),
@@ -35,13 +36,14 @@
         }
     }
 
-    /// The largest of this amount's parts of `fleet`. A resource that the fleet doesn't have counts
-    /// for nothing, since nothing that takes it can run there.
+    /// Returns the dominant share: the largest fraction of `fleet` that this amount takes of any
+    /// resource. A resource that the fleet does not have is ignored, because no task that needs it
+    /// can run there.
     pub fn dominant_share(self, fleet: Resources) -> f64 {
-        let part = |used: f64, of: f64| if of > 0.0 { (used / of).max(0.0) } else { 0.0 };
-        part(self.cpus, fleet.cpus)
-            .max(part(self.gpus, fleet.gpus))
-            .max(part(self.memory_gb, fleet.memory_gb))
+        let fraction = |used: f64, of: f64| if of > 0.0 { (used / of).max(0.0) } else { 0.0 };
+        fraction(self.cpus, fleet.cpus)
+            .max(fraction(self.gpus, fleet.gpus))
+            .max(fraction(self.memory_gb, fleet.memory_gb))
     }
 }
 
--- a/crates/admission/src/saturation.rs
+++ b/crates/admission/src/saturation.rs
@@ -1,46 +1,48 @@
-//! Whether the fleet is overloaded, with hysteresis.
+//! Detection of an overloaded fleet, with hysteresis.
 
 use walnutlug_time::{TimeDelta, Timestamp};
 
-/// When the fleet counts as saturated, and when no more.
+/// Thresholds for entering and leaving saturation. Waiting work is measured as a fraction of the
+/// fleet.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Thresholds {
-    /// Waiting work, as a part of the fleet, from which on the fleet may be saturated.
+    /// Waiting work from which the fleet may become saturated.
     pub enter: f64,
-    /// Waiting work below which it may be saturated no more.
+    /// Waiting work below which the fleet may stop being saturated.
     pub leave: f64,
-    /// Waiting work at which nobody waits to see whether it goes away.
+    /// Waiting work at which the fleet becomes saturated immediately, without `enter_after`.
     pub at_once: f64,
-    /// For how long work has to wait. Machines that are on their way are taken off the waiting
-    /// work, so this is the time of a boot that could have been asked for.
+    /// How long waiting work must stay above `enter`. Machines that are booting are already
+    /// deducted from the waiting work, so this corresponds to the time in which a machine could
+    /// have been requested and booted.
     pub enter_after: TimeDelta,
-    /// For how long there has to be room.
+    /// How long waiting work must stay below `leave`.
     pub leave_after: TimeDelta,
 }
 
-/// What the last observations amount to.
+/// Conclusion from the observations so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// There is room.
-    Room,
-    /// Work has waited since then, which may be a passing lack of machines.
-    Filling(Timestamp),
-    /// Work has waited for long enough.
+    /// The fleet has room for the waiting work.
+    Normal,
+    /// Work has been waiting since this time, possibly because of a temporary lack of machines.
+    Entering(Timestamp),
+    /// Work has been waiting for at least `enter_after`.
     Saturated,
-    /// Saturated, but there has been room since then.
-    Clearing(Timestamp),
+    /// Still saturated, but there has been room since this time.
+    Leaving(Timestamp),
 }
 
-/// A change that is worth a line in the log.
+/// Change of the saturation state, to be logged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// The fleet is saturated from now on.
+    /// The fleet became saturated.
     Entered,
-    /// The fleet is no longer saturated.
+    /// The fleet stopped being saturated.
     Left,
 }
 
-/// Follows how much work waits without finding room.
+/// Decides whether the fleet is saturated from the amount of work that finds no room.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Saturation {
     phase: Phase,
@@ -48,27 +50,28 @@
 
 impl Default for Saturation {
     fn default() -> Saturation {
-        Saturation { phase: Phase::Room }
+        Saturation { phase: Phase::Normal }
     }
 }
 
 impl Saturation {
-    /// Whether the fleet counts as saturated, by the observations so far.
+    /// Returns whether the fleet was saturated at the last observation.
     pub fn is_saturated(&self) -> bool {
-        matches!(self.phase, Phase::Saturated | Phase::Clearing(_))
+        matches!(self.phase, Phase::Saturated | Phase::Leaving(_))
     }
 
-    /// Takes in how much work finds no room: a part of the fleet, less what is on its way.
-    pub fn observe(&mut self, now: Timestamp, waiting: f64, at: &Thresholds) -> Option<Change> {
+    /// Records how much work finds no room, as a fraction of the fleet and without the work for
+    /// which machines are booting. Returns the change that results, if any.
+    pub fn observe(&mut self, now: Timestamp, waiting: f64, limits: &Thresholds) -> Option<Change> {
         let before = self.is_saturated();
         self.phase = match self.phase {
-            Phase::Room | Phase::Filling(_) if waiting >= at.at_once => Phase::Saturated,
-            Phase::Room if waiting >= at.enter => Phase::Filling(now),
-            Phase::Filling(_) if waiting < at.enter => Phase::Room,
-            Phase::Filling(since) if now.since(since) >= at.enter_after => Phase::Saturated,
-            Phase::Saturated if waiting < at.leave => Phase::Clearing(now),
-            Phase::Clearing(since) if now.since(since) >= at.leave_after => Phase::Room,
-            Phase::Clearing(_) if waiting >= at.leave => Phase::Saturated,
+            Phase::Normal | Phase::Entering(_) if waiting >= limits.at_once => Phase::Saturated,
+            Phase::Normal if waiting >= limits.enter => Phase::Entering(now),
+            Phase::Entering(_) if waiting < limits.enter => Phase::Normal,
+            Phase::Entering(since) if now.since(since) >= limits.enter_after => Phase::Saturated,
+            Phase::Saturated if waiting < limits.leave => Phase::Leaving(now),
+            Phase::Leaving(since) if now.since(since) >= limits.leave_after => Phase::Normal,
+            Phase::Leaving(_) if waiting >= limits.leave => Phase::Saturated,
             unchanged => unchanged,
         };
         match (before, self.is_saturated()) {
--- a/crates/admission/src/shares.rs
+++ b/crates/admission/src/shares.rs
@@ -1,33 +1,34 @@
-//! What part of the fleet each team and each of its classes holds, kept as tasks are placed and
+//! Shares of the fleet held by each team and its job classes, updated as tasks are placed and
 //! proven gone.
 
 use std::collections::HashMap;
 
 use crate::resources::Resources;
 
-/// Classes that are told apart, over all teams. Class names are the users' own and without bound;
-/// beyond this many with open jobs at once, the further classes of a team share one entry, so that
-/// they get one class's share between them.
+/// Maximum number of classes with an entry of their own, over all teams. Users choose class names
+/// freely, so their number is unbounded. Once this many classes have open jobs, any further classes
+/// of a team share one entry, and thus the share of one class.
 pub const MAX_CLASSES: usize = 1_000;
-/// Teams that are told apart; the platform's file names far fewer. Further ones share the last entry.
+/// Maximum number of teams with an entry of their own; the platform's settings name far fewer. Any
+/// further teams share the last entry.
 pub const MAX_TEAMS: usize = 1_000;
-/// Weights outside of these would leave a team all of the fleet, or nothing of it.
+/// Allowed weights. A weight outside of this range would give a team all of the fleet or nothing.
 pub const WEIGHTS: std::ops::RangeInclusive<f64> = 0.01..=100.0;
 
-/// A team.
+/// Identifies a team within [`Shares`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TeamId(pub(crate) u32);
 
-/// A class of one team.
+/// Identifies a class of one team within [`Shares`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassId(pub(crate) u32);
 
-/// What a team may count on.
+/// Weight and guarantee of a team.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Entitlement {
-    /// Its part relative to the other teams' parts.
+    /// Weight of the team relative to the other teams.
     pub weight: f64,
-    /// What it is guaranteed; nothing where it has no guarantee.
+    /// Guaranteed resources; zero for a resource without a guarantee.
     pub guarantee: Resources,
 }
 
@@ -42,34 +43,34 @@
     name: String,
     entitlement: Entitlement,
     used: Resources,
-    /// Its jobs, whatever their class.
+    /// Number of the team's jobs in all classes.
     jobs: u32,
 }
 
 #[derive(Debug, Clone)]
 struct Class {
     team: TeamId,
-    /// Jobs that count here; the entry is free when there are none.
+    /// Number of jobs that use this entry. The entry can be reused when it drops to 0.
     jobs: u32,
     used: Resources,
-    /// The part of that which is told to stop.
+    /// Part of `used` that belongs to tasks told to stop.
     stopping: Resources,
-    /// By what it is found; the team's shared entry has none.
+    /// Class name; `None` for the entry shared by a team's further classes.
     name: Option<String>,
 }
 
-/// What a class holds of the fleet.
+/// Share of the fleet held by a class.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HeldShare<'a> {
-    /// The team's name.
+    /// Name of the class's team.
     pub team: &'a str,
-    /// The class's name; `None` for the entry that a team's further classes share.
+    /// Class name; `None` for the entry shared by a team's further classes.
     pub class: Option<&'a str>,
-    /// Its dominant share: the largest part of the fleet that it uses of any resource.
+    /// Dominant share: the largest fraction of the fleet that the class uses of any resource.
     pub share: f64,
 }
 
-/// Shares of the fleet by team and class.
+/// Resource usage of teams and classes, and the size of the fleet to which it is compared.
 #[derive(Debug, Clone, Default)]
 pub struct Shares {
     fleet: Resources,
@@ -78,24 +79,24 @@
     team_ids: HashMap<String, TeamId>,
     classes: Vec<Class>,
     class_ids: HashMap<(TeamId, String), ClassId>,
-    /// The entry that a team's further classes share.
-    further: HashMap<TeamId, ClassId>,
-    free: Vec<ClassId>,
+    /// Entry shared by a team's classes beyond [`MAX_CLASSES`].
+    overflow_classes: HashMap<TeamId, ClassId>,
+    free_classes: Vec<ClassId>,
 }
 
 impl Shares {
-    /// `entitlements` by the name of the team; a team that isn't named has weight 1 and no
-    /// guarantee. Weights are brought into [`WEIGHTS`].
+    /// Creates the shares of a fleet without jobs. `entitlements` is keyed by team name; a team
+    /// that is not listed has weight 1 and no guarantee. Weights are clamped to [`WEIGHTS`].
     pub fn new(entitlements: HashMap<String, Entitlement>) -> Shares {
         Shares { entitlements, ..Shares::default() }
     }
 
-    /// Tells what all machines have together.
+    /// Sets the total resources of all machines.
     pub fn set_fleet(&mut self, fleet: Resources) {
         self.fleet = fleet;
     }
 
-    /// What all machines have together, as far as it was told.
+    /// Returns the total resources of all machines, as last set.
     pub fn fleet(&self) -> Resources {
         self.fleet
     }
@@ -120,7 +121,7 @@
         id
     }
 
-    /// A job of the class is there; to be undone by [`Shares::remove_job`].
+    /// Registers a job of the class. [`Shares::remove_job`] undoes this.
     pub fn add_job(&mut self, team: &str, class: &str) -> ClassId {
         let team = self.team_id(team);
         let key = (team, class.to_owned());
@@ -131,11 +132,11 @@
                 self.class_ids.insert(key, id);
                 id
             }
-            None => match self.further.get(&team) {
+            None => match self.overflow_classes.get(&team) {
                 Some(&id) => id,
                 None => {
                     let id = self.new_class(team, None);
-                    self.further.insert(team, id);
+                    self.overflow_classes.insert(team, id);
                     id
                 }
             },
@@ -149,7 +150,7 @@
     fn new_class(&mut self, team: TeamId, name: Option<String>) -> ClassId {
         let (used, stopping) = (Resources::NONE, Resources::NONE);
         let class = Class { team, jobs: 0, used, stopping, name };
-        match self.free.pop() {
+        match self.free_classes.pop() {
             Some(id) => {
                 self.classes[id.0 as usize] = class;
                 id
@@ -161,7 +162,7 @@
         }
     }
 
-    /// The job is forgotten, and nothing of it is placed any more.
+    /// Unregisters a job. None of its tasks may be placed any more.
     pub fn remove_job(&mut self, id: ClassId) {
         let class = &mut self.classes[id.0 as usize];
         class.jobs = class.jobs.saturating_sub(1);
@@ -175,20 +176,21 @@
                 self.class_ids.remove(&(class.team, name));
             }
             None => {
-                self.further.remove(&class.team);
+                self.overflow_classes.remove(&class.team);
             }
         }
-        self.free.push(id);
+        self.free_classes.push(id);
     }
 
-    /// A task of the class was placed.
+    /// Adds a placed task to the usage of its class and team.
     pub fn task_placed(&mut self, id: ClassId, task: Resources) {
         let class = &mut self.classes[id.0 as usize];
         class.used += task;
         self.teams[class.team.0 as usize].used += task;
     }
 
-    /// A task of the class is proven to be off its machine.
+    /// Removes a task from the usage of its class and team, once it is proven absent from its
+    /// machine.
     pub fn task_gone(&mut self, id: ClassId, task: Resources) {
         let class = &mut self.classes[id.0 as usize];
         class.used = class.used.less(task);
@@ -196,18 +198,18 @@
         team.used = team.used.less(task);
     }
 
-    /// A placed task of the class was told to stop.
+    /// Marks the resources of a placed task as about to be released, because it was told to stop.
     pub fn task_stopping(&mut self, id: ClassId, task: Resources) {
         self.classes[id.0 as usize].stopping += task;
     }
 
-    /// A task that was told to stop has ended, or is gone.
+    /// Undoes [`Shares::task_stopping`] when the task has exited or is proven absent.
     pub fn task_stopped(&mut self, id: ClassId, task: Resources) {
         let class = &mut self.classes[id.0 as usize];
         class.stopping = class.stopping.less(task);
     }
 
-    /// The team of the class.
+    /// Returns the team to which the class belongs.
     pub fn team_of(&self, id: ClassId) -> TeamId {
         self.classes[id.0 as usize].team
     }
@@ -220,24 +222,25 @@
         self.teams[team.0 as usize].used
     }
 
-    /// What the class's tasks use that aren't proven gone.
+    /// Returns the resources used by the class's tasks that are not proven absent.
     pub fn class_used(&self, id: ClassId) -> Resources {
         self.classes[id.0 as usize].used
     }
 
-    /// The class's dominant share of the fleet.
+    /// Returns the class's dominant share of the fleet.
     pub fn class_share(&self, id: ClassId) -> f64 {
         self.class_used(id).dominant_share(self.fleet)
     }
 
-    /// What is left of the class's share once another such task is told to stop.
+    /// Returns the class's dominant share after all stopping tasks and one more such task have
+    /// gone.
     pub fn share_without(&self, id: ClassId, task: Resources) -> f64 {
         let class = &self.classes[id.0 as usize];
         class.used.less(class.stopping).less(task).dominant_share(self.fleet)
     }
 
-    /// Whether the class's team holds as much as its part of the fleet, were that divided between the
-    /// teams that have jobs.
+    /// Returns whether the class's team already holds its fair share: its weighted fraction of the
+    /// fleet, divided between all teams with jobs.
     pub fn has_fair_share(&self, id: ClassId) -> bool {
         let team = &self.teams[self.team_of(id).0 as usize];
         let with_jobs = self.teams.iter().filter(|team| team.jobs > 0);
@@ -246,7 +249,7 @@
         team.used.dominant_share(self.fleet) >= part
     }
 
-    /// The classes that hold most of the fleet, `max` at most, the largest share first.
+    /// Returns up to `max` classes with jobs, in descending order of their share.
     pub fn largest(&self, max: usize) -> Vec<HeldShare<'_>> {
         let with_jobs = self.classes.iter().filter(|class| class.jobs > 0);
         let mut held: Vec<HeldShare> = with_jobs
@@ -263,8 +266,8 @@
         held
     }
 
-    /// Entries in use, for tests of what is kept.
+    /// Returns the number of class entries in use. Tests check with it that no entry leaks.
     pub fn classes_kept(&self) -> usize {
-        self.classes.len() - self.free.len()
+        self.classes.len() - self.free_classes.len()
     }
 }
--- a/crates/admission/tests/transcripts.rs
+++ b/crates/admission/tests/transcripts.rs
@@ -1,8 +1,8 @@
-//! Transcripts of the admission: fixed scripts with every portion, share, turn and change, held against the
-//! files in `transcripts/`. `UPDATE_TRANSCRIPTS=1` writes the files anew, which only a change that is
-//! meant to change behaviour may do.
+//! Golden transcripts of the admission package: seeded scripts that record every portion, share,
+//! queue operation and state change, compared with the files in `transcripts/`.
+//! `UPDATE_TRANSCRIPTS=1` rewrites the files; do that only for an intended change of behaviour.
 //!
-//! What the scripts reach: `deal`, `shares` and `resources` (deal), `turns` (turns), `saturation`
+//! Coverage by script: `deal`, `shares` and `resources` (deal), `turns` (turns), `saturation`
 //! (saturation).
 
 #[path = "../../scheduler/tests/transcripts/golden.rs"]
@@ -21,9 +21,9 @@
 const RULES: Rules = Rules { portion: 1.0 / 64.0, floor: 0.1, all_floors: 0.5 };
 const SCRIPTS: [&str; 3] = ["deal", "turns", "saturation"];
 
-/// What has to be in the transcripts, all together, at least so often: nine tenths of what was in them when
-/// they were written.
-const REACHED: &[(&str, u64)] = &[
+/// Minimum number of lines of each kind over all transcripts: nine tenths of their number when the
+/// files were first written.
+const MIN_LINE_COUNTS: &[(&str, u64)] = &[
     ("ahead", 1_340),
     ("change entered", 27),
     ("change left", 26),
@@ -38,23 +38,23 @@
     ("retained", 122),
 ];
 
-/// A number with all of its bits, in decimal.
-fn exact(number: f64) -> String {
+/// Formats a number in decimal without loss of precision.
+fn format_exact(number: f64) -> String {
     format!("{number:e}")
 }
 
-struct Held {
+struct PlacedJob {
     class: ClassId,
     task: Resources,
     tasks: u32,
 }
 
-/// A fleet that is dealt out again and again while jobs come and go.
-struct Play {
+/// Simulation of a fleet that is divided again and again while jobs come and go.
+struct Simulation {
     transcript: Transcript,
     dice: Dice,
     shares: Shares,
-    held: Vec<Held>,
+    placed_jobs: Vec<PlacedJob>,
 }
 
 fn entitlements() -> HashMap<String, Entitlement> {
@@ -69,15 +69,15 @@
     ])
 }
 
-impl Play {
-    fn new() -> Play {
+impl Simulation {
+    fn new() -> Simulation {
         let mut shares = Shares::new(entitlements());
         shares.set_fleet(Resources { cpus: 1_000.0, gpus: 64.0, memory_gb: 4_000.0 });
         let transcript = Transcript::new("deal");
-        Play { transcript, dice: Dice::new(31), shares, held: Vec::new() }
+        Simulation { transcript, dice: Dice::new(31), shares, placed_jobs: Vec::new() }
     }
 
-    fn waiting(&mut self) -> Vec<Waiting> {
+    fn random_jobs(&mut self) -> Vec<Waiting> {
         (0..1 + self.dice.below(30))
             .map(|_| {
                 let team = format!("team-{}", self.dice.below(4));
@@ -92,63 +92,65 @@
             .collect()
     }
 
-    fn round(&mut self) {
+    fn run_round(&mut self) {
         self.transcript.next_step();
-        let jobs = self.waiting();
-        let mut left = self.dice.below(900) as f64;
-        let mut deal = ProgressiveFilling::new(&self.shares, jobs.iter().copied(), RULES);
-        let floors: Vec<String> = deal.floors().values().map(|floor| exact(*floor)).collect();
+        let jobs = self.random_jobs();
+        let mut free_cpus = self.dice.below(900) as f64;
+        let mut filling = ProgressiveFilling::new(&self.shares, jobs.iter().copied(), RULES);
+        let floors: Vec<String> =
+            filling.floors().values().map(|floor| format_exact(*floor)).collect();
         self.transcript.line("floors", &floors.join(" "));
         let mut placed = vec![0; jobs.len()];
-        while let Some(portion) = deal.next_portion() {
+        while let Some(portion) = filling.next_portion() {
             let job = jobs[portion.job];
-            let taken = portion.tasks.min(((left + 1e-6) / job.task.cpus) as u32);
-            left -= f64::from(taken) * job.task.cpus;
+            let taken = portion.tasks.min(((free_cpus + 1e-6) / job.task.cpus) as u32);
+            free_cpus -= f64::from(taken) * job.task.cpus;
             placed[portion.job] += taken;
-            deal.record_placed(taken);
+            filling.record_placed(taken);
             let kind = if portion.for_floor { "portion for a floor" } else { "portion" };
             let text = format!("job={} tasks={} taken={taken}", portion.job, portion.tasks);
             self.transcript.line(kind, &text);
         }
         for (job, tasks) in jobs.into_iter().zip(placed) {
             (0..tasks).for_each(|_| self.shares.task_placed(job.class, job.task));
-            self.held.push(Held { class: job.class, task: job.task, tasks });
+            self.placed_jobs.push(PlacedJob { class: job.class, task: job.task, tasks });
         }
-        self.tell_shares();
-        self.some_jobs_go();
+        self.record_shares();
+        self.remove_random_jobs();
     }
 
-    fn tell_shares(&mut self) {
+    fn record_shares(&mut self) {
         let largest = self.shares.largest(20);
-        let told: Vec<String> = largest
+        let held: Vec<String> = largest
             .into_iter()
             .map(|HeldShare { team, class, share }| {
-                format!("{team}/{} {}", class.unwrap_or("-"), exact(share))
+                format!("{team}/{} {}", class.unwrap_or("-"), format_exact(share))
             })
             .collect();
-        self.transcript.line("largest shares", &told.join("; "));
-        for at in 0..self.held.len().min(12) {
-            let held = &self.held[at];
-            let used = self.shares.class_used(held.class);
+        self.transcript.line("largest shares", &held.join("; "));
+        for at in 0..self.placed_jobs.len().min(12) {
+            let placed = &self.placed_jobs[at];
+            let used = self.shares.class_used(placed.class);
             let text = format!(
                 "{} {} {} {} {} {}",
-                exact(self.shares.class_share(held.class)),
-                exact(self.shares.share_without(held.class, held.task)),
-                self.shares.has_fair_share(held.class),
-                exact(used.cpus),
-                exact(used.gpus),
-                exact(used.memory_gb)
+                format_exact(self.shares.class_share(placed.class)),
+                format_exact(self.shares.share_without(placed.class, placed.task)),
+                self.shares.has_fair_share(placed.class),
+                format_exact(used.cpus),
+                format_exact(used.gpus),
+                format_exact(used.memory_gb)
             );
             self.transcript.line("class", &text);
         }
     }
 
-    /// Half of the jobs end, some of their tasks after they were asked to stop.
-    fn some_jobs_go(&mut self) {
-        let (gone, kept): (Vec<Held>, Vec<Held>) =
-            std::mem::take(&mut self.held).into_iter().partition(|_| self.dice.chance(55));
-        self.held = kept;
-        for Held { class, task, tasks } in gone {
+    /// Removes each job with a probability of 55 %. For 30 % of the removed jobs, all tasks are
+    /// told to stop first.
+    fn remove_random_jobs(&mut self) {
+        let (gone, kept): (Vec<PlacedJob>, Vec<PlacedJob>) =
+            std::mem::take(&mut self.placed_jobs).into_iter().partition(|_| self.dice.chance(55));
+        self.placed_jobs = kept;
+        for PlacedJob { class, task, tasks } in gone {
             let stopping = self.dice.chance(30);
             for _ in 0..tasks {
                 if stopping {
@@ -164,14 +166,14 @@
 }
 
 #[test]
-fn deal_is_as_it_was() {
-    let mut play = Play::new();
-    (0..300).for_each(|_| play.round());
-    play.transcript.hold_against_golden();
+fn progressive_filling_matches_the_golden_transcript() {
+    let mut simulation = Simulation::new();
+    (0..300).for_each(|_| simulation.run_round());
+    simulation.transcript.hold_against_golden();
 }
 
 #[test]
-fn turns_are_as_they_were() {
+fn round_robin_queue_matches_the_golden_transcript() {
     let mut transcript = Transcript::new("turns");
     let mut dice = Dice::new(32);
     let mut queue: RoundRobinQueue<usize, usize> = RoundRobinQueue::default();
@@ -186,9 +188,9 @@
             10..19 => {
                 let next = queue.peek().copied();
                 let popped = queue.pop();
-                let told = |entry: Option<usize>| entry.map_or("-".into(), |e| e.to_string());
-                let told: [String; 2] = [told(next), told(popped)];
-                transcript.line("popped", &told.join(" "));
+                let name = |entry: Option<usize>| entry.map_or("-".into(), |e| e.to_string());
+                let names: [String; 2] = [name(next), name(popped)];
+                transcript.line("popped", &names.join(" "));
             }
             _ => {
                 let part = 2 + dice.below(9);
@@ -201,10 +203,10 @@
 }
 
 #[test]
-fn saturation_is_as_it_was() {
+fn saturation_matches_the_golden_transcript() {
     let mut transcript = Transcript::new("saturation");
     let mut dice = Dice::new(33);
-    let at = Thresholds {
+    let limits = Thresholds {
         enter: 0.25,
         leave: 0.05,
         at_once: 1.5,
@@ -221,7 +223,7 @@
             level = dice.below(4);
         }
         let waiting = [0.0, 0.1, 0.3, 1.6][level];
-        let change = match saturation.observe(now, waiting, &at) {
+        let change = match saturation.observe(now, waiting, &limits) {
             None => "none",
             Some(Change::Entered) => "entered",
             Some(Change::Left) => "left",
@@ -232,6 +234,6 @@
 }
 
 #[test]
-fn the_transcripts_cover_what_they_did() {
-    golden::must_reach(&SCRIPTS, REACHED);
+fn transcripts_contain_the_minimum_number_of_lines() {
+    golden::must_reach(&SCRIPTS, MIN_LINE_COUNTS);
 }
--- a/crates/time/src/tests.rs
+++ b/crates/time/src/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn absurd_seconds_are_bounded() {
+fn out_of_range_seconds_are_clamped() {
     assert_eq!(TimeDelta::from_secs_f64(f64::NAN), TimeDelta::ZERO);
     assert_eq!(TimeDelta::from_secs_f64(-3.0), TimeDelta::ZERO);
     assert_eq!(TimeDelta::from_secs_f64(1.5), TimeDelta::from_millis(1500));
