--- a/crates/scheduler/src/autoscaling.rs
+++ b/crates/scheduler/src/autoscaling.rs
@@ -341,7 +341,7 @@
                     Some(&since) => since,
                     // Right after a failover nothing has been seen running yet. (Taken for work
                     // that frees nothing, it made a new leader rent three hundred dear machines.)
-                    None if self.cluster.placed_before(t) => self.cluster.began(now, t),
+                    None if self.cluster.predates_term(t) => self.cluster.run_started_at(now, t),
                     None => return false,
                 };
                 t.phase.placed() && run - now.since(since).as_secs_f64() < boot
@@ -473,7 +473,7 @@
                 && m.termination_sent_at.is_some_and(|t| now.since(t) > TERMINATION_RETRY);
             // A drained machine is returned when empty; a silent one is returned because it holds
             // tasks that nothing else can prove off it. One that never came up is just returned.
-            let hopeless = m.drain_reason.is_some_and(DrainReason::is_hopeless);
+            let hopeless = m.drain_reason.is_some_and(DrainReason::terminates_with_tasks);
             let due = m.state != MachineState::Terminated
                 && m.state != MachineState::Terminating
                 && (hopeless
--- a/crates/scheduler/src/queue/fair_share.rs
+++ b/crates/scheduler/src/queue/fair_share.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use walnutlug_admission::deal::{Deal, Rules, Waiting};
+use walnutlug_admission::deal::{ProgressiveFilling, Rules, Waiting};
 use walnutlug_admission::resources::Resources;
 use walnutlug_admission::saturation::{Change, Saturation, Thresholds};
 use walnutlug_admission::shares::{ClassId, Entitlement, Shares, TeamId};
@@ -113,7 +113,7 @@
         self.is_urgent(queue_key)
             && (queue_key.within_guarantee
                 || !self.fair_share.is_active()
-                || !self.cluster.shares.has_its_part(job.share_class()))
+                || !self.cluster.shares.has_fair_share(job.share_class()))
     }
 
     /// Whether one task less would leave the job's class with less than it keeps.
@@ -137,7 +137,7 @@
         self.examined.jobs += queue.len() as u64;
         let waiting =
             queue.iter().map(|&(queue_key, ix)| self.waiting(ix, queue_key.priority as u8));
-        let mut deal = Deal::new(&self.cluster.shares, waiting, self.rules());
+        let mut deal = ProgressiveFilling::new(&self.cluster.shares, waiting, self.rules());
         self.fair_share.floors = deal.floors();
         let mut blocked: Vec<(QueueKey, JobIndex)> = Vec::new();
         let mut preempting = 0;
@@ -151,7 +151,7 @@
             }
             let (queue_key, ix) = queue[portion.job];
             let (placed, stuck) = self.place_job(now, ix, &open, portion.tasks);
-            deal.taken(placed);
+            deal.record_placed(placed);
             if stuck {
                 let queue_key = QueueKey { aging: Aging::None, ..queue_key };
                 blocked.push((queue_key, ix));
@@ -198,7 +198,7 @@
             }
         });
         let rules = Rules { floor: 0.0, ..self.rules() };
-        let mut deal = Deal::new(&self.cluster.shares, waiting, rules);
+        let mut deal = ProgressiveFilling::new(&self.cluster.shares, waiting, rules);
         while let Some(portion) = deal.next_portion() {
             let &(queue_key, ix) = aged[portion.job];
             let Some(job) = self.cluster.job(ix) else { break };
@@ -208,7 +208,7 @@
                 _ => portion.tasks.min((room / cpus).max(0.0) as u32),
             };
             let (placed, stuck) = self.place_job(now, ix, open, most);
-            deal.taken(placed);
+            deal.record_placed(placed);
             room -= f64::from(placed) * cpus;
             if stuck && reserved.len() < max_reserved {
                 reserved.extend(self.machines_to_reserve(now, ix, &reserved, 1));
