--- a/crates/controller/src/node/fleet_role.rs
+++ b/crates/controller/src/node/fleet_role.rs
@@ -111,7 +111,7 @@
         let (scale_outs, scale_ins) = (adopted.scale_outs.len(), adopted.returns.len());
         info!(%term, scale_outs, scale_ins, "settling intents of former holders of the fleet role");
     }
-    for machine in &adopted.overruled {
+    for machine in &adopted.cancelled_scale_ins {
         warn!(%term, machine, "scale-in intent dropped: tasks were placed on the machine later"
         );
     }
--- a/crates/fencing/src/adoption.rs
+++ b/crates/fencing/src/adoption.rs
@@ -12,7 +12,7 @@
     pub returns: Vec<TerminatedMachine>,
     /// Machines whose recorded return is not carried out, since work was recorded on them after it, which
     /// only a version without fences does.
-    pub overruled: Vec<String>,
+    pub cancelled_scale_ins: Vec<String>,
     /// Records that were left as they are.
     pub faults: Vec<RecordError>,
 }
@@ -34,7 +34,7 @@
                 // was not when the return was recorded was put there by a version that reads no intents.
                 let in_use = |m: &TerminatedMachine| !m.holds_tasks && has_tasks(&m.machine);
                 let (used, gone): (Vec<_>, Vec<_>) = machines.into_iter().partition(in_use);
-                self.overruled.extend(used.into_iter().map(|m| m.machine));
+                self.cancelled_scale_ins.extend(used.into_iter().map(|m| m.machine));
                 self.returns.extend(gone.iter().cloned());
                 (!gone.is_empty()).then_some(Action::ScaleIn(gone))
             }
--- a/crates/fencing/tests/random_interleavings.rs
+++ b/crates/fencing/tests/random_interleavings.rs
@@ -314,7 +314,7 @@
         let mut new = holder(self.revision);
         let adopted =
             new.intent_log.adopt(self.now, &self.stored(), |name| self.in_use.contains(name));
-        assert!(adopted.faults.is_empty() && adopted.overruled.is_empty(), "{adopted:?}");
+        assert!(adopted.faults.is_empty() && adopted.cancelled_scale_ins.is_empty(), "{adopted:?}");
         let mut old = std::mem::replace(&mut self.holder, new);
         old.intent_log.tick(self.now, true);
         old.about_to = old.intent_log.take_commands();
@@ -407,6 +407,6 @@
     world.deliver(0, true, false);
     let mut next = holder(9);
     let adopted = next.intent_log.adopt(world.now, &world.stored(), |_| true);
-    assert_eq!(adopted.overruled, ["n-1"]);
+    assert_eq!(adopted.cancelled_scale_ins, ["n-1"]);
     assert!(!next.intent_log.is_scaling_in("n-1") && next.intent_log.is_scaling_in("n-2"));
 }
--- a/crates/fencing/tests/transcripts.rs
+++ b/crates/fencing/tests/transcripts.rs
@@ -323,7 +323,7 @@
             "rentals={} returns={} overruled={} faults={}",
             json_of(&adopted.scale_outs),
             json_of(&adopted.returns),
-            json_of(&adopted.overruled),
+            json_of(&adopted.cancelled_scale_ins),
             json_of(&faults)
         );
         self.line("adopted", &text);
