--- a/crates/controller/src/node/fleet_role.rs
+++ b/crates/controller/src/node/fleet_role.rs
@@ -83,7 +83,7 @@
     let now = node.now();
     let adopted = intent_log.adopt(now, &stored, |machine: &str| holds_tasks(scheduler, machine));
     log_adopted(term, &adopted);
-    for machine in &adopted.returns {
+    for machine in &adopted.scale_ins {
         scheduler.adopt_scale_in(now, &machine.machine);
     }
     for scale_out in &adopted.scale_outs {
@@ -107,8 +107,8 @@
 }
 
 fn log_adopted(term: Term, adopted: &Adopted) {
-    if !adopted.scale_outs.is_empty() || !adopted.returns.is_empty() {
-        let (scale_outs, scale_ins) = (adopted.scale_outs.len(), adopted.returns.len());
+    if !adopted.scale_outs.is_empty() || !adopted.scale_ins.is_empty() {
+        let (scale_outs, scale_ins) = (adopted.scale_outs.len(), adopted.scale_ins.len());
         info!(%term, scale_outs, scale_ins, "settling intents of former holders of the fleet role");
     }
     for machine in &adopted.cancelled_scale_ins {
--- a/crates/fencing/src/adoption.rs
+++ b/crates/fencing/src/adoption.rs
@@ -9,7 +9,7 @@
     /// Rentals that will be asked for again under their names.
     pub scale_outs: Vec<ScaleOut>,
     /// Machines whose recorded return is carried out.
-    pub returns: Vec<TerminatedMachine>,
+    pub scale_ins: Vec<TerminatedMachine>,
     /// Machines whose recorded return is not carried out, since work was recorded on them after it, which
     /// only a version without fences does.
     pub cancelled_scale_ins: Vec<String>,
@@ -35,7 +35,7 @@
                 let in_use = |m: &TerminatedMachine| !m.holds_tasks && has_tasks(&m.machine);
                 let (used, gone): (Vec<_>, Vec<_>) = machines.into_iter().partition(in_use);
                 self.cancelled_scale_ins.extend(used.into_iter().map(|m| m.machine));
-                self.returns.extend(gone.iter().cloned());
+                self.scale_ins.extend(gone.iter().cloned());
                 (!gone.is_empty()).then_some(Action::ScaleIn(gone))
             }
         }
--- a/crates/fencing/tests/golden_bytes.rs
+++ b/crates/fencing/tests/golden_bytes.rs
@@ -166,7 +166,7 @@
     let left: Vec<KeyValue> = vec![left_by_the_former()];
     let taken = successor.adopt(START, &left, |_| false);
     assert!(taken.faults.is_empty(), "the record is read");
-    assert_eq!((taken.scale_outs.len(), taken.returns.len()), (1, 1));
+    assert_eq!((taken.scale_outs.len(), taken.scale_ins.len()), (1, 1));
     for step in 0..40 {
         noted(&mut successor, START + TimeDelta::from_secs(step), &mut adopted);
     }
--- a/crates/fencing/tests/transcripts.rs
+++ b/crates/fencing/tests/transcripts.rs
@@ -322,7 +322,7 @@
         let text = format!(
             "rentals={} returns={} overruled={} faults={}",
             json_of(&adopted.scale_outs),
-            json_of(&adopted.returns),
+            json_of(&adopted.scale_ins),
             json_of(&adopted.cancelled_scale_ins),
             json_of(&faults)
         );
