--- a/crates/fencing/src/action_state.rs
+++ b/crates/fencing/src/action_state.rs
@@ -1,95 +1,101 @@
-//! One outside action's life as a state machine. `ActionState::next` is the only place that says which state
-//! follows.
+//! State machine of one cloud action. `ActionState::next` defines every transition.
+//!
 //!
 //! ```text
 //! unrecorded -> due <-> sent -> unlisted -> settled
 //!                         \-----------------^
 //! ```
 //!
-//! Nothing is sent before its record is stored, and an action whose outcome isn't known is sent again under the
-//! same name.
+//! An action is sent only after its record is stored. An action whose outcome is unknown is sent
+//! again under the same request name.
 
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 
-/// Pause before a write that was refused or whose answer was lost is sent again.
-pub(crate) const WRITE_RETRY: TimeDelta = TimeDelta::from_millis(300);
+/// Delay before a retry of a write that was rejected or whose outcome is unknown, and of an action
+/// that was never sent.
+pub(crate) const WRITE_RETRY_DELAY: TimeDelta = TimeDelta::from_millis(300);
 
-/// Pause before an action whose outcome isn't known is sent again; it doubles up to four times.
-pub(crate) const ACTION_RETRY: TimeDelta = TimeDelta::from_secs(2);
+/// Base delay before a retry of an action that was refused or whose outcome is unknown. It doubles
+/// with each unknown outcome.
+pub(crate) const ACTION_BACKOFF: TimeDelta = TimeDelta::from_secs(2);
 
-/// Doublings of [`ACTION_RETRY`].
-const MAX_DOUBLINGS: u32 = 3;
+/// Caps the delay between retries of an action at 16 s.
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
-/// Names an action for as long as the intent log lives.
+/// Identifies an action within one intent log: the record's number and the position in the record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ActionId {
     pub(crate) record: u64,
     pub(crate) index: usize,
 }
 
-/// What became of an action that was given out to be sent.
+/// Outcome of one attempt to send an action.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ActionAnswer {
-    /// Carried out.
+    /// The cloud carried out the action.
     Done,
-    /// Refused, so this copy of it is not carried out, now or later.
+    /// The cloud refused the request, so this attempt takes no effect, now or later.
     Refused,
-    /// It never left.
+    /// The request was not sent.
     NotSent,
-    /// No usable answer: it may be carried out at any time.
+    /// No usable response arrived: the request may take effect at any time.
     Unknown,
 }
 
-/// How an action stands.
+/// State of an action between its request and its settlement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ActionState {
-    /// Its record isn't stored yet.
+    /// The intent record is not stored yet.
     Unrecorded,
-    /// Recorded, and to be sent from then on.
+    /// The intent record is stored, and the action is sent at the next tick from `at` on.
     Due {
-        /// When it may be sent.
+        /// Earliest time of the next attempt.
         at: Timestamp,
-        /// Sends whose outcome isn't known.
+        /// Number of attempts whose outcome is unknown.
         unknown: u32,
     },
-    /// Given out to be sent.
+    /// An attempt is in progress and its outcome is not known yet.
     Sent {
-        /// Earlier sends whose outcome isn't known.
+        /// Number of earlier attempts whose outcome is unknown.
         unknown: u32,
     },
-    /// A scale-out that was carried out. Its record stays until the machines are on the cloud's list for certain:
-    /// until then the request's name is how a successor learns of them.
+    /// A scale-out was carried out, but the cloud's machine list may not show its machines yet.
+    /// Until it does, a successor learns of them only by repeating the request name, so the record
+    /// is kept.
     Unlisted {
-        /// When they are listed.
+        /// Time from which the machine list is certain to show the machines.
         until: Timestamp,
     },
-    /// Nothing is left to do.
+    /// Nothing remains to be done; the record can be deleted once all its actions are in this
+    /// state.
     Settled,
 }
 
-/// What can happen to an action.
+/// Event that can change the state of an action.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ActionEvent {
-    /// Its record is stored.
+    /// The intent record was stored.
     Recorded { now: Timestamp },
-    /// It is handed over to be sent.
+    /// An attempt to send the action begins.
     SendStarted,
-    /// It was carried out; its record is kept until then, if at all.
+    /// The cloud carried out the action. The record is kept until `keep_until`, if set.
     Completed { keep_until: Option<Timestamp> },
-    /// It was refused, and is sent again then, if at all.
+    /// The cloud refused the request. The action is sent again at `retry_at`, or is settled without
+    /// one.
     Refused { retry_at: Option<Timestamp> },
-    /// It never left.
+    /// The request was not sent.
     NotSent { now: Timestamp },
-    /// No usable answer came.
+    /// No usable response arrived, so the outcome is unknown.
     Unknown { now: Timestamp },
-    /// The scheduler wants it once more.
+    /// The scheduler requested the same action again.
     RequestedAgain { now: Timestamp },
-    /// Its machines are on the cloud's list for certain.
+    /// The cloud's machine list is certain to show the machines of a scale-out, or one of them was
+    /// returned.
     Listed,
 }
 
 impl ActionState {
-    /// The state that follows, or `None` where the event changes nothing.
+    /// Returns the next state, or `None` if the event doesn't apply in this state.
     pub(crate) fn next(self, event: ActionEvent) -> Option<ActionState> {
         match (self, event) {
             (ActionState::Unrecorded, ActionEvent::Recorded { now }) => {
@@ -108,11 +114,11 @@
                 Some(retry_at.map_or(ActionState::Settled, |at| ActionState::Due { at, unknown }))
             }
             (ActionState::Sent { unknown }, ActionEvent::NotSent { now }) => {
-                Some(ActionState::Due { at: now + WRITE_RETRY, unknown })
+                Some(ActionState::Due { at: now + WRITE_RETRY_DELAY, unknown })
             }
             (ActionState::Sent { unknown }, ActionEvent::Unknown { now }) => {
-                let pause = TimeDelta(ACTION_RETRY.0 << unknown.min(MAX_DOUBLINGS));
-                Some(ActionState::Due { at: now + pause, unknown: unknown + 1 })
+                let delay = TimeDelta(ACTION_BACKOFF.0 << unknown.min(MAX_BACKOFF_DOUBLINGS));
+                Some(ActionState::Due { at: now + delay, unknown: unknown + 1 })
             }
             (ActionState::Unlisted { .. }, ActionEvent::Listed) => Some(ActionState::Settled),
             _ => None,
--- a/crates/fencing/src/adoption.rs
+++ b/crates/fencing/src/adoption.rs
@@ -1,24 +1,25 @@
-//! What a new holder takes over from what former holders recorded.
+//! Adopts the cloud actions that earlier holders of a role recorded.
 
 use crate::intent::{Action, ScaleOut, TerminatedMachine};
 use crate::leased_role::RecordError;
 
-/// What a new holder takes over.
+/// Outcome of adopting the intent records of earlier holders.
 #[derive(Debug, Default)]
 pub struct Adopted {
-    /// Rentals that will be asked for again under their names.
+    /// Scale-outs that are requested again under their original request names.
     pub scale_outs: Vec<ScaleOut>,
-    /// Machines whose recorded return is carried out.
+    /// Machines whose recorded scale-in is still to be carried out.
     pub scale_ins: Vec<TerminatedMachine>,
-    /// Machines whose recorded return is not carried out, since work was recorded on them after it, which
-    /// only a version without fences does.
+    /// Machines whose recorded scale-in is not carried out because tasks were placed on them
+    /// afterwards. Only a version without fencing does that.
     pub cancelled_scale_ins: Vec<String>,
-    /// Records that were left as they are.
+    /// Errors of the records that can't be acted on and stay in the store unchanged.
     pub faults: Vec<RecordError>,
 }
 
 impl Adopted {
-    /// What is left to do of an action that another epoch recorded.
+    /// Adds an action recorded under an earlier epoch to the outcome. Returns the part of it that
+    /// remains to be carried out, if any.
     pub(crate) fn adopt(
         &mut self,
         action: Action,
@@ -30,13 +31,14 @@
                 Some(Action::ScaleOut(scale_out))
             }
             Action::ScaleIn(machines) => {
-                // No holder puts work on a machine whose return is recorded. Work that is there now and
-                // was not when the return was recorded was put there by a version that reads no intents.
-                let in_use = |m: &TerminatedMachine| !m.holds_tasks && has_tasks(&m.machine);
-                let (used, gone): (Vec<_>, Vec<_>) = machines.into_iter().partition(in_use);
-                self.cancelled_scale_ins.extend(used.into_iter().map(|m| m.machine));
-                self.scale_ins.extend(gone.iter().cloned());
-                (!gone.is_empty()).then_some(Action::ScaleIn(gone))
+                // A holder never places tasks on a machine whose scale-in is recorded. Tasks that
+                // appeared after the recording were placed by a version that doesn't read intents.
+                let gained_tasks = |m: &TerminatedMachine| !m.holds_tasks && has_tasks(&m.machine);
+                let (cancelled, remaining): (Vec<_>, Vec<_>) =
+                    machines.into_iter().partition(gained_tasks);
+                self.cancelled_scale_ins.extend(cancelled.into_iter().map(|m| m.machine));
+                self.scale_ins.extend(remaining.iter().cloned());
+                (!remaining.is_empty()).then_some(Action::ScaleIn(remaining))
             }
         }
     }
--- a/crates/fencing/src/fence.rs
+++ b/crates/fencing/src/fence.rs
@@ -1,11 +1,12 @@
-//! Writes that take effect only while the writer still holds its role.
+//! Transactions that commit only while the writer still holds its role.
 
 use walnutlug_scheduler::protocol::key_value::{Compare, Operation, Transaction};
 use walnutlug_scheduler::storage::revision::Revision;
 
 use crate::leased_role::{Epoch, LeasedRole};
 
-/// What every write of a role's holder is conditional on. There is none without an epoch.
+/// Precondition of every write by a role's holder: the role key still has the holder's epoch as its
+/// revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fence {
     role: LeasedRole,
@@ -13,17 +14,17 @@
 }
 
 impl Fence {
-    /// The fence of the role, held under that epoch.
+    /// Creates the fence for a role that is held under the given epoch.
     pub fn new(role: LeasedRole, epoch: Epoch) -> Fence {
         Fence { role, epoch }
     }
 
-    /// The epoch that the writes are fenced by.
+    /// Returns the epoch that the writes are conditional on.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// The role whose writes these are.
+    /// Returns the role that the writes belong to.
     pub fn role(&self) -> LeasedRole {
         self.role
     }
@@ -32,48 +33,51 @@
         Compare { key: self.role.key(), revision: self.epoch.revision() }
     }
 
-    /// Whether one of these failed conditions means that the role is another's now.
+    /// Returns whether the failed preconditions include the fence, which means that the role is
+    /// lost.
     pub fn is_broken_by(&self, failed: &[String]) -> bool {
         failed.contains(&self.role.key())
     }
 }
 
-/// A transaction in the making, under a fence. Nothing else makes a role's writes, so none goes round it.
+/// Builder of a transaction that is conditional on a fence. All writes of a role are built here, so
+/// none is unfenced.
 #[derive(Debug)]
 pub struct FencedWrite {
     transaction: Transaction,
 }
 
 impl FencedWrite {
-    /// An empty write under the fence.
+    /// Creates a transaction with the fence as its only precondition and no operations.
     pub fn new(fence: &Fence) -> FencedWrite {
         FencedWrite {
             transaction: Transaction { compares: vec![fence.compare()], operations: Vec::new() },
         }
     }
 
-    /// Adds a key that must not exist yet.
-    pub fn create(&mut self, key: &str, change: Operation) {
+    /// Adds an operation on a key that must not exist yet.
+    pub fn create(&mut self, key: &str, operation: Operation) {
         self.transaction.compares.push(Compare { key: key.to_owned(), revision: Revision::NONE });
-        self.transaction.operations.push(change);
+        self.transaction.operations.push(operation);
     }
 
-    /// Adds a change to a key that nobody but the role's holder writes.
-    pub fn change(&mut self, change: Operation) {
-        self.transaction.operations.push(change);
+    /// Adds an operation on a key that only the role's holder writes, so that the fence is
+    /// precondition enough.
+    pub fn change(&mut self, operation: Operation) {
+        self.transaction.operations.push(operation);
     }
 
-    /// How many changes it makes.
+    /// Returns the number of operations.
     pub fn len(&self) -> usize {
         self.transaction.operations.len()
     }
 
-    /// Whether it changes nothing.
+    /// Returns whether the transaction has no operations.
     pub fn is_empty(&self) -> bool {
         self.transaction.operations.is_empty()
     }
 
-    /// The transaction to send.
+    /// Returns the finished transaction.
     pub fn into_transaction(self) -> Transaction {
         self.transaction
     }
--- a/crates/fencing/src/intent_log.rs
+++ b/crates/fencing/src/intent_log.rs
@@ -1,7 +1,9 @@
-//! The holder's list of outside actions: what it wants done, what is recorded, what was sent, what is settled.
+//! Log of the cloud actions of a role's holder, from the request through the record and the sending
+//! to the settlement.
 //!
-//! An action passes through the states of [`crate::action_state`]. Nothing is sent before its record is stored. A record goes when all of its actions are
-//! settled; what a former holder left is taken over as it was recorded and settled like the holder's own.
+//! Each action passes through the states of [`crate::action_state`] and is sent only after its
+//! record is stored. A record is deleted when all of its actions are settled. A new holder adopts
+//! the records of earlier holders unchanged and settles them like its own.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,63 +13,66 @@
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 
 use crate::action_state::{
-    ActionAnswer, ActionEvent, ActionId, ActionState, ACTION_RETRY, WRITE_RETRY,
+    ActionAnswer, ActionEvent, ActionId, ActionState, ACTION_BACKOFF, WRITE_RETRY_DELAY,
 };
 use crate::adoption::Adopted;
 use crate::fence::{Fence, FencedWrite};
 use crate::intent::{intent_key, Action, IntentRecord, ScaleOut, StoredIntent, TerminatedMachine};
 use crate::leased_role::EpochError;
 
-/// How long settled records wait for a write to go along with.
+/// Time that a settled record waits to be deleted along with another write. After that it is
+/// deleted by a write of its own.
 const DELETE_DELAY: TimeDelta = TimeDelta::from_secs(2);
-/// Bytes of a stored record beside its actions.
-const RECORD_OVERHEAD: usize = 64;
-/// Actions that may wait or be open at once; beyond this many nothing more is taken on. A fleet of some
-/// thousands has a few dozen.
-const MAX_OPEN: usize = 4_096;
+/// Size allowed for a stored record besides its actions.
+const RECORD_OVERHEAD_BYTES: usize = 64;
+/// Maximum number of unsettled actions; further requests are rejected. A fleet of some thousands of
+/// machines has a few dozen.
+const MAX_OPEN_ACTIONS: usize = 4_096;
 
-/// What the intent log wants done.
+/// Command that the caller carries out for the intent log.
 #[derive(Debug, Clone, PartialEq)]
 pub enum IntentLogCommand {
-    /// Send the transaction and answer with [`IntentLog::written`].
+    /// Asks the caller to commit the transaction and to report the outcome to
+    /// [`IntentLog::written`].
     Write {
-        /// Names the write.
+        /// Identifies the write in the report.
         id: u64,
-        /// What to send.
+        /// Transaction that creates and deletes records, conditional on the fence.
         transaction: Transaction,
     },
-    /// Check the lease, send the action, and answer with [`IntentLog::answered`].
+    /// Asks the caller to check the lease, send the action, and report the outcome to
+    /// [`IntentLog::answered`].
     Send {
-        /// Names the action.
+        /// Identifies the action in the report.
         id: ActionId,
-        /// What to send.
+        /// Request to make of the cloud.
         action: Action,
     },
 }
 
-/// Why the intent log does nothing any more.
+/// Reason why the intent log has stopped. It issues no commands from then on.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Stopped {
-    /// A write found that the role is another's.
-    #[error("the role is held under another epoch now")]
+    /// A write failed because the role key no longer has this epoch.
+    #[error("the role is no longer held under this epoch")]
     Fenced,
-    /// A stored intent is of this epoch or a later one, though this one is the newest.
+    /// A stored intent has this epoch or a later one, although this epoch should be the newest.
     #[error(transparent)]
     Epoch(#[from] EpochError),
 }
 
 #[derive(Debug)]
-struct Tracked {
+struct TrackedAction {
     action: Action,
     state: ActionState,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RecordState {
-    /// Its write is under way, or has to be sent again.
+    /// The write that creates the record is in progress or is due for a retry.
     Writing,
     Stored,
-    /// All of its actions are settled; since then it waits to be deleted.
+    /// All actions are settled, and the record waits to be deleted.
     Settled {
         since: Timestamp,
     },
@@ -78,7 +83,7 @@
 struct Record {
     key: String,
     state: RecordState,
-    actions: Vec<Tracked>,
+    actions: Vec<TrackedAction>,
 }
 
 #[derive(Debug)]
@@ -90,27 +95,28 @@
     retry_at: Option<Timestamp>,
 }
 
-/// What the key-value store takes at once.
+/// Limits of the key-value store for one transaction.
 #[derive(Debug, Clone, Copy)]
 pub struct WriteLimits {
-    /// The largest value.
+    /// Maximum size of a value, in bytes.
     pub value_bytes: usize,
-    /// The most changes of a transaction.
+    /// Maximum number of operations in a transaction.
     pub txn_ops: usize,
 }
 
-/// The outside actions of one holding of a role.
+/// Cloud actions of a role's holder under one epoch, with their intent records.
 #[derive(Debug)]
 pub struct IntentLog {
     fence: Fence,
     limits: WriteLimits,
-    /// How long after a scale-out its machines are on the cloud's list for certain.
+    /// Time after a scale-out from which the cloud's machine list is certain to show its machines.
     listed_within: TimeDelta,
     requested: Vec<Action>,
     records: BTreeMap<u64, Record>,
-    /// Machines named by a return that is not settled, with the action.
+    /// Machines of recorded scale-ins that are not settled, with the action that returns them.
     returning: BTreeMap<String, ActionId>,
-    /// Machines of scale-outs whose records stay until they are listed.
+    /// Machines that the cloud's machine list may not show yet, with the scale-out whose record is
+    /// kept for them.
     unlisted: BTreeMap<String, ActionId>,
     write: Option<PendingWrite>,
     next_record: u64,
@@ -120,7 +126,8 @@
 }
 
 impl IntentLog {
-    /// With nothing to do. What former holders left has to be adopted before anything else.
+    /// Creates an empty log. Call [`IntentLog::adopt`] with the records of earlier holders before
+    /// any other method.
     pub fn new(fence: Fence, limits: WriteLimits, listed_within: TimeDelta) -> IntentLog {
         IntentLog {
             fence,
@@ -138,35 +145,36 @@
         }
     }
 
-    /// The fence of its writes.
+    /// Returns the fence that every write of the log is conditional on.
     pub fn fence(&self) -> &Fence {
         &self.fence
     }
 
-    /// Why it does nothing any more, if so.
+    /// Returns the reason why the log has stopped, or `None` while it is active.
     pub fn stopped(&self) -> Option<&Stopped> {
         self.stopped.as_ref()
     }
 
-    /// The key-value store takes that much at once from now on.
+    /// Sets the limits of the key-value store for writes that are built from now on.
     pub fn set_limits(&mut self, limits: WriteLimits) {
         self.limits = limits;
     }
 
-    /// What is to be done now.
+    /// Returns the commands issued since the last call, for the caller to carry out.
     pub fn take_commands(&mut self) -> Vec<IntentLogCommand> {
         std::mem::take(&mut self.commands)
     }
 
-    /// How many actions wait or are not settled.
+    /// Returns the number of actions that are waiting for a record or are recorded and not settled.
     pub fn open_actions(&self) -> usize {
-        let open = |t: &&Tracked| t.state != ActionState::Settled;
+        let open = |t: &&TrackedAction| t.state != ActionState::Settled;
         let recorded: usize =
             self.records.values().map(|record| record.actions.iter().filter(open).count()).sum();
         recorded + self.requested.len()
     }
 
-    /// Takes over what earlier epochs left. `has_tasks` tells on which machines work is recorded.
+    /// Adopts the records that holders under earlier epochs left. `has_tasks` returns whether tasks
+    /// are recorded on a machine.
     pub fn adopt(
         &mut self,
         now: Timestamp,
@@ -211,50 +219,54 @@
                 self.returning.extend(machines.iter().map(|m| (m.machine.clone(), id)));
             }
         }
-        let first = match state {
+        let initial_state = match state {
             RecordState::Writing => ActionState::Unrecorded,
             _ => ActionState::Due { at: now, unknown: 0 },
         };
-        let actions = actions.into_iter().map(|action| Tracked { action, state: first }).collect();
+        let actions = actions
+            .into_iter()
+            .map(|action| TrackedAction { action, state: initial_state })
+            .collect();
         self.records.insert(number, Record { key, state, actions });
         self.settle_record(now, number);
     }
 
-    /// Wants machines rented. Whether it will see to it.
+    /// Requests machines. Returns `false` if the log has stopped or has too many open actions.
     pub fn scale_out(&mut self, scale_out: ScaleOut) -> bool {
-        let taken = self.stopped.is_none() && self.open_actions() < MAX_OPEN;
+        let taken = self.stopped.is_none() && self.open_actions() < MAX_OPEN_ACTIONS;
         if taken {
             self.requested.push(Action::ScaleOut(scale_out));
         }
         taken
     }
 
-    /// Wants machines returned. What is recorded already is sent again, if its outcome isn't known. How
-    /// many requests come of it.
+    /// Requests the return of machines, and returns the number of cloud requests to expect. A
+    /// return that is recorded already is sent again at the next tick, unless an attempt is in
+    /// progress.
     pub fn scale_in(&mut self, now: Timestamp, machines: Vec<TerminatedMachine>) -> usize {
-        if self.stopped.is_some() || self.open_actions() >= MAX_OPEN {
+        if self.stopped.is_some() || self.open_actions() >= MAX_OPEN_ACTIONS {
             return 0;
         }
-        let mut again = BTreeSet::new();
+        let mut resend = BTreeSet::new();
         let mut new = Vec::new();
         for machine in machines {
             match self.returning.get(&machine.machine) {
                 Some(&id) => {
-                    again.insert(id);
+                    resend.insert(id);
                 }
                 None if self.is_scale_in_requested(&machine.machine) => {}
                 None => new.push(machine),
             }
         }
-        let resent = again.into_iter().filter(|&id| {
-            self.apply(id, ActionEvent::RequestedAgain { now }) // Not while it is under way.
+        let resent_count = resend.into_iter().filter(|&id| {
+            self.apply(id, ActionEvent::RequestedAgain { now }) // Ignored while it is in progress.
         });
-        let resent = resent.count();
-        let more = usize::from(!new.is_empty());
+        let resent_count = resent_count.count();
+        let queued_count = usize::from(!new.is_empty());
         if !new.is_empty() {
             self.requested.push(Action::ScaleIn(new));
         }
-        resent + more
+        resent_count + queued_count
     }
 
     fn is_scale_in_requested(&self, machine: &str) -> bool {
@@ -264,13 +276,13 @@
         })
     }
 
-    /// Whether a return of the machine is wanted or recorded and not settled.
+    /// Returns whether the machine's return is requested or recorded and not settled.
     pub fn is_scaling_in(&self, machine: &str) -> bool {
         self.returning.contains_key(machine) || self.is_scale_in_requested(machine)
     }
 
-    /// Writes what is to be recorded or deleted, and, while the lease is certainly held, gives out what may
-    /// be sent. (It is looked at again directly before sending.)
+    /// Issues the next write of records, and, if `holds_lease`, the actions that are due. The
+    /// caller checks the lease once more directly before sending.
     pub fn tick(&mut self, now: Timestamp, holds_lease: bool) {
         if self.stopped.is_some() {
             return;
@@ -292,8 +304,8 @@
 
     fn send_due_actions(&mut self, now: Timestamp) {
         let mut due = Vec::new();
-        for (&record, kept) in &self.records {
-            for (index, tracked) in kept.actions.iter().enumerate() {
+        for (&record, entry) in &self.records {
+            for (index, tracked) in entry.actions.iter().enumerate() {
                 if matches!(tracked.state, ActionState::Due { at, .. } if now >= at) {
                     due.push((ActionId { record, index }, tracked.action.clone()));
                 }
@@ -306,12 +318,13 @@
         }
     }
 
-    /// One transaction with all that waits, as far as the limits allow.
+    /// Creates records for waiting requests and deletes settled records in one transaction, as far
+    /// as the limits allow.
     fn start_write(&mut self, now: Timestamp) {
         let mut write = FencedWrite::new(&self.fence);
         let created = self.create_records(now, &mut write);
         let overdue = |record: &Record| matches!(record.state, RecordState::Settled { since } if now.since(since) >= DELETE_DELAY);
-        // Drops go along with what has to be written anyway, or wait for each other.
+        // Deletions share a transaction with new records, or are collected until one is overdue.
         let mut deleted = Vec::new();
         if !created.is_empty() || self.records.values().any(overdue) {
             for (&number, record) in &mut self.records {
@@ -351,25 +364,27 @@
         created
     }
 
-    /// As many requests of one kind as fit into a record.
+    /// Takes as many requests of one kind from the front of the queue as fit into a record.
     fn take_requested(&mut self) -> Vec<Action> {
-        let room = self.limits.value_bytes.saturating_sub(RECORD_OVERHEAD);
-        self.split_first_request(room);
+        let max_bytes = self.limits.value_bytes.saturating_sub(RECORD_OVERHEAD_BYTES);
+        self.split_first_request(max_bytes);
         let Some(first) = self.requested.first() else { return Vec::new() };
         let kind = std::mem::discriminant(first);
         let mut bytes = 0;
         let fits = |request: &&Action| {
             bytes += Document::new(request).size() + 1;
-            std::mem::discriminant(*request) == kind && bytes <= room
+            std::mem::discriminant(*request) == kind && bytes <= max_bytes
         };
         let count = self.requested.iter().take_while(fits).count().max(1);
         self.requested.drain(..count).collect()
     }
 
-    /// A return of more machines than a record has room for is made two.
-    fn split_first_request(&mut self, room: usize) {
+    /// Splits a scale-in at the front of the queue in halves until its machines fit into a record.
+    fn split_first_request(&mut self, max_bytes: usize) {
         while let Some(Action::ScaleIn(machines)) = self.requested.first_mut() {
-            if machines.len() < 2 || Document::new(machines).size() + RECORD_OVERHEAD <= room {
+            if machines.len() < 2
+                || Document::new(machines).size() + RECORD_OVERHEAD_BYTES <= max_bytes
+            {
                 return;
             }
             let rest = machines.split_off(machines.len() / 2);
@@ -377,25 +392,26 @@
         }
     }
 
-    /// The answer to [`IntentLogCommand::Write`].
+    /// Handles the outcome of [`IntentLogCommand::Write`].
     pub fn written(&mut self, now: Timestamp, id: u64, outcome: &TransactionOutcome) {
         let Some(mut write) = self.write.take_if(|write| write.id == id) else { return };
         match outcome {
-            TransactionOutcome::Committed { .. } => self.stored(now, &write),
+            TransactionOutcome::Committed { .. } => self.write_committed(now, &write),
             TransactionOutcome::Conflict { failed } if self.fence.is_broken_by(failed) => {
                 self.stopped = Some(Stopped::Fenced);
             }
-            // Nobody else makes keys of this epoch: an earlier copy was carried out, all of it.
-            TransactionOutcome::Conflict { .. } => self.stored(now, &write),
+            // No other node creates keys of this epoch, so an earlier attempt of this write was
+            // committed, and with all its operations.
+            TransactionOutcome::Conflict { .. } => self.write_committed(now, &write),
             TransactionOutcome::Rejected | TransactionOutcome::Indeterminate => {
-                write.retry_at = Some(now + WRITE_RETRY);
+                write.retry_at = Some(now + WRITE_RETRY_DELAY);
                 self.write = Some(write);
             }
-            TransactionOutcome::TooLarge => self.request_again(now, &write),
+            TransactionOutcome::TooLarge => self.requeue_actions(now, &write),
         }
     }
 
-    fn stored(&mut self, now: Timestamp, write: &PendingWrite) {
+    fn write_committed(&mut self, now: Timestamp, write: &PendingWrite) {
         for number in &write.deleted {
             self.records.remove(number);
         }
@@ -408,8 +424,9 @@
         }
     }
 
-    /// The transaction is over the limits and certainly not carried out: its actions are requests again.
-    fn request_again(&mut self, now: Timestamp, write: &PendingWrite) {
+    /// Puts the actions of a write back into the queue. The store rejected the write as too large,
+    /// so it was certainly not committed.
+    fn requeue_actions(&mut self, now: Timestamp, write: &PendingWrite) {
         for number in &write.created {
             let Some(record) = self.records.remove(number) else { continue };
             self.returning.retain(|_, id| id.record != *number);
@@ -422,7 +439,8 @@
         }
     }
 
-    /// The answer to [`IntentLogCommand::Send`]; of a scale-out, with the machines that were rented.
+    /// Handles the outcome of [`IntentLogCommand::Send`]. `rented` names the machines that a
+    /// scale-out obtained.
     pub fn answered(
         &mut self,
         now: Timestamp,
@@ -431,43 +449,44 @@
         rented: &[String],
     ) {
         let Some(action) = self.action(id).map(|tracked| &tracked.action) else { return };
-        let rents = matches!(action, Action::ScaleOut(_));
-        let input = match answer {
-            ActionAnswer::Done if rents && !rented.is_empty() => {
+        let is_scale_out = matches!(action, Action::ScaleOut(_));
+        let event = match answer {
+            ActionAnswer::Done if is_scale_out && !rented.is_empty() => {
                 ActionEvent::Completed { keep_until: Some(now + self.listed_within) }
             }
             ActionAnswer::Done => ActionEvent::Completed { keep_until: None },
-            // A machine has to go all the same; what can't be rented now is asked for anew, if it is
-            // still wanted then.
-            ActionAnswer::Refused if rents => ActionEvent::Refused { retry_at: None },
-            ActionAnswer::Refused => ActionEvent::Refused { retry_at: Some(now + ACTION_RETRY) },
+            // A refused scale-in is retried because the machines must still be returned. A refused
+            // scale-out is settled: the scheduler requests machines anew if it still needs them.
+            ActionAnswer::Refused if is_scale_out => ActionEvent::Refused { retry_at: None },
+            ActionAnswer::Refused => ActionEvent::Refused { retry_at: Some(now + ACTION_BACKOFF) },
             ActionAnswer::NotSent => ActionEvent::NotSent { now },
             ActionAnswer::Unknown => ActionEvent::Unknown { now },
         };
-        if !self.apply(id, input) {
+        if !self.apply(id, event) {
             return;
         }
-        if matches!(input, ActionEvent::Completed { .. }) {
+        if matches!(event, ActionEvent::Completed { .. }) {
             self.unlisted.extend(rented.iter().map(|machine| (machine.clone(), id)));
-            self.forget_returned(now, id);
+            self.forget_returned_machines(now, id);
         }
         self.settle_record(now, id.record);
     }
 
-    /// Machines that are gone: a successor that asked for their scale-out again would count on them.
-    fn forget_returned(&mut self, now: Timestamp, id: ActionId) {
+    /// Stops tracking the machines of a completed scale-in. The scale-out that rented one of them
+    /// need not be kept either: a successor that repeated it would count on machines that are gone.
+    fn forget_returned_machines(&mut self, now: Timestamp, id: ActionId) {
         let Some(Action::ScaleIn(machines)) = self.action(id).map(|t| t.action.clone()) else {
             return;
         };
         for TerminatedMachine { machine, .. } in machines {
             self.returning.remove(&machine);
             if let Some(scale_out) = self.unlisted.remove(&machine) {
-                self.listed(now, scale_out);
+                self.stop_waiting_for_list(now, scale_out);
             }
         }
     }
 
-    fn listed(&mut self, now: Timestamp, scale_out: ActionId) {
+    fn stop_waiting_for_list(&mut self, now: Timestamp, scale_out: ActionId) {
         if self.apply(scale_out, ActionEvent::Listed) {
             self.unlisted.retain(|_, id| *id != scale_out);
             self.settle_record(now, scale_out.record);
@@ -479,12 +498,12 @@
         for id in scale_outs {
             let state = self.action(id).map(|tracked| tracked.state);
             if matches!(state, Some(ActionState::Unlisted { until }) if now >= until) {
-                self.listed(now, id);
+                self.stop_waiting_for_list(now, id);
             }
         }
     }
 
-    fn action(&self, id: ActionId) -> Option<&Tracked> {
+    fn action(&self, id: ActionId) -> Option<&TrackedAction> {
         self.records.get(&id.record)?.actions.get(id.index)
     }
 
--- a/crates/fencing/src/lease.rs
+++ b/crates/fencing/src/lease.rs
@@ -1,123 +1,127 @@
-//! A node's own view of a lease that it holds a role by. [`RoleLease::step`] makes every change.
+//! A node's view of the lease under which it holds a role. [`RoleLease::step`] makes every state
+//! change.
 //!
-//! The key-value store ends a lease a full `ttl` after the last renewal that it carried out, which is after the
-//! renewal was sent. So a holder that counts from the sending, and allows for its clock being slow, stops
-//! before the service lets anybody else in, and needs no message for that.
+//! The key-value store expires a lease one full `ttl` after the last renewal that it processed,
+//! which is later than the renewal was sent. A holder that counts from the time of sending, and
+//! allows for a slow clock, therefore stops before the store admits another holder, and needs no
+//! message to do so.
 
 use walnutlug_scheduler::storage::revision::Revision;
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 
 use crate::leased_role::{Epoch, EpochError};
 
-/// How far apart the steady clocks of two machines may drift, as a part of the time that passed: 0.05%, by
-/// the protocol, on either side.
-const DRIFT: f64 = 0.001;
-/// What a timer's step may add on either side.
-const CLOCK_STEP: TimeDelta = TimeDelta::from_millis(2);
+/// Maximum drift between the monotonic clocks of two machines, as a fraction of the elapsed time.
+/// The protocol allows 0.05% on either side.
+const MAX_CLOCK_DRIFT: f64 = 0.001;
+/// Error that the timer resolution may add on either side.
+const TIMER_ERROR: TimeDelta = TimeDelta::from_millis(2);
 
-/// For how long after a renewal was sent the lease is certainly held.
+/// Returns how long the lease is certainly held, counted from the sending of a renewal.
 pub fn safe_lease_time(ttl: TimeDelta) -> TimeDelta {
-    ttl - ttl.mul_f64(DRIFT) - CLOCK_STEP
+    ttl - ttl.mul_f64(MAX_CLOCK_DRIFT) - TIMER_ERROR
 }
 
-/// How a role stands at this node.
+/// State of a role at this node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseState {
-    /// Not held here.
+    /// This node neither holds the role nor tries to acquire it.
     Idle,
-    /// A lease was granted on a request sent then; the role's key is being created.
+    /// A lease was granted, and the creation of the role key is in progress.
     Acquiring {
-        /// When the lease was asked for.
+        /// When the lease request was sent.
         sent: Timestamp,
     },
-    /// Held under the epoch; certainly so until then. After that it may be: nothing is done meanwhile, and
-    /// a renewal that the service still takes shows that nobody else came in.
+    /// The role is held, certainly so until `until`. After that it may still be held: the holder
+    /// does not act, and a renewal that the store accepts shows that no other node acquired the
+    /// role.
     Held {
-        /// The epoch.
+        /// Epoch under which the role is held.
         epoch: Epoch,
-        /// Up to when the lease can't have ended.
+        /// Time before which the lease can't have expired.
         until: Timestamp,
     },
-    /// Something is wrong with the epochs: this node doesn't hold the role again in this life.
+    /// The epoch of an acquired role was invalid. This process does not acquire the role again.
     Stopped {
-        /// What is wrong.
+        /// Why the epoch is invalid.
         error: EpochError,
     },
 }
 
-/// What happens to a lease.
+/// Event that can change the state of a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseInput {
-    /// The service granted a lease on a request sent then.
+    /// The store granted a lease.
     Granted {
-        /// When it was asked for.
+        /// When the lease request was sent.
         sent: Timestamp,
     },
-    /// The role's key was created, or read back as this node's own, with this revision.
+    /// The role key was created by this node, or was read back as its own after an unknown outcome.
     Won {
-        /// The key's revision.
+        /// Revision of the role key, which becomes the epoch.
         revision: Revision,
     },
-    /// Somebody else was first, or the attempt failed.
+    /// The role key could not be created: another node was first, or the request failed.
     Failed,
-    /// A renewal sent then was answered.
+    /// The store accepted a renewal of the lease.
     Renewed {
-        /// When it was sent.
+        /// When the renewal was sent.
         sent: Timestamp,
     },
-    /// The lease ended, the key is another's, or the role is given up.
+    /// The lease expired, the role key belongs to another node, or this node released the role.
     Ended,
 }
 
-/// The right to act under an epoch, taken directly before acting and good for that one action.
+/// Permission for one action under an epoch, to be obtained directly before the action.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Permit {
     epoch: Epoch,
 }
 
 impl Permit {
-    /// The epoch that the holder acts under.
+    /// Returns the epoch under which the action is permitted.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 }
 
-/// One role's lease at one node.
+/// Lease of one role at one node, as a state machine.
 #[derive(Debug)]
 pub struct RoleLease {
     ttl: TimeDelta,
     state: LeaseState,
-    /// The highest epoch that is known to have been in use.
-    highest: Option<Epoch>,
+    /// Highest epoch seen in use by any node; an acquired epoch must be above it.
+    highest_epoch: Option<Epoch>,
 }
 
 impl RoleLease {
-    /// Not held; leases are asked for with that time to live.
+    /// Creates the state machine for a role that is not held. `ttl` is the time to live of its
+    /// leases.
     pub fn new(ttl: TimeDelta) -> RoleLease {
-        RoleLease { ttl, state: LeaseState::Idle, highest: None }
+        RoleLease { ttl, state: LeaseState::Idle, highest_epoch: None }
     }
 
-    /// How the role stands.
+    /// Returns the current state of the role.
     pub fn state(&self) -> LeaseState {
         self.state
     }
 
-    /// How long each renewal is good for.
+    /// Returns the time to live that each renewal restores.
     pub fn ttl(&self) -> TimeDelta {
         self.ttl
     }
 
-    /// An epoch was seen in use, by this node or another.
+    /// Notes an epoch that this node or another was seen to use.
     pub fn observe(&mut self, epoch: Epoch) {
-        self.highest = self.highest.max(Some(epoch));
+        self.highest_epoch = self.highest_epoch.max(Some(epoch));
     }
 
-    /// Changes the state, if the input means anything in it.
+    /// Applies an event. Returns whether it is valid in the current state; if not, nothing changes.
     pub fn step(&mut self, input: LeaseInput) -> bool {
         let next = match (self.state, input) {
             (LeaseState::Idle, LeaseInput::Granted { sent }) => LeaseState::Acquiring { sent },
             (LeaseState::Acquiring { sent }, LeaseInput::Won { revision }) => {
-                self.won(sent, revision)
+                self.state_after_acquiring(sent, revision)
             }
             (LeaseState::Acquiring { .. }, LeaseInput::Failed) => LeaseState::Idle,
             (LeaseState::Held { epoch, until }, LeaseInput::Renewed { sent }) => {
@@ -132,18 +136,19 @@
         true
     }
 
-    fn won(&mut self, sent: Timestamp, revision: Revision) -> LeaseState {
-        let epoch = Epoch::try_from(revision).and_then(|e| e.must_follow(self.highest));
+    fn state_after_acquiring(&mut self, sent: Timestamp, revision: Revision) -> LeaseState {
+        let epoch = Epoch::try_from(revision).and_then(|e| e.must_follow(self.highest_epoch));
         match epoch {
             Ok(epoch) => {
-                self.highest = Some(epoch);
+                self.highest_epoch = Some(epoch);
                 LeaseState::Held { epoch, until: sent + safe_lease_time(self.ttl) }
             }
             Err(error) => LeaseState::Stopped { error },
         }
     }
 
-    /// The epoch, if the role is this node's as far as it knows.
+    /// Returns the epoch if this node believes to hold the role, even if the lease may have
+    /// expired.
     pub fn epoch(&self) -> Option<Epoch> {
         match self.state {
             LeaseState::Held { epoch, .. } => Some(epoch),
@@ -151,7 +156,7 @@
         }
     }
 
-    /// Up to when the lease is certainly held.
+    /// Returns the time until which the lease is certainly held, or `None` if the role is not held.
     pub fn held_until(&self) -> Option<Timestamp> {
         match self.state {
             LeaseState::Held { until, .. } => Some(until),
@@ -159,7 +164,8 @@
         }
     }
 
-    /// Whether the holder may act right now. To be asked as late before acting as can be.
+    /// Returns a permit if the lease is certainly held at `now`. Call it as late as possible before
+    /// the action.
     pub fn permit(&self, now: Timestamp) -> Option<Permit> {
         match self.state {
             LeaseState::Held { epoch, until } if now < until => Some(Permit { epoch }),
--- a/crates/fencing/src/leased_role.rs
+++ b/crates/fencing/src/leased_role.rs
@@ -1,4 +1,4 @@
-//! Which roles there are, who holds one, and the epoch under which it is held.
+//! Roles that one node at a time holds, their stored holder records, and their epochs.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -8,28 +8,28 @@
 use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::storage::revision::Revision;
 
-/// Prefix of the keys that name the holders.
+/// Prefix of the keys that store the holders of roles.
 pub const ROLE_KEY_PREFIX: &str = "duty/";
 
-/// The newest format of a holder's record that this version reads and the one that it writes.
+/// Format of the holder records that this version writes, and the newest that it reads.
 pub const HOLDER_FORMAT: u64 = 1;
 
-/// Work with one owner at a time.
+/// Work that exactly one node at a time may do, under a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LeasedRole {
-    /// Scaling out and in, and adopting those that nobody expected. What it decides follows
-    /// from the scheduler's tables of the leader, so it goes with the lead: one key, one lease, and the term is the
-    /// epoch.
+    /// Scaling the cluster out and in, and adopting machines that are not accounted for. The
+    /// decisions follow from the leader's scheduler state, so the leader holds the role: both share
+    /// one key and one lease, and the term is the epoch.
     Fleet,
-    /// Reading the machine types and prices from the cloud and sharing them with all nodes.
+    /// Fetching the machine types and prices from the cloud and sharing them with all nodes.
     MachineTypes,
 }
 
 impl LeasedRole {
-    /// All of them.
+    /// Every role that this version knows.
     pub const ALL: [LeasedRole; 2] = [LeasedRole::Fleet, LeasedRole::MachineTypes];
 
-    /// Its name in stored keys.
+    /// Returns the name of the role in stored keys.
     pub fn name(self) -> &'static str {
         match self {
             LeasedRole::Fleet => "fleet",
@@ -37,12 +37,12 @@
         }
     }
 
-    /// The role of that name, if this version knows it.
+    /// Returns the role with the given name, or `None` if this version doesn't know it.
     pub fn from_name(name: &str) -> Option<LeasedRole> {
         LeasedRole::ALL.into_iter().find(|role| role.name() == name)
     }
 
-    /// The key that exists for as long as somebody holds the role. Its revision is the epoch.
+    /// Returns the key that exists while some node holds the role. Its revision is the epoch.
     pub fn key(self) -> String {
         match self {
             LeasedRole::Fleet => keys::LEADER.to_owned(),
@@ -51,51 +51,55 @@
     }
 }
 
-/// Tells one holding of a role from all others. It is the revision of the role's key, as the term is the
-/// revision of the leader's: revisions of the key-value store only rise.
+/// Fencing number of one period in which a node holds a role. It is the revision of the role key,
+/// as a term is the revision of the leader key, so it grows with each holder: revisions of the
+/// key-value store only increase.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Epoch(u64);
 
-/// Why a revision can't serve as an epoch. Each stops the role at this node.
+/// Reason why a revision can't be used as an epoch. Each of them stops the role at this node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum EpochError {
-    /// No key has this revision.
-    #[error("epoch 0 is none")]
+    /// The revision is 0, which no existing key has.
+    #[error("epoch 0 is not valid")]
     Zero,
-    /// Above what a term may be, so that tokens made of it would not rise any more.
-    #[error("epoch {0} is beyond the limit {limit}", limit = Epoch::LIMIT)]
-    AtLimit(u64),
-    /// A higher one was in use: the key-value store lost what it had stored.
-    #[error("epoch {found} went back: {known} was in use before")]
-    WentBack {
-        /// The epoch that was found now.
+    /// The revision is above [`Epoch::LIMIT`], so fencing tokens made from it would no longer
+    /// increase.
+    #[error("epoch {0} exceeds the limit {limit}", limit = Epoch::LIMIT)]
+    AboveLimit(u64),
+    /// The same epoch or a higher one was in use before: the key-value store lost data.
+    #[error("epoch {found} is not above epoch {known}, which was in use before")]
+    NotIncreasing {
+        /// Epoch that was read or acquired now.
         found: u64,
-        /// The highest one known.
+        /// Highest epoch that was in use before.
         known: u64,
     },
 }
 
 impl Epoch {
-    /// The largest epoch. Workers' tokens keep 44 bits for a term, which is a revision too.
+    /// Largest valid epoch. The fencing tokens of workers hold a term, which is a revision too, in
+    /// 44 bits.
     pub const LIMIT: u64 = (1 << 44) - 1;
 
-    /// As a revision of the key-value store.
+    /// Returns the revision of the role key that this epoch stands for.
     pub fn revision(self) -> Revision {
         Revision(self.0)
     }
 
-    /// Refuses an epoch that is not above one known to have been in use.
+    /// Returns the epoch if it is above `known`, the highest one in use before, and an error
+    /// otherwise.
     pub fn must_follow(self, known: Option<Epoch>) -> Result<Epoch, EpochError> {
         match known {
             Some(known) if known >= self => {
-                Err(EpochError::WentBack { found: self.0, known: known.0 })
+                Err(EpochError::NotIncreasing { found: self.0, known: known.0 })
             }
             _ => Ok(self),
         }
     }
 }
 
-/// The epoch of a key with that revision.
+/// Converts the revision of a role key into the epoch of its holder.
 impl TryFrom<Revision> for Epoch {
     type Error = EpochError;
 
@@ -103,12 +107,12 @@
         match revision.get() {
             0 => Err(EpochError::Zero),
             found @ 1..=Epoch::LIMIT => Ok(Epoch(found)),
-            found => Err(EpochError::AtLimit(found)),
+            found => Err(EpochError::AboveLimit(found)),
         }
     }
 }
 
-/// A leader's term as an epoch.
+/// Converts a leader's term into the epoch of the fleet role.
 impl TryFrom<Term> for Epoch {
     type Error = EpochError;
 
@@ -123,91 +127,94 @@
     }
 }
 
-/// The stored record of who holds a role.
+/// Stored record that names the holder of a role.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HolderRecord {
-    /// The record's format.
+    /// Format number, [`HOLDER_FORMAT`] in a new record.
     pub format: u64,
-    /// The node's name.
+    /// Name of the node that holds the role.
     pub node: String,
-    /// Tells this life of the node's process from its former ones.
+    /// Identifies the run of the node's process, to distinguish it from earlier runs of the same
+    /// node.
     #[serde(rename = "inc")]
     pub incarnation: String,
-    /// The lease that the key is attached to, so that the node itself, back in time, can end it.
+    /// Lease that the role key is attached to. A node that restarts before it expires can revoke it
+    /// by this id.
     pub lease: u64,
 }
 
-/// A stored record that this version can't act on. Such a record is left as it is.
+/// Reason why this version can't act on a stored record, which it then leaves unchanged.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// Not of the form that any version writes.
-    #[error("{key}: can't be read: {fault}")]
+    /// The record does not have the form that any version writes.
+    #[error("{key}: invalid record: {fault}")]
     Unreadable {
-        /// Where it is stored.
+        /// Key of the record.
         key: String,
-        /// What is wrong with it.
+        /// Message of the parser, without the key.
         fault: String,
     },
-    /// Written by a newer version.
-    #[error("{key}: is of format {found}, and this version reads up to {newest}")]
+    /// The record was written by a newer version.
+    #[error("{key}: format {found} is newer than {newest}, the newest that this version reads")]
     NewerFormat {
-        /// Where it is stored.
+        /// Key of the record.
         key: String,
-        /// Its format.
+        /// Format number of the record.
         found: u64,
-        /// The newest format that this version reads.
+        /// Newest format number that this version reads.
         newest: u64,
     },
-    /// Of a role that this version doesn't have.
-    #[error("{key}: no such role is known")]
+    /// The key names a role that this version doesn't have.
+    #[error("{key}: unknown role")]
     UnknownRole {
-        /// Where it is stored.
+        /// Key of the record.
         key: String,
     },
-    /// Held by a node that the settings don't name.
-    #[error("{key}: held by {node:?}, which the settings don't name")]
+    /// The role is held by a node that is not in the settings.
+    #[error("{key}: held by node {node:?}, which is not in the settings")]
     UnknownHolder {
-        /// Where it is stored.
+        /// Key of the record.
         key: String,
-        /// The holder's name.
+        /// Name of the holder.
         node: String,
     },
-    /// Its epoch is none.
+    /// The epoch of the record is invalid.
     #[error("{key}: {error}")]
     Epoch {
-        /// Where it is stored.
+        /// Key of the record.
         key: String,
-        /// What is wrong with it.
+        /// Reason why the revision is not a valid epoch.
         error: EpochError,
     },
 }
 
-/// Reads the format number of a stored record, so that a newer one is told from a damaged one.
+/// Checks the format number of a stored record, which tells a record of a newer version from a
+/// damaged one.
 pub(crate) fn check_format(key: &str, value: &Value, newest: u64) -> Result<(), RecordError> {
     let unreadable = |fault: &str| RecordError::Unreadable { key: key.into(), fault: fault.into() };
-    let format = value.get("format").ok_or_else(|| unreadable("format is missing"))?;
+    let format = value.get("format").ok_or_else(|| unreadable("field `format` is missing"))?;
     match format.as_u64() {
         Some(found) if found > newest => {
             Err(RecordError::NewerFormat { key: key.to_owned(), found, newest })
         }
         Some(1..) => Ok(()),
-        _ => Err(unreadable("format must be a whole number from 1")),
+        _ => Err(unreadable("field `format` must be an integer of at least 1")),
     }
 }
 
-/// Who holds which role under what epoch.
+/// Role that a node holds, as read from the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeldRole {
-    /// The role.
+    /// Role that the stored key names.
     pub role: LeasedRole,
-    /// Its epoch.
+    /// Epoch under which it is held.
     pub epoch: Epoch,
-    /// The holder.
+    /// Stored record of the holder.
     pub holder: HolderRecord,
 }
 
 impl HeldRole {
-    /// Reads a stored holder; `nodes` are the names in the settings.
+    /// Parses a stored holder record. `nodes` are the node names in the settings.
     pub fn read(key_value: &KeyValue, nodes: &[&str]) -> Result<HeldRole, RecordError> {
         let key = || key_value.key.clone();
         let name = key_value.key.strip_prefix(ROLE_KEY_PREFIX);
@@ -224,7 +231,8 @@
         Ok(HeldRole { role, epoch, holder })
     }
 
-    /// The transaction that takes the role, if nobody holds it. Its revision becomes the epoch.
+    /// Returns the transaction that acquires the role if nobody holds it. Its commit revision
+    /// becomes the epoch.
     pub fn claim(role: LeasedRole, holder: &HolderRecord) -> Transaction {
         let key = role.key();
         let put = Operation::Put {
--- a/crates/fencing/src/lib.rs
+++ b/crates/fencing/src/lib.rs
@@ -1,8 +1,9 @@
-//! Roles that one node at a time may carry out, each under a lease and an epoch, and the fence around what
-//! their holder does outside.
+//! Roles that one node at a time holds under a lease, and the fencing of their writes and cloud
+//! actions by an epoch.
 //!
-//! Like the scheduler, this crate has no clock and no input or output: times, answers and stored records come in,
-//! transactions and requests go out. `docs/fencing.md` gives the argument.
+//! Like the scheduler, this crate has no clock and does no I/O: it takes times, responses and
+//! stored records, and returns transactions and requests. `docs/fencing.md` explains why the
+//! protocol is safe.
 
 pub mod action_state;
 pub mod adoption;
--- a/crates/fencing/tests/transcripts.rs
+++ b/crates/fencing/tests/transcripts.rs
@@ -1,9 +1,9 @@
-//! Transcripts of the roles: fixed scripts with every transaction, every action and every answer, held against
-//! the files in `transcripts/`. `UPDATE_TRANSCRIPTS=1` writes the files anew, which only a change that is
-//! meant to change behaviour may do.
+//! Transcript tests: scripts with a fixed seed run the crate, and every transaction, action and
+//! answer is compared with the files in `transcripts/`. `UPDATE_TRANSCRIPTS=1` rewrites the files;
+//! use it only for an intended change of behaviour.
 //!
-//! What the scripts reach: `intent_log`, `intent` and `fence` (intent log), `lease` and `role` (leases), `balancer`
-//! (balance), and the reading of stored records (records).
+//! Coverage: the script `ledger` exercises `intent_log`, `intent` and `fence`, `leases` exercises
+//! `lease`, `balance` exercises `role_balancer`, and `records` the parsing of stored records.
 
 #[path = "../../scheduler/tests/transcripts/golden.rs"]
 mod golden;
@@ -29,9 +29,9 @@
 const START: Timestamp = Timestamp(1 << 40);
 const SCRIPTS: [&str; 4] = ["ledger", "leases", "balance", "records"];
 
-/// What has to be in the transcripts, all together, at least so often: nine tenths of what was in them when
-/// they were written.
-const REACHED: &[(&str, u64)] = &[
+/// Minimum number of events of each kind in all transcripts together: nine tenths of the numbers
+/// when the transcripts were written.
+const MIN_EVENT_COUNTS: &[(&str, u64)] = &[
     ("adopted", 42),
     ("answered: done", 926),
     ("answered: not sent", 442),
@@ -63,33 +63,35 @@
     ("written: too large", 43),
 ];
 
-fn json_of(value: &impl serde::Serialize) -> String {
-    serde_json::to_string(value).expect("a value with a written form")
+fn to_json(value: &impl serde::Serialize) -> String {
+    serde_json::to_string(value).expect("serializable to JSON")
 }
 
 fn transaction_text(transaction: &Transaction) -> String {
-    let conditions =
-        transaction.compares.iter().map(|guard| format!("if {}={}", guard.key, guard.revision));
-    let changes = transaction.operations.iter().map(|change| match change {
+    let compares = transaction
+        .compares
+        .iter()
+        .map(|compare| format!("if {}={}", compare.key, compare.revision));
+    let operations = transaction.operations.iter().map(|operation| match operation {
         Operation::Put { put, value, lease } => {
             let lease = lease.map_or(String::new(), |lease| format!(" lease={lease}"));
-            format!("put {put}={}{lease}", json_of(value))
+            format!("put {put}={}{lease}", to_json(value))
         }
         Operation::Delete { drop } => format!("delete {drop}"),
     });
-    let parts: Vec<String> = conditions.chain(changes).collect();
-    format!("{} wire={}", parts.join("; "), json_of(transaction))
+    let parts: Vec<String> = compares.chain(operations).collect();
+    format!("{} wire={}", parts.join("; "), to_json(transaction))
 }
 
 fn epoch_error(error: EpochError) -> String {
     match error {
         EpochError::Zero => "zero".to_owned(),
-        EpochError::AtLimit(found) => format!("at the limit: {found}"),
-        EpochError::WentBack { found, known } => format!("went back: {found} after {known}"),
+        EpochError::AboveLimit(found) => format!("at the limit: {found}"),
+        EpochError::NotIncreasing { found, known } => format!("went back: {found} after {known}"),
     }
 }
 
-/// What is wrong with a record; the words of the reader of JSON are left out.
+/// Describes a record error without the message of the JSON parser.
 fn record_error(error: &RecordError) -> String {
     match error {
         RecordError::Unreadable { key, .. } => format!("{key} unreadable"),
@@ -102,46 +104,47 @@
     }
 }
 
-/// Something that the holder gave out and that was not answered yet.
-enum UnderWay {
+/// Command of the holder that was not answered yet.
+enum PendingCommand {
     Write { id: u64, transaction: Transaction },
     Action { id: ActionId, action: Action },
 }
 
-/// A holder of the fleet's role, with its store and its cloud.
-struct Play {
+/// Simulation of a holder of the fleet role with the key-value store and the cloud.
+struct Simulation {
     transcript: Transcript,
     dice: Dice,
     now: Timestamp,
     revision: u64,
     keys: BTreeMap<String, (Value, u64)>,
     intent_log: IntentLog,
-    under_way: Vec<UnderWay>,
+    pending: Vec<PendingCommand>,
     requests: u64,
     limits: WriteLimits,
 }
 
 fn intent_log(epoch: u64, limits: WriteLimits) -> IntentLog {
-    let fence = Fence::new(LeasedRole::Fleet, Epoch::try_from(Revision(epoch)).expect("an epoch"));
+    let fence =
+        Fence::new(LeasedRole::Fleet, Epoch::try_from(Revision(epoch)).expect("a valid epoch"));
     IntentLog::new(fence, limits, TimeDelta::from_secs(12))
 }
 
-impl Play {
-    fn new() -> Play {
+impl Simulation {
+    fn new() -> Simulation {
         let limits = WriteLimits { value_bytes: 400, txn_ops: 3 };
-        let mut play = Play {
+        let mut simulation = Simulation {
             transcript: Transcript::new("ledger"),
             dice: Dice::new(21),
             now: START,
             revision: 1,
             keys: BTreeMap::new(),
             intent_log: intent_log(1, limits),
-            under_way: Vec::new(),
+            pending: Vec::new(),
             requests: 0,
             limits,
         };
-        play.keys.insert(LeasedRole::Fleet.key(), (Value::Null, 1));
-        play
+        simulation.keys.insert(LeasedRole::Fleet.key(), (Value::Null, 1));
+        simulation
     }
 
     fn line(&mut self, kind: &str, text: &str) {
@@ -203,30 +206,31 @@
             match command {
                 IntentLogCommand::Write { id, transaction } => {
                     self.line("write", &format!("id={id} {}", transaction_text(&transaction)));
-                    self.under_way.push(UnderWay::Write { id, transaction });
+                    self.pending.push(PendingCommand::Write { id, transaction });
                 }
                 IntentLogCommand::Send { id, action } => {
-                    self.line("send", &json_of(&action));
+                    self.line("send", &to_json(&action));
                     match &action {
                         Action::ScaleOut(scale_out) => {
-                            self.line("rent", &json_of(&scale_out.request()))
+                            self.line("rent", &to_json(&scale_out.request()))
                         }
-                        Action::ScaleIn(machines) => self.line("return", &json_of(machines)),
+                        Action::ScaleIn(machines) => self.line("return", &to_json(machines)),
                     }
-                    self.under_way.push(UnderWay::Action { id, action });
+                    self.pending.push(PendingCommand::Action { id, action });
                 }
             }
         }
     }
 
-    /// Something under way arrives and is answered, or is not.
+    /// Delivers a random pending command to the store or the cloud and reports an outcome: a
+    /// success, a refusal or a loss.
     fn deliver(&mut self) {
-        if self.under_way.is_empty() {
+        if self.pending.is_empty() {
             return;
         }
-        let at = self.dice.below(self.under_way.len());
-        match self.under_way.remove(at) {
-            UnderWay::Write { id, transaction } => {
+        let index = self.dice.below(self.pending.len());
+        match self.pending.remove(index) {
+            PendingCommand::Write { id, transaction } => {
                 let outcome = match self.dice.below(10) {
                     0 => TransactionOutcome::Rejected,
                     1 => TransactionOutcome::Indeterminate,
@@ -246,7 +250,7 @@
                 };
                 self.line(kind, &id.to_string());
             }
-            UnderWay::Action { id, action } => {
+            PendingCommand::Action { id, action } => {
                 let (answer, kind) = [
                     (ActionAnswer::Done, "answered: done"),
                     (ActionAnswer::Done, "answered: done"),
@@ -261,13 +265,13 @@
                     _ => Vec::new(),
                 };
                 self.intent_log.answered(self.now, id, answer, &rented);
-                self.line(kind, &json_of(&rented));
+                self.line(kind, &to_json(&rented));
             }
         }
     }
 
     fn apply(&mut self, transaction: &Transaction) -> TransactionOutcome {
-        let too_large = transaction.operations.iter().any(|change| match change {
+        let too_large = transaction.operations.iter().any(|operation| match operation {
             Operation::Put { value, .. } => value.size() > self.limits.value_bytes,
             Operation::Delete { .. } => false,
         });
@@ -278,14 +282,14 @@
         let failed = transaction
             .compares
             .iter()
-            .filter(|guard| revision(&guard.key) != guard.revision.get());
-        let failed: Vec<String> = failed.map(|guard| guard.key.clone()).collect();
+            .filter(|compare| revision(&compare.key) != compare.revision.get());
+        let failed: Vec<String> = failed.map(|compare| compare.key.clone()).collect();
         if !failed.is_empty() {
             return TransactionOutcome::Conflict { failed };
         }
         self.revision += 1;
-        for change in &transaction.operations {
-            match change {
+        for operation in &transaction.operations {
+            match operation {
                 Operation::Put { put, value, .. } => {
                     self.keys.insert(put.clone(), (value.to_value(), self.revision));
                 }
@@ -297,7 +301,8 @@
         TransactionOutcome::Committed { revision: Revision(self.revision) }
     }
 
-    /// Another holds the role from now on; at times the store tells the former one so first.
+    /// Gives the role to a new holder. In half of the cases the former one has a last tick and
+    /// delivery first, by which it can learn of it.
     fn replace(&mut self) {
         self.revision += 1;
         self.keys.insert(LeasedRole::Fleet.key(), (Value::Null, self.revision));
@@ -305,7 +310,7 @@
             self.tick();
             self.deliver();
         }
-        self.under_way.clear();
+        self.pending.clear();
         self.intent_log = intent_log(self.revision, self.limits);
         let stored: Vec<KeyValue> = self
             .keys
@@ -321,10 +326,10 @@
         let faults: Vec<String> = adopted.faults.iter().map(record_error).collect();
         let text = format!(
             "rentals={} returns={} overruled={} faults={}",
-            json_of(&adopted.scale_outs),
-            json_of(&adopted.scale_ins),
-            json_of(&adopted.cancelled_scale_ins),
-            json_of(&faults)
+            to_json(&adopted.scale_outs),
+            to_json(&adopted.scale_ins),
+            to_json(&adopted.cancelled_scale_ins),
+            to_json(&faults)
         );
         self.line("adopted", &text);
     }
@@ -332,7 +337,7 @@
     fn change_limits(&mut self) {
         let (value_bytes, txn_ops) = [(400, 3), (200, 2), (900, 8)][self.dice.below(3)];
         self.limits = WriteLimits { value_bytes, txn_ops };
-        // At times the intent log hears of it only by a refusal.
+        // Otherwise the intent log learns of the limits only when a write is rejected.
         if self.dice.chance(70) {
             self.intent_log.set_limits(self.limits);
         }
@@ -341,27 +346,27 @@
 }
 
 #[test]
-fn ledger_is_as_it_was() {
-    let mut play = Play::new();
+fn intent_log_matches_its_transcript() {
+    let mut simulation = Simulation::new();
     for _ in 0..4_000 {
-        play.step();
+        simulation.step();
     }
-    play.transcript.hold_against_golden();
+    simulation.transcript.hold_against_golden();
 }
 
 #[test]
-fn leases_are_as_they_were() {
+fn role_lease_matches_its_transcript() {
     let mut transcript = Transcript::new("leases");
     let mut dice = Dice::new(22);
     let mut now = START;
-    for (life, ttl) in [10, 4, 30].into_iter().cycle().take(60).enumerate() {
+    for (lease_number, ttl) in [10, 4, 30].into_iter().cycle().take(60).enumerate() {
         let mut lease = RoleLease::new(TimeDelta::from_secs(ttl));
         for _ in 0..40 {
             transcript.next_step();
             now = now + TimeDelta::from_millis(dice.below(4_000) as u64);
             let sent = now - TimeDelta::from_millis(dice.below(900) as u64);
-            let rising = 40 + life as u64 + dice.below(30) as u64;
-            let revision = [rising, rising, 0, 5, Epoch::LIMIT + 1][dice.below(5)];
+            let later_revision = 40 + lease_number as u64 + dice.below(30) as u64;
+            let revision = [later_revision, later_revision, 0, 5, Epoch::LIMIT + 1][dice.below(5)];
             let (input, name) = match dice.below(10) {
                 0 | 1 => (LeaseInput::Granted { sent }, "granted"),
                 2 | 3 => (LeaseInput::Won { revision: Revision(revision) }, "won"),
@@ -371,7 +376,7 @@
             };
             let changed = lease.step(input);
             if dice.chance(3) {
-                lease.observe(Epoch::try_from(Revision(rising)).expect("an epoch"));
+                lease.observe(Epoch::try_from(Revision(later_revision)).expect("a valid epoch"));
             }
             let state = match lease.state() {
                 LeaseState::Idle => "idle".to_owned(),
@@ -392,7 +397,7 @@
 }
 
 #[test]
-fn balance_is_as_it_was() {
+fn role_balancer_matches_its_transcript() {
     let mut transcript = Transcript::new("balance");
     let mut dice = Dice::new(23);
     let mut now = START;
@@ -426,9 +431,9 @@
 }
 
 fn read_holders(transcript: &mut Transcript) {
-    let well = json!({"format": 1, "node": "p", "inc": "x", "lease": 4});
+    let valid = json!({"format": 1, "node": "p", "inc": "x", "lease": 4});
     for value in [
-        well.clone(),
+        valid.clone(),
         json!({"format": 2, "node": "p", "inc": "x", "lease": 4}),
         json!({"format": 0, "node": "p", "inc": "x", "lease": 4}),
         json!({"node": "p"}),
@@ -447,7 +452,7 @@
             };
             let text = match HeldRole::read(&key_value, &["p", "q"]) {
                 Ok(found) => {
-                    format!("{} {} {}", found.role.name(), found.epoch, json_of(&found.holder))
+                    format!("{} {} {}", found.role.name(), found.epoch, to_json(&found.holder))
                 }
                 Err(error) => record_error(&error),
             };
@@ -475,7 +480,7 @@
                 revision: Revision(3),
             }) {
                 Ok(found) => {
-                    format!("{} {} {}", found.role.name(), found.epoch, json_of(&found.record))
+                    format!("{} {} {}", found.role.name(), found.epoch, to_json(&found.record))
                 }
                 Err(error) => record_error(&error),
             };
@@ -484,9 +489,9 @@
     }
 }
 
-/// Holders' records and intents, well and ill formed, of this format and of a newer one.
+/// Covers valid and malformed holder and intent records, in this format and a newer one.
 #[test]
-fn records_are_read_and_written_as_they_were() {
+fn stored_records_match_their_transcript() {
     let mut transcript = Transcript::new("records");
     let incarnation = "x1".to_owned();
     let holder = HolderRecord { format: 1, node: "p".into(), incarnation, lease: 9 };
@@ -500,6 +505,6 @@
 }
 
 #[test]
-fn the_transcripts_cover_what_they_did() {
-    golden::must_reach(&SCRIPTS, REACHED);
+fn transcripts_contain_the_minimum_number_of_each_event() {
+    golden::must_reach(&SCRIPTS, MIN_EVENT_COUNTS);
 }
