--- a/crates/fencing/tests/model.rs
+++ b/crates/fencing/tests/model.rs
@@ -1,8 +1,11 @@
-//! An exhaustive check of the protocol of leases, intents and settlement, on a small model of it.
+//! Exhaustive model check of the protocol of leases, intents and settlement.
 //!
-//! Bounds: two nodes, three epochs, one machine that is used and returned, scale-outs by the first epoch. A node
-//! may stand still between any two steps, and a message may arrive at any time after it was sent. Writes are applied at any time after they were sent, if their fence still holds. Left out: refused scale-outs,
-//! batches, clocks (a lease that is certainly held is one that the store still keeps) and the machine list.
+//! Bounds: two nodes, three epochs, one machine that is used and returned, and scale-outs in the
+//! first epoch only. A node may pause between any two steps, and a message may arrive at any time
+//! after it was sent. A write is applied at any time after it was sent, if its fence still holds.
+//!
+//! Not modelled: refused scale-outs, batches, the machine list, and clocks. A lease counts as
+//! certainly held while the store keeps it.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -10,31 +13,32 @@
 
 const NODES: usize = 2;
 const MAX_EPOCHS: u8 = 3;
-/// Rentals are decided up to that epoch.
-const RENTING_EPOCHS: u8 = 1;
+/// Last epoch in which scale-outs are decided.
+const LAST_RENTING_EPOCH: u8 = 1;
 
-/// The check is worth something only on as many states as this model has.
-const LEAST_STATES: usize = 50_000;
+/// Lower bound on the number of reachable states, so that a model that became too small fails the
+/// check.
+const MIN_STATES: usize = 50_000;
 
 type Epoch = u8;
 
-/// An outside action: the return of the one machine, or the scale-out that an epoch asked for.
+/// Cloud action: the return of the only machine, or the scale-out requested in an epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Action {
     Return,
     Rent(Epoch),
 }
 
-/// Something on its way, by the epoch that sent it.
+/// Message in transit, with the epoch of its sender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Message {
     Record(Epoch, Action),
-    Use(Epoch),
+    UseMachine(Epoch),
     Cloud(Epoch, Action),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-enum Step {
+enum Progress {
     Writing,
     Recorded,
     Sent,
@@ -42,42 +46,46 @@
 
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 struct Node {
-    /// 0: it holds nothing as far as it knows.
+    /// Epoch under which the node believes to hold the role, or 0 if it does not.
     epoch: Epoch,
     loaded: bool,
-    /// It takes the machine for used, or its use is being written.
-    uses: bool,
-    open: BTreeSet<(Action, Step)>,
-    knows: BTreeSet<Epoch>,
+    /// The node believes that the machine is in use, or has sent a write that puts it to use.
+    believes_in_use: bool,
+    open_actions: BTreeSet<(Action, Progress)>,
+    known_rentals: BTreeSet<Epoch>,
 }
 
 impl Node {
     fn has(&self, action: Action) -> bool {
-        self.open.iter().any(|(a, _)| *a == action)
+        self.open_actions.iter().any(|(a, _)| *a == action)
     }
 
-    fn advance(&mut self, action: Action, from: Step, to: Option<Step>) {
-        if self.open.remove(&(action, from)) {
-            self.open.extend(to.map(|to| (action, to)));
+    fn advance(&mut self, action: Action, from: Progress, to: Option<Progress>) {
+        if self.open_actions.remove(&(action, from)) {
+            self.open_actions.extend(to.map(|to| (action, to)));
         }
     }
 }
 
-/// The parts of the fence, each of which may be taken out.
+/// Rules of the protocol, each of which can be disabled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct Parts {
-    record_first: bool,
+struct Rules {
+    record_before_sending: bool,
     check_before_sending: bool,
     adopt: bool,
-    exclude: bool,
+    exclude_conflicting_decisions: bool,
 }
 
-const ALL_PARTS: Parts =
-    Parts { record_first: true, check_before_sending: true, adopt: true, exclude: true };
+const ALL_RULES: Rules = Rules {
+    record_before_sending: true,
+    check_before_sending: true,
+    adopt: true,
+    exclude_conflicting_decisions: true,
+};
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct World {
-    parts: Parts,
+    rules: Rules,
     epoch: Epoch,
     held: bool,
     intents: BTreeSet<Action>,
@@ -87,13 +95,13 @@
     rented: BTreeSet<Epoch>,
     messages: BTreeSet<Message>,
     nodes: Vec<Node>,
-    broken: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
 impl World {
-    fn start(parts: Parts) -> World {
+    fn start(rules: Rules) -> World {
         World {
-            parts,
+            rules,
             epoch: 0,
             held: false,
             intents: BTreeSet::new(),
@@ -103,7 +111,7 @@
             rented: BTreeSet::new(),
             messages: BTreeSet::new(),
             nodes: vec![Node::default(); NODES],
-            broken: None,
+            violation: None,
         }
     }
 
@@ -113,82 +121,84 @@
         next
     }
 
-    /// What may follow: with trouble, also a lost lease and new decisions. (A lost message is one that stays
-    /// on its way.)
-    fn next(&self, trouble: bool) -> Vec<World> {
-        if self.broken.is_some() {
+    /// Returns the possible successor states. `with_disruptions` also allows a lost lease and new
+    /// decisions. A lost message is modelled as one that is never delivered.
+    fn next(&self, with_disruptions: bool) -> Vec<World> {
+        if self.violation.is_some() {
             return Vec::new();
         }
-        let mut all = Vec::new();
-        if trouble && self.held {
-            all.push(self.with(|w| w.held = false));
+        let mut successors = Vec::new();
+        if with_disruptions && self.held {
+            successors.push(self.with(|w| w.held = false));
         }
         for node in 0..NODES {
-            self.node_steps(node, trouble, &mut all);
+            self.add_node_steps(node, with_disruptions, &mut successors);
         }
         for &message in &self.messages {
-            all.push(self.with(|w| w.deliver(message)));
+            successors.push(self.with(|w| w.deliver(message)));
         }
-        all
+        successors
     }
 
-    fn node_steps(&self, n: usize, trouble: bool, all: &mut Vec<World>) {
+    fn add_node_steps(&self, n: usize, with_disruptions: bool, successors: &mut Vec<World>) {
         let node = &self.nodes[n];
         if !self.held && self.epoch < MAX_EPOCHS {
-            all.push(self.with(|w| w.acquire(n)));
+            successors.push(self.with(|w| w.acquire(n)));
         }
         if node.epoch == 0 {
             return;
         }
         if node.epoch != self.epoch {
-            // It learns that another holds the role, sooner or later.
-            all.push(self.with(|w| w.nodes[n] = Node::default()));
+            // A replaced holder learns at any later time that it lost the role.
+            successors.push(self.with(|w| w.nodes[n] = Node::default()));
         }
         if !node.loaded {
-            all.push(self.with(|w| w.load(n)));
+            successors.push(self.with(|w| w.load(n)));
             return;
         }
-        if trouble {
-            self.decisions(n, all);
+        if with_disruptions {
+            self.add_decisions(n, successors);
         }
-        for &(action, step) in &node.open {
-            match step {
-                Step::Writing => all.push(self.with(|w| {
+        for &(action, progress) in &node.open_actions {
+            match progress {
+                Progress::Writing => successors.push(self.with(|w| {
                     w.messages.insert(Message::Record(node.epoch, action));
                 })),
-                Step::Recorded | Step::Sent => {
-                    // An unknown outcome is asked for again.
+                Progress::Recorded | Progress::Sent => {
+                    // An action whose outcome is unknown is sent again.
                     if self.may_send(n) {
-                        all.push(self.with(|w| w.send(n, action, step)));
+                        successors.push(self.with(|w| w.send(n, action, progress)));
                     }
                 }
             }
         }
     }
 
-    /// What a holder may decide in its registry.
-    fn decisions(&self, n: usize, all: &mut Vec<World>) {
+    /// Adds the states that follow from a holder's new decisions: to rent, to use the machine or to
+    /// return it.
+    fn add_decisions(&self, n: usize, successors: &mut Vec<World>) {
         let node = &self.nodes[n];
         let scale_out = Action::Rent(node.epoch);
-        let first = if self.parts.record_first { Step::Writing } else { Step::Recorded };
-        let decided = node.has(scale_out) || node.knows.contains(&node.epoch);
-        if node.epoch <= RENTING_EPOCHS && !decided {
-            all.push(self.with(|w| {
-                w.nodes[n].open.insert((scale_out, first));
+        let initial =
+            if self.rules.record_before_sending { Progress::Writing } else { Progress::Recorded };
+        let decided = node.has(scale_out) || node.known_rentals.contains(&node.epoch);
+        if node.epoch <= LAST_RENTING_EPOCH && !decided {
+            successors.push(self.with(|w| {
+                w.nodes[n].open_actions.insert((scale_out, initial));
             }));
         }
         let returning = node.has(Action::Return);
-        let excluded = self.parts.exclude && returning;
-        if !node.uses && !excluded && !self.returned {
-            all.push(self.with(|w| {
-                w.nodes[n].uses = true;
-                w.messages.insert(Message::Use(node.epoch));
+        let excluded = self.rules.exclude_conflicting_decisions && returning;
+        if !node.believes_in_use && !excluded && !self.returned {
+            successors.push(self.with(|w| {
+                w.nodes[n].believes_in_use = true;
+                w.messages.insert(Message::UseMachine(node.epoch));
             }));
         }
-        let excluded = self.parts.exclude && node.uses;
+        let excluded = self.rules.exclude_conflicting_decisions && node.believes_in_use;
         if !returning && !excluded && !self.returned {
-            all.push(self.with(|w| {
-                w.nodes[n].open.insert((Action::Return, first));
+            successors.push(self.with(|w| {
+                w.nodes[n].open_actions.insert((Action::Return, initial));
             }));
         }
     }
@@ -202,23 +212,24 @@
     fn load(&mut self, n: usize) {
         let node = &mut self.nodes[n];
         node.loaded = true;
-        node.uses = self.in_use;
-        if self.parts.adopt {
-            node.open.extend(self.intents.iter().map(|&action| (action, Step::Recorded)));
+        node.believes_in_use = self.in_use;
+        if self.rules.adopt {
+            node.open_actions
+                .extend(self.intents.iter().map(|&action| (action, Progress::Recorded)));
         }
     }
 
     fn may_send(&self, n: usize) -> bool {
-        let certain = self.held && self.nodes[n].epoch == self.epoch;
-        certain || !self.parts.check_before_sending
+        let holds_lease = self.held && self.nodes[n].epoch == self.epoch;
+        holds_lease || !self.rules.check_before_sending
     }
 
-    fn send(&mut self, n: usize, action: Action, step: Step) {
+    fn send(&mut self, n: usize, action: Action, progress: Progress) {
         let epoch = self.nodes[n].epoch;
         if epoch != self.epoch {
-            self.broken = Some("a replaced holder sent an action");
+            self.violation = Some("a replaced holder sent an action");
         }
-        self.nodes[n].advance(action, step, Some(Step::Sent));
+        self.nodes[n].advance(action, progress, Some(Progress::Sent));
         self.messages.insert(Message::Cloud(epoch, action));
     }
 
@@ -226,19 +237,20 @@
         self.messages.remove(&message);
         match message {
             Message::Record(epoch, action) => {
-                // The fence. A record of this epoch that was stored before is not made anew.
+                // The fence rejects writes of other epochs. A record that was stored before is not
+                // created again by a late copy of its write.
                 if epoch == self.epoch && self.ever_recorded.insert(action) {
                     self.intents.insert(action);
                 }
                 if epoch == self.epoch {
                     let node = self.nodes.iter_mut().find(|node| node.epoch == epoch);
                     let answered = |node: &mut Node| {
-                        node.advance(action, Step::Writing, Some(Step::Recorded));
+                        node.advance(action, Progress::Writing, Some(Progress::Recorded));
                     };
                     node.into_iter().for_each(answered);
                 }
             }
-            Message::Use(epoch) => {
+            Message::UseMachine(epoch) => {
                 if epoch == self.epoch {
                     self.in_use = true;
                 }
@@ -253,18 +265,20 @@
             Action::Rent(name) => self.rented.insert(name),
         };
         if !self.ever_recorded.contains(&action) {
-            self.broken = Some("an action without a recorded intent");
+            self.violation = Some("an action took effect without a recorded intent");
         } else if takes_effect && epoch < self.epoch && !self.intents.contains(&action) {
-            self.broken = Some("a stale action took effect that no holder has adopted");
+            self.violation =
+                Some("a stale action took effect that the current holder had not adopted");
         } else if takes_effect && action == Action::Return && self.in_use {
-            self.broken = Some("a machine was returned and in use");
+            self.violation = Some("a machine was returned while it was in use");
         }
-        // The answer, if whoever sent it is still there; then the record is dropped under the fence.
+        // The sender gets the response unless it has learned of a successor by now. The record is
+        // deleted if the fence still holds.
         let node = self.nodes.iter_mut().find(|node| node.epoch == epoch);
         if let Some(node) = node {
-            node.advance(action, Step::Sent, None);
+            node.advance(action, Progress::Sent, None);
             if let Action::Rent(name) = action {
-                node.knows.insert(name);
+                node.known_rentals.insert(name);
             }
         }
         if epoch == self.epoch {
@@ -272,44 +286,46 @@
         }
     }
 
-    /// All is settled: nothing recorded, nothing on its way, and the holder knows what is rented.
+    /// Returns whether a holder exists and has loaded its state, and no intents, open actions or
+    /// messages remain.
     fn is_settled(&self) -> bool {
         let holder = self.nodes.iter().find(|node| node.epoch == self.epoch);
         self.held
             && self.intents.is_empty()
             && self.messages.is_empty()
-            && holder.is_some_and(|node| node.loaded && node.open.is_empty())
+            && holder.is_some_and(|node| node.loaded && node.open_actions.is_empty())
     }
 }
 
-fn shortest_violation(parts: Parts) -> Option<(usize, &'static str)> {
-    let start = World::start(parts);
-    let path = bfs(&start, |world| world.next(true), |world| world.broken.is_some())?;
-    Some((path.len(), path.last()?.broken?))
+fn shortest_violation(rules: Rules) -> Option<(usize, &'static str)> {
+    let start = World::start(rules);
+    let path = bfs(&start, |world| world.next(true), |world| world.violation.is_some())?;
+    Some((path.len(), path.last()?.violation?))
 }
 
 #[test]
-fn no_reachable_state_breaks_a_rule_and_each_can_settle() {
-    let start = World::start(ALL_PARTS);
+fn every_reachable_state_is_safe_and_can_reach_a_settled_state() {
+    let start = World::start(ALL_RULES);
     let states: Vec<World> = bfs_reach(start, |world| world.next(true)).collect();
-    println!("{} states", states.len());
-    let broken = states.iter().find_map(|world| world.broken);
-    assert_eq!(broken, None);
-    assert!(states.len() > LEAST_STATES, "the model is as large as it was: {}", states.len());
+    println!("{} reachable states", states.len());
+    let violation = states.iter().find_map(|world| world.violation);
+    assert_eq!(violation, None);
+    assert!(states.len() > MIN_STATES, "the model has too few reachable states: {}", states.len());
 
-    // Progress once trouble ends: a settled state is reached from each by steps without trouble. States in
-    // which the last epoch has been used up and lost are the model's end, not the protocol's.
+    // Liveness: every state must reach a settled one by steps without disruptions. States in which
+    // the last epoch is used up and lost are excluded: they end the model, not the protocol.
     let number: HashMap<&World, usize> = states.iter().zip(0..).collect();
-    let mut before: Vec<Vec<usize>> = vec![Vec::new(); states.len() + 1];
+    let mut predecessors: Vec<Vec<usize>> = vec![Vec::new(); states.len() + 1];
     for (world, at) in states.iter().zip(0..) {
         for next in world.next(false) {
-            before[number[&next]].push(at);
+            predecessors[number[&next]].push(at);
         }
         if world.is_settled() {
-            before[states.len()].push(at);
+            predecessors[states.len()].push(at);
         }
     }
-    let settling: BTreeSet<usize> = bfs_reach(states.len(), |&at| before[at].clone()).collect();
+    let settling: BTreeSet<usize> =
+        bfs_reach(states.len(), |&at| predecessors[at].clone()).collect();
     let stuck = states
         .iter()
         .zip(0..)
@@ -318,16 +334,19 @@
 }
 
 #[test]
-fn each_part_of_the_fence_is_needed() {
-    let without = [
-        ("recording first", Parts { record_first: false, ..ALL_PARTS }),
-        ("the check before sending", Parts { check_before_sending: false, ..ALL_PARTS }),
-        ("adoption", Parts { adopt: false, ..ALL_PARTS }),
-        ("exclusion", Parts { exclude: false, ..ALL_PARTS }),
+fn disabling_any_protocol_rule_leads_to_a_violation() {
+    let cases = [
+        ("recording before sending", Rules { record_before_sending: false, ..ALL_RULES }),
+        ("the lease check before sending", Rules { check_before_sending: false, ..ALL_RULES }),
+        ("adoption", Rules { adopt: false, ..ALL_RULES }),
+        (
+            "the exclusion of conflicting decisions",
+            Rules { exclude_conflicting_decisions: false, ..ALL_RULES },
+        ),
     ];
-    for (part, parts) in without {
-        let found = shortest_violation(parts);
-        println!("without {part}: {found:?}");
-        assert!(found.is_some(), "nothing breaks without {part}");
+    for (rule, rules) in cases {
+        let found = shortest_violation(rules);
+        println!("without {rule}: {found:?}");
+        assert!(found.is_some(), "no violation without {rule}");
     }
 }
--- a/crates/fencing/tests/random_interleavings.rs
+++ b/crates/fencing/tests/random_interleavings.rs
@@ -1,6 +1,7 @@
-//! The intent log under messages that are delayed, lost and repeated, holders that stand still, and a store and a
-//! cloud that answer late: whatever the order, no action without a record, none of a replaced holder that
-//! nobody adopted, no machine returned while it is in use, and all settled once trouble ends.
+//! Random tests of the intent log with delayed, lost and repeated messages, paused holders, and a
+//! store and a cloud that answer late. In every order, no action may take effect without a record,
+//! no action of a replaced holder unless its successor adopted it, and no machine may be returned
+//! while in use. Once the disruptions end, all actions must settle.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,34 +23,35 @@
 const SEED: [u8; 32] = [27; 32];
 const CASES: u32 = 400;
 const MACHINES: usize = 5;
-const MAX_ROUNDS: usize = 300;
+const MAX_SETTLE_ROUNDS: usize = 300;
 
-/// One step of a script.
+/// One random event of a test case.
 #[derive(Debug, Clone)]
 enum Step {
-    /// Time passes.
+    /// The clock advances by this many milliseconds.
     Wait(u64),
-    /// The holder decides to rent.
+    /// The holder requests machines.
     Rent,
-    /// The holder puts work on a machine, if it may.
-    Use(usize),
-    /// The work on a machine ends.
-    Release(usize),
-    /// The holder decides to return a machine, if it may.
+    /// The holder places tasks on a machine, unless it is returned or its return is requested.
+    PlaceTasks(usize),
+    /// The tasks on a machine end.
+    EndTasks(usize),
+    /// The holder requests the return of a machine, unless it is in use.
     Return(usize),
-    /// A message is delivered: to the store or the cloud.
+    /// A message reaches the store or the cloud, and the sender gets the response.
     Deliver(usize),
-    /// The same, and its answer is lost.
-    DeliverUnheard(usize),
-    /// A message is delivered and stays to be delivered again.
+    /// A message is delivered, but the response is lost.
+    DeliverWithoutResponse(usize),
+    /// A message is delivered, and a copy of it stays in transit.
     DeliverTwice(usize),
-    /// It never arrives, and the sender is told so as far as it can be.
+    /// A message is lost, and the sender sees an unknown outcome.
     Lose(usize),
-    /// The holder looks what is to be done.
+    /// The holder's intent log issues its commands.
     Tick,
-    /// The holder stands still with all that it was about to send, and another takes over.
+    /// The holder pauses with the commands that it was about to send, and another node takes over
+    /// the role.
     Replace,
-    /// A former holder goes on where it stood.
+    /// The most recent paused holder resumes with those commands.
     Resume,
 }
 
@@ -59,11 +61,11 @@
     prop_oneof![
         2 => (100u64..4_000).prop_map(Step::Wait),
         2 => Just(Step::Rent),
-        2 => machine.clone().prop_map(Step::Use),
-        2 => machine.clone().prop_map(Step::Release),
+        2 => machine.clone().prop_map(Step::PlaceTasks),
+        2 => machine.clone().prop_map(Step::EndTasks),
         4 => machine.prop_map(Step::Return),
         6 => message.clone().prop_map(Step::Deliver),
-        2 => message.clone().prop_map(Step::DeliverUnheard),
+        2 => message.clone().prop_map(Step::DeliverWithoutResponse),
         1 => message.clone().prop_map(Step::DeliverTwice),
         1 => message.prop_map(Step::Lose),
         6 => Just(Step::Tick),
@@ -72,7 +74,7 @@
     ]
 }
 
-/// Something under way, with the epoch that sent it.
+/// Message in transit, with the epoch of its sender.
 #[derive(Debug, Clone)]
 enum Message {
     Write { epoch: u64, id: u64, transaction: Transaction },
@@ -82,8 +84,8 @@
 struct Holder {
     epoch: u64,
     intent_log: IntentLog,
-    /// What it was told to do and has not done when it stood still.
-    about_to: Vec<IntentLogCommand>,
+    /// Commands that were issued but not carried out when the holder was paused.
+    unsent_commands: Vec<IntentLogCommand>,
 }
 
 struct World {
@@ -92,7 +94,7 @@
     keys: BTreeMap<String, (Value, u64)>,
     ever_recorded: BTreeSet<Action>,
     holder: Holder,
-    former: Vec<Holder>,
+    replaced: Vec<Holder>,
     messages: Vec<Message>,
     in_use: BTreeSet<String>,
     returned: BTreeSet<String>,
@@ -105,9 +107,10 @@
 }
 
 fn holder(epoch: u64) -> Holder {
-    let fence = Fence::new(LeasedRole::Fleet, Epoch::try_from(Revision(epoch)).expect("an epoch"));
+    let fence =
+        Fence::new(LeasedRole::Fleet, Epoch::try_from(Revision(epoch)).expect("a valid epoch"));
     let intent_log = IntentLog::new(fence, LIMITS, TimeDelta::from_secs(12));
-    Holder { epoch, intent_log, about_to: Vec::new() }
+    Holder { epoch, intent_log, unsent_commands: Vec::new() }
 }
 
 impl World {
@@ -118,7 +121,7 @@
             keys: BTreeMap::new(),
             ever_recorded: BTreeSet::new(),
             holder: holder(1),
-            former: Vec::new(),
+            replaced: Vec::new(),
             messages: Vec::new(),
             in_use: BTreeSet::new(),
             returned: BTreeSet::new(),
@@ -129,26 +132,26 @@
         world
     }
 
-    fn play(&mut self, step: &Step) {
+    fn apply_step(&mut self, step: &Step) {
         match step {
             Step::Wait(ms) => self.now = self.now + TimeDelta::from_millis(*ms),
             Step::Rent => self.scale_out(),
-            Step::Use(index) => {
+            Step::PlaceTasks(index) => {
                 let name = machine(*index);
                 if !self.returned.contains(&name) && !self.holder.intent_log.is_scaling_in(&name) {
                     self.in_use.insert(name);
                 }
             }
-            Step::Release(index) => drop(self.in_use.remove(&machine(*index))),
+            Step::EndTasks(index) => drop(self.in_use.remove(&machine(*index))),
             Step::Return(index) => {
                 let name = machine(*index);
                 if !self.in_use.contains(&name) {
-                    let wish = TerminatedMachine { machine: name, holds_tasks: false };
-                    self.holder.intent_log.scale_in(self.now, vec![wish]);
+                    let scale_in = TerminatedMachine { machine: name, holds_tasks: false };
+                    self.holder.intent_log.scale_in(self.now, vec![scale_in]);
                 }
             }
             Step::Deliver(index) => self.deliver(*index, true, false),
-            Step::DeliverUnheard(index) => self.deliver(*index, false, false),
+            Step::DeliverWithoutResponse(index) => self.deliver(*index, false, false),
             Step::DeliverTwice(index) => self.deliver(*index, true, true),
             Step::Lose(index) => self.lose(*index),
             Step::Tick => self.tick(),
@@ -175,7 +178,7 @@
         }
     }
 
-    /// The sender holds its lease: nobody has replaced it.
+    /// Puts a command in transit. The caller makes sure that the sender may still send it.
     fn send(&mut self, epoch: u64, command: IntentLogCommand) {
         self.messages.push(match command {
             IntentLogCommand::Write { id, transaction } => {
@@ -193,17 +196,19 @@
         }
     }
 
-    fn deliver(&mut self, index: usize, heard: bool, keep: bool) {
+    fn deliver(&mut self, index: usize, response_arrives: bool, keep: bool) {
         match self.take(index, keep) {
             Some(Message::Write { epoch, id, transaction }) => {
                 let outcome = self.commit(&transaction);
-                let outcome = if heard { outcome } else { TransactionOutcome::Indeterminate };
-                self.tell_write(epoch, id, &outcome);
+                let outcome =
+                    if response_arrives { outcome } else { TransactionOutcome::Indeterminate };
+                self.report_write(epoch, id, &outcome);
             }
             Some(Message::Cloud { epoch, id, action }) => {
                 let rented = self.carry_out(epoch, &action);
-                let answer = if heard { ActionAnswer::Done } else { ActionAnswer::Unknown };
-                self.tell_action(epoch, id, answer, &rented);
+                let answer =
+                    if response_arrives { ActionAnswer::Done } else { ActionAnswer::Unknown };
+                self.report_action(epoch, id, answer, &rented);
             }
             None => {}
         }
@@ -212,22 +217,22 @@
     fn lose(&mut self, index: usize) {
         match self.take(index, false) {
             Some(Message::Write { epoch, id, .. }) => {
-                self.tell_write(epoch, id, &TransactionOutcome::Indeterminate)
+                self.report_write(epoch, id, &TransactionOutcome::Indeterminate)
             }
             Some(Message::Cloud { epoch, id, .. }) => {
-                self.tell_action(epoch, id, ActionAnswer::Unknown, &[]);
+                self.report_action(epoch, id, ActionAnswer::Unknown, &[]);
             }
             None => {}
         }
     }
 
-    fn tell_write(&mut self, epoch: u64, id: u64, outcome: &TransactionOutcome) {
+    fn report_write(&mut self, epoch: u64, id: u64, outcome: &TransactionOutcome) {
         if epoch == self.holder.epoch {
             self.holder.intent_log.written(self.now, id, outcome);
         }
     }
 
-    fn tell_action(&mut self, epoch: u64, id: ActionId, answer: ActionAnswer, rented: &[String]) {
+    fn report_action(&mut self, epoch: u64, id: ActionId, answer: ActionAnswer, rented: &[String]) {
         if epoch == self.holder.epoch {
             self.holder.intent_log.answered(self.now, id, answer, rented);
         }
@@ -238,17 +243,20 @@
         let failed = transaction
             .compares
             .iter()
-            .filter(|guard| revision(&guard.key) != guard.revision.get());
-        let failed: Vec<String> = failed.map(|guard| guard.key.clone()).collect();
+            .filter(|compare| revision(&compare.key) != compare.revision.get());
+        let failed: Vec<String> = failed.map(|compare| compare.key.clone()).collect();
         if !failed.is_empty() {
             return TransactionOutcome::Conflict { failed };
         }
-        assert!(transaction.operations.len() <= LIMITS.txn_ops, "within the limits");
+        assert!(
+            transaction.operations.len() <= LIMITS.txn_ops,
+            "too many operations in a transaction"
+        );
         self.revision += 1;
-        for change in &transaction.operations {
-            match change {
+        for operation in &transaction.operations {
+            match operation {
                 Operation::Put { put, value, .. } => {
-                    assert!(value.size() <= LIMITS.value_bytes, "within the limits");
+                    assert!(value.size() <= LIMITS.value_bytes, "value too large");
                     self.record(&value.to_value());
                     self.keys.insert(put.clone(), (value.to_value(), self.revision));
                 }
@@ -262,7 +270,7 @@
 
     fn record(&mut self, value: &Value) {
         let actions: Vec<Action> =
-            serde_json::from_value(value["actions"].clone()).expect("actions");
+            serde_json::from_value(value["actions"].clone()).expect("a list of actions");
         self.ever_recorded.extend(actions);
     }
 
@@ -278,19 +286,19 @@
 
     fn is_stored(&self, action: &Action) -> bool {
         self.stored().iter().any(|key_value| {
-            let actions: Vec<Action> =
-                serde_json::from_value(key_value.value["actions"].clone()).expect("actions");
+            let actions: Vec<Action> = serde_json::from_value(key_value.value["actions"].clone())
+                .expect("a list of actions");
             actions.contains(action)
         })
     }
 
     fn carry_out(&mut self, epoch: u64, action: &Action) -> Vec<String> {
-        assert!(self.ever_recorded.contains(action), "sent without a record: {action:?}");
+        assert!(self.ever_recorded.contains(action), "took effect without a record: {action:?}");
         let stale = epoch != self.holder.epoch;
         match action {
             Action::ScaleOut(scale_out) => {
                 if !self.rented.contains_key(&scale_out.request) {
-                    assert!(!stale || self.is_stored(action), "nobody adopted {action:?}");
+                    assert!(!stale || self.is_stored(action), "stale and not adopted: {action:?}");
                     let names = (0..scale_out.count).map(|n| format!("{}/{n}", scale_out.request));
                     self.rented.insert(scale_out.request.clone(), names.collect());
                 }
@@ -299,8 +307,14 @@
             Action::ScaleIn(machines) => {
                 for TerminatedMachine { machine, .. } in machines {
                     if self.returned.insert(machine.clone()) {
-                        assert!(!stale || self.is_stored(action), "nobody adopted {action:?}");
-                        assert!(!self.in_use.contains(machine), "{machine} is in use");
+                        assert!(
+                            !stale || self.is_stored(action),
+                            "stale and not adopted: {action:?}"
+                        );
+                        assert!(
+                            !self.in_use.contains(machine),
+                            "{machine} was returned while in use"
+                        );
                     }
                 }
                 Vec::new()
@@ -317,23 +331,25 @@
         assert!(adopted.faults.is_empty() && adopted.cancelled_scale_ins.is_empty(), "{adopted:?}");
         let mut old = std::mem::replace(&mut self.holder, new);
         old.intent_log.tick(self.now, true);
-        old.about_to = old.intent_log.take_commands();
-        self.former.push(old);
+        old.unsent_commands = old.intent_log.take_commands();
+        self.replaced.push(old);
     }
 
-    /// Its writes leave, since the store refuses them; its requests don't, since it looks at its lease first.
+    /// Resumes a replaced holder. Its writes are sent, and the store rejects them. Its cloud
+    /// requests are not, because it checks its lease before sending.
     fn resume(&mut self) {
-        let Some(mut old) = self.former.pop() else { return };
-        for command in std::mem::take(&mut old.about_to) {
+        let Some(mut old) = self.replaced.pop() else { return };
+        for command in std::mem::take(&mut old.unsent_commands) {
             if matches!(command, IntentLogCommand::Write { .. }) {
                 self.send(old.epoch, command);
             }
         }
     }
 
-    /// Trouble ends: everything arrives and is heard.
+    /// Ends all disruptions, delivers every message with its response, and fails unless all actions
+    /// settle.
     fn settle(&mut self) {
-        for _ in 0..MAX_ROUNDS {
+        for _ in 0..MAX_SETTLE_ROUNDS {
             self.now = self.now + TimeDelta::from_secs(1);
             self.tick();
             while !self.messages.is_empty() {
@@ -343,34 +359,35 @@
                 return;
             }
         }
-        panic!("not settled: {:?}", self.holder.intent_log);
+        panic!("actions not settled: {:?}", self.holder.intent_log);
     }
 }
 
 #[test]
-fn whatever_the_order_nothing_is_done_unrecorded_or_by_a_replaced_holder() {
+fn random_interleavings_never_run_unrecorded_or_unadopted_stale_actions() {
     let config = Config { cases: CASES, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &SEED);
     let mut runner = TestRunner::new_with_rng(config, rng);
     let scripts = proptest::collection::vec(step(), 10..120);
-    let played = runner.run(&scripts, |script| {
+    let result = runner.run(&scripts, |script| {
         let mut world = World::new();
-        script.iter().for_each(|step| world.play(step));
+        script.iter().for_each(|step| world.apply_step(step));
         world.settle();
         Ok(())
     });
-    played.expect("a minimal script is printed above");
+    result.expect("a failing script, printed above in its minimal form");
 }
 
-/// What a record names is given to the store in as many records as its limits ask for.
+/// Guards against scale-ins that the store can never accept because a record exceeds its limits,
+/// also when the limits shrink while the write is in progress.
 #[test]
-fn a_large_return_is_recorded_in_parts_and_in_smaller_ones_when_the_limits_fall() {
+fn large_scale_in_is_split_to_fit_the_limits_and_again_when_they_shrink() {
     let mut world = World::new();
     let requested: Vec<_> = (0..100)
         .map(|n| TerminatedMachine { machine: format!("n-{n:06}"), holds_tasks: n % 2 == 0 })
         .collect();
     assert_eq!(world.holder.intent_log.scale_in(world.now, requested.clone()), 1);
-    assert_eq!(world.holder.intent_log.scale_in(world.now, requested), 0, "wanted already");
+    assert_eq!(world.holder.intent_log.scale_in(world.now, requested), 0, "requested twice");
     world.holder.intent_log.set_limits(WriteLimits { value_bytes: 8_000, txn_ops: 32 });
     world.holder.intent_log.tick(world.now, true);
     let first = world.holder.intent_log.take_commands();
@@ -381,9 +398,10 @@
     assert_eq!(world.returned.len(), 100);
 }
 
-/// A record of this epoch or a later one, when this is the newest: the store lost what it had.
+/// A stored intent has the holder's own epoch although that epoch was just acquired, which means
+/// that the store lost data.
 #[test]
-fn a_holder_whose_epoch_went_back_does_nothing() {
+fn intent_log_stops_if_a_stored_intent_already_has_its_epoch() {
     let mut world = World::new();
     world.scale_out();
     world.tick();
@@ -395,13 +413,14 @@
     assert!(same.intent_log.take_commands().is_empty());
 }
 
-/// Work that a version without fences put on a machine whose return is recorded is not destroyed.
+/// Guards against the loss of tasks that a version without fencing placed on a machine after its
+/// return was recorded.
 #[test]
-fn a_recorded_return_is_dropped_where_a_former_version_put_work_since() {
+fn adoption_cancels_a_scale_in_if_tasks_were_placed_after_its_recording() {
     let mut world = World::new();
     for (name, holds_tasks) in [("n-1", false), ("n-2", true)] {
-        let wish = TerminatedMachine { machine: name.into(), holds_tasks };
-        world.holder.intent_log.scale_in(world.now, vec![wish]);
+        let scale_in = TerminatedMachine { machine: name.into(), holds_tasks };
+        world.holder.intent_log.scale_in(world.now, vec![scale_in]);
     }
     world.tick();
     world.deliver(0, true, false);
