--- a/crates/controller/tests/versions.rs
+++ b/crates/controller/tests/versions.rs
@@ -1,26 +1,27 @@
-//! Three real controllers between which leadership goes to and fro as between two versions of the program;
-//! here both are the same. The long form, with another version, is a command in the README.
+//! Runs three real controllers and moves leadership back and forth as between two versions of the
+//! program. Here both versions are the same build. The README has the command for a long run with
+//! an earlier version.
 
 use std::path::Path;
 use std::time::Duration;
 
 use walnutlug_fault_injection::version_scenario::{run, Scenario};
 
-const LENGTH: Duration = Duration::from_secs(16);
+const SUBMIT_TIME: Duration = Duration::from_secs(16);
 
 #[test]
-fn leaders_carry_on_what_the_other_version_recorded() {
+fn leaders_continue_work_recorded_by_the_other_version() {
     let scripts = Path::new(env!("CARGO_MANIFEST_DIR")).join("../fault-injection/scripts");
     let scenario = Scenario {
         program: env!("CARGO_BIN_EXE_walnutlug").into(),
         previous: env!("CARGO_BIN_EXE_walnutlug").into(),
         script: scripts.join("fenced.lua"),
-        length: LENGTH,
+        length: SUBMIT_TIME,
     };
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
-    let report = runtime.expect("a runtime").block_on(run(&scenario));
+    let report = runtime.expect("tokio runtime").block_on(run(&scenario));
     println!("{report:#?}");
     for (check, holds) in report.checks() {
-        assert!(holds, "{check}");
+        assert!(holds, "check failed: {check}");
     }
 }
