--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -225,7 +225,7 @@
         if known && !self.is_open_in_scheduler(job) {
             return;
         }
-        self.user_api.known_jobs.learn_end(job, end);
+        self.user_api.known_jobs.record_end(job, end);
         match self.scheduler.borrow_mut().as_mut() {
             Some(scheduler) => scheduler.job_ended(self.now(), job, end),
             None if self.leadership.borrow().term().is_some() => {
--- a/crates/controller/src/user_api/known_jobs.rs
+++ b/crates/controller/src/user_api/known_jobs.rs
@@ -46,7 +46,7 @@
     }
 
     /// The job has ended, for certain.
-    pub(crate) fn learn_end(&self, name: &str, end: JobEnd) {
+    pub(crate) fn record_end(&self, name: &str, end: JobEnd) {
         self.progress.borrow_mut().remove(name);
         self.learn(name, KnownJob::Ended(end));
     }
