--- a/crates/controller/src/node/heartbeats/follower.rs
+++ b/crates/controller/src/node/heartbeats/follower.rs
@@ -47,7 +47,7 @@
         self.send_to_peer(&leader, &Frame::ForwardedHeartbeat(forwarded));
         let ForwardedResponse { answer, cache_entry, .. } = pending.response().await?;
         let cached = cache_entry.and_then(|entry| follower.cache(self.now(), &entry));
-        connection.remember(body, cached);
+        connection.cache_heartbeat(body, cached);
         Some(Answer::bytes(200, answer?))
     }
 }
--- a/crates/controller/src/worker_api.rs
+++ b/crates/controller/src/worker_api.rs
@@ -80,7 +80,7 @@
     let Ok(handled) = handle_heartbeat(node, body, &heartbeat, OWN_NODE) else {
         return redirect(node);
     };
-    connection.remember(body, handled.cached);
+    connection.cache_heartbeat(body, handled.cached);
     node.wake_leader();
     accepted(handled.token, handled.calls)
 }
--- a/crates/controller/src/worker_api/connection.rs
+++ b/crates/controller/src/worker_api/connection.rs
@@ -60,7 +60,7 @@
     }
 
     /// Remembers a heartbeat that left nothing to do, or only forgets the one before.
-    pub(crate) fn remember(&self, body: &[u8], cached: Option<CachedHeartbeat>) {
+    pub(crate) fn cache_heartbeat(&self, body: &[u8], cached: Option<CachedHeartbeat>) {
         let remembered = cached.filter(|_| body.len() <= MAX_REMEMBERED).and_then(|cached| {
             Some(Remembered { body: body.to_vec(), sequence: sequence_digits(body)?, cached })
         });
