--- a/crates/controller/src/count_guard.rs
+++ b/crates/controller/src/count_guard.rs
@@ -1,14 +1,14 @@
-//! A count of things that last a while, such as connections and requests in flight.
+//! An RAII counter for open connections, requests in flight and running background tasks.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// One of the things that are counted, until this is dropped.
+/// Holds one unit of a shared counter and gives it back when dropped.
 #[derive(Debug)]
 pub(crate) struct CountGuard(Rc<Cell<u32>>);
 
 impl CountGuard {
-    /// Counts one more.
+    /// Increments the counter; dropping the guard decrements it again.
     pub(crate) fn new(count: &Rc<Cell<u32>>) -> CountGuard {
         count.set(count.get() + 1);
         CountGuard(count.clone())
--- a/crates/controller/src/worker_api/commands.rs
+++ b/crates/controller/src/worker_api/commands.rs
@@ -1,4 +1,4 @@
-//! Commands that are sent to workers directly.
+//! Sends commands to workers over HTTP, outside their heartbeat responses.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -11,9 +11,11 @@
 use super::parsing::parse_heartbeat;
 use crate::http::client::{Client, HttpError, Request};
 
-const TIMEOUT: Duration = Duration::from_secs(2);
+const COMMANDS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Sends commands once, and never again: whether they arrived is shown by the worker's heartbeats.
+/// Sends commands to a worker and parses the heartbeat it answers with.
+///
+/// The request is never retried: the worker's next heartbeats show whether the commands arrived.
 pub(crate) async fn send_commands(
     client: &Client,
     address: &str,
@@ -25,7 +27,8 @@
     let Ok(body) = serde_json::to_vec(&CommandsRequest { token, agent_epoch, calls }) else {
         return MessageOutcome::NotSent;
     };
-    let request = Request { method: "POST", path: "/commands", body: &body, timeout: TIMEOUT };
+    let request =
+        Request { method: "POST", path: "/commands", body: &body, timeout: COMMANDS_TIMEOUT };
     match client.send(addr, &request).await {
         Ok(response) if matches!(response.status, 200 | 409) => {
             match parse_heartbeat(&response.body) {
--- a/crates/controller/src/worker_api/connection.rs
+++ b/crates/controller/src/worker_api/connection.rs
@@ -1,4 +1,4 @@
-//! What a connection keeps of its worker's last heartbeat, so that a repetition costs little.
+//! Per-connection cache of the worker's last heartbeat, so that repetitions need no JSON parsing.
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::ops::Range;
@@ -9,67 +9,73 @@
 
 use crate::count_guard::CountGuard;
 
-/// Bytes of a heartbeat that is remembered. Longer ones are read in full each time: some thousand
-/// connections remember one each.
-const MAX_REMEMBERED: usize = 4 * 1024;
+/// Size limit of a cached heartbeat; longer ones are parsed each time. Bounds memory, because some
+/// thousand connections cache one heartbeat each.
+const MAX_CACHED_BYTES: usize = 4 * 1024;
 
-/// A heartbeat that left nothing to do, as it came.
+/// The raw body of a heartbeat that required no command.
 #[derive(Debug)]
-struct Remembered {
+struct LastHeartbeat {
     body: Vec<u8>,
-    /// Where its sequence number stands.
-    sequence: Range<usize>,
+    /// Byte range of the sequence number in `body`.
+    sequence_range: Range<usize>,
     cached: CachedHeartbeat,
 }
 
-/// A connection's last heartbeat once more, but for its sequence number.
+/// A heartbeat that differs from the connection's cached one only in its sequence number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Repetition {
-    /// The heartbeat that it repeats.
+    /// Cache entry of the repeated heartbeat.
     pub(crate) cached: CachedHeartbeat,
-    /// Its own sequence number.
+    /// Sequence number of the repetition itself.
     pub(crate) sequence: u64,
 }
 
-/// One connection from a worker, if it turns out to be from one.
+/// State of an incoming connection that may belong to a worker; users' connections never send a
+/// heartbeat and keep the default.
 #[derive(Debug, Default)]
 pub(crate) struct WorkerConnection {
-    last: RefCell<Option<Remembered>>,
-    heartbeats: Cell<u32>,
-    /// Counts the connection among those of workers for as long as it lasts.
-    counted: OnceCell<CountGuard>,
+    last: RefCell<Option<LastHeartbeat>>,
+    heartbeat_count: Cell<u32>,
+    /// Counts this connection as a worker's; set by its first heartbeat.
+    count_guard: OnceCell<CountGuard>,
 }
 
 impl WorkerConnection {
-    /// A heartbeat has arrived: the connection counts as a worker's from its first on. Returns whether
-    /// this is the first.
+    /// Notes that a heartbeat arrived and returns whether it is the connection's first, from which on the
+    /// connection counts as a worker's.
     pub(crate) fn record_heartbeat(&self, workers: &Rc<Cell<u32>>) -> bool {
-        self.counted.get_or_init(|| CountGuard::new(workers));
-        self.heartbeats.set(self.heartbeats.get().saturating_add(1));
-        self.heartbeats.get() == 1
+        self.count_guard.get_or_init(|| CountGuard::new(workers));
+        self.heartbeat_count.set(self.heartbeat_count.get().saturating_add(1));
+        self.heartbeat_count.get() == 1
     }
 
-    /// What the body repeats, if it is the last heartbeat but for its sequence number.
+    /// Returns the repetition if `body` equals the cached heartbeat except for the sequence number.
     pub(crate) fn repetition(&self, body: &[u8]) -> Option<Repetition> {
-        let remembered = self.last.borrow();
-        let last = remembered.as_ref()?;
-        let before = &last.body[..last.sequence.start];
-        let after = &last.body[last.sequence.end..];
+        let last_heartbeat = self.last.borrow();
+        let last = last_heartbeat.as_ref()?;
+        let before = &last.body[..last.sequence_range.start];
+        let after = &last.body[last.sequence_range.end..];
         let digits = body.strip_prefix(before)?.strip_suffix(after)?;
         Some(Repetition { cached: last.cached, sequence: parse_digits(digits)? })
     }
 
-    /// Remembers a heartbeat that left nothing to do, or only forgets the one before.
+    /// Replaces the cached heartbeat. Clears the cache if `cached` is `None`, the body is too long or it
+    /// has no sequence number.
     pub(crate) fn cache_heartbeat(&self, body: &[u8], cached: Option<CachedHeartbeat>) {
-        let remembered = cached.filter(|_| body.len() <= MAX_REMEMBERED).and_then(|cached| {
-            Some(Remembered { body: body.to_vec(), sequence: sequence_digits(body)?, cached })
+        let last_heartbeat = cached.filter(|_| body.len() <= MAX_CACHED_BYTES).and_then(|cached| {
+            Some(LastHeartbeat {
+                body: body.to_vec(),
+                sequence_range: sequence_digits(body)?,
+                cached,
+            })
         });
-        *self.last.borrow_mut() = remembered;
+        *self.last.borrow_mut() = last_heartbeat;
     }
 }
 
-/// The sequence number as it stands in a heartbeat's text.
-pub(crate) fn sequence_in(body: &[u8]) -> Option<u64> {
+/// Extracts the sequence number from a heartbeat body without parsing the JSON.
+pub(crate) fn parse_sequence(body: &[u8]) -> Option<u64> {
     parse_digits(&body[sequence_digits(body)?])
 }
 
--- a/crates/controller/src/worker_api/parsing.rs
+++ b/crates/controller/src/worker_api/parsing.rs
@@ -1,17 +1,17 @@
-//! Heartbeats as they come from workers: what is malformed changes nothing.
+//! Parsing and validation of workers' heartbeats. A malformed heartbeat is rejected as a whole.
 
 use std::net::{AddrParseError, SocketAddrV4};
 
 use walnutlug_scheduler::protocol::workers::Heartbeat;
 
-/// Bytes that a machine's name may have.
-const MAX_MACHINE_NAME: usize = 64;
+/// Longest accepted machine name.
+const MAX_MACHINE_NAME_BYTES: usize = 64;
 
-/// What is wrong with a heartbeat. The worker is sent the text, so it names fields as the protocol
-/// does.
+/// Reason why a heartbeat is rejected. The text is sent to the worker, so it uses the field names of the
+/// wire protocol.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum HeartbeatError {
-    /// No JSON, or not of a heartbeat.
+    /// The body is not JSON, or not the JSON of a heartbeat.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     #[error("tree: must have 1 to 64 bytes")]
@@ -24,7 +24,7 @@
 
 pub(super) fn parse_heartbeat(body: &[u8]) -> Result<Heartbeat, HeartbeatError> {
     let heartbeat: Heartbeat = serde_json::from_slice(body)?;
-    if heartbeat.machine.is_empty() || heartbeat.machine.len() > MAX_MACHINE_NAME {
+    if heartbeat.machine.is_empty() || heartbeat.machine.len() > MAX_MACHINE_NAME_BYTES {
         return Err(HeartbeatError::MachineName);
     }
     heartbeat.address.parse::<SocketAddrV4>().map_err(HeartbeatError::Address)?;
--- a/crates/controller/src/worker_api/tests.rs
+++ b/crates/controller/src/worker_api/tests.rs
@@ -2,7 +2,7 @@
 use serde_json::json;
 
 #[test]
-fn malformed_heartbeats_are_named() {
+fn heartbeats_with_invalid_fields_are_rejected() {
     let good = json!({"tree":"n-000231","address":"10.1.0.232:9000","breed":"g8","grove":"a",
         "windfall":true,"season":1,"ring":88,"staff":41,"shakeS":null,
         "nuts":[{"nut":"req-000412/3","try":2,"stage":"running"},
@@ -22,9 +22,9 @@
     assert!(parse_heartbeat(b"").is_err());
 }
 
-/// Workers are sent these texts.
+/// The error texts are sent to workers and therefore have to stay the same.
 #[test]
-fn what_is_wrong_with_a_heartbeat_is_told_as_before() {
+fn heartbeat_validation_errors_name_the_protocol_field() {
     let good = json!({"tree":"n-000231","address":"10.1.0.232:9000","breed":"g8","grove":"a",
         "windfall":true,"season":1,"ring":88,"staff":41});
     for (field, value, text) in [
