--- a/crates/controller/src/user_api.rs
+++ b/crates/controller/src/user_api.rs
@@ -1,8 +1,8 @@
-//! The users' API: submissions, polls and cancellations. Any node serves it, from the key-value store
-//! alone; what the leader and the other nodes broadcast only adds counts for display.
+//! The user-facing API: submitting, polling and cancelling jobs. Every node serves it from the key-value
+//! store alone; broadcasts from the leader and other nodes only contribute task counts for display.
 //!
-//! No answer is ever older than one that any node gave before: an end never changes, and "not ended" is
-//! said only after the key-value store confirmed it.
+//! A response never contradicts an earlier response of any node: a stored job end never changes, and a
+//! job is reported as open only after the key-value store has confirmed that it has no end.
 
 mod batch_writer;
 mod cancellation;
@@ -26,13 +26,13 @@
 pub(crate) use status::poll;
 pub(crate) use submission::submit;
 
-/// After this long an undecided request is refused, to be repeated by its user.
-const DECIDE_WITHIN: Duration = Duration::from_millis(2_500);
+/// Time after which a request without a definite outcome gets a 503 and the user has to retry it.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// A node's part in the users' API.
+/// Per-node state of the user API: the job cache, queued submissions and pending status queries.
 #[derive(Debug, Default)]
 pub(crate) struct UserApi {
-    /// What this node knows of jobs.
+    /// Cache of job states read from the store or received from other nodes.
     pub(crate) known_jobs: KnownJobs,
     submissions: SubmissionQueue,
     status_queries: StatusQueries,
--- a/crates/controller/src/user_api/batch_writer.rs
+++ b/crates/controller/src/user_api/batch_writer.rs
@@ -1,5 +1,5 @@
-//! Writes accepted submissions in batches, so that those which come while one transaction is in flight
-//! share the next.
+//! Writes submissions to the key-value store in batches: those that arrive while transactions are in
+//! flight share a later one.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -15,48 +15,48 @@
 use walnutlug_scheduler::storage::revision::Revision;
 
 use super::task_slots::TaskSlots;
-use super::DECIDE_WITHIN;
+use super::REQUEST_TIMEOUT;
 use crate::key_value_client::RequestClass;
 use crate::node::Node;
 use crate::peers::Frame;
 
-/// Batches that are written at once.
-const MAX_WRITERS: u32 = 2;
-/// Bytes of one batch, and what a job's keys take beside its description.
+/// Limit on batches in flight at the same time.
+const MAX_CONCURRENT_WRITERS: u32 = 2;
+/// Size limit of a batch. Each job counts with its description and `KEY_BYTES_PER_JOB`.
 const MAX_BATCH_BYTES: usize = 40 * 1024;
-const KEYS_BYTES: usize = 256;
-/// Operations that accept one job: its key, and its description or its end.
+const KEY_BYTES_PER_JOB: usize = 256;
+/// Store operations needed to accept a job: one for its key, one for its description or its end.
 pub(super) const OPERATIONS_PER_JOB: usize = 2;
-/// An acceptance whose answer takes longer is sent once more.
-const SECOND_COPY_AFTER: Duration = Duration::from_millis(70);
+/// Response time after which a transaction is sent a second time, as a hedged request.
+const HEDGE_DELAY: Duration = Duration::from_millis(70);
 
-/// Submissions of a team and priority take turns with the others'; all are one lane if the order isn't
-/// shared.
+/// Lane of the submission queue: one per team and priority. Lanes are served round-robin. `None` is the
+/// single lane used when the `shared_order` tunable is off.
 pub(super) type Lane = Option<(String, Priority)>;
 
-/// What became of a submission that was to be written.
+/// Result of writing a submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Acceptance {
-    /// It was written now.
-    New,
-    /// The job was accepted before.
-    Known,
-    /// It may or may not have been written.
+pub(super) enum WriteOutcome {
+    /// This write accepted the job.
+    Written,
+    /// The job had been accepted earlier, possibly by a copy of the same request.
+    AlreadyAccepted,
+    /// It is unknown whether the write took effect.
     Indeterminate,
 }
 
-/// A submission that waits to be written.
+/// A validated submission in the write queue.
 #[derive(Debug)]
 pub(super) struct PendingSubmission {
     pub(super) name: String,
     pub(super) description: Document,
     pub(super) dependencies: Rc<[String]>,
-    /// A job that it depends on is cancelled: it is accepted, and ends with that.
+    /// Set if a dependency is cancelled: the job is stored as accepted and cancelled at once.
     pub(super) is_cancelled: bool,
-    pub(super) reply: oneshot::Sender<Acceptance>,
+    pub(super) reply: oneshot::Sender<WriteOutcome>,
 }
 
-/// The submissions that wait to be written.
+/// Queue of submissions and the background tasks that write them.
 #[derive(Debug)]
 pub(super) struct SubmissionQueue {
     lanes: RefCell<RoundRobinQueue<Lane, PendingSubmission>>,
@@ -65,26 +65,29 @@
 
 impl Default for SubmissionQueue {
     fn default() -> SubmissionQueue {
-        SubmissionQueue { lanes: RefCell::default(), writers: TaskSlots::new(MAX_WRITERS) }
+        SubmissionQueue {
+            lanes: RefCell::default(),
+            writers: TaskSlots::new(MAX_CONCURRENT_WRITERS),
+        }
     }
 }
 
 impl SubmissionQueue {
-    /// How many submissions would be written before a new one of that lane.
+    /// Returns the number of queued submissions that would be written before a new one of that lane.
     pub(super) fn ahead_of(&self, lane: &Lane) -> usize {
         self.lanes.borrow().ahead_of(lane)
     }
 
-    /// The next submissions that fit one transaction.
+    /// Removes the next submissions that fit into one transaction.
     fn take_batch(&self, max_operations: usize) -> Vec<PendingSubmission> {
         let mut lanes = self.lanes.borrow_mut();
-        // Where nobody waits any more the user was answered to come again.
+        // A closed reply channel means that the request timed out and its user was told to retry.
         lanes.retain(|pending| !pending.reply.is_closed());
         let max_jobs = (max_operations / OPERATIONS_PER_JOB).max(1);
         let mut bytes = 0;
         let mut batch = Vec::new();
         while let Some(next) = lanes.peek().filter(|_| batch.len() < max_jobs) {
-            bytes += next.description.size() + KEYS_BYTES;
+            bytes += next.description.size() + KEY_BYTES_PER_JOB;
             if !batch.is_empty() && bytes > MAX_BATCH_BYTES {
                 break;
             }
@@ -94,11 +97,11 @@
     }
 }
 
-/// Queues a submission, and has the queue written.
+/// Queues a submission and starts a writer task unless `MAX_CONCURRENT_WRITERS` are running.
 pub(super) fn write_submission(node: &Rc<Node>, lane: Lane, pending: PendingSubmission) {
     let queue = &node.user_api.submissions;
     queue.lanes.borrow_mut().push(lane, pending);
-    let Some(slot) = queue.writers.take() else { return };
+    let Some(slot) = queue.writers.try_acquire() else { return };
     let node = node.clone();
     tokio::task::spawn_local(async move {
         loop {
@@ -114,18 +117,18 @@
 }
 
 async fn write_batch(node: &Rc<Node>, mut batch: Vec<PendingSubmission>) {
-    let deadline = Instant::now() + DECIDE_WITHIN;
+    let deadline = Instant::now() + REQUEST_TIMEOUT;
     while !batch.is_empty() {
-        match commit_twice(node, &acceptance_of(&batch)).await {
-            TransactionOutcome::Committed { .. } => return confirm(node, batch),
-            TransactionOutcome::Conflict { failed } => match without_known(node, batch, &failed) {
-                Some(rest) => batch = rest,
+        match commit_hedged(node, &acceptance_transaction(&batch)).await {
+            TransactionOutcome::Committed { .. } => return complete_batch(node, batch),
+            TransactionOutcome::Conflict { failed } => match reply_accepted(node, batch, &failed) {
+                Some(remaining) => batch = remaining,
                 None => return,
             },
             TransactionOutcome::Indeterminate if Instant::now() < deadline => {}
             TransactionOutcome::TooLarge if batch.len() > 1 => {
-                // Each may fit alone. What is refused even so is answered to come again, and then
-                // keeps to the limits that were learned by it.
+                // Write each submission on its own. One that is still too large gets a 503; the refusal
+                // has lowered this node's known limits, so its retry is checked against those.
                 for pending in batch {
                     Box::pin(write_batch(node, vec![pending])).await;
                 }
@@ -133,26 +136,26 @@
             }
             TransactionOutcome::Indeterminate
             | TransactionOutcome::Rejected
-            | TransactionOutcome::TooLarge => return reply_all(batch, Acceptance::Indeterminate),
+            | TransactionOutcome::TooLarge => return reply_all(batch, WriteOutcome::Indeterminate),
         }
     }
 }
 
-/// The transaction that accepts all of the batch, if none of its jobs was accepted before.
-fn acceptance_of(batch: &[PendingSubmission]) -> Transaction {
+/// Builds the transaction that accepts the whole batch if none of its jobs has been accepted yet.
+fn acceptance_transaction(batch: &[PendingSubmission]) -> Transaction {
     let mut transaction = Transaction::default();
     let mut names: Vec<&str> = Vec::new();
     for pending in batch {
         let name = pending.name.as_str();
         if names.contains(&name) {
-            continue; // The same job twice at once: one record serves both.
+            continue; // Submitted twice within the batch: one record serves both.
         }
         names.push(name);
         transaction.compares.push(Compare { key: keys::job(name), revision: Revision::NONE });
         let accepted = Operation::put(keys::job(name), serde_json::json!(1));
         transaction.operations.push(accepted);
         transaction.operations.push(if pending.is_cancelled {
-            // Accepted and ended at once: there is nothing to run.
+            // The job ends as soon as it is accepted, so no description is stored for the scheduler.
             Operation::put(keys::end(name), serde_json::json!(JobEnd::Cancelled))
         } else {
             let key = keys::description(name, !pending.dependencies.is_empty());
@@ -162,66 +165,69 @@
     transaction
 }
 
-/// All of the batch is written.
-fn confirm(node: &Rc<Node>, batch: Vec<PendingSubmission>) {
+/// Records a written batch: updates the cache, notifies the other nodes and replies to the users.
+fn complete_batch(node: &Rc<Node>, batch: Vec<PendingSubmission>) {
     let known_jobs = &node.user_api.known_jobs;
     for PendingSubmission { name, dependencies, is_cancelled, reply, .. } in batch {
         if is_cancelled {
             node.record_job_end(&name, JobEnd::Cancelled);
         } else {
-            known_jobs.learn_dependencies(&name, dependencies);
+            known_jobs.record_dependencies(&name, dependencies);
         }
         node.broadcast(&Frame::NewJob { job: name });
-        let _ = reply.send(Acceptance::New);
+        let _ = reply.send(WriteOutcome::Written);
     }
     node.watch_wakeup.notify_one();
 }
 
-/// Some are known already, perhaps by a copy of this very transaction whose answer was lost. Answers
-/// those, and returns the others, to be tried again. `None`: all are answered.
-fn without_known(
+/// Handles a conflict: replies to submissions whose jobs exist already, possibly written by a copy of the
+/// same transaction whose response was lost, and returns the others for another attempt. Returns `None`
+/// if the conflict names none of the batch's jobs; all submissions have then been replied to.
+fn reply_accepted(
     node: &Node,
     batch: Vec<PendingSubmission>,
     failed: &[String],
 ) -> Option<Vec<PendingSubmission>> {
-    let (known, rest): (Vec<_>, Vec<_>) =
+    let (accepted_before, remaining): (Vec<_>, Vec<_>) =
         batch.into_iter().partition(|pending| failed.contains(&keys::job(&pending.name)));
-    if known.is_empty() {
-        // A conflict on none of the keys makes no sense.
-        reply_all(rest, Acceptance::Indeterminate);
+    if accepted_before.is_empty() {
+        // Invalid response: the conflict names none of the compared keys.
+        reply_all(remaining, WriteOutcome::Indeterminate);
         return None;
     }
-    for pending in known {
-        // Perhaps by another node, which saw what it depends on in another state.
-        node.user_api.known_jobs.learn_accepted(&pending.name);
-        let _ = pending.reply.send(Acceptance::Known);
+    for pending in accepted_before {
+        // Another node may have accepted the job with other open dependencies, so the dependencies of
+        // this submission are not recorded.
+        node.user_api.known_jobs.record_accepted(&pending.name);
+        let _ = pending.reply.send(WriteOutcome::AlreadyAccepted);
     }
-    Some(rest)
+    Some(remaining)
 }
 
-/// Sends an acceptance, and once more over another connection if the answer takes long: now and then
-/// the key-value store takes some hundred milliseconds over one request and few over the next. Both
-/// compare the job's absence, so only one takes effect; the other then finds the job known.
-async fn commit_twice(node: &Rc<Node>, transaction: &Transaction) -> TransactionOutcome {
+/// Commits a transaction as a hedged request: sends it again over another connection if the response
+/// takes longer than `HEDGE_DELAY`, because the key-value store occasionally needs some hundred
+/// milliseconds for one request and only a few for the next. Both copies require the jobs to be absent,
+/// so only one takes effect and the other conflicts.
+async fn commit_hedged(node: &Rc<Node>, transaction: &Transaction) -> TransactionOutcome {
     let first = node.key_value.commit(RequestClass::Submission, transaction);
     tokio::pin!(first);
-    if let Ok(outcome) = timeout(SECOND_COPY_AFTER, &mut first).await {
+    if let Ok(outcome) = timeout(HEDGE_DELAY, &mut first).await {
         return outcome;
     }
     let second = node.key_value.commit(RequestClass::Submission, transaction);
     tokio::pin!(second);
     tokio::select! {
-        outcome = &mut first => if is_certain(&outcome) { outcome } else { second.await },
-        outcome = &mut second => if is_certain(&outcome) { outcome } else { first.await },
+        outcome = &mut first => if is_conclusive(&outcome) { outcome } else { second.await },
+        outcome = &mut second => if is_conclusive(&outcome) { outcome } else { first.await },
     }
 }
 
-fn is_certain(outcome: &TransactionOutcome) -> bool {
+fn is_conclusive(outcome: &TransactionOutcome) -> bool {
     matches!(outcome, TransactionOutcome::Committed { .. } | TransactionOutcome::Conflict { .. })
 }
 
-fn reply_all(batch: Vec<PendingSubmission>, acceptance: Acceptance) {
+fn reply_all(batch: Vec<PendingSubmission>, outcome: WriteOutcome) {
     for pending in batch {
-        let _ = pending.reply.send(acceptance);
+        let _ = pending.reply.send(outcome);
     }
 }
--- a/crates/controller/src/user_api/cancellation.rs
+++ b/crates/controller/src/user_api/cancellation.rs
@@ -1,4 +1,4 @@
-//! Cancellations: of a job by its user, and of the jobs that depend on a cancelled one.
+//! Cancels jobs: on a user's request, and when a job that they depend on was cancelled.
 
 use std::rc::Rc;
 
@@ -12,45 +12,45 @@
 use walnutlug_scheduler::storage::revision::Revision;
 
 use super::status::{job_status, stage_of_end, JobStatus};
-use super::DECIDE_WITHIN;
+use super::REQUEST_TIMEOUT;
 use crate::http::server::Answer;
 use crate::key_value_client::RequestClass;
 use crate::node::Node;
 
-/// Cancels a job for its user, unless it has ended.
+/// Handles a user's cancel request. A job that has already ended keeps its end, which is returned.
 pub(crate) async fn cancel(node: Rc<Node>, name: &str) -> Answer {
     if !is_job_id(name) {
         return Answer::error(404, "no such job");
     }
-    let give_up_at = Instant::now() + DECIDE_WITHIN;
+    let deadline = Instant::now() + REQUEST_TIMEOUT;
     loop {
         match job_status(&node, name).await {
             JobStatus::NeverAccepted => return Answer::error(404, "no such job"),
             JobStatus::Ended(end) => {
                 return Answer::json(200, &job_response(name, stage_of_end(end), None));
             }
-            JobStatus::Unclear => return Answer::later("the job's state can't be read now"),
+            JobStatus::Unknown => return Answer::later("the job's state can't be read now"),
             JobStatus::Open => {}
         }
-        // Whoever writes the end first wins, so users can't be answered both a last finish and a
-        // cancellation; and every start compares this key's absence.
-        let transaction = cancel_all([name]);
+        // The first writer of the end key wins, so a job is never reported both as done and as cancelled.
+        // Every task start also requires this key to be absent.
+        let transaction = cancellation_transaction([name]);
         match node.key_value.commit(RequestClass::Submission, &transaction).await {
             TransactionOutcome::Committed { .. } => {
                 info!(job = %name, "job cancelled by its user");
                 node.record_job_end(name, JobEnd::Cancelled);
                 return Answer::json(200, &job_response(name, JobStage::Cancelled, None));
             }
-            // Ended meanwhile, or by a copy of this transaction: the next lookup shows.
+            // The job may have ended meanwhile, or a copy of this transaction took effect: look it up.
             TransactionOutcome::Conflict { .. } | TransactionOutcome::Indeterminate
-                if Instant::now() < give_up_at => {}
+                if Instant::now() < deadline => {}
             _ => return Answer::later("the withdrawal can't be recorded now"),
         }
     }
 }
 
-/// Ends the jobs as cancelled, if none of them has ended.
-fn cancel_all<'a>(names: impl IntoIterator<Item = &'a str>) -> Transaction {
+/// Builds a transaction that stores the jobs as cancelled, provided that none of them has ended.
+fn cancellation_transaction<'a>(names: impl IntoIterator<Item = &'a str>) -> Transaction {
     let mut transaction = Transaction::default();
     for name in names {
         let key = keys::end(name);
@@ -60,23 +60,24 @@
     transaction
 }
 
-/// Writes the ends of jobs that depend on a cancelled one, and returns whether any end was learned. The
-/// leader does the same; but until it has, no user may be answered that such a job is queued.
+/// Stores jobs that depend on a cancelled job as cancelled too, and returns whether the end of any of
+/// them was recorded. The leader does the same later, but a user must not be told in the meantime that
+/// such a job is still queued.
 pub(super) async fn cancel_dependents(node: &Rc<Node>, names: &[String]) -> bool {
-    let mut learned_any = false;
-    for some in names.chunks(node.key_value.limits().txn_ops.max(1)) {
-        let transaction = cancel_all(some.iter().map(String::as_str));
+    let mut recorded_any = false;
+    for batch in names.chunks(node.key_value.limits().txn_ops.max(1)) {
+        let transaction = cancellation_transaction(batch.iter().map(String::as_str));
         match node.key_value.commit(RequestClass::Submission, &transaction).await {
             TransactionOutcome::Committed { .. } => {
-                for name in some {
+                for name in batch {
                     info!(job = %name, "job cancelled: a job it depends on was cancelled");
                     node.record_job_end(name, JobEnd::Cancelled);
                 }
-                learned_any = true;
+                recorded_any = true;
             }
             TransactionOutcome::Conflict { failed } => {
                 for name in failed.iter().filter_map(|key| key.strip_prefix(keys::END)) {
-                    learned_any |= learn_stored_end(node, name).await;
+                    recorded_any |= load_stored_end(node, name).await;
                 }
             }
             TransactionOutcome::Rejected
@@ -84,11 +85,11 @@
             | TransactionOutcome::TooLarge => {}
         }
     }
-    learned_any
+    recorded_any
 }
 
-/// Reads the job's end and learns it. Whether there was one.
-pub(super) async fn learn_stored_end(node: &Rc<Node>, name: &str) -> bool {
+/// Reads the job's end from the store, records it, and returns whether there was one.
+pub(super) async fn load_stored_end(node: &Rc<Node>, name: &str) -> bool {
     match node.key_value.job_end(name).await {
         Ok(Some(end)) => {
             node.record_job_end(name, end);
--- a/crates/controller/src/user_api/dependencies.rs
+++ b/crates/controller/src/user_api/dependencies.rs
@@ -1,4 +1,4 @@
-//! The jobs that a new one depends on, as they stand when it is submitted.
+//! Looks up the dependencies of a job at the time of its submission.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -11,48 +11,48 @@
 use crate::key_value_client::RequestClass;
 use crate::node::Node;
 
-/// How long a submission waits for the state of the jobs that it names, if all are known.
-const WAIT_FOR_KNOWN: Duration = Duration::from_millis(80);
+/// Longest wait for the lookup if all dependencies are already known to be accepted.
+const KNOWN_JOBS_TIMEOUT: Duration = Duration::from_millis(80);
 
-/// What a new job has to wait for.
+/// Combined status of a submission's dependencies.
 pub(super) enum Dependencies {
-    /// These, which may end at any time; none, if all are done.
+    /// The dependencies that were not done at the lookup; empty if all are done.
     Open(Vec<String>),
-    /// One that is cancelled, or depends on one that is.
+    /// At least one dependency is cancelled, directly or because of its own dependencies.
     Cancelled,
-    /// One that was certainly never accepted.
+    /// The store has no record of this dependency.
     Missing(String),
-    /// Their state can't be read now.
-    Unclear,
+    /// The status of at least one dependency can't be read now.
+    Unknown,
 }
 
-/// Reads the state of the jobs that a new one depends on. Those whose stored end is `done` are left
-/// out: an end never changes. Where all are known to be accepted a slow answer isn't waited for:
-/// whatever was cancelled meanwhile the leader finds.
+/// Reads the status of a new job's dependencies. Those that are done are dropped, because a stored end
+/// never changes. If all are known to be accepted, a slow lookup is abandoned and they count as open; the
+/// leader later cancels the job if one of them was cancelled.
 pub(super) async fn look_up_dependencies(node: &Rc<Node>, names: &[String]) -> Dependencies {
     let all_known = names.iter().all(|name| node.user_api.known_jobs.contains(name));
     let lookup = look_up_jobs(node, names.to_vec(), RequestClass::Submission);
     tokio::pin!(lookup);
-    let found = match timeout(WAIT_FOR_KNOWN, &mut lookup).await {
+    let found = match timeout(KNOWN_JOBS_TIMEOUT, &mut lookup).await {
         Ok(found) => found,
         Err(_) if all_known => HashMap::new(),
         Err(_) => lookup.await,
     };
-    let (mut open, mut is_unclear, mut is_cancelled) = (Vec::new(), false, false);
+    let (mut open, mut is_unknown, mut is_cancelled) = (Vec::new(), false, false);
     for name in names {
-        match found.get(name).copied().unwrap_or(JobStatus::Unclear) {
+        match found.get(name).copied().unwrap_or(JobStatus::Unknown) {
             JobStatus::NeverAccepted => return Dependencies::Missing(name.clone()),
             JobStatus::Ended(JobEnd::Cancelled) => is_cancelled = true,
             JobStatus::Ended(JobEnd::Done) => {}
             JobStatus::Open => open.push(name.clone()),
-            JobStatus::Unclear if all_known => open.push(name.clone()),
-            JobStatus::Unclear => is_unclear = true,
+            JobStatus::Unknown if all_known => open.push(name.clone()),
+            JobStatus::Unknown => is_unknown = true,
         }
     }
-    // All of them have to be looked at: a cancelled one, answered first, once hid that another was
-    // never submitted by anybody.
-    match (is_unclear, is_cancelled) {
-        (true, _) => Dependencies::Unclear,
+    // Decided only after the loop has seen every dependency: returning at the first cancelled one hid
+    // that a later one had never been submitted.
+    match (is_unknown, is_cancelled) {
+        (true, _) => Dependencies::Unknown,
         (false, true) => Dependencies::Cancelled,
         (false, false) => Dependencies::Open(open),
     }
--- a/crates/controller/src/user_api/job_lookup.rs
+++ b/crates/controller/src/user_api/job_lookup.rs
@@ -1,4 +1,4 @@
-//! How jobs stand, asked of the key-value store: many at once, each with all that it depends on.
+//! Looks up the status of many jobs at once in the key-value store, including their dependencies.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::rc::Rc;
@@ -10,20 +10,21 @@
 use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::storage::revision::Revision;
 
-use super::cancellation::{cancel_dependents, learn_stored_end};
+use super::cancellation::{cancel_dependents, load_stored_end};
 use super::known_jobs::KnownJob;
 use super::status::JobStatus;
 use crate::key_value_client::{KeyValueError, RequestClass};
 use crate::node::Node;
 
-/// How long a lookup goes on asking.
+/// Time after which a lookup starts no further round of reads.
 const LOOKUP_DEADLINE: Duration = Duration::from_millis(1_500);
-/// Jobs whose descriptions are read one by one; for more, the list of all is read.
-const MAX_READ_ONE_BY_ONE: usize = 3;
+/// Limit on descriptions that are read one by one; for more, all descriptions with dependencies are
+/// listed.
+const MAX_INDIVIDUAL_READS: usize = 3;
 
-/// Asks for many jobs in transactions that only compare: of one known to be accepted whether it, or
-/// anything that it depends on, has ended; of any other whether it exists. What is not ended by then
-/// was not ended when it was asked. Jobs that can't be decided are absent from the result.
+/// Looks up jobs with transactions that only compare: for a job known to be accepted, whether it or any
+/// of its dependencies has ended; for any other, whether it exists. A job returned as open had not ended
+/// when the lookup was called. Jobs whose status can't be determined are missing from the result.
 pub(super) async fn look_up_jobs(
     node: &Rc<Node>,
     names: Vec<String>,
@@ -32,33 +33,34 @@
     let mut lookup = JobLookup::new(node, names, class);
     let deadline = Instant::now() + LOOKUP_DEADLINE;
     while !lookup.undecided.is_empty() && Instant::now() < deadline {
-        let questions = lookup.decide();
-        if !lookup.answer(questions).await {
+        let reads = lookup.evaluate_all();
+        if !lookup.perform_reads(reads).await {
             break;
         }
     }
-    lookup.found
+    lookup.statuses
 }
 
-/// What has to be read for the jobs that are undecided.
+/// Reads needed to determine the status of the undecided jobs.
 #[derive(Default)]
-struct Questions {
-    /// Keys to compare with nothing.
-    compare: BTreeSet<String>,
-    /// Accepted and open jobs whose dependencies are not known.
-    unread: BTreeSet<String>,
+struct RequiredReads {
+    /// Keys to compare with revision 0, which succeeds only if they are absent.
+    keys_to_check: BTreeSet<String>,
+    /// Accepted jobs without an end whose dependencies have not been read.
+    dependencies_to_read: BTreeSet<String>,
 }
 
-/// One lookup of some jobs.
+/// State of a lookup over several rounds of reads.
 struct JobLookup<'a> {
     node: &'a Rc<Node>,
     class: RequestClass,
     undecided: Vec<String>,
-    found: HashMap<String, JobStatus>,
-    /// Keys that were compared and are absent, as of this lookup.
-    absent: HashSet<String>,
-    /// Whether dependencies were read once. A chain that goes on is read as a whole, not step by step.
-    has_read: bool,
+    statuses: HashMap<String, JobStatus>,
+    /// Keys that this lookup has found to be absent.
+    absent_keys: HashSet<String>,
+    /// Whether a round has read dependencies. Later rounds list all descriptions with dependencies at
+    /// once, instead of following a long chain job by job.
+    has_read_dependencies: bool,
 }
 
 impl<'a> JobLookup<'a> {
@@ -67,154 +69,161 @@
             node,
             class,
             undecided,
-            found: HashMap::new(),
-            absent: HashSet::new(),
-            has_read: false,
+            statuses: HashMap::new(),
+            absent_keys: HashSet::new(),
+            has_read_dependencies: false,
         }
     }
 
-    /// Decides the jobs for which enough is known, and returns what to ask for the others.
-    fn decide(&mut self) -> Questions {
-        let mut questions = Questions::default();
+    /// Stores the status of every job that can be determined, and returns the reads for the others.
+    fn evaluate_all(&mut self) -> RequiredReads {
+        let mut reads = RequiredReads::default();
         for name in std::mem::take(&mut self.undecided) {
-            match self.status(&name, &mut questions) {
+            match self.evaluate(&name, &mut reads) {
                 Some(status) => {
-                    self.found.insert(name, status);
+                    self.statuses.insert(name, status);
                 }
                 None => self.undecided.push(name),
             }
         }
-        questions
+        reads
     }
 
-    /// How the job stands, or `None` after adding to the questions.
-    fn status(&self, name: &str, questions: &mut Questions) -> Option<JobStatus> {
+    /// Returns the job's status, or `None` if further reads are needed, which are added to `reads`.
+    fn evaluate(&self, name: &str, reads: &mut RequiredReads) -> Option<JobStatus> {
         let known_jobs = &self.node.user_api.known_jobs;
         let mut is_certain = true;
-        for link in known_jobs.with_dependencies(name) {
-            let is_itself = link == name;
-            match known_jobs.get(&link) {
-                Some(KnownJob::Ended(end)) if is_itself => return Some(JobStatus::Ended(end)),
-                // Only cancelled dependencies are among the links; `answer` ends what depends on them.
+        for job in known_jobs.with_dependencies(name) {
+            let is_target = job == name;
+            match known_jobs.get(&job) {
+                Some(KnownJob::Ended(end)) if is_target => return Some(JobStatus::Ended(end)),
+                // A cancelled dependency, since finished ones are left out. `perform_reads` cancels the
+                // jobs that depend on it.
                 Some(KnownJob::Ended(_)) => is_certain = false,
                 Some(KnownJob::Accepted(dependencies)) => {
-                    let key = keys::end(&link);
-                    let is_open = self.absent.contains(&key);
+                    let key = keys::end(&job);
+                    let is_open = self.absent_keys.contains(&key);
                     is_certain &= is_open && dependencies.is_some();
                     if !is_open {
-                        questions.compare.insert(key);
+                        reads.keys_to_check.insert(key);
                     } else if dependencies.is_none() {
-                        questions.unread.insert(link);
+                        reads.dependencies_to_read.insert(job);
                     }
                 }
                 None => {
-                    let key = keys::job(&link);
-                    if !self.absent.contains(&key) {
+                    let key = keys::job(&job);
+                    if !self.absent_keys.contains(&key) {
                         is_certain = false;
-                        questions.compare.insert(key);
-                    } else if is_itself {
+                        reads.keys_to_check.insert(key);
+                    } else if is_target {
                         return Some(JobStatus::NeverAccepted);
                     }
-                    // Otherwise a damaged record names a job that never was.
+                    // Otherwise a damaged record names a dependency that was never submitted; ignored.
                 }
             }
         }
         is_certain.then_some(JobStatus::Open)
     }
 
-    /// Has the questions answered by the store. Whether anything was learned.
-    async fn answer(&mut self, Questions { compare, unread }: Questions) -> bool {
-        let to_cancel = self.depending_on_cancelled();
+    /// Cancels jobs with a cancelled dependency, performs the reads, and returns whether any progress was
+    /// made.
+    async fn perform_reads(
+        &mut self,
+        RequiredReads { keys_to_check, dependencies_to_read }: RequiredReads,
+    ) -> bool {
+        let to_cancel = self.undecided_with_cancelled_dependency();
         let cancelled = !to_cancel.is_empty() && cancel_dependents(self.node, &to_cancel).await;
-        let compared = !compare.is_empty() && self.compare(compare).await;
-        let read = !unread.is_empty() && self.read_dependencies(unread).await.is_ok();
-        self.has_read |= read;
+        let compared = !keys_to_check.is_empty() && self.check_absence(keys_to_check).await;
+        let read = !dependencies_to_read.is_empty()
+            && self.read_dependencies(dependencies_to_read).await.is_ok();
+        self.has_read_dependencies |= read;
         cancelled || compared || read
     }
 
-    fn depending_on_cancelled(&self) -> Vec<String> {
+    fn undecided_with_cancelled_dependency(&self) -> Vec<String> {
         let known_jobs = &self.node.user_api.known_jobs;
         let depends_on_cancelled = |name: &&String| {
-            let links = known_jobs.with_dependencies(name);
-            links.iter().any(|link| known_jobs.end(link) == Some(JobEnd::Cancelled))
+            let jobs = known_jobs.with_dependencies(name);
+            jobs.iter().any(|job| known_jobs.end(job) == Some(JobEnd::Cancelled))
         };
         self.undecided.iter().filter(depends_on_cancelled).cloned().collect()
     }
 
-    /// Compares the keys with nothing. Those that exist are learned, the others noted as absent.
-    /// Whether anything came of it.
-    async fn compare(&mut self, keys: BTreeSet<String>) -> bool {
-        let mut left: Vec<String> = keys.into_iter().collect();
-        let mut learned_any = false;
-        while !left.is_empty() {
-            let rest = left.len().saturating_sub(self.node.key_value.max_compares());
-            let absent = |key: &String| Compare { key: key.clone(), revision: Revision::NONE };
-            let compares = left[rest..].iter().map(absent).collect();
+    /// Checks which keys are absent, notes those, and records what the existing ones say about their
+    /// jobs. Returns whether anything new is known.
+    async fn check_absence(&mut self, keys: BTreeSet<String>) -> bool {
+        let mut remaining: Vec<String> = keys.into_iter().collect();
+        let mut recorded_any = false;
+        while !remaining.is_empty() {
+            let chunk_start = remaining.len().saturating_sub(self.node.key_value.max_compares());
+            let expect_absent =
+                |key: &String| Compare { key: key.clone(), revision: Revision::NONE };
+            let compares = remaining[chunk_start..].iter().map(expect_absent).collect();
             let transaction = Transaction { compares, operations: Vec::new() };
             match self.node.key_value.commit(self.class, &transaction).await {
                 TransactionOutcome::Committed { .. } => {
-                    learned_any = true;
-                    self.absent.extend(left.split_off(rest));
+                    recorded_any = true;
+                    self.absent_keys.extend(remaining.split_off(chunk_start));
                 }
                 TransactionOutcome::Conflict { failed } => {
-                    let before = left.len();
-                    left.retain(|key| !failed.contains(key));
-                    if left.len() == before {
-                        return learned_any; // A conflict on none of the keys makes no sense.
+                    let before = remaining.len();
+                    remaining.retain(|key| !failed.contains(key));
+                    if remaining.len() == before {
+                        return recorded_any; // Invalid response: names none of the compared keys.
                     }
-                    learned_any |= self.learn_existing(&failed).await;
+                    recorded_any |= self.record_existing(&failed).await;
                 }
                 TransactionOutcome::Rejected
                 | TransactionOutcome::Indeterminate
-                | TransactionOutcome::TooLarge => return learned_any,
+                | TransactionOutcome::TooLarge => return recorded_any,
             }
         }
-        learned_any
+        recorded_any
     }
 
-    /// The keys exist. Whether any job was learned by that.
-    async fn learn_existing(&self, existing: &[String]) -> bool {
-        let mut learned_any = false;
+    /// Records what the existing keys say about their jobs, and returns whether anything was recorded.
+    async fn record_existing(&self, existing: &[String]) -> bool {
+        let mut recorded_any = false;
         for key in existing {
             if let Some(name) = key.strip_prefix(keys::JOB) {
-                self.node.user_api.known_jobs.learn_accepted(name);
-                learned_any = true;
+                self.node.user_api.known_jobs.record_accepted(name);
+                recorded_any = true;
             } else if let Some(name) = key.strip_prefix(keys::END) {
-                learned_any |= learn_stored_end(self.node, name).await;
+                recorded_any |= load_stored_end(self.node, name).await;
             }
         }
-        learned_any
+        recorded_any
     }
 
-    /// Reads what the jobs depend on, which were not ended when they were compared. One without a
-    /// description among those that have dependencies has none (or its records went meanwhile, and its
-    /// end is met).
+    /// Reads the dependencies of jobs that had no end when they were checked. A job that is missing among
+    /// the descriptions with dependencies has none, or its records were deleted meanwhile and its end is
+    /// found later.
     async fn read_dependencies(&self, names: BTreeSet<String>) -> Result<(), KeyValueError> {
         let (key_value, known_jobs) = (&self.node.key_value, &self.node.user_api.known_jobs);
-        if !self.has_read && names.len() <= MAX_READ_ONE_BY_ONE {
+        if !self.has_read_dependencies && names.len() <= MAX_INDIVIDUAL_READS {
             for name in &names {
                 let found = key_value.get(self.class, &keys::description(name, true)).await?;
                 let dependencies = found.map(|found| dependencies_in(&found.value));
-                known_jobs.learn_dependencies(name, dependencies.unwrap_or_default());
+                known_jobs.record_dependencies(name, dependencies.unwrap_or_default());
             }
             return Ok(());
         }
         for found in key_value.list(self.class, keys::CHAINED).await?.key_values {
             if let Some(name) = found.key.strip_prefix(keys::CHAINED) {
-                known_jobs.learn_dependencies(name, dependencies_in(&found.value));
+                known_jobs.record_dependencies(name, dependencies_in(&found.value));
             }
         }
         for name in names {
             if matches!(known_jobs.get(&name), Some(KnownJob::Accepted(None))) {
-                known_jobs.learn_dependencies(&name, Rc::default());
+                known_jobs.record_dependencies(&name, Rc::default());
             }
         }
         Ok(())
     }
 }
 
-/// The dependencies in a stored description. One that can't be read names nothing that could be looked
-/// for.
+/// Extracts the dependencies from a stored description. An unreadable description counts as having none,
+/// since there is nothing to look up.
 fn dependencies_in(description: &serde_json::Value) -> Rc<[String]> {
     let names = serde_json::from_value::<Vec<String>>(description["spec"]["needs"].clone());
     names.unwrap_or_default().into()
--- a/crates/controller/src/user_api/known_jobs.rs
+++ b/crates/controller/src/user_api/known_jobs.rs
@@ -1,4 +1,5 @@
-//! What this node knows of jobs: for certain from the key-value store, and for display from the leader.
+//! Per-node cache of jobs: their confirmed state from the key-value store, and task counts broadcast by
+//! the leader, which are for display only.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -7,27 +8,27 @@
 use walnutlug_scheduler::model::job_spec::JobEnd;
 use walnutlug_scheduler::protocol::users::is_job_id;
 
-/// Jobs remembered at a node, at some hundred bytes each.
+/// Limit on cached jobs, at some hundred bytes each.
 const MAX_JOBS: usize = 50_000;
 
-/// What is certain of a job. It only ever goes on, from accepted to ended.
+/// Confirmed state of a job. It only moves forward, from accepted to ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum KnownJob {
-    /// With the jobs that it depends on, once they are read: they never change.
+    /// Accepted, with its dependencies once they have been read; they never change.
     Accepted(Option<Rc<[String]>>),
     Ended(JobEnd),
 }
 
-/// How many tasks of a job are done and how many run, for display.
+/// Numbers of a job's finished and running tasks, as shown to users.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct TaskCounts {
-    /// Tasks done.
+    /// Number of tasks that have finished.
     pub(crate) done: u32,
-    /// Tasks running.
+    /// Number of tasks that are running now.
     pub(crate) running: u32,
 }
 
-/// The jobs that this node knows.
+/// Cache of job states and task counts. Entries may be dropped at any time and are then read again.
 #[derive(Debug, Default)]
 pub(crate) struct KnownJobs {
     jobs: RefCell<HashMap<String, KnownJob>>,
@@ -35,35 +36,35 @@
 }
 
 impl KnownJobs {
-    /// The job was accepted, for certain; what it depends on isn't known.
-    pub(super) fn learn_accepted(&self, name: &str) {
-        self.learn(name, KnownJob::Accepted(None));
+    /// Records that the store holds the job as accepted, without knowing its dependencies.
+    pub(super) fn record_accepted(&self, name: &str) {
+        self.record(name, KnownJob::Accepted(None));
     }
 
-    /// The job was accepted, for certain, and depends on these.
-    pub(super) fn learn_dependencies(&self, name: &str, dependencies: Rc<[String]>) {
-        self.learn(name, KnownJob::Accepted(Some(dependencies)));
+    /// Records that the store holds the job as accepted, with these dependencies.
+    pub(super) fn record_dependencies(&self, name: &str, dependencies: Rc<[String]>) {
+        self.record(name, KnownJob::Accepted(Some(dependencies)));
     }
 
-    /// The job has ended, for certain.
+    /// Records the job's stored end and drops its task counts.
     pub(crate) fn record_end(&self, name: &str, end: JobEnd) {
         self.progress.borrow_mut().remove(name);
-        self.learn(name, KnownJob::Ended(end));
+        self.record(name, KnownJob::Ended(end));
     }
 
-    fn learn(&self, name: &str, job: KnownJob) {
+    fn record(&self, name: &str, job: KnownJob) {
         let mut jobs = self.jobs.borrow_mut();
         if jobs.len() > MAX_JOBS {
-            // Only a cache of what the key-value store keeps for ever: it is read again.
+            // The key-value store keeps all job records, so dropped entries are read again when needed.
             jobs.clear();
         }
-        let says_nothing_new = matches!(
+        let adds_nothing = matches!(
             (jobs.get(name), &job),
-            // An end never changes.
+            // A stored end never changes.
             (Some(KnownJob::Ended(_)), _)
                 | (Some(KnownJob::Accepted(Some(_))), KnownJob::Accepted(None))
         );
-        if !says_nothing_new {
+        if !adds_nothing {
             jobs.insert(name.to_owned(), job);
         }
     }
@@ -76,7 +77,7 @@
         self.jobs.borrow().contains_key(name)
     }
 
-    /// How the job ended, if it is known to have.
+    /// Returns the job's end if this node has recorded one.
     pub(crate) fn end(&self, name: &str) -> Option<JobEnd> {
         match self.jobs.borrow().get(name) {
             Some(KnownJob::Ended(end)) => Some(*end),
@@ -84,8 +85,8 @@
         }
     }
 
-    /// The job itself, first, and all that it depends on, directly or through others, as far as is
-    /// known here. What is done, and what that depends on, can't hold it up any more and is left out.
+    /// Returns the job itself, first, and its direct and transitive dependencies as far as they are
+    /// cached. Finished dependencies, and theirs, can no longer block the job and are left out.
     pub(super) fn with_dependencies(&self, name: &str) -> Vec<String> {
         let jobs = self.jobs.borrow();
         let mut found: Vec<String> = vec![name.to_owned()];
@@ -106,7 +107,7 @@
         found
     }
 
-    /// A job's counts, as the leader broadcasts them.
+    /// Stores the task counts of an open job, as received from the leader.
     pub(crate) fn record_progress(&self, name: &str, counts: TaskCounts) {
         if !is_job_id(name) || self.end(name).is_some() {
             return;
@@ -118,7 +119,7 @@
         progress.insert(name.to_owned(), counts);
     }
 
-    /// A job has ended by the word of another node: its counts are of no more use.
+    /// Drops the task counts of a job that another node reports as ended.
     pub(crate) fn forget_progress(&self, name: &str) {
         self.progress.borrow_mut().remove(name);
     }
--- a/crates/controller/src/user_api/status.rs
+++ b/crates/controller/src/user_api/status.rs
@@ -1,4 +1,4 @@
-//! How a job stands, as users poll it: many polls share a request.
+//! Answers users' polls for the status of a job. Polls are batched into shared lookups in the store.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -16,32 +16,32 @@
 use crate::key_value_client::RequestClass;
 use crate::node::Node;
 
-/// Time between two rounds of lookups, so that many polls share a request.
+/// Pause between two batched lookups, so that polls accumulate and share a request.
 const LOOKUP_INTERVAL: Duration = Duration::from_millis(120);
-/// How long a poll waits for its lookup.
-const LOOKUP_PATIENCE: Duration = Duration::from_millis(1_700);
+/// Time that a poll waits for its lookup before it returns an unknown status.
+const LOOKUP_TIMEOUT: Duration = Duration::from_millis(1_700);
 
-/// How a job stands.
+/// Status of a job according to the key-value store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum JobStatus {
     NeverAccepted,
     /// Accepted and not ended.
     Open,
     Ended(JobEnd),
-    /// Can't be read now.
-    Unclear,
+    /// The store could not be read in time.
+    Unknown,
 }
 
-/// The polls that wait for a lookup, by job.
+/// Status queries waiting for the next batched lookup.
 #[derive(Debug)]
 pub(super) struct StatusQueries {
     waiting: RefCell<HashMap<String, Vec<oneshot::Sender<JobStatus>>>>,
-    readers: TaskSlots,
+    lookup_tasks: TaskSlots,
 }
 
 impl Default for StatusQueries {
     fn default() -> StatusQueries {
-        StatusQueries { waiting: RefCell::default(), readers: TaskSlots::new(1) }
+        StatusQueries { waiting: RefCell::default(), lookup_tasks: TaskSlots::new(1) }
     }
 }
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// Answers a user who asks how a job stands.
+/// Handles a user's poll: returns the job's stage and, while it is open, its task counts.
 pub(crate) async fn poll(node: Rc<Node>, name: &str) -> Answer {
     if !is_job_id(name) {
         return Answer::error(404, "no such job");
@@ -76,29 +76,29 @@
             let counts = (counts.done, counts.running);
             Answer::json(200, &job_response(name, stage, Some(counts)))
         }
-        JobStatus::Unclear => Answer::later("the job's state can't be read now"),
+        JobStatus::Unknown => Answer::later("the job's state can't be read now"),
     }
 }
 
-/// How the job stands, as of now: ended jobs from memory, all others by asking the store.
+/// Returns the job's current status: from the cache if it has ended, otherwise from the store.
 pub(super) async fn job_status(node: &Rc<Node>, name: &str) -> JobStatus {
     if let Some(end) = node.user_api.known_jobs.end(name) {
         return JobStatus::Ended(end);
     }
     if node.key_value.is_down() {
-        return JobStatus::Unclear;
+        return JobStatus::Unknown;
     }
     let answer = node.user_api.status_queries.add(name);
-    start_reading(node);
-    match timeout(LOOKUP_PATIENCE, answer).await {
+    start_lookups(node);
+    match timeout(LOOKUP_TIMEOUT, answer).await {
         Ok(Ok(status)) => status,
-        Ok(Err(_)) | Err(_) => JobStatus::Unclear,
+        Ok(Err(_)) | Err(_) => JobStatus::Unknown,
     }
 }
 
-/// Looks up what is waited for, until nothing is.
-fn start_reading(node: &Rc<Node>) {
-    let Some(slot) = node.user_api.status_queries.readers.take() else { return };
+/// Starts the lookup task unless it is running. It serves queries until none are waiting.
+fn start_lookups(node: &Rc<Node>) {
+    let Some(slot) = node.user_api.status_queries.lookup_tasks.try_acquire() else { return };
     let node = node.clone();
     tokio::task::spawn_local(async move {
         let queries = &node.user_api.status_queries;
@@ -111,7 +111,7 @@
             let names: Vec<String> = batch.keys().cloned().collect();
             let found = look_up_jobs(&node, names, RequestClass::Poll).await;
             for (name, replies) in batch {
-                let status = found.get(&name).copied().unwrap_or(JobStatus::Unclear);
+                let status = found.get(&name).copied().unwrap_or(JobStatus::Unknown);
                 for reply in replies {
                     let _ = reply.send(status);
                 }
@@ -124,13 +124,14 @@
     });
 }
 
-/// A job that has not ended, for display.
+/// Stage and task counts of an open job, as shown to users.
 pub(super) struct OpenJob {
     pub(super) stage: JobStage,
     pub(super) counts: TaskCounts,
 }
 
-/// The job's counts from this node's scheduler, if it leads, or as the leader broadcast them.
+/// Returns an open job's stage and task counts, from this node's scheduler if it leads, otherwise from
+/// the leader's broadcasts.
 pub(super) fn open_job(node: &Node, name: &str) -> OpenJob {
     let own = node.scheduler.borrow().as_ref().and_then(|scheduler| {
         let index = *scheduler.cluster.jobs_by_name.get(name)?;
--- a/crates/controller/src/user_api/submission.rs
+++ b/crates/controller/src/user_api/submission.rs
@@ -1,4 +1,4 @@
-//! Submissions: what is checked before one is written, and its answer.
+//! Handles submissions: validates them, has them written and builds the response.
 
 use std::rc::Rc;
 
@@ -13,22 +13,22 @@
 use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::storage::records::{chunk_size, description_record};
 
-use super::batch_writer::{write_submission, Acceptance, PendingSubmission, OPERATIONS_PER_JOB};
+use super::batch_writer::{write_submission, PendingSubmission, WriteOutcome, OPERATIONS_PER_JOB};
 use super::dependencies::{look_up_dependencies, Dependencies};
 use super::status::{job_status, open_job, stage_of_end, JobStatus};
-use super::DECIDE_WITHIN;
+use super::REQUEST_TIMEOUT;
 use crate::http::server::Answer;
 use crate::key_value_client::{KeyValueError, RequestClass};
 use crate::node::Node;
 
-/// Slower submissions are worth a line when debugging.
-const SLOW: Duration = Duration::from_millis(150);
+/// Latency above which a submission is logged at debug level.
+const SLOW_SUBMISSION: Duration = Duration::from_millis(150);
 
-/// An accepted job.
+/// Successful result of a submission.
 struct Accepted {
     name: String,
     stage: JobStage,
-    /// Whether this very submission was accepted, and no earlier one.
+    /// Whether this request created the job (201) or repeated an earlier one (200).
     is_new: bool,
 }
 
@@ -39,19 +39,20 @@
     }
 }
 
-/// Why a job can never run. Users are sent the text, so it names fields as the protocol does.
+/// Reason why a job can never run. The text is sent to users, so it uses the field names of the wire
+/// protocol.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum Unrunnable {
-    /// No team, or no machine type, allows it.
+    /// No team or no machine type permits the job.
     #[error("{0}")]
-    Impossible(String),
+    Infeasible(String),
     #[error("waits: {0} can't wait for itself")]
     DependsOnItself(String),
     #[error("waits: nobody submitted {0}")]
     UnknownDependency(String),
 }
 
-/// Why a submission is not accepted. Users are sent the text.
+/// Reason why a submission is not accepted. The text is sent to users.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum SubmissionError {
     #[error(transparent)]
@@ -61,22 +62,22 @@
     #[error(transparent)]
     Unrunnable(#[from] Unrunnable),
     #[error("the machine types are not known yet")]
-    TypesUnknown,
+    MachineTypesUnknown,
     #[error("the state service can't be reached")]
-    StoreDown,
-    /// Whether the job was accepted before can't be read.
+    StoreUnreachable,
+    /// Reading whether the job was accepted earlier failed.
     #[error("{}", text_for_users(.0))]
     Store(#[from] KeyValueError),
     #[error("the jobs it waits for can't be read now")]
-    DependenciesUnclear,
+    DependenciesUnknown,
     #[error("too many submissions at once")]
     TooMany { delay: Duration },
-    /// It may have been written; a repetition will show.
+    /// The write may have taken effect; the user finds out by repeating the submission.
     #[error("the submission can't be recorded now")]
     Indeterminate,
-    /// Accepted for certain, but how it stands can't be read.
+    /// The job was accepted earlier, but its current status can't be read.
     #[error("the job's state can't be read now")]
-    StatusUnclear,
+    StatusUnknown,
 }
 
 impl From<SubmissionError> for Answer {
@@ -88,17 +89,17 @@
             }
             SubmissionError::Unrunnable(_) => Answer::error(422, text),
             SubmissionError::TooMany { delay } => Answer::later_by(delay.as_secs() as u32, &text),
-            SubmissionError::TypesUnknown
-            | SubmissionError::StoreDown
+            SubmissionError::MachineTypesUnknown
+            | SubmissionError::StoreUnreachable
             | SubmissionError::Store(_)
-            | SubmissionError::DependenciesUnclear
+            | SubmissionError::DependenciesUnknown
             | SubmissionError::Indeterminate
-            | SubmissionError::StatusUnclear => Answer::later(&text),
+            | SubmissionError::StatusUnknown => Answer::later(&text),
         }
     }
 }
 
-/// How the store's faults are answered to users.
+/// Maps store errors to fixed texts, so that internal details don't reach users.
 fn text_for_users(error: &KeyValueError) -> &'static str {
     match error {
         KeyValueError::Rejected { .. } => "the state service refuses",
@@ -108,7 +109,7 @@
     }
 }
 
-/// Accepts a submission, or says why not and when to come again.
+/// Handles a submission: accepts it or returns the error, with a `Retry-After` if a retry may succeed.
 pub(crate) async fn submit(node: Rc<Node>, body: Vec<u8>) -> Answer {
     match try_submit(&node, &body).await {
         Ok(accepted) => accepted.into(),
@@ -120,13 +121,13 @@
     let started = Instant::now();
     let (name, mut spec) = parse_submission(body)?;
     if node.user_api.known_jobs.contains(&name) {
-        return known_job(node, name).await;
+        return answer_repeated_submission(node, name).await;
     }
     if let Some(reason) = unrunnable(node, &name, &spec)? {
         return refuse_unless_accepted(node, name, reason).await;
     }
     if node.key_value.is_down() {
-        return Err(SubmissionError::StoreDown);
+        return Err(SubmissionError::StoreUnreachable);
     }
     let mut is_cancelled = false;
     if !spec.dependencies.is_empty() {
@@ -137,38 +138,38 @@
                 let reason = Unrunnable::UnknownDependency(dependency);
                 return refuse_unless_accepted(node, name, reason).await;
             }
-            Dependencies::Unclear => return Err(SubmissionError::DependenciesUnclear),
+            Dependencies::Unknown => return Err(SubmissionError::DependenciesUnknown),
         }
     }
-    let acceptance = write(node, &name, spec, is_cancelled, started).await?;
-    match acceptance {
-        Acceptance::New => {
+    let outcome = write_and_wait(node, &name, spec, is_cancelled, started).await?;
+    match outcome {
+        WriteOutcome::Written => {
             let stage = node.user_api.known_jobs.end(&name).map_or(JobStage::Queued, stage_of_end);
             Ok(Accepted { name, stage, is_new: true })
         }
-        Acceptance::Known => known_job(node, name).await,
-        Acceptance::Indeterminate => Err(SubmissionError::Indeterminate),
+        WriteOutcome::AlreadyAccepted => answer_repeated_submission(node, name).await,
+        WriteOutcome::Indeterminate => Err(SubmissionError::Indeterminate),
     }
 }
 
-/// Has the submission written, and waits for it.
+/// Queues the submission for writing and waits for the outcome.
 ///
 /// # Errors
 ///
-/// If it is too long, or can't be written in time; then it was not queued.
-async fn write(
+/// If the description is too long, or the queue too long to write it in time. It is then not queued.
+async fn write_and_wait(
     node: &Rc<Node>,
     name: &str,
     spec: JobSpec,
     is_cancelled: bool,
     started: Instant,
-) -> Result<Acceptance, SubmissionError> {
-    let description = describe(node, &spec)?;
+) -> Result<WriteOutcome, SubmissionError> {
+    let description = encode_description(node, &spec)?;
     let lane = node.tunables.shared_order.then(|| (spec.team.clone(), spec.priority));
-    // What can't be written in time is refused at once, with the time to come again.
-    let ahead = node.user_api.submissions.ahead_of(&lane);
-    let delay = node.key_value.submission_delay(OPERATIONS_PER_JOB * ahead);
-    if delay > DECIDE_WITHIN {
+    // If the queue can't be written in time, refuse at once and say when to retry.
+    let queued_ahead = node.user_api.submissions.ahead_of(&lane);
+    let delay = node.key_value.submission_delay(OPERATIONS_PER_JOB * queued_ahead);
+    if delay > REQUEST_TIMEOUT {
         return Err(SubmissionError::TooMany { delay });
     }
     let (reply, answer) = oneshot::channel();
@@ -180,18 +181,18 @@
         reply,
     };
     write_submission(node, lane, pending);
-    let acceptance = timeout(DECIDE_WITHIN, answer).await.ok().and_then(Result::ok);
+    let outcome = timeout(REQUEST_TIMEOUT, answer).await.ok().and_then(Result::ok);
     let elapsed = started.elapsed();
     let ms = elapsed.as_millis() as u64;
     node.record_submission(ms);
-    if elapsed > SLOW {
-        debug!(job = %name, ms, accepted = acceptance.is_some(), "slow submission");
+    if elapsed > SLOW_SUBMISSION {
+        debug!(job = %name, ms, accepted = outcome.is_some(), "submission took longer than the slow-submission threshold");
     }
-    Ok(acceptance.unwrap_or(Acceptance::Indeterminate))
+    Ok(outcome.unwrap_or(WriteOutcome::Indeterminate))
 }
 
-/// The description as it is stored.
-fn describe(node: &Node, spec: &JobSpec) -> Result<Document, SubmissionError> {
+/// Encodes the job description for storage, within the store's value size limit.
+fn encode_description(node: &Node, spec: &JobSpec) -> Result<Document, SubmissionError> {
     let site_limit = node.settings.site.value_bytes;
     let chunk = chunk_size(site_limit);
     let description = Document::new(&description_record(spec, node.wall_clock_us(), chunk));
@@ -201,55 +202,58 @@
     Ok(description)
 }
 
-/// Why the job can never run, if so.
+/// Returns the reason why the job can never run, or `None` if it can.
 ///
 /// # Errors
 ///
-/// If that can't be decided yet.
+/// If this node has not received the machine types yet.
 fn unrunnable(
     node: &Node,
     name: &str,
     spec: &JobSpec,
 ) -> Result<Option<Unrunnable>, SubmissionError> {
-    let types = node.machine_types.borrow();
-    if types.is_empty() {
-        return Err(SubmissionError::TypesUnknown);
+    let machine_types = node.machine_types.borrow();
+    if machine_types.is_empty() {
+        return Err(SubmissionError::MachineTypesUnknown);
     }
-    let impossible = spec.infeasibility_reason(&node.settings.site.teams, &types);
+    let infeasibility = spec.infeasibility_reason(&node.settings.site.teams, &machine_types);
     let depends_on_itself = spec.dependencies.iter().any(|dependency| dependency == name);
-    Ok(impossible
-        .map(Unrunnable::Impossible)
+    Ok(infeasibility
+        .map(Unrunnable::Infeasible)
         .or_else(|| depends_on_itself.then(|| Unrunnable::DependsOnItself(name.to_owned()))))
 }
 
-/// Refuses what can never run, unless it was accepted once: then it is never refused, whatever has
-/// changed since.
+/// Refuses a job that can never run, unless it was accepted earlier: an accepted job is never refused,
+/// even if teams or machine types have changed since.
 async fn refuse_unless_accepted(
     node: &Rc<Node>,
     name: String,
     reason: Unrunnable,
 ) -> Result<Accepted, SubmissionError> {
     if node.key_value.is_down() {
-        return Err(SubmissionError::StoreDown);
+        return Err(SubmissionError::StoreUnreachable);
     }
     let accepted = node.key_value.get(RequestClass::Submission, &keys::job(&name)).await?;
     if accepted.is_none() {
         info!(job = %name, %reason, "submission refused: the job can never run");
         return Err(reason.into());
     }
-    node.user_api.known_jobs.learn_accepted(&name);
-    known_job(node, name).await
+    node.user_api.known_jobs.record_accepted(&name);
+    answer_repeated_submission(node, name).await
 }
 
-/// The answer to a repeated submission. Like a poll it has to ask: another node may have answered the
-/// user meanwhile that the job has ended.
-async fn known_job(node: &Rc<Node>, name: String) -> Result<Accepted, SubmissionError> {
+/// Answers a repeated submission with the job's current status. Like a poll it has to read the store,
+/// because another node may already have told the user that the job has ended.
+async fn answer_repeated_submission(
+    node: &Rc<Node>,
+    name: String,
+) -> Result<Accepted, SubmissionError> {
     let stage = match job_status(node, &name).await {
         JobStatus::Ended(end) => stage_of_end(end),
         JobStatus::Open => open_job(node, &name).stage,
-        // Accepted for certain, so never "not found", whatever could not be read.
-        JobStatus::NeverAccepted | JobStatus::Unclear => {
-            return Err(SubmissionError::StatusUnclear)
+        // The job is known to be accepted, so a lookup that doesn't find it must not return 404.
+        JobStatus::NeverAccepted | JobStatus::Unknown => {
+            return Err(SubmissionError::StatusUnknown)
         }
     };
     Ok(Accepted { name, stage, is_new: false })
