--- a/crates/controller/src/user_api/concurrent_failures_tests.rs
+++ b/crates/controller/src/user_api/concurrent_failures_tests.rs
@@ -1,5 +1,5 @@
-//! Answers to users while transactions are lost or late and frames between nodes are: many seeds, the
-//! nodes' own code, and the store that the other tests use.
+//! Randomized tests of the user API while store responses are lost, transactions are delayed and frames
+//! between nodes are lost. They run the nodes' real code on the fake store, with many seeds.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -21,41 +21,49 @@
 use crate::key_value_client::RequestClass;
 use crate::node::Node;
 
-/// What a user was told of one job, and when the answer came.
+/// Status of a job as reported in a response.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Told {
+enum Reported {
     Unknown,
     Accepted,
     Ended(JobEnd),
 }
 
-/// What all users were told, in the order of the answers' arrival.
+/// All responses per job, in order of arrival, used to detect contradictions.
 #[derive(Default)]
-struct IntentLog {
-    told: BTreeMap<String, Vec<(Instant, Told)>>,
-    /// Answers that were held against an older one; of them, those after an end.
+struct AnswerHistory {
+    reported: BTreeMap<String, Vec<(Instant, Reported)>>,
+    /// Number of comparisons with an earlier response, and of those in which it reported an end.
     compared: (u32, u32),
 }
 
-impl IntentLog {
-    /// An answer to a question that was asked at `asked` is no older than any that had come by then.
-    fn note(&mut self, what: &str, job: &str, asked: Instant, told: Told) {
-        let before = self.told.entry(job.to_owned()).or_default();
-        for &(at, earlier) in before.iter().filter(|b| b.0 <= asked) {
+impl AnswerHistory {
+    /// Records a response, and asserts that it contradicts none that had arrived before its request was
+    /// sent, at `sent_at`.
+    fn record(&mut self, label: &str, job: &str, sent_at: Instant, reported: Reported) {
+        let earlier_responses = self.reported.entry(job.to_owned()).or_default();
+        for &(at, earlier) in earlier_responses.iter().filter(|b| b.0 <= sent_at) {
             self.compared.0 += 1;
             match earlier {
-                Told::Unknown => {}
-                Told::Accepted => {
-                    assert_ne!(told, Told::Unknown, "{what}: {job} accepted, then not known");
+                Reported::Unknown => {}
+                Reported::Accepted => {
+                    assert_ne!(
+                        reported,
+                        Reported::Unknown,
+                        "{label}: {job} was reported accepted, then unknown"
+                    );
                 }
-                Told::Ended(_) => {
+                Reported::Ended(_) => {
                     self.compared.1 += 1;
-                    let ago = asked.duration_since(at);
-                    assert_eq!(told, earlier, "{what}: {job} told {ago:?} before the question");
+                    let ago = sent_at.duration_since(at);
+                    assert_eq!(
+                        reported, earlier,
+                        "{label}: the end of {job}, reported {ago:?} before the request, changed"
+                    );
                 }
             }
         }
-        before.push((Instant::now(), told));
+        earlier_responses.push((Instant::now(), reported));
     }
 }
 
@@ -67,115 +75,122 @@
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Ask {
+enum Action {
     Submit,
     Poll,
     Cancel,
 }
 
-async fn ask(
-    intent_log: Rc<RefCell<IntentLog>>,
-    what: String,
+async fn send_request(
+    history: Rc<RefCell<AnswerHistory>>,
+    label: String,
     node: Rc<Node>,
     job: String,
-    ask: Ask,
+    action: Action,
 ) {
-    let asked = Instant::now();
-    let answer = match ask {
-        Ask::Submit => submit(node, submission(&job).to_string().into_bytes()).await,
-        Ask::Poll => poll(node, &job).await,
-        Ask::Cancel => cancel(node, &job).await,
+    let sent_at = Instant::now();
+    let answer = match action {
+        Action::Submit => submit(node, submission(&job).to_string().into_bytes()).await,
+        Action::Poll => poll(node, &job).await,
+        Action::Cancel => cancel(node, &job).await,
     };
     let body: Value = serde_json::from_slice(&answer.body).expect("json");
-    let told = match (answer.status, body["stage"].as_str()) {
-        (200 | 201, Some("done")) => Told::Ended(JobEnd::Done),
-        (200 | 201, Some("aborted")) => Told::Ended(JobEnd::Cancelled),
-        (200 | 201, Some(_)) => Told::Accepted,
-        (404, _) => Told::Unknown,
+    let reported = match (answer.status, body["stage"].as_str()) {
+        (200 | 201, Some("done")) => Reported::Ended(JobEnd::Done),
+        (200 | 201, Some("aborted")) => Reported::Ended(JobEnd::Cancelled),
+        (200 | 201, Some(_)) => Reported::Accepted,
+        (404, _) => Reported::Unknown,
         (503, _) => {
-            assert!(answer.retry_after.is_some(), "{what}: no time to come again");
+            assert!(answer.retry_after.is_some(), "{label}: 503 without Retry-After");
             return;
         }
-        other => panic!("{what}: {other:?}"),
+        other => panic!("{label}: {other:?}"),
     };
-    intent_log.borrow_mut().note(&what, &job, asked, told);
+    history.borrow_mut().record(&label, &job, sent_at, reported);
 }
 
-struct Meeting {
+struct Scenario {
     name: &'static str,
-    /// Shares of transactions that are carried out unheard at once, and much later.
-    lost: f64,
-    late: f64,
-    /// Share of the frames between nodes that is lost.
-    frames_lost: f64,
-    /// For how long the key-value store is down for all, in the middle.
+    /// Share of transactions that are applied promptly, but whose response is lost.
+    lost_share: f64,
+    /// Share of transactions that are applied seconds later, also without a response.
+    delayed_share: f64,
+    /// Share of frames between nodes that are lost.
+    lost_frame_share: f64,
+    /// Length of a store outage for all nodes in the middle of the run.
     outage: Duration,
 }
 
-const MEETINGS: [Meeting; 5] = [
-    Meeting { name: "close looks", lost: 0.0, late: 0.0, frames_lost: 0.0, outage: Duration::ZERO },
-    Meeting {
-        name: "answers lost, others read what was written",
-        lost: 0.25,
-        late: 0.0,
-        frames_lost: 0.5,
+const SCENARIOS: [Scenario; 5] = [
+    Scenario {
+        name: "no faults",
+        lost_share: 0.0,
+        delayed_share: 0.0,
+        lost_frame_share: 0.0,
         outage: Duration::ZERO,
     },
-    Meeting {
-        name: "carried out late, after newer ones",
-        lost: 0.0,
-        late: 0.25,
-        frames_lost: 0.5,
+    Scenario {
+        name: "store responses and half of the frames lost",
+        lost_share: 0.25,
+        delayed_share: 0.0,
+        lost_frame_share: 0.5,
         outage: Duration::ZERO,
     },
-    Meeting {
-        name: "both, with no frames at all",
-        lost: 0.15,
-        late: 0.15,
-        frames_lost: 1.0,
+    Scenario {
+        name: "transactions applied late, after newer ones",
+        lost_share: 0.0,
+        delayed_share: 0.25,
+        lost_frame_share: 0.5,
         outage: Duration::ZERO,
     },
-    Meeting {
-        name: "answers lost, then an outage",
-        lost: 0.2,
-        late: 0.1,
-        frames_lost: 0.3,
+    Scenario {
+        name: "responses lost, transactions late, no frames delivered",
+        lost_share: 0.15,
+        delayed_share: 0.15,
+        lost_frame_share: 1.0,
+        outage: Duration::ZERO,
+    },
+    Scenario {
+        name: "responses lost, then a store outage",
+        lost_share: 0.2,
+        delayed_share: 0.1,
+        lost_frame_share: 0.3,
         outage: Duration::from_millis(1_800),
     },
 ];
 
-/// Users ask at all nodes, again and again within milliseconds, repeat the submission and cancel, right
-/// after each event; and jobs end by themselves at the same moment.
-async fn play(m: &Meeting, seed: u64) {
-    let what = format!("{} (seed {seed})", m.name);
+/// Sends bursts of submissions, polls and cancellations for the same jobs to random nodes within
+/// milliseconds, while jobs also finish, and checks that no response contradicts an earlier one.
+async fn run_scenario(scenario: &Scenario, seed: u64) {
+    let label = format!("{} (seed {seed})", scenario.name);
     let store = FakeStore::default();
-    store.disorder(seed, m.lost, m.late);
+    store.enable_network_faults(seed, scenario.lost_share, scenario.delayed_share);
     let mut cluster = store.cluster(3);
     let mut rng = StdRng::seed_from_u64(seed ^ 0x5eed);
-    let intent_log = Rc::new(RefCell::new(IntentLog::default()));
-    let asked = Rc::new(Cell::new(0u32));
+    let history = Rc::new(RefCell::new(AnswerHistory::default()));
+    let request_count = Rc::new(Cell::new(0u32));
     let began = Instant::now();
     let mut tasks = Vec::new();
     for step in 0..600u64 {
         let job = format!("req-{:06}", rng.random_range(0..12));
         let node = |rng: &mut StdRng| cluster.nodes[rng.random_range(0..3)].clone();
-        let kinds = match rng.random_range(0..10) {
-            0..=2 => vec![Ask::Submit, Ask::Poll, Ask::Poll, Ask::Submit],
-            3 => vec![Ask::Cancel, Ask::Poll, Ask::Submit, Ask::Poll],
-            _ => vec![Ask::Poll, Ask::Poll],
+        let actions = match rng.random_range(0..10) {
+            0..=2 => vec![Action::Submit, Action::Poll, Action::Poll, Action::Submit],
+            3 => vec![Action::Cancel, Action::Poll, Action::Submit, Action::Poll],
+            _ => vec![Action::Poll, Action::Poll],
         };
-        for kind in kinds {
+        for action in actions {
             let after = Duration::from_millis(rng.random_range(0..12));
-            let (intent_log, what, node, job) =
-                (intent_log.clone(), what.clone(), node(&mut rng), job.clone());
-            let asked = asked.clone();
+            let (history, label, node, job) =
+                (history.clone(), label.clone(), node(&mut rng), job.clone());
+            let request_count = request_count.clone();
             tasks.push(tokio::task::spawn_local(async move {
                 sleep(after).await;
-                asked.set(asked.get() + 1);
-                ask(intent_log, what, node, job, kind).await;
+                request_count.set(request_count.get() + 1);
+                send_request(history, label, node, job, action).await;
             }));
         }
-        // A leader finds it done: its end goes in as a leader's does, if nobody's came first.
+        // Finish the job as a leader would: store its end unless one is stored already.
         if rng.random_bool(0.06) {
             let node = node(&mut rng);
             let key = keys::end(&job);
@@ -194,63 +209,73 @@
                 }));
             }
         }
-        if !m.outage.is_zero() && step == 150 {
+        if !scenario.outage.is_zero() && step == 150 {
             store.fault(Fault::Down);
         }
-        if began.elapsed() > Duration::from_millis(150 * 15) + m.outage {
-            store.mend();
+        if began.elapsed() > Duration::from_millis(150 * 15) + scenario.outage {
+            store.recover();
         }
         if step.is_multiple_of(70) {
             for node in cluster.nodes.clone() {
                 tokio::task::spawn_local(async move { node.key_value.probe().await });
             }
         }
-        let lost = m.frames_lost;
-        let chances: Vec<bool> = (0..9).map(|_| !rng.random_bool(lost)).collect();
-        cluster.deliver(|from, to| chances[from * 3 + to]).await;
+        let lost = scenario.lost_frame_share;
+        let delivered: Vec<bool> = (0..9).map(|_| !rng.random_bool(lost)).collect();
+        cluster.deliver(|from, to| delivered[from * 3 + to]).await;
         sleep(Duration::from_millis(rng.random_range(5..25))).await;
     }
-    store.mend();
+    store.recover();
     for task in tasks {
-        task.await.expect("no answer may break a rule");
+        task.await.expect("a response contradicted an earlier one");
     }
-    // The troubles over, and everything late carried out: every accepted job is answered for.
+    // All faults have ended and delayed transactions are applied by now: every node must report exactly
+    // the stored jobs as accepted.
     sleep(Duration::from_secs(15)).await;
-    let (lost, late) = store.order();
-    assert_eq!((lost > 0, late > 0), (m.lost > 0.0, m.late > 0.0), "{what}: no such trouble came");
-    let jobs: Vec<String> = intent_log.borrow().told.keys().cloned().collect();
+    let (lost, late) = store.disable_network_faults();
+    assert_eq!(
+        (lost > 0, late > 0),
+        (scenario.lost_share > 0.0, scenario.delayed_share > 0.0),
+        "{label}: configured faults did not occur"
+    );
+    let jobs: Vec<String> = history.borrow().reported.keys().cloned().collect();
     for node in &cluster.nodes {
-        node.key_value.probe().await; // As a node does each second.
+        node.key_value.probe().await; // Nodes do this every second.
     }
     for job in jobs {
         for node in &cluster.nodes {
-            ask(intent_log.clone(), what.clone(), node.clone(), job.clone(), Ask::Poll).await;
+            send_request(history.clone(), label.clone(), node.clone(), job.clone(), Action::Poll)
+                .await;
         }
-        let told = intent_log.borrow().told[&job].last().expect("an answer").1;
+        let reported = history.borrow().reported[&job].last().expect("an answer").1;
         let stored = store.holds(&keys::job(&job));
-        assert_eq!(told != Told::Unknown, stored, "{what}: {job} at the end");
+        assert_eq!(
+            reported != Reported::Unknown,
+            stored,
+            "{label}: final status of {job} differs from the store"
+        );
     }
-    let compared = intent_log.borrow().compared;
-    assert!(compared.0 > 1_000 && compared.1 > 100, "{what}: hardly anything met: {compared:?}");
+    let compared = history.borrow().compared;
+    assert!(compared.0 > 1_000 && compared.1 > 100, "{label}: too few comparisons: {compared:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn no_node_answers_older_than_what_any_has_told() {
-    for m in &MEETINGS {
+async fn no_node_contradicts_an_earlier_response_while_writes_are_lost_or_delayed() {
+    for scenario in &SCENARIOS {
         for seed in 1..=6 {
-            LocalSet::new().run_until(play(m, seed)).await;
+            LocalSet::new().run_until(run_scenario(scenario, seed)).await;
         }
     }
 }
 
-/// Every odd submission has its specific answer at every node, also at one that has just started and
-/// knows no machine types yet, where what can be judged without them is.
+/// A submission without a required field gets 400 from every node. One that can never run gets 422, or
+/// 503 from a node that has just started and has no machine types yet.
 #[tokio::test(start_paused = true)]
-async fn odd_submissions_are_refused_at_every_node_and_in_its_first_seconds() {
+async fn invalid_submissions_are_refused_also_by_a_node_without_machine_types() {
     let store = FakeStore::default();
     let (old, fresh) = (store.node(), store.node());
     fresh.machine_types.borrow_mut().clear();
-    let play = async {
+    let scenario = async {
         let fields: Vec<String> =
             submission("req-1").as_object().expect("object").keys().cloned().collect();
         let optional = ["breeds", "grove", "harvestS", "waits"];
@@ -277,7 +302,7 @@
             let answer = submit(fresh.clone(), body).await;
             assert_eq!((answer.status, answer.retry_after.is_some()), (503, true), "{field}");
         }
-        assert!(store.names().is_empty(), "nothing of it was accepted");
+        assert!(store.keys().is_empty(), "a refused submission was stored");
     };
-    LocalSet::new().run_until(play).await;
+    LocalSet::new().run_until(scenario).await;
 }
--- a/crates/controller/src/user_api/fake_cluster.rs
+++ b/crates/controller/src/user_api/fake_cluster.rs
@@ -1,4 +1,4 @@
-//! A key-value store for tests: the protocol's conditional writes, and faults on demand.
+//! In-memory key-value store with injectable faults, and nodes connected to it, for tests.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -18,44 +18,48 @@
 use crate::peers::{queue_length, read_frame, Frame, PeerSenders};
 use crate::settings::{tests::sample, Settings, Sockets};
 
-/// What goes wrong with the store.
+/// A store fault that a test injects.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Fault {
     None,
-    /// The next transaction is carried out and its answer lost.
+    /// The next transaction is applied, but its response is lost.
     AppliedButLost,
-    /// The next transaction is lost.
+    /// The next transaction is lost before it is applied.
     NotApplied,
-    /// 503 to everything.
+    /// Every request gets a 503.
     Down,
 }
 
-/// From one node to another, by their numbers.
-type Wire = (usize, usize, mpsc::Receiver<Rc<Vec<u8>>>);
+/// Queue of encoded frames from one node to another: sender index, receiver index, frames.
+type Link = (usize, usize, mpsc::Receiver<Rc<Vec<u8>>>);
 
-/// Several nodes, and what each has sent to each other one.
+/// Nodes that share a store, and the undelivered frames between them.
 pub(crate) struct Cluster {
     pub(crate) nodes: Vec<Rc<Node>>,
-    wires: Vec<Wire>,
+    links: Vec<Link>,
 }
 
 impl Cluster {
-    /// What waits on the wire from one node to another, taken off it.
+    /// Removes and decodes the undelivered frames from one node to another.
     pub(crate) async fn take(&mut self, from: usize, to: usize) -> Vec<Frame> {
         let mut frames = Vec::new();
-        let wire = self.wires.iter_mut().find(|w| (w.0, w.1) == (from, to)).expect("a wire");
-        while let Ok(bytes) = wire.2.try_recv() {
+        let link = self
+            .links
+            .iter_mut()
+            .find(|link| (link.0, link.1) == (from, to))
+            .expect("a link between the two nodes");
+        while let Ok(bytes) = link.2.try_recv() {
             frames.push(read_frame(&mut bytes.as_slice()).await.expect("a frame").expect("known"));
         }
         frames
     }
 
-    /// Delivers all that waits, and what comes of it, on the wires for which `open` holds; on all
-    /// others it is lost.
+    /// Delivers the waiting frames, and those sent in reply, over the links for which `open` returns
+    /// true. Frames on all other links are lost.
     pub(crate) async fn deliver(&mut self, open: impl Fn(usize, usize) -> bool) {
         for _ in 0..4 {
-            for i in 0..self.wires.len() {
-                let (from, to) = (self.wires[i].0, self.wires[i].1);
+            for i in 0..self.links.len() {
+                let (from, to) = (self.links[i].0, self.links[i].1);
                 for frame in self.take(from, to).await {
                     if open(from, to) {
                         self.nodes[to].handle_frame(frame);
@@ -66,24 +70,25 @@
     }
 }
 
-/// A key-value store that stands in for the real one, shared by its clones.
+/// In-memory replacement for the key-value store. Clones share the same data.
 #[derive(Clone)]
 pub(crate) struct FakeStore {
     store: Rc<RefCell<FakeKeyValueStore>>,
-    /// Requests so far.
+    /// Number of requests executed so far.
     pub(crate) request_count: Rc<Cell<u32>>,
     fault: Rc<Cell<Fault>>,
-    disorder: Rc<RefCell<Option<Disorder>>>,
+    network_faults: Rc<RefCell<Option<NetworkFaults>>>,
 }
 
-/// Answers in their own time, or never.
-struct Disorder {
+/// Random delays of all responses, and random loss or delay of transactions.
+struct NetworkFaults {
     rng: StdRng,
-    /// Shares of transactions that are carried out unheard at once, and much later.
-    lost: f64,
-    late: f64,
-    /// How many of each there were.
-    seen: (u32, u32),
+    /// Share of transactions that are applied promptly, but whose response is lost.
+    lost_share: f64,
+    /// Share of transactions that are applied 2 to 12 s later, also without a response.
+    delayed_share: f64,
+    /// Numbers of transactions with a lost response and of delayed ones.
+    injected: (u32, u32),
 }
 
 impl Default for FakeStore {
@@ -92,40 +97,40 @@
             store: Rc::default(),
             request_count: Rc::default(),
             fault: Rc::new(Cell::new(Fault::None)),
-            disorder: Rc::default(),
+            network_faults: Rc::default(),
         }
     }
 }
 
 impl FakeStore {
-    /// From here on this goes wrong.
+    /// Injects a fault, in place of the current one.
     pub(crate) fn fault(&self, fault: Fault) {
         self.fault.set(fault);
     }
 
-    /// The store answers again, if it was down.
-    pub(crate) fn mend(&self) {
+    /// Ends an outage, if there is one; other faults stay.
+    pub(crate) fn recover(&self) {
         if self.fault.get() == Fault::Down {
             self.fault.set(Fault::None);
         }
     }
 
-    /// A node that knows one machine type and asks this store.
+    /// Creates a node without peers that uses this store and knows one machine type.
     pub(crate) fn node(&self) -> Rc<Node> {
-        self.node_of(&sample(), Vec::new())
+        self.build_node(&sample(), Vec::new())
     }
 
-    /// Nodes that ask this store and whose frames to each other the test holds.
+    /// Creates `n` nodes that use this store. The test delivers the frames between them.
     pub(crate) fn cluster(&self, n: usize) -> Cluster {
         self.cluster_of(n, &sample())
     }
 
-    /// The same with the settings given, but for names and peers.
+    /// Like [`FakeStore::cluster`], with the given settings except for node names and peers.
     pub(crate) fn cluster_of(&self, n: usize, common: &Value) -> Cluster {
         let name = |i: usize| format!("kernel-{i}");
-        let mut cluster = Cluster { nodes: Vec::new(), wires: Vec::new() };
+        let mut cluster = Cluster { nodes: Vec::new(), links: Vec::new() };
         let fd_limit = common["facts"]["resources"]["fd_limit"].as_u64().expect("a limit") as u32;
-        let most_waiting = queue_length(Sockets::share(fd_limit));
+        let queue_capacity = queue_length(Sockets::share(fd_limit));
         for i in 0..n {
             let mut settings = common.clone();
             let others = (0..n).filter(|&j| j != i);
@@ -137,22 +142,22 @@
             settings["peers"] = others.clone().map(peer).collect();
             let mut queues = Vec::new();
             for to in others {
-                let (queue, wire) = mpsc::channel(most_waiting);
+                let (queue, link) = mpsc::channel(queue_capacity);
                 queues.push((name(to), queue));
-                cluster.wires.push((i, to, wire));
+                cluster.links.push((i, to, link));
             }
-            cluster.nodes.push(self.node_of(&settings, queues));
+            cluster.nodes.push(self.build_node(&settings, queues));
         }
         cluster
     }
 
-    fn node_of(
+    fn build_node(
         &self,
         settings: &Value,
         queues: Vec<(String, mpsc::Sender<Rc<Vec<u8>>>)>,
     ) -> Rc<Node> {
         let store = self.clone();
-        let script = move |method: &str, path: &str, body: &[u8]| store.answer(method, path, body);
+        let script = move |method: &str, path: &str, body: &[u8]| store.respond(method, path, body);
         let client = Client::scripted_slow(Box::new(script));
         let settings = Settings::parse(&settings.to_string()).expect("settings");
         let node =
@@ -173,116 +178,118 @@
         Rc::new(node)
     }
 
-    /// Stores a value, attached to the lease that it names, if it does.
+    /// Stores a value, attached to the lease named in its `lease` field, if it has one.
     pub(crate) fn put(&self, key: &str, value: Value) {
         let lease = value["lease"].as_u64();
         self.store.borrow_mut().put(key, value, lease);
     }
 
-    /// Deletes a key.
+    /// Deletes a key without any revision check.
     pub(crate) fn remove(&self, key: &str) {
         self.store.borrow_mut().remove(key);
     }
 
-    /// What is stored under the key.
+    /// Returns the value stored under the key.
     pub(crate) fn value(&self, key: &str) -> Option<Value> {
         Some(self.store.borrow().keys.get(key)?.value.clone())
     }
 
-    /// Whether there is such a key.
+    /// Returns whether the key exists.
     pub(crate) fn holds(&self, key: &str) -> bool {
         self.store.borrow().keys.contains_key(key)
     }
 
-    /// All keys, in their order.
-    pub(crate) fn names(&self) -> Vec<String> {
+    /// Returns all keys in lexical order.
+    pub(crate) fn keys(&self) -> Vec<String> {
         self.store.borrow().keys.keys().cloned().collect()
     }
 
-    /// The answer, in time or out of it.
-    fn answer(&self, method: &str, path: &str, body: &[u8]) -> Answering {
-        let write = path == "/multi";
-        let Some(disorder) = &mut *self.disorder.borrow_mut() else {
-            return Box::pin(std::future::ready(self.say(method, path, body)));
+    /// Executes a request, with random delays and faults if these are enabled.
+    fn respond(&self, method: &str, path: &str, body: &[u8]) -> Answering {
+        let is_transaction = path == "/multi";
+        let Some(faults) = &mut *self.network_faults.borrow_mut() else {
+            return Box::pin(std::future::ready(self.execute(method, path, body)));
         };
-        let ms = |rng: &mut StdRng, most| Duration::from_millis(rng.random_range(0..most));
-        let (before, after) = (ms(&mut disorder.rng, 40), ms(&mut disorder.rng, 40));
-        let chance = disorder.rng.random::<f64>();
+        let ms = |rng: &mut StdRng, max_ms| Duration::from_millis(rng.random_range(0..max_ms));
+        let (before, after) = (ms(&mut faults.rng, 40), ms(&mut faults.rng, 40));
+        let chance = faults.rng.random::<f64>();
         let (store, method) = (self.clone(), method.to_owned());
         let (path, body) = (path.to_owned(), body.to_vec());
-        if write && chance < disorder.lost {
-            disorder.seen.0 += 1;
-            // Carried out at once; nobody hears of it.
+        if is_transaction && chance < faults.lost_share {
+            faults.injected.0 += 1;
+            // Applied promptly, but the response never arrives.
             return Box::pin(async move {
                 sleep(before).await;
-                let _ = store.say(&method, &path, &body);
+                let _ = store.execute(&method, &path, &body);
                 std::future::pending().await
             });
         }
-        if write && chance < disorder.lost + disorder.late {
-            disorder.seen.1 += 1;
-            let later = Duration::from_millis(disorder.rng.random_range(2_000..12_000));
+        if is_transaction && chance < faults.lost_share + faults.delayed_share {
+            faults.injected.1 += 1;
+            let delay = Duration::from_millis(faults.rng.random_range(2_000..12_000));
             tokio::task::spawn_local(async move {
-                sleep(later).await;
-                let _ = store.say(&method, &path, &body);
+                sleep(delay).await;
+                let _ = store.execute(&method, &path, &body);
             });
             return Box::pin(std::future::pending());
         }
         Box::pin(async move {
             sleep(before).await;
-            let said = store.say(&method, &path, &body);
+            let result = store.execute(&method, &path, &body);
             sleep(after).await;
-            said
+            result
         })
     }
 
-    /// From here on answers take their time, and the given shares of transactions are carried out at
-    /// once, or much later, without one.
-    pub(crate) fn disorder(&self, seed: u64, lost: f64, late: f64) {
+    /// Delays all responses from now on, and applies the given shares of transactions without a response:
+    /// `lost_share` promptly, `delayed_share` seconds later.
+    pub(crate) fn enable_network_faults(&self, seed: u64, lost_share: f64, delayed_share: f64) {
         let rng = StdRng::seed_from_u64(seed);
-        *self.disorder.borrow_mut() = Some(Disorder { rng, lost, late, seen: (0, 0) });
+        *self.network_faults.borrow_mut() =
+            Some(NetworkFaults { rng, lost_share, delayed_share, injected: (0, 0) });
     }
 
-    /// Answers are prompt again. How many transactions were carried out unheard, and how many late.
-    pub(crate) fn order(&self) -> (u32, u32) {
-        self.disorder.borrow_mut().take().map_or((0, 0), |d| d.seen)
+    /// Ends delays and faults, and returns how many transactions lost their response and how many were
+    /// delayed.
+    pub(crate) fn disable_network_faults(&self) -> (u32, u32) {
+        self.network_faults.borrow_mut().take().map_or((0, 0), |faults| faults.injected)
     }
 
-    /// Carries out a request, and answers it at once.
-    fn say(&self, method: &str, path: &str, body: &[u8]) -> Result<Response, HttpError> {
+    /// Executes a request and returns its response immediately.
+    fn execute(&self, method: &str, path: &str, body: &[u8]) -> Result<Response, HttpError> {
         self.request_count.set(self.request_count.get() + 1);
         match (self.fault.get(), method, path) {
-            (Fault::Down, _, _) => answer(503, json!({})),
+            (Fault::Down, _, _) => response(503, json!({})),
             (_, "GET", _) if path.starts_with("/keys?starts=") => {
                 let rest = path.strip_prefix("/keys?starts=").unwrap_or_default();
                 let prefix = rest.split('&').next().unwrap_or_default();
-                answer(200, self.store.borrow().list(prefix, "", usize::MAX))
+                response(200, self.store.borrow().list(prefix, "", usize::MAX))
             }
             (_, "GET", _) => {
                 let key = path.strip_prefix("/keys/").expect("a key");
                 let store = self.store.borrow();
                 match store.read(key) {
-                    Some(body) => answer(200, body),
-                    None => answer(404, json!({"growth": store.revision})),
+                    Some(body) => response(200, body),
+                    None => response(404, json!({"growth": store.revision})),
                 }
             }
             (_, "POST", "/leases") => {
                 let mut store = self.store.borrow_mut();
                 store.revision += 1;
-                answer(200, json!({"hold": store.revision}))
+                response(200, json!({"hold": store.revision}))
             }
-            (_, "POST", _) if path.ends_with("/touch") => answer(200, json!({})),
+            (_, "POST", _) if path.ends_with("/touch") => response(200, json!({})),
             (_, "DELETE", _) if path.starts_with("/leases/") => {
                 let lease = path.strip_prefix("/leases/").and_then(|id| id.parse().ok());
                 self.store.borrow_mut().end_lease(lease.expect("a lease"));
-                answer(200, json!({}))
+                response(200, json!({}))
             }
             (fault, "POST", "/multi") => self.commit(fault, body),
-            _ => answer(400, json!({})),
+            _ => response(400, json!({})),
         }
     }
 
-    /// Carries out a transaction, and answers it, but for the fault.
+    /// Executes a transaction, subject to the injected fault.
     fn commit(&self, fault: Fault, body: &[u8]) -> Result<Response, HttpError> {
         self.fault.set(Fault::None);
         if fault == Fault::NotApplied {
@@ -292,15 +299,15 @@
         let mut store = self.store.borrow_mut();
         if let Err(conflict) = store.commit(&transaction) {
             let store_revision = store.revision;
-            return answer(409, json!({"failed": conflict.failed, "growth": store_revision}));
+            return response(409, json!({"failed": conflict.failed, "growth": store_revision}));
         }
         if fault == Fault::AppliedButLost {
             return Err(NoResponse::Closed.into());
         }
-        answer(200, json!({"growth": store.revision}))
+        response(200, json!({"growth": store.revision}))
     }
 }
 
-fn answer(status: u16, value: Value) -> Result<Response, HttpError> {
+fn response(status: u16, value: Value) -> Result<Response, HttpError> {
     Ok(Response { status, body: value.to_string().into_bytes() })
 }
--- a/crates/controller/src/user_api/tests.rs
+++ b/crates/controller/src/user_api/tests.rs
@@ -25,53 +25,57 @@
 }
 
 async fn send(node: &Rc<Node>, body: &Value) -> (u16, Value) {
-    told(submit(node.clone(), body.to_string().into_bytes()).await)
+    decode(submit(node.clone(), body.to_string().into_bytes()).await)
 }
 
-fn told(answer: Answer) -> (u16, Value) {
+fn decode(answer: Answer) -> (u16, Value) {
     (answer.status, serde_json::from_slice(&answer.body).expect("json"))
 }
 
-/// Seen on the first steady days: a node that had accepted the job answered a late repeat from
-/// memory after another node had told that the job was done.
+/// Regression: a node that had accepted the job answered a late repeat from its cache after another
+/// node had already reported the job as done.
 #[tokio::test(start_paused = true)]
-async fn a_repeat_after_the_end_is_told_the_end() {
+async fn repeated_submission_reports_an_end_that_another_node_has_read() {
     let store = FakeStore::default();
     let (a, b) = (store.node(), store.node());
-    let play = async {
+    let scenario = async {
         assert_eq!(send(&a, &submission()).await.0, 201);
         store.put(&keys::end(JOB), json!("done"));
-        assert_eq!(told(poll(b.clone(), JOB).await).1["stage"], "done");
+        assert_eq!(decode(poll(b.clone(), JOB).await).1["stage"], "done");
         let (status, answer) = send(&a, &submission()).await;
         assert_eq!((status, &answer["stage"]), (200, &json!("done")));
     };
-    LocalSet::new().run_until(play).await;
+    LocalSet::new().run_until(scenario).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_submission_whose_answer_is_lost_is_accepted_once() {
+async fn submission_with_a_lost_store_response_is_accepted_once() {
     let store = FakeStore::default();
     let node = store.node();
-    let play = async {
+    let scenario = async {
         store.fault(Fault::AppliedButLost);
-        assert_eq!(send(&node, &submission()).await.0, 200, "known: its own first copy");
+        assert_eq!(
+            send(&node, &submission()).await.0,
+            200,
+            "already accepted by its own first copy"
+        );
         store.fault(Fault::NotApplied);
         let mut other = submission();
         other["ref"] = json!("req-000413");
         assert_eq!(send(&node, &other).await.0, 201);
         assert!(store.holds(&keys::todo("req-000413")));
     };
-    LocalSet::new().run_until(play).await;
+    LocalSet::new().run_until(scenario).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_cannot_be_decided_is_refused_at_once_with_a_time_to_come_again() {
+async fn requests_get_503_with_retry_after_at_once_while_the_store_is_down() {
     let store = FakeStore::default();
     let node = store.node();
-    let play = async {
+    let scenario = async {
         store.put(&keys::job("req-1"), json!(1));
         store.put(&keys::end("req-1"), json!("aborted"));
-        assert_eq!(told(poll(node.clone(), "req-1").await).1["stage"], "aborted");
+        assert_eq!(decode(poll(node.clone(), "req-1").await).1["stage"], "aborted");
         store.fault(Fault::Down);
         let before = Instant::now();
         let body = submission().to_string().into_bytes();
@@ -82,20 +86,20 @@
         ] {
             assert_eq!((answer.status, answer.retry_after), (503, Some(1)));
         }
-        assert!(before.elapsed() < Duration::from_millis(500), "held back");
-        // What has ended is certain whatever is down.
-        assert_eq!(told(poll(node.clone(), "req-1").await).1["stage"], "aborted");
+        assert!(before.elapsed() < Duration::from_millis(500), "503 was delayed");
+        // A recorded end is final, so it is reported even during an outage.
+        assert_eq!(decode(poll(node.clone(), "req-1").await).1["stage"], "aborted");
     };
-    LocalSet::new().run_until(play).await;
+    LocalSet::new().run_until(scenario).await;
 }
 
-/// At 20 changes a second, a rush of submissions once waited 2.5 s each to be refused.
+/// Regression: at 20 writes a second, each submission of a burst waited 2.5 s before it was refused.
 #[tokio::test(start_paused = true)]
-async fn a_rush_beyond_the_write_rate_is_told_at_once_when_to_come_again() {
+async fn submissions_beyond_the_write_rate_get_503_with_retry_after_at_once() {
     let store = FakeStore::default();
     let node = store.node();
-    let play = async {
-        let tries: Vec<_> = (0..60)
+    let scenario = async {
+        let requests: Vec<_> = (0..60)
             .map(|i| {
                 let mut body = submission();
                 body["ref"] = json!(format!("req-{i}"));
@@ -108,11 +112,11 @@
             .collect();
         let began = Instant::now();
         let (mut refused, mut accepted) = (0, 0);
-        for one in tries {
-            let (status, after, at) = one.await.expect("an answer");
+        for response in requests {
+            let (status, after, at) = response.await.expect("an answer");
             if status == 503 {
                 refused += 1;
-                assert_eq!(at, began, "held back");
+                assert_eq!(at, began, "503 was delayed");
                 assert!(after.is_some_and(|s| s >= 2), "{after:?}");
             } else {
                 accepted += 1;
@@ -120,16 +124,16 @@
         }
         assert!(refused > 30 && accepted > 5, "{refused} refused, {accepted} accepted");
     };
-    LocalSet::new().run_until(play).await;
+    LocalSet::new().run_until(scenario).await;
 }
 
-/// The rush fills its own lane and no other: who comes after it with another priority is written down in
-/// the next batch, and isn't refused for what is ahead of the rush's own.
+/// A burst fills only the lane of its own priority: a later submission with another priority is written
+/// in the next batch and is not refused because of the burst's queue.
 #[tokio::test(start_paused = true)]
-async fn a_rush_holds_up_no_other_lane() {
+async fn burst_in_one_priority_lane_does_not_delay_another_lane() {
     let store = FakeStore::default();
     let node = store.node();
-    let play = async {
+    let scenario = async {
         let send = |i: usize, priority: &str| {
             let mut body = submission();
             body["ref"] = json!(format!("req-{i}"));
@@ -138,26 +142,26 @@
             tokio::task::spawn_local(async move { (answer.await.status, Instant::now()) })
         };
         let began = Instant::now();
-        let rush: Vec<_> = (0..60).map(|i| send(i, "normal")).collect();
+        let burst: Vec<_> = (0..60).map(|i| send(i, "normal")).collect();
         tokio::task::yield_now().await;
         let (status, at) = send(60, "high").await.expect("an answer");
         assert_eq!(status, 201);
         assert!(at - began < Duration::from_millis(1_500), "{:?}", at - began);
         let mut refused = 0;
-        for one in rush {
-            refused += usize::from(one.await.expect("an answer").0 == 503);
+        for response in burst {
+            refused += usize::from(response.await.expect("an answer").0 == 503);
         }
-        assert!(refused > 30, "{refused} of the rush were refused");
+        assert!(refused > 30, "only {refused} submissions of the burst were refused");
     };
-    LocalSet::new().run_until(play).await;
+    LocalSet::new().run_until(scenario).await;
 }
 
-/// The chain that the README shows, sent as it stands there.
+/// Submits the two chained jobs of the README's example exactly as they are printed there.
 #[tokio::test(start_paused = true)]
-async fn the_chain_in_the_readme_is_accepted_and_cancelled() {
+async fn readme_job_chain_is_accepted_and_cancelling_its_first_job_cancels_the_second() {
     let store = FakeStore::default();
     let node = store.node();
-    let play = async {
+    let scenario = async {
         let text = include_str!("../../../../README.md");
         let bodies: Vec<&str> =
             text.split("job '").skip(1).filter_map(|s| s.split('\'').next()).collect();
@@ -166,148 +170,153 @@
             let answer = submit(node.clone(), body.as_bytes().to_vec()).await;
             assert_eq!(answer.status, 201, "{}", String::from_utf8_lossy(&answer.body));
         }
-        assert_eq!(told(poll(node.clone(), "req-000002").await).1["stage"], "queued");
+        assert_eq!(decode(poll(node.clone(), "req-000002").await).1["stage"], "queued");
         assert_eq!(cancel(node.clone(), "req-000001").await.status, 200);
-        assert_eq!(told(poll(node.clone(), "req-000002").await).1["stage"], "aborted");
+        assert_eq!(decode(poll(node.clone(), "req-000002").await).1["stage"], "aborted");
     };
-    LocalSet::new().run_until(play).await;
+    LocalSet::new().run_until(scenario).await;
 }
 
-fn chained(name: &str, dependencies: &[&str]) -> Value {
+fn with_dependencies(name: &str, dependencies: &[&str]) -> Value {
     let mut body = submission();
     body["ref"] = json!(name);
     body["waits"] = json!(dependencies);
     body
 }
 
-/// A cancelled job named before an unknown one once hid the unknown one.
+/// Regression: a cancelled dependency listed before an unknown one hid the unknown one.
 #[tokio::test(start_paused = true)]
-async fn only_jobs_that_were_accepted_may_be_waited_for() {
+async fn submission_with_an_unknown_dependency_is_refused_with_422() {
     let store = FakeStore::default();
     let (a, b) = (store.node(), store.node());
-    let play = async {
+    let scenario = async {
         assert_eq!(send(&a, &submission()).await.0, 201);
         store.put(&keys::job("req-7"), json!(1));
         store.put(&keys::end("req-7"), json!("aborted"));
         for dependencies in [vec!["req-9"], vec![JOB, "req-9"], vec!["req-7", "req-9"]] {
-            let (status, answer) = send(&b, &chained("req-1", &dependencies)).await;
+            let (status, answer) = send(&b, &with_dependencies("req-1", &dependencies)).await;
             assert_eq!(status, 422, "{dependencies:?}");
             assert!(answer.to_string().contains("req-9"), "{answer}");
         }
-        let (status, answer) = send(&b, &chained("req-1", &["req-1"])).await;
+        let (status, answer) = send(&b, &with_dependencies("req-1", &["req-1"])).await;
         assert_eq!(status, 422);
         assert!(answer.to_string().contains("req-1 can't wait for itself"), "{answer}");
         assert!(!store.holds(&keys::job("req-1")));
-        // Accepted by another node, and named twice.
-        assert_eq!(send(&b, &chained("req-1", &[JOB, JOB])).await.0, 201);
-        let kept = store.value(&keys::description("req-1", true)).expect("kept");
-        assert_eq!(kept["spec"]["needs"], json!([JOB]));
-        // A repeat is answered before anything that it names is looked at.
-        assert_eq!(send(&a, &chained("req-1", &["req-9"])).await.0, 200);
-        assert_eq!(told(poll(a.clone(), "req-1").await).1["stage"], "queued");
+        // The dependency was accepted by another node and is listed twice.
+        assert_eq!(send(&b, &with_dependencies("req-1", &[JOB, JOB])).await.0, 201);
+        let stored = store.value(&keys::description("req-1", true)).expect("a stored description");
+        assert_eq!(stored["spec"]["needs"], json!([JOB]));
+        // A repeated submission is answered without looking at its dependencies.
+        assert_eq!(send(&a, &with_dependencies("req-1", &["req-9"])).await.0, 200);
+        assert_eq!(decode(poll(a.clone(), "req-1").await).1["stage"], "queued");
         store.fault(Fault::Down);
-        let answer = send(&store.node(), &chained("req-2", &[JOB])).await;
+        let answer = send(&store.node(), &with_dependencies("req-2", &[JOB])).await;
         assert_eq!(answer.0, 503);
     };
-    LocalSet::new().run_until(play).await;
+    LocalSet::new().run_until(scenario).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_done_is_not_waited_for_and_what_is_cancelled_cancels() {
+async fn finished_dependencies_are_dropped_and_a_cancelled_one_cancels_the_submission() {
     let store = FakeStore::default();
     let node = store.node();
-    let play = async {
+    let scenario = async {
         for (name, end) in [("req-7", "aborted"), ("req-8", "done")] {
             store.put(&keys::job(name), json!(1));
             store.put(&keys::end(name), json!(end));
         }
-        // Its needs are done: an ordinary job, also for a version that knows no chains.
-        assert_eq!(send(&node, &chained("req-1", &["req-8"])).await.0, 201);
+        // All dependencies are done, so it is stored like a job without any, which versions that predate
+        // dependencies can read too.
+        assert_eq!(send(&node, &with_dependencies("req-1", &["req-8"])).await.0, 201);
         assert!(store.holds(&keys::todo("req-1")));
-        let (status, answer) = send(&node, &chained("req-2", &["req-8", "req-7"])).await;
+        let (status, answer) = send(&node, &with_dependencies("req-2", &["req-8", "req-7"])).await;
         assert_eq!((status, &answer["stage"]), (201, &json!("aborted")));
-        let keys_now = store.names();
+        let keys_now = store.keys();
         assert!(!keys_now.contains(&keys::description("req-2", true)), "{keys_now:?}");
-        // Another node tells the same, and of a repeat too.
+        // Another node reports the same, for a poll and for a repeated submission.
         let other = store.node();
-        assert_eq!(told(poll(other.clone(), "req-2").await).1["stage"], "aborted");
-        assert_eq!(send(&other, &chained("req-2", &["req-7"])).await.0, 200);
+        assert_eq!(decode(poll(other.clone(), "req-2").await).1["stage"], "aborted");
+        assert_eq!(send(&other, &with_dependencies("req-2", &["req-7"])).await.0, 200);
     };
-    LocalSet::new().run_until(play).await;
+    LocalSet::new().run_until(scenario).await;
 }
 
-/// The leader has not come to it yet, or there is none: nobody may be told any more that a job is
-/// queued that stands behind a cancelled one, at whatever depth.
+/// Once a job is cancelled, no poll may report a direct or transitive dependent as queued, even if the
+/// leader has not cancelled it yet or there is no leader.
 #[tokio::test(start_paused = true)]
-async fn a_poll_settles_what_stands_behind_a_cancelled_job() {
+async fn polling_cancels_a_job_whose_transitive_dependency_was_cancelled() {
     let store = FakeStore::default();
     let (a, b) = (store.node(), store.node());
-    let play = async {
+    let scenario = async {
         assert_eq!(send(&a, &submission()).await.0, 201);
         let mut before = JOB.to_owned();
         for i in 1..40 {
             let name = format!("req-{i}");
-            assert_eq!(send(&a, &chained(&name, &[&before])).await.0, 201);
+            assert_eq!(send(&a, &with_dependencies(&name, &[&before])).await.0, 201);
             before = name;
         }
-        assert_eq!(told(poll(b.clone(), "req-39").await).1["stage"], "queued");
-        assert_eq!(told(cancel(a.clone(), JOB).await).1["stage"], "aborted");
+        assert_eq!(decode(poll(b.clone(), "req-39").await).1["stage"], "queued");
+        assert_eq!(decode(cancel(a.clone(), JOB).await).1["stage"], "aborted");
         for node in [&b, &a, &store.node()] {
-            assert_eq!(told(poll(node.clone(), "req-39").await).1["stage"], "aborted");
+            assert_eq!(decode(poll(node.clone(), "req-39").await).1["stage"], "aborted");
         }
-        // And so is what is submitted behind it meanwhile.
-        let (status, answer) = send(&store.node(), &chained("req-99", &["req-20"])).await;
+        // A job submitted now with a dependency in that chain is cancelled as well.
+        let (status, answer) = send(&store.node(), &with_dependencies("req-99", &["req-20"])).await;
         assert_eq!((status, &answer["stage"]), (201, &json!("aborted")));
     };
-    LocalSet::new().run_until(play).await;
+    LocalSet::new().run_until(scenario).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_end_has_one_writer_and_every_node_tells_it() {
+async fn first_written_end_wins_and_every_node_reports_it() {
     let store = FakeStore::default();
     let (a, b) = (store.node(), store.node());
-    let play = async {
+    let scenario = async {
         send(&a, &submission()).await;
-        assert_eq!(told(cancel(a.clone(), JOB).await).1["stage"], "aborted");
-        assert_eq!(told(cancel(b.clone(), JOB).await).1["stage"], "aborted");
-        assert_eq!(told(poll(b.clone(), JOB).await).1["stage"], "aborted");
+        assert_eq!(decode(cancel(a.clone(), JOB).await).1["stage"], "aborted");
+        assert_eq!(decode(cancel(b.clone(), JOB).await).1["stage"], "aborted");
+        assert_eq!(decode(poll(b.clone(), JOB).await).1["stage"], "aborted");
         let mut other = submission();
         other["ref"] = json!("req-000413");
         send(&a, &other).await;
         store.put(&keys::end("req-000413"), json!("done"));
-        let (status, answer) = told(cancel(b.clone(), "req-000413").await);
-        assert_eq!((status, &answer["stage"]), (200, &json!("done")), "the finish came first");
-        // A lost answer on the withdrawal itself.
+        let (status, answer) = decode(cancel(b.clone(), "req-000413").await);
+        assert_eq!(
+            (status, &answer["stage"]),
+            (200, &json!("done")),
+            "the job finished before the cancellation"
+        );
+        // The cancellation itself was stored, but its response lost.
         other["ref"] = json!("req-000414");
         send(&a, &other).await;
-        assert_eq!(told(poll(a.clone(), "req-000414").await).1["stage"], "queued");
+        assert_eq!(decode(poll(a.clone(), "req-000414").await).1["stage"], "queued");
         store.put(&keys::end("req-000414"), json!("aborted"));
-        assert_eq!(told(cancel(a.clone(), "req-000414").await).1["stage"], "aborted");
+        assert_eq!(decode(cancel(a.clone(), "req-000414").await).1["stage"], "aborted");
     };
-    LocalSet::new().run_until(play).await;
+    LocalSet::new().run_until(scenario).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn nobodys_jobs_are_not_found_and_odd_names_not_even_looked_for() {
+async fn unknown_jobs_return_404_and_invalid_names_are_not_looked_up() {
     let store = FakeStore::default();
     let node = store.node();
-    let play = async {
+    let scenario = async {
         assert_eq!(poll(node.clone(), "req-999999").await.status, 404);
         assert_eq!(cancel(node.clone(), "req-999999").await.status, 404);
         let before = store.request_count.get();
-        for odd in ["job-1", "req-", "req-1x", "leader", "..", "req-1%2f"] {
-            assert_eq!(poll(node.clone(), odd).await.status, 404, "{odd}");
+        for name in ["job-1", "req-", "req-1x", "leader", "..", "req-1%2f"] {
+            assert_eq!(poll(node.clone(), name).await.status, 404, "{name}");
         }
         assert_eq!(store.request_count.get(), before);
     };
-    LocalSet::new().run_until(play).await;
+    LocalSet::new().run_until(scenario).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_can_never_run_is_refused_unless_it_was_accepted() {
+async fn unrunnable_submission_is_refused_unless_it_was_accepted_before() {
     let store = FakeStore::default();
     let node = store.node();
-    let play = async {
+    let scenario = async {
         for (field, value) in
             [("crew", json!("nobody")), ("vcpus", json!(9.0)), ("grove", json!("mars"))]
         {
@@ -315,27 +324,31 @@
             body[field] = value;
             assert_eq!(send(&node, &body).await.0, 422, "{field}");
         }
-        let mut over = submission();
-        over["crew"] = json!("one");
-        over["vcpus"] = json!(65.0);
-        assert_eq!(send(&node, &over).await.0, 422);
+        let mut too_large = submission();
+        too_large["crew"] = json!("one");
+        too_large["vcpus"] = json!(65.0);
+        assert_eq!(send(&node, &too_large).await.0, 422);
         assert_eq!(send(&node, &submission()).await.0, 201);
-        // The cloud offers no fitting type any more: the job stays accepted.
+        // No machine type fits any more, but the job stays accepted.
         node.machine_types.borrow_mut()[0].cpus = 1.0;
-        let again = store.node();
-        again.machine_types.borrow_mut()[0].cpus = 1.0;
-        assert_eq!(send(&again, &submission()).await.0, 200);
-        again.machine_types.borrow_mut().clear();
+        let restarted = store.node();
+        restarted.machine_types.borrow_mut()[0].cpus = 1.0;
+        assert_eq!(send(&restarted, &submission()).await.0, 200);
+        restarted.machine_types.borrow_mut().clear();
         let mut other = submission();
         other["ref"] = json!("req-000413");
-        assert_eq!(send(&again, &other).await.0, 503, "no types known");
+        assert_eq!(
+            send(&restarted, &other).await.0,
+            503,
+            "a node without machine types must answer 503"
+        );
     };
-    LocalSet::new().run_until(play).await;
+    LocalSet::new().run_until(scenario).await;
 }
 
-/// Users may compare these texts, so the store's own errors never reach them.
+/// Users' scripts may match these texts, so they stay fixed and the store's own errors are not exposed.
 #[test]
-fn the_stores_faults_are_told_to_users_as_before() {
+fn store_errors_map_to_fixed_user_facing_texts() {
     let request = StoreRequest::Get { key: keys::job(JOB) };
     let rejected = KeyValueError::Rejected {
         request: request.clone(),
@@ -354,6 +367,6 @@
     ] {
         let answer = Answer::from(SubmissionError::from(error));
         assert_eq!((answer.status, answer.retry_after), (503, Some(1)));
-        assert_eq!(told(answer).1["error"], text);
+        assert_eq!(decode(answer).1["error"], text);
     }
 }
