--- a/crates/controller/src/user_api/submission.rs
+++ b/crates/controller/src/user_api/submission.rs
@@ -48,7 +48,7 @@
     Infeasible(String),
     #[error("waits: {0} can't wait for itself")]
     DependsOnItself(String),
-    #[error("waits: nobody submitted {0}")]
+    #[error("waits: {0} was never submitted; submit it before the jobs that wait for it")]
     UnknownDependency(String),
 }
 
@@ -57,26 +57,26 @@
 pub(super) enum SubmissionError {
     #[error(transparent)]
     Malformed(#[from] InvalidField),
-    #[error("breeds, waits: the description is too long to be kept")]
+    #[error("breeds, waits: the job description is too large to store; shorten these lists")]
     DescriptionTooLong,
     #[error(transparent)]
     Unrunnable(#[from] Unrunnable),
-    #[error("the machine types are not known yet")]
+    #[error("this node does not know the machine types yet; try again")]
     MachineTypesUnknown,
     #[error("the state service can't be reached")]
     StoreUnreachable,
     /// Reading whether the job was accepted earlier failed.
     #[error("{}", text_for_users(.0))]
     Store(#[from] KeyValueError),
-    #[error("the jobs it waits for can't be read now")]
+    #[error("could not read the state of the jobs in waits; try again")]
     DependenciesUnknown,
     #[error("too many submissions at once")]
     TooMany { delay: Duration },
     /// The write may have taken effect; the user finds out by repeating the submission.
-    #[error("the submission can't be recorded now")]
+    #[error("could not confirm the submission; it may have been accepted, repeat it unchanged")]
     Indeterminate,
     /// The job was accepted earlier, but its current status can't be read.
-    #[error("the job's state can't be read now")]
+    #[error("could not read the job state; try again")]
     StatusUnknown,
 }
 
