--- a/crates/scheduler/src/reconciliation/health.rs
+++ b/crates/scheduler/src/reconciliation/health.rs
@@ -13,7 +13,7 @@
 use crate::time::{TimeDelta, Timestamp};
 
 /// How often every task's run time is compared with its siblings'.
-pub(crate) const SLOW_EVERY: TimeDelta = TimeDelta::from_secs(2);
+pub(crate) const SLOW_TASK_CHECK_INTERVAL: TimeDelta = TimeDelta::from_secs(2);
 
 /// The part of an interruption notice's time that is counted on: it may come at half the time given.
 const NOTICE_PERIOD_TRUSTED: f64 = 0.75;
