--- a/crates/controller/src/node/heartbeats/leader.rs
+++ b/crates/controller/src/node/heartbeats/leader.rs
@@ -95,7 +95,7 @@
     leader.record_request(peer_index, request.workers);
     let grant = DelegationGrant {
         term,
-        asked: request.number,
+        request_number: request.number,
         unknown_for: node.now().since(node.cancellations_known_until()),
         invalidated: leader.invalidated(peer_index, term),
     };
--- a/crates/controller/src/peers/heartbeat_frames.rs
+++ b/crates/controller/src/peers/heartbeat_frames.rs
@@ -305,7 +305,7 @@
             node: name_field(&self.node),
             asker_incarnation: self.asker_incarnation.into(),
             term: self.grant.term.get().into(),
-            asked: self.grant.asked.into(),
+            asked: self.grant.request_number.into(),
             unknown_for_us: self.grant.unknown_for.0.into(),
             invalidated: self.grant.invalidated.into(),
             redirect_count: self.redirect_count.into(),
@@ -321,7 +321,7 @@
             asker_incarnation: body.asker_incarnation.get(),
             grant: DelegationGrant {
                 term: Term(body.term.get()),
-                asked: body.asked.get(),
+                request_number: body.asked.get(),
                 unknown_for: TimeDelta(body.unknown_for_us.get()),
                 invalidated: body.invalidated.get(),
             },
--- a/crates/controller/src/peers/tests.rs
+++ b/crates/controller/src/peers/tests.rs
@@ -47,7 +47,7 @@
         ForwardedResponse { asker_incarnation: 3, number: 9, answer: None, cache_entry: None };
     let grant = DelegationGrant {
         term: Term(1 << 40),
-        asked: 17,
+        request_number: 17,
         unknown_for: TimeDelta::from_millis(900),
         invalidated: 4,
     };
--- a/crates/scheduler/src/reconciliation/delegation.rs
+++ b/crates/scheduler/src/reconciliation/delegation.rs
@@ -38,7 +38,7 @@
     /// The leader's term.
     pub term: Term,
     /// The number of the request.
-    pub asked: u64,
+    pub request_number: u64,
     /// How old the leader's watermark was when it answered: cancellations since then may be unknown to it.
     pub unknown_for: TimeDelta,
     /// The number of the last invalidation sent to the follower under the term; 0: none.
@@ -115,7 +115,7 @@
     /// Takes over a leader's grant. Whether it was of use: not if its request is forgotten, its term is
     /// over, or newer invalidations have overtaken it.
     pub fn accept_grant(&mut self, now: Timestamp, grant: &DelegationGrant) -> bool {
-        let request = self.requests.iter().find(|request| request.number == grant.asked);
+        let request = self.requests.iter().find(|request| request.number == grant.request_number);
         let Some(&SentRequest { sent_at, .. }) = request else { return false };
         let cancellations_known_until = sent_at - grant.unknown_for;
         match &mut self.delegation {
--- a/crates/scheduler/tests/delegation.rs
+++ b/crates/scheduler/tests/delegation.rs
@@ -41,8 +41,13 @@
 /// A follower that was granted its share at the start, with a mark for machine 1.
 fn granted(site: &Site) -> (FollowerDelegation, CacheGrant) {
     let mut follower = FollowerDelegation::new(site);
-    let asked = follower.begin_request(START);
-    let grant = DelegationGrant { term: TERM, asked, unknown_for: TimeDelta::ZERO, invalidated: 0 };
+    let request_number = follower.begin_request(START);
+    let grant = DelegationGrant {
+        term: TERM,
+        request_number,
+        unknown_for: TimeDelta::ZERO,
+        invalidated: 0,
+    };
     assert!(follower.accept_grant(START, &grant));
     let new = cache_entry(MachineIndex(1), 1, 0);
     assert!(follower.add_entry(START, &new));
@@ -56,10 +61,10 @@
     term: Term,
     invalidated: u64,
 ) -> bool {
-    let asked = follower.begin_request(asked_at);
+    let request_number = follower.begin_request(asked_at);
     follower.accept_grant(
         now,
-        &DelegationGrant { term, asked, unknown_for: TimeDelta::ZERO, invalidated },
+        &DelegationGrant { term, request_number, unknown_for: TimeDelta::ZERO, invalidated },
     )
 }
 
@@ -73,9 +78,9 @@
         assert_eq!(follower.cached_response_token(START + window + TimeDelta(1), new.cached), None);
         // Late on its way, a grant counts from the question; and by as much less as the leader itself
         // might not know.
-        let asked = follower.begin_request(START + TimeDelta::from_secs(2));
+        let request_number = follower.begin_request(START + TimeDelta::from_secs(2));
         let unknown_for = TimeDelta::from_secs(1);
-        let grant = DelegationGrant { term: TERM, asked, unknown_for, invalidated: 0 };
+        let grant = DelegationGrant { term: TERM, request_number, unknown_for, invalidated: 0 };
         assert!(follower.accept_grant(START + TimeDelta::from_secs(9), &grant));
         let end = START + TimeDelta::from_secs(1) + window;
         assert_eq!(follower.cached_response_token(end, new.cached), Some(new.token));
@@ -87,8 +92,12 @@
 fn a_grant_to_a_question_that_was_not_asked_is_worth_nothing() {
     let (mut follower, new) = granted(&site(24, 44));
     let later = START + watermark::lease_renewal_window(&site(24, 44)) + TimeDelta(1);
-    let grant =
-        DelegationGrant { term: TERM, asked: 99, unknown_for: TimeDelta::ZERO, invalidated: 0 };
+    let grant = DelegationGrant {
+        term: TERM,
+        request_number: 99,
+        unknown_for: TimeDelta::ZERO,
+        invalidated: 0,
+    };
     assert!(!follower.accept_grant(later, &grant));
     assert_eq!(follower.cached_response_token(later, new.cached), None);
 }
@@ -150,9 +159,9 @@
     let (mut follower, new) = granted(&site(24, 44));
     let first = follower.begin_request(START + TimeDelta::from_secs(10));
     let second = follower.begin_request(START + TimeDelta::from_secs(11));
-    let at = |asked, invalidated| DelegationGrant {
+    let at = |request_number, invalidated| DelegationGrant {
         term: TERM,
-        asked,
+        request_number,
         unknown_for: TimeDelta::ZERO,
         invalidated,
     };
@@ -242,9 +251,10 @@
                 }
             }
             if step.is_multiple_of(20) {
-                let asked = follower.begin_request(now);
+                let request_number = follower.begin_request(now);
                 let unknown_for = now.since(cancellations_known_until);
-                let grant = DelegationGrant { term: TERM, asked, unknown_for, invalidated: sent };
+                let grant =
+                    DelegationGrant { term: TERM, request_number, unknown_for, invalidated: sent };
                 send(&mut rng, ToFollower::DelegationGrant(grant));
             }
             let (due, rest): (Vec<_>, Vec<_>) = wire.into_iter().partition(|f| f.0 <= now);
--- a/crates/scheduler/tests/sim/follower.rs
+++ b/crates/scheduler/tests/sim/follower.rs
@@ -85,12 +85,12 @@
             self.send_invalidations(now, leader, linked, delay_ms);
             if now >= self.asks_at {
                 self.asks_at = now + TimeDelta::from_secs(1);
-                let asked = self.served.begin_request(now);
+                let request_number = self.served.begin_request(now);
                 let term = leader.s.term;
                 let invalidated = if self.invalidated.0 == term { self.invalidated.1 } else { 0 };
                 let unknown_for = now.since(leader.known);
                 if linked {
-                    let grant = DelegationGrant { term, asked, unknown_for, invalidated };
+                    let grant = DelegationGrant { term, request_number, unknown_for, invalidated };
                     self.send(now, delay_ms, ToFollower::DelegationGrant(grant));
                     for (cached, sequence) in std::mem::take(&mut self.heard) {
                         leader.s.record_repeated_heartbeat(now, cached, sequence);
