--- a/crates/controller/src/node/heartbeats/leader.rs
+++ b/crates/controller/src/node/heartbeats/leader.rs
@@ -96,7 +96,7 @@
     let grant = DelegationGrant {
         term,
         request_number: request.number,
-        unknown_for: node.now().since(node.cancellations_known_until()),
+        watermark_age: node.now().since(node.cancellations_known_until()),
         invalidated: leader.invalidated(peer_index, term),
     };
     let redirected =
--- a/crates/controller/src/peers/golden_tests.rs
+++ b/crates/controller/src/peers/golden_tests.rs
@@ -183,7 +183,7 @@
             grant: DelegationGrant {
                 term: Term(0x1112_1314_1516_1718),
                 request_number: 0x2122_2324_2526_2728,
-                unknown_for: TimeDelta(0x3132_3334_3536_3738),
+                watermark_age: TimeDelta(0x3132_3334_3536_3738),
                 invalidated: 0x4142_4344_4546_4748,
             },
             redirect_count,
--- a/crates/controller/src/peers/heartbeat_frames.rs
+++ b/crates/controller/src/peers/heartbeat_frames.rs
@@ -306,7 +306,7 @@
             asker_incarnation: self.asker_incarnation.into(),
             term: self.grant.term.get().into(),
             asked: self.grant.request_number.into(),
-            unknown_for_us: self.grant.unknown_for.0.into(),
+            unknown_for_us: self.grant.watermark_age.0.into(),
             invalidated: self.grant.invalidated.into(),
             redirect_count: self.redirect_count.into(),
             redirect_to: name_field(self.redirect_to.as_deref().unwrap_or_default()),
@@ -322,7 +322,7 @@
             grant: DelegationGrant {
                 term: Term(body.term.get()),
                 request_number: body.asked.get(),
-                unknown_for: TimeDelta(body.unknown_for_us.get()),
+                watermark_age: TimeDelta(body.unknown_for_us.get()),
                 invalidated: body.invalidated.get(),
             },
             redirect_count: body.redirect_count.get(),
--- a/crates/controller/src/peers/tests.rs
+++ b/crates/controller/src/peers/tests.rs
@@ -48,7 +48,7 @@
     let grant = DelegationGrant {
         term: Term(1 << 40),
         request_number: 17,
-        unknown_for: TimeDelta::from_millis(900),
+        watermark_age: TimeDelta::from_millis(900),
         invalidated: 4,
     };
     let granting = DelegationGranted {
--- a/crates/scheduler/src/reconciliation/delegation.rs
+++ b/crates/scheduler/src/reconciliation/delegation.rs
@@ -40,7 +40,7 @@
     /// The number of the request.
     pub request_number: u64,
     /// How old the leader's watermark was when it answered: cancellations since then may be unknown to it.
-    pub unknown_for: TimeDelta,
+    pub watermark_age: TimeDelta,
     /// The number of the last invalidation sent to the follower under the term; 0: none.
     pub invalidated: u64,
 }
@@ -117,7 +117,7 @@
     pub fn accept_grant(&mut self, now: Timestamp, grant: &DelegationGrant) -> bool {
         let request = self.requests.iter().find(|request| request.number == grant.request_number);
         let Some(&SentRequest { sent_at, .. }) = request else { return false };
-        let cancellations_known_until = sent_at - grant.unknown_for;
+        let cancellations_known_until = sent_at - grant.watermark_age;
         match &mut self.delegation {
             Some(delegation) if delegation.term > grant.term => false,
             Some(delegation) if delegation.term == grant.term => {
--- a/crates/scheduler/tests/delegation.rs
+++ b/crates/scheduler/tests/delegation.rs
@@ -45,7 +45,7 @@
     let grant = DelegationGrant {
         term: TERM,
         request_number,
-        unknown_for: TimeDelta::ZERO,
+        watermark_age: TimeDelta::ZERO,
         invalidated: 0,
     };
     assert!(follower.accept_grant(START, &grant));
@@ -64,7 +64,7 @@
     let request_number = follower.begin_request(asked_at);
     follower.accept_grant(
         now,
-        &DelegationGrant { term, request_number, unknown_for: TimeDelta::ZERO, invalidated },
+        &DelegationGrant { term, request_number, watermark_age: TimeDelta::ZERO, invalidated },
     )
 }
 
@@ -79,8 +79,8 @@
         // Late on its way, a grant counts from the question; and by as much less as the leader itself
         // might not know.
         let request_number = follower.begin_request(START + TimeDelta::from_secs(2));
-        let unknown_for = TimeDelta::from_secs(1);
-        let grant = DelegationGrant { term: TERM, request_number, unknown_for, invalidated: 0 };
+        let watermark_age = TimeDelta::from_secs(1);
+        let grant = DelegationGrant { term: TERM, request_number, watermark_age, invalidated: 0 };
         assert!(follower.accept_grant(START + TimeDelta::from_secs(9), &grant));
         let end = START + TimeDelta::from_secs(1) + window;
         assert_eq!(follower.cached_response_token(end, new.cached), Some(new.token));
@@ -95,7 +95,7 @@
     let grant = DelegationGrant {
         term: TERM,
         request_number: 99,
-        unknown_for: TimeDelta::ZERO,
+        watermark_age: TimeDelta::ZERO,
         invalidated: 0,
     };
     assert!(!follower.accept_grant(later, &grant));
@@ -162,7 +162,7 @@
     let at = |request_number, invalidated| DelegationGrant {
         term: TERM,
         request_number,
-        unknown_for: TimeDelta::ZERO,
+        watermark_age: TimeDelta::ZERO,
         invalidated,
     };
     follower.invalidate(TERM, 1, &[(MachineIndex(8), 1)]);
@@ -252,9 +252,13 @@
             }
             if step.is_multiple_of(20) {
                 let request_number = follower.begin_request(now);
-                let unknown_for = now.since(cancellations_known_until);
-                let grant =
-                    DelegationGrant { term: TERM, request_number, unknown_for, invalidated: sent };
+                let watermark_age = now.since(cancellations_known_until);
+                let grant = DelegationGrant {
+                    term: TERM,
+                    request_number,
+                    watermark_age,
+                    invalidated: sent,
+                };
                 send(&mut rng, ToFollower::DelegationGrant(grant));
             }
             let (due, rest): (Vec<_>, Vec<_>) = wire.into_iter().partition(|f| f.0 <= now);
--- a/crates/scheduler/tests/sim/follower.rs
+++ b/crates/scheduler/tests/sim/follower.rs
@@ -88,9 +88,10 @@
                 let request_number = self.served.begin_request(now);
                 let term = leader.s.term;
                 let invalidated = if self.invalidated.0 == term { self.invalidated.1 } else { 0 };
-                let unknown_for = now.since(leader.known);
+                let watermark_age = now.since(leader.known);
                 if linked {
-                    let grant = DelegationGrant { term, request_number, unknown_for, invalidated };
+                    let grant =
+                        DelegationGrant { term, request_number, watermark_age, invalidated };
                     self.send(now, delay_ms, ToFollower::DelegationGrant(grant));
                     for (cached, sequence) in std::mem::take(&mut self.heard) {
                         leader.s.record_repeated_heartbeat(now, cached, sequence);
