--- a/crates/scheduler/src/reconciliation.rs
+++ b/crates/scheduler/src/reconciliation.rs
@@ -1,4 +1,5 @@
-//! What heartbeats prove, reconciled with the scheduler's own tables, and which machines are healthy.
+//! Reconciles what workers report in heartbeats with the scheduler's cluster state, and decides
+//! which machines are unhealthy or lost.
 
 pub(crate) mod absence;
 pub mod delegation;
--- a/crates/scheduler/src/reconciliation/absence.rs
+++ b/crates/scheduler/src/reconciliation/absence.rs
@@ -1,6 +1,7 @@
-//! Merging a heartbeat's task list into the tables: what is there, what ended, and what is proven
-//! absent. A task that the tables place on the machine and the heartbeat doesn't list is absent only if
-//! the heartbeat proves that its start can't be executed any more.
+//! Merges the task list of a heartbeat into the cluster state: which tasks are present on the
+//! machine, which exited, and which are proven absent. A task that is placed on the machine but
+//! missing from the heartbeat counts as absent only if the heartbeat proves that its start command
+//! can no longer be executed.
 
 use crate::leadership::fencing_token::FencingToken;
 use crate::model::cluster::Cluster;
@@ -12,18 +13,20 @@
 use crate::reconciliation::reported_tasks::ReportedTasks;
 use crate::time::{TimeDelta, Timestamp};
 
-/// A start counts for the job's users if it is not stopped again within half a minute.
+/// Run time after which a task counts as started for the job's users. A task that is stopped within
+/// half a minute does not count.
 pub(crate) const STARTED_AFTER: TimeDelta = TimeDelta::from_secs(32);
 
-/// What a heartbeat shows of an attempt that the tables place on its machine.
+/// Result of comparing a heartbeat with an attempt that is placed on the reporting machine.
 enum Evidence<'a> {
-    /// It is there, or another attempt of the task is.
+    /// This attempt or another attempt of the task is on the machine. Holds the entry if it is this
+    /// attempt that was reported.
     Present(Option<&'a TaskStatus>),
-    /// It ended.
+    /// The heartbeat reports that the attempt exited.
     Exited(ExitReason),
-    /// It is not listed, and its start can't be executed any more.
+    /// The attempt is not reported, and its start command can no longer be executed.
     ProvenAbsent,
-    /// It is not listed, but its start may still be under way.
+    /// The attempt is not reported, but its start command may still be in transit.
     Inconclusive,
 }
 
@@ -37,8 +40,9 @@
         let entry = reported.newest(id).filter(|entry| entry.attempt == task.attempt);
         match entry {
             Some(entry) if entry.state != TaskState::Exited => Evidence::Present(Some(entry)),
-            // An attempt that was refused since another is there says that the task is there. (Taken
-            // for absent, it was started a second time elsewhere.)
+            // The worker refuses an attempt while another attempt of the task is on the machine, so
+            // the task is present. When such a refusal counted as absence, the task was started a
+            // second time on another machine.
             _ if reported.any_live(id) => Evidence::Present(None),
             Some(entry) => Evidence::Exited(entry.cause.unwrap_or(ExitReason::Other)),
             None if proves_absence(task, heartbeat) => Evidence::ProvenAbsent,
@@ -47,15 +51,16 @@
     }
 }
 
-/// An absent task proves nothing while its start may still be under way: the worker must have moved on
-/// to a later agent epoch, or have seen a token above the one that the start carries.
+/// Returns whether the task's start can no longer be executed on the reporting machine. The worker
+/// must have moved on to a later agent epoch, or have seen a token above the one that the start
+/// carries; until then the start may still be in transit.
 fn proves_absence(task: &Task, heartbeat: &Heartbeat) -> bool {
     task.token != FencingToken::NONE
         && (heartbeat.agent_epoch > task.agent_epoch || heartbeat.token > task.token)
 }
 
-/// Counts the live tasks that the tables don't place on the machine, and notes where each known one of
-/// them is. Whether their number changed.
+/// Counts the live tasks reported by the machine that are not placed there, and records where each
+/// known one of them runs. Returns whether the count changed.
 pub(crate) fn update_unexpected_tasks(
     cluster: &mut Cluster,
     machine: MachineIndex,
@@ -76,7 +81,7 @@
     std::mem::replace(known, unexpected) != unexpected
 }
 
-/// Merges what the heartbeat shows of the tasks that the tables place on its machine. Whether any of
+/// Applies what the heartbeat shows about each task placed on its machine. Returns whether any of
 /// them is no longer there.
 pub(crate) fn merge_placed_tasks(
     reconciler: &mut Reconciler,
@@ -92,7 +97,7 @@
         match Evidence::of(id, &task, heartbeat, reported) {
             Evidence::Present(entry) => {
                 if let Some(entry) = entry {
-                    observed(reconciler.cluster, reconciler.now, machine, id, entry.state);
+                    mark_observed(reconciler.cluster, reconciler.now, machine, id, entry.state);
                 }
             }
             Evidence::Exited(reason) => {
@@ -109,8 +114,8 @@
     any_ended
 }
 
-/// The attempt is on its machine.
-fn observed(
+/// Records that the attempt is present on its machine.
+fn mark_observed(
     cluster: &mut Cluster,
     now: Timestamp,
     machine: MachineIndex,
@@ -118,13 +123,14 @@
     state: TaskState,
 ) {
     if state == TaskState::Running {
-        observed_running(cluster, now, machine, id);
+        record_running(cluster, now, machine, id);
     }
     cluster.apply(now, id, TaskEvent::Observed);
 }
 
-/// The attempt runs, so its image is on the machine.
-fn observed_running(cluster: &mut Cluster, now: Timestamp, machine: MachineIndex, id: TaskId) {
+/// Records the start time of a running attempt. Its image must be on the machine too, since the
+/// attempt runs.
+fn record_running(cluster: &mut Cluster, now: Timestamp, machine: MachineIndex, id: TaskId) {
     let Some(job) = cluster.job(id.0) else { return };
     let image = job.spec.image.clone();
     let began = cluster.run_started_at(now, &job.tasks[id.1 as usize]);
@@ -135,8 +141,9 @@
     cluster.machines[machine].add_image(image);
 }
 
-/// A confirmed task that is missing under the very token it was sent with is strange; a raised fencing
-/// counter turns the next heartbeat into proof.
+/// Raises the fencing counter if a task that was sent under the machine's current token is missing
+/// from the heartbeat. This is unexpected but proves nothing by itself; once the worker has seen
+/// the raised token, its next heartbeat proves whether the task is absent.
 pub(crate) fn raise_fence_for_missing_tasks(
     cluster: &mut Cluster,
     index: MachineIndex,
--- a/crates/scheduler/src/reconciliation/delegation.rs
+++ b/crates/scheduler/src/reconciliation/delegation.rs
@@ -1,20 +1,23 @@
-//! The follower's side of heartbeat delegation: what a follower may answer to workers on the leader's
-//! behalf.
+//! The follower's side of heartbeat delegation: which heartbeats a follower may answer on behalf of
+//! the leader.
 //!
-//! A follower holds a part of the workers' connections. It forwards a heartbeat that may say something new
-//! to the leader, whose answer it passes on. A repetition of a heartbeat that left nothing to do
-//! ([`crate::reconciliation::heartbeat_cache`]) it answers itself, and reports to the leader later.
+//! Each follower holds a part of the workers' connections. It forwards a heartbeat with new
+//! information to the leader and relays the leader's response. If a heartbeat only repeats one that
+//! required no action ([`crate::reconciliation::heartbeat_cache`]), the follower answers it itself
+//! and reports it to the leader later.
 //!
-//! Such an answer renews the leases of the machine's tasks, so the bound of [`crate::leadership::watermark`]
-//! holds for it: whoever renews a lease knows every cancellation acknowledged before the watermark. The
-//! follower itself knows none; it has the leader's knowledge as of the last [`DelegationGrant`]. The
-//! follower sends a request, and the leader's grant says how old the leader's own watermark was. Whatever
-//! the leader knew then has invalidated its cache entries before the grant, on the same numbered stream. So,
-//! counted from the *sending of the request*, the follower's watermark is never younger than the leader's
-//! was. A frame that is lost, late or overtaken shows as a gap in the numbers, and all entries are dropped.
+//! Such a response renews the leases of the machine's tasks, so the rule of
+//! [`crate::leadership::watermark`] applies to it: a node that renews a lease must know every
+//! cancellation acknowledged before the watermark. The follower tracks no cancellations itself and
+//! relies on what the leader knew at the last [`DelegationGrant`]. The follower sends a request,
+//! and the grant states how old the leader's own watermark was when it answered. All cancellations
+//! that the leader knew by then have already invalidated their cache entries on the same numbered
+//! stream. The follower counts the watermark's age from the time it *sent the request*, so its
+//! watermark is never later than the leader's was. A lost, late or reordered frame shows as a gap
+//! in the numbers, and the follower then drops all entries.
 //!
-//! Nothing here depends on whether the leader still leads: entries are used through an election, until the
-//! window ends or a leader of a newer term grants.
+//! None of this depends on whether the leader still leads: the entries stay usable during an
+//! election, until the window ends or a leader of a newer term sends a grant.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -25,36 +28,39 @@
 use crate::time::{TimeDelta, Timestamp};
 use crate::tunables::Site;
 
-/// For how long after a grant heartbeats are forwarded to the leader that gave it.
+/// Time after a grant during which heartbeats are forwarded to the leader that sent it.
 const FORWARDING_PERIOD: TimeDelta = TimeDelta::from_secs(3);
-/// Requests whose grants are still accepted.
+/// Number of most recent requests whose grants are accepted.
 const MAX_OPEN_REQUESTS: usize = 32;
-/// Cache entries kept, some fifty bytes each: several for each machine that a node may serve.
+/// Maximum number of cache entries, at about fifty bytes each. It allows several entries for each
+/// machine that a node may serve.
 const MAX_CACHE_ENTRIES: usize = 20_000;
 
-/// A leader's answer to a follower's request for delegation.
+/// Leader's answer to a follower's delegation request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DelegationGrant {
-    /// The leader's term.
+    /// Term of the leader that sent the grant.
     pub term: Term,
-    /// The number of the request.
+    /// Number of the follower's request that this grant answers.
     pub request_number: u64,
-    /// How old the leader's watermark was when it answered: cancellations since then may be unknown to it.
+    /// Age of the leader's watermark when it answered. The leader may not know cancellations that
+    /// were acknowledged more recently than that.
     pub watermark_age: TimeDelta,
-    /// The number of the last invalidation sent to the follower under the term; 0: none.
+    /// Number of the last invalidation that the leader sent to the follower in this term, or 0 if
+    /// it sent none.
     pub invalidated: u64,
 }
 
-/// A cache entry that came with the leader's answer to a heartbeat.
+/// Cache entry that the leader attaches to its response to a forwarded heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CacheGrant {
-    /// The heartbeat that left nothing to do.
+    /// Identifies the heartbeat that required no action.
     pub cached: CachedHeartbeat,
-    /// The token to answer repetitions with.
+    /// Token to send in response to repetitions of the heartbeat.
     pub token: FencingToken,
-    /// For how long repetitions mean nothing.
+    /// Time for which the follower may answer repetitions.
     pub valid_for: TimeDelta,
-    /// The number of the last invalidation sent before the leader answered.
+    /// Number of the last invalidation that the leader sent before it answered.
     pub invalidated: u64,
 }
 
@@ -68,41 +74,42 @@
 #[derive(Debug)]
 struct Delegation {
     term: Term,
-    /// When the last grant came.
+    /// Time at which the last grant arrived.
     granted_at: Timestamp,
-    /// Every cancellation acknowledged before this has invalidated its entries.
+    /// Every cancellation acknowledged before this time has invalidated its entries.
     cancellations_known_until: Timestamp,
-    /// The number of the last invalidation that arrived, with all before it.
+    /// Number of the last invalidation received; all earlier ones have been received as well.
     invalidated: u64,
     entries: HashMap<MachineIndex, CacheEntry>,
 }
 
-/// A request for delegation that was sent.
+/// Delegation request that was sent to the leader.
 #[derive(Debug, Clone, Copy)]
 struct SentRequest {
     number: u64,
     sent_at: Timestamp,
 }
 
-/// What a leader delegated to this follower.
+/// State of the delegation on a follower: its open requests, and the cache entries of the leader
+/// that last sent a grant.
 #[derive(Debug)]
 pub struct FollowerDelegation {
     window: TimeDelta,
-    /// The number of the last request.
+    /// Number of the most recent request.
     last_request: u64,
-    /// The last requests, the oldest first.
+    /// Most recent requests, oldest first.
     requests: VecDeque<SentRequest>,
     delegation: Option<Delegation>,
 }
 
 impl FollowerDelegation {
-    /// Without a delegation yet.
+    /// Creates the state of a follower that has received no grant yet.
     pub fn new(site: &Site) -> FollowerDelegation {
         let window = watermark::lease_renewal_window(site);
         FollowerDelegation { window, last_request: 0, requests: VecDeque::new(), delegation: None }
     }
 
-    /// A request is sent to the leader now. The request's number.
+    /// Records that a request is sent to the leader now, and returns the request's number.
     pub fn begin_request(&mut self, now: Timestamp) -> u64 {
         if self.requests.len() >= MAX_OPEN_REQUESTS {
             self.requests.pop_front();
@@ -112,8 +119,9 @@
         self.last_request
     }
 
-    /// Takes over a leader's grant. Whether it was of use: not if its request is forgotten, its term is
-    /// over, or newer invalidations have overtaken it.
+    /// Applies a grant and returns whether it was used. A grant is ignored if its request is no
+    /// longer remembered, its term is over, or it is older than an invalidation that has already
+    /// arrived.
     pub fn accept_grant(&mut self, now: Timestamp, grant: &DelegationGrant) -> bool {
         let request = self.requests.iter().find(|request| request.number == grant.request_number);
         let Some(&SentRequest { sent_at, .. }) = request else { return false };
@@ -136,13 +144,13 @@
         }
     }
 
-    /// Drops entries that the leader invalidated, each given by machine and number; `first` is the
-    /// number of the first invalidation.
+    /// Drops entries that the leader invalidated, each given by machine and entry number. `first`
+    /// is the number of the first invalidation in the list.
     pub fn invalidate(&mut self, term: Term, first: u64, invalidated: &[(MachineIndex, u64)]) {
         let Some(delegation) = self.delegation.as_mut().filter(|known| known.term == term) else {
             return;
         };
-        delegation.catch_up(first.saturating_sub(1));
+        delegation.skip_missing_invalidations(first.saturating_sub(1));
         let last = (first + invalidated.len() as u64).saturating_sub(1);
         delegation.invalidated = delegation.invalidated.max(last);
         for (machine, number) in invalidated {
@@ -150,8 +158,9 @@
         }
     }
 
-    /// Adds an entry that came with the leader's answer; whether it may be used. Without all
-    /// invalidations sent before it, or with later ones, it may have ended already.
+    /// Adds an entry that came with a response of the leader, and returns whether it was added. The
+    /// entry is refused unless exactly the invalidations sent before it have arrived: otherwise it
+    /// may have been invalidated already.
     pub fn add_entry(&mut self, now: Timestamp, new: &CacheGrant) -> bool {
         let Some(delegation) = self.delegation.as_mut() else { return false };
         if delegation.term != new.cached.term
@@ -166,7 +175,8 @@
         true
     }
 
-    /// The token with which a repetition of the cached heartbeat may be answered now.
+    /// Returns the token for the response to a repetition of the cached heartbeat, or `None` if the
+    /// repetition has to be forwarded to the leader.
     pub fn cached_response_token(
         &self,
         now: Timestamp,
@@ -179,20 +189,22 @@
         (is_valid && is_in_window).then_some(entry.token)
     }
 
-    /// The term of the leader to which heartbeats may be forwarded now.
+    /// Returns the term of the leader to which heartbeats may be forwarded now, or `None` if no
+    /// grant arrived recently.
     pub fn forwarding_term(&self, now: Timestamp) -> Option<Term> {
         let delegation = self.delegation.as_ref()?;
         (now.since(delegation.granted_at) <= FORWARDING_PERIOD).then_some(delegation.term)
     }
 
-    /// The term of the last grant.
+    /// Returns the term of the last grant.
     pub fn term(&self) -> Option<Term> {
         self.delegation.as_ref().map(|delegation| delegation.term)
     }
 }
 
 impl Delegation {
-    /// Another grant of the same term. Whether it was of use: not if newer invalidations overtook it.
+    /// Applies a further grant of the same term and returns whether it was used. A grant that is
+    /// older than an invalidation already received is ignored.
     fn extend(
         &mut self,
         now: Timestamp,
@@ -202,22 +214,23 @@
         if invalidated < self.invalidated {
             return false;
         }
-        self.catch_up(invalidated);
+        self.skip_missing_invalidations(invalidated);
         self.cancellations_known_until =
             self.cancellations_known_until.max(cancellations_known_until);
         self.granted_at = now;
         true
     }
 
-    /// If invalidations up to that number have not all arrived, no entry is certain any more.
-    fn catch_up(&mut self, number: u64) {
+    /// Drops all entries if any invalidation up to `number` has not arrived, because any entry may
+    /// be among those invalidated.
+    fn skip_missing_invalidations(&mut self, number: u64) {
         if self.invalidated < number {
             self.entries.clear();
             self.invalidated = number;
         }
     }
 
-    /// Drops the machine's entry, unless it is newer than the invalidated one.
+    /// Drops the machine's entry, unless the entry is newer than the invalidated one.
     fn drop_entry(&mut self, machine: MachineIndex, number: u64) {
         if self.entries.get(&machine).is_some_and(|entry| entry.number <= number) {
             self.entries.remove(&machine);
--- a/crates/scheduler/src/reconciliation/expiry.rs
+++ b/crates/scheduler/src/reconciliation/expiry.rs
@@ -1,4 +1,4 @@
-//! Starts that were sent and that no heartbeat confirmed.
+//! Finds starts that were sent to a worker and that no heartbeat has confirmed.
 
 use crate::event::Event;
 use crate::leadership::fencing_token::FencingToken;
@@ -8,8 +8,8 @@
 use crate::time::{TimeDelta, Timestamp};
 use crate::tunables::{Site, Tunables};
 
-/// Marks starts as unknown that no heartbeat confirmed by their deadline. That frees no task: only
-/// proof of absence does.
+/// Marks the tasks of starts that no heartbeat confirmed by their deadline as unknown. The tasks
+/// stay placed on their machines: only proof of absence frees a task.
 pub(crate) fn expire_unconfirmed_starts(
     cluster: &mut Cluster,
     now: Timestamp,
@@ -27,7 +27,8 @@
     events
 }
 
-/// Starts sent at least the timeout ago, on machines whose heartbeat is due.
+/// Returns the tasks whose start was sent at least `timeout` ago without confirmation, on machines
+/// whose next heartbeat is due.
 fn unconfirmed_starts(
     cluster: &Cluster,
     now: Timestamp,
--- a/crates/scheduler/src/reconciliation/heartbeat_cache.rs
+++ b/crates/scheduler/src/reconciliation/heartbeat_cache.rs
@@ -1,7 +1,8 @@
-//! The leader's cache of heartbeats that left nothing to do, and who answers their repetitions.
+//! The leader's cache of heartbeats that required no action, with the node that answers their
+//! repetitions.
 //!
-//! An entry ends by its expiry or by an invalidation; one that another node holds is kept in a list until
-//! that node has been told.
+//! An entry ends when it expires or is invalidated. If another node holds the entry, the
+//! invalidation is queued until it has been sent to that node.
 
 use std::collections::HashMap;
 
@@ -9,60 +10,60 @@
 use crate::model::ids::MachineIndex;
 use crate::time::{TimeDelta, Timestamp};
 
-/// Names one heartbeat that left nothing to do. Of use to the scheduler that gave it, and to no other.
+/// Identifies a cached heartbeat that required no action. It is valid only for the scheduler that
+/// issued it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CachedHeartbeat {
-    /// The term of the scheduler.
+    /// Term of the scheduler that issued the entry.
     pub term: Term,
-    /// The machine's place in that scheduler's table.
+    /// Index of the machine in that scheduler's machine table.
     pub machine: MachineIndex,
-    /// Never given twice in a term.
+    /// Entry number, unique within the term.
     pub number: u64,
 }
 
-/// Who answers repetitions of a cached heartbeat: 0 is the leader's own node, and what other numbers
-/// mean is the caller's.
+/// Node that answers repetitions of a cached heartbeat. 0 is the leader's own node; the caller
+/// assigns all other numbers.
 pub type CacheHolder = u16;
 
-/// The holder that is the leader's own node.
+/// Holder number of the leader's own node.
 pub const OWN_NODE: CacheHolder = 0;
 
-/// An entry that ended, and the node that has to be told.
+/// Entry that ended and whose holder has to be notified.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CacheInvalidation {
-    /// The node that answered repetitions so far.
+    /// Node that answered repetitions until now.
     pub holder: CacheHolder,
-    /// What it may not answer any more.
+    /// Heartbeat whose repetitions the holder must no longer answer.
     pub cached: CachedHeartbeat,
 }
 
-/// The last heartbeat of one machine.
+/// Cached state of a machine's most recent heartbeat.
 #[derive(Debug, Clone, Copy)]
 struct CacheEntry {
     number: u64,
     holder: CacheHolder,
-    /// From then on time alone gives the heartbeat a meaning.
+    /// Time from which a repetition of the heartbeat would change the cluster state.
     expires_at: Timestamp,
 }
 
-/// The cache of one term: at most one entry for each machine.
+/// Cache of a single term, with at most one entry per machine.
 #[derive(Debug)]
 pub(crate) struct HeartbeatCache {
     term: Term,
-    /// The number of the entry that was added last.
+    /// Number of the entry that was added most recently.
     last_number: u64,
     entries: HashMap<MachineIndex, CacheEntry>,
-    /// Entries of other holders that ended and that these were not told of yet, in that order.
+    /// Invalidations of entries held by other nodes that have not been sent yet, in order.
     invalidations: Vec<CacheInvalidation>,
 }
 
 impl HeartbeatCache {
-    /// Without entries.
     pub(crate) fn new(term: Term) -> HeartbeatCache {
         HeartbeatCache { term, last_number: 0, entries: HashMap::new(), invalidations: Vec::new() }
     }
 
-    /// Adds the machine's last heartbeat in place of an earlier one.
+    /// Adds an entry for the machine's most recent heartbeat and invalidates the previous one.
     pub(crate) fn insert(
         &mut self,
         machine: MachineIndex,
@@ -76,7 +77,7 @@
         CachedHeartbeat { term: self.term, machine, number }
     }
 
-    /// Ends the machine's entry, if it has one.
+    /// Removes the machine's entry, if there is one, and queues the notification of its holder.
     pub(crate) fn invalidate(&mut self, machine: MachineIndex) {
         let Some(CacheEntry { number, holder, .. }) = self.entries.remove(&machine) else { return };
         if holder != OWN_NODE {
@@ -85,17 +86,17 @@
         }
     }
 
-    /// The invalidations since the last call, in their order.
+    /// Removes and returns the queued invalidations, in order.
     pub(crate) fn take_invalidations(&mut self) -> Vec<CacheInvalidation> {
         std::mem::take(&mut self.invalidations)
     }
 
-    /// How long the entry is valid from now on; nothing if it ended.
+    /// Returns how long the entry remains valid, or zero if it has ended.
     pub(crate) fn valid_for(&self, now: Timestamp, cached: CachedHeartbeat) -> TimeDelta {
         self.entry(cached).map_or(TimeDelta::ZERO, |entry| entry.expires_at.since(now))
     }
 
-    /// Whether repetitions of the heartbeat still mean nothing.
+    /// Returns whether repetitions of the heartbeat may still be answered from the cache.
     pub(crate) fn is_valid(&self, now: Timestamp, cached: CachedHeartbeat) -> bool {
         cached.term == self.term && self.entry(cached).is_some_and(|entry| now < entry.expires_at)
     }
--- a/crates/scheduler/src/reconciliation/heartbeat_cache/tests.rs
+++ b/crates/scheduler/src/reconciliation/heartbeat_cache/tests.rs
@@ -1,4 +1,4 @@
-//! How entries end, and who is told.
+//! Tests of how cache entries end, and which holders are notified.
 
 use super::{CacheInvalidation, HeartbeatCache, OWN_NODE};
 use crate::leadership::fencing_token::Term;
@@ -10,15 +10,15 @@
 const NOW: Timestamp = Timestamp(1_000_000);
 
 #[test]
-fn an_entry_is_valid_until_its_expiry() {
+fn an_entry_is_valid_until_it_expires_and_only_in_its_term() {
     let mut cache = HeartbeatCache::new(TERM);
     let expires_at = NOW + TimeDelta::from_secs(2);
     let cached = cache.insert(MachineIndex(4), OWN_NODE, expires_at);
     assert!(cache.is_valid(NOW, cached));
     assert_eq!(cache.valid_for(NOW, cached), TimeDelta::from_secs(2));
     assert!(!cache.is_valid(expires_at, cached));
-    let of_another_term = super::CachedHeartbeat { term: Term(8), ..cached };
-    assert!(!cache.is_valid(NOW, of_another_term));
+    let in_other_term = super::CachedHeartbeat { term: Term(8), ..cached };
+    assert!(!cache.is_valid(NOW, in_other_term));
 }
 
 #[test]
@@ -29,12 +29,12 @@
     assert!(!cache.is_valid(NOW, first));
     assert_eq!(cache.valid_for(NOW, first), TimeDelta::ZERO);
     assert!(cache.is_valid(NOW, second));
-    let told = CacheInvalidation { holder: FOLLOWER, cached: first };
-    assert_eq!(cache.take_invalidations(), [told]);
+    let expected = CacheInvalidation { holder: FOLLOWER, cached: first };
+    assert_eq!(cache.take_invalidations(), [expected]);
 }
 
 #[test]
-fn each_other_holder_is_told_once_and_in_order() {
+fn invalidations_for_other_nodes_are_returned_once_and_in_order() {
     let mut cache = HeartbeatCache::new(TERM);
     let entries =
         [5, 4].map(|machine| cache.insert(MachineIndex(machine), FOLLOWER, Timestamp(u64::MAX)));
@@ -42,7 +42,7 @@
     for machine in [6, 5, 4, 5, 9] {
         cache.invalidate(MachineIndex(machine));
     }
-    let told = entries.map(|cached| CacheInvalidation { holder: FOLLOWER, cached });
-    assert_eq!(cache.take_invalidations(), told);
+    let expected = entries.map(|cached| CacheInvalidation { holder: FOLLOWER, cached });
+    assert_eq!(cache.take_invalidations(), expected);
     assert!(cache.take_invalidations().is_empty());
 }
--- a/crates/scheduler/src/reconciliation/heartbeats.rs
+++ b/crates/scheduler/src/reconciliation/heartbeats.rs
@@ -1,5 +1,5 @@
-//! What a worker's heartbeat proves, step by step: completions always count, everything else only in
-//! the newest heartbeat of its machine.
+//! Processing of a worker's heartbeat. Completions always count; all other information is used only
+//! from the newest heartbeat of a machine.
 
 use crate::dispatch::Messages;
 use crate::event::{Anomaly, Event};
@@ -13,58 +13,59 @@
 use crate::reconciliation::{absence, machine_status};
 use crate::time::Timestamp;
 
-/// How a heartbeat came.
+/// How a heartbeat reached the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum HeartbeatSource {
-    /// By itself, on a connection of the worker's. It may be a copy from long ago.
+    /// Sent by the worker on its own connection. It may be an old copy that was delayed.
     Connection,
-    /// As the answer to a request, from the machine as it is now.
+    /// Answer to a request of the leader, so it shows the machine's current state.
     DirectAnswer,
 }
 
-/// The answer to a heartbeat. It renews the lease of the worker's tasks.
+/// Response to a heartbeat. It renews the lease of the worker's tasks.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HeartbeatAnswer {
-    /// The machine's fencing token.
+    /// Current fencing token of the machine.
     pub token: FencingToken,
-    /// What the worker should do.
+    /// Commands for the worker to execute.
     pub commands: Vec<WorkerCommand>,
 }
 
-/// Why this node may not answer a heartbeat.
+/// Reason why this node may not answer a heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum HeartbeatRefusal {
-    /// The worker has acknowledged a token of a later term; most likely another node leads.
+    /// The worker has acknowledged a token of a later term, so another node probably leads.
     #[error(
         "the worker has acknowledged a token of term {acknowledged}, this node leads term {term}"
     )]
     NewerTerm {
-        /// The term of the worker's token.
+        /// Term of the token that the worker has acknowledged.
         acknowledged: Term,
-        /// The term of this scheduler.
+        /// Term led by this scheduler.
         term: Term,
     },
-    /// Cancellations may be unknown here for longer than a renewed lease allows.
-    #[error("cancellations may be unknown here for too long to renew a lease")]
+    /// The cancellations known to this node are too old for it to renew a lease.
+    #[error("the cancellations known to this node are too old to renew a lease")]
     CancellationsUnknown,
 }
 
-/// Merges heartbeats into the tables at one point in time, with the owners that this changes. The ends of
-/// attempts are applied in [`crate::reconciliation::task_ends`].
+/// Merges heartbeats into the cluster state at a single point in time. The handling of ended
+/// attempts is in [`crate::reconciliation::task_ends`].
 pub(crate) struct Reconciler<'a> {
     pub(crate) now: Timestamp,
-    /// How many jobs have to fail on a machine, before anything completes there, for it to be drained.
+    /// Number of jobs that have to fail on a machine, with no completion there in between, for it
+    /// to be drained.
     pub(crate) sick_after: u32,
     pub(crate) cluster: &'a mut Cluster,
     pub(crate) messages: &'a mut Messages,
     pub(crate) run_times: &'a mut RunTimes,
-    /// What happened, for the log.
+    /// Events to be logged.
     pub(crate) events: Vec<Event>,
 }
 
 impl Reconciler<'_> {
-    /// Merges a heartbeat into the tables; the index of its machine. An older heartbeat adds completions
-    /// and changes nothing else.
+    /// Merges a heartbeat into the cluster state and returns the index of its machine. A heartbeat
+    /// that is not the newest only adds completions.
     pub(crate) fn reconcile(
         &mut self,
         heartbeat: &Heartbeat,
@@ -83,14 +84,15 @@
             return index;
         }
         self.cluster.invalidate_cached_heartbeat(index);
-        // A heartbeat under a newer term is another leader's to judge.
+        // A token of a newer term means that another leader handles this machine.
         if heartbeat.token.term() <= self.cluster.term {
             self.merge_newest(index, heartbeat, reported, source);
         }
         index
     }
 
-    /// A completion is final, however late the heartbeat that shows it.
+    /// Records the completed tasks. A completion is final, even if the heartbeat that reports it
+    /// arrives late.
     fn record_completions(&mut self, machine: MachineIndex, reported: &ReportedTasks) {
         for entry in reported.iter().filter(|entry| !entry.is_live()) {
             if let (Some(id), Some(ExitReason::Done)) = (entry.id, entry.status.cause) {
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Merges the newest heartbeat of a machine.
+    /// Merges a heartbeat that is newer than all others of its machine.
     fn merge_newest(
         &mut self,
         machine: MachineIndex,
--- a/crates/scheduler/src/reconciliation/machine_loss.rs
+++ b/crates/scheduler/src/reconciliation/machine_loss.rs
@@ -1,4 +1,4 @@
-//! Machines that are certainly gone.
+//! Handling of machines that are known to be gone.
 
 use crate::dispatch::Messages;
 use crate::leadership::fencing_token::FencingToken;
@@ -8,7 +8,8 @@
 use crate::model::task::{TaskEvent, TaskPhase};
 use crate::time::Timestamp;
 
-/// The machine is certainly gone, and all that was on it is proven absent.
+/// Marks a machine that is known to be gone as terminated. Everything that was on it is thereby
+/// proven absent.
 pub(crate) fn machine_terminated(
     cluster: &mut Cluster,
     messages: &mut Messages,
@@ -24,21 +25,21 @@
     cluster.invalidate_cached_heartbeat(index);
     cluster.conflicting_replicas.retain(|_, on| *on != index);
     cluster.terminated.push_back((now, index));
-    // Starts that waited for the next message to it are never sent.
+    // Starts waiting for the machine's next request will never be sent.
     messages.discard(cluster, now, index);
     let tasks: Vec<TaskId> = cluster.machines[index].tasks.iter().copied().collect();
     tasks_lost(cluster, now, &tasks);
     cluster.placement_needed = true;
 }
 
-/// The tasks' machine has certainly stopped, and they with it.
+/// Marks the tasks as proven absent, because their machine is known to have stopped.
 pub(crate) fn tasks_lost(cluster: &mut Cluster, now: Timestamp, tasks: &[TaskId]) {
     for &id in tasks {
         let is_unsent = cluster.job(id.0).is_some_and(|job| {
             let task = &job.tasks[id.1 as usize];
             task.phase == TaskPhase::Dispatching && task.token == FencingToken::NONE
         });
-        // An unsent start is settled by the outcome of its own transaction.
+        // An unsent start is resolved by the outcome of its own transaction.
         if !is_unsent {
             cluster.apply(now, id, TaskEvent::ProvenAbsent);
         }
--- a/crates/scheduler/src/reconciliation/machine_status.rs
+++ b/crates/scheduler/src/reconciliation/machine_status.rs
@@ -1,5 +1,5 @@
-//! What a newer heartbeat says of its machine: agent epoch, acknowledged token, address, zone, and
-//! whether the cloud will take it.
+//! Updates a machine from its newest heartbeat: agent epoch, acknowledged token, address, zone and
+//! interruption notice.
 
 use crate::event::Event;
 use crate::leadership::fencing_token::FencingToken;
@@ -11,7 +11,8 @@
 use crate::reconciliation::heartbeats::HeartbeatSource;
 use crate::time::{TimeDelta, Timestamp};
 
-/// Updates what is known of the machine. An interruption notice that is new is returned for the log.
+/// Updates the machine's state from the heartbeat. Returns an event if the heartbeat brings a new
+/// interruption notice.
 pub(crate) fn update(
     cluster: &mut Cluster,
     now: Timestamp,
@@ -20,9 +21,10 @@
     source: HeartbeatSource,
 ) -> Option<Event> {
     let first_token = FencingToken::first_of(cluster.term);
-    // Only a worker that has seen this term, or answers right now, shows that its machine lives.
-    // Anything else may be a copy, minutes old, that reached a leader which never saw the newer ones:
-    // the machine is asked, and nothing else is concluded.
+    // A heartbeat proves that the machine is alive only if the worker has seen this term or is
+    // answering a request. Any other heartbeat may be a copy, minutes old, that reached a leader
+    // which never saw the newer ones. In that case the machine is sent a request and nothing else
+    // is concluded.
     let proves_alive = source == HeartbeatSource::DirectAnswer || heartbeat.token >= first_token;
     let had_seen_term = cluster.machines[index].fence.acknowledged() >= first_token;
     update_agent(cluster, now, index, heartbeat, source);
@@ -44,7 +46,7 @@
     notice
 }
 
-/// Takes over the agent epoch and what it acknowledges.
+/// Stores the agent epoch, the sequence number and the acknowledged token.
 fn update_agent(
     cluster: &mut Cluster,
     now: Timestamp,
@@ -55,22 +57,24 @@
     let term = cluster.term;
     let machine = &mut cluster.machines[index];
     if heartbeat.agent_epoch > machine.agent_epoch {
-        // A new agent epoch begins without tasks, and without commands meant for the old one.
+        // A new agent epoch starts without tasks, and commands meant for the previous one no longer
+        // apply.
         machine.channel.discard_commands();
         if machine.agent_epoch > AgentEpoch::NONE && source == HeartbeatSource::Connection {
-            // Its lease ran out though its heartbeats arrive: answers may not reach it.
+            // The worker's lease ran out although its heartbeats arrive, so responses may not reach
+            // it.
             machine.fence.raise_required(now, term);
         }
     }
     machine.agent_epoch = heartbeat.agent_epoch;
     machine.sequence = heartbeat.sequence;
     if machine.acknowledge(now, heartbeat.token) {
-        // Open again: there may be work that waited for it.
+        // The machine accepts work again, and tasks may be waiting for it.
         cluster.placement_needed = true;
     }
 }
 
-/// Takes over where the machine is and of what type.
+/// Stores the machine's address, type and zone.
 fn update_description(
     cluster: &mut Cluster,
     now: Timestamp,
@@ -87,14 +91,15 @@
     machine.spot = heartbeat.spot;
     machine.hinted_up_at.get_or_insert(now);
     if machine.zone != heartbeat.zone {
-        // Tasks loaded before the machine was known were counted under no zone.
+        // Tasks loaded before the machine was known were counted under an empty zone.
         let old = std::mem::replace(&mut machine.zone, heartbeat.zone.clone());
         let tasks: Vec<TaskId> = machine.tasks.iter().copied().collect();
         cluster.rezone(&tasks, &old, &heartbeat.zone);
     }
 }
 
-/// The first notice counts until it is withdrawn: a later one tells of the same interruption.
+/// Sets or clears the expected interruption time. The first notice stays in force until it is
+/// withdrawn, because later notices announce the same interruption.
 fn update_interruption(
     machine: &mut Machine,
     now: Timestamp,
--- a/crates/scheduler/src/reconciliation/repeated_heartbeats.rs
+++ b/crates/scheduler/src/reconciliation/repeated_heartbeats.rs
@@ -1,19 +1,20 @@
-//! Heartbeats that say nothing new.
+//! Fast path for heartbeats without new information.
 //!
-//! Most heartbeats repeat the one before them: the same tasks, in the same states, under the same token.
-//! [`Scheduler::cache_heartbeat`](crate::scheduler::Scheduler::cache_heartbeat) finds out whether a
-//! heartbeat has left nothing to do, so that the same one under a later sequence number could not either.
-//! The node keeps the answer beside the text of the heartbeat, and hands a repetition to
-//! [`Scheduler::answer_repeated_heartbeat`](crate::scheduler::Scheduler::answer_repeated_heartbeat), which
-//! examines one machine and nothing else.
+//! Most heartbeats repeat the previous one: the same tasks in the same states, under the same
+//! token. [`Scheduler::cache_heartbeat`](crate::scheduler::Scheduler::cache_heartbeat) determines
+//! whether a heartbeat required no action, so that the same heartbeat with a later sequence number
+//! would require none either. The node stores the response together with the text of the heartbeat.
+//! It passes a repetition to
+//! [`Scheduler::answer_repeated_heartbeat`](crate::scheduler::Scheduler::answer_repeated_heartbeat),
+//! which examines only that one machine.
 //!
-//! The heartbeat may have come through another node, which then answers the repetitions itself (see
-//! [`crate::reconciliation::delegation`]); it is the holder of the cache entry and is told when that is
-//! invalidated.
+//! A heartbeat may also arrive through another node, which then answers the repetitions itself (see
+//! [`crate::reconciliation::delegation`]). That node is the holder of the cache entry and is
+//! notified when the entry is invalidated.
 //!
-//! This is exact and no estimate: whatever could give such a heartbeat a meaning (a task of the machine
-//! changes, its fencing counter is raised, another heartbeat of it comes, the machine types change)
-//! invalidates the entry first, and the heartbeat is then read in full.
+//! The check is exact: any change that could make a repetition relevant (a task of the machine
+//! changes, its fencing counter is raised, another of its heartbeats arrives, the machine types
+//! change) first invalidates the entry, and the next heartbeat is then processed in full.
 
 use std::collections::BTreeSet;
 
@@ -28,11 +29,11 @@
 use crate::reconciliation::heartbeat_cache::{CacheHolder, CachedHeartbeat};
 use crate::time::Timestamp;
 
-/// No time alone gives the heartbeat a meaning.
+/// Expiry of entries that stay valid until they are invalidated.
 const NEVER: Timestamp = Timestamp(u64::MAX);
 
-/// Caches a heartbeat that was just answered without commands. `None`: it left something to do, and a
-/// repetition has to be read in full.
+/// Caches a heartbeat that was just answered without commands. Returns `None` if the heartbeat
+/// required an action, in which case a repetition has to be processed in full.
 pub(crate) fn cache(
     cluster: &mut Cluster,
     now: Timestamp,
@@ -40,12 +41,12 @@
     holder: CacheHolder,
 ) -> Option<CachedHeartbeat> {
     let &machine = cluster.machines_by_name.get(&heartbeat.machine)?;
-    let expires_at = meaningless_until(cluster, now, machine, heartbeat)?;
+    let expires_at = cache_expiry(cluster, now, machine, heartbeat)?;
     Some(cluster.heartbeat_cache.insert(machine, holder, expires_at))
 }
 
-/// A cached heartbeat came again, here or at its holder, who answered it. Whether it was still valid
-/// and newer than the last one.
+/// Records a repetition of a cached heartbeat that was answered here or by the entry's holder.
+/// Returns whether the entry was still valid and the repetition newer than the last one.
 pub(crate) fn record_repetition(
     cluster: &mut Cluster,
     now: Timestamp,
@@ -59,8 +60,9 @@
     machine.is_some_and(|machine| machine.record_repeated_heartbeat(now, sequence))
 }
 
-/// Until when repetitions of the heartbeat mean nothing. `None`: they mean something already.
-fn meaningless_until(
+/// Returns the time until which repetitions of the heartbeat require no action, or `None` if they
+/// already require one.
+fn cache_expiry(
     cluster: &Cluster,
     now: Timestamp,
     index: MachineIndex,
@@ -70,8 +72,8 @@
     let is_newest =
         (heartbeat.agent_epoch, heartbeat.sequence) == (machine.agent_epoch, machine.sequence);
     if !is_newest
-        || !owes_no_token(machine, cluster.term, heartbeat)
-        || !is_undisturbed(machine, now, heartbeat)
+        || !is_token_current(machine, cluster.term, heartbeat)
+        || !needs_only_lease_renewal(machine, now, heartbeat)
         || machine.tasks.len() != heartbeat.tasks.len()
     {
         return None;
@@ -86,15 +88,16 @@
     (reported == machine.tasks && expires_at > now).then_some(expires_at)
 }
 
-/// The answer raises no token, and the machine owes none.
-fn owes_no_token(machine: &Machine, term: Term, heartbeat: &Heartbeat) -> bool {
+/// Returns whether the worker has acknowledged the machine's current token, so that the response
+/// would not carry a higher one.
+fn is_token_current(machine: &Machine, term: Term, heartbeat: &Heartbeat) -> bool {
     heartbeat.token == machine.fence.acknowledged()
         && heartbeat.token == machine.token(term)
         && machine.fence.is_acknowledged(term)
 }
 
-/// Nothing about the machine asks for more than its lease to be renewed.
-fn is_undisturbed(machine: &Machine, now: Timestamp, heartbeat: &Heartbeat) -> bool {
+/// Returns whether the response to the heartbeat only has to renew the machine's lease.
+fn needs_only_lease_renewal(machine: &Machine, now: Timestamp, heartbeat: &Heartbeat) -> bool {
     machine.state == MachineState::Up
         && machine.kind.is_some()
         && machine.interruption_at.is_none()
@@ -104,7 +107,8 @@
         && !machine.channel.is_paused(now)
 }
 
-/// The task, if it is reported as the tables have it, and until when that means nothing.
+/// Returns the task and the time until which its entry remains without consequence, or `None` if
+/// the entry differs from the cluster state.
 fn cacheable_task(
     cluster: &Cluster,
     machine: MachineIndex,
@@ -114,17 +118,17 @@
     let &job_index = cluster.jobs_by_name.get(name)?;
     let job = cluster.job(job_index)?;
     let task = job.tasks.get(index as usize)?;
-    let is_as_known = task.phase == TaskPhase::Running
+    let matches_cluster_state = task.phase == TaskPhase::Running
         && task.machine == machine
         && task.attempt == entry.attempt
         && !job.is_ended();
-    if !is_as_known {
+    if !matches_cluster_state {
         return None;
     }
     let expires_at = match entry.state {
         TaskState::Fetching => NEVER,
         TaskState::Running if job.has_started => NEVER,
-        // Then the task has run for long enough to count as started.
+        // From then on the task has run long enough to count as started.
         TaskState::Running => *job.started.get(&index)? + STARTED_AFTER,
         TaskState::Flushing | TaskState::Exited | TaskState::Other => return None,
     };
--- a/crates/scheduler/src/reconciliation/reported_tasks.rs
+++ b/crates/scheduler/src/reconciliation/reported_tasks.rs
@@ -1,4 +1,4 @@
-//! The task list of a heartbeat, with the known task that each entry names.
+//! The task list of a heartbeat, with each entry resolved to the task it names.
 
 use crate::model::cluster::Cluster;
 use crate::model::job::TaskId;
@@ -6,29 +6,30 @@
 
 /// One entry of a heartbeat's task list.
 pub(crate) struct ReportedTask<'a> {
-    /// What the worker reports.
+    /// State of the attempt as reported by the worker.
     pub(crate) status: &'a TaskStatus,
-    /// The known task that it names, if there is one.
+    /// Task that the entry names, or `None` if the scheduler does not know it.
     pub(crate) id: Option<TaskId>,
 }
 
 impl ReportedTask<'_> {
-    /// Whether the attempt still occupies the machine.
+    /// Returns whether the attempt still occupies resources on the machine.
     pub(crate) fn is_live(&self) -> bool {
         self.status.state != TaskState::Exited
     }
 }
 
-/// The task list of a heartbeat. A worker may report several attempts of one task.
+/// Task list of a heartbeat. A worker may report several attempts of the same task.
 pub(crate) struct ReportedTasks<'a> {
-    /// In the order of the heartbeat.
+    /// Entries in the order of the heartbeat.
     entries: Vec<ReportedTask<'a>>,
-    /// The entries that name known tasks, by task; those of one task in the order of the heartbeat.
+    /// Entries of known tasks, sorted by task; entries of the same task keep the order of the
+    /// heartbeat.
     by_task: Vec<(TaskId, &'a TaskStatus)>,
 }
 
 impl<'a> ReportedTasks<'a> {
-    /// Looks up the tasks of a heartbeat, each once.
+    /// Resolves the task names of a heartbeat, each once.
     pub(crate) fn resolve(cluster: &Cluster, heartbeat: &'a Heartbeat) -> ReportedTasks<'a> {
         let resolve =
             |status: &'a TaskStatus| ReportedTask { status, id: known_task(cluster, &status.task) };
@@ -39,18 +40,18 @@
         ReportedTasks { entries, by_task }
     }
 
-    /// All entries, in the order of the heartbeat.
+    /// Iterates over all entries in the order of the heartbeat.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &ReportedTask<'a>> {
         self.entries.iter()
     }
 
-    /// The entry of the task's highest attempt.
+    /// Returns the entry with the highest attempt number of the task.
     pub(crate) fn newest(&self, id: TaskId) -> Option<&'a TaskStatus> {
         self.attempts(id)
             .reduce(|best, entry| if entry.attempt > best.attempt { entry } else { best })
     }
 
-    /// Whether any attempt of the task occupies the machine.
+    /// Returns whether any attempt of the task still occupies resources on the machine.
     pub(crate) fn any_live(&self, id: TaskId) -> bool {
         self.attempts(id).any(|entry| entry.state != TaskState::Exited)
     }
@@ -62,7 +63,7 @@
     }
 }
 
-/// The known task of that name (`req-000412/3`).
+/// Looks up a task by its name, for example `req-000412/3`.
 fn known_task(cluster: &Cluster, name: &str) -> Option<TaskId> {
     let (job_name, index) = parse_task_id(name)?;
     let &job_index = cluster.jobs_by_name.get(job_name)?;
--- a/crates/scheduler/src/reconciliation/response.rs
+++ b/crates/scheduler/src/reconciliation/response.rs
@@ -1,4 +1,4 @@
-//! The commands that answer a heartbeat.
+//! Builds the commands that are returned in response to a heartbeat.
 
 use crate::event::Anomaly;
 use crate::model::cluster::Cluster;
@@ -11,11 +11,13 @@
 use crate::reconciliation::reported_tasks::{ReportedTask, ReportedTasks};
 use crate::time::Timestamp;
 
-/// Commands in one answer, which is one line of at most 64 KiB; further ones go with the next answer.
-/// (A heartbeat may list as many tasks as fit into its own 64 KiB, and a command is longer than a task.)
+/// Maximum number of commands in a response, which is a single line of at most 64 KiB; further
+/// commands follow with the next response. The limit is needed because a heartbeat may list as many
+/// tasks as fit into its own 64 KiB, and a command is longer than a task entry.
 pub(crate) const MAX_COMMANDS: usize = 500;
 
-/// Answers a heartbeat that has been reconciled; with it, what is wrong with the heartbeat, if anything.
+/// Builds the response to a heartbeat that has been reconciled. Also returns the anomaly found in
+/// the heartbeat, if any.
 pub(crate) fn answer(
     cluster: &mut Cluster,
     now: Timestamp,
@@ -28,8 +30,9 @@
         let token = cluster.machines[index].token(term);
         return (HeartbeatAnswer { token, commands: Vec::new() }, Some(anomaly));
     }
-    // Also one that the answer to a direct request has overtaken: its answer renews the lease, so it
-    // has to stop what is to be stopped. In a copy of the past it does no harm.
+    // Commands are sent even if the answer to a direct request has overtaken this heartbeat: the
+    // response renews the lease, so it must also stop what has to be stopped. If the heartbeat is
+    // an old copy, the commands are harmless.
     let commands = commands_for(cluster, index, reported);
     let machine = &mut cluster.machines[index];
     let token = machine.token(term);
@@ -39,7 +42,7 @@
     (HeartbeatAnswer { token, commands }, None)
 }
 
-/// Why the heartbeat is answered without commands, if it is.
+/// Returns why the heartbeat is answered without commands, or `None` if it is answered normally.
 fn anomaly_of(machine: &Machine, heartbeat: &Heartbeat) -> Option<Anomaly> {
     if machine.state == MachineState::Terminated {
         Some(Anomaly::HeartbeatAfterTermination)
@@ -50,8 +53,8 @@
     }
 }
 
-/// What the worker should still do about the tasks it reports: kill those that are not placed there
-/// and reap those whose end is stored. Both are idempotent.
+/// Returns the commands for the reported tasks: kill those that are not placed on the machine or
+/// are being stopped, and reap those whose end is stored. Both commands are idempotent.
 fn commands_for(
     cluster: &mut Cluster,
     machine: MachineIndex,
@@ -73,7 +76,7 @@
     commands
 }
 
-/// The job and the task's index, if the reported attempt is placed on the machine.
+/// Returns the job and the task's index if the reported attempt is placed on the machine.
 fn placed_task<'a>(
     cluster: &'a Cluster,
     machine: MachineIndex,
@@ -83,7 +86,8 @@
     Some((cluster.job(id.0)?, id.1))
 }
 
-/// Kills an attempt that is not placed on the machine, or whose task or job is being stopped.
+/// Returns a kill command if the attempt is not placed on the machine, or if its task or job is
+/// being stopped.
 fn kill_command(
     cluster: &Cluster,
     machine: MachineIndex,
@@ -101,7 +105,8 @@
     Some(WorkerCommand::Kill { task, attempt, grace_s })
 }
 
-/// Lets the worker forget an attempt that exited, unless its completion is not stored yet.
+/// Returns a command that lets the worker forget an attempt that exited, unless its completion is
+/// not stored yet.
 fn reap_command(
     cluster: &Cluster,
     machine: MachineIndex,
@@ -116,9 +121,10 @@
     (!keep).then_some(WorkerCommand::Reap { task, attempt })
 }
 
-/// Whether the machine's token is above that of every start sent to it, raised for it if it may be.
-/// After a reap the worker has forgotten the attempt, so a copy of its start that is still under way
-/// somewhere would run it again. A reap therefore always travels with such a token.
+/// Raises the machine's token above that of every start sent to it, if a raise is needed and
+/// allowed. Returns whether the token is above them. After a reap the worker has forgotten the
+/// attempt, so a delayed copy of its start would run it again; a reap is therefore always sent with
+/// such a token.
 fn fence_starts(cluster: &mut Cluster, machine: MachineIndex) -> bool {
     let term = cluster.term;
     let machine = &mut cluster.machines[machine];
--- a/crates/scheduler/src/reconciliation/task_ends.rs
+++ b/crates/scheduler/src/reconciliation/task_ends.rs
@@ -1,5 +1,5 @@
-//! What it means that an attempt ended: completions, failures, and which machine or job a failure is
-//! attributed to.
+//! Handling of ended attempts: completions, failures, and whether a failure is attributed to the
+//! machine or to the job.
 
 use crate::event::Event;
 use crate::leadership::fencing_token::FencingToken;
@@ -12,13 +12,14 @@
 use crate::reconciliation::heartbeats::Reconciler;
 use crate::time::{TimeDelta, Timestamp};
 
-/// How long a job waits after a worker refused a start of it.
+/// Time for which a job's tasks are not placed after a worker refused a start of one of them.
 const REFUSED_START_PAUSE: TimeDelta = TimeDelta::from_millis(500);
-/// The pause of a job that fails on machine after machine doubles up to 2 to this power, in seconds.
+/// Upper bound for the exponent of the back-off: a job that fails on one machine after another
+/// waits up to 2 to this power seconds between attempts.
 const MAX_FAILURE_BACKOFF_EXPONENT: u32 = 5;
 
 impl Reconciler<'_> {
-    /// The attempt ran to its end on the machine.
+    /// Records that the attempt completed on the machine.
     pub(crate) fn task_completed(&mut self, id: TaskId, machine: MachineIndex, attempt: Attempt) {
         let Some(job) = self.cluster.job(id.0) else { return };
         let Some(task) = job.tasks.get(id.1 as usize) else { return };
@@ -27,15 +28,15 @@
         }
         let is_current = task.machine == machine && task.attempt == attempt;
         if task.phase.placed() && !is_current {
-            // An older attempt completed after all. The newer one is of no use: it is stopped
-            // first, and the task is free only on proof of its absence.
+            // An older attempt completed. The newer one is no longer needed: it is stopped first,
+            // and the task is free only once its absence is proven.
             if task.token != FencingToken::NONE || task.phase != TaskPhase::Dispatching {
                 self.messages.stop_task(self.cluster, self.now, id, 0.0);
             }
             return;
         }
         if is_current {
-            self.learn_run_time(id);
+            self.record_run_time(id);
         }
         if let Some(job) = self.cluster.jobs.get_mut(&id.0) {
             job.has_started = true;
@@ -44,7 +45,7 @@
         self.cluster.apply(self.now, id, TaskEvent::Completed);
     }
 
-    /// The attempt ended on its machine for another reason than completion.
+    /// Records that the attempt ended on the machine without completing.
     pub(crate) fn task_exited(&mut self, id: TaskId, machine: MachineIndex, reason: ExitReason) {
         if reason == ExitReason::Done {
             return;
@@ -63,17 +64,18 @@
         }
     }
 
-    fn learn_run_time(&mut self, id: TaskId) {
+    fn record_run_time(&mut self, id: TaskId) {
         let Some(job) = self.cluster.jobs.get_mut(&id.0) else { return };
-        let Some(&began) = job.started.get(&id.1) else { return };
-        let ran_s = self.now.since(began).as_secs_f64();
+        let Some(&started_at) = job.started.get(&id.1) else { return };
+        let ran_s = self.now.since(started_at).as_secs_f64();
         self.run_times.learn_ratio(job.spec.class.clone(), ran_s, job.spec.estimate_s);
         job.run_times.0 += ran_s;
         job.run_times.1 += 1;
     }
 
-    /// A machine that completes anything isn't sick; and a job whose first task completes somewhere
-    /// was not at fault where it failed before.
+    /// Clears the failures of a machine on which a task completed. If it is the job's first
+    /// completion, the job was not the cause of its earlier failures, which are now attributed to
+    /// the machines on which they occurred.
     fn clear_failures(&mut self, job_index: JobIndex, machine: MachineIndex) {
         let completed_on = &mut self.cluster.machines[machine];
         completed_on.failures.task_completed(self.now);
@@ -87,12 +89,12 @@
         }
     }
 
-    /// The attempt ended with an error.
+    /// Records that the attempt ended with an error.
     fn task_failed(&mut self, id: TaskId, machine: MachineIndex) {
         let Some(job) = self.cluster.jobs.get_mut(&id.0) else { return };
         job.error_machines.insert(machine, self.now);
-        // A job that fails on machine after machine, and completes nowhere, is at fault itself: it
-        // is tried at ever longer intervals and its failures are attributed to no machine.
+        // A job that fails on one machine after another and completes nowhere is itself the cause.
+        // It is retried at growing intervals, and its failures are not attributed to any machine.
         let job_is_suspect = job.suspect();
         if job_is_suspect && self.now >= job.not_before {
             job.errors += 1;
@@ -112,7 +114,8 @@
         }
     }
 
-    /// The job failed on the machine, and not by its own fault as far as is known.
+    /// Attributes a failure of the job to the machine, and drains the machine if too many jobs have
+    /// failed there.
     fn attribute_to_machine(&mut self, index: MachineIndex, job: JobIndex) {
         let machine = &mut self.cluster.machines[index];
         let failed_jobs = machine.failures.attribute(job);
