--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -1,5 +1,5 @@
-//! Requests to workers: at most one in flight for each worker, each sent once. Whether one arrived is
-//! shown by the worker's later heartbeats.
+//! Sends requests to workers. Each worker has at most one request in flight, and each request is
+//! sent once; later heartbeats of the worker show whether it arrived.
 
 pub(crate) mod channel;
 pub(crate) mod starts;
@@ -19,98 +19,102 @@
 use crate::time::{TimeDelta, Timestamp};
 use crate::tunables::Site;
 
-/// A worker reports a higher token that an answer showed it within half a second, if the answer arrived.
-const ANSWER_SHOWS_WITHIN: TimeDelta = TimeDelta::from_millis(1_500);
-/// How often all machines are examined for what time alone brings: an overdue heartbeat, a deadline,
-/// the end of a pause. What events bring is examined when they come.
-const SWEEP_EVERY: TimeDelta = TimeDelta::from_millis(200);
-/// The first pause after a refused connection.
-const REFUSED_PAUSE: TimeDelta = TimeDelta::from_secs(1);
-/// The first pause after a request whose outcome is indeterminate.
+/// Time allowed for a worker to acknowledge a raised token that it was sent in a heartbeat
+/// response. A worker that received the response reports the token within half a second.
+const TOKEN_ACKNOWLEDGEMENT_TIMEOUT: TimeDelta = TimeDelta::from_millis(1_500);
+/// Interval at which all machines are checked for conditions that arise with the passage of time:
+/// an overdue heartbeat, a deadline, the end of a pause. Conditions caused by events are checked
+/// when the events occur.
+const SWEEP_INTERVAL: TimeDelta = TimeDelta::from_millis(200);
+/// Initial pause after a refused connection.
+const CONNECTION_REFUSED_PAUSE: TimeDelta = TimeDelta::from_secs(1);
+/// Initial pause after a request whose outcome is indeterminate.
 const INDETERMINATE_PAUSE: TimeDelta = TimeDelta::from_millis(1_500);
-/// The pause after the answer of another machine's worker.
+/// Pause after a request was answered by another machine's worker.
 const WRONG_MACHINE_PAUSE: TimeDelta = TimeDelta::from_secs(1);
 
-/// Requests lost in a row, to any machines, that are more than the bad luck of some of them.
-const MANY_LOST: u32 = 12;
+/// Number of consecutive lost requests, to any machines, that can't be explained by failures of
+/// single machines.
+const MIN_LOSSES_FOR_OUTAGE: u32 = 12;
 
-/// Requests to workers: which machines may need one, and the outcomes of the last ones. What waits for
-/// one worker is in its machine's [`channel::WorkerChannel`].
+/// Tracks the requests to workers: which machines may need one, and the outcomes of the most recent
+/// ones. The commands waiting for a single worker are in its machine's [`channel::WorkerChannel`].
 #[derive(Debug)]
 pub(crate) struct Messages {
-    /// Machines to be examined for something to send, each once.
+    /// Machines to be checked for something to send, each listed once.
     send_queue: Vec<MachineIndex>,
-    /// Requests without an outcome.
+    /// Number of requests whose outcome is not known yet.
     in_flight: usize,
-    /// When a worker last answered one.
+    /// Time at which a worker last answered a request.
     last_answered: Timestamp,
-    /// How many were lost since.
-    lost_in_a_row: u32,
+    /// Number of requests lost since the last answer.
+    consecutive_losses: u32,
     last_sweep: Timestamp,
 }
 
-/// Requests to send now.
+/// Requests to be sent now.
 #[derive(Debug, Default)]
 pub(crate) struct DueMessages {
-    /// One [`Command::SendToWorker`] for each request.
+    /// Contains one [`Command::SendToWorker`] per request.
     pub(crate) commands: Vec<Command>,
-    /// How many machines were examined for them.
+    /// Number of machines that were checked to find these requests.
     pub(crate) machines_examined: u64,
 }
 
-/// What one pass over the machines goes by.
+/// Parameters of a single pass over the machines.
 #[derive(Debug, Clone, Copy)]
 struct SendPass<'a> {
     site: &'a Site,
     gate: &'a StartGate<'a>,
-    /// A request that only asks for a heartbeat is sent while fewer are in flight: at a failover the
-    /// whole fleet is asked.
-    max_questions: usize,
+    /// Requests that only ask for a heartbeat are sent while fewer than this many requests are in
+    /// flight, because after a failover every machine of the fleet is asked.
+    max_heartbeat_requests: usize,
 }
 
-/// What a machine needs.
+/// Kind of request that a machine needs.
 enum Need {
     Nothing,
-    /// A request, with the starts that were released for it.
+    /// A request that includes the released starts.
     Request(ReleasedStarts),
-    /// To be asked for the heartbeat that is missing.
+    /// A request for the heartbeat that is overdue.
     OverdueHeartbeat,
 }
 
 impl Messages {
-    /// With nothing to send.
     pub(crate) fn new(now: Timestamp) -> Messages {
         Messages {
             send_queue: Vec::new(),
             in_flight: 0,
             last_answered: now,
-            lost_in_a_row: 0,
+            consecutive_losses: 0,
             last_sweep: Timestamp(0),
         }
     }
 
-    /// Whether it is time to examine all machines; if so, the next time counts from now.
+    /// Returns whether a check of all machines is due, and if so starts the next interval.
     pub(crate) fn begin_sweep(&mut self, now: Timestamp) -> bool {
-        let is_due = now.since(self.last_sweep) >= SWEEP_EVERY;
+        let is_due = now.since(self.last_sweep) >= SWEEP_INTERVAL;
         if is_due {
             self.last_sweep = now;
         }
         is_due
     }
 
-    /// Whether many requests in a row were lost, and none was answered for that long.
+    /// Returns whether many consecutive requests were lost and none was answered for at least
+    /// `interval`.
     pub(crate) fn all_lost_for(&self, now: Timestamp, interval: TimeDelta) -> bool {
-        self.lost_in_a_row >= MANY_LOST && now.since(self.last_answered) > interval
+        self.consecutive_losses >= MIN_LOSSES_FOR_OUTAGE && now.since(self.last_answered) > interval
     }
 
-    /// Something may have to be sent to the machine.
+    /// Adds the machine to the queue of machines that may need a request.
     pub(crate) fn enqueue(&mut self, cluster: &mut Cluster, machine: MachineIndex) {
         if cluster.machines[machine].channel.mark_queued() {
             self.send_queue.push(machine);
         }
     }
 
-    /// Tells a task's machine to stop it; repeated in the answer to each heartbeat until it is gone.
+    /// Sends the task's machine a command to stop it. The command is repeated in the response to
+    /// each heartbeat until the task is gone.
     pub(crate) fn stop_task(
         &mut self,
         cluster: &mut Cluster,
@@ -121,8 +125,8 @@
         let Some(job) = cluster.job(id.0) else { return };
         let task = job.tasks[id.1 as usize];
         if task.phase == TaskPhase::Dispatching && task.token == FencingToken::NONE {
-            // Not sent yet, and with the job over or the task wanted elsewhere it never will be:
-            // the outcome of its transaction takes it back.
+            // The start has not been sent, and never will be now that the job has ended or the task
+            // is needed elsewhere: it is retracted when the outcome of its transaction arrives.
             return;
         }
         let name = format!("{}/{}", job.name, id.1);
@@ -137,7 +141,7 @@
         }
     }
 
-    /// A start was stored: it joins its machine's next request.
+    /// Adds a start that has been stored to the next request for its machine.
     pub(crate) fn start_stored(&mut self, cluster: &mut Cluster, id: TaskId) {
         let Some(job) = cluster.job(id.0) else { return };
         let task = job.tasks[id.1 as usize];
@@ -147,14 +151,14 @@
         }
     }
 
-    /// The machine is gone: nothing that waits for it is ever sent.
+    /// Discards everything that waits to be sent to a machine that is gone.
     pub(crate) fn discard(&mut self, cluster: &mut Cluster, now: Timestamp, machine: MachineIndex) {
         cluster.machines[machine].channel.discard_commands();
         starts::retract_all(cluster, now, machine);
     }
 
-    /// The requests to send now. In a sweep all machines are examined, otherwise those in the send
-    /// queue.
+    /// Returns the requests to send now. A sweep checks all machines; otherwise only those in the
+    /// send queue are checked.
     pub(crate) fn take_due(
         &mut self,
         cluster: &mut Cluster,
@@ -162,7 +166,7 @@
         gate: &StartGate,
         is_sweep: bool,
     ) -> DueMessages {
-        let pass = SendPass { site, gate, max_questions: site.most_messages / 3 + 1 };
+        let pass = SendPass { site, gate, max_heartbeat_requests: site.most_messages / 3 + 1 };
         let mut due = DueMessages::default();
         let mut overdue = Vec::new();
         for index in self.take_candidates(cluster, is_sweep) {
@@ -173,13 +177,13 @@
                 Need::OverdueHeartbeat => overdue.push(index),
             }
         }
-        for index in self.most_overdue(cluster, overdue, pass.max_questions) {
+        for index in self.most_overdue(cluster, overdue, pass.max_heartbeat_requests) {
             due.commands.push(self.send(cluster, index, ReleasedStarts::default()));
         }
         due
     }
 
-    /// The machines to examine; the send queue is empty afterwards.
+    /// Empties the send queue and returns the machines to check.
     fn take_candidates(&mut self, cluster: &mut Cluster, is_sweep: bool) -> Vec<MachineIndex> {
         let queued = std::mem::take(&mut self.send_queue);
         for &index in &queued {
@@ -196,14 +200,14 @@
         let now = pass.gate.now;
         let machine = &cluster.machines[index];
         let can_send = self.can_send(machine, now, pass.site);
-        let owes_token = owes_token(machine, cluster.term, now);
-        // One whose heartbeat is overdue is asked: if it answers it is not silent, and if it doesn't
-        // it can be given up sooner.
+        let is_token_acknowledgement_due = is_token_acknowledgement_due(machine, cluster.term, now);
+        // A machine with an overdue heartbeat is sent a request: an answer shows that it is not
+        // silent, and the lack of one allows the machine to be suspected sooner.
         let overdue_after = pass.site.heartbeat_interval.mul_f64(OVERDUE_INTERVALS);
         let is_overdue =
             machine.state == MachineState::Up && now.since(machine.last_heartbeat) > overdue_after;
-        let is_sending = can_send && pass.gate.authority.holds_lease();
-        let released = starts::release(cluster, pass.gate, index, is_sending);
+        let may_send_starts = can_send && pass.gate.authority.holds_lease();
+        let released = starts::release(cluster, pass.gate, index, may_send_starts);
         if !can_send {
             return Need::Nothing;
         }
@@ -211,45 +215,47 @@
         if has_commands || !released.starts.is_empty() {
             return Need::Request(released);
         }
-        match (owes_token, is_overdue) {
-            _ if self.in_flight >= pass.max_questions => Need::Nothing,
+        match (is_token_acknowledgement_due, is_overdue) {
+            _ if self.in_flight >= pass.max_heartbeat_requests => Need::Nothing,
             (true, _) => Need::Request(released),
             (false, true) => Need::OverdueHeartbeat,
             (false, false) => Need::Nothing,
         }
     }
 
-    /// Whether a request may be sent to the machine now.
+    /// Returns whether a request may be sent to the machine now.
     fn can_send(&self, machine: &Machine, now: Timestamp, site: &Site) -> bool {
-        // A machine of the last leader's that has not reported yet is asked at the address that the
-        // cloud or another node gave, so that a failover doesn't wait for its next heartbeat.
-        let may_be_up = machine.state == MachineState::Booting
+        // A machine known from the previous leader that has not reported yet is sent a request at
+        // the address given by the cloud or another node, so that a failover does not have to wait
+        // for its next heartbeat.
+        let is_possibly_up = machine.state == MachineState::Booting
             && (machine.hinted_up_at.is_some() || !machine.tasks.is_empty());
-        (machine.state == MachineState::Up || may_be_up)
+        (machine.state == MachineState::Up || is_possibly_up)
             && !machine.channel.has_request_in_flight()
             && !machine.channel.is_paused(now)
             && !machine.address.is_empty()
             && self.in_flight < site.most_messages
     }
 
-    /// Those of the machines whose heartbeat is overdue that are asked now, after all that a request is
-    /// more urgent for: the ones with the oldest heartbeats. (In the order of the table, the first two
-    /// thousand were overdue again before the others were asked at all.)
+    /// Selects the machines with overdue heartbeats that are asked now, in the slots left by more
+    /// urgent requests. Those with the oldest heartbeats come first: in table order, the first two
+    /// thousand machines were overdue again before the others were asked at all.
     fn most_overdue(
         &self,
         cluster: &Cluster,
         mut machines: Vec<MachineIndex>,
-        max_questions: usize,
+        max_heartbeat_requests: usize,
     ) -> Vec<MachineIndex> {
-        let room = max_questions.saturating_sub(self.in_flight);
-        if machines.len() > room {
-            machines.sort_unstable_by_key(|&ix| cluster.machines[ix].last_heartbeat);
-            machines.truncate(room);
+        let available_slots = max_heartbeat_requests.saturating_sub(self.in_flight);
+        if machines.len() > available_slots {
+            machines.sort_unstable_by_key(|&index| cluster.machines[index].last_heartbeat);
+            machines.truncate(available_slots);
         }
         machines
     }
 
-    /// Sends the machine what waits for it, with these starts.
+    /// Creates the request with the machine's waiting commands and the given starts, and counts it
+    /// as in flight.
     fn send(
         &mut self,
         cluster: &mut Cluster,
@@ -269,7 +275,8 @@
         }
     }
 
-    /// A request has an outcome. If the machine's own worker answered, the heartbeat to reconcile.
+    /// Handles the outcome of a request. Returns the heartbeat to reconcile if the machine's own
+    /// worker answered.
     pub(crate) fn request_ended(
         &mut self,
         cluster: &mut Cluster,
@@ -284,7 +291,7 @@
         self.enqueue(cluster, index);
         match outcome {
             MessageOutcome::Answered(heartbeat) => {
-                (self.last_answered, self.lost_in_a_row) = (now, 0);
+                (self.last_answered, self.consecutive_losses) = (now, 0);
                 let machine = &mut cluster.machines[index];
                 if heartbeat.machine == machine.name {
                     machine.channel.request_answered();
@@ -293,11 +300,12 @@
                 machine.channel.pause(now, WRONG_MACHINE_PAUSE);
             }
             MessageOutcome::NotSent => {
-                self.request_lost(cluster, now, index, REFUSED_PAUSE);
+                self.request_lost(cluster, now, index, CONNECTION_REFUSED_PAUSE);
                 retract_unsent(cluster, now, index, &request.unwrap_or_default());
             }
-            // The request may be executed minutes later. Raising the fencing counter makes sure that
-            // a heartbeat which has seen the new token proves that the old request never will be.
+            // The request may still be executed minutes later. Once the fencing counter is raised,
+            // a heartbeat that has seen the new token proves that the old request never will be
+            // executed.
             MessageOutcome::Indeterminate => {
                 self.request_lost(cluster, now, index, INDETERMINATE_PAUSE);
             }
@@ -312,35 +320,36 @@
         index: MachineIndex,
         first_pause: TimeDelta,
     ) {
-        self.lost_in_a_row += 1;
+        self.consecutive_losses += 1;
         cluster.invalidate_cached_heartbeat(index);
         let term = cluster.term;
         let machine = &mut cluster.machines[index];
         machine.channel.request_lost(now, first_pause);
         machine.fence.raise_required(now, term);
-        repeat_stops(cluster, index);
+        requeue_stop_commands(cluster, index);
     }
 }
 
-/// Whether the machine is asked since it has not acknowledged its token. A fencing counter that was
-/// raised for a lost request, or a new term, is shown to the worker at once instead of with its next
-/// heartbeat. (The first answer of a worker whose agent epoch wasn't known shows the agent epoch only;
-/// the second shows that it has seen the term.)
-fn owes_token(machine: &Machine, term: Term, now: Timestamp) -> bool {
-    // A token that the answer to its own heartbeat has just shown it is asked about only if its next
-    // heartbeat doesn't come. (Each reap raises the fencing counter: a question after each of them was
-    // a third of all requests.)
-    let was_just_sent = now.since(machine.fence.sent_at()) < ANSWER_SHOWS_WITHIN;
+/// Returns whether the machine should be sent a request because it has not acknowledged its current
+/// token. A new term, or a fencing counter raised for a lost request, is thereby sent to the worker
+/// at once instead of with the response to its next heartbeat. The first answer of a worker whose
+/// agent epoch was unknown shows only the agent epoch; the second one shows that it has seen the
+/// term.
+fn is_token_acknowledgement_due(machine: &Machine, term: Term, now: Timestamp) -> bool {
+    // A token just sent in a heartbeat response needs a request only if the worker's next heartbeat
+    // does not arrive. Each reap raises the fencing counter, and a request after every reap made up
+    // a third of all requests.
+    let was_just_sent = now.since(machine.fence.sent_at()) < TOKEN_ACKNOWLEDGEMENT_TIMEOUT;
     !machine.fence.is_acknowledged(term)
         || (machine.fence.acknowledged() < machine.token(term)
             && !machine.tasks.is_empty()
             && !was_just_sent)
 }
 
-/// There was no connection, so nothing left this process and nothing ever will: these starts are
-/// absent by this scheduler's own doing. Only the attempt that the request held, though: the machine
-/// may have been returned meanwhile and the task be running elsewhere under its next attempt. (Seen on
-/// a rough day: such a task was taken for absent and started a second time.)
+/// Retracts the starts of a request for which no connection was established. The request never
+/// left this process, so the starts are known to be absent. Only the attempts in the request are
+/// retracted: the machine may have been returned meanwhile, and the task may run elsewhere as its
+/// next attempt. In one such case the task was taken for absent and started a second time.
 fn retract_unsent(
     cluster: &mut Cluster,
     now: Timestamp,
@@ -358,9 +367,10 @@
     }
 }
 
-/// The request may have held the command to stop a cancelled job's tasks: the next one holds it
-/// again. The answers to the worker's heartbeats do so too, where there are any.
-fn repeat_stops(cluster: &mut Cluster, index: MachineIndex) {
+/// Queues the stop commands for tasks of ended jobs again, because the lost request may have
+/// contained them. The responses to the worker's heartbeats repeat them too, but only if heartbeats
+/// arrive.
+fn requeue_stop_commands(cluster: &mut Cluster, index: MachineIndex) {
     let machine = &cluster.machines[index];
     if machine.state != MachineState::Up {
         return;
--- a/crates/scheduler/src/dispatch/channel/tests.rs
+++ b/crates/scheduler/src/dispatch/channel/tests.rs
@@ -1,4 +1,4 @@
-//! The pause after lost requests, and what a request takes along.
+//! Tests of the pause after lost requests, and of what a request contains.
 
 use super::{SentStart, WorkerChannel};
 use crate::model::ids::{Attempt, JobIndex};
@@ -7,12 +7,12 @@
 
 const NOW: Timestamp = Timestamp(1_000_000);
 
-fn kill() -> WorkerCommand {
+fn kill_command() -> WorkerCommand {
     WorkerCommand::Kill { task: "req-000001/0".to_owned(), attempt: Attempt::FIRST, grace_s: 0.0 }
 }
 
 #[test]
-fn the_pause_doubles_four_times() {
+fn the_pause_after_lost_requests_doubles_at_most_four_times() {
     let mut channel = WorkerChannel::default();
     for expected_s in [1, 2, 4, 8, 16, 16] {
         channel.request_lost(NOW, TimeDelta::from_secs(1));
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn an_acknowledgement_ends_the_pause_after_one_loss_alone() {
+fn an_acknowledgement_ends_the_pause_only_after_a_single_loss() {
     let mut channel = WorkerChannel::default();
     channel.request_lost(NOW, TimeDelta::from_secs(1));
     channel.acknowledged(NOW);
@@ -36,13 +36,13 @@
 }
 
 #[test]
-fn a_request_takes_all_commands_and_keeps_its_starts() {
+fn a_request_takes_all_waiting_commands_and_remembers_its_starts() {
     let mut channel = WorkerChannel::default();
-    channel.push(kill());
-    channel.push_missing(vec![kill()]);
+    channel.push(kill_command());
+    channel.push_missing(vec![kill_command()]);
     let start = SentStart { task: (JobIndex(1), 0), attempt: Attempt::FIRST };
-    assert_eq!(channel.begin_request(vec![start]), [kill()]);
+    assert_eq!(channel.begin_request(vec![start]), [kill_command()]);
     assert!(channel.has_request_in_flight() && !channel.has_commands());
     assert_eq!(channel.end_request(), Some(vec![start]));
-    assert_eq!(channel.end_request(), None, "each outcome counts once");
+    assert_eq!(channel.end_request(), None, "an outcome is counted only once");
 }
--- a/crates/scheduler/src/dispatch/starts.rs
+++ b/crates/scheduler/src/dispatch/starts.rs
@@ -1,4 +1,5 @@
-//! Stored starts: when one joins its machine's next request, and which are never sent.
+//! Decides when a stored start is included in a request to its machine, and which starts are never
+//! sent.
 
 use crate::dispatch::channel::SentStart;
 use crate::leadership::authority::LeaderAuthority;
@@ -11,54 +12,55 @@
 use crate::protocol::workers::WorkerCommand;
 use crate::time::Timestamp;
 
-/// Which stored starts may be sent at one point in time.
+/// Conditions under which stored starts may be sent at a given time.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct StartGate<'a> {
-    /// When it is decided.
+    /// Time of the decision.
     pub(crate) now: Timestamp,
-    /// Whether this leader may start anything, and how old a start may be.
+    /// Determines whether this leader may start tasks, and how old a stored start may be.
     pub(crate) authority: &'a LeaderAuthority,
 }
 
-/// Starts released for one request.
+/// Starts included in one request, with their commands.
 #[derive(Debug, Default)]
 pub(super) struct ReleasedStarts {
     pub(super) starts: Vec<SentStart>,
     pub(super) commands: Vec<WorkerCommand>,
 }
 
-/// What becomes of a stored start that waits.
+/// Decision on a stored start that has not been sent.
 enum StartDecision {
-    /// Sent with the next request.
+    /// Include it in the next request.
     Send(SentStart, WorkerCommand),
-    /// Goes on waiting.
+    /// Keep it waiting.
     Wait,
-    /// Recorded, never sent and never to be sent: absent by this scheduler's own doing.
+    /// Retract it: it was stored but never sent and never will be, so the attempt is known to be
+    /// absent.
     Retract,
-    /// No longer a start of this machine.
+    /// Drop it, because it is no longer a pending start of this machine.
     Forget,
 }
 
-/// Whether starts are sent to the machine at all.
+/// Returns whether the machine may receive any starts.
 fn accepts_starts(machine: &Machine) -> bool {
     machine.state == MachineState::Up
         && machine.interruption_at.is_none()
         && machine.drain_reason.is_none()
 }
 
-/// The last look at the starts that wait for a machine's next request. Those that may still be sent
-/// are marked as sent with the very token of the request; a start that is given its token any
-/// earlier could be proven absent by a heartbeat while it still waits here. If the machine accepts
-/// none any more, they are all retracted, also without a request.
+/// Selects the waiting starts to include in the request about to be sent, and marks them as sent
+/// with that request's token. The token must not be assigned any earlier: a heartbeat could then
+/// prove a start absent that still waits here. If the machine no longer accepts starts, all of them
+/// are retracted, even if no request is sent.
 pub(super) fn release(
     cluster: &mut Cluster,
     gate: &StartGate,
     index: MachineIndex,
-    is_sending: bool,
+    may_send_starts: bool,
 ) -> ReleasedStarts {
     let machine = &mut cluster.machines[index];
     let mut released = ReleasedStarts::default();
-    if !machine.channel.has_starts() || (accepts_starts(machine) && !is_sending) {
+    if !machine.channel.has_starts() || (accepts_starts(machine) && !may_send_starts) {
         return released;
     }
     let token = machine.token(cluster.term);
@@ -96,7 +98,8 @@
     if job.is_ended() || !accepts_starts(machine) || task.agent_epoch != machine.agent_epoch {
         return StartDecision::Retract;
     }
-    // One that a machine reports live against the tables is stopped there first.
+    // If another machine reports the task as live, contrary to the cluster state, it has to be
+    // stopped there first.
     if !gate.authority.may_send_start(gate.now, task.since)
         || cluster.conflicting_replicas.contains_key(&id)
     {
@@ -107,7 +110,7 @@
     StartDecision::Send(SentStart { task: id, attempt: task.attempt }, command)
 }
 
-/// Starts that wait for a machine which is gone are never sent.
+/// Retracts all starts waiting for a machine that is gone; they will never be sent.
 pub(super) fn retract_all(cluster: &mut Cluster, now: Timestamp, index: MachineIndex) {
     for id in cluster.machines[index].channel.take_starts() {
         let is_waiting = cluster.job(id.0).is_some_and(|job| {
