--- a/crates/scheduler/tests/repeated_heartbeats.rs
+++ b/crates/scheduler/tests/repeated_heartbeats.rs
@@ -1,5 +1,5 @@
-//! Reports that say nothing new: a repetition is answered without being read, and whatever could give it
-//! a meaning makes the leader read it in full.
+//! Tests of heartbeats without new information: a repetition is answered from the cache, and any
+//! apply_change that could make it relevant causes it to be processed in full.
 
 mod world;
 
@@ -15,32 +15,32 @@
 const MACHINE: &str = "n-1";
 const JOB: &str = "req-000001";
 
-/// Lets the machine report, and settles the heartbeat if it left nothing to do.
-fn heartbeat(w: &mut World) -> (Heartbeat, Option<CachedHeartbeat>) {
+/// Lets the machine send a heartbeat, and caches it if it required no action.
+fn send_and_cache_heartbeat(w: &mut World) -> (Heartbeat, Option<CachedHeartbeat>) {
     let heartbeat = w.workers.get_mut(MACHINE).expect("worker").heartbeat();
     let HeartbeatAnswer { token, commands: calls } =
-        w.leader.handle_heartbeat(w.now, &heartbeat).expect("an answer");
+        w.leader.handle_heartbeat(w.now, &heartbeat).expect("the heartbeat is answered");
     let cached =
         calls.is_empty().then(|| w.leader.cache_heartbeat(w.now, &heartbeat, OWN_NODE)).flatten();
     w.workers.get_mut(MACHINE).expect("worker").answered(heartbeat.agent_epoch, token, &calls);
     (heartbeat, cached)
 }
 
-/// A machine with two running tasks of a job of three, whose last heartbeat left nothing to do.
-fn running() -> (World, Heartbeat, CachedHeartbeat) {
+/// Creates a machine with two world_with_cached_heartbeat tasks of a job of three, whose last heartbeat is cached.
+fn world_with_cached_heartbeat() -> (World, Heartbeat, CachedHeartbeat) {
     let mut w = one_machine();
     w.submit(JOB, &JobSpec { cpus: 4.0, ..spec(3) });
     w.settle();
     w.all_report();
     w.settle();
     assert_eq!(w.places().len(), 2);
-    let (heartbeat, cached) = heartbeat(&mut w);
-    (w, heartbeat, cached.expect("nothing is left to do"))
+    let (heartbeat, cached) = send_and_cache_heartbeat(&mut w);
+    (w, heartbeat, cached.expect("the heartbeat is cached"))
 }
 
 #[test]
-fn a_repetition_is_answered_and_counts_as_a_report() {
-    let (mut w, heartbeat, cached) = running();
+fn a_repetition_is_answered_from_the_cache_and_recorded_as_a_heartbeat() {
+    let (mut w, heartbeat, cached) = world_with_cached_heartbeat();
     for n in 1..4 {
         w.wait(3_000);
         let token = w.leader.answer_repeated_heartbeat(w.now, cached, heartbeat.sequence + n);
@@ -52,43 +52,43 @@
 }
 
 #[test]
-fn a_report_that_left_something_to_do_is_not_settled() {
+fn a_heartbeat_that_requires_an_action_is_not_cached() {
     type Operation = fn(&mut World);
     let cases: [(&str, Operation); 5] = [
         ("a task ended", |w| {
             let task = w.places().into_keys().next().expect("a task");
             w.finish(MACHINE, &task);
         }),
-        ("a task is saving", |w| {
+        ("a task is saving its checkpoint", |w| {
             let tasks = &mut w.workers.get_mut(MACHINE).expect("worker").tasks;
             tasks.values_mut().next().expect("a task").0 = TaskState::Flushing;
         }),
         ("a task is missing", |w| {
             w.workers.get_mut(MACHINE).expect("worker").tasks.pop_first();
         }),
-        ("an unknown task", |w| {
+        ("an unknown task is reported", |w| {
             let unknown = (("req-000009/0".to_owned(), Attempt(1)), (TaskState::Running, None));
             w.workers.get_mut(MACHINE).expect("worker").tasks.extend([unknown]);
         }),
         ("a notice", |w| w.workers.get_mut(MACHINE).expect("worker").interruption_at = Some(20.0)),
     ];
-    for (case, change) in cases {
-        let (mut w, ..) = running();
-        change(&mut w);
-        assert_eq!(heartbeat(&mut w).1, None, "{case}");
+    for (case, apply_change) in cases {
+        let (mut w, ..) = world_with_cached_heartbeat();
+        apply_change(&mut w);
+        assert_eq!(send_and_cache_heartbeat(&mut w).1, None, "{case}");
     }
 }
 
-/// Each of these gives the next repetition a meaning. Taken for settled all the same, the machine's lease
-/// was renewed and nothing was stopped.
+/// Each of these changes makes the next repetition relevant. If it were still answered from the
+/// cache, the machine's lease would be renewed without anything being stopped.
 #[test]
-fn a_repetition_is_read_in_full_once_it_may_mean_something() {
+fn a_repetition_is_not_answered_from_the_cache_after_a_relevant_change() {
     type Operation = fn(&mut World, &Heartbeat);
     let cases: [(&str, Operation); 9] = [
         ("the job is cancelled", |w, _| w.withdraw(JOB)),
-        ("the job has ended, how isn't told", |w, _| w.leader.mark_job_ended(w.now, JOB)),
-        ("another report came", |w, _| w.heartbeat(MACHINE)),
-        ("a message to the machine was lost", |w, _| {
+        ("the job has ended with an unknown outcome", |w, _| w.leader.mark_job_ended(w.now, JOB)),
+        ("another heartbeat arrived", |w, _| w.heartbeat(MACHINE)),
+        ("a request to the machine was lost", |w, _| {
             let machine = w.leader.cluster.machines_by_name[MACHINE];
             w.leader.message_answered(w.now, machine, MessageOutcome::Indeterminate);
         }),
@@ -97,9 +97,9 @@
             w.cut_off = true;
             w.wait(21_000);
         }),
-        ("another leader leads", |w, _| drop(w.take_over())),
-        ("a task has run for long enough to count as begun", |w, _| w.wait(33_000)),
-        ("a late finish of one of its tasks", |w, heartbeat| {
+        ("another leader took over", |w, _| drop(w.take_over())),
+        ("a task has run long enough to count as started", |w, _| w.wait(33_000)),
+        ("a late completion of one of its tasks", |w, heartbeat| {
             let mut old = heartbeat.clone();
             old.sequence -= 1;
             old.tasks[0].state = TaskState::Exited;
@@ -107,9 +107,9 @@
             let _ = w.leader.handle_heartbeat(w.now, &old);
         }),
     ];
-    for (case, change) in cases {
-        let (mut w, heartbeat, cached) = running();
-        change(&mut w, &heartbeat);
+    for (case, apply_change) in cases {
+        let (mut w, heartbeat, cached) = world_with_cached_heartbeat();
+        apply_change(&mut w, &heartbeat);
         assert_eq!(
             w.leader.answer_repeated_heartbeat(w.now, cached, heartbeat.sequence + 5),
             None,
@@ -119,40 +119,46 @@
 }
 
 #[test]
-fn an_older_copy_is_no_repetition() {
-    let (mut w, heartbeat, cached) = running();
+fn an_older_copy_of_a_heartbeat_is_not_answered_from_the_cache() {
+    let (mut w, heartbeat, cached) = world_with_cached_heartbeat();
     assert_eq!(w.leader.answer_repeated_heartbeat(w.now, cached, heartbeat.sequence), None);
     assert!(w.leader.answer_repeated_heartbeat(w.now, cached, heartbeat.sequence + 2).is_some());
     assert_eq!(w.leader.answer_repeated_heartbeat(w.now, cached, heartbeat.sequence + 1), None);
 }
 
-/// Numbers begin anew with each term, so that those of two leaders meet.
+/// Entry numbers start new_entry with each term, so the entries of two leaders may have the same
+/// number.
 #[test]
-fn a_mark_of_another_term_is_worth_nothing() {
-    let (mut w, first, cached) = running();
+fn a_cache_entry_of_another_term_is_not_used() {
+    let (mut w, first, cached) = world_with_cached_heartbeat();
     w.take_over();
     w.settle();
-    let mut again = None;
-    while again.is_none_or(|cache_entry: CachedHeartbeat| cache_entry.number < cached.number) {
+    let mut new_entry = None;
+    while new_entry.is_none_or(|cache_entry: CachedHeartbeat| cache_entry.number < cached.number) {
         w.wait(500);
         w.all_report();
         w.settle();
-        again = heartbeat(&mut w).1;
+        new_entry = send_and_cache_heartbeat(&mut w).1;
     }
-    let same_number = CachedHeartbeat { term: cached.term, ..again.expect("a mark") };
+    let same_number =
+        CachedHeartbeat { term: cached.term, ..new_entry.expect("the heartbeat is cached") };
     assert_eq!(w.leader.answer_repeated_heartbeat(w.now, same_number, first.sequence + 99), None);
     assert!(w
         .leader
-        .answer_repeated_heartbeat(w.now, again.expect("a mark"), first.sequence + 99)
+        .answer_repeated_heartbeat(
+            w.now,
+            new_entry.expect("the heartbeat is cached"),
+            first.sequence + 99
+        )
         .is_some());
 }
 
 #[test]
-fn an_idle_machine_that_is_given_back_or_gone_is_settled_no_more() {
+fn repetitions_of_a_returned_or_terminated_idle_machine_are_not_answered_from_the_cache() {
     for gone in [true, false] {
         let mut w = one_machine();
-        let (first, cached) = heartbeat(&mut w);
-        let cached = cached.expect("nothing is left to do");
+        let (first, cached) = send_and_cache_heartbeat(&mut w);
+        let cached = cached.expect("the heartbeat is cached");
         if gone {
             w.leader.machine_gone(w.now, MACHINE);
         } else {
@@ -168,36 +174,37 @@
         assert_eq!(
             w.leader.answer_repeated_heartbeat(w.now, cached, u64::MAX),
             None,
-            "gone: {gone}"
+            "machine terminated: {gone}"
         );
     }
 }
 
-/// A start that is planned or under way for the machine: its heartbeats are read until they show it.
+/// While a start for the machine is planned or in transit, its heartbeats are processed in full
+/// until one of them shows the task.
 #[test]
-fn a_planned_start_unsettles_its_machine() {
-    let (mut w, first, cached) = running();
+fn a_planned_start_invalidates_the_cache_entry_of_its_machine() {
+    let (mut w, first, cached) = world_with_cached_heartbeat();
     let task = w.places().into_keys().next().expect("a task");
     w.finish(MACHINE, &task);
-    heartbeat(&mut w);
+    send_and_cache_heartbeat(&mut w);
     assert_eq!(w.leader.answer_repeated_heartbeat(w.now, cached, first.sequence + 9), None);
     w.wait(100);
     w.leader.tick(w.now);
-    let (_, cached) = heartbeat(&mut w);
-    assert_eq!(cached, None, "the third task is on its way");
+    let (_, cached) = send_and_cache_heartbeat(&mut w);
+    assert_eq!(cached, None, "the start of the third task is planned");
     w.settle();
     w.wait(TimeDelta::from_secs(1).0 / 1_000);
     w.all_report();
     w.settle();
-    assert!(heartbeat(&mut w).1.is_some());
+    assert!(send_and_cache_heartbeat(&mut w).1.is_some());
 }
 
 #[test]
-fn the_sequence_number_is_found_where_it_stands_alone() {
+fn the_sequence_number_is_found_only_as_a_single_top_level_key() {
     let found = |text: &str| sequence_digits(text.as_bytes()).map(|range| text[range].to_owned());
     assert_eq!(found(r#"{"season":1,"ring":88,"staff":41}"#).as_deref(), Some("88"));
     assert_eq!(found(r#"{"ring":7}"#).as_deref(), Some("7"));
-    // Escaped inside of a string, it is no key.
+    // An escaped quote inside a string does not start a key.
     assert_eq!(found(r#"{"tree":"\"ring\":5,","ring":8}"#).as_deref(), Some("8"));
     for text in [
         "",
@@ -214,10 +221,11 @@
     }
 }
 
-/// What a heartbeat costs doesn't grow with the fleet: a repetition has no machine looked at, and a new
-/// report its own. (Every report once woke the leader, which then looked at whatever there was.)
+/// The cost of a heartbeat must not grow with the fleet: a repetition causes no machine to be
+/// checked, and a new heartbeat only its own machine. Every heartbeat used to wake the leader,
+/// which then checked all machines.
 #[test]
-fn a_report_costs_the_same_at_any_size() {
+fn the_cost_of_a_heartbeat_is_independent_of_the_fleet_size() {
     for size in [100, 2_000] {
         let names: Vec<String> = (0..size).map(|i| format!("n-{i:04}")).collect();
         let machines: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "a")).collect();
@@ -226,23 +234,24 @@
         w.settle();
         w.all_report();
         w.settle();
-        let request_in_flight = w.places().into_values().next().expect("a task")[0].clone();
-        let heartbeat = w.workers.get_mut(&request_in_flight).expect("worker").heartbeat();
+        let machine_name = w.places().into_values().next().expect("a task")[0].clone();
+        let heartbeat = w.workers.get_mut(&machine_name).expect("worker").heartbeat();
         let _ = w.leader.handle_heartbeat(w.now, &heartbeat);
-        let cached = w.leader.cache_heartbeat(w.now, &heartbeat, OWN_NODE).expect("a mark");
+        let cached =
+            w.leader.cache_heartbeat(w.now, &heartbeat, OWN_NODE).expect("the heartbeat is cached");
         w.leader.tick(w.now);
         for repetition in 1..=10 {
             let before = w.leader.examined.send_checks;
             w.leader
                 .answer_repeated_heartbeat(w.now, cached, heartbeat.sequence + repetition)
-                .expect("an answer");
+                .expect("the heartbeat is answered");
             w.leader.tick(w.now);
             assert_eq!(w.leader.examined.send_checks - before, 0, "{size} machines");
         }
         let before = w.leader.examined.send_checks;
-        w.finish(&request_in_flight, &heartbeat.tasks[0].task);
-        w.workers.get_mut(&request_in_flight).expect("worker").sequence += 20;
-        w.heartbeat(&request_in_flight);
+        w.finish(&machine_name, &heartbeat.tasks[0].task);
+        w.workers.get_mut(&machine_name).expect("worker").sequence += 20;
+        w.heartbeat(&machine_name);
         w.leader.tick(w.now);
         assert_eq!(w.leader.examined.send_checks - before, 1, "{size} machines");
     }
--- a/crates/scheduler/tests/task_starts.rs
+++ b/crates/scheduler/tests/task_starts.rs
@@ -1,4 +1,5 @@
-//! Starts, reports and proofs, each against the failure that it guards against.
+//! Tests of task starts, heartbeats and proofs of absence. Each test reproduces one failure: lost
+//! or delayed messages, a failover, or a cancellation that races with another transaction.
 
 mod world;
 
@@ -17,7 +18,7 @@
 const JOB: &str = "req-000001";
 
 #[test]
-fn a_start_is_written_before_it_is_sent() {
+fn a_start_is_stored_before_it_is_sent() {
     let mut w = one_machine();
     w.submit(JOB, &spec(1));
     w.tick();
@@ -41,7 +42,7 @@
 }
 
 #[test]
-fn a_job_runs_to_its_end_and_its_records_go() {
+fn a_completed_job_has_its_run_and_queue_records_deleted() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "b")]);
     w.submit(JOB, &spec(6));
     w.settle();
@@ -57,35 +58,35 @@
     w.all_report();
     w.settle();
     assert!(!w.store.keys.keys().any(|k| k.starts_with("run/") || k.starts_with("todo/")));
-    assert!(w.store.keys.contains_key(&keys::job(JOB)), "acceptance is kept for ever");
-    assert!(w.workers.values().all(|w| w.tasks.is_empty()), "all reaped");
+    assert!(w.store.keys.contains_key(&keys::job(JOB)), "the job record is kept permanently");
+    assert!(w.workers.values().all(|w| w.tasks.is_empty()), "all tasks are reaped");
 }
 
-/// The direct start is held up; a heartbeat under the same token doesn't show the task. That proves
-/// nothing: the start arrives a minute later and is executed.
+/// The start is delayed in transit, and a heartbeat under the same token doesn't list the task.
+/// This proves nothing, because the start may still be executed when it arrives.
 #[test]
-fn an_absent_report_under_the_same_token_proves_nothing() {
+fn a_heartbeat_without_the_task_under_the_same_token_does_not_prove_absence() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
     let (name, (machine, token, agent_epoch, calls)) = w.start_under_way(JOB);
     w.heartbeat(&name);
     w.settle();
     assert_eq!(w.phase(JOB, 0), TaskPhase::Dispatching);
     assert!(w.places().is_empty());
-    // It arrives late after all: still the only copy.
+    // The start arrives late and is executed; the task still runs only once.
     w.deliver(machine, token, agent_epoch, &calls);
     w.settle();
     assert_eq!(w.places().len(), 1);
     assert_eq!(w.phase(JOB, 0), TaskPhase::Running);
 }
 
-/// The answer is lost. A raised fence makes the worker refuse the old message, and only a heartbeat
-/// that has seen it lets the task move, under a new attempt.
+/// The answer to a start is lost. The raised fencing token makes the worker refuse the delayed
+/// start, and only a heartbeat that has seen the token allows a new attempt on another machine.
 #[test]
-fn a_lost_start_moves_only_behind_a_raised_fence() {
+fn a_lost_start_is_retried_only_after_the_worker_has_seen_a_raised_token() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
     let (name, (machine, token, agent_epoch, calls)) = w.start_under_way(JOB);
     w.leader.message_answered(w.now, machine, MessageOutcome::Indeterminate);
-    // This report's sender has not seen the new fence yet.
+    // The worker has not seen the raised token when it sends this heartbeat.
     let old = w.workers.get_mut(&name).expect("worker").heartbeat();
     let _ = w.leader.handle_heartbeat(w.now, &old);
     assert_eq!(w.attempt(JOB, 0), Attempt(1));
@@ -93,15 +94,15 @@
     w.settle();
     assert_eq!(w.attempt(JOB, 0), Attempt(2));
     assert_eq!(w.places().len(), 1);
-    // The old message comes through at last, and is refused.
+    // The delayed request arrives at last and is refused.
     w.workers.get_mut(&name).expect("worker").direct(token, agent_epoch, &calls);
     assert!(w.places().values().all(|m| m.len() == 1));
 }
 
-/// While a start waits for the message in front of it, a raised fence and a heartbeat must not prove
-/// it absent: it would then go out all the same, beside its own next attempt.
+/// A start waits while another request to the machine is in flight. A raised token and a heartbeat
+/// must not prove the start absent: it would still be sent, in addition to its next attempt.
 #[test]
-fn a_start_that_waits_for_its_message_is_not_proven_absent() {
+fn a_start_not_sent_yet_is_not_proven_absent_by_a_heartbeat() {
     let mut w = one_machine();
     w.submit(JOB, &spec(1));
     w.tick();
@@ -118,7 +119,7 @@
 }
 
 #[test]
-fn an_unsent_start_to_a_new_session_is_taken_back_and_placed_anew() {
+fn an_unsent_start_is_retracted_and_placed_again_after_the_agent_epoch_changes() {
     let mut w = one_machine();
     w.submit(JOB, &spec(1));
     w.tick();
@@ -133,7 +134,7 @@
 }
 
 #[test]
-fn a_refused_connection_takes_the_start_back_at_once() {
+fn a_refused_connection_retracts_the_start_immediately() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
     let (_, (machine, ..)) = w.start_under_way(JOB);
     w.leader.message_answered(w.now, machine, MessageOutcome::NotSent);
@@ -142,10 +143,10 @@
     assert_eq!(w.places().len(), 1);
 }
 
-/// The connection is refused only after the machine was returned and the task runs elsewhere
-/// under its next attempt: the refusal speaks of the old one alone.
+/// The refused connection is reported only after the machine was returned and the next attempt of
+/// the task runs elsewhere. It must affect only the old attempt.
 #[test]
-fn a_refused_connection_says_nothing_of_the_next_attempt() {
+fn a_refused_connection_does_not_affect_the_next_attempt() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
     let (name, (machine, ..)) = w.start_under_way(JOB);
     w.workers.get_mut(&name).expect("worker").alive = false;
@@ -157,7 +158,7 @@
 }
 
 #[test]
-fn an_unconfirmed_start_settles_as_unknown_and_is_not_resent() {
+fn an_unconfirmed_start_becomes_unknown_and_is_not_sent_again() {
     let mut w = one_machine();
     let (_, (machine, ..)) = w.start_under_way(JOB);
     w.leader.message_answered(w.now, machine, MessageOutcome::Indeterminate);
@@ -170,7 +171,7 @@
 }
 
 #[test]
-fn silence_is_never_proof_but_a_returned_machine_is() {
+fn a_silent_machine_does_not_prove_absence_but_a_returned_machine_does() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "b")]);
     w.submit(JOB, &spec(1));
     w.settle();
@@ -183,18 +184,22 @@
         w.settle();
         w.leader.autoscale(w.now);
     }
-    assert_eq!(w.attempt(JOB, 0), Attempt(1), "silent for two minutes, and still there");
+    assert_eq!(w.attempt(JOB, 0), Attempt(1), "silence for two minutes does not prove absence");
     let state =
         |w: &World| w.leader.cluster.machines[w.leader.cluster.machines_by_name[&machine]].state;
-    assert_eq!(state(&w), MachineState::Terminating, "given back, since nothing else settles it");
+    assert_eq!(
+        state(&w),
+        MachineState::Terminating,
+        "the machine is returned, because nothing else proves absence"
+    );
     w.leader.scale_in_answered(w.now, std::slice::from_ref(&machine), false);
-    assert_eq!(w.attempt(JOB, 0), Attempt(1), "an unanswered return is no proof");
+    assert_eq!(w.attempt(JOB, 0), Attempt(1), "a return without an answer does not prove absence");
     w.leader.scale_in_answered(w.now, std::slice::from_ref(&machine), true);
     assert_eq!((w.phase(JOB, 0), w.attempt(JOB, 0)), (TaskPhase::Pending, Attempt(2)));
 }
 
 #[test]
-fn a_missing_list_entry_is_no_proof_and_a_failed_one_is() {
+fn a_machine_missing_from_the_cloud_list_does_not_prove_absence_but_a_failed_one_does() {
     let mut w = World::new(&[("n-1", "a")]);
     w.submit(JOB, &spec(1));
     w.settle();
@@ -215,7 +220,7 @@
 }
 
 #[test]
-fn a_finish_is_written_before_the_worker_may_forget_it() {
+fn a_completion_is_stored_before_the_task_is_reaped() {
     let mut w = one_machine();
     w.submit(JOB, &spec(2));
     w.settle();
@@ -223,19 +228,19 @@
     w.heartbeat("n-1");
     w.heartbeat("n-1");
     let kept = |w: &World| w.workers["n-1"].tasks.keys().any(|k| k.0.ends_with("/0"));
-    assert!(kept(&w), "not written yet");
+    assert!(kept(&w), "the completion is not stored yet");
     w.wait(4_500);
     w.settle();
     w.heartbeat("n-1");
     assert!(!kept(&w));
     let before = w.workers["n-1"].token;
-    assert!(before > w.token_now(), "a reap travels with a raised fence");
+    assert!(before > w.token_now(), "a reap is sent with a raised token");
 }
 
-/// A copy of the start arrives after the reap: the worker has forgotten the attempt and only the
-/// fence keeps it from running the task again.
+/// A copy of the start arrives after the reap. The worker has forgotten the attempt, so only the
+/// fencing token prevents it from running the task again.
 #[test]
-fn a_reap_outranks_every_copy_of_the_start() {
+fn a_reap_raises_the_token_above_delayed_copies_of_the_start() {
     let mut w = one_machine();
     w.submit(JOB, &spec(2));
     w.place_and_commit();
@@ -248,11 +253,14 @@
     w.heartbeat("n-1");
     assert!(!w.workers["n-1"].tasks.keys().any(|k| k.0.ends_with("/0")));
     w.workers.get_mut("n-1").expect("worker").direct(token, agent_epoch, &calls);
-    assert!(!w.workers["n-1"].live().contains(&format!("{JOB}/0")), "done, and run again");
+    assert!(
+        !w.workers["n-1"].live().contains(&format!("{JOB}/0")),
+        "a completed task was started again"
+    );
 }
 
 #[test]
-fn an_older_report_after_a_finish_takes_nothing_away() {
+fn an_older_heartbeat_after_a_completion_does_not_revert_it() {
     let mut w = one_machine();
     w.submit(JOB, &spec(2));
     w.settle();
@@ -266,7 +274,7 @@
 }
 
 #[test]
-fn a_withdrawal_that_races_the_dispatch_stops_it() {
+fn a_cancellation_stored_before_the_start_transaction_prevents_the_start() {
     let mut w = one_machine();
     w.submit(JOB, &spec(1));
     w.tick();
@@ -283,7 +291,7 @@
 }
 
 #[test]
-fn a_withdrawal_between_commit_and_send_stops_the_send() {
+fn a_cancellation_between_commit_and_send_prevents_the_start() {
     let mut w = one_machine();
     w.submit(JOB, &spec(1));
     w.tick();
@@ -297,7 +305,7 @@
 }
 
 #[test]
-fn a_withdrawal_that_races_the_last_finish_has_one_winner() {
+fn a_cancellation_stored_before_the_last_completion_decides_the_jobs_end() {
     let mut w = one_machine();
     w.submit(JOB, &spec(1));
     w.settle();
@@ -313,7 +321,7 @@
 }
 
 #[test]
-fn a_withdrawn_jobs_tasks_are_killed() {
+fn tasks_of_a_cancelled_job_are_killed() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "b")]);
     w.submit(JOB, &spec(6));
     w.settle();
@@ -323,9 +331,10 @@
     assert!(w.places().is_empty());
 }
 
-/// The answer to a dispatch is lost: nothing is sent until the outcome is certain, and then once.
+/// The answer to the transaction that stores the starts is lost. Nothing is sent until its outcome
+/// has been read back; then each start is sent once.
 #[test]
-fn a_lost_answer_on_dispatch_stays_open_until_it_is_read_back() {
+fn starts_are_not_sent_until_an_indeterminate_transaction_is_read_back() {
     let mut w = one_machine();
     w.submit(JOB, &spec(2));
     w.tick();
@@ -341,7 +350,7 @@
 }
 
 #[test]
-fn a_lost_transaction_that_was_never_applied_is_applied_once() {
+fn a_lost_transaction_is_repeated_and_its_late_copy_fails() {
     let mut w = one_machine();
     w.submit(JOB, &spec(2));
     w.tick();
@@ -352,12 +361,12 @@
     assert_eq!(w.places().len(), 2);
     assert!(
         matches!(w.store.apply(&late), TransactionOutcome::Conflict { .. }),
-        "the late copy fails"
+        "the late copy is rejected"
     );
 }
 
 #[test]
-fn an_old_leaders_late_transaction_fails() {
+fn a_late_transaction_of_the_previous_leader_fails_and_makes_it_step_down() {
     let mut w = one_machine();
     w.submit(JOB, &spec(1));
     w.tick();
@@ -375,10 +384,10 @@
     assert_eq!(w.places().len(), 1);
 }
 
-/// A start of the last leader's is still under way, and the worker's heartbeat comes from before the
-/// new term reached it: that the task is absent proves nothing yet.
+/// A start sent by the previous leader is still in transit, and the worker's heartbeat is from
+/// before the new term reached it. A task missing from that heartbeat is not proven absent.
 #[test]
-fn a_take_over_asks_for_its_own_term_before_it_believes_an_absence() {
+fn a_new_leader_accepts_absence_only_from_workers_that_have_seen_its_term() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
     let (name, (_, token, agent_epoch, calls)) = w.start_under_way(JOB);
     let other = if name == "n-1" { "n-2" } else { "n-1" };
@@ -390,7 +399,7 @@
     w.heartbeat(other);
     w.tick();
     assert!(w.places().is_empty());
-    // The old start arrives before the new token does.
+    // The old start arrives before the worker has seen the new token.
     w.workers.get_mut(&name).expect("worker").direct(token, agent_epoch, &calls);
     w.heartbeat(&name);
     w.heartbeat(&name);
@@ -400,38 +409,39 @@
 }
 
 #[test]
-fn a_take_over_in_mid_round_keeps_what_runs_and_places_the_rest() {
+fn a_new_leader_retries_starts_that_were_stored_but_not_sent() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "b")]);
     w.submit(JOB, &spec(8));
     w.tick();
     let (_, transaction) = w.take_commit();
     w.store.apply(&transaction);
-    // Written, not sent: the leader dies here.
+    // The starts are stored but not sent when the leader fails.
     w.take_over();
     w.all_report();
     w.all_report();
     w.settle();
     assert_eq!(w.places().len(), 8);
     assert!(w.places().values().all(|m| m.len() == 1));
-    assert_eq!(w.attempt(JOB, 0), Attempt(2), "its own start was never confirmed");
+    assert_eq!(w.attempt(JOB, 0), Attempt(2), "the stored start was never confirmed");
 }
 
 #[test]
-fn a_cut_off_leader_that_goes_on_answering_starts_nothing() {
+fn a_replaced_leader_renews_leases_but_starts_nothing() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "b")]);
     w.submit(JOB, &spec(4));
     w.settle();
     let mut old = w.take_over();
     old.mark_job_ended(w.now, "req-999999");
-    // The old leader still answers a worker that has not seen the new term: its tasks live on.
+    // The old leader may still renew the lease of a worker that has not seen the new term, so its
+    // tasks keep running.
     let worker = w.workers.get_mut("n-1").expect("worker");
     let heartbeat = worker.heartbeat();
     let HeartbeatAnswer { token, commands: calls } =
-        old.handle_heartbeat(w.now, &heartbeat).expect("an answer");
+        old.handle_heartbeat(w.now, &heartbeat).expect("the heartbeat is answered");
     worker.answered(heartbeat.agent_epoch, token, &calls);
     assert!(calls.is_empty());
     w.all_report();
-    // One that has seen it is not the old leader's any more.
+    // A worker that has seen the new term is no longer answered by the old leader.
     let heartbeat = w.workers.get_mut("n-1").expect("worker").heartbeat();
     let answer = old.handle_heartbeat(w.now, &heartbeat);
     assert!(matches!(answer, Err(HeartbeatRefusal::NewerTerm { .. })));
@@ -440,7 +450,7 @@
 }
 
 #[test]
-fn a_state_outage_during_a_round_starts_nothing_and_loses_nothing() {
+fn rejected_transactions_start_no_tasks_and_are_retried_after_the_outage() {
     let mut w = one_machine();
     w.submit(JOB, &spec(3));
     for _ in 0..10 {
@@ -460,13 +470,13 @@
 }
 
 #[test]
-fn a_limit_counts_tasks_that_are_not_proven_absent() {
+fn a_team_limit_counts_tasks_not_proven_absent() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "b")]);
     let mut capped = spec(4);
     capped.team = "capped".into();
     w.submit(JOB, &capped);
     w.settle();
-    assert_eq!(w.places().len(), 2, "two tasks of two processors fill the team's limit");
+    assert_eq!(w.places().len(), 2, "two tasks with two processors each reach the team's limit");
     let machine = w.places()[&format!("{JOB}/0")][0].clone();
     w.workers.get_mut(&machine).expect("worker").alive = false;
     for _ in 0..20 {
@@ -474,7 +484,10 @@
         w.all_report();
         w.settle();
     }
-    assert_eq!(w.leader.cluster.team_usage["capped"].cpus, 4.0, "unknown tasks count");
+    assert_eq!(
+        w.leader.cluster.team_usage["capped"].cpus, 4.0,
+        "tasks in unknown state count towards the limit"
+    );
     w.leader.machine_gone(w.now, &machine);
     w.all_report();
     w.settle();
@@ -482,7 +495,7 @@
 }
 
 #[test]
-fn zones_are_kept_counting_every_task_not_proven_absent() {
+fn jobs_spread_over_zones_or_stay_in_one_zone_as_requested() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "b"), ("n-3", "a")]);
     let mut spread = spec(5);
     spread.spread = true;
@@ -498,12 +511,12 @@
     together.one_zone = true;
     w.submit(JOB, &together);
     w.settle();
-    assert_eq!(w.places().len(), 4, "one machine's worth, in one zone");
+    assert_eq!(w.places().len(), 4, "the tasks fill the machine of a single zone");
     assert!(count(&w, "a") == 0 || count(&w, "b") == 0);
 }
 
 #[test]
-fn an_image_of_a_hundred_thousand_tasks_fits_the_limits() {
+fn stored_values_of_a_job_with_a_hundred_thousand_tasks_stay_within_the_size_limit() {
     let mut w = one_machine();
     w.submit(JOB, &spec(100_000));
     w.settle();
@@ -514,7 +527,7 @@
 }
 
 #[test]
-fn a_job_that_fails_everywhere_taints_no_machine_and_waits_longer() {
+fn a_job_that_fails_everywhere_drains_no_machine_and_is_retried_less_often() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a"), ("n-3", "a"), ("n-4", "a")]);
     w.submit(JOB, &spec(12));
     for _ in 0..40 {
@@ -536,11 +549,14 @@
     assert!(machines.iter().all(|m| m.state == MachineState::Up && m.drain_reason.is_none()));
     let job = w.leader.cluster.job(w.leader.cluster.jobs_by_name[JOB]).expect("job");
     let tries = job.tasks.iter().map(|t| t.attempt).max();
-    assert!(tries < Some(Attempt(12)), "tried at growing intervals, not {tries:?} times in 80 s");
+    assert!(
+        tries < Some(Attempt(12)),
+        "attempts should become rarer, but there were {tries:?} in 80 s"
+    );
 }
 
 #[test]
-fn absurd_estimates_do_not_upset_the_order() {
+fn extreme_run_time_estimates_leave_finite_slack_in_the_queue() {
     let mut w = one_machine();
     for (name, estimate) in [("req-1", 0.0), ("req-2", 1e300), ("req-3", 10.0)] {
         let mut s = spec(1);
@@ -554,25 +570,27 @@
     assert_eq!(w.places().len(), 3);
 }
 
-/// Seen on a saturated controller: an attempt was refused with `in_use`, was taken for absent, and the
-/// task was started on another machine while an earlier attempt ran on.
+/// A worker refuses an attempt with `in_use` while an earlier attempt of the task is running.
+/// Taking the refusal for absence started the task on a second machine; this was seen on an
+/// overloaded controller.
 #[test]
-fn a_refusal_because_the_task_is_there_is_no_absence() {
+fn a_refusal_because_the_task_is_already_running_does_not_prove_absence() {
     use walnutlug_scheduler::protocol::workers::{ExitReason, TaskState};
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
     w.submit(JOB, &spec(1));
     w.settle();
     w.all_report();
     let place = w.places_of(&format!("{JOB}/0"))[0].to_owned();
-    // Against the registry, an earlier attempt is there, and the registry's own was refused for it.
+    // Contrary to the cluster state, an earlier attempt is running, and the recorded attempt was
+    // refused because of it.
     let task = format!("{JOB}/0");
     let worker = w.workers.get_mut(&place).expect("worker");
     worker.tasks.insert((task.clone(), Attempt(1)), (TaskState::Exited, Some(ExitReason::InUse)));
     worker.tasks.insert((task.clone(), Attempt(0)), (TaskState::Running, None));
     let heartbeat = worker.heartbeat();
     let _ = w.leader.handle_heartbeat(w.now, &heartbeat);
-    assert_eq!(w.attempt(JOB, 0), Attempt(1), "it is there");
-    // Once that attempt was stopped, it goes on elsewhere or there, once.
+    assert_eq!(w.attempt(JOB, 0), Attempt(1), "the task is still on its machine");
+    // After the earlier attempt was stopped, the task runs once, on either machine.
     for _ in 0..6 {
         w.all_report();
         w.settle();
@@ -581,9 +599,10 @@
     assert_eq!((w.places_of(&task).len(), w.attempt(JOB, 0)), (1, Attempt(2)));
 }
 
-/// A machine shows a task live that the registry takes for pending: whatever led to that, the start waits.
+/// A machine reports a task as live that the cluster state has as pending. Whatever the cause, the
+/// start must wait until the reported attempt has stopped.
 #[test]
-fn a_start_waits_while_another_machine_shows_the_task_live() {
+fn a_start_waits_while_another_machine_reports_the_task_as_live() {
     use walnutlug_scheduler::protocol::workers::TaskState;
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
     w.submit(JOB, &spec(1));
@@ -593,18 +612,22 @@
     w.leader.transaction_answered(w.now, id, outcome);
     let task = format!("{JOB}/0");
     let ix = w.leader.cluster.jobs_by_name[JOB];
-    let planned = w.leader.cluster.job(ix).expect("job").tasks[0].machine;
-    let planned = w.leader.cluster.machines[planned].name.clone();
-    let other = if planned == "n-1" { "n-2" } else { "n-1" };
+    let planned_machine = w.leader.cluster.job(ix).expect("job").tasks[0].machine;
+    let planned_machine = w.leader.cluster.machines[planned_machine].name.clone();
+    let other = if planned_machine == "n-1" { "n-2" } else { "n-1" };
     let worker = w.workers.get_mut(other).expect("worker");
     worker.tasks.insert((task.clone(), Attempt(7)), (TaskState::Running, None));
     let heartbeat = worker.heartbeat();
     let HeartbeatAnswer { token, commands: calls } =
-        w.leader.handle_heartbeat(w.now, &heartbeat).expect("an answer");
+        w.leader.handle_heartbeat(w.now, &heartbeat).expect("the heartbeat is answered");
     w.settle();
-    assert_eq!(w.places_of(&task), [other], "not started beside it");
+    assert_eq!(w.places_of(&task), [other], "no second copy is started");
     w.workers.get_mut(other).expect("worker").answered(AgentEpoch(1), token, &calls);
     w.all_report();
     w.settle();
-    assert_eq!(w.places_of(&task), [planned.as_str()], "started once it was stopped");
+    assert_eq!(
+        w.places_of(&task),
+        [planned_machine.as_str()],
+        "started after the other attempt was stopped"
+    );
 }
--- a/crates/scheduler/tests/untrusted_heartbeats.rs
+++ b/crates/scheduler/tests/untrusted_heartbeats.rs
@@ -1,5 +1,6 @@
-//! Machines that are heard and don't hear, copies that come late, leaders without their lease, and
-//! jobs that wait: each test is of one guard, and fails without it.
+//! Tests of heartbeats that must not be trusted: machines that send heartbeats but can't be
+//! reached, delayed copies, tokens of other terms, and leaders without their lease. Also tests that
+//! waiting jobs are not starved. Each test fails without the check that it covers.
 
 mod world;
 
@@ -21,14 +22,15 @@
     &w.leader.cluster.machines[w.leader.cluster.machines_by_name[name]]
 }
 
-fn report_of(w: &mut World, name: &str) -> Heartbeat {
+fn next_heartbeat(w: &mut World, name: &str) -> Heartbeat {
     w.workers.get_mut(name).expect("worker").heartbeat()
 }
 
-/// Plays a second in which the machine's heartbeats arrive and nothing reaches it.
-fn deaf_second(w: &mut World, name: &str) -> Vec<Command> {
+/// Advances time by a second in which the machine's heartbeats arrive but all requests to it are
+/// lost. Returns the leader's commands.
+fn advance_with_lost_requests(w: &mut World, name: &str) -> Vec<Command> {
     w.wait(1_000);
-    let heartbeat = report_of(w, name);
+    let heartbeat = next_heartbeat(w, name);
     let _ = w.leader.handle_heartbeat(w.now, &heartbeat);
     w.tick();
     w.leader.autoscale(w.now);
@@ -42,66 +44,69 @@
 }
 
 #[test]
-fn a_machine_that_does_not_hear_gets_no_more_work_and_is_given_back() {
+fn a_machine_that_requests_do_not_reach_gets_no_work_and_is_returned() {
     let mut w = World::new(&[("n-1", "a")]);
     let (_, (m, ..)) = w.start_under_way(JOB);
     w.leader.message_answered(w.now, m, MessageOutcome::Indeterminate);
     w.submit("req-000002", &spec(2));
-    let mut given_back = None;
+    let mut returned_at = None;
     for second in 0..40 {
-        for command in deaf_second(&mut w, "n-1") {
+        for command in advance_with_lost_requests(&mut w, "n-1") {
             match command {
-                Command::Commit { .. } => panic!("something was placed on it at {second}"),
+                Command::Commit { .. } => panic!("a task was placed at second {second}"),
                 Command::ScaleIn { .. } => {
-                    given_back.get_or_insert(second);
+                    returned_at.get_or_insert(second);
                 }
                 _ => {}
             }
         }
-        assert_eq!(w.attempt(JOB, 0), Attempt(1), "its reports prove nothing");
+        assert_eq!(w.attempt(JOB, 0), Attempt(1), "its heartbeats do not prove absence");
     }
-    assert!(given_back.is_some_and(|s| (5..20).contains(&s)), "{given_back:?}");
+    assert!(returned_at.is_some_and(|s| (5..20).contains(&s)), "{returned_at:?}");
     w.leader.scale_in_answered(w.now, &["n-1".to_owned()], true);
     assert_eq!(w.attempt(JOB, 0), Attempt(2));
 }
 
 #[test]
-fn a_new_session_of_a_machine_that_does_not_hear_opens_nothing() {
+fn a_new_agent_epoch_on_an_unreachable_machine_does_not_reopen_it_for_work() {
     let mut w = World::new(&[("n-1", "a")]);
     w.submit(JOB, &spec(1));
     w.settle();
     assert_eq!(w.phase(JOB, 0), TaskPhase::Running);
-    // Its lease runs out although its heartbeats arrive: it hears no answer.
+    // The lease runs out although the heartbeats arrive, so the worker receives no responses.
     w.workers.get_mut("n-1").expect("worker").lease_ends();
-    let heartbeat = report_of(&mut w, "n-1");
+    let heartbeat = next_heartbeat(&mut w, "n-1");
     let _ = w.leader.handle_heartbeat(w.now, &heartbeat);
-    assert_eq!(w.attempt(JOB, 0), Attempt(2), "a later session is proof");
+    assert_eq!(w.attempt(JOB, 0), Attempt(2), "a later agent epoch proves absence");
     w.tick();
     let starts = |w: &World| w.commands.iter().any(|c| matches!(c, Command::Commit { .. }));
-    assert!(!starts(&w), "and opens nothing");
-    // It answers after all, and is trusted again.
+    assert!(!starts(&w), "the machine must not get work yet");
+    // The worker answers a request, so the machine accepts work again.
     w.settle();
     assert_eq!(w.places().len(), 1);
 }
 
 #[test]
-fn a_lost_message_closes_a_machine_until_it_shows_the_raised_token() {
+fn a_machine_gets_no_work_after_a_lost_request_until_it_acknowledges_the_raised_token() {
     let mut w = World::new(&[("n-1", "a")]);
     let (_, (m, ..)) = w.start_under_way(JOB);
     w.leader.message_answered(w.now, m, MessageOutcome::Indeterminate);
     w.wait(5_000);
-    let stale = report_of(&mut w, "n-1");
+    let stale = next_heartbeat(&mut w, "n-1");
     let _ = w.leader.handle_heartbeat(w.now, &stale);
-    assert!(!w.leader.open_for_work(w.now, machine(&w, "n-1")), "nothing shows that it hears");
+    assert!(
+        !w.leader.open_for_work(w.now, machine(&w, "n-1")),
+        "the old heartbeat does not acknowledge the raised token"
+    );
     w.heartbeat("n-1");
     w.heartbeat("n-1");
     assert!(w.leader.open_for_work(w.now, machine(&w, "n-1")));
 }
 
 #[test]
-fn an_older_copy_changes_nothing_that_is_trusted() {
+fn a_delayed_heartbeat_copy_does_not_change_the_machine_state() {
     let mut w = World::new(&[("n-1", "a")]);
-    let mut old = report_of(&mut w, "n-1");
+    let mut old = next_heartbeat(&mut w, "n-1");
     old.interruption_notice_s = Some(5.0);
     old.address = "10.9.9.9:9".into();
     w.workers.get_mut("n-1").expect("worker").lease_ends();
@@ -131,7 +136,7 @@
         )
     );
     assert_eq!(after.address, before.address);
-    let notes = |w: &mut World| {
+    let anomaly_logs = |w: &mut World| {
         let all = w.leader.take_commands();
         all.iter()
             .filter(|c| {
@@ -139,18 +144,18 @@
             })
             .count()
     };
-    assert_eq!(notes(&mut w), 1, "logged once, not per copy");
+    assert_eq!(anomaly_logs(&mut w), 1, "the anomaly is logged once, not for each copy");
 }
 
-/// A new leader never saw the newer heartbeat, so the copy is the newest it knows. The machine is
-/// long dead.
+/// The new leader never saw a newer heartbeat, so the delayed copy is the newest that it knows. The
+/// machine has been dead for long.
 #[test]
-fn a_late_copy_at_a_new_leader_only_makes_it_ask() {
+fn a_delayed_heartbeat_copy_at_a_new_leader_only_triggers_a_request() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
     w.submit(JOB, &spec(1));
     w.settle();
     let name = w.places()[&format!("{JOB}/0")][0].clone();
-    let mut copy = report_of(&mut w, &name);
+    let mut copy = next_heartbeat(&mut w, &name);
     copy.interruption_notice_s = Some(9.0);
     w.workers.get_mut(&name).expect("worker").alive = false;
     w.take_over();
@@ -167,9 +172,11 @@
         assert!(!w.leader.open_for_work(w.now, m));
     }
     w.tick();
-    let asks = |c: &Command| matches!(c, Command::SendToWorker { calls, .. } if calls.is_empty());
-    assert!(w.commands.iter().any(asks), "it is asked");
-    // What is not heard of otherwise is not counted on to come, nor kept for ever.
+    let is_heartbeat_request =
+        |c: &Command| matches!(c, Command::SendToWorker { calls, .. } if calls.is_empty());
+    assert!(w.commands.iter().any(is_heartbeat_request), "the machine is sent a request");
+    // A machine known only from such copies is not counted as future capacity, and is returned
+    // eventually.
     w.submit("req-000002", &spec(8));
     w.leader.machine_list(w.now, &[]);
     let mut returned = false;
@@ -186,9 +193,9 @@
 }
 
 #[test]
-fn a_machine_that_was_given_back_is_not_made_anew_by_its_old_report() {
+fn a_delayed_heartbeat_does_not_revive_a_returned_machine() {
     let mut w = World::new(&[("n-1", "a")]);
-    let copy = report_of(&mut w, "n-1");
+    let copy = next_heartbeat(&mut w, "n-1");
     w.leader.machine_gone(w.now, "n-1");
     w.wait(1_000);
     let _ = w.leader.handle_heartbeat(w.now, &copy);
@@ -197,29 +204,29 @@
 }
 
 #[test]
-fn a_token_from_the_future_makes_the_leader_look_and_not_leave() {
+fn a_token_of_a_later_term_makes_the_leader_verify_its_leadership_without_stepping_down() {
     let mut w = World::new(&[("n-1", "a")]);
-    let mut odd = report_of(&mut w, "n-1");
-    odd.token = FencingToken::first_of(Term(w.leader.term.get() + 1_000));
+    let mut from_later_term = next_heartbeat(&mut w, "n-1");
+    from_later_term.token = FencingToken::first_of(Term(w.leader.term.get() + 1_000));
     let before = machine(&w, "n-1").clone();
     for _ in 0..3 {
-        let answer = w.leader.handle_heartbeat(w.now, &odd);
+        let answer = w.leader.handle_heartbeat(w.now, &from_later_term);
         assert!(
             matches!(answer, Err(HeartbeatRefusal::NewerTerm { .. })),
-            "the worker goes elsewhere"
+            "the worker is refused and turns to another node"
         );
     }
     let commands = w.leader.take_commands();
     assert!(!commands.iter().any(|c| matches!(c, Command::StepDown(_))));
     assert!(commands.contains(&Command::VerifyLeadership));
-    let notes = commands.iter().filter(|c| matches!(c, Command::Log(_))).count();
-    assert_eq!(notes, 1, "logged once");
+    let anomaly_logs = commands.iter().filter(|c| matches!(c, Command::Log(_))).count();
+    assert_eq!(anomaly_logs, 1, "the anomaly is logged only once");
     assert_eq!(machine(&w, "n-1").fence.acknowledged(), before.fence.acknowledged());
 }
 
-/// Cut off from the key-value store and the other nodes, but not from its workers.
+/// The leader is cut off from the key-value store and the other nodes, but not from its workers.
 #[test]
-fn a_leader_without_its_lease_answers_workers_and_does_nothing_else() {
+fn a_leader_without_its_lease_only_answers_heartbeats() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a"), ("n-3", "a")]);
     w.submit(JOB, &spec(2));
     w.settle();
@@ -228,10 +235,10 @@
     let (id, transaction) = w.take_commit();
     let outcome = w.store.apply(&transaction);
     w.leader.authority.set_holds_lease(false);
-    // Written before the cut, and not sent any more.
+    // The starts were stored before the leader lost its lease, and are no longer sent.
     w.leader.transaction_answered(w.now, id, outcome);
     w.submit("req-000003", &spec(40));
-    // All but one machine have gone over to the next leader, and are silent here.
+    // All machines but one have moved to the next leader and send no heartbeats here.
     for _ in 0..60 {
         w.wait(1_000);
         w.heartbeat("n-1");
@@ -245,18 +252,20 @@
             }
         }
     }
-    let heartbeat = report_of(&mut w, "n-1");
-    let HeartbeatAnswer { token, .. } =
-        w.leader.handle_heartbeat(w.now, &heartbeat).expect("an answer that renews its lease");
+    let heartbeat = next_heartbeat(&mut w, "n-1");
+    let HeartbeatAnswer { token, .. } = w
+        .leader
+        .handle_heartbeat(w.now, &heartbeat)
+        .expect("the heartbeat is answered, which renews the lease");
     assert!(token >= heartbeat.token);
 }
 
 #[test]
-fn a_machine_back_at_once_without_its_tasks_runs_them_once() {
+fn a_machine_that_restarts_without_its_tasks_runs_each_of_them_once() {
     let mut w = World::new(&[("n-1", "a")]);
     w.submit(JOB, &spec(3));
     w.settle();
-    // Back within a moment: the same name and agent epoch, and nothing on it.
+    // The machine restarts quickly, with the same name and agent epoch but without tasks.
     w.workers.get_mut("n-1").expect("worker").tasks.clear();
     w.all_report();
     w.settle();
@@ -264,7 +273,7 @@
     w.settle();
     assert_eq!(w.places().len(), 3);
     assert_eq!(w.attempt(JOB, 0), Attempt(2));
-    // With a new agent epoch, and having forgotten every token.
+    // The machine restarts with a new agent epoch and without any token.
     let fresh = Worker { agent_epoch: AgentEpoch(2), sequence: 0, ..Worker::new("n-1", "a") };
     w.workers.insert("n-1".into(), fresh);
     w.all_report();
@@ -275,28 +284,28 @@
     assert_eq!(w.attempt(JOB, 0), Attempt(3));
 }
 
-/// A task that needs half a machine among small ones that take every bit that gets free, and whose
-/// priority is higher.
+/// A task that needs half a machine competes with small tasks of higher priority, which occupy
+/// every processor that becomes free.
 #[test]
-fn a_large_task_among_small_ones_begins_and_is_left_to_run() {
+fn a_large_task_starts_and_runs_despite_small_tasks_of_higher_priority() {
     let machines = ["n-01", "n-02", "n-03", "n-04", "n-05", "n-06"];
     let mut w = World::new(&machines.map(|n| (n, "a")));
     let mut began: std::collections::BTreeMap<String, u64> = Default::default();
     for second in 0..20 {
         w.wait(300);
-        overload(&mut w, second);
+        submit_overload(&mut w, second);
         w.settle();
     }
     w.submit(JOB, &JobSpec { cpus: 6.0, estimate_s: 60.0, ..spec(4) });
     let accepted = w.now;
     let mut first = None;
     for second in 20..400 {
-        overload(&mut w, second);
+        submit_overload(&mut w, second);
         w.wait(200);
         w.settle();
         let now = w.now.0 / 1_000_000;
         for (task, machines) in w.places() {
-            // The small ones run out of step, so that no machine is ever empty by chance.
+            // The small tasks have different run times, so that no machine becomes empty by chance.
             let index: u64 = task.rsplit('/').next().and_then(|i| i.parse().ok()).unwrap_or(0);
             let runs = if task.starts_with(JOB) { 60 } else { 5 + index };
             let since = *began.entry(task.clone()).or_insert(now);
@@ -309,16 +318,23 @@
         }
         w.all_report();
     }
-    assert!(first.is_some_and(|s| s < 240.0), "its first task ran 40 s on end by {first:?} s");
+    assert!(
+        first.is_some_and(|s| s < 240.0),
+        "a task first reached 40 s of run time after {first:?} s"
+    );
 }
 
-/// More high-priority work than the fleet can ever do.
-fn overload(w: &mut World, second: u64) {
+/// Submits more high-priority work per step than the fleet can ever complete.
+fn submit_overload(w: &mut World, second: u64) {
     let name = format!("req-9{second:05}");
     w.submit(&name, &JobSpec { priority: Priority::High, deadline_s: Some(30.0), ..spec(6) });
 }
 
-fn play_second(w: &mut World, runs_s: u64, began: &mut std::collections::BTreeMap<String, u64>) {
+fn run_for_one_step(
+    w: &mut World,
+    runs_s: u64,
+    began: &mut std::collections::BTreeMap<String, u64>,
+) {
     w.wait(200);
     w.settle();
     let now = w.now.0 / 1_000_000;
@@ -331,25 +347,25 @@
 }
 
 #[test]
-fn under_lasting_overload_the_largest_begins_in_time_and_the_old_get_done() {
+fn a_low_priority_job_starts_and_completes_under_lasting_overload() {
     let machines = ["n-01", "n-02", "n-03", "n-04", "n-05", "n-06", "n-07", "n-08", "n-09", "n-10"];
     let mut w = World::new(&machines.map(|n| (n, "a")));
     let mut began = Default::default();
     for second in 0..10 {
-        overload(&mut w, second);
+        submit_overload(&mut w, second);
     }
     w.settle();
     w.submit(JOB, &JobSpec { priority: Priority::Low, cpus: 2.0, ..spec(12) });
     let accepted = w.now;
-    let begun = |s: &Scheduler| {
+    let has_started = |s: &Scheduler| {
         s.cluster.jobs_by_name.get(JOB).and_then(|&ix| s.cluster.job(ix)).map(|j| j.has_started)
     };
     let (mut first, mut done) = (None, None);
     for second in 10..900 {
-        overload(&mut w, second);
-        play_second(&mut w, 8, &mut began);
+        submit_overload(&mut w, second);
+        run_for_one_step(&mut w, 8, &mut began);
         let age = w.now.since(accepted).as_secs_f64();
-        if begun(&w.leader) == Some(true) {
+        if has_started(&w.leader) == Some(true) {
             first.get_or_insert(age);
         }
         if w.end(JOB).is_some() {
@@ -357,15 +373,15 @@
             break;
         }
     }
-    assert!(first.is_some_and(|s| s < 200.0), "its first task ran after {first:?} s");
-    assert!(done.is_some(), "starved");
+    assert!(first.is_some_and(|s| s < 200.0), "the first task started after {first:?} s");
+    assert!(done.is_some(), "the low-priority job was starved");
 }
 
 #[test]
-fn a_report_of_thousands_of_tasks_gets_an_answer_that_fits_a_line() {
+fn the_response_to_a_heartbeat_with_thousands_of_tasks_fits_into_64_kib() {
     use walnutlug_scheduler::protocol::workers::{HeartbeatResponse, TaskState, TaskStatus};
     let mut w = World::new(&[("n-1", "a")]);
-    let mut heartbeat = report_of(&mut w, "n-1");
+    let mut heartbeat = next_heartbeat(&mut w, "n-1");
     heartbeat.tasks = (0..3_000)
         .map(|i| TaskStatus {
             task: format!("req-999999/{i}"),
@@ -375,8 +391,8 @@
         })
         .collect();
     let HeartbeatAnswer { token, commands: calls } =
-        w.leader.handle_heartbeat(w.now, &heartbeat).expect("answered");
-    assert!(calls.len() >= 400, "{} of what it runs is stopped at once", calls.len());
+        w.leader.handle_heartbeat(w.now, &heartbeat).expect("the heartbeat is answered");
+    assert!(calls.len() >= 400, "only {} kill commands in the first response", calls.len());
     let answer = serde_json::to_vec(&HeartbeatResponse { token, calls }).expect("json");
-    assert!(answer.len() < 64 * 1024, "{} bytes", answer.len());
+    assert!(answer.len() < 64 * 1024, "the response has {} bytes", answer.len());
 }
