--- a/crates/controller/src/node/heartbeats/leader.rs
+++ b/crates/controller/src/node/heartbeats/leader.rs
@@ -95,8 +95,8 @@
     leader.record_request(peer_index, request.workers);
     let grant = DelegationGrant {
         term,
-        asked: request.number,
-        unknown_for: node.now().since(node.cancellations_known_until()),
+        request_number: request.number,
+        watermark_age: node.now().since(node.cancellations_known_until()),
         invalidated: leader.invalidated(peer_index, term),
     };
     let redirected =
--- a/crates/controller/src/peers/tests.rs
+++ b/crates/controller/src/peers/tests.rs
@@ -47,8 +47,8 @@
         ForwardedResponse { asker_incarnation: 3, number: 9, answer: None, cache_entry: None };
     let grant = DelegationGrant {
         term: Term(1 << 40),
-        asked: 17,
-        unknown_for: TimeDelta::from_millis(900),
+        request_number: 17,
+        watermark_age: TimeDelta::from_millis(900),
         invalidated: 4,
     };
     let granting = DelegationGranted {
