--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -38,7 +38,7 @@
 use crate::http::client::Client;
 use crate::key_value_client::KeyValueClient;
 use crate::peers::{Frame, PeerSenders};
-use crate::settings::{Settings, Sockets};
+use crate::settings::{Settings, SocketBudget};
 use crate::user_api::UserApi;
 
 use broadcast::BroadcastState;
@@ -121,7 +121,7 @@
         let delegation = HeartbeatDelegation::new(
             &settings.site,
             settings.peers.len(),
-            Sockets::share(settings.fd_limit).inbound as usize,
+            SocketBudget::for_limit(settings.fd_limit).inbound as usize,
         );
         let cancellations = CancellationState::new(
             &settings.node_name,
--- a/crates/controller/src/node/heartbeats/tests.rs
+++ b/crates/controller/src/node/heartbeats/tests.rs
@@ -14,7 +14,7 @@
 };
 use crate::node::Node;
 use crate::peers::{Frame, MAX_FORWARDED_BYTES};
-use crate::settings::Sockets;
+use crate::settings::SocketBudget;
 use crate::user_api;
 use crate::user_api::fake_cluster::{Cluster, FakeStore, Fault};
 use crate::worker_api::{self, WorkerConnection};
@@ -242,7 +242,7 @@
         let store = FakeStore::default();
         let cluster = cluster_with_delegation(&store).await;
         let node = cluster.nodes[1].clone();
-        let max_pending = Sockets::share(node.settings.fd_limit).inbound as usize;
+        let max_pending = SocketBudget::for_limit(node.settings.fd_limit).inbound as usize;
         let send_heartbeat = |node: Rc<Node>| async move {
             let body = running_task_heartbeat(1, FencingToken(0));
             worker_api::heartbeat(&node, &WorkerConnection::default(), body.as_bytes()).await
--- a/crates/controller/src/node/routes.rs
+++ b/crates/controller/src/node/routes.rs
@@ -6,7 +6,7 @@
 
 use super::{readiness, Node};
 use crate::http::server::{Answer, Request};
-use crate::settings::Sockets;
+use crate::settings::SocketBudget;
 use crate::worker_api::WorkerConnection;
 use crate::{user_api, worker_api};
 
@@ -54,7 +54,7 @@
 async fn heartbeat(node: &Node, connection: &WorkerConnection, body: &[u8]) -> Answer {
     let mut answer = worker_api::heartbeat(node, connection, body).await;
     // A worker reconnects with its next heartbeat, but a user may find no free socket.
-    let workers_kept = Sockets::share(node.settings.fd_limit).workers_kept;
+    let workers_kept = SocketBudget::for_limit(node.settings.fd_limit).workers_kept;
     if node.load.open_connections().get() > workers_kept {
         answer.close = true;
         node.load.count_closed_connection();
--- a/crates/controller/src/node/startup.rs
+++ b/crates/controller/src/node/startup.rs
@@ -16,7 +16,7 @@
 use crate::http::client::Client;
 use crate::http::server;
 use crate::peers::{self, PeerSenders};
-use crate::settings::{Peer, Settings, Sockets};
+use crate::settings::{Peer, Settings, SocketBudget};
 use crate::worker_api::WorkerConnection;
 
 /// Runs a node on a single-threaded runtime until the process is killed.
@@ -32,7 +32,7 @@
 async fn serve(settings: Settings, tunables: Tunables) -> std::io::Result<()> {
     let listener = TcpListener::bind(settings.listen).await?;
     let peer_listener = TcpListener::bind(settings.internal).await?;
-    let sockets = Sockets::share(settings.fd_limit);
+    let sockets = SocketBudget::for_limit(settings.fd_limit);
     let client = Rc::new(Client::with_max_connections(sockets.outbound as usize));
     let peers = start_senders(&settings.peers, sockets);
     let node = Rc::new(Node::new(settings, tunables, client, peers)?);
@@ -60,7 +60,7 @@
 }
 
 /// Creates one queue and starts one sending task for each peer.
-fn start_senders(peers: &[Peer], sockets: Sockets) -> PeerSenders {
+fn start_senders(peers: &[Peer], sockets: SocketBudget) -> PeerSenders {
     let start = |peer: &Peer| {
         debug!(peer = %peer.name, "starting sender for peer");
         let (sender, queue) = mpsc::channel(peers::queue_length(sockets));
--- a/crates/controller/src/peers/connections.rs
+++ b/crates/controller/src/peers/connections.rs
@@ -13,7 +13,7 @@
 use tracing::debug;
 
 use super::frame::{read_frame, Frame, MAX_BODY};
-use crate::settings::Sockets;
+use crate::settings::SocketBudget;
 
 /// Connections from peers at once, with room for stale ones.
 pub(crate) const MAX_CONNECTIONS: u32 = 64;
@@ -34,7 +34,7 @@
 
 /// Messages that may wait for another node: in a burst the heartbeats on all of a node's connections, or the answers
 /// to as many, and the hints.
-pub(crate) fn queue_length(sockets: Sockets) -> usize {
+pub(crate) fn queue_length(sockets: SocketBudget) -> usize {
     sockets.inbound as usize + QUEUED_HINTS
 }
 
--- a/crates/controller/src/settings.rs
+++ b/crates/controller/src/settings.rs
@@ -17,7 +17,7 @@
 use reader::Reader;
 
 pub(crate) use error::{FieldFault, SettingsError};
-pub(crate) use sockets::Sockets;
+pub(crate) use sockets::SocketBudget;
 
 /// Another controller node.
 #[derive(Debug, Clone)]
@@ -119,7 +119,7 @@
         value_bytes: smaller.value_bytes,
         txn_ops: smaller.txn_ops,
         list_lag,
-        most_messages: Sockets::share(fd_limit).messages as usize,
+        most_messages: SocketBudget::for_limit(fd_limit).messages as usize,
     };
     Settings {
         node_name,
@@ -177,7 +177,7 @@
 }
 
 fn check_sockets(reader: &mut Reader<'_>, limit: f64, peers: usize) -> u32 {
-    let minimum = Sockets::minimum(peers);
+    let minimum = SocketBudget::minimum(peers);
     if limit < f64::from(minimum) {
         reader.too_few_sockets(limit, minimum, peers);
     }
--- a/crates/controller/src/settings/sockets.rs
+++ b/crates/controller/src/settings/sockets.rs
@@ -9,7 +9,7 @@
 /// Some users and workers.
 const USERS_AND_WORKERS: usize = 16;
 
-/// Percent of the limit, as the table at [`Sockets`] says.
+/// Percent of the limit, as the table at [`SocketBudget`] says.
 const INBOUND: u32 = 76;
 const WORKERS_KEPT: u32 = 64;
 const OUTBOUND: u32 = 16;
@@ -27,7 +27,7 @@
 /// | requests of this node: messages to workers 11%, the rest store, cloud and idle connections | 16% |
 /// | other nodes, listeners, connections that are closing | 8% |
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Sockets {
+pub(crate) struct SocketBudget {
     /// Most connections from users and workers.
     pub(crate) inbound: u32,
     /// Beyond this many, a worker's connection is closed after its answer: the rest is for users.
@@ -38,16 +38,16 @@
     pub(crate) messages: u32,
 }
 
-impl Sockets {
+impl SocketBudget {
     /// The fewest sockets with which a node of so many peers can work.
     pub(crate) fn minimum(peers: usize) -> u32 {
         (OWN + REQUESTS + PER_PEER * peers + USERS_AND_WORKERS) as u32
     }
 
     /// What is left over is for the other nodes, the listeners and connections that are closing.
-    pub(crate) fn share(limit: u32) -> Sockets {
+    pub(crate) fn for_limit(limit: u32) -> SocketBudget {
         let part = |percent: u32| (u64::from(limit) * u64::from(percent) / 100) as u32;
-        Sockets {
+        SocketBudget {
             inbound: part(INBOUND),
             workers_kept: part(WORKERS_KEPT),
             outbound: part(OUTBOUND),
--- a/crates/controller/src/user_api/fake_cluster.rs
+++ b/crates/controller/src/user_api/fake_cluster.rs
@@ -16,7 +16,7 @@
 use crate::http::client::{Answering, Client, HttpError, NoResponse, Response};
 use crate::node::Node;
 use crate::peers::{queue_length, read_frame, Frame, PeerSenders};
-use crate::settings::{tests::sample, Settings, Sockets};
+use crate::settings::{tests::sample, Settings, SocketBudget};
 
 /// A store fault that a test injects.
 #[derive(Clone, Copy, PartialEq)]
@@ -130,7 +130,7 @@
         let name = |i: usize| format!("kernel-{i}");
         let mut cluster = Cluster { nodes: Vec::new(), links: Vec::new() };
         let fd_limit = common["facts"]["resources"]["fd_limit"].as_u64().expect("a limit") as u32;
-        let queue_capacity = queue_length(Sockets::share(fd_limit));
+        let queue_capacity = queue_length(SocketBudget::for_limit(fd_limit));
         for i in 0..n {
             let mut settings = common.clone();
             let others = (0..n).filter(|&j| j != i);
