--- a/crates/controller/src/node/routes.rs
+++ b/crates/controller/src/node/routes.rs
@@ -54,8 +54,9 @@
 async fn heartbeat(node: &Node, connection: &WorkerConnection, body: &[u8]) -> Answer {
     let mut answer = worker_api::heartbeat(node, connection, body).await;
     // A worker reconnects with its next heartbeat, but a user may find no free socket.
-    let workers_kept = SocketBudget::for_limit(node.settings.fd_limit).workers_kept;
-    if node.load.open_connections().get() > workers_kept {
+    let worker_keep_alive_limit =
+        SocketBudget::for_limit(node.settings.fd_limit).worker_keep_alive_limit;
+    if node.load.open_connections().get() > worker_keep_alive_limit {
         answer.close = true;
         node.load.count_closed_connection();
     }
--- a/crates/controller/src/node/tests.rs
+++ b/crates/controller/src/node/tests.rs
@@ -125,7 +125,7 @@
     let node = FakeStore::default().node();
     let request = || Request { method: "POST".into(), path: "/hello".into(), body: vec![] };
     let open_connections = node.load.open_connections();
-    open_connections.set(SocketBudget::for_limit(node.settings.fd_limit).workers_kept);
+    open_connections.set(SocketBudget::for_limit(node.settings.fd_limit).worker_keep_alive_limit);
     assert!(!handle(node.clone(), Rc::default(), request()).await.close);
     open_connections.set(open_connections.get() + 1);
     assert!(handle(node.clone(), Rc::default(), request()).await.close);
--- a/crates/controller/src/settings/sockets.rs
+++ b/crates/controller/src/settings/sockets.rs
@@ -11,7 +11,7 @@
 
 /// Percent of the limit, as the table at [`SocketBudget`] says.
 const INBOUND: u32 = 76;
-const WORKERS_KEPT: u32 = 64;
+const WORKER_KEEP_ALIVE_LIMIT: u32 = 64;
 const OUTBOUND: u32 = 16;
 const MESSAGES: u32 = 11;
 const MIN_MESSAGES: u32 = 4;
@@ -31,7 +31,7 @@
     /// Most connections from users and workers.
     pub(crate) inbound: u32,
     /// Beyond this many, a worker's connection is closed after its answer: the rest is for users.
-    pub(crate) workers_kept: u32,
+    pub(crate) worker_keep_alive_limit: u32,
     /// Most connections to others, idle ones included.
     pub(crate) outbound: u32,
     /// Most messages in flight to workers at once.
@@ -49,7 +49,7 @@
         let part = |percent: u32| (u64::from(limit) * u64::from(percent) / 100) as u32;
         SocketBudget {
             inbound: part(INBOUND),
-            workers_kept: part(WORKERS_KEPT),
+            worker_keep_alive_limit: part(WORKER_KEEP_ALIVE_LIMIT),
             outbound: part(OUTBOUND),
             messages: part(MESSAGES).max(MIN_MESSAGES),
         }
--- a/crates/controller/src/settings/tests.rs
+++ b/crates/controller/src/settings/tests.rs
@@ -50,14 +50,14 @@
     for limit in [32, 256, 1_200, 2_000, 3_312, 65_536] {
         let s = SocketBudget::for_limit(limit);
         assert!(s.inbound + s.outbound < limit, "{s:?}");
-        assert!(s.workers_kept < s.inbound && s.messages < s.outbound, "{s:?}");
+        assert!(s.worker_keep_alive_limit < s.inbound && s.messages < s.outbound, "{s:?}");
     }
     // The workers of fleets with half as many machines again keep their connections, beside the
     // connections of users and, in full, of the other nodes.
     for (limit, machines) in [(1_200, 660), (2_000, 1_193), (3_459, 1_962), (3_312, 2_063)] {
         let s = SocketBudget::for_limit(limit);
-        assert!(s.workers_kept > machines, "{limit}: {s:?}");
-        assert!(s.inbound - s.workers_kept > limit / 10, "{limit}: {s:?}");
+        assert!(s.worker_keep_alive_limit > machines, "{limit}: {s:?}");
+        assert!(s.inbound - s.worker_keep_alive_limit > limit / 10, "{limit}: {s:?}");
         assert!(s.inbound + s.outbound + crate::peers::MAX_CONNECTIONS < limit, "{limit}: {s:?}");
     }
 }
