--- a/crates/controller/src/http/server/answer.rs
+++ b/crates/controller/src/http/server/answer.rs
@@ -36,12 +36,12 @@
     }
 
     /// What can't be decided now is refused at once, with the time to come again.
-    pub(crate) fn later(text: &str) -> Answer {
-        Answer::later_by(1, text)
+    pub(crate) fn retry(text: &str) -> Answer {
+        Answer::retry_in(1, text)
     }
 
     /// The same with the seconds after which to come again, at least one.
-    pub(crate) fn later_by(seconds: u32, text: &str) -> Answer {
+    pub(crate) fn retry_in(seconds: u32, text: &str) -> Answer {
         Answer { retry_after: Some(seconds.max(1)), ..Answer::error(503, text) }
     }
 
--- a/crates/controller/src/node/routes.rs
+++ b/crates/controller/src/node/routes.rs
@@ -47,7 +47,7 @@
     if readiness::is_ready(node) {
         Answer::json(200, &serde_json::json!({"ready": true}))
     } else {
-        Answer::later("not ready")
+        Answer::retry("not ready")
     }
 }
 
--- a/crates/controller/src/user_api/cancellation.rs
+++ b/crates/controller/src/user_api/cancellation.rs
@@ -29,7 +29,7 @@
             JobStatus::Ended(end) => {
                 return Answer::json(200, &job_response(name, stage_of_end(end), None));
             }
-            JobStatus::Unknown => return Answer::later("could not read the job state; try again"),
+            JobStatus::Unknown => return Answer::retry("could not read the job state; try again"),
             JobStatus::Open => {}
         }
         // The first writer of the end key wins, so a job is never reported both as done and as cancelled.
@@ -44,7 +44,7 @@
             // The job may have ended meanwhile, or a copy of this transaction took effect: look it up.
             TransactionOutcome::Conflict { .. } | TransactionOutcome::Indeterminate
                 if Instant::now() < deadline => {}
-            _ => return Answer::later("could not confirm the withdrawal; try again"),
+            _ => return Answer::retry("could not confirm the withdrawal; try again"),
         }
     }
 }
--- a/crates/controller/src/user_api/status.rs
+++ b/crates/controller/src/user_api/status.rs
@@ -76,7 +76,7 @@
             let counts = (counts.done, counts.running);
             Answer::json(200, &job_response(name, stage, Some(counts)))
         }
-        JobStatus::Unknown => Answer::later("could not read the job state; try again"),
+        JobStatus::Unknown => Answer::retry("could not read the job state; try again"),
     }
 }
 
--- a/crates/controller/src/user_api/submission.rs
+++ b/crates/controller/src/user_api/submission.rs
@@ -88,13 +88,13 @@
                 Answer::error(400, text)
             }
             SubmissionError::Unrunnable(_) => Answer::error(422, text),
-            SubmissionError::TooMany { delay } => Answer::later_by(delay.as_secs() as u32, &text),
+            SubmissionError::TooMany { delay } => Answer::retry_in(delay.as_secs() as u32, &text),
             SubmissionError::MachineTypesUnknown
             | SubmissionError::StoreUnreachable
             | SubmissionError::Store(_)
             | SubmissionError::DependenciesUnknown
             | SubmissionError::Indeterminate
-            | SubmissionError::StatusUnknown => Answer::later(&text),
+            | SubmissionError::StatusUnknown => Answer::retry(&text),
         }
     }
 }
