--- a/crates/controller/src/http/client.rs
+++ b/crates/controller/src/http/client.rs
@@ -41,10 +41,10 @@
 #[cfg(test)]
 pub(crate) type Script = Box<dyn Fn(&str, &str, &[u8]) -> Result<Response, HttpError>>;
 #[cfg(test)]
-pub(crate) type Answering =
+pub(crate) type ResponseFuture =
     std::pin::Pin<Box<dyn std::future::Future<Output = Result<Response, HttpError>>>>;
 #[cfg(test)]
-pub(crate) type SlowScript = Box<dyn Fn(&str, &str, &[u8]) -> Answering>;
+pub(crate) type AsyncScript = Box<dyn Fn(&str, &str, &[u8]) -> ResponseFuture>;
 
 /// Sends requests, and keeps their connections for the next ones.
 pub(crate) struct Client {
@@ -55,7 +55,7 @@
     /// sockets that users need.
     max_connections: usize,
     #[cfg(test)]
-    script: Option<SlowScript>,
+    script: Option<AsyncScript>,
 }
 
 impl Default for Client {
@@ -78,13 +78,13 @@
 
     #[cfg(test)]
     pub(crate) fn scripted(script: Script) -> Client {
-        Client::scripted_slow(Box::new(move |method, path, body| {
+        Client::scripted_async(Box::new(move |method, path, body| {
             Box::pin(std::future::ready(script(method, path, body)))
         }))
     }
 
     #[cfg(test)]
-    pub(crate) fn scripted_slow(script: SlowScript) -> Client {
+    pub(crate) fn scripted_async(script: AsyncScript) -> Client {
         Client { script: Some(script), ..Client::default() }
     }
 
@@ -166,7 +166,7 @@
 
 #[cfg(test)]
 async fn play(
-    script: &SlowScript,
+    script: &AsyncScript,
     request: &Request<'_>,
     may_send: &dyn Fn() -> bool,
 ) -> Result<Response, HttpError> {
--- a/crates/controller/src/node/golden_tests.rs
+++ b/crates/controller/src/node/golden_tests.rs
@@ -335,20 +335,21 @@
     descriptions: &'static str,
 ) -> Rc<Node> {
     let requests = requests.clone();
-    let script = move |method: &str, path: &str, body: &[u8]| -> crate::http::client::Answering {
-        let body = String::from_utf8(body.to_vec()).expect("request body is UTF-8");
-        requests.borrow_mut().push(format!("{method} {path}\n{body}").trim_end().to_owned());
-        if path.starts_with("/watch?") {
-            return Box::pin(std::future::pending());
-        }
-        if path.starts_with("/keys?starts=todo&") {
-            let body = descriptions.as_bytes().to_vec();
-            return Box::pin(std::future::ready(Ok(Response { status: 200, body })));
-        }
-        Box::pin(std::future::ready(answer_as_empty_store(method, path)))
-    };
+    let script =
+        move |method: &str, path: &str, body: &[u8]| -> crate::http::client::ResponseFuture {
+            let body = String::from_utf8(body.to_vec()).expect("request body is UTF-8");
+            requests.borrow_mut().push(format!("{method} {path}\n{body}").trim_end().to_owned());
+            if path.starts_with("/watch?") {
+                return Box::pin(std::future::pending());
+            }
+            if path.starts_with("/keys?starts=todo&") {
+                let body = descriptions.as_bytes().to_vec();
+                return Box::pin(std::future::ready(Ok(Response { status: 200, body })));
+            }
+            Box::pin(std::future::ready(answer_as_empty_store(method, path)))
+        };
     let settings = Settings::parse(&crate::settings::tests::sample().to_string());
-    let client = Rc::new(Client::scripted_slow(Box::new(script)));
+    let client = Rc::new(Client::scripted_async(Box::new(script)));
     let node = Node::new(
         settings.expect("valid settings"),
         Tunables::default(),
--- a/crates/controller/src/user_api/fake_cluster.rs
+++ b/crates/controller/src/user_api/fake_cluster.rs
@@ -13,7 +13,7 @@
 use walnutlug_scheduler::protocol::key_value::Transaction;
 use walnutlug_scheduler::tunables::Tunables;
 
-use crate::http::client::{Answering, Client, HttpError, NoResponse, Response};
+use crate::http::client::{Client, HttpError, NoResponse, Response, ResponseFuture};
 use crate::node::Node;
 use crate::peers::{queue_length, read_frame, Frame, PeerSenders};
 use crate::settings::{tests::sample, Settings, SocketBudget};
@@ -158,7 +158,7 @@
     ) -> Rc<Node> {
         let store = self.clone();
         let script = move |method: &str, path: &str, body: &[u8]| store.respond(method, path, body);
-        let client = Client::scripted_slow(Box::new(script));
+        let client = Client::scripted_async(Box::new(script));
         let settings = Settings::parse(&settings.to_string()).expect("settings");
         let node =
             Node::new(settings, Tunables::default(), Rc::new(client), PeerSenders::new(queues));
@@ -205,7 +205,7 @@
     }
 
     /// Executes a request, with random delays and faults if these are enabled.
-    fn respond(&self, method: &str, path: &str, body: &[u8]) -> Answering {
+    fn respond(&self, method: &str, path: &str, body: &[u8]) -> ResponseFuture {
         let is_transaction = path == "/multi";
         let Some(faults) = &mut *self.network_faults.borrow_mut() else {
             return Box::pin(std::future::ready(self.execute(method, path, body)));
