--- a/crates/controller/src/http/server.rs
+++ b/crates/controller/src/http/server.rs
@@ -80,7 +80,7 @@
             Err(error) => (error.into(), true),
         };
         let close = close || answer.close;
-        idle = answer.idle.unwrap_or(IDLE_TIMEOUT).min(IDLE_TIMEOUT);
+        idle = answer.idle_timeout.unwrap_or(IDLE_TIMEOUT).min(IDLE_TIMEOUT);
         let written = timeout(WRITE_TIMEOUT, stream.write_all(&answer.to_bytes(close))).await;
         if close || !matches!(written, Ok(Ok(()))) {
             let _ = timeout(WRITE_TIMEOUT, stream.shutdown()).await;
--- a/crates/controller/src/http/server/answer.rs
+++ b/crates/controller/src/http/server/answer.rs
@@ -16,13 +16,13 @@
     /// The connection is closed after this answer.
     pub(crate) close: bool,
     /// How long the connection may stand idle after this answer, if not as long as any.
-    pub(crate) idle: Option<Duration>,
+    pub(crate) idle_timeout: Option<Duration>,
 }
 
 impl Answer {
     /// An answer that leaves the connection as it is. The body is JSON.
     pub(crate) fn bytes(status: u16, body: Vec<u8>) -> Answer {
-        Answer { status, body, retry_after: None, close: false, idle: None }
+        Answer { status, body, retry_after: None, close: false, idle_timeout: None }
     }
 
     /// An answer with a JSON body.
--- a/crates/controller/src/http/server/tests.rs
+++ b/crates/controller/src/http/server/tests.rs
@@ -32,7 +32,7 @@
         near.write_all(b"GET / HTTP/1.1\r\n\r\n").await.expect("write");
         let before = tokio::time::Instant::now();
         connection(far, |_| async move {
-            Answer { idle: idle.map(Duration::from_secs), ..Answer::error(200, "") }
+            Answer { idle_timeout: idle.map(Duration::from_secs), ..Answer::error(200, "") }
         })
         .await;
         let stood = before.elapsed().as_secs();
--- a/crates/controller/src/node/routes.rs
+++ b/crates/controller/src/node/routes.rs
@@ -62,7 +62,7 @@
     }
     // A worker that is silent for longer than its lease has already started over on another
     // connection.
-    answer.idle = Some(Duration::from_micros(node.site.worker_lease.0));
+    answer.idle_timeout = Some(Duration::from_micros(node.site.worker_lease.0));
     answer
 }
 
