--- a/crates/controller/src/http/client.rs
+++ b/crates/controller/src/http/client.rs
@@ -1,5 +1,7 @@
-//! A client that keeps connections open and never repeats a request by itself. Whether a failure can mean
-//! that the request was executed is the difference between its two errors.
+//! An HTTP client that reuses connections and never retries a request by itself.
+//!
+//! Its two kinds of error tell whether the server may have executed the request: a caller may
+//! safely repeat one that was not sent.
 
 mod error;
 mod pool;
@@ -21,38 +23,40 @@
 pub(crate) use error::{HttpError, NoResponse, NotSent};
 pub(crate) use response::Response;
 
-/// Connections kept open where nothing else is said.
-const MAX_CONNECTIONS: usize = 200;
+/// Limit on connections of a client that is created without a limit of its own.
+const DEFAULT_MAX_CONNECTIONS: usize = 200;
 
-/// A request to send.
+/// A request to an HTTP server, borrowed from the caller until its response arrives.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Request<'a> {
-    /// The method.
+    /// The HTTP method, such as `GET`; sent as is.
     pub(crate) method: &'a str,
-    /// The path, with its query.
+    /// The request target: the path with its query string; sent as is, without percent-encoding.
     pub(crate) path: &'a str,
-    /// The body, which is JSON or empty.
+    /// A JSON document, or empty for a request without a body.
     pub(crate) body: &'a [u8],
-    /// For how long a response is waited for, connecting included.
+    /// Time limit for the whole exchange, from connecting to the last byte of the response.
     pub(crate) timeout: Duration,
 }
 
-/// What a scripted peer says to a request, in tests, and the same in its own time.
+/// Computes the response to a method, path and body, so that a test needs no server.
 #[cfg(test)]
 pub(crate) type Script = Box<dyn Fn(&str, &str, &[u8]) -> Result<Response, HttpError>>;
+/// The pending result of an [`AsyncScript`].
 #[cfg(test)]
 pub(crate) type ResponseFuture =
     std::pin::Pin<Box<dyn std::future::Future<Output = Result<Response, HttpError>>>>;
+/// Like [`Script`], but a test decides when the response arrives.
 #[cfg(test)]
 pub(crate) type AsyncScript = Box<dyn Fn(&str, &str, &[u8]) -> ResponseFuture>;
 
-/// Sends requests, and keeps their connections for the next ones.
+/// Sends requests and keeps the connections in a pool for later ones.
 pub(crate) struct Client {
     idle: RefCell<Pool<TcpStream>>,
-    /// Connections in use.
+    /// Number of requests in progress, each of which has a connection or is opening one.
     in_use: Rc<Cell<u32>>,
-    /// Most connections, in use and idle: an idle one is closed for a new one, or the pool would take the
-    /// sockets that users need.
+    /// Limit on connections in use and idle together. At the limit an idle one is closed before a
+    /// new one is opened; otherwise the pool would take the sockets that users need.
     max_connections: usize,
     #[cfg(test)]
     script: Option<AsyncScript>,
@@ -60,12 +64,13 @@
 
 impl Default for Client {
     fn default() -> Client {
-        Client::with_max_connections(MAX_CONNECTIONS)
+        Client::with_max_connections(DEFAULT_MAX_CONNECTIONS)
     }
 }
 
 impl Client {
-    /// A client that closes idle connections beyond so many in all.
+    /// Creates a client that closes idle connections to stay below the limit. Connections in use
+    /// alone may exceed it.
     pub(crate) fn with_max_connections(max_connections: usize) -> Client {
         Client {
             idle: RefCell::default(),
@@ -88,7 +93,7 @@
         Client { script: Some(script), ..Client::default() }
     }
 
-    /// Sends the request, whatever else has happened meanwhile.
+    /// Sends the request unconditionally and returns its response.
     pub(crate) async fn send(
         &self,
         addr: SocketAddrV4,
@@ -97,8 +102,8 @@
         self.send_if(addr, request, &|| true).await
     }
 
-    /// Sends the request if it still may be sent once there is a connection: asked directly before the
-    /// bytes are handed to the socket. Otherwise nothing leaves.
+    /// Sends the request only if `may_send` returns true. It is called once a connection is open,
+    /// directly before the bytes are written to the socket; if it returns false, nothing is sent.
     pub(crate) async fn send_if(
         &self,
         addr: SocketAddrV4,
@@ -107,18 +112,18 @@
     ) -> Result<Response, HttpError> {
         #[cfg(test)]
         if let Some(script) = &self.script {
-            return play(script, request, may_send).await;
+            return run_script(script, request, may_send).await;
         }
         let deadline = Instant::now() + request.timeout;
         let _in_use = CountGuard::new(&self.in_use);
         let mut stream = self.connect(addr, request.timeout).await?;
-        let message = message(addr, request);
+        let request_bytes = encode_request(addr, request);
         if !may_send() {
             self.idle.borrow_mut().put(addr, stream);
             return Err(NotSent::Withdrawn.into());
         }
         let exchange = async {
-            stream.write_all(&message).await?;
+            stream.write_all(&request_bytes).await?;
             read_response(&mut stream).await
         };
         let received = timeout_at(deadline, exchange).await.map_err(|_| NoResponse::Timeout)?;
@@ -129,35 +134,40 @@
         Ok(response)
     }
 
-    /// A kept connection, or a new one.
-    async fn connect(&self, addr: SocketAddrV4, within: Duration) -> Result<TcpStream, NotSent> {
+    /// Takes an idle connection from the pool, or opens a new one.
+    async fn connect(
+        &self,
+        addr: SocketAddrV4,
+        connect_timeout: Duration,
+    ) -> Result<TcpStream, NotSent> {
         if let Some(stream) = self.idle.borrow_mut().take(addr, is_usable) {
             return Ok(stream);
         }
-        // Those in use count, the one that is to be opened among them.
-        let most_idle = self.max_connections.saturating_sub(self.in_use.get() as usize);
-        self.idle.borrow_mut().shrink(most_idle);
-        let connected = timeout(within, TcpStream::connect(addr)).await;
+        // `in_use` already counts the connection that is about to be opened.
+        let max_idle = self.max_connections.saturating_sub(self.in_use.get() as usize);
+        self.idle.borrow_mut().shrink(max_idle);
+        let connected = timeout(connect_timeout, TcpStream::connect(addr)).await;
         let stream = connected.map_err(|_| NotSent::ConnectTimeout)?.map_err(NotSent::Connect)?;
-        // Small requests that wait for their answers gain nothing from Nagle's delay.
+        // Nagle's algorithm only delays small requests that wait for their responses.
         let _ = stream.set_nodelay(true);
         Ok(stream)
     }
 }
 
-/// The request's bytes.
-fn message(addr: SocketAddrV4, request: &Request<'_>) -> Vec<u8> {
+/// Encodes the request as HTTP/1.1 with a JSON content type.
+fn encode_request(addr: SocketAddrV4, request: &Request<'_>) -> Vec<u8> {
     let Request { method, path, body, .. } = request;
-    let mut message = format!(
+    let mut bytes = format!(
         "{method} {path} HTTP/1.1\r\nHost: {addr}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n",
         body.len()
     )
     .into_bytes();
-    message.extend_from_slice(body);
-    message
+    bytes.extend_from_slice(body);
+    bytes
 }
 
-/// A connection that has something to read, or was closed, is of no use any more.
+/// Returns whether an idle connection can carry another request. It can't once the server has
+/// closed it or has sent bytes that no request asked for.
 fn is_usable(stream: &TcpStream) -> bool {
     let mut probe = [0u8; 1];
     let read = stream.try_read(&mut probe);
@@ -165,7 +175,7 @@
 }
 
 #[cfg(test)]
-async fn play(
+async fn run_script(
     script: &AsyncScript,
     request: &Request<'_>,
     may_send: &dyn Fn() -> bool,
@@ -173,8 +183,8 @@
     if !may_send() {
         return Err(NotSent::Withdrawn.into());
     }
-    let answer = script(request.method, request.path, request.body);
-    timeout(request.timeout, answer).await.unwrap_or(Err(NoResponse::Timeout.into()))
+    let response = script(request.method, request.path, request.body);
+    timeout(request.timeout, response).await.unwrap_or(Err(NoResponse::Timeout.into()))
 }
 
 #[cfg(test)]
--- a/crates/controller/src/http/client/error.rs
+++ b/crates/controller/src/http/client/error.rs
@@ -1,45 +1,46 @@
-//! What can become of a request other than its response.
+//! Errors of the HTTP client, divided by whether the request may have been executed.
 
-/// Why a request has no response. The difference between the two is whether the request may have been
-/// executed.
+/// The reason why a request has no response. The variants differ in whether the server may have
+/// executed the request.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum HttpError {
-    /// The request never left.
+    /// No byte of the request was sent, so it was certainly not executed.
     #[error("not sent: {0}")]
     NotSent(#[from] NotSent),
-    /// The request may have been executed, or may be later.
+    /// The request was sent, at least in part: it may have been executed, or may be later.
     #[error("no response: {0}")]
     Indeterminate(#[from] NoResponse),
 }
 
-/// Why a request was not sent.
+/// The reason why no byte of a request was sent.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum NotSent {
     #[error("cannot connect: {0}")]
     Connect(#[source] std::io::Error),
     #[error("connecting took too long")]
     ConnectTimeout,
-    /// Its sender said so once there was a connection.
-    #[error("it may not be sent any more")]
+    /// The caller's `may_send` returned false once the connection was open.
+    #[error("withdrawn by the caller before it was sent")]
     Withdrawn,
 }
 
-/// Why a request that was sent, at least in part, has no response.
+/// The reason why a request that was sent, at least in part, has no usable response.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum NoResponse {
-    #[error("it took too long")]
+    #[error("timed out")]
     Timeout,
     #[error("the connection failed: {0}")]
     Connection(#[from] std::io::Error),
-    #[error("the connection was closed")]
+    #[error("the server closed the connection")]
     Closed,
-    #[error("the head is malformed: {0}")]
+    #[error("malformed response head: {0}")]
     MalformedHead(#[from] httparse::Error),
-    #[error("the head has no status or no valid length")]
+    #[error("the response head lacks a status or a valid Content-Length")]
     IncompleteHead,
-    #[error("the response is too long")]
+    #[error("the response head or body exceeds its size limit")]
     TooLong,
-    /// Nobody pipelines: this is not the HTTP that is spoken here.
-    #[error("bytes follow the response")]
+    /// The client never pipelines, so bytes after the response mean that the server doesn't follow
+    /// the protocol.
+    #[error("unexpected bytes after the response")]
     TrailingBytes,
 }
--- a/crates/controller/src/http/client/golden_tests.rs
+++ b/crates/controller/src/http/client/golden_tests.rs
@@ -1,4 +1,4 @@
-//! A request's bytes on the wire, kept in `golden/requests.txt`.
+//! Checks the bytes that the client sends against `golden/requests.txt`.
 
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
@@ -8,42 +8,46 @@
 
 const FILE: &str = "src/http/client/golden/requests.txt";
 
-/// What arrives at a listener that answers once. Its port, which differs each time, is replaced.
-async fn sent(method: &str, path: &str, body: &[u8]) -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
-    let addr = listener.local_addr().expect("an address");
-    let std::net::SocketAddr::V4(addr) = addr else { panic!("an address of version 4") };
+/// Sends a request to a listener that responds once, and returns the bytes that arrived there. The
+/// listener's port, which differs in each run, is replaced by `PORT`.
+async fn capture_request(method: &str, path: &str, body: &[u8]) -> String {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a listener");
+    let addr = listener.local_addr().expect("local address of the listener");
+    let std::net::SocketAddr::V4(addr) = addr else { panic!("the listener has an IPv6 address") };
     let client = Client::default();
     let request = Request { method, path, body, timeout: Duration::from_secs(30) };
     let request = client.send(addr, &request);
-    let answer = async {
-        let (mut stream, _) = listener.accept().await.expect("a connection");
+    let server = async {
+        let (mut stream, _) = listener.accept().await.expect("accept a connection");
         let mut bytes = Vec::new();
-        while !whole(&bytes, body) {
-            assert!(stream.read_buf(&mut bytes).await.expect("bytes") > 0, "cut short");
+        while !is_complete(&bytes, body) {
+            assert!(
+                stream.read_buf(&mut bytes).await.expect("read the request") > 0,
+                "the client closed the connection early"
+            );
         }
-        let answer = b"HTTP/1.1 409 Conflict\r\nContent-Length: 2\r\n\r\n{}";
-        stream.write_all(answer).await.expect("sent");
+        let response = b"HTTP/1.1 409 Conflict\r\nContent-Length: 2\r\n\r\n{}";
+        stream.write_all(response).await.expect("response written");
         bytes
     };
-    let (response, bytes) = tokio::join!(request, answer);
-    let response = response.expect("an answer");
-    assert!(response.status == 409 && response.body == b"{}", "the answer as read");
-    let text = String::from_utf8(bytes).expect("text");
+    let (response, bytes) = tokio::join!(request, server);
+    let response = response.expect("a response");
+    assert!(response.status == 409 && response.body == b"{}", "response as parsed: {response:?}");
+    let text = String::from_utf8(bytes).expect("request in UTF-8");
     text.replace(&addr.to_string(), "127.0.0.1:PORT")
 }
 
-fn whole(bytes: &[u8], body: &[u8]) -> bool {
+fn is_complete(bytes: &[u8], body: &[u8]) -> bool {
     let head = bytes.windows(4).position(|window| window == b"\r\n\r\n");
     head.is_some_and(|head| bytes.len() >= head + 4 + body.len())
 }
 
 #[tokio::test]
-async fn requests_are_written_as_before() {
+async fn request_bytes_match_the_golden_file() {
     let found = [
-        ("get", sent("GET", "/keys/a/b", b"").await),
-        ("post", sent("POST", "/multi", br#"{"guards":[],"apply":[]}"#).await),
-        ("delete", sent("DELETE", "/leases/7", b"").await),
+        ("get", capture_request("GET", "/keys/a/b", b"").await),
+        ("post", capture_request("POST", "/multi", br#"{"guards":[],"apply":[]}"#).await),
+        ("delete", capture_request("DELETE", "/leases/7", b"").await),
     ];
     Golden::check(FILE, &found);
 }
--- a/crates/controller/src/http/client/pool.rs
+++ b/crates/controller/src/http/client/pool.rs
@@ -1,4 +1,4 @@
-//! Connections that wait for their next use.
+//! A pool of idle connections, limited per address and in total.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -6,12 +6,13 @@
 
 use tokio::time::Instant;
 
-/// Idle connections kept for each address.
+/// Limit on idle connections to one address.
 const MAX_IDLE_PER_ADDRESS: usize = 4;
-/// An older connection is not used again.
+/// A connection that has been idle for longer is closed instead of being reused.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(20);
 
-/// Idle connections, the longest idle first for each address.
+/// Idle connections by address. Each list is in the order of insertion, so the first entry has been
+/// idle for longest.
 #[derive(Debug)]
 pub(super) struct Pool<T> {
     idle: HashMap<SocketAddrV4, Vec<Idle<T>>>,
@@ -20,7 +21,7 @@
 #[derive(Debug)]
 struct Idle<T> {
     connection: T,
-    since: Instant,
+    idle_since: Instant,
 }
 
 impl<T> Default for Pool<T> {
@@ -34,19 +35,20 @@
         self.idle.values().map(Vec::len).sum()
     }
 
-    /// Keeps a connection, or closes it if there are enough to that address.
+    /// Adds an idle connection, or closes it if the address already has the maximum.
     pub(super) fn put(&mut self, addr: SocketAddrV4, connection: T) {
         let list = self.idle.entry(addr).or_default();
         if list.len() < MAX_IDLE_PER_ADDRESS {
-            list.push(Idle { connection, since: Instant::now() });
+            list.push(Idle { connection, idle_since: Instant::now() });
         }
     }
 
-    /// The connection used last that is not too old and still usable.
+    /// Removes and returns the most recently used connection to the address that is neither too old
+    /// nor unusable. Those found too old or unusable are closed.
     pub(super) fn take(&mut self, addr: SocketAddrV4, is_usable: impl Fn(&T) -> bool) -> Option<T> {
         let list = self.idle.get_mut(&addr)?;
-        while let Some(Idle { connection, since }) = list.pop() {
-            if since.elapsed() <= MAX_IDLE_TIME && is_usable(&connection) {
+        while let Some(Idle { connection, idle_since }) = list.pop() {
+            if idle_since.elapsed() <= MAX_IDLE_TIME && is_usable(&connection) {
                 return Some(connection);
             }
         }
@@ -54,13 +56,13 @@
         None
     }
 
-    /// Closes those that have been idle longest until at most `most` are left.
-    pub(super) fn shrink(&mut self, most: usize) {
-        for _ in most..self.len() {
+    /// Closes the connections that have been idle for longest until at most `max` are left in total.
+    pub(super) fn shrink(&mut self, max: usize) {
+        for _ in max..self.len() {
             let oldest = self
                 .idle
                 .iter()
-                .filter_map(|(&addr, list)| Some((list.first()?.since, addr)))
+                .filter_map(|(&addr, list)| Some((list.first()?.idle_since, addr)))
                 .min();
             let Some((_, addr)) = oldest else { return };
             if let Some(list) = self.idle.get_mut(&addr) {
--- a/crates/controller/src/http/client/pool/tests.rs
+++ b/crates/controller/src/http/client/pool/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[tokio::test(start_paused = true)]
-async fn idle_connections_are_bounded_in_all_and_the_oldest_go() {
+async fn shrink_closes_the_longest_idle_and_take_skips_closed_or_expired_connections() {
     let mut pool = Pool::default();
     let addr = |port| SocketAddrV4::new([10, 0, 0, 1].into(), port);
     for port in 0..30 {
@@ -12,9 +12,13 @@
     assert_eq!(pool.len(), 10);
     assert!(pool.idle.keys().all(|a| a.port() >= 20));
     assert_eq!(pool.take(addr(25), |_| true), Some(25));
-    assert_eq!(pool.take(addr(26), |_| false), None, "closed by the other side");
+    assert_eq!(
+        pool.take(addr(26), |_| false),
+        None,
+        "a connection closed by the server is not reused"
+    );
     tokio::time::advance(MAX_IDLE_TIME).await;
-    assert_eq!(pool.take(addr(27), |_| true), None, "too old");
+    assert_eq!(pool.take(addr(27), |_| true), None, "an expired connection is not reused");
     pool.shrink(0);
     assert_eq!(pool.len(), 0);
 }
--- a/crates/controller/src/http/client/response.rs
+++ b/crates/controller/src/http/client/response.rs
@@ -1,37 +1,37 @@
-//! Reads responses from a connection.
+//! Reads and parses HTTP/1.1 responses, with limits on the size of head and body.
 
 use tokio::io::{AsyncRead, AsyncReadExt};
 
 use super::error::NoResponse;
 
-const MAX_BODY: usize = 16 * 1024 * 1024;
-const MAX_HEAD: usize = 16 * 1024;
+const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 const MAX_HEADERS: usize = 32;
 
-/// A response, whatever its status.
+/// A complete response. Error statuses count as responses too.
 #[derive(Debug)]
 pub(crate) struct Response {
-    /// The status code.
+    /// The HTTP status code.
     pub(crate) status: u16,
-    /// The body, whole.
+    /// The complete body, empty if there is none.
     pub(crate) body: Vec<u8>,
 }
 
-/// A response as it came.
+/// A response together with what it says about its connection.
 pub(super) struct Received {
     pub(super) response: Response,
-    /// Whether the connection may be used again.
+    /// Whether the connection can be reused: HTTP/1.1 without `Connection: close`.
     pub(super) keep_alive: bool,
 }
 
 #[derive(Debug, PartialEq, Eq)]
 struct Head {
     status: u16,
-    /// Bytes of the body.
-    length: usize,
+    /// Value of `Content-Length`, in bytes; 0 if it is absent.
+    body_length: usize,
     keep_alive: bool,
-    /// Bytes of the head itself.
-    bytes: usize,
+    /// Length of the head in bytes, its final empty line included.
+    head_length: usize,
 }
 
 pub(super) async fn read_response(
@@ -42,20 +42,20 @@
         if let Some(head) = parse_head(&buffer)? {
             break head;
         }
-        if buffer.len() > MAX_HEAD {
+        if buffer.len() > MAX_HEAD_BYTES {
             return Err(NoResponse::TooLong);
         }
         read_more(stream, &mut buffer).await?;
     };
-    if head.length > MAX_BODY {
+    if head.body_length > MAX_BODY_BYTES {
         return Err(NoResponse::TooLong);
     }
-    let mut body = buffer.split_off(head.bytes);
-    body.reserve(head.length.saturating_sub(body.len()));
-    while body.len() < head.length {
+    let mut body = buffer.split_off(head.head_length);
+    body.reserve(head.body_length.saturating_sub(body.len()));
+    while body.len() < head.body_length {
         read_more(stream, &mut body).await?;
     }
-    if body.len() > head.length {
+    if body.len() > head.body_length {
         return Err(NoResponse::TrailingBytes);
     }
     let response = Response { status: head.status, body };
@@ -72,22 +72,22 @@
     }
 }
 
-/// The head, or `None` if there is more of it to come.
+/// Parses the head, or returns `None` if it is still incomplete.
 fn parse_head(buffer: &[u8]) -> Result<Option<Head>, NoResponse> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
-    let httparse::Status::Complete(bytes) = response.parse(buffer)? else { return Ok(None) };
-    let mut length = 0;
+    let httparse::Status::Complete(head_length) = response.parse(buffer)? else { return Ok(None) };
+    let mut body_length = 0;
     let mut keep_alive = response.version == Some(1);
     for header in response.headers.iter() {
         if header.name.eq_ignore_ascii_case("content-length") {
-            length = parse_length(header.value).ok_or(NoResponse::IncompleteHead)?;
+            body_length = parse_length(header.value).ok_or(NoResponse::IncompleteHead)?;
         } else if header.name.eq_ignore_ascii_case("connection") {
             keep_alive = keep_alive && !header.value.eq_ignore_ascii_case(b"close");
         }
     }
     let status = response.code.ok_or(NoResponse::IncompleteHead)?;
-    Ok(Some(Head { status, length, keep_alive, bytes }))
+    Ok(Some(Head { status, body_length, keep_alive, head_length }))
 }
 
 fn parse_length(value: &[u8]) -> Option<usize> {
--- a/crates/controller/src/http/mod.rs
+++ b/crates/controller/src/http/mod.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 as the protocol needs it: a small server with limits, and a client that
-//! distinguishes what was certainly not sent from what may have arrived.
+//! The subset of HTTP/1.1 that the controller speaks: a server with resource limits, and a client
+//! that distinguishes requests that were certainly not sent from those that may have arrived.
 
 pub(crate) mod client;
 pub(crate) mod server;
--- a/crates/controller/src/http/server.rs
+++ b/crates/controller/src/http/server.rs
@@ -1,4 +1,5 @@
-//! A small server: one task a connection, with limits on heads, bodies, idle time and sockets.
+//! An HTTP server with one task per connection and limits on the size of heads and bodies, on idle
+//! time and on the number of connections.
 
 mod answer;
 mod request;
@@ -19,18 +20,19 @@
 pub(crate) use answer::Answer;
 pub(crate) use request::Request;
 
-/// How long a connection may stand idle between requests.
+/// A connection that sends no new request for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(75);
-/// How long the other side may take to accept an answer.
+/// Time limit for writing a response, and again for closing the connection.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// Delay before accepting again after an error, such as having no free file descriptor.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Accepts for ever. Beyond `max_open` connections new ones are closed at once, so that the node always
-/// has sockets left for its own requests.
+/// Accepts and serves connections forever. Once `max_open` are open, a new one is closed at once, so
+/// that the node always has sockets left for its own requests.
 ///
-/// `open` counts them for whoever has to make room. Each connection gets a handler of its own, which may
-/// remember what came before on it.
+/// `open` holds the number of open connections, which the caller reads to decide when to close some.
+/// `new_handler` is called once per connection, so a handler can keep state between the requests of
+/// one connection.
 pub(crate) async fn serve<N, H, F>(
     listener: TcpListener,
     max_open: u32,
@@ -46,41 +48,42 @@
             Ok((stream, _)) => stream,
             Err(error) => {
                 warn!(%error, "cannot accept a connection");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         if open.get() >= max_open {
-            debug!("too many connections: closing a new one");
+            debug!("connection limit reached: closing a new connection");
             continue;
         }
         let _ = stream.set_nodelay(true);
-        let counted = CountGuard::new(&open);
+        let open_guard = CountGuard::new(&open);
         let handler = new_handler();
         tokio::task::spawn_local(async move {
-            connection(stream, handler).await;
-            drop(counted);
+            serve_connection(stream, handler).await;
+            drop(open_guard);
         });
     }
 }
 
-/// Answers one request after the other until either side closes the connection.
-async fn connection<S, H, F>(mut stream: S, handler: H)
+/// Responds to the requests of one connection in turn until either side closes it. A request that
+/// can't be parsed gets an error response, after which the connection is closed.
+async fn serve_connection<S, H, F>(mut stream: S, handler: H)
 where
     S: AsyncRead + AsyncWrite + Unpin,
     H: Fn(Request) -> F,
     F: Future<Output = Answer>,
 {
     let mut buffer = Vec::new();
-    let mut idle = IDLE_TIMEOUT;
+    let mut idle_timeout = IDLE_TIMEOUT;
     loop {
-        let (answer, close) = match read_request(&mut stream, &mut buffer, idle).await {
+        let (answer, close) = match read_request(&mut stream, &mut buffer, idle_timeout).await {
             Ok(Received::Request { request, close }) => (handler(request).await, close),
             Ok(Received::Closed) => return,
             Err(error) => (error.into(), true),
         };
         let close = close || answer.close;
-        idle = answer.idle_timeout.unwrap_or(IDLE_TIMEOUT).min(IDLE_TIMEOUT);
+        idle_timeout = answer.idle_timeout.unwrap_or(IDLE_TIMEOUT).min(IDLE_TIMEOUT);
         let written = timeout(WRITE_TIMEOUT, stream.write_all(&answer.to_bytes(close))).await;
         if close || !matches!(written, Ok(Ok(()))) {
             let _ = timeout(WRITE_TIMEOUT, stream.shutdown()).await;
--- a/crates/controller/src/http/server/answer.rs
+++ b/crates/controller/src/http/server/answer.rs
@@ -1,51 +1,54 @@
-//! What a request is answered.
+//! Responses that the server sends, and their encoding as HTTP/1.1.
 
 use std::time::Duration;
 
 use serde_json::Value;
 
-/// An answer.
+/// A response to a request, with instructions for what happens to its connection afterwards.
 #[derive(Debug)]
 pub(crate) struct Answer {
-    /// The status code.
+    /// The HTTP status code.
     pub(crate) status: u16,
-    /// The body, which is JSON.
+    /// The body, always a JSON document.
     pub(crate) body: Vec<u8>,
-    /// Seconds after which the caller should come again.
+    /// Value of the `Retry-After` header in seconds; the header is left out if `None`.
     pub(crate) retry_after: Option<u32>,
-    /// The connection is closed after this answer.
+    /// Whether to close the connection after this response.
     pub(crate) close: bool,
-    /// How long the connection may stand idle after this answer, if not as long as any.
+    /// How long the connection may stay idle after this response. It can only shorten the server's
+    /// default, which applies if `None`.
     pub(crate) idle_timeout: Option<Duration>,
 }
 
 impl Answer {
-    /// An answer that leaves the connection as it is. The body is JSON.
+    /// Builds a response from an already encoded JSON body, which keeps the connection open.
     pub(crate) fn bytes(status: u16, body: Vec<u8>) -> Answer {
         Answer { status, body, retry_after: None, close: false, idle_timeout: None }
     }
 
-    /// An answer with a JSON body.
+    /// Builds a response that encodes the value as its body and keeps the connection open.
     pub(crate) fn json(status: u16, value: &Value) -> Answer {
         Answer::bytes(status, value.to_string().into_bytes())
     }
 
-    /// What is wrong, as the protocol says it.
-    pub(crate) fn error(status: u16, text: impl Into<String>) -> Answer {
-        Answer::json(status, &serde_json::json!({"error": text.into()}))
+    /// Builds an error response with the protocol's body, `{"error": message}`.
+    pub(crate) fn error(status: u16, message: impl Into<String>) -> Answer {
+        Answer::json(status, &serde_json::json!({"error": message.into()}))
     }
 
-    /// What can't be decided now is refused at once, with the time to come again.
-    pub(crate) fn retry(text: &str) -> Answer {
-        Answer::retry_in(1, text)
+    /// Builds a 503 response that asks the caller to retry after one second. It is sent at once
+    /// when a request can't be decided now, instead of keeping the caller waiting.
+    pub(crate) fn retry(message: &str) -> Answer {
+        Answer::retry_in(1, message)
     }
 
-    /// The same with the seconds after which to come again, at least one.
-    pub(crate) fn retry_in(seconds: u32, text: &str) -> Answer {
-        Answer { retry_after: Some(seconds.max(1)), ..Answer::error(503, text) }
+    /// Builds a 503 response that asks the caller to retry after the given time, at least one second.
+    pub(crate) fn retry_in(seconds: u32, message: &str) -> Answer {
+        Answer { retry_after: Some(seconds.max(1)), ..Answer::error(503, message) }
     }
 
-    /// The answer's bytes.
+    /// Encodes the response. `close` adds `Connection: close`; it is also set when the client asked
+    /// for the connection to be closed.
     pub(super) fn to_bytes(&self, close: bool) -> Vec<u8> {
         let mut head = format!(
             "HTTP/1.1 {} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n",
