--- a/crates/controller/src/cli.rs
+++ b/crates/controller/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command-line interface: `serve` runs a node, `check` validates its configuration.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -25,30 +25,31 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run one controller node until it is killed
+    /// Run one controller node in the foreground until it is killed
     Serve {
         /// The platform's settings file (JSON)
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
-        /// The operators' settings script (Lua); the built-in defaults otherwise
+        /// The operators' settings script (Lua); without it, the built-in defaults apply
         #[arg(long, value_name = "FILE")]
         script: Option<PathBuf>,
     },
-    /// Check the settings, name everything that is wrong with them, and exit
+    /// Check both settings files, report every error in them, and exit
     Check {
         /// The platform's settings file (JSON)
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
-        /// The operators' settings script (Lua)
+        /// The operators' settings script (Lua); without it, the built-in defaults apply
         #[arg(long, value_name = "FILE")]
         script: Option<PathBuf>,
     },
 }
 
-/// Runs the program. Faults are logged.
+/// Parses the arguments and runs the chosen subcommand. Errors are logged and end in a failure exit
+/// code.
 pub(crate) fn main() -> ExitCode {
     let args = Args::parse();
-    start_log();
+    init_logging();
     match args.command {
         Command::Serve { config, script } => serve(&config, script.as_deref()),
         Command::Check { config, script } => check(&config, script.as_deref()),
@@ -58,13 +59,13 @@
 fn serve(config: &Path, script: Option<&Path>) -> ExitCode {
     let Configuration { settings, tunables } = match load(config, script) {
         Ok(configuration) => configuration,
-        Err(faults) => return log_faults(&faults),
+        Err(errors) => return log_errors(&errors),
     };
-    info!(node = %settings.node_name, zone = %settings.zone, "starting");
+    info!(node = %settings.node_name, zone = %settings.zone, "starting the controller node");
     match node::run(settings, tunables) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            error!("cannot serve: {error}");
+            error!("cannot start the controller node: {error}");
             ExitCode::FAILURE
         }
     }
@@ -73,27 +74,27 @@
 fn check(config: &Path, script: Option<&Path>) -> ExitCode {
     match load(config, script) {
         Ok(_) => {
-            println!("settings are in order");
+            println!("settings are valid");
             ExitCode::SUCCESS
         }
-        Err(faults) => log_faults(&faults),
+        Err(errors) => log_errors(&errors),
     }
 }
 
-fn log_faults(faults: &[ConfigurationError]) -> ExitCode {
-    for fault in faults {
-        error!("{fault}");
+fn log_errors(errors: &[ConfigurationError]) -> ExitCode {
+    for error in errors {
+        error!("{error}");
     }
     ExitCode::FAILURE
 }
 
-/// Both kinds of settings.
+/// The checked content of the platform's settings file and of the operators' script.
 struct Configuration {
     settings: Settings,
     tunables: Tunables,
 }
 
-/// One fault of either kind of settings.
+/// An error in the platform's settings file or in the operators' script.
 #[derive(Debug, thiserror::Error)]
 enum ConfigurationError {
     #[error(transparent)]
@@ -102,39 +103,41 @@
     Script(#[from] ScriptError),
 }
 
-/// Reads both kinds of settings.
+/// Reads the platform's settings file and the operators' script, and checks that the script names
+/// only teams that the file defines.
 ///
 /// # Errors
 ///
-/// All faults of both, those of the platform's file first.
+/// Returns all errors of both, those of the platform's file first.
 fn load(config: &Path, script: Option<&Path>) -> Result<Configuration, Vec<ConfigurationError>> {
     let settings = Settings::read(config).map_err(into_configuration_errors);
     let tunables = operator_script::read(script).map_err(into_configuration_errors);
     match (settings, tunables) {
         (Ok(settings), Ok(tunables)) => {
-            let unknown = operator_script::unknown_teams(&tunables, &settings.site);
-            if unknown.is_empty() {
+            let unknown_teams = operator_script::unknown_teams(&tunables, &settings.site);
+            if unknown_teams.is_empty() {
                 Ok(Configuration { settings, tunables })
             } else {
-                Err(into_configuration_errors(unknown))
+                Err(into_configuration_errors(unknown_teams))
             }
         }
         (settings, tunables) => {
-            let mut faults = settings.err().unwrap_or_default();
-            faults.extend(tunables.err().unwrap_or_default());
-            Err(faults)
+            let mut errors = settings.err().unwrap_or_default();
+            errors.extend(tunables.err().unwrap_or_default());
+            Err(errors)
         }
     }
 }
 
 fn into_configuration_errors<E: Into<ConfigurationError>>(
-    faults: Vec<E>,
+    errors: Vec<E>,
 ) -> Vec<ConfigurationError> {
-    faults.into_iter().map(Into::into).collect()
+    errors.into_iter().map(Into::into).collect()
 }
 
-/// Logs to standard error at the level of `LOG_LEVEL`, or at info if that is unset or unknown.
-fn start_log() {
+/// Logs to standard error at the level in the environment variable `LOG_LEVEL`, or at info if that is
+/// unset or not a known level.
+fn init_logging() {
     let requested = std::env::var("LOG_LEVEL").ok();
     let level = match requested.as_deref() {
         Some("error") => Some(LevelFilter::ERROR),
@@ -152,7 +155,7 @@
         .init();
     if level.is_none() {
         match requested {
-            Some(other) => warn!("LOG_LEVEL {other:?} is not known: logging at info"),
+            Some(other) => warn!("unknown LOG_LEVEL {other:?}: logging at info"),
             None => warn!("LOG_LEVEL is not set: logging at info"),
         }
     }
--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -1,6 +1,6 @@
-//! walnutlug: a cluster scheduler that never starts a task twice.
+//! The controller of walnutlug, a cluster scheduler that never starts a task twice.
 
-// A test's script reads best in one piece.
+// Tests that script a long sequence of requests are easier to follow in one function.
 #![cfg_attr(test, allow(clippy::too_many_lines))]
 
 mod cli;
--- a/crates/controller/src/settings.rs
+++ b/crates/controller/src/settings.rs
@@ -1,4 +1,5 @@
-//! The platform's settings file, checked whole: every fault is named, not only the first.
+//! Reads and checks the platform's settings file (JSON). Every error in it is reported, not only the
+//! first.
 
 mod error;
 mod lists;
@@ -16,55 +17,55 @@
 use lists::{read_objectives, read_peers, read_teams};
 use reader::Reader;
 
-pub(crate) use error::{FieldFault, SettingsError};
+pub(crate) use error::{FieldError, SettingsError};
 pub(crate) use sockets::SocketBudget;
 
-/// Another controller node.
+/// Another controller node of the same cluster.
 #[derive(Debug, Clone)]
 pub(crate) struct Peer {
-    /// Its name, which no other node has.
+    /// The peer's node name, unique in the cluster.
     pub(crate) name: String,
-    /// Where it listens for the other nodes.
+    /// Address at which the peer listens for other nodes.
     pub(crate) addr: SocketAddrV4,
 }
 
-/// The platform's settings.
+/// The checked content of the platform's settings file. It is read once, at start.
 #[derive(Debug, Clone)]
 pub(crate) struct Settings {
-    /// This node's name.
+    /// Name of this node, different from that of every peer.
     pub(crate) node_name: String,
-    /// The zone that it runs in.
+    /// Availability zone in which this node runs.
     pub(crate) zone: String,
-    /// Where it listens for users and workers.
+    /// Address at which this node listens for users and workers.
     pub(crate) listen: SocketAddrV4,
-    /// Where it listens for the other nodes.
+    /// Address at which this node listens for its peers (`internal_addr` in the file).
     pub(crate) internal: SocketAddrV4,
-    /// The other nodes.
+    /// All other nodes of the cluster; empty if this node runs alone.
     pub(crate) peers: Vec<Peer>,
-    /// Where the cloud is.
+    /// Address of the cloud's API.
     pub(crate) cloud: SocketAddrV4,
-    /// Where the key-value store is.
+    /// Address of the key-value store.
     pub(crate) state: SocketAddrV4,
-    /// What the scheduler needs to know of the deployment.
+    /// Properties of the deployment on which the scheduler's decisions depend.
     pub(crate) site: Site,
-    /// What the key-value store accepts.
+    /// Rate and size limits that the key-value store enforces at present.
     pub(crate) state_limits: Limits,
-    /// What the key-value store may come down to at any time.
+    /// Announced limits to which the key-value store may change at any time.
     pub(crate) state_next: Option<Limits>,
-    /// Requests per second that the cloud takes.
+    /// Rate limit of the cloud's API, in requests per second.
     pub(crate) cloud_rps: f64,
-    /// Sockets and files that the node may have open.
+    /// Limit on the file descriptors, sockets included, that this process may have open.
     pub(crate) fd_limit: u32,
-    /// The part of a core that the node may use, above 0 and at most 1.
+    /// Fraction of a CPU core that the node may use, above 0 and at most 1.
     pub(crate) cpu_share: f64,
 }
 
 impl Settings {
-    /// Reads the settings from a file.
+    /// Reads the settings from a JSON file.
     ///
     /// # Errors
     ///
-    /// All faults that were found.
+    /// Returns all errors in the file, or the one that kept it from being read.
     pub(crate) fn read(path: &Path) -> Result<Settings, Vec<SettingsError>> {
         match std::fs::read_to_string(path) {
             Ok(text) => Settings::parse(&text),
@@ -72,11 +73,11 @@
         }
     }
 
-    /// Reads the settings from JSON.
+    /// Reads the settings from the text of a JSON object. Unknown fields are ignored.
     ///
     /// # Errors
     ///
-    /// All faults that were found.
+    /// Returns all errors that were found.
     pub(crate) fn parse(text: &str) -> Result<Settings, Vec<SettingsError>> {
         let root: Value =
             serde_json::from_str(text).map_err(|error| vec![SettingsError::NotJson(error)])?;
@@ -89,7 +90,7 @@
     }
 }
 
-/// Reads all fields, in the order in which faults are logged.
+/// Reads all fields, in the order in which their errors are logged.
 fn read_settings(reader: &mut Reader<'_>) -> Settings {
     let node_name = reader.text("node_name");
     let zone = reader.text("zone");
@@ -103,21 +104,22 @@
     let workers = WorkerTimes::read(reader);
     let state_limits = reader.limits("facts.state", None);
     let state_next = read_announced_limits(reader, state_limits);
-    let smaller = state_next.map_or(state_limits, |next| next.smaller_of_each(state_limits));
+    let smallest_limits =
+        state_next.map_or(state_limits, |next| next.smaller_of_each(state_limits));
     let cloud_rps = reader.number("facts.cloud.rps", 0.1..=1.0e6);
     let list_lag = reader.seconds("facts.cloud.list_lag_s", 0.0..=3_600.0);
     let fd_limit = reader.number("facts.resources.fd_limit", 1.0..=1.0e7);
     let cpu_share = read_cpu_share(reader);
-    let fd_limit = check_sockets(reader, fd_limit, peers.len());
+    let fd_limit = check_fd_limit(reader, fd_limit, peers.len());
     let site = Site {
         teams,
         objectives,
         heartbeat_interval: workers.heartbeat_interval,
         worker_lease: workers.lease,
         cancel_within: workers.cancel_within,
-        // New jobs are kept in a form that fits whatever comes.
-        value_bytes: smaller.value_bytes,
-        txn_ops: smaller.txn_ops,
+        // New jobs are stored in a form that fits both the current and the announced limits.
+        value_bytes: smallest_limits.value_bytes,
+        txn_ops: smallest_limits.txn_ops,
         list_lag,
         most_messages: SocketBudget::for_limit(fd_limit).messages as usize,
     };
@@ -138,6 +140,7 @@
     }
 }
 
+/// The worker timings that the platform's file states.
 struct WorkerTimes {
     heartbeat_interval: TimeDelta,
     lease: TimeDelta,
@@ -154,32 +157,35 @@
     }
 }
 
-/// The limits that the key-value store may come down to, each that of now where it is left out.
-fn read_announced_limits(reader: &mut Reader<'_>, now: Limits) -> Option<Limits> {
+/// Reads the announced limits of the key-value store, if there are any. One that is left out keeps its
+/// current value.
+fn read_announced_limits(reader: &mut Reader<'_>, current: Limits) -> Option<Limits> {
     const PATH: &str = "facts.state.next";
-    match reader.at(PATH) {
+    match reader.value_at(PATH) {
         Value::Null => None,
-        Value::Object(_) => Some(reader.limits(PATH, Some(now))),
+        Value::Object(_) => Some(reader.limits(PATH, Some(current))),
         _ => {
-            reader.fault(PATH, FieldFault::NotAnObject);
+            reader.report(PATH, FieldError::NotAnObject);
             None
         }
     }
 }
 
-/// What is left out, or more than a whole core, counts as one: the node uses no more.
+/// Reads the node's share of a CPU core. A missing value or one above 1 counts as 1, because the
+/// node uses at most one core.
 fn read_cpu_share(reader: &mut Reader<'_>) -> f64 {
     const PATH: &str = "facts.resources.cpu_share";
-    match reader.at(PATH) {
+    match reader.value_at(PATH) {
         Value::Null => 1.0,
         _ => reader.number(PATH, 0.001..=1_024.0).min(1.0),
     }
 }
 
-fn check_sockets(reader: &mut Reader<'_>, limit: f64, peers: usize) -> u32 {
+/// Reports a limit on file descriptors that is too low for the number of peers.
+fn check_fd_limit(reader: &mut Reader<'_>, limit: f64, peers: usize) -> u32 {
     let minimum = SocketBudget::minimum(peers);
     if limit < f64::from(minimum) {
-        reader.too_few_sockets(limit, minimum, peers);
+        reader.report_too_few_sockets(limit, minimum, peers);
     }
     limit as u32
 }
--- a/crates/controller/src/settings/error.rs
+++ b/crates/controller/src/settings/error.rs
@@ -1,9 +1,10 @@
-//! What can be wrong with the platform's settings. Operators know the texts.
+//! Errors in the platform's settings file. Operators read the messages, and the tests check their
+//! exact text.
 
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
 
-/// One fault of the settings.
+/// An error in the settings file, either in one field or in the file as a whole.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum SettingsError {
     #[error("settings: cannot read {}: {source}", path.display())]
@@ -12,8 +13,8 @@
     NotJson(#[source] serde_json::Error),
     #[error("settings: not a JSON object")]
     NotAnObject,
-    #[error("settings: {path}: {fault}")]
-    Field { path: String, fault: FieldFault },
+    #[error("settings: {path}: {error}")]
+    Field { path: String, error: FieldError },
     #[error(
         "facts.resources.fd_limit: {limit} sockets are too few: {minimum} are needed for the \
          listeners, the state service, the cloud, {peers} other nodes and a few users and workers"
@@ -21,9 +22,9 @@
     TooFewSockets { limit: f64, minimum: u32, peers: usize },
 }
 
-/// What is wrong with one field.
+/// The reason why the value of one field is invalid.
 #[derive(Debug, thiserror::Error)]
-pub(crate) enum FieldFault {
+pub(crate) enum FieldError {
     #[error("must not be empty")]
     Empty,
     #[error("must be a string")]
@@ -34,13 +35,13 @@
     NotANumber,
     #[error("must be a number above 0")]
     NotPositive,
-    #[error("{value} is not from {least} to {most}")]
-    OutOfRange { value: f64, least: f64, most: f64 },
+    #[error("{value} is out of range: must be from {min} to {max}")]
+    OutOfRange { value: f64, min: f64, max: f64 },
     #[error("must be a list")]
     NotAList,
     #[error("must be an object")]
     NotAnObject,
-    #[error("{name} {addr} is doubled")]
+    #[error("{name} {addr} repeats the name or address of another peer")]
     DuplicatePeer { name: String, addr: SocketAddrV4 },
     #[error("must have a node_name other than this node's and a peer_addr")]
     InvalidPeer,
--- a/crates/controller/src/settings/lists.rs
+++ b/crates/controller/src/settings/lists.rs
@@ -1,4 +1,5 @@
-//! The lists in the platform's settings: peers, teams and objectives.
+//! Reads the lists in the platform's settings: peers, teams and objectives. An invalid entry is
+//! reported and left out.
 
 use std::net::SocketAddrV4;
 
@@ -7,7 +8,7 @@
 use walnutlug_scheduler::time::TimeDelta;
 use walnutlug_scheduler::tunables::Objective;
 
-use super::error::FieldFault;
+use super::error::FieldError;
 use super::reader::Reader;
 use super::Peer;
 
@@ -16,21 +17,21 @@
     for (index, item) in reader.optional_list("peers").iter().enumerate() {
         match read_peer(item, node_name, &peers) {
             Ok(peer) => peers.push(peer),
-            Err(fault) => reader.fault(format!("peers.{index}"), fault),
+            Err(error) => reader.report(format!("peers.{index}"), error),
         }
     }
     peers
 }
 
-fn read_peer(item: &Value, node_name: &str, others: &[Peer]) -> Result<Peer, FieldFault> {
+fn read_peer(item: &Value, node_name: &str, others: &[Peer]) -> Result<Peer, FieldError> {
     let name = item["node_name"].as_str().unwrap_or_default().to_owned();
     let addr = item["peer_addr"].as_str().and_then(|text| text.parse::<SocketAddrV4>().ok());
-    let addr = addr.ok_or(FieldFault::InvalidPeer)?;
+    let addr = addr.ok_or(FieldError::InvalidPeer)?;
     if others.iter().any(|other| other.name == name || other.addr == addr) {
-        return Err(FieldFault::DuplicatePeer { name, addr });
+        return Err(FieldError::DuplicatePeer { name, addr });
     }
     if name.is_empty() || name == node_name {
-        return Err(FieldFault::InvalidPeer);
+        return Err(FieldError::InvalidPeer);
     }
     Ok(Peer { name, addr })
 }
@@ -40,7 +41,7 @@
     for (index, item) in reader.list("facts.teams").iter().enumerate() {
         match read_team(item) {
             Some(team) => teams.push(team),
-            None => reader.fault(format!("facts.teams.{index}"), FieldFault::InvalidTeam),
+            None => reader.report(format!("facts.teams.{index}"), FieldError::InvalidTeam),
         }
     }
     teams
@@ -68,7 +69,8 @@
     objectives
 }
 
-/// `None` for a faulty objective, and for one of a later version.
+/// Returns `None` for an invalid objective, which is reported, and for one of an unknown kind, which
+/// is ignored because later versions of the platform may add kinds.
 fn read_objective(reader: &mut Reader<'_>, index: usize, item: &Value) -> Option<Objective> {
     let class = item["class"].as_str().unwrap_or_default().to_owned();
     let mut amount = |field: &str, default: Option<f64>| match &item[field] {
@@ -77,7 +79,7 @@
             let amount = value.as_f64().filter(|amount| *amount > 0.0 && amount.is_finite());
             if amount.is_none() {
                 let path = format!("facts.objectives.{index}.{field}");
-                reader.fault(path, FieldFault::NotPositive);
+                reader.report(path, FieldError::NotPositive);
             }
             amount
         }
@@ -94,7 +96,7 @@
         }
         Some(_) => None,
         None => {
-            reader.fault(format!("facts.objectives.{index}.kind"), FieldFault::NotAString);
+            reader.report(format!("facts.objectives.{index}.kind"), FieldError::NotAString);
             None
         }
     }
--- a/crates/controller/src/settings/reader.rs
+++ b/crates/controller/src/settings/reader.rs
@@ -1,4 +1,4 @@
-//! Walks the fields of the platform's settings, and collects what is wrong with them.
+//! Looks up typed fields in the platform's settings and collects the errors found on the way.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::ops::RangeInclusive;
@@ -6,48 +6,48 @@
 use serde_json::Value;
 use walnutlug_scheduler::time::TimeDelta;
 
-use super::error::{FieldFault, SettingsError};
+use super::error::{FieldError, SettingsError};
 use crate::key_value_client::Limits;
 
-/// Reads fields by their paths. Each method that finds a fault notes it and returns a placeholder, so
-/// that the fields after it are looked at too.
+/// Reads fields by their dotted paths, such as `facts.cloud.rps`. A method that finds an invalid field
+/// records the error and returns a placeholder, so that the remaining fields are checked too.
 pub(super) struct Reader<'a> {
     root: &'a Value,
-    faults: Vec<SettingsError>,
+    errors: Vec<SettingsError>,
 }
 
 impl<'a> Reader<'a> {
     pub(super) fn new(root: &'a Value) -> Reader<'a> {
-        Reader { root, faults: Vec::new() }
+        Reader { root, errors: Vec::new() }
     }
 
-    /// What was read, if there was no fault.
-    pub(super) fn finish<T>(self, read: T) -> Result<T, Vec<SettingsError>> {
-        if self.faults.is_empty() {
-            Ok(read)
+    /// Returns the given value if no error was recorded, and all recorded errors otherwise.
+    pub(super) fn finish<T>(self, value: T) -> Result<T, Vec<SettingsError>> {
+        if self.errors.is_empty() {
+            Ok(value)
         } else {
-            Err(self.faults)
+            Err(self.errors)
         }
     }
 
-    pub(super) fn fault(&mut self, path: impl Into<String>, fault: FieldFault) {
-        self.faults.push(SettingsError::Field { path: path.into(), fault });
+    pub(super) fn report(&mut self, path: impl Into<String>, error: FieldError) {
+        self.errors.push(SettingsError::Field { path: path.into(), error });
     }
 
-    pub(super) fn too_few_sockets(&mut self, limit: f64, minimum: u32, peers: usize) {
-        self.faults.push(SettingsError::TooFewSockets { limit, minimum, peers });
+    pub(super) fn report_too_few_sockets(&mut self, limit: f64, minimum: u32, peers: usize) {
+        self.errors.push(SettingsError::TooFewSockets { limit, minimum, peers });
     }
 
-    /// The value at a path, `Null` if there is none.
-    pub(super) fn at(&self, path: &str) -> &'a Value {
+    /// Returns the value at a dotted path, or `Null` if there is none.
+    pub(super) fn value_at(&self, path: &str) -> &'a Value {
         path.split('.').fold(self.root, |value, field| &value[field])
     }
 
     pub(super) fn text(&mut self, path: &str) -> String {
-        match self.at(path).as_str() {
+        match self.value_at(path).as_str() {
             Some(text) if !text.is_empty() => return text.to_owned(),
-            Some(_) => self.fault(path, FieldFault::Empty),
-            None => self.fault(path, FieldFault::NotAString),
+            Some(_) => self.report(path, FieldError::Empty),
+            None => self.report(path, FieldError::NotAString),
         }
         String::new()
     }
@@ -56,35 +56,35 @@
         let text = self.text(path);
         text.parse().unwrap_or_else(|_| {
             if !text.is_empty() {
-                self.fault(path, FieldFault::NotAnAddress);
+                self.report(path, FieldError::NotAnAddress);
             }
             SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0)
         })
     }
 
     pub(super) fn number(&mut self, path: &str, range: RangeInclusive<f64>) -> f64 {
-        let (least, most) = range.clone().into_inner();
-        match self.at(path).as_f64() {
+        let (min, max) = range.clone().into_inner();
+        match self.value_at(path).as_f64() {
             Some(value) if range.contains(&value) => return value,
-            Some(value) => self.fault(path, FieldFault::OutOfRange { value, least, most }),
-            None => self.fault(path, FieldFault::NotANumber),
+            Some(value) => self.report(path, FieldError::OutOfRange { value, min, max }),
+            None => self.report(path, FieldError::NotANumber),
         }
-        least
+        min
     }
 
     pub(super) fn seconds(&mut self, path: &str, range: RangeInclusive<f64>) -> TimeDelta {
         TimeDelta::from_secs_f64(self.number(path, range))
     }
 
-    /// A number that may be left out where there is one to fall back on.
+    /// Reads a number, which may be left out only if there is a fallback.
     fn number_or(&mut self, path: &str, range: RangeInclusive<f64>, fallback: Option<f64>) -> f64 {
-        match (self.at(path), fallback) {
+        match (self.value_at(path), fallback) {
             (Value::Null, Some(fallback)) => fallback,
             _ => self.number(path, range),
         }
     }
 
-    /// The key-value store's limits. Where there are limits to fall back on, each may be left out.
+    /// Reads the limits of the key-value store. Each may be left out only if there is a fallback.
     pub(super) fn limits(&mut self, path: &str, fallback: Option<Limits>) -> Limits {
         let path = |field: &str| format!("{path}.{field}");
         let fallback_kb = fallback.map(|limits| limits.value_bytes as f64 / 1024.0);
@@ -103,18 +103,18 @@
     }
 
     pub(super) fn list(&mut self, path: &str) -> &'a [Value] {
-        match self.at(path) {
+        match self.value_at(path) {
             Value::Array(items) => items,
             _ => {
-                self.fault(path, FieldFault::NotAList);
+                self.report(path, FieldError::NotAList);
                 &[]
             }
         }
     }
 
-    /// A list that may be left out, and then is empty.
+    /// Reads a list that may be left out, and is then empty.
     pub(super) fn optional_list(&mut self, path: &str) -> &'a [Value] {
-        match self.at(path) {
+        match self.value_at(path) {
             Value::Null => &[],
             _ => self.list(path),
         }
--- a/crates/controller/src/settings/sockets.rs
+++ b/crates/controller/src/settings/sockets.rs
@@ -1,57 +1,65 @@
-//! How a node's sockets are shared out.
+//! Divides a node's limit on open sockets among its uses.
 
-/// Own descriptors and listeners.
-const OWN: usize = 8;
-/// Requests to the key-value store and the cloud, beside two watches.
-const REQUESTS: usize = 12;
-/// A connection each way with one to spare for every other node.
-const PER_PEER: usize = 3;
-/// Some users and workers.
-const USERS_AND_WORKERS: usize = 16;
+/// File descriptors of the process itself, and its listening sockets.
+const PROCESS_AND_LISTENERS: usize = 8;
+/// Requests to the key-value store and the cloud in progress at once, besides two watches.
+const MIN_OUTBOUND_REQUESTS: usize = 12;
+/// One connection in each direction for every other node, and a spare one.
+const SOCKETS_PER_PEER: usize = 3;
+/// Connections from users and workers that even the smallest permitted limit leaves room for.
+const MIN_USERS_AND_WORKERS: usize = 16;
 
-/// Percent of the limit, as the table at [`SocketBudget`] says.
-const INBOUND: u32 = 76;
-const WORKER_KEEP_ALIVE_LIMIT: u32 = 64;
-const OUTBOUND: u32 = 16;
-const MESSAGES: u32 = 11;
+/// Shares in percent of the limit; the table at [`SocketBudget`] explains them.
+const INBOUND_PERCENT: u32 = 76;
+const WORKER_KEEP_ALIVE_PERCENT: u32 = 64;
+const OUTBOUND_PERCENT: u32 = 16;
+const MESSAGES_PERCENT: u32 = 11;
+/// Lower bound on messages in flight, for nodes with a small limit.
 const MIN_MESSAGES: u32 = 4;
 
-/// How a node's sockets are shared out. One node leads, so all workers may keep a connection to it,
-/// and it sends to all of them: without shares either could take every socket. Shares count what is
-/// needed of a limit `L` at the size that the platform plans for (a fleet of up to 0.62 L machines):
+/// The maximum number of sockets for each use, derived from the node's limit on open files. All
+/// workers may keep a connection open to the leader, and the leader sends messages to all of them;
+/// without separate shares, either use could take every socket. The shares of a limit `L` are sized
+/// for the fleet that the platform plans for, up to 0.62 L machines:
 ///
-/// | who | part of L |
+/// | use | share of L |
 /// | --- | --- |
-/// | workers' own connections, kept open | 64% |
-/// | users, probes, and workers beyond that for one heartbeat each | 12% |
-/// | requests of this node: messages to workers 11%, the rest store, cloud and idle connections | 16% |
+/// | connections that workers keep open | 64% |
+/// | users, health probes, and further workers, which connect for a single heartbeat | 12% |
+/// | outbound requests: messages to workers 11%, the rest for the store, the cloud and idle connections | 16% |
 /// | other nodes, listeners, connections that are closing | 8% |
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct SocketBudget {
-    /// Most connections from users and workers.
+    /// Maximum number of open connections from users and workers.
     pub(crate) inbound: u32,
-    /// Beyond this many, a worker's connection is closed after its answer: the rest is for users.
+    /// Number of inbound connections above which a worker's connection is closed after each
+    /// response. The rest up to `inbound` is reserved for users.
     pub(crate) worker_keep_alive_limit: u32,
-    /// Most connections to others, idle ones included.
+    /// Maximum number of connections that this node opens to workers, the store and the cloud, idle
+    /// ones included.
     pub(crate) outbound: u32,
-    /// Most messages in flight to workers at once.
+    /// Maximum number of messages to workers in flight at once.
     pub(crate) messages: u32,
 }
 
 impl SocketBudget {
-    /// The fewest sockets with which a node of so many peers can work.
+    /// Returns the lowest limit with which a node that has this number of peers can work.
     pub(crate) fn minimum(peers: usize) -> u32 {
-        (OWN + REQUESTS + PER_PEER * peers + USERS_AND_WORKERS) as u32
+        (PROCESS_AND_LISTENERS
+            + MIN_OUTBOUND_REQUESTS
+            + SOCKETS_PER_PEER * peers
+            + MIN_USERS_AND_WORKERS) as u32
     }
 
-    /// What is left over is for the other nodes, the listeners and connections that are closing.
+    /// Divides the limit by the fixed shares. The sockets that are not assigned are left for the
+    /// other nodes, the listeners and connections that are closing.
     pub(crate) fn for_limit(limit: u32) -> SocketBudget {
-        let part = |percent: u32| (u64::from(limit) * u64::from(percent) / 100) as u32;
+        let percent_of_limit = |percent: u32| (u64::from(limit) * u64::from(percent) / 100) as u32;
         SocketBudget {
-            inbound: part(INBOUND),
-            worker_keep_alive_limit: part(WORKER_KEEP_ALIVE_LIMIT),
-            outbound: part(OUTBOUND),
-            messages: part(MESSAGES).max(MIN_MESSAGES),
+            inbound: percent_of_limit(INBOUND_PERCENT),
+            worker_keep_alive_limit: percent_of_limit(WORKER_KEEP_ALIVE_PERCENT),
+            outbound: percent_of_limit(OUTBOUND_PERCENT),
+            messages: percent_of_limit(MESSAGES_PERCENT).max(MIN_MESSAGES),
         }
     }
 }
