--- a/crates/controller/src/node/routes.rs
+++ b/crates/controller/src/node/routes.rs
@@ -6,7 +6,7 @@
 
 use super::{readiness, Node};
 use crate::http::server::{Answer, Request};
-use crate::settings::Sockets;
+use crate::settings::SocketBudget;
 use crate::worker_api::WorkerConnection;
 use crate::{user_api, worker_api};
 
@@ -47,21 +47,22 @@
     if readiness::is_ready(node) {
         Answer::json(200, &serde_json::json!({"ready": true}))
     } else {
-        Answer::later("not ready")
+        Answer::retry("not ready")
     }
 }
 
 async fn heartbeat(node: &Node, connection: &WorkerConnection, body: &[u8]) -> Answer {
     let mut answer = worker_api::heartbeat(node, connection, body).await;
     // A worker reconnects with its next heartbeat, but a user may find no free socket.
-    let workers_kept = Sockets::share(node.settings.fd_limit).workers_kept;
-    if node.load.open_connections().get() > workers_kept {
+    let worker_keep_alive_limit =
+        SocketBudget::for_limit(node.settings.fd_limit).worker_keep_alive_limit;
+    if node.load.open_connections().get() > worker_keep_alive_limit {
         answer.close = true;
         node.load.count_closed_connection();
     }
     // A worker that is silent for longer than its lease has already started over on another
     // connection.
-    answer.idle = Some(Duration::from_micros(node.site.worker_lease.0));
+    answer.idle_timeout = Some(Duration::from_micros(node.site.worker_lease.0));
     answer
 }
 
