--- a/crates/controller/tests/fencing.rs
+++ b/crates/controller/tests/fencing.rs
@@ -17,7 +17,7 @@
         program: env!("CARGO_BIN_EXE_walnutlug").into(),
         script: scripts.join("fenced.lua"),
         freezes: FREEZES,
-        within: MAX_TIME,
+        time_limit: MAX_TIME,
     };
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
     let report = runtime.expect("tokio runtime").block_on(run(&scenario));
--- a/crates/fault-injection/src/freeze_scenario.rs
+++ b/crates/fault-injection/src/freeze_scenario.rs
@@ -38,7 +38,7 @@
     /// How often a leader is frozen.
     pub freezes: usize,
     /// After which time no further one is begun.
-    pub within: Duration,
+    pub time_limit: Duration,
 }
 
 /// What came of it.
@@ -93,7 +93,7 @@
     let (mut freezes, mut aimed) = (0, [0; POINTS.len()]);
     let began = Instant::now();
     for turn in 0.. {
-        if freezes >= scenario.freezes || began.elapsed() >= scenario.within {
+        if freezes >= scenario.freezes || began.elapsed() >= scenario.time_limit {
             break;
         }
         let aim = turn % (POINTS.len() + 1);
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -60,13 +60,13 @@
     let Args { program, play } = Args::parse();
     match play {
         Play::Freezes { script, freezes, minutes } => {
-            let within = Duration::from_secs(60 * minutes);
+            let time_limit = Duration::from_secs(60 * minutes);
             print_freeze_report(
                 &freeze_scenario::run(&freeze_scenario::Scenario {
                     program,
                     script,
                     freezes,
-                    within,
+                    time_limit,
                 })
                 .await,
             )
