--- a/crates/controller/tests/overload.rs
+++ b/crates/controller/tests/overload.rs
@@ -19,7 +19,7 @@
     let scenario = Scenario {
         program: env!("CARGO_BIN_EXE_walnutlug").into(),
         script: scripts.join("overload.lua"),
-        length: RUN_TIME,
+        submit_time: RUN_TIME,
     };
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
     let report = runtime.expect("tokio runtime").block_on(run(&scenario));
--- a/crates/controller/tests/versions.rs
+++ b/crates/controller/tests/versions.rs
@@ -16,7 +16,7 @@
         program: env!("CARGO_BIN_EXE_walnutlug").into(),
         previous: env!("CARGO_BIN_EXE_walnutlug").into(),
         script: scripts.join("fenced.lua"),
-        length: SUBMIT_TIME,
+        submit_time: SUBMIT_TIME,
     };
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
     let report = runtime.expect("tokio runtime").block_on(run(&scenario));
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -72,15 +72,19 @@
             )
         }
         Play::Overload { script, minutes } => {
-            let length = Duration::from_secs_f64(60.0 * minutes);
+            let submit_time = Duration::from_secs_f64(60.0 * minutes);
             print_overload_report(
-                &overload_scenario::run(&overload_scenario::Scenario { program, script, length })
-                    .await,
+                &overload_scenario::run(&overload_scenario::Scenario {
+                    program,
+                    script,
+                    submit_time,
+                })
+                .await,
             )
         }
         Play::Versions { previous, script, minutes } => {
-            let length = Duration::from_secs_f64(60.0 * minutes);
-            let scenario = version_scenario::Scenario { program, previous, script, length };
+            let submit_time = Duration::from_secs_f64(60.0 * minutes);
+            let scenario = version_scenario::Scenario { program, previous, script, submit_time };
             tell_versions(&version_scenario::run(&scenario).await)
         }
     }
--- a/crates/fault-injection/src/overload_scenario.rs
+++ b/crates/fault-injection/src/overload_scenario.rs
@@ -52,7 +52,7 @@
     /// The operators' script.
     pub script: PathBuf,
     /// For how long jobs are submitted.
-    pub length: Duration,
+    pub submit_time: Duration,
 }
 
 /// What became of one team's jobs.
@@ -198,7 +198,7 @@
     let began = Instant::now();
     for turn in 0.. {
         tokio::time::sleep(TROUBLE_EVERY.mul_f64(rand::random_range(0.7..1.3))).await;
-        if began.elapsed() >= scenario.length {
+        if began.elapsed() >= scenario.submit_time {
             break;
         }
         if turn % 3 == 1 {
--- a/crates/fault-injection/src/version_scenario.rs
+++ b/crates/fault-injection/src/version_scenario.rs
@@ -48,7 +48,7 @@
     /// The operators' script.
     pub script: PathBuf,
     /// For how long jobs are submitted, at least.
-    pub length: Duration,
+    pub submit_time: Duration,
 }
 
 /// What came of it.
@@ -118,7 +118,7 @@
     let user = Arc::new(User::new(&controllers.users));
     let stop = Arc::new(AtomicBool::new(false));
     let submitting = tokio::spawn(Workload::submit(user.clone(), stop.clone()));
-    change_leaders(scenario.length, &mut controllers, &state).await;
+    change_leaders(scenario.submit_time, &mut controllers, &state).await;
     stop.store(true, Ordering::Relaxed);
     let workload = submitting.await.expect("submissions end by themselves");
     let told = ask_until_ended(&user, &workload).await;
