--- a/crates/controller/tests/overload.rs
+++ b/crates/controller/tests/overload.rs
@@ -32,7 +32,7 @@
         assert_eq!(team_report.done, team_report.accepted, "{team}: accepted jobs were lost");
     }
     for team in &TEAMS[1..] {
-        let overtaken = report.teams[team].most_overtaken;
+        let overtaken = report.teams[team].max_overtaken;
         assert!(overtaken <= MAX_OVERTAKEN, "{team}: {overtaken} jobs of the flood started first");
     }
 }
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -109,7 +109,7 @@
         );
         println!(
             "{team}: jobs of the flood that started before one of its own, at most {}",
-            told.most_overtaken
+            told.max_overtaken
         );
         lost += told.accepted - told.done;
     }
--- a/crates/fault-injection/src/overload_scenario.rs
+++ b/crates/fault-injection/src/overload_scenario.rs
@@ -71,7 +71,7 @@
     /// From the first try to the first start of a task, in milliseconds.
     pub start_ms: Histogram<u64>,
     /// The most jobs of the flood that started between a job's first try and its own start.
-    pub most_overtaken: usize,
+    pub max_overtaken: usize,
     /// The longest time in which nothing of the team started though a job of it waited.
     pub longest_without_start: Duration,
 }
@@ -301,7 +301,7 @@
         unanswered: counts.map_or(0, |c| c.unanswered),
         given_up: counts.map_or(0, |c| c.given_up),
         done,
-        most_overtaken: overtaken.max().unwrap_or_default(),
+        max_overtaken: overtaken.max().unwrap_or_default(),
         start_ms,
         longest_without_start: longest.max().unwrap_or_default(),
     }
