--- a/crates/fault-injection/src/controllers.rs
+++ b/crates/fault-injection/src/controllers.rs
@@ -1,4 +1,5 @@
-//! Three controllers as processes of this machine, each with sockets of its own to the fakes.
+//! Runs three controllers as local processes. Each controller gets its own sockets to the fakes, so
+//! that the fakes know which controller sent a request.
 
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
@@ -13,76 +14,84 @@
 
 use crate::fake_cloud::{self, FakeCloud};
 use crate::fake_key_value_service::{self, FakeKeyValueService};
-use crate::fake_workers::LEASE;
+use crate::fake_workers::WORKER_LEASE;
 use crate::freeze::Freezer;
 
-/// Controllers in a scenario.
+/// Number of controllers in every scenario.
 pub const NODES: usize = 3;
 
-/// Names of the controllers, and where they listen.
-pub struct Addresses {
-    /// The names of the nodes.
+/// Names of the controllers and the addresses that they listen on, indexed by node.
+pub struct ControllerAddresses {
+    /// Node names, as the controllers know each other.
     pub names: Vec<String>,
-    /// For users and workers.
-    pub users: Vec<String>,
-    peers: Vec<String>,
+    /// Addresses of the HTTP API for users and workers.
+    pub api_addresses: Vec<String>,
+    peer_addresses: Vec<String>,
 }
 
-impl Addresses {
-    /// Ports that nobody listens on now.
-    pub fn free() -> Addresses {
-        let bind = |_| std::net::TcpListener::bind("127.0.0.1:0").expect("a socket");
+impl ControllerAddresses {
+    /// Chooses loopback ports that are free at the moment. They are not reserved: another process
+    /// can take one before the controller binds it.
+    pub fn allocate() -> ControllerAddresses {
+        let bind =
+            |_| std::net::TcpListener::bind("127.0.0.1:0").expect("failed to bind a loopback port");
         let listeners: Vec<_> = (0..2 * NODES).map(bind).collect();
-        let address = |l: &std::net::TcpListener| l.local_addr().expect("an address").to_string();
-        let mut users: Vec<String> = listeners.iter().map(address).collect();
-        let peers = users.split_off(NODES);
+        let address =
+            |l: &std::net::TcpListener| l.local_addr().expect("local address").to_string();
+        let mut api_addresses: Vec<String> = listeners.iter().map(address).collect();
+        let peer_addresses = api_addresses.split_off(NODES);
         let names = (0..NODES).map(|node| format!("kernel-{node}")).collect();
-        Addresses { names, users, peers }
+        ControllerAddresses { names, api_addresses, peer_addresses }
     }
 
-    /// The controllers by name and address, as workers know them.
-    pub fn for_workers(&self) -> Vec<(String, String)> {
-        self.names.iter().cloned().zip(self.users.clone()).collect()
+    /// Returns the name and the API address of each controller, which is what workers need.
+    pub fn names_and_addresses(&self) -> Vec<(String, String)> {
+        self.names.iter().cloned().zip(self.api_addresses.clone()).collect()
     }
 }
 
-/// What the controllers are run with.
-pub struct Setup<'a> {
-    /// The program of each.
+/// Programs and settings with which the controllers are started.
+pub struct ControllerSetup<'a> {
+    /// Controller program that each node runs.
     pub programs: [&'a Path; NODES],
-    /// The operators' script, the same for all.
+    /// Lua settings script of the operators, shared by all nodes.
     pub script: &'a Path,
-    /// Teams without quota or limit.
+    /// Names of the teams; they have neither a quota nor a limit.
     pub teams: &'a [&'a str],
 }
 
-/// The processes; they end with this value.
+/// The running controller processes, which are killed when this value is dropped.
 pub struct Controllers {
     programs: [PathBuf; NODES],
     script: PathBuf,
     names: Vec<String>,
-    /// Where users reach each of them.
-    pub users: Vec<String>,
-    files: Vec<PathBuf>,
-    children: Vec<Child>,
+    /// API address of each controller.
+    pub api_addresses: Vec<String>,
+    settings_files: Vec<PathBuf>,
+    processes: Vec<Child>,
     freezer: Arc<Freezer>,
 }
 
-/// The platform's settings file of one controller.
-fn settings_of(node: usize, addresses: &Addresses, teams: &[&str], external: &Value) -> Value {
-    let Addresses { names, users, peers } = addresses;
+/// Builds the settings file that the platform would provide to one controller.
+fn settings_json(
+    node: usize,
+    addresses: &ControllerAddresses,
+    teams: &[&str],
+    external: &Value,
+) -> Value {
+    let ControllerAddresses { names, api_addresses, peer_addresses } = addresses;
     let team = |team: &&str| json!({"name": team, "cpus": 0.0, "cpus_max": 0.0, "gpus": 0.0, "gpus_max": 0.0});
     let teams: Vec<Value> = teams.iter().map(team).collect();
-    let others = (0..NODES)
-        .filter(|&other| other != node)
-        .map(|other| json!({"node_name": names[other], "zone": "a", "peer_addr": peers[other]}));
+    let peers = (0..NODES).filter(|&other| other != node).map(
+        |other| json!({"node_name": names[other], "zone": "a", "peer_addr": peer_addresses[other]}),
+    );
     json!({
-        "node_name": names[node], "zone": "a", "listen": users[node],
-        "internal_addr": peers[node], "peers": others.collect::<Vec<_>>(),
+        "node_name": names[node], "zone": "a", "listen": api_addresses[node],
+        "internal_addr": peer_addresses[node], "peers": peers.collect::<Vec<_>>(),
         "external": external,
         "facts": {
             "size": NODES, "zones": ["a", "b"], "teams": teams, "objectives": [],
-            "workers": {"report_s": 0.5, "lease_s": LEASE.as_secs_f64(), "cancel_s": 20.0},
+            "workers": {"report_s": 0.5, "lease_s": WORKER_LEASE.as_secs_f64(), "cancel_s": 20.0},
             "state": {"rps": 2000.0, "write_rps": 1000.0, "value_kb": 8.0, "txn_ops": 32},
             "cloud": {"rps": 8.0, "list_lag_s": 1.0},
             "resources": {"cpu_share": 1.0, "mem_mb": 200.0, "fd_limit": 1200},
@@ -92,105 +101,115 @@
 }
 
 impl Controllers {
-    /// Writes the settings and starts all of them.
+    /// Starts the sockets of the fakes, writes the settings files and starts all controllers.
     pub async fn start(
-        setup: &Setup<'_>,
-        addresses: Addresses,
-        state: &Arc<FakeKeyValueService>,
+        setup: &ControllerSetup<'_>,
+        addresses: ControllerAddresses,
+        store: &Arc<FakeKeyValueService>,
         freezer: &Arc<Freezer>,
         cloud: &Arc<FakeCloud>,
     ) -> Controllers {
-        let directory =
+        let settings_directory =
             std::env::temp_dir().join(format!("walnutlug-fault-injection-{}", std::process::id()));
-        std::fs::create_dir_all(&directory).expect("a directory for the settings");
-        let mut files = Vec::new();
+        std::fs::create_dir_all(&settings_directory)
+            .expect("failed to create the settings directory");
+        let mut settings_files = Vec::new();
         for node in 0..NODES {
-            let state_address =
-                serve(fake_key_value_service::router(state.clone(), freezer.clone(), node)).await;
+            let store_address = serve_on_free_port(fake_key_value_service::router(
+                store.clone(),
+                freezer.clone(),
+                node,
+            ))
+            .await;
             let cloud_address =
-                serve(fake_cloud::router(cloud.clone(), freezer.clone(), node)).await;
-            let external = json!({"cloud": cloud_address, "state": state_address});
-            let settings = settings_of(node, &addresses, setup.teams, &external);
-            let file = directory.join(format!("{}.json", addresses.names[node]));
-            std::fs::write(&file, settings.to_string()).expect("a settings file");
-            files.push(file);
+                serve_on_free_port(fake_cloud::router(cloud.clone(), freezer.clone(), node)).await;
+            let external = json!({"cloud": cloud_address, "state": store_address});
+            let settings = settings_json(node, &addresses, setup.teams, &external);
+            let settings_file = settings_directory.join(format!("{}.json", addresses.names[node]));
+            std::fs::write(&settings_file, settings.to_string())
+                .expect("failed to write a settings file");
+            settings_files.push(settings_file);
         }
         let mut controllers = Controllers {
             programs: setup.programs.map(Path::to_owned),
             script: setup.script.to_owned(),
             names: addresses.names,
-            users: addresses.users,
-            files,
-            children: Vec::new(),
+            api_addresses: addresses.api_addresses,
+            settings_files,
+            processes: Vec::new(),
             freezer: freezer.clone(),
         };
-        controllers.children = (0..NODES).map(|node| controllers.spawn(node)).collect();
-        controllers.watch();
+        controllers.processes = (0..NODES).map(|node| controllers.spawn(node)).collect();
+        controllers.register_processes();
         controllers
     }
 
     fn spawn(&self, node: usize) -> Child {
-        let log = self.files[node].with_extension("log");
-        let log = std::fs::OpenOptions::new().create(true).append(true).open(log).expect("a log");
+        let log = self.settings_files[node].with_extension("log");
+        let log = std::fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(log)
+            .expect("failed to open a controller log");
         Command::new(&self.programs[node])
             .arg("serve")
             .arg("--script")
             .arg(&self.script)
             .arg("--config")
-            .arg(&self.files[node])
+            .arg(&self.settings_files[node])
             .env("LOG_LEVEL", "info")
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log)
             .kill_on_drop(true)
             .spawn()
-            .expect("the program")
+            .expect("failed to start the controller program")
     }
 
-    fn watch(&self) {
-        let pids = self.children.iter().map(|child| Pid::from_raw(child.id().unwrap_or(0) as i32));
-        self.freezer.watch(self.names.iter().cloned().zip(pids).collect());
+    fn register_processes(&self) {
+        let pids = self.processes.iter().map(|child| Pid::from_raw(child.id().unwrap_or(0) as i32));
+        self.freezer.set_processes(self.names.iter().cloned().zip(pids).collect());
     }
 
-    /// The controller of that name, by its number.
-    pub fn number_of(&self, name: &str) -> Option<usize> {
+    /// Returns the index of the node with this name.
+    pub fn index_of(&self, name: &str) -> Option<usize> {
         self.names.iter().position(|other| other == name)
     }
 
-    /// Ends the processes without a signal that they could handle, and starts them again after a while.
-    pub async fn kill_and_start(&mut self, nodes: &[usize], after: Duration) {
+    /// Kills the nodes with `SIGKILL` and starts them again after the delay.
+    pub async fn kill_and_restart(&mut self, nodes: &[usize], delay: Duration) {
         self.kill(nodes).await;
-        tokio::time::sleep(after).await;
-        self.start_again(nodes);
+        tokio::time::sleep(delay).await;
+        self.restart(nodes);
     }
 
-    /// Ends the processes without a signal that they could handle.
+    /// Kills the nodes with `SIGKILL`, so that they have no chance to shut down cleanly.
     pub async fn kill(&mut self, nodes: &[usize]) {
         for &node in nodes {
-            let _ = self.children[node].kill().await;
+            let _ = self.processes[node].kill().await;
         }
     }
 
-    /// Starts processes that were killed.
-    pub fn start_again(&mut self, nodes: &[usize]) {
+    /// Starts new processes for nodes that were killed.
+    pub fn restart(&mut self, nodes: &[usize]) {
         for &node in nodes {
-            self.children[node] = self.spawn(node);
+            self.processes[node] = self.spawn(node);
         }
-        self.watch();
+        self.register_processes();
     }
 
-    /// Kills all of them.
-    pub fn end(&mut self) {
-        for child in &mut self.children {
+    /// Sends `SIGKILL` to all controllers without waiting for them to exit.
+    pub fn kill_all(&mut self) {
+        for child in &mut self.processes {
             let _ = child.start_kill();
         }
     }
 }
 
-/// Listens on a free port of this machine and tells its address.
-async fn serve(router: Router) -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a socket");
-    let address = listener.local_addr().expect("an address").to_string();
+/// Serves the router on a free loopback port and returns the address.
+async fn serve_on_free_port(router: Router) -> String {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("failed to bind a loopback port");
+    let address = listener.local_addr().expect("local address").to_string();
     tokio::spawn(async move { drop(axum::serve(listener, router).await) });
     address
 }
--- a/crates/fault-injection/src/elections.rs
+++ b/crates/fault-injection/src/elections.rs
@@ -1,5 +1,5 @@
-//! What the key-value store's history tells of elections between two versions, and of the jobs that lived
-//! under both. No sockets and no clock.
+//! Counts, from the change history of the key-value store, the elections between two versions of
+//! the controller and the jobs that both versions worked on. Uses neither sockets nor a clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,27 +7,27 @@
 
 use crate::fake_key_value_store::Event;
 
-/// Which of the two programs a node runs.
+/// Version of the controller program that a node runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Version {
-    /// The one before.
+    /// An earlier version, with which the tested one has to be compatible.
     Previous,
-    /// The one under test.
+    /// The version under test.
     New,
 }
 
-/// Counts of what went from one version to the other.
+/// Number of changes between the versions, counted separately for each direction.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub struct BothWays {
-    /// From the previous version to the new one.
+pub struct DirectionCounts {
+    /// Changes from the previous version to the new one.
     pub previous_to_new: usize,
-    /// From the new version to the previous one.
+    /// Changes from the new version to the previous one.
     pub new_to_previous: usize,
 }
 
-impl BothWays {
-    /// Counts one, unless both are the same version.
-    pub fn count(&mut self, from: Version, to: Version) {
+impl DirectionCounts {
+    /// Counts one change in its direction, or nothing if both versions are the same.
+    pub fn record(&mut self, from: Version, to: Version) {
         match (from, to) {
             (Version::Previous, Version::New) => self.previous_to_new += 1,
             (Version::New, Version::Previous) => self.new_to_previous += 1,
@@ -35,77 +35,82 @@
         }
     }
 
-    /// The smaller of both counts.
-    pub fn least(&self) -> usize {
+    /// Returns the smaller count, which is above zero only if both directions occurred.
+    pub fn min(&self) -> usize {
         self.previous_to_new.min(self.new_to_previous)
     }
 }
 
-/// What a history tells.
+/// Elections and jobs found in a history, by the version that led at the time.
 #[derive(Debug, Default)]
 pub struct Elections {
-    /// Leaders that followed one of the other version.
-    pub elections: BothWays,
-    /// Leaders that followed one of their own version.
+    /// Elections after which the other version led.
+    pub elections: DirectionCounts,
+    /// Elections after which the same version led as before.
     pub same_version: usize,
-    /// Jobs accepted while one version led, and done under the other.
-    pub accepted_then_done: BothWays,
-    /// Jobs with starts recorded by a leader of one version, and done under the other.
-    pub started_then_done: BothWays,
-    /// Jobs accepted while one version led, and cancelled while the other did.
-    pub accepted_then_aborted: BothWays,
-    /// The version under whose lead each job was done.
+    /// Jobs that were accepted while one version led and finished while the other led.
+    pub accepted_then_done: DirectionCounts,
+    /// Jobs whose task starts were recorded while one version led and that finished while the other
+    /// led.
+    pub started_then_done: DirectionCounts,
+    /// Jobs that were accepted while one version led and aborted while the other led.
+    pub accepted_then_aborted: DirectionCounts,
+    /// For each finished job, the version that led when it finished.
     pub done_under: BTreeMap<String, Version>,
-    last: Option<Version>,
+    last_version: Option<Version>,
     leader: Option<Version>,
     accepted_under: BTreeMap<String, Version>,
     started_under: BTreeMap<String, BTreeSet<Version>>,
 }
 
 impl Elections {
-    /// Reads a whole history; of each node the version has to be known.
-    pub fn read(history: &[Event], version_of: impl Fn(&str) -> Option<Version>) -> Elections {
-        let mut told = Elections::default();
+    /// Counts the elections and jobs of a complete history. `version_of` returns the version that a
+    /// node runs; a leader of unknown version is treated as no leader.
+    pub fn from_history(
+        history: &[Event],
+        version_of: impl Fn(&str) -> Option<Version>,
+    ) -> Elections {
+        let mut summary = Elections::default();
         for event in history {
             if event.key == keys::LEADER {
                 let node = event.value.as_ref().and_then(|value| value["node"].as_str());
-                told.led_by(node.and_then(&version_of));
+                summary.record_leader(node.and_then(&version_of));
             } else if let Some(value) = &event.value {
-                told.written(&event.key, value.as_str());
+                summary.record_put(&event.key, value.as_str());
             }
         }
-        told
+        summary
     }
 
-    fn led_by(&mut self, leader: Option<Version>) {
+    fn record_leader(&mut self, leader: Option<Version>) {
         self.leader = leader;
-        let Some(now) = leader else { return };
-        match self.last.replace(now) {
-            Some(before) if before == now => self.same_version += 1,
-            Some(before) => self.elections.count(before, now),
+        let Some(current) = leader else { return };
+        match self.last_version.replace(current) {
+            Some(previous) if previous == current => self.same_version += 1,
+            Some(previous) => self.elections.record(previous, current),
             None => {}
         }
     }
 
-    fn written(&mut self, key: &str, text: Option<&str>) {
+    fn record_put(&mut self, key: &str, value: Option<&str>) {
         let Some(leader) = self.leader else { return };
         if let Some(job) = key.strip_prefix(keys::JOB) {
             self.accepted_under.insert(job.to_owned(), leader);
         } else if let Some(RunKey { job, .. }) = RunKey::parse(key) {
             self.started_under.entry(job.to_owned()).or_default().insert(leader);
         } else if let Some(job) = key.strip_prefix(keys::END) {
-            self.ended(job, leader, text == Some("done"));
+            self.record_end(job, leader, value == Some("done"));
         }
     }
 
-    fn ended(&mut self, job: &str, leader: Version, done: bool) {
+    fn record_end(&mut self, job: &str, leader: Version, done: bool) {
         let accepted = self.accepted_under.get(job).copied().unwrap_or(leader);
         if !done {
-            return self.accepted_then_aborted.count(accepted, leader);
+            return self.accepted_then_aborted.record(accepted, leader);
         }
-        self.accepted_then_done.count(accepted, leader);
+        self.accepted_then_done.record(accepted, leader);
         for &started in self.started_under.get(job).into_iter().flatten() {
-            self.started_then_done.count(started, leader);
+            self.started_then_done.record(started, leader);
         }
         self.done_under.insert(job.to_owned(), leader);
     }
--- a/crates/fault-injection/src/fake_cloud.rs
+++ b/crates/fault-injection/src/fake_cloud.rs
@@ -1,5 +1,5 @@
-//! A cloud with one type of machine that logs every rental and return. One socket for each controller, so
-//! that it is known who asks.
+//! Fake of the cloud API with one machine type and a log of every request that rents or returns
+//! machines. Each controller has its own socket, so that the log can name the sender.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -12,81 +12,81 @@
 use serde::Deserialize;
 use serde_json::{json, Value};
 
-use crate::fake_key_value_service::{FakeKeyValueService, Holder};
+use crate::fake_key_value_service::{FakeKeyValueService, Leader};
 use crate::fake_workers::{FakeMachine, FakeWorkers};
-use crate::freeze::{Freezer, Point};
+use crate::freeze::{FreezePoint, Freezer};
 
-/// What a request did.
+/// Effect of a request that rents or returns machines.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
-    /// These machines were rented under a name that is new.
+    /// The request id was new and these machines were rented.
     ScaledOut(Vec<String>),
-    /// The name was known: the same answer again.
+    /// The request id was known: nothing was rented and the first response was sent again.
     Repeated,
-    /// Of the machines named these were there, and so many of them ran tasks.
+    /// The machines of the request that were still rented were returned.
     ScaledIn {
-        /// The machines.
+        /// Names of the machines that were returned.
         machines: Vec<String>,
-        /// How many of them ran tasks.
+        /// Number of returned machines on which tasks were still running.
         with_tasks: usize,
     },
 }
 
-/// One request, as the checker wants to see it.
+/// Log entry of a request that rents or returns machines, read by the action checker.
 #[derive(Debug, Clone)]
-pub struct Logged {
-    /// When it was carried out.
-    pub at: Instant,
-    /// Which controller sent it.
+pub struct LoggedRequest {
+    /// Time at which the request was executed.
+    pub executed_at: Instant,
+    /// Name of the controller that sent the request.
     pub node: String,
-    /// Who led when it arrived.
-    pub holder_on_arrival: Option<Holder>,
-    /// Who led when it was carried out.
-    pub holder_on_effect: Option<Holder>,
-    /// Whether an intent stood for it when it was carried out.
-    pub recorded: bool,
-    /// What it did.
+    /// Leader at the time the request arrived; `None` if there was none.
+    pub leader_on_arrival: Option<Leader>,
+    /// Leader at the time the request was executed; `None` if there was none.
+    pub leader_on_effect: Option<Leader>,
+    /// Whether a stored intent covered the request when it was executed.
+    pub has_intent: bool,
+    /// What the request changed.
     pub effect: Effect,
 }
 
 #[derive(Default)]
 struct Inner {
-    by_request: BTreeMap<String, Vec<String>>,
+    machines_by_request: BTreeMap<String, Vec<String>>,
     machines: BTreeMap<String, FakeMachine>,
     machines_started: u64,
-    log: Vec<Logged>,
+    log: Vec<LoggedRequest>,
 }
 
-/// The cloud that all sockets share.
+/// State of the fake cloud, shared by the sockets of all controllers.
 pub struct FakeCloud {
     inner: Mutex<Inner>,
-    state: Arc<FakeKeyValueService>,
-    fleet: FakeWorkers,
-    /// Machines that it has in all.
-    most: usize,
+    store: Arc<FakeKeyValueService>,
+    workers: FakeWorkers,
+    /// Maximum number of machines rented at the same time.
+    capacity: usize,
 }
 
 impl FakeCloud {
-    /// As many machines as anybody asks for.
-    pub fn new(state: Arc<FakeKeyValueService>, fleet: FakeWorkers) -> FakeCloud {
-        FakeCloud::with_most(usize::MAX, state, fleet)
+    /// Creates a cloud that rents any number of machines.
+    pub fn new(store: Arc<FakeKeyValueService>, workers: FakeWorkers) -> FakeCloud {
+        FakeCloud::with_capacity(usize::MAX, store, workers)
     }
 
-    /// So many machines and no more.
-    pub fn with_most(
-        most: usize,
-        state: Arc<FakeKeyValueService>,
-        fleet: FakeWorkers,
+    /// Creates a cloud that rents at most `capacity` machines at the same time.
+    pub fn with_capacity(
+        capacity: usize,
+        store: Arc<FakeKeyValueService>,
+        workers: FakeWorkers,
     ) -> FakeCloud {
-        FakeCloud { inner: Mutex::default(), state, fleet, most }
+        FakeCloud { inner: Mutex::default(), store, workers, capacity }
     }
 
-    /// All requests so far.
-    pub fn log(&self) -> Vec<Logged> {
+    /// Returns a copy of the request log, oldest entry first.
+    pub fn log(&self) -> Vec<LoggedRequest> {
         self.lock().log.clone()
     }
 
-    /// Machines that are there.
+    /// Returns the names of all machines that are rented now.
     pub fn machines(&self) -> Vec<String> {
         self.lock().machines.keys().cloned().collect()
     }
@@ -97,123 +97,131 @@
 }
 
 #[derive(Clone)]
-struct Socket {
+struct Endpoint {
     cloud: Arc<FakeCloud>,
     freezer: Arc<Freezer>,
     node: usize,
 }
 
-/// The cloud as one controller reaches it.
+/// Builds the cloud API for one controller; `node` is the controller's index.
 pub fn router(cloud: Arc<FakeCloud>, freezer: Arc<Freezer>, node: usize) -> Router {
     Router::new()
-        .route("/machine_types", get(types))
-        .route("/machines", get(list).post(scale_out))
+        .route("/machine_types", get(list_machine_types))
+        .route("/machines", get(list_machines).post(scale_out))
         .route("/machines/return", post(scale_in))
-        .with_state(Socket { cloud, freezer, node })
+        .with_state(Endpoint { cloud, freezer, node })
 }
 
-async fn types() -> Json<Value> {
+async fn list_machine_types() -> Json<Value> {
     Json(json!({"breeds": [{"sku": "t8", "vcpus": 8, "gpus": 0, "memoryGb": 32, "localGb": 50,
         "pullGbPerS": 10.0, "price": 1.0, "lowPrice": 0.4, "bootS": 1, "groves": ["a", "b"]}]}))
 }
 
 #[derive(Deserialize)]
-struct Listing {
-    #[serde(default)]
-    from: String,
+struct ListQuery {
+    #[serde(rename = "from", default)]
+    after: String,
 }
 
-async fn list(State(s): State<Socket>, Query(asked): Query<Listing>) -> Json<Value> {
-    let inner = s.cloud.lock();
-    let after = inner.machines.iter().filter(|(name, _)| **name > asked.from);
-    let all: Vec<Value> = after.map(|(name, machine)| machine.listed(name)).collect();
+async fn list_machines(
+    State(endpoint): State<Endpoint>,
+    Query(request): Query<ListQuery>,
+) -> Json<Value> {
+    let inner = endpoint.cloud.lock();
+    let following = inner.machines.iter().filter(|(name, _)| **name > request.after);
+    let all: Vec<Value> = following.map(|(name, machine)| machine.list_entry(name)).collect();
     Json(json!({"trees": all, "hasNext": false}))
 }
 
 #[derive(Deserialize)]
 struct ScaleOutBody {
-    ask: String,
-    grove: String,
-    windfall: bool,
+    #[serde(rename = "ask")]
+    request_id: String,
+    #[serde(rename = "grove")]
+    zone: String,
+    #[serde(rename = "windfall")]
+    spot: bool,
     count: u64,
 }
 
 async fn scale_out(
-    State(s): State<Socket>,
-    Json(asked): Json<ScaleOutBody>,
+    State(endpoint): State<Endpoint>,
+    Json(request): Json<ScaleOutBody>,
 ) -> (StatusCode, Json<Value>) {
-    let on_arrival = s.cloud.state.holder();
-    s.freezer.reached(Point::RequestArrived, s.node).await;
+    let on_arrival = endpoint.cloud.store.leader();
+    endpoint.freezer.reached(FreezePoint::RequestArrived, endpoint.node).await;
     let (names, started) = {
-        let recorded = s.cloud.state.has_intent(&asked.ask);
-        let holder_on_effect = s.cloud.state.holder();
-        let mut inner = s.cloud.lock();
-        let known = inner.by_request.get(&asked.ask).cloned();
-        let left = s.cloud.most.saturating_sub(inner.machines.len()) as u64;
-        let count = asked.count.min(left);
-        if known.is_none() && count == 0 {
+        let has_intent = endpoint.cloud.store.has_intent(&request.request_id);
+        let leader_on_effect = endpoint.cloud.store.leader();
+        let mut inner = endpoint.cloud.lock();
+        let known_names = inner.machines_by_request.get(&request.request_id).cloned();
+        let available = endpoint.cloud.capacity.saturating_sub(inner.machines.len()) as u64;
+        let count = request.count.min(available);
+        if known_names.is_none() && count == 0 {
             let body = json!({"error": "no capacity"});
             return (StatusCode::SERVICE_UNAVAILABLE, Json(body));
         }
-        let effect = known.as_ref().map(|_| Effect::Repeated);
-        let names = known.unwrap_or_else(|| {
+        let effect = known_names.as_ref().map(|_| Effect::Repeated);
+        let names = known_names.unwrap_or_else(|| {
             let first = inner.machines_started + 1;
             inner.machines_started += count;
             (first..first + count).map(|n| format!("n-{n:06}")).collect()
         });
         let started = if effect.is_none() { names.clone() } else { Vec::new() };
-        inner.by_request.insert(asked.ask.clone(), names.clone());
+        inner.machines_by_request.insert(request.request_id.clone(), names.clone());
         for name in &started {
-            inner.machines.insert(name.clone(), FakeMachine::new(&asked.grove, asked.windfall));
+            inner.machines.insert(name.clone(), FakeMachine::new(&request.zone, request.spot));
         }
-        inner.log.push(Logged {
-            at: Instant::now(),
-            node: format!("kernel-{}", s.node),
-            holder_on_arrival: on_arrival,
-            holder_on_effect,
-            recorded,
+        inner.log.push(LoggedRequest {
+            executed_at: Instant::now(),
+            node: format!("kernel-{}", endpoint.node),
+            leader_on_arrival: on_arrival,
+            leader_on_effect,
+            has_intent,
             effect: effect.unwrap_or(Effect::ScaledOut(names.clone())),
         });
         (names, started)
     };
     for name in &started {
-        let machine = s.cloud.lock().machines.get(name).cloned();
+        let machine = endpoint.cloud.lock().machines.get(name).cloned();
         if let Some(machine) = machine {
-            s.cloud.fleet.start(name, &machine).await;
+            endpoint.cloud.workers.start(name, &machine).await;
         }
     }
-    s.freezer.reached(Point::RequestDone, s.node).await;
+    endpoint.freezer.reached(FreezePoint::RequestDone, endpoint.node).await;
     (StatusCode::OK, Json(json!({"trees": names})))
 }
 
 #[derive(Deserialize)]
 struct ScaleInBody {
-    trees: Vec<String>,
+    #[serde(rename = "trees")]
+    machines: Vec<String>,
 }
 
 async fn scale_in(
-    State(s): State<Socket>,
-    Json(asked): Json<ScaleInBody>,
+    State(endpoint): State<Endpoint>,
+    Json(request): Json<ScaleInBody>,
 ) -> (StatusCode, Json<Value>) {
-    let on_arrival = s.cloud.state.holder();
-    s.freezer.reached(Point::RequestArrived, s.node).await;
+    let on_arrival = endpoint.cloud.store.leader();
+    endpoint.freezer.reached(FreezePoint::RequestArrived, endpoint.node).await;
     {
-        let recorded = asked.trees.iter().all(|name| s.cloud.state.has_intent(name));
-        let holder_on_effect = s.cloud.state.holder();
-        let mut inner = s.cloud.lock();
-        let there = |name: &&String| inner.machines.contains_key(*name);
-        let machines: Vec<String> = asked.trees.iter().filter(there).cloned().collect();
-        let with_tasks = machines.iter().filter(|name| s.cloud.fleet.stop(name) > 0).count();
+        let has_intent = request.machines.iter().all(|name| endpoint.cloud.store.has_intent(name));
+        let leader_on_effect = endpoint.cloud.store.leader();
+        let mut inner = endpoint.cloud.lock();
+        let is_rented = |name: &&String| inner.machines.contains_key(*name);
+        let machines: Vec<String> = request.machines.iter().filter(is_rented).cloned().collect();
+        let with_tasks =
+            machines.iter().filter(|name| endpoint.cloud.workers.stop(name) > 0).count();
         machines.iter().for_each(|name| drop(inner.machines.remove(name)));
-        inner.log.push(Logged {
-            at: Instant::now(),
-            node: format!("kernel-{}", s.node),
-            holder_on_arrival: on_arrival,
-            holder_on_effect,
-            recorded,
+        inner.log.push(LoggedRequest {
+            executed_at: Instant::now(),
+            node: format!("kernel-{}", endpoint.node),
+            leader_on_arrival: on_arrival,
+            leader_on_effect,
+            has_intent,
             effect: Effect::ScaledIn { machines, with_tasks },
         });
     }
-    s.freezer.reached(Point::RequestDone, s.node).await;
+    endpoint.freezer.reached(FreezePoint::RequestDone, endpoint.node).await;
     (StatusCode::OK, Json(json!({})))
 }
--- a/crates/fault-injection/src/fake_key_value_service.rs
+++ b/crates/fault-injection/src/fake_key_value_service.rs
@@ -1,5 +1,5 @@
-//! A key-value store: keys with revisions, leases, conditional transactions and watches, in memory. One socket
-//! for each controller, so that it is known who asks.
+//! Fake of the key-value service's HTTP API: reads, listings, conditional transactions, leases and
+//! watches, all in memory. Each controller has its own socket, so that the fake knows the sender.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -15,39 +15,39 @@
 use walnutlug_scheduler::protocol::key_value::{Operation, Transaction};
 
 use crate::fake_key_value_store::{Event, FakeKeyValueStore};
-use crate::freeze::{Freezer, Point};
+use crate::freeze::{FreezePoint, Freezer};
 
-type Answer = (StatusCode, Json<Value>);
+type JsonResponse = (StatusCode, Json<Value>);
 
 struct Lease {
     ttl: Duration,
-    until: Instant,
+    expires_at: Instant,
 }
 
 #[derive(Default)]
-struct Stored {
+struct Inner {
     store: FakeKeyValueStore,
     leases: BTreeMap<u64, Lease>,
-    intents: u64,
+    intents_stored: u64,
 }
 
-/// The leader as the store has it.
+/// The current leader according to the leader key in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Holder {
-    /// The name of the node that holds the leader key.
+pub struct Leader {
+    /// Name of the node that holds the leader key.
     pub node: String,
-    /// The revision of the leader key.
+    /// Term of the leader, which is the revision of the leader key.
     pub term: u64,
 }
 
-/// The store that all sockets share.
+/// State of the fake key-value service, shared by the sockets of all controllers.
 #[derive(Default)]
 pub struct FakeKeyValueService {
-    stored: Mutex<Stored>,
-    changed: Notify,
+    inner: Mutex<Inner>,
+    store_changed: Notify,
 }
 
-impl Stored {
+impl Inner {
     fn end_lease(&mut self, lease: u64) {
         self.leases.remove(&lease);
         self.store.end_lease(lease);
@@ -55,166 +55,176 @@
 }
 
 impl FakeKeyValueService {
-    fn lock(&self) -> MutexGuard<'_, Stored> {
-        let mut stored = self.stored.lock().unwrap_or_else(PoisonError::into_inner);
+    /// Locks the state and first ends all leases that have expired.
+    fn lock(&self) -> MutexGuard<'_, Inner> {
+        let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
-        let over = stored.leases.iter().filter(|(_, lease)| now >= lease.until).map(|(&id, _)| id);
-        let over: Vec<u64> = over.collect();
-        over.into_iter().for_each(|lease| stored.end_lease(lease));
-        stored
+        let expired =
+            inner.leases.iter().filter(|(_, lease)| now >= lease.expires_at).map(|(&id, _)| id);
+        let expired: Vec<u64> = expired.collect();
+        expired.into_iter().for_each(|lease| inner.end_lease(lease));
+        inner
     }
 
-    /// Who leads now.
-    pub fn holder(&self) -> Option<Holder> {
-        let stored = self.lock();
-        let entry = stored.store.keys.get("leader")?;
+    /// Returns the current leader, or `None` if the leader key does not exist.
+    pub fn leader(&self) -> Option<Leader> {
+        let inner = self.lock();
+        let entry = inner.store.keys.get("leader")?;
         let node = entry.value["node"].as_str()?.to_owned();
-        Some(Holder { node, term: entry.revision })
+        Some(Leader { node, term: entry.revision })
     }
 
-    /// Whether an intent with that text in it is stored, and how many were ever stored.
+    /// Returns whether an intent whose value contains the text is stored. The text is a request id
+    /// or the name of a machine.
     pub fn has_intent(&self, text: &str) -> bool {
-        let stored = self.lock();
-        let mut intents = stored.store.keys.iter().filter(|(key, _)| key.starts_with("intent/"));
+        let inner = self.lock();
+        let mut intents = inner.store.keys.iter().filter(|(key, _)| key.starts_with("intent/"));
         intents.any(|(_, entry)| entry.value.to_string().contains(text))
     }
 
-    /// How many intents were ever stored.
-    pub fn intents(&self) -> u64 {
-        self.lock().intents
+    /// Returns the number of intent writes so far, including intents that were deleted since.
+    pub fn intents_stored(&self) -> u64 {
+        self.lock().intents_stored
     }
 
-    /// All changes so far.
+    /// Returns a copy of all changes so far, oldest first.
     pub fn history(&self) -> Vec<Event> {
         self.lock().store.history.clone()
     }
 
-    fn commit(&self, body: Value) -> Answer {
+    fn commit(&self, body: Value) -> JsonResponse {
         let Ok(transaction) = serde_json::from_value::<Transaction>(body) else {
             return (StatusCode::BAD_REQUEST, Json(json!({"error": "malformed"})));
         };
-        let mut stored = self.lock();
-        let ended = |change: &Operation| matches!(change, Operation::Put { lease: Some(id), .. } if !stored.leases.contains_key(id));
-        if transaction.operations.iter().any(ended) {
+        let mut inner = self.lock();
+        let uses_ended_lease = |operation: &Operation| matches!(operation, Operation::Put { lease: Some(id), .. } if !inner.leases.contains_key(id));
+        if transaction.operations.iter().any(uses_ended_lease) {
             return (StatusCode::BAD_REQUEST, Json(json!({"error": "no such lease"})));
         }
-        if let Err(conflict) = stored.store.commit(&transaction) {
-            let body = json!({"failed": conflict.failed, "growth": stored.store.revision});
+        if let Err(conflict) = inner.store.commit(&transaction) {
+            let body = json!({"failed": conflict.failed, "growth": inner.store.revision});
             return (StatusCode::CONFLICT, Json(body));
         }
-        let puts = transaction.operations.iter().filter_map(|change| match change {
+        let puts = transaction.operations.iter().filter_map(|operation| match operation {
             Operation::Put { put, .. } => Some(put),
             Operation::Delete { .. } => None,
         });
-        stored.intents += puts.filter(|key| key.starts_with("intent/")).count() as u64;
-        let revision = stored.store.revision;
-        drop(stored);
-        self.changed.notify_waiters();
+        inner.intents_stored += puts.filter(|key| key.starts_with("intent/")).count() as u64;
+        let revision = inner.store.revision;
+        drop(inner);
+        self.store_changed.notify_waiters();
         (StatusCode::OK, Json(json!({"growth": revision})))
     }
 }
 
 #[derive(Clone)]
-struct Socket {
+struct Endpoint {
     service: Arc<FakeKeyValueService>,
     freezer: Arc<Freezer>,
     node: usize,
 }
 
 #[derive(Deserialize)]
-struct Listing {
-    starts: String,
-    #[serde(default)]
-    from: String,
-    #[serde(default)]
-    most: Option<usize>,
+struct ListQuery {
+    #[serde(rename = "starts")]
+    prefix: String,
+    #[serde(rename = "from", default)]
+    after: String,
+    #[serde(rename = "most", default)]
+    limit: Option<usize>,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Watching {
-    starts: String,
-    from: u64,
+struct WatchQuery {
+    #[serde(rename = "starts")]
+    prefix: String,
+    #[serde(rename = "from")]
+    after_revision: u64,
     #[serde(default)]
     hold_ms: u64,
 }
 
-/// The service as one controller reaches it.
+/// Builds the HTTP API for one controller; `node` is the controller's index.
 pub fn router(service: Arc<FakeKeyValueService>, freezer: Arc<Freezer>, node: usize) -> Router {
     Router::new()
-        .route("/keys", get(list))
-        .route("/keys/{*key}", get(read))
+        .route("/keys", get(list_keys))
+        .route("/keys/{*key}", get(read_key))
         .route("/multi", post(commit))
-        .route("/leases", post(grant))
-        .route("/leases/{id}", axum::routing::delete(release))
-        .route("/leases/{id}/touch", post(touch))
+        .route("/leases", post(grant_lease))
+        .route("/leases/{id}", axum::routing::delete(revoke_lease))
+        .route("/leases/{id}/touch", post(renew_lease))
         .route("/watch", get(watch))
-        .with_state(Socket { service, freezer, node })
+        .with_state(Endpoint { service, freezer, node })
 }
 
-async fn read(State(s): State<Socket>, Path(key): Path<String>) -> Answer {
-    let stored = s.service.lock();
-    match stored.store.read(&key) {
+async fn read_key(State(endpoint): State<Endpoint>, Path(key): Path<String>) -> JsonResponse {
+    let inner = endpoint.service.lock();
+    match inner.store.read(&key) {
         Some(body) => (StatusCode::OK, Json(body)),
-        None => (StatusCode::NOT_FOUND, Json(json!({"growth": stored.store.revision}))),
+        None => (StatusCode::NOT_FOUND, Json(json!({"growth": inner.store.revision}))),
     }
 }
 
-async fn list(State(s): State<Socket>, Query(asked): Query<Listing>) -> Answer {
-    let most = asked.most.unwrap_or(1_000);
-    let body = s.service.lock().store.list(&asked.starts, &asked.from, most);
+async fn list_keys(
+    State(endpoint): State<Endpoint>,
+    Query(query): Query<ListQuery>,
+) -> JsonResponse {
+    let limit = query.limit.unwrap_or(1_000);
+    let body = endpoint.service.lock().store.list(&query.prefix, &query.after, limit);
     (StatusCode::OK, Json(body))
 }
 
-async fn commit(State(s): State<Socket>, Json(body): Json<Value>) -> Answer {
-    let changes = body["apply"].as_array().into_iter().flatten();
-    let puts = changes.filter_map(|change| change["put"].as_str());
-    let holds_intent = puts.into_iter().any(|key| key.starts_with("intent/"));
-    if holds_intent {
-        s.freezer.reached(Point::IntentArrived, s.node).await;
+async fn commit(State(endpoint): State<Endpoint>, Json(body): Json<Value>) -> JsonResponse {
+    let operations = body["apply"].as_array().into_iter().flatten();
+    let puts = operations.filter_map(|operation| operation["put"].as_str());
+    let puts_intent = puts.into_iter().any(|key| key.starts_with("intent/"));
+    if puts_intent {
+        endpoint.freezer.reached(FreezePoint::IntentArrived, endpoint.node).await;
     }
-    let answer = s.service.commit(body);
-    if holds_intent {
-        s.freezer.reached(Point::IntentStored, s.node).await;
+    let response = endpoint.service.commit(body);
+    if puts_intent {
+        endpoint.freezer.reached(FreezePoint::IntentStored, endpoint.node).await;
     }
-    answer
+    response
 }
 
-async fn grant(State(s): State<Socket>, Json(body): Json<Value>) -> Answer {
-    let mut stored = s.service.lock();
+async fn grant_lease(State(endpoint): State<Endpoint>, Json(body): Json<Value>) -> JsonResponse {
+    let mut inner = endpoint.service.lock();
     let ttl = Duration::from_millis(body["ttlMs"].as_u64().unwrap_or(0));
-    stored.store.revision += 1;
-    let id = stored.store.revision;
-    stored.leases.insert(id, Lease { ttl, until: Instant::now() + ttl });
+    inner.store.revision += 1;
+    let id = inner.store.revision;
+    inner.leases.insert(id, Lease { ttl, expires_at: Instant::now() + ttl });
     (StatusCode::OK, Json(json!({"hold": id})))
 }
 
-async fn touch(State(s): State<Socket>, Path(id): Path<u64>) -> Answer {
-    let mut stored = s.service.lock();
-    match stored.leases.get_mut(&id) {
+async fn renew_lease(State(endpoint): State<Endpoint>, Path(id): Path<u64>) -> JsonResponse {
+    let mut inner = endpoint.service.lock();
+    match inner.leases.get_mut(&id) {
         Some(lease) => {
-            lease.until = Instant::now() + lease.ttl;
+            lease.expires_at = Instant::now() + lease.ttl;
             (StatusCode::OK, Json(json!({"hold": id})))
         }
         None => (StatusCode::NOT_FOUND, Json(json!({}))),
     }
 }
 
-async fn release(State(s): State<Socket>, Path(id): Path<u64>) -> Answer {
-    s.service.lock().end_lease(id);
-    s.service.changed.notify_waiters();
+async fn revoke_lease(State(endpoint): State<Endpoint>, Path(id): Path<u64>) -> JsonResponse {
+    endpoint.service.lock().end_lease(id);
+    endpoint.service.store_changed.notify_waiters();
     (StatusCode::OK, Json(json!({})))
 }
 
-async fn watch(State(s): State<Socket>, Query(asked): Query<Watching>) -> Answer {
-    let until = Instant::now() + Duration::from_millis(asked.hold_ms);
+async fn watch(State(endpoint): State<Endpoint>, Query(query): Query<WatchQuery>) -> JsonResponse {
+    let deadline = Instant::now() + Duration::from_millis(query.hold_ms);
     loop {
         let (revision, events) = {
-            let stored = s.service.lock();
-            let history = &stored.store.history;
-            let new = history.iter().rev().take_while(|event| event.revision > asked.from);
-            let ours = new.filter(|event| event.key.starts_with(&asked.starts));
-            let mut events: Vec<Value> = ours
+            let inner = endpoint.service.lock();
+            let history = &inner.store.history;
+            let new_events =
+                history.iter().rev().take_while(|event| event.revision > query.after_revision);
+            let matching = new_events.filter(|event| event.key.starts_with(&query.prefix));
+            let mut events: Vec<Value> = matching
                 .map(|event| match &event.value {
                     Some(value) => {
                         json!({"put": event.key, "value": value, "mark": event.revision})
@@ -223,13 +233,13 @@
                 })
                 .collect();
             events.reverse();
-            (stored.store.revision, events)
+            (inner.store.revision, events)
         };
-        if !events.is_empty() || Instant::now() >= until {
+        if !events.is_empty() || Instant::now() >= deadline {
             return (StatusCode::OK, Json(json!({"growth": revision, "events": events})));
         }
-        // Leases end by themselves, so a look now and then is needed too.
-        let pause = Duration::from_millis(50).min(until - Instant::now());
-        let _ = tokio::time::timeout(pause, s.service.changed.notified()).await;
+        // The expiry of a lease sends no notification, so the watch also polls.
+        let pause = Duration::from_millis(50).min(deadline - Instant::now());
+        let _ = tokio::time::timeout(pause, endpoint.service.store_changed.notified()).await;
     }
 }
--- a/crates/fault-injection/src/fake_workers.rs
+++ b/crates/fault-injection/src/fake_workers.rs
@@ -1,5 +1,5 @@
-//! Workers as the protocol describes them, many in one process: reports, tokens, agent epochs, leases, commands.
-//! Their tasks only take time.
+//! Fake workers that implement the worker protocol: reports, fencing tokens, agent epochs, leases
+//! and commands. All workers run in this process, and their tasks only wait for a fixed time.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -12,64 +12,68 @@
 use serde_json::{json, Value};
 use tokio::task::JoinHandle;
 
-const REPORT_EVERY: Duration = Duration::from_millis(500);
-/// The workers' lease; the settings of the run say the same.
-pub const LEASE: Duration = Duration::from_secs(10);
-const ANSWER_WITHIN: Duration = Duration::from_secs(4);
+/// Time between two reports of a worker to the controllers.
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
+/// Lease of a worker: without a valid response to a report for this long, it drops its tasks and
+/// starts a new epoch. The controllers' settings use the same value.
+pub const WORKER_LEASE: Duration = Duration::from_secs(10);
+/// Time after which a report without a response counts as failed.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A machine as it was rented.
+/// Rented machine as the cloud knows it.
 #[derive(Debug, Clone)]
 pub struct FakeMachine {
     zone: String,
     spot: bool,
-    since: Instant,
+    rented_at: Instant,
 }
 
 impl FakeMachine {
-    /// A machine that was asked for just now.
+    /// Creates a machine whose rental starts now.
     pub fn new(zone: &str, spot: bool) -> FakeMachine {
-        FakeMachine { zone: zone.to_owned(), spot, since: Instant::now() }
+        FakeMachine { zone: zone.to_owned(), spot, rented_at: Instant::now() }
     }
 
-    /// Its line in the cloud's list.
-    pub fn listed(&self, name: &str) -> Value {
+    /// Returns the machine's entry in the cloud's machine listing.
+    pub fn list_entry(&self, name: &str) -> Value {
         json!({"ref": name, "breed": "t8", "grove": self.zone, "windfall": self.spot,
-            "stage": "running", "ageS": self.since.elapsed().as_secs_f64()})
+            "stage": "running", "ageS": self.rented_at.elapsed().as_secs_f64()})
     }
 }
 
 struct Task {
-    ends: Instant,
-    exited: Option<&'static str>,
+    ends_at: Instant,
+    exit_cause: Option<&'static str>,
 }
 
 struct Worker {
     name: String,
     address: String,
     machine: FakeMachine,
-    session: u64,
+    epoch: u64,
     sequence: u64,
     token: u64,
     tasks: BTreeMap<(String, u64), Task>,
-    renewed: Instant,
+    lease_renewed_at: Instant,
 }
 
-type Shared = Arc<Mutex<Worker>>;
-/// A worker, and what serves and reports for it.
-type Running = (Shared, Vec<JoinHandle<()>>);
+type SharedWorker = Arc<Mutex<Worker>>;
+/// A worker with the tasks that serve its commands and send its reports.
+type RunningWorker = (SharedWorker, Vec<JoinHandle<()>>);
 
-/// Starts of a task while the same task was on another machine: none may be.
+/// Names of tasks that were started while they were still running on another worker. The list must
+/// stay empty.
 pub type DuplicateExecutions = Arc<Mutex<Vec<String>>>;
 
-/// All workers of a run.
+/// All workers of a scenario; clones share the same workers.
 #[derive(Clone)]
 pub struct FakeWorkers {
     controllers: Arc<Vec<(String, String)>>,
-    client: reqwest::Client,
-    workers: Arc<Mutex<BTreeMap<String, Running>>>,
-    run_for: Duration,
+    http_client: reqwest::Client,
+    workers: Arc<Mutex<BTreeMap<String, RunningWorker>>>,
+    task_duration: Duration,
     duplicate_executions: DuplicateExecutions,
-    /// When a task of each job first started.
+    /// Time of the first task start of each job, by the name of the job.
     first_starts: Arc<Mutex<BTreeMap<String, Instant>>>,
 }
 
@@ -77,127 +81,137 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The job and the number of a task.
-fn task_name(task: &str) -> Option<(&str, &str)> {
+/// Splits the name of a task into the name of its job and the task number.
+fn split_task_name(task: &str) -> Option<(&str, &str)> {
     task.split_once('/')
 }
 
 impl FakeWorkers {
-    /// No machines yet; tasks take so long. The controllers are given by name and address.
-    pub fn new(controllers: Vec<(String, String)>, run_for: Duration) -> FakeWorkers {
-        let client = reqwest::Client::builder().timeout(ANSWER_WITHIN).no_proxy().build();
+    /// Creates an empty set of workers whose tasks run for `task_duration`. The controllers are
+    /// given as pairs of node name and API address.
+    pub fn new(controllers: Vec<(String, String)>, task_duration: Duration) -> FakeWorkers {
+        let http_client = reqwest::Client::builder().timeout(REQUEST_TIMEOUT).no_proxy().build();
         FakeWorkers {
             controllers: Arc::new(controllers),
-            client: client.expect("a client"),
+            http_client: http_client.expect("failed to build the HTTP client"),
             workers: Arc::default(),
-            run_for,
+            task_duration,
             duplicate_executions: Arc::default(),
             first_starts: Arc::default(),
         }
     }
 
-    /// Tasks that ran twice at once.
+    /// Returns the names of the tasks that ran on two workers at the same time.
     pub fn duplicate_executions(&self) -> Vec<String> {
         lock(&self.duplicate_executions).clone()
     }
 
-    /// When a task of each job first started.
+    /// Returns the time of the first task start of each job, by the name of the job.
     pub fn first_starts(&self) -> BTreeMap<String, Instant> {
         lock(&self.first_starts).clone()
     }
 
-    /// The machine is up at once.
+    /// Starts the worker of a machine, without any boot time.
     pub async fn start(&self, name: &str, machine: &FakeMachine) {
-        let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a socket");
-        let address = listener.local_addr().expect("an address").to_string();
+        let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("failed to bind a loopback port");
+        let address = listener.local_addr().expect("local address").to_string();
         let worker = Arc::new(Mutex::new(Worker {
             name: name.to_owned(),
             address,
             machine: machine.clone(),
-            session: 1,
+            epoch: 1,
             sequence: 0,
             token: 0,
             tasks: BTreeMap::new(),
-            renewed: Instant::now(),
+            lease_renewed_at: Instant::now(),
         }));
-        let store_reachable = (self.clone(), worker.clone());
+        let handler_state = (self.clone(), worker.clone());
         let app = Router::new()
             .route("/commands", post(commands))
-            .route("/show", get(show))
-            .with_state(store_reachable);
-        let listens = tokio::spawn(async move { drop(axum::serve(listener, app).await) });
-        let (fleet, reporting) = (self.clone(), worker.clone());
-        let reports = tokio::spawn(async move { fleet.report_on(&reporting).await });
-        lock(&self.workers).insert(name.to_owned(), (worker, vec![listens, reports]));
+            .route("/show", get(show_report))
+            .with_state(handler_state);
+        let server = tokio::spawn(async move { drop(axum::serve(listener, app).await) });
+        let (workers, reporting_worker) = (self.clone(), worker.clone());
+        let reporter =
+            tokio::spawn(async move { workers.report_periodically(&reporting_worker).await });
+        lock(&self.workers).insert(name.to_owned(), (worker, vec![server, reporter]));
     }
 
-    /// The machine is gone, and what is on it. How many tasks that were.
+    /// Stops the worker of a machine and discards its tasks. Returns how many of them were running.
     pub fn stop(&self, name: &str) -> usize {
-        let Some((worker, running)) = lock(&self.workers).remove(name) else { return 0 };
-        running.iter().for_each(JoinHandle::abort);
+        let Some((worker, handles)) = lock(&self.workers).remove(name) else { return 0 };
+        handles.iter().for_each(JoinHandle::abort);
         let mut worker = lock(&worker);
-        worker.finish_due();
-        let live = worker.tasks.values().filter(|task| task.exited.is_none()).count();
+        worker.advance();
+        let running_tasks = worker.tasks.values().filter(|task| task.exit_cause.is_none()).count();
         worker.tasks.clear();
-        live
+        running_tasks
     }
 
-    async fn report_on(&self, worker: &Shared) {
-        let mut at = rand::random_range(0..self.controllers.len());
+    async fn report_periodically(&self, worker: &SharedWorker) {
+        let mut index = rand::random_range(0..self.controllers.len());
         loop {
-            let (report, session, sent) = {
+            let (report, epoch, sent_at) = {
                 let mut worker = lock(worker);
-                (worker.report(), worker.session, Instant::now())
+                (worker.build_report(), worker.epoch, Instant::now())
             };
-            let url = format!("http://{}/hello", self.controllers[at].1);
-            let answer = self.client.post(url).json(&report).send().await;
-            let status = answer.as_ref().map(|answer| answer.status().as_u16()).ok();
-            let body: Value = match answer {
-                Ok(answer) => answer.json().await.unwrap_or_default(),
+            let url = format!("http://{}/hello", self.controllers[index].1);
+            let response = self.http_client.post(url).json(&report).send().await;
+            let status = response.as_ref().map(|response| response.status().as_u16()).ok();
+            let body: Value = match response {
+                Ok(response) => response.json().await.unwrap_or_default(),
                 Err(_) => Value::Null,
             };
             match (status, body["keeper"].as_str()) {
-                (Some(200), _) => self.answered(worker, session, sent, &body),
+                (Some(200), _) => self.handle_report_response(worker, epoch, sent_at, &body),
                 (Some(421), Some(keeper)) => {
-                    let place = self.controllers.iter().position(|(name, _)| name == keeper);
-                    at = place.unwrap_or((at + 1) % self.controllers.len());
+                    let known_index = self.controllers.iter().position(|(name, _)| name == keeper);
+                    index = known_index.unwrap_or((index + 1) % self.controllers.len());
                 }
-                _ => at = (at + 1) % self.controllers.len(),
+                _ => index = (index + 1) % self.controllers.len(),
             }
-            tokio::time::sleep(REPORT_EVERY).await;
+            tokio::time::sleep(REPORT_INTERVAL).await;
         }
     }
 
-    fn answered(&self, worker: &Shared, session: u64, sent: Instant, body: &Value) {
+    fn handle_report_response(
+        &self,
+        worker: &SharedWorker,
+        epoch: u64,
+        sent_at: Instant,
+        body: &Value,
+    ) {
         let token = body["staff"].as_u64().unwrap_or(0);
-        let mut known = lock(worker);
-        if token < known.token || session != known.session {
+        let mut state = lock(worker);
+        if token < state.token || epoch != state.epoch {
             return;
         }
-        (known.token, known.renewed) = (token, known.renewed.max(sent));
-        drop(known);
-        self.execute(worker, &body["calls"]);
+        (state.token, state.lease_renewed_at) = (token, state.lease_renewed_at.max(sent_at));
+        drop(state);
+        self.execute_commands(worker, &body["calls"]);
     }
 
-    fn execute(&self, worker: &Shared, calls: &Value) {
-        for call in calls.as_array().into_iter().flatten() {
-            let task = call["nut"].as_str().unwrap_or_default().to_owned();
-            let key = (task.clone(), call["try"].as_u64().unwrap_or(0));
-            match call["call"].as_str() {
+    fn execute_commands(&self, worker: &SharedWorker, commands: &Value) {
+        for command in commands.as_array().into_iter().flatten() {
+            let task = command["nut"].as_str().unwrap_or_default().to_owned();
+            let key = (task.clone(), command["try"].as_u64().unwrap_or(0));
+            match command["call"].as_str() {
                 Some("run") => {
-                    if self.runs_elsewhere(worker, &task) {
+                    if self.is_running_elsewhere(worker, &task) {
                         lock(&self.duplicate_executions).push(task);
                     }
-                    if let Some((job, _)) = task_name(&key.0) {
-                        let mut first = lock(&self.first_starts);
-                        first.entry(job.to_owned()).or_insert_with(Instant::now);
+                    if let Some((job, _)) = split_task_name(&key.0) {
+                        let mut first_starts = lock(&self.first_starts);
+                        first_starts.entry(job.to_owned()).or_insert_with(Instant::now);
                     }
-                    let ends = Instant::now() + self.run_for;
-                    lock(worker).tasks.entry(key).or_insert(Task { ends, exited: None });
+                    let ends_at = Instant::now() + self.task_duration;
+                    lock(worker).tasks.entry(key).or_insert(Task { ends_at, exit_cause: None });
                 }
                 Some("kill") => {
                     if let Some(task) = lock(worker).tasks.get_mut(&key) {
-                        task.exited.get_or_insert("stopped");
+                        task.exit_cause.get_or_insert("stopped");
                     }
                 }
                 _ => drop(lock(worker).tasks.remove(&key)),
@@ -205,40 +219,45 @@
         }
     }
 
-    fn runs_elsewhere(&self, here: &Shared, task: &str) -> bool {
-        let others: Vec<Shared> = {
+    fn is_running_elsewhere(&self, this_worker: &SharedWorker, task: &str) -> bool {
+        let others: Vec<SharedWorker> = {
             let workers = lock(&self.workers);
             let others = workers.values().map(|(worker, _)| worker.clone());
-            others.filter(|worker| !Arc::ptr_eq(worker, here)).collect()
+            others.filter(|worker| !Arc::ptr_eq(worker, this_worker)).collect()
         };
         others.iter().any(|worker| {
             let mut worker = lock(worker);
-            worker.finish_due();
-            worker.tasks.iter().any(|((name, _), t)| name == task && t.exited.is_none())
+            worker.advance();
+            worker
+                .tasks
+                .iter()
+                .any(|((name, _), task_state)| name == task && task_state.exit_cause.is_none())
         })
     }
 }
 
 impl Worker {
-    fn finish_due(&mut self) {
+    /// Brings the worker up to date with the clock. If the lease has expired, all tasks are dropped
+    /// and a new epoch begins; tasks whose time is over are marked as done.
+    fn advance(&mut self) {
         let now = Instant::now();
-        if self.renewed.elapsed() > LEASE {
+        if self.lease_renewed_at.elapsed() > WORKER_LEASE {
             self.tasks.clear();
-            self.session += 1;
-            self.renewed = now;
+            self.epoch += 1;
+            self.lease_renewed_at = now;
         }
-        for task in self.tasks.values_mut().filter(|task| now >= task.ends) {
-            task.exited.get_or_insert("done");
+        for task in self.tasks.values_mut().filter(|task| now >= task.ends_at) {
+            task.exit_cause.get_or_insert("done");
         }
     }
 
-    fn report(&mut self) -> Value {
-        self.finish_due();
+    fn build_report(&mut self) -> Value {
+        self.advance();
         self.sequence += 1;
         let tasks: Vec<Value> = self
             .tasks
             .iter()
-            .map(|((name, attempt), task)| match task.exited {
+            .map(|((name, attempt), task)| match task.exit_cause {
                 Some(cause) => {
                     json!({"nut": name, "try": attempt, "stage": "exited", "cause": cause})
                 }
@@ -246,32 +265,32 @@
             })
             .collect();
         json!({"tree": self.name, "address": self.address, "breed": "t8",
-            "grove": self.machine.zone, "windfall": self.machine.spot, "season": self.session,
+            "grove": self.machine.zone, "windfall": self.machine.spot, "season": self.epoch,
             "ring": self.sequence, "staff": self.token, "shakeS": null, "nuts": tasks})
     }
 }
 
 async fn commands(
-    State((fleet, worker)): State<(FakeWorkers, Shared)>,
+    State((workers, worker)): State<(FakeWorkers, SharedWorker)>,
     Json(body): Json<Value>,
 ) -> (StatusCode, Json<Value>) {
     let token = body["staff"].as_u64().unwrap_or(0);
-    let taken = {
+    let accepted = {
         let mut worker = lock(&worker);
-        worker.finish_due();
-        let taken = token >= worker.token && body["season"].as_u64() == Some(worker.session);
-        if taken {
+        worker.advance();
+        let accepted = token >= worker.token && body["season"].as_u64() == Some(worker.epoch);
+        if accepted {
             worker.token = token;
         }
-        taken
+        accepted
     };
-    if taken {
-        fleet.execute(&worker, &body["calls"]);
+    if accepted {
+        workers.execute_commands(&worker, &body["calls"]);
     }
-    let status = if taken { StatusCode::OK } else { StatusCode::CONFLICT };
-    (status, Json(lock(&worker).report()))
+    let status = if accepted { StatusCode::OK } else { StatusCode::CONFLICT };
+    (status, Json(lock(&worker).build_report()))
 }
 
-async fn show(State((_, worker)): State<(FakeWorkers, Shared)>) -> Json<Value> {
-    Json(lock(&worker).report())
+async fn show_report(State((_, worker)): State<(FakeWorkers, SharedWorker)>) -> Json<Value> {
+    Json(lock(&worker).build_report())
 }
--- a/crates/fault-injection/src/freeze.rs
+++ b/crates/fault-injection/src/freeze.rs
@@ -1,4 +1,5 @@
-//! Stops a controller's process for longer than its lease, at random or at a chosen point of an action.
+//! Freezes a controller's process with `SIGSTOP` for longer than its lease, either at any time or
+//! at a chosen point of an action.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -8,98 +9,108 @@
 
 use crate::fake_key_value_service::FakeKeyValueService;
 
-/// Where in an action a holder can be frozen.
+/// Point of a cloud action at which the leader can be frozen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Point {
-    /// Its write of an intent has arrived; it is carried out once the holder has been replaced.
+pub enum FreezePoint {
+    /// The write of the intent has arrived at the key-value service and is executed after the
+    /// freeze, when the leader has been replaced.
     IntentArrived,
-    /// Its intent is stored; the answer waits for it.
+    /// The intent is stored, and the frozen leader receives the response only after the freeze.
     IntentStored,
-    /// Its request has arrived at the cloud; it is carried out once the holder has been replaced.
+    /// The request has arrived at the cloud and is executed after the freeze, when the leader has
+    /// been replaced.
     RequestArrived,
-    /// Its request was carried out; the answer waits for it.
+    /// The cloud has executed the request, and the frozen leader receives the response only after
+    /// the freeze.
     RequestDone,
 }
 
-/// The points, to aim at in turn.
-pub const POINTS: [Point; 4] =
-    [Point::IntentArrived, Point::IntentStored, Point::RequestArrived, Point::RequestDone];
+/// All freeze points, in the order in which a scenario uses them.
+pub const FREEZE_POINTS: [FreezePoint; 4] = [
+    FreezePoint::IntentArrived,
+    FreezePoint::IntentStored,
+    FreezePoint::RequestArrived,
+    FreezePoint::RequestDone,
+];
 
-/// The processes, and the point at which the next freeze is due.
+/// Freezes controller processes. It can be armed to freeze the leader at a point of its next
+/// action; the fakes report every point that a request reaches.
 pub struct Freezer {
     processes: Mutex<Vec<(String, Pid)>>,
-    armed: Mutex<Option<(Point, Duration)>>,
-    state: Arc<FakeKeyValueService>,
+    armed: Mutex<Option<(FreezePoint, Duration)>>,
+    store: Arc<FakeKeyValueService>,
 }
 
 impl Freezer {
-    /// Freezes nobody until it is armed.
-    pub fn new(state: Arc<FakeKeyValueService>) -> Freezer {
-        Freezer { processes: Mutex::default(), armed: Mutex::default(), state }
+    /// Creates a freezer that is not armed and knows no processes.
+    pub fn new(store: Arc<FakeKeyValueService>) -> Freezer {
+        Freezer { processes: Mutex::default(), armed: Mutex::default(), store }
     }
 
-    /// The controllers, by their names and the ids of their processes.
-    pub fn watch(&self, processes: Vec<(String, Pid)>) {
+    /// Sets the node names and process ids of the controllers, replacing all earlier ones.
+    pub fn set_processes(&self, processes: Vec<(String, Pid)>) {
         *self.processes.lock().unwrap_or_else(PoisonError::into_inner) = processes;
     }
 
-    /// The next holder that comes to that point is frozen for so long.
-    pub fn arm(&self, point: Point, length: Duration) {
-        *self.armed.lock().unwrap_or_else(PoisonError::into_inner) = Some((point, length));
+    /// Arms the freezer: the next leader to reach the point is frozen for `duration`.
+    pub fn arm(&self, point: FreezePoint, duration: Duration) {
+        *self.armed.lock().unwrap_or_else(PoisonError::into_inner) = Some((point, duration));
     }
 
-    /// Whether the freeze that was armed is still to come.
+    /// Returns whether the armed freeze has not started yet.
     pub fn is_armed(&self) -> bool {
         self.armed.lock().unwrap_or_else(PoisonError::into_inner).is_some()
     }
 
-    /// Whether the freeze that was armed hasn't happened yet; it is called off then.
+    /// Cancels the armed freeze. Returns whether it had not started yet.
     pub fn disarm(&self) -> bool {
         self.armed.lock().unwrap_or_else(PoisonError::into_inner).take().is_some()
     }
 
-    fn process(&self, node: usize) -> Option<(String, Pid)> {
+    fn process_of(&self, node: usize) -> Option<(String, Pid)> {
         let processes = self.processes.lock().unwrap_or_else(PoisonError::into_inner);
         processes.get(node).cloned()
     }
 
-    /// A request of the node has come to that point. Where the request waits for the freeze to end, so
-    /// does this.
-    pub async fn reached(&self, point: Point, node: usize) {
-        let Some((name, pid)) = self.process(node) else { return };
-        if self.state.holder().is_none_or(|holder| holder.node != name) {
+    /// Called by the fakes when a request of the node reaches the point. If the freezer is armed
+    /// for it and the node leads, the node is frozen. At points before the request is executed, the
+    /// call returns only when the freeze is over.
+    pub async fn reached(&self, point: FreezePoint, node: usize) {
+        let Some((name, pid)) = self.process_of(node) else { return };
+        if self.store.leader().is_none_or(|leader| leader.node != name) {
             return;
         }
-        let length = {
+        let duration = {
             let mut armed = self.armed.lock().unwrap_or_else(PoisonError::into_inner);
-            match armed.take_if(|(at, _)| *at == point) {
-                Some((_, length)) => length,
+            match armed.take_if(|(armed_point, _)| *armed_point == point) {
+                Some((_, duration)) => duration,
                 None => return,
             }
         };
-        let frozen = freeze(pid, length);
-        if matches!(point, Point::IntentArrived | Point::RequestArrived) {
-            let _ = frozen.await;
+        let thaw = freeze(pid, duration);
+        if matches!(point, FreezePoint::IntentArrived | FreezePoint::RequestArrived) {
+            let _ = thaw.await;
         }
     }
 
-    /// Freezes whoever leads now, and waits for the end of it. Whether anybody did.
-    pub async fn freeze_holder(&self, length: Duration) -> bool {
-        let Some(holder) = self.state.holder() else { return false };
+    /// Freezes the current leader and waits until the freeze is over. Returns `false` if there is
+    /// no leader or its process is not known.
+    pub async fn freeze_leader(&self, duration: Duration) -> bool {
+        let Some(leader) = self.store.leader() else { return false };
         let pid = {
             let processes = self.processes.lock().unwrap_or_else(PoisonError::into_inner);
-            processes.iter().find(|(name, _)| *name == holder.node).map(|(_, pid)| *pid)
+            processes.iter().find(|(name, _)| *name == leader.node).map(|(_, pid)| *pid)
         };
         let Some(pid) = pid else { return false };
-        freeze(pid, length).await.is_ok()
+        freeze(pid, duration).await.is_ok()
     }
 }
 
-/// Stops the process at once and lets it go on after a while.
-fn freeze(pid: Pid, length: Duration) -> tokio::task::JoinHandle<()> {
+/// Stops the process immediately and resumes it in the background after `duration`.
+fn freeze(pid: Pid, duration: Duration) -> tokio::task::JoinHandle<()> {
     let _ = kill(pid, Signal::SIGSTOP);
     tokio::spawn(async move {
-        tokio::time::sleep(length).await;
+        tokio::time::sleep(duration).await;
         let _ = kill(pid, Signal::SIGCONT);
     })
 }
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,5 +1,8 @@
-//! Real controllers on loopback against fakes for everything around them, a harness that freezes the
-//! leader, a play with two versions of the program, and a checker of what the cloud was asked.
+//! Fault-injection scenarios for the controller. Real controller processes run on the loopback
+//! interface against in-process fakes of the key-value service, the cloud and the workers.
+//!
+//! One scenario freezes the leader, one overloads the cluster, and one changes leadership between
+//! two versions of the program. A checker examines the log of cloud requests afterwards.
 
 pub mod action_checker;
 pub mod controllers;
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -1,5 +1,5 @@
-//! Freezes the leader of three real controllers many times over, or plays an overload or two versions side by
-//! side, and prints what was seen.
+//! Command line of the fault-injection scenarios. Runs one scenario against three real controllers,
+//! prints its report, and exits with a failure if a check of the scenario failed.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -11,45 +11,46 @@
 #[derive(Parser)]
 #[command(about = "Plays failures of three real controllers on loopback")]
 struct Args {
-    /// The controllers' program
+    /// Controller program to run
     #[arg(long, global = true, default_value = "target/release/walnutlug")]
     program: PathBuf,
     #[command(subcommand)]
-    play: Play,
+    scenario: ScenarioCommand,
 }
 
 #[derive(Subcommand)]
-enum Play {
-    /// Freezes the leader many times over, and looks at what the cloud was asked
+enum ScenarioCommand {
+    /// Freezes the leader repeatedly and checks the requests that the cloud received
     Freezes {
-        /// The operators' script that the controllers are run with
+        /// Lua settings script of the operators, passed to all controllers
         #[arg(long, default_value = "crates/fault-injection/scripts/fenced.lua")]
         script: PathBuf,
-        /// How often a leader is frozen
+        /// Number of freezes after which the scenario ends
         #[arg(long, default_value_t = 300)]
         freezes: usize,
-        /// No freeze is begun after so many minutes
+        /// Time in minutes after which no further freeze begins
         #[arg(long, default_value_t = 60)]
         minutes: u64,
     },
-    /// Floods them with one team's jobs while they are killed, frozen and started again
+    /// Overloads the cluster with one team's jobs while controllers are killed, frozen and
+    /// restarted
     Overload {
-        /// The operators' script that the controllers are run with
+        /// Lua settings script of the operators, passed to all controllers
         #[arg(long, default_value = "crates/fault-injection/scripts/overload.lua")]
         script: PathBuf,
-        /// For how many minutes jobs are submitted
+        /// Time in minutes for which jobs are submitted
         #[arg(long, default_value_t = 10.0)]
         minutes: f64,
     },
-    /// Lets one controller of the version before lead by turns with two new ones
+    /// Moves leadership between one controller of an earlier version and two of the tested version
     Versions {
-        /// The program of the version before
+        /// Controller program of the earlier version
         #[arg(long)]
         previous: PathBuf,
-        /// The operators' script that the controllers are run with; both versions have to know its names
+        /// Lua settings script of the operators; both versions must know all settings in it
         #[arg(long, default_value = "crates/fault-injection/scripts/fenced.lua")]
         script: PathBuf,
-        /// For how many minutes jobs are submitted
+        /// Minimum time in minutes for which jobs are submitted
         #[arg(long, default_value_t = 2.0)]
         minutes: f64,
     },
@@ -57,9 +58,9 @@
 
 #[tokio::main]
 async fn main() -> ExitCode {
-    let Args { program, play } = Args::parse();
-    match play {
-        Play::Freezes { script, freezes, minutes } => {
+    let Args { program, scenario } = Args::parse();
+    match scenario {
+        ScenarioCommand::Freezes { script, freezes, minutes } => {
             let time_limit = Duration::from_secs(60 * minutes);
             print_freeze_report(
                 &freeze_scenario::run(&freeze_scenario::Scenario {
@@ -71,7 +72,7 @@
                 .await,
             )
         }
-        Play::Overload { script, minutes } => {
+        ScenarioCommand::Overload { script, minutes } => {
             let submit_time = Duration::from_secs_f64(60.0 * minutes);
             print_overload_report(
                 &overload_scenario::run(&overload_scenario::Scenario {
@@ -82,10 +83,10 @@
                 .await,
             )
         }
-        Play::Versions { previous, script, minutes } => {
+        ScenarioCommand::Versions { previous, script, minutes } => {
             let submit_time = Duration::from_secs_f64(60.0 * minutes);
             let scenario = version_scenario::Scenario { program, previous, script, submit_time };
-            tell_versions(&version_scenario::run(&scenario).await)
+            print_version_report(&version_scenario::run(&scenario).await)
         }
     }
 }
@@ -94,24 +95,28 @@
     println!("controllers killed {}, frozen {}", report.killed, report.frozen);
     println!("tasks that ran twice at once {:?}", report.duplicate_executions);
     let mut lost = 0;
-    for (team, told) in &report.teams {
-        let start = |quantile| told.start_ms.value_at_quantile(quantile);
+    for (team, team_report) in &report.teams {
+        let start_delay = |quantile| team_report.start_delay_ms.value_at_quantile(quantile);
         println!(
             "{team}: accepted {}, told to come again {}, unanswered {}, given up {}, done {}",
-            told.accepted, told.refused, told.unanswered, told.given_up, told.done
+            team_report.accepted,
+            team_report.refused,
+            team_report.unanswered,
+            team_report.given_up,
+            team_report.done
         );
         println!(
             "{team}: first start after ms: median {}, 99th percentile {}, most {}; longest without one {} ms",
-            start(0.5),
-            start(0.99),
-            told.start_ms.max(),
-            told.longest_without_start.as_millis()
+            start_delay(0.5),
+            start_delay(0.99),
+            team_report.start_delay_ms.max(),
+            team_report.longest_without_start.as_millis()
         );
         println!(
             "{team}: jobs of the flood that started before one of its own, at most {}",
-            told.max_overtaken
+            team_report.max_overtaken
         );
-        lost += told.accepted - told.done;
+        lost += team_report.accepted - team_report.done;
     }
     match (lost, report.duplicate_executions.is_empty()) {
         (0, true) => ExitCode::SUCCESS,
@@ -120,7 +125,7 @@
 }
 
 fn print_freeze_report(report: &freeze_scenario::Report) -> ExitCode {
-    let vacant = |quantile| report.vacant_ms.value_at_quantile(quantile);
+    let leaderless = |quantile| report.leaderless_ms.value_at_quantile(quantile);
     println!("freezes {} (aimed at each point: {:?})", report.freezes, report.aimed);
     println!("terms {}, intents stored {}", report.terms, report.intents);
     println!("jobs accepted {}, done {}", report.accepted, report.done);
@@ -129,9 +134,9 @@
     println!("uncovered actions of replaced holders {}", report.findings.unfenced_actions());
     println!(
         "time without a leader: median {} ms, 99th percentile {} ms, most {} ms",
-        vacant(0.5),
-        vacant(0.99),
-        report.vacant_ms.max()
+        leaderless(0.5),
+        leaderless(0.99),
+        report.leaderless_ms.max()
     );
     match report.findings.unfenced_actions() {
         0 if report.duplicate_executions.is_empty() => ExitCode::SUCCESS,
@@ -139,9 +144,9 @@
     }
 }
 
-fn tell_versions(report: &version_scenario::Report) -> ExitCode {
+fn print_version_report(report: &version_scenario::Report) -> ExitCode {
     let history = &report.history;
-    let ways = [
+    let transitions = [
         ("elections", history.elections),
         ("jobs accepted under one version, done under the other", history.accepted_then_done),
         ("jobs started under one version, done under the other", history.started_then_done),
@@ -151,23 +156,23 @@
             history.accepted_then_aborted,
         ),
     ];
-    for (what, both) in ways {
+    for (description, counts) in transitions {
         println!(
-            "{what}: previous to new {}, new to previous {}",
-            both.previous_to_new, both.new_to_previous
+            "{description}: previous to new {}, new to previous {}",
+            counts.previous_to_new, counts.new_to_previous
         );
     }
     println!("elections within a version {}", history.same_version);
     println!("jobs accepted by each node, the previous version's first {:?}", report.accepted_by);
     println!("jobs to be done {}, to be aborted {}", report.done, report.aborted);
     println!("undecided requests {:?}", report.undecided);
-    println!("wrong answers {:?}", report.wrong);
+    println!("wrong answers {:?}", report.wrong_stages);
     println!("tasks that ran twice at once {:?}", report.duplicate_executions);
     let checks = report.checks();
-    for (check, holds) in &checks {
-        println!("{}: {check}", if *holds { "holds" } else { "FAILS" });
+    for (description, passed) in &checks {
+        println!("{}: {description}", if *passed { "holds" } else { "FAILS" });
     }
-    match checks.iter().all(|(_, holds)| *holds) {
+    match checks.iter().all(|(_, passed)| *passed) {
         true => ExitCode::SUCCESS,
         false => ExitCode::FAILURE,
     }
--- a/crates/fault-injection/src/overload_scenario.rs
+++ b/crates/fault-injection/src/overload_scenario.rs
@@ -1,6 +1,6 @@
-//! A flood of one team's jobs beside a trickle of two others', while controllers are killed, frozen and
-//! started again. What is told of each team: how long its jobs wait for their first start, and how long
-//! nothing of it starts.
+//! Scenario in which one team overloads the cluster with jobs, two other teams submit a few, and
+//! controllers are killed, frozen and restarted. For each team, the report shows how long its jobs
+//! wait for their first start and the longest time in which none of its waiting jobs starts.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -10,87 +10,103 @@
 use hdrhistogram::Histogram;
 use serde_json::json;
 
-use crate::controllers::{lock, Addresses, Controllers, Setup, NODES};
+use crate::controllers::{lock, ControllerAddresses, ControllerSetup, Controllers, NODES};
 use crate::fake_cloud::FakeCloud;
 use crate::fake_key_value_service::FakeKeyValueService;
 use crate::fake_workers::FakeWorkers;
 use crate::freeze::Freezer;
-use crate::user::{client, count_done, submission};
+use crate::user::{count_done, http_client, submission};
 
-/// The team that floods, and the others.
+/// Names of the teams. The first one submits too many jobs; the others submit a few.
 pub const TEAMS: [&str; 3] = ["flood", "two", "three"];
-/// Machines to be had, of eight processors; tasks take two each.
+/// Number of machines in the cloud. Each has eight vCPUs, and a task uses two.
 const MACHINES: usize = 10;
-const TASK_TAKES: Duration = Duration::from_millis(1_500);
-/// What the flood's clients send together: two and a half times what the machines can do.
+/// Run time of each task.
+const TASK_DURATION: Duration = Duration::from_millis(1_500);
+/// Number of clients of the flooding team. Together with the next two constants it makes a load of
+/// two and a half times what the machines can run.
 const FLOOD_CLIENTS: u64 = 4;
-const FLOOD_EVERY: Duration = Duration::from_millis(500);
+/// Mean time between two submissions of a client of the flooding team.
+const FLOOD_INTERVAL: Duration = Duration::from_millis(500);
+/// Tasks in each job of the flooding team.
 const FLOOD_TASKS: u32 = 8;
-/// The flood pauses while so many of its jobs have not started, so that the run can end.
-const MAX_WAITING: usize = 300;
-const TRICKLE_EVERY: Duration = Duration::from_millis(1_500);
+/// Maximum number of accepted jobs of a team that have not started. The team's clients pause at
+/// this number, so that the scenario can end.
+const MAX_WAITING_JOBS: usize = 300;
+/// Mean time between two submissions of a client of the other teams.
+const TRICKLE_INTERVAL: Duration = Duration::from_millis(1_500);
+/// Tasks in each job of the other teams.
 const TRICKLE_TASKS: u32 = 4;
-/// By its own reckoning each job of the flood is more urgent.
+/// Deadline in seconds of each job of the flooding team. It is shorter than that of the other
+/// teams, so by deadline alone every job of the flood would be more urgent.
 const FLOOD_DEADLINE_S: f64 = 8.0;
+/// Deadline in seconds of each job of the other teams.
 const TRICKLE_DEADLINE_S: f64 = 40.0;
-/// The other teams' jobs come once the first leader may judge its fleet, which takes it 10 s without a
-/// machine list; before that the queue's own order holds.
-const TRICKLE_AFTER: Duration = Duration::from_secs(12);
-const TROUBLE_EVERY: Duration = Duration::from_secs(12);
-const FREEZE: Duration = Duration::from_millis(2_500);
-/// Between a controller's end and its next start.
-const RESTARTS: [Duration; 2] = [Duration::from_millis(200), Duration::from_secs(2)];
-/// A user gives up after so long, and tries again after so long or what the answer says.
-const GIVES_UP: Duration = Duration::from_secs(60);
-const RETRY: Duration = Duration::from_secs(1);
-const WIND_DOWN: Duration = Duration::from_secs(240);
+/// Time before the other teams start to submit. Without a machine listing, the first leader needs
+/// 10 s until it can judge whether the cluster is overloaded; until then jobs start in the order of
+/// the queue, not in the order shared between teams.
+const TRICKLE_DELAY: Duration = Duration::from_secs(12);
+/// Mean time between two faults; each interval is 0.7 to 1.3 times as long.
+const FAULT_INTERVAL: Duration = Duration::from_secs(12);
+/// Length of a freeze of the leader.
+const FREEZE_DURATION: Duration = Duration::from_millis(2_500);
+/// Times between the kill of a controller and its restart. Faults are numbered from 0; even ones
+/// use the first time, odd ones the second.
+const RESTART_DELAYS: [Duration; 2] = [Duration::from_millis(200), Duration::from_secs(2)];
+/// Time after which a client gives up a job that was not accepted.
+const RETRY_TIMEOUT: Duration = Duration::from_secs(60);
+/// Minimum pause before a client retries; a longer `Retry-After` header takes precedence.
+const RETRY_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum time for all accepted jobs to be done after the last submission.
+const WIND_DOWN_TIMEOUT: Duration = Duration::from_secs(240);
 
-/// What to run, and for how long.
+/// Parameters of the overload scenario.
 pub struct Scenario {
-    /// The program of all controllers.
+    /// Controller program that all nodes run.
     pub program: PathBuf,
-    /// The operators' script.
+    /// Lua settings script of the operators.
     pub script: PathBuf,
-    /// For how long jobs are submitted.
+    /// Time for which jobs are submitted and faults are injected.
     pub submit_time: Duration,
 }
 
-/// What became of one team's jobs.
+/// Results for the jobs of one team.
 #[derive(Debug)]
 pub struct TeamReport {
-    /// Jobs that were accepted.
+    /// Number of jobs that a controller accepted.
     pub accepted: usize,
-    /// Answers that told to come again.
+    /// Number of submissions that a controller refused and that were retried.
     pub refused: usize,
-    /// No answer: a controller was away.
+    /// Number of submissions without a response, for example because the controller was down.
     pub unanswered: usize,
-    /// Jobs that were given up after retries.
+    /// Number of jobs that no controller accepted before the client gave up.
     pub given_up: usize,
-    /// Jobs that were done at the end.
+    /// Number of accepted jobs that were done at the end of the scenario.
     pub done: usize,
-    /// From the first try to the first start of a task, in milliseconds.
-    pub start_ms: Histogram<u64>,
-    /// The most jobs of the flood that started between a job's first try and its own start.
+    /// Time from a job's first submission to the first start of one of its tasks, in milliseconds.
+    pub start_delay_ms: Histogram<u64>,
+    /// Maximum, over the jobs of this team, of the number of jobs of the flooding team that started
+    /// between the first submission of the job and its start.
     pub max_overtaken: usize,
-    /// The longest time in which nothing of the team started though a job of it waited.
+    /// Longest time in which no job of the team started although at least one was waiting.
     pub longest_without_start: Duration,
 }
 
-/// What came of it.
+/// Results of the overload scenario.
 #[derive(Debug)]
 pub struct Report {
-    /// Controllers that were killed.
+    /// Number of times a controller was killed.
     pub killed: usize,
-    /// Controllers that were frozen.
+    /// Number of times a leader was frozen.
     pub frozen: usize,
-    /// How each team fared.
+    /// Results of each team, by its name.
     pub teams: BTreeMap<&'static str, TeamReport>,
-    /// Tasks that ran on two machines at once.
+    /// Names of the tasks that ran on two machines at the same time.
     pub duplicate_executions: Vec<String>,
 }
 
 #[derive(Default)]
-struct Counts {
+struct RequestCounts {
     accepted: Vec<String>,
     refused: usize,
     unanswered: usize,
@@ -98,53 +114,53 @@
 }
 
 #[derive(Default)]
-struct Counters {
+struct SharedCounts {
     first_try: Mutex<BTreeMap<String, Instant>>,
-    counts: Mutex<BTreeMap<&'static str, Counts>>,
+    by_team: Mutex<BTreeMap<&'static str, RequestCounts>>,
 }
 
-impl Counters {
-    fn count(&self, team: &'static str, change: impl FnOnce(&mut Counts)) {
-        change(lock(&self.counts).entry(team).or_default());
+impl SharedCounts {
+    fn count(&self, team: &'static str, change: impl FnOnce(&mut RequestCounts)) {
+        change(lock(&self.by_team).entry(team).or_default());
     }
 
     fn accepted(&self, team: &str) -> Vec<String> {
-        lock(&self.counts).get(team).map(|counts| counts.accepted.clone()).unwrap_or_default()
+        lock(&self.by_team).get(team).map(|counts| counts.accepted.clone()).unwrap_or_default()
     }
 }
 
-/// One client of a team, that submits a job every so often to whichever controller it comes upon.
+/// Client of one team that submits jobs at random intervals to randomly chosen controllers.
 struct Client {
     team: &'static str,
     number: u64,
     tasks: u32,
     deadline_s: f64,
-    every: Duration,
-    users: Vec<String>,
-    counters: Arc<Counters>,
-    fleet: FakeWorkers,
+    interval: Duration,
+    api_addresses: Vec<String>,
+    counts: Arc<SharedCounts>,
+    workers: FakeWorkers,
 }
 
 impl Client {
     async fn run(self) {
-        let http = client();
+        let http = http_client();
         if self.team != TEAMS[0] {
-            tokio::time::sleep(TRICKLE_AFTER).await;
+            tokio::time::sleep(TRICKLE_DELAY).await;
         }
         for job in 1u64.. {
             let name = format!("req-{}{job:05}", self.number);
-            if self.may_send() {
+            if self.is_below_waiting_limit() {
                 self.submit(&http, &name).await;
             }
-            tokio::time::sleep(self.every.mul_f64(rand::random_range(0.6..1.4))).await;
+            tokio::time::sleep(self.interval.mul_f64(rand::random_range(0.6..1.4))).await;
         }
     }
 
-    fn may_send(&self) -> bool {
-        let accepted = self.counters.accepted(self.team);
-        let started = self.fleet.first_starts();
-        let waiting = accepted.iter().filter(|name| !started.contains_key(*name)).count();
-        waiting < MAX_WAITING
+    fn is_below_waiting_limit(&self) -> bool {
+        let accepted = self.counts.accepted(self.team);
+        let first_starts = self.workers.first_starts();
+        let waiting = accepted.iter().filter(|name| !first_starts.contains_key(*name)).count();
+        waiting < MAX_WAITING_JOBS
     }
 
     async fn submit(&self, http: &reqwest::Client, name: &str) {
@@ -153,112 +169,124 @@
         job["rank"] = json!("high");
         job["ripenS"] = json!(1.5);
         job["harvestS"] = json!(self.deadline_s);
-        let began = Instant::now();
-        lock(&self.counters.first_try).insert(name.to_owned(), began);
-        while began.elapsed() < GIVES_UP {
-            let at = &self.users[rand::random_range(0..self.users.len())];
-            let answer = http.post(format!("http://{at}/submissions")).json(&job).send().await;
-            let status = answer.as_ref().map(|answer| answer.status().is_success());
-            let mut pause = RETRY;
+        let first_try_at = Instant::now();
+        lock(&self.counts.first_try).insert(name.to_owned(), first_try_at);
+        while first_try_at.elapsed() < RETRY_TIMEOUT {
+            let address = &self.api_addresses[rand::random_range(0..self.api_addresses.len())];
+            let response =
+                http.post(format!("http://{address}/submissions")).json(&job).send().await;
+            let status = response.as_ref().map(|response| response.status().is_success());
+            let mut pause = RETRY_INTERVAL;
             match status {
                 Ok(true) => {
-                    return self.counters.count(self.team, |c| c.accepted.push(name.to_owned()));
+                    return self.counts.count(self.team, |c| c.accepted.push(name.to_owned()));
                 }
                 Ok(false) => {
-                    let after = answer.ok().and_then(|answer| {
-                        answer.headers().get("retry-after")?.to_str().ok()?.parse().ok()
+                    let retry_after = response.ok().and_then(|response| {
+                        response.headers().get("retry-after")?.to_str().ok()?.parse().ok()
                     });
-                    pause = pause.max(Duration::from_secs(after.unwrap_or(0)));
-                    self.counters.count(self.team, |c| c.refused += 1);
+                    pause = pause.max(Duration::from_secs(retry_after.unwrap_or(0)));
+                    self.counts.count(self.team, |c| c.refused += 1);
                 }
-                Err(_) => self.counters.count(self.team, |c| c.unanswered += 1),
+                Err(_) => self.counts.count(self.team, |c| c.unanswered += 1),
             }
             tokio::time::sleep(pause).await;
         }
-        self.counters.count(self.team, |c| c.given_up += 1);
+        self.counts.count(self.team, |c| c.given_up += 1);
     }
 }
 
-/// Runs the plan on loopback.
+/// Runs the scenario with all processes and fakes on the loopback interface.
 pub async fn run(scenario: &Scenario) -> Report {
-    let state = Arc::new(FakeKeyValueService::default());
-    let freezer = Arc::new(Freezer::new(state.clone()));
-    let addresses = Addresses::free();
-    let fleet = FakeWorkers::new(addresses.for_workers(), TASK_TAKES);
-    let cloud = Arc::new(FakeCloud::with_most(MACHINES, state.clone(), fleet.clone()));
-    let setup =
-        Setup { programs: [&scenario.program; NODES], script: &scenario.script, teams: &TEAMS };
-    let mut controllers = Controllers::start(&setup, addresses, &state, &freezer, &cloud).await;
-    let counters = Arc::new(Counters::default());
-    let clients: Vec<_> = clients(&controllers.users, &counters, &fleet)
+    let store = Arc::new(FakeKeyValueService::default());
+    let freezer = Arc::new(Freezer::new(store.clone()));
+    let addresses = ControllerAddresses::allocate();
+    let workers = FakeWorkers::new(addresses.names_and_addresses(), TASK_DURATION);
+    let cloud = Arc::new(FakeCloud::with_capacity(MACHINES, store.clone(), workers.clone()));
+    let setup = ControllerSetup {
+        programs: [&scenario.program; NODES],
+        script: &scenario.script,
+        teams: &TEAMS,
+    };
+    let mut controllers = Controllers::start(&setup, addresses, &store, &freezer, &cloud).await;
+    let counts = Arc::new(SharedCounts::default());
+    let clients: Vec<_> = clients(&controllers.api_addresses, &counts, &workers)
         .into_iter()
         .map(|client| tokio::spawn(client.run()))
         .collect();
     let (mut killed, mut frozen) = (0, 0);
-    let began = Instant::now();
+    let started_at = Instant::now();
     for turn in 0.. {
-        tokio::time::sleep(TROUBLE_EVERY.mul_f64(rand::random_range(0.7..1.3))).await;
-        if began.elapsed() >= scenario.submit_time {
+        tokio::time::sleep(FAULT_INTERVAL.mul_f64(rand::random_range(0.7..1.3))).await;
+        if started_at.elapsed() >= scenario.submit_time {
             break;
         }
         if turn % 3 == 1 {
-            frozen += usize::from(freezer.freeze_holder(FREEZE).await);
+            frozen += usize::from(freezer.freeze_leader(FREEZE_DURATION).await);
             continue;
         }
-        let leader = state.holder().and_then(|holder| controllers.number_of(&holder.node));
+        let leader = store.leader().and_then(|leader| controllers.index_of(&leader.node));
         let nodes: Vec<usize> = match (turn % 4, leader) {
             (2, _) => (0..NODES).collect(),
             (_, Some(leader)) => vec![leader],
             (_, None) => vec![rand::random_range(0..NODES)],
         };
         killed += nodes.len();
-        controllers.kill_and_start(&nodes, RESTARTS[turn % RESTARTS.len()]).await;
+        controllers.kill_and_restart(&nodes, RESTART_DELAYS[turn % RESTART_DELAYS.len()]).await;
     }
     clients.iter().for_each(tokio::task::JoinHandle::abort);
-    let done = wind_down(&controllers.users, &counters).await;
-    controllers.end();
-    let teams = TEAMS.iter().map(|&team| (team, summarize(team, &counters, &fleet, done[team])));
+    let done = wind_down(&controllers.api_addresses, &counts).await;
+    controllers.kill_all();
+    let teams = TEAMS.iter().map(|&team| (team, summarize(team, &counts, &workers, done[team])));
     Report {
         killed,
         frozen,
         teams: teams.collect(),
-        duplicate_executions: fleet.duplicate_executions(),
+        duplicate_executions: workers.duplicate_executions(),
     }
 }
 
-fn clients(users: &[String], counters: &Arc<Counters>, fleet: &FakeWorkers) -> Vec<Client> {
-    let client = |team, number, tasks, deadline_s, every| Client {
+fn clients(
+    api_addresses: &[String],
+    counts: &Arc<SharedCounts>,
+    workers: &FakeWorkers,
+) -> Vec<Client> {
+    let client = |team, number, tasks, deadline_s, interval| Client {
         team,
         number,
         tasks,
         deadline_s,
-        every,
-        users: users.to_vec(),
-        counters: counters.clone(),
-        fleet: fleet.clone(),
+        interval,
+        api_addresses: api_addresses.to_vec(),
+        counts: counts.clone(),
+        workers: workers.clone(),
     };
     let flood = (1..=FLOOD_CLIENTS)
-        .map(|number| client(TEAMS[0], number, FLOOD_TASKS, FLOOD_DEADLINE_S, FLOOD_EVERY));
+        .map(|number| client(TEAMS[0], number, FLOOD_TASKS, FLOOD_DEADLINE_S, FLOOD_INTERVAL));
     let trickles = TEAMS[1..].iter().zip(FLOOD_CLIENTS + 1..).map(|(team, number)| {
-        client(team, number, TRICKLE_TASKS, TRICKLE_DEADLINE_S, TRICKLE_EVERY)
+        client(team, number, TRICKLE_TASKS, TRICKLE_DEADLINE_S, TRICKLE_INTERVAL)
     });
     flood.chain(trickles).collect()
 }
 
-/// Waits until all accepted jobs are done. How many are, by team.
-async fn wind_down(users: &[String], counters: &Counters) -> BTreeMap<&'static str, usize> {
-    let until = Instant::now() + WIND_DOWN;
+/// Waits until all accepted jobs are done or the timeout is over. Returns the number of jobs done,
+/// by team.
+async fn wind_down(
+    api_addresses: &[String],
+    counts: &SharedCounts,
+) -> BTreeMap<&'static str, usize> {
+    let deadline = Instant::now() + WIND_DOWN_TIMEOUT;
     loop {
         tokio::time::sleep(Duration::from_secs(5)).await;
         let mut done = BTreeMap::new();
-        let mut left = 0;
+        let mut unfinished = 0;
         for team in TEAMS {
-            let accepted = counters.accepted(team);
-            let of_team = count_done(users, &accepted).await;
-            left += accepted.len() - of_team;
-            done.insert(team, of_team);
+            let accepted = counts.accepted(team);
+            let team_done = count_done(api_addresses, &accepted).await;
+            unfinished += accepted.len() - team_done;
+            done.insert(team, team_done);
         }
-        if left == 0 || Instant::now() >= until {
+        if unfinished == 0 || Instant::now() >= deadline {
             return done;
         }
     }
@@ -266,34 +294,41 @@
 
 fn summarize(
     team: &'static str,
-    counters: &Counters,
-    fleet: &FakeWorkers,
+    counts: &SharedCounts,
+    workers: &FakeWorkers,
     done: usize,
 ) -> TeamReport {
-    let started = fleet.first_starts();
-    let first_try = lock(&counters.first_try);
-    let mut start_ms = Histogram::new_with_bounds(1, 3_600_000, 3).expect("bounds");
-    let accepted = counters.accepted(team);
-    // Each job waits from its first try on; in between, each start of the team ends a time without one.
+    let first_starts = workers.first_starts();
+    let first_try = lock(&counts.first_try);
+    let mut start_delay_ms =
+        Histogram::new_with_bounds(1, 3_600_000, 3).expect("valid histogram bounds");
+    let accepted = counts.accepted(team);
+    // A job waits from its first submission to its start. Each start of a job of the same team in
+    // between ends a period without a start.
     let mut waits: Vec<(Instant, Instant)> = Vec::new();
     for name in &accepted {
-        if let (Some(&tried), Some(&at)) = (first_try.get(name), started.get(name)) {
-            let _ = start_ms.record(at.duration_since(tried).as_millis().max(1) as u64);
-            waits.push((tried, at));
+        if let (Some(&first_try_at), Some(&started_at)) =
+            (first_try.get(name), first_starts.get(name))
+        {
+            let _ = start_delay_ms
+                .record(started_at.duration_since(first_try_at).as_millis().max(1) as u64);
+            waits.push((first_try_at, started_at));
         }
     }
     let mut starts: Vec<Instant> = waits.iter().map(|wait| wait.1).collect();
     starts.sort_unstable();
-    let longest = waits.iter().map(|&(tried, at)| {
-        let before = starts[..starts.partition_point(|&start| start < at)].last();
-        at.duration_since(before.map_or(tried, |&before| before.max(tried)))
+    let longest_wait = waits.iter().map(|&(first_try_at, started_at)| {
+        let previous = starts[..starts.partition_point(|&start| start < started_at)].last();
+        started_at
+            .duration_since(previous.map_or(first_try_at, |&previous| previous.max(first_try_at)))
     });
-    let flood = counters.accepted(TEAMS[0]);
-    let flood_starts: Vec<Instant> = flood.iter().filter_map(|n| started.get(n)).copied().collect();
-    let overtaken = waits.iter().map(|&(tried, at)| {
-        flood_starts.iter().filter(|&&start| start > tried && start < at).count()
+    let flood = counts.accepted(TEAMS[0]);
+    let flood_starts: Vec<Instant> =
+        flood.iter().filter_map(|n| first_starts.get(n)).copied().collect();
+    let overtaken = waits.iter().map(|&(first_try_at, started_at)| {
+        flood_starts.iter().filter(|&&start| start > first_try_at && start < started_at).count()
     });
-    let counts = lock(&counters.counts);
+    let counts = lock(&counts.by_team);
     let counts = counts.get(team);
     TeamReport {
         accepted: accepted.len(),
@@ -302,7 +337,7 @@
         given_up: counts.map_or(0, |c| c.given_up),
         done,
         max_overtaken: overtaken.max().unwrap_or_default(),
-        start_ms,
-        longest_without_start: longest.max().unwrap_or_default(),
+        start_delay_ms,
+        longest_without_start: longest_wait.max().unwrap_or_default(),
     }
 }
--- a/crates/fault-injection/src/version_scenario.rs
+++ b/crates/fault-injection/src/version_scenario.rs
@@ -1,6 +1,6 @@
-//! One controller of the version before beside two new ones: leadership goes to and fro between the
-//! versions while jobs are submitted, run and cancelled. What is told: whether each version carries on
-//! what the other recorded.
+//! Scenario with one controller of an earlier version and two of the version under test. Leadership
+//! moves back and forth between the versions while jobs are submitted, run and cancelled. The
+//! report shows whether each version continues the work that the other recorded.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -10,235 +10,252 @@
 
 use tokio::task::JoinSet;
 
-use crate::controllers::{Addresses, Controllers, Setup, NODES};
-use crate::elections::{BothWays, Elections, Version};
+use crate::controllers::{ControllerAddresses, ControllerSetup, Controllers, NODES};
+use crate::elections::{DirectionCounts, Elections, Version};
 use crate::fake_cloud::FakeCloud;
 use crate::fake_key_value_service::FakeKeyValueService;
 use crate::fake_workers::FakeWorkers;
 use crate::freeze::Freezer;
-use crate::user::User;
+use crate::user::UserClient;
 use crate::workload::{Workload, TEAM};
 
-/// The node that runs the version before.
-const PREVIOUS: usize = 0;
-/// Elections of each version after the other that the play goes on for.
+/// Index of the only node that runs the earlier version.
+const PREVIOUS_VERSION_NODE: usize = 0;
+/// Minimum number of elections in each direction between the versions. The scenario runs longer
+/// than requested if they are still missing.
 pub const MIN_ELECTIONS: usize = 3;
-/// Machines to be had, of eight processors; tasks take two each.
+/// Number of machines in the cloud. Each has eight vCPUs, and a task uses two.
 const MACHINES: usize = 10;
-/// Long enough that most tasks see more than one leader.
-const TASK_TAKES: Duration = Duration::from_millis(2_000);
-/// How long a version leads, about.
-const LEADS_FOR: Duration = Duration::from_millis(2_200);
-/// The other version is elected within this, or the play ends.
-const ELECTED_WITHIN: Duration = Duration::from_secs(40);
-/// The play goes on for so long past its length if elections are still missing.
+/// Run time of each task, long enough that the leader changes while most tasks run.
+const TASK_DURATION: Duration = Duration::from_millis(2_000);
+/// Mean time for which a version leads; each time is 0.7 to 1.3 times as long.
+const MEAN_LEADING_TIME: Duration = Duration::from_millis(2_200);
+/// Maximum time for the election of the other version; after it the scenario ends.
+const ELECTION_TIMEOUT: Duration = Duration::from_secs(40);
+/// Maximum time by which the scenario is extended while elections are missing.
 const MAX_EXTENSION: Duration = Duration::from_secs(60);
-const LOOK_EVERY: Duration = Duration::from_millis(20);
-const WIND_DOWN: Duration = Duration::from_secs(120);
-const ASK_EVERY: Duration = Duration::from_millis(500);
-/// Jobs that one controller is asked about at once.
-const ASKED_AT_ONCE: usize = 25;
+/// Time between two checks of the leader key.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum time for all jobs to end after the last submission.
+const WIND_DOWN_TIMEOUT: Duration = Duration::from_secs(120);
+/// Pause after a node was asked about all unfinished jobs.
+const QUERY_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum number of concurrent job queries to one controller.
+const CONCURRENT_QUERIES: usize = 25;
 
-/// What to run, and for how long.
+/// Parameters of the version scenario.
 pub struct Scenario {
-    /// The program under test, run by two nodes.
+    /// Controller program under test, run by two nodes.
     pub program: PathBuf,
-    /// The program of the version before, run by one.
+    /// Controller program of the earlier version, run by one node.
     pub previous: PathBuf,
-    /// The operators' script.
+    /// Lua settings script of the operators; both versions must accept it.
     pub script: PathBuf,
-    /// For how long jobs are submitted, at least.
+    /// Minimum time for which jobs are submitted.
     pub submit_time: Duration,
 }
 
-/// What came of it.
+/// Results of the version scenario.
 #[derive(Debug)]
 pub struct Report {
-    /// What the store's history tells.
+    /// Elections and job progress, counted from the history of the key-value store.
     pub history: Elections,
-    /// Jobs accepted by each node.
+    /// Number of jobs that each node accepted, indexed by node.
     pub accepted_by: [usize; NODES],
-    /// Jobs whose acceptance a node of one version wrote, and that were done under the other.
-    pub written_then_done: BothWays,
-    /// Jobs that had to be aborted: cancelled, or dependent on a cancelled one.
+    /// Jobs whose acceptance record a node of one version wrote and that finished while the other
+    /// version led. Any node can accept a job, so this differs from the counts in `history`, which
+    /// are by leader.
+    pub written_then_done: DirectionCounts,
+    /// Number of jobs that must end as aborted: cancelled ones and jobs that depend on them.
     pub aborted: usize,
-    /// Jobs that had to be done.
+    /// Number of jobs that must end as done.
     pub done: usize,
-    /// Submissions and cancellations that no controller decided.
+    /// Names of the jobs whose submission or cancellation no controller accepted in time.
     pub undecided: Vec<String>,
-    /// Answers of nodes that were not as they had to be.
-    pub wrong: Vec<String>,
-    /// Tasks that ran on two machines at once.
+    /// Descriptions of the cases in which a node reported another final stage than expected.
+    pub wrong_stages: Vec<String>,
+    /// Names of the tasks that ran on two machines at the same time.
     pub duplicate_executions: Vec<String>,
 }
 
 impl Report {
-    /// What has to hold, and whether it does.
+    /// Returns the description of each check of the scenario and whether it passed.
     pub fn checks(&self) -> Vec<(&'static str, bool)> {
         let history = &self.history;
-        let read = [history.accepted_then_done, history.started_then_done, self.written_then_done];
+        let handovers =
+            [history.accepted_then_done, history.started_then_done, self.written_then_done];
         vec![
-            ("each version was elected often after the other", self.elected_often()),
+            ("each version was elected often after the other", self.has_min_elections()),
             ("every node accepted jobs", self.accepted_by.iter().all(|&jobs| jobs > 0)),
             ("jobs were done, and jobs were aborted", self.done > 0 && self.aborted > 0),
             ("every request was decided", self.undecided.is_empty()),
-            ("every node of both versions tells every job's end", self.wrong.is_empty()),
+            ("every node of both versions tells every job's end", self.wrong_stages.is_empty()),
             ("no task ran twice at once", self.duplicate_executions.is_empty()),
-            ("each version read the other's records", read.iter().all(|both| both.least() > 0)),
+            (
+                "each version read the other's records",
+                handovers.iter().all(|counts| counts.min() > 0),
+            ),
         ]
     }
 
-    fn elected_often(&self) -> bool {
-        self.history.elections.least() >= MIN_ELECTIONS
+    fn has_min_elections(&self) -> bool {
+        self.history.elections.min() >= MIN_ELECTIONS
     }
 }
 
-fn version(node: usize) -> Version {
-    if node == PREVIOUS {
+fn version_of(node: usize) -> Version {
+    if node == PREVIOUS_VERSION_NODE {
         Version::Previous
     } else {
         Version::New
     }
 }
 
-/// Runs the plan on loopback.
+/// Runs the scenario with all processes and fakes on the loopback interface.
 pub async fn run(scenario: &Scenario) -> Report {
-    let state = Arc::new(FakeKeyValueService::default());
-    let freezer = Arc::new(Freezer::new(state.clone()));
-    let addresses = Addresses::free();
-    let fleet = FakeWorkers::new(addresses.for_workers(), TASK_TAKES);
-    let cloud = Arc::new(FakeCloud::with_most(MACHINES, state.clone(), fleet.clone()));
-    let program_of = |node| match version(node) {
+    let store = Arc::new(FakeKeyValueService::default());
+    let freezer = Arc::new(Freezer::new(store.clone()));
+    let addresses = ControllerAddresses::allocate();
+    let workers = FakeWorkers::new(addresses.names_and_addresses(), TASK_DURATION);
+    let cloud = Arc::new(FakeCloud::with_capacity(MACHINES, store.clone(), workers.clone()));
+    let program_of = |node| match version_of(node) {
         Version::Previous => scenario.previous.as_path(),
         Version::New => scenario.program.as_path(),
     };
     let programs = std::array::from_fn(program_of);
-    let setup = Setup { programs, script: &scenario.script, teams: &[TEAM] };
-    let mut controllers = Controllers::start(&setup, addresses, &state, &freezer, &cloud).await;
-    let user = Arc::new(User::new(&controllers.users));
+    let setup = ControllerSetup { programs, script: &scenario.script, teams: &[TEAM] };
+    let mut controllers = Controllers::start(&setup, addresses, &store, &freezer, &cloud).await;
+    let user = Arc::new(UserClient::new(&controllers.api_addresses));
     let stop = Arc::new(AtomicBool::new(false));
-    let submitting = tokio::spawn(Workload::submit(user.clone(), stop.clone()));
-    change_leaders(scenario.submit_time, &mut controllers, &state).await;
+    let submitter = tokio::spawn(Workload::submit(user.clone(), stop.clone()));
+    change_leaders(scenario.submit_time, &mut controllers, &store).await;
     stop.store(true, Ordering::Relaxed);
-    let workload = submitting.await.expect("submissions end by themselves");
-    let told = ask_until_ended(&user, &workload).await;
-    let history = history(&state, &controllers);
-    controllers.end();
-    summarize(&workload, &told, history, fleet.duplicate_executions())
+    let workload = submitter.await.expect("submissions end by themselves");
+    let stages_by_node = wait_until_jobs_ended(&user, &workload).await;
+    let history = history(&store, &controllers);
+    controllers.kill_all();
+    summarize(&workload, &stages_by_node, history, workers.duplicate_executions())
 }
 
-fn history(state: &FakeKeyValueService, controllers: &Controllers) -> Elections {
-    Elections::read(&state.history(), |name| controllers.number_of(name).map(version))
+fn history(store: &FakeKeyValueService, controllers: &Controllers) -> Elections {
+    Elections::from_history(&store.history(), |name| controllers.index_of(name).map(version_of))
 }
 
-/// Lets one version lead after the other.
+/// Moves leadership back and forth between the versions until the submission time is over and
+/// enough elections took place.
 async fn change_leaders(
-    length: Duration,
+    submit_time: Duration,
     controllers: &mut Controllers,
-    state: &FakeKeyValueService,
+    store: &FakeKeyValueService,
 ) {
-    let began = Instant::now();
+    let started_at = Instant::now();
     loop {
-        let elected = history(state, controllers).elections.least();
-        let over = began.elapsed() >= length && elected >= MIN_ELECTIONS;
-        if over || began.elapsed() >= length + MAX_EXTENSION {
+        let elected = history(store, controllers).elections.min();
+        let over = started_at.elapsed() >= submit_time && elected >= MIN_ELECTIONS;
+        if over || started_at.elapsed() >= submit_time + MAX_EXTENSION {
             return;
         }
-        tokio::time::sleep(LEADS_FOR.mul_f64(rand::random_range(0.7..1.3))).await;
-        if !replace_leading_version(controllers, state).await {
+        tokio::time::sleep(MEAN_LEADING_TIME.mul_f64(rand::random_range(0.7..1.3))).await;
+        if !replace_leading_version(controllers, store).await {
             return;
         }
     }
 }
 
-/// Kills all nodes of the version that leads, and starts them again once the other leads. Whether it came
-/// to that.
+/// Kills all nodes of the leading version and restarts them as soon as the other version leads.
+/// Returns `false` if no leader of the wanted version was elected in time.
 async fn replace_leading_version(
     controllers: &mut Controllers,
-    state: &FakeKeyValueService,
+    store: &FakeKeyValueService,
 ) -> bool {
-    let Some(leading) = wait_for_leader(controllers, state, |_| true).await else { return false };
-    let nodes: Vec<usize> = (0..NODES).filter(|&node| version(node) == leading).collect();
+    let Some(leading) = wait_for_leader(controllers, store, |_| true).await else { return false };
+    let nodes: Vec<usize> = (0..NODES).filter(|&node| version_of(node) == leading).collect();
     controllers.kill(&nodes).await;
-    let elected = wait_for_leader(controllers, state, |version| version != leading).await;
-    controllers.start_again(&nodes);
+    let elected = wait_for_leader(controllers, store, |version| version != leading).await;
+    controllers.restart(&nodes);
     elected.is_some()
 }
 
-/// The version that leads, once it is one that is wanted.
+/// Waits until a wanted version leads and returns it, or `None` after [`ELECTION_TIMEOUT`].
 async fn wait_for_leader(
     controllers: &Controllers,
-    state: &FakeKeyValueService,
-    wanted: impl Fn(Version) -> bool,
+    store: &FakeKeyValueService,
+    is_wanted: impl Fn(Version) -> bool,
 ) -> Option<Version> {
-    let until = Instant::now() + ELECTED_WITHIN;
-    while Instant::now() < until {
-        let leader = state.holder().and_then(|holder| controllers.number_of(&holder.node));
-        if let Some(leading) = leader.map(version).filter(|&version| wanted(version)) {
+    let deadline = Instant::now() + ELECTION_TIMEOUT;
+    while Instant::now() < deadline {
+        let leader = store.leader().and_then(|leader| controllers.index_of(&leader.node));
+        if let Some(leading) = leader.map(version_of).filter(|&version| is_wanted(version)) {
             return Some(leading);
         }
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     None
 }
 
-/// Each job's stage as one node told it last.
-type Stages = BTreeMap<String, String>;
+/// Last stage that one node reported for each job, by the name of the job.
+type JobStages = BTreeMap<String, String>;
 
-/// Asks every node about every job until it has ended there.
-async fn ask_until_ended(user: &Arc<User>, workload: &Workload) -> Vec<Stages> {
-    let until = Instant::now() + WIND_DOWN;
+/// Asks every node about every job until the node reports that the job has ended. Returns the last
+/// reported stages of each node.
+async fn wait_until_jobs_ended(user: &Arc<UserClient>, workload: &Workload) -> Vec<JobStages> {
+    let deadline = Instant::now() + WIND_DOWN_TIMEOUT;
     let names: Vec<String> = workload.jobs.iter().map(|job| job.name.clone()).collect();
-    let mut asking = Vec::new();
+    let mut queries = Vec::new();
     for node in 0..user.controllers() {
-        asking.push(tokio::spawn(ask_node(user.clone(), node, names.clone(), until)));
+        queries.push(tokio::spawn(query_node(user.clone(), node, names.clone(), deadline)));
     }
-    let mut told = Vec::new();
-    for node in asking {
-        told.push(node.await.expect("questions end by themselves"));
+    let mut stages_by_node = Vec::new();
+    for node in queries {
+        stages_by_node.push(node.await.expect("questions end by themselves"));
     }
-    told
+    stages_by_node
 }
 
-async fn ask_node(user: Arc<User>, node: usize, mut open: Vec<String>, until: Instant) -> Stages {
-    let mut told = Stages::new();
-    while !open.is_empty() && Instant::now() < until {
-        for some in open.chunks(ASKED_AT_ONCE) {
-            let mut answers = JoinSet::new();
-            for name in some.iter().cloned() {
+async fn query_node(
+    user: Arc<UserClient>,
+    node: usize,
+    mut open_jobs: Vec<String>,
+    deadline: Instant,
+) -> JobStages {
+    let mut stages = JobStages::new();
+    while !open_jobs.is_empty() && Instant::now() < deadline {
+        for batch in open_jobs.chunks(CONCURRENT_QUERIES) {
+            let mut queries = JoinSet::new();
+            for name in batch.iter().cloned() {
                 let user = user.clone();
-                answers.spawn(async move { (user.stage_at(node, &name).await, name) });
+                queries.spawn(async move { (user.stage_at(node, &name).await, name) });
             }
-            for (stage, name) in answers.join_all().await {
-                told.insert(name, stage.unwrap_or_else(|| "not known".to_owned()));
+            for (stage, name) in queries.join_all().await {
+                stages.insert(name, stage.unwrap_or_else(|| "not known".to_owned()));
             }
         }
-        open.retain(|name| !matches!(told[name].as_str(), "done" | "aborted"));
-        tokio::time::sleep(ASK_EVERY).await;
+        open_jobs.retain(|name| !matches!(stages[name].as_str(), "done" | "aborted"));
+        tokio::time::sleep(QUERY_INTERVAL).await;
     }
-    told
+    stages
 }
 
 fn summarize(
     workload: &Workload,
-    told: &[Stages],
+    stages_by_node: &[JobStages],
     history: Elections,
     duplicate_executions: Vec<String>,
 ) -> Report {
     let aborted = workload.aborted();
     let mut accepted_by = [0; NODES];
-    let mut written_then_done = BothWays::default();
-    let mut wrong = Vec::new();
+    let mut written_then_done = DirectionCounts::default();
+    let mut wrong_stages = Vec::new();
     for job in &workload.jobs {
         accepted_by[job.accepted_by] += 1;
         if let Some(&leader) = history.done_under.get(&job.name) {
-            written_then_done.count(version(job.accepted_by), leader);
+            written_then_done.record(version_of(job.accepted_by), leader);
         }
         let expected = if aborted.contains(job.name.as_str()) { "aborted" } else { "done" };
-        for (node, stages) in told.iter().enumerate() {
+        for (node, stages) in stages_by_node.iter().enumerate() {
             let stage = stages.get(&job.name).map_or("not asked", String::as_str);
             if stage != expected {
-                wrong.push(format!("node {node}: {} is {stage}, not {expected}", job.name));
+                wrong_stages.push(format!("node {node}: {} is {stage}, not {expected}", job.name));
             }
         }
     }
@@ -248,7 +265,7 @@
         aborted: aborted.len(),
         done: workload.jobs.len() - aborted.len(),
         undecided: workload.undecided.clone(),
-        wrong,
+        wrong_stages,
         duplicate_executions,
         history,
     }
--- a/crates/fault-injection/src/workload.rs
+++ b/crates/fault-injection/src/workload.rs
@@ -1,5 +1,5 @@
-//! Jobs of several kinds, submitted through all controllers in turn: single tasks, job arrays,
-//! dependencies, and jobs that are cancelled.
+//! Workload of the version scenario: single tasks, job arrays, jobs with dependencies and jobs that
+//! are cancelled, submitted to all controllers in turn.
 
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -9,91 +9,95 @@
 use serde_json::json;
 use tokio::task::JoinSet;
 
-use crate::user::{submission, User};
+use crate::user::{submission, UserClient};
 
-/// The team of all jobs.
+/// Team to which all jobs of the workload belong.
 pub const TEAM: &str = "one";
-const SUBMIT_EVERY: Duration = Duration::from_millis(400);
-/// Short, so that machines are rented at once.
+/// Time between two submissions.
+const SUBMIT_INTERVAL: Duration = Duration::from_millis(400);
+/// Deadline of each job in seconds, short enough that machines are rented immediately.
 const DEADLINE_S: f64 = 5.0;
-/// A cancellation comes at most so long after the acceptance.
-const CANCEL_WITHIN: Duration = Duration::from_secs(4);
+/// Maximum time between the acceptance of a job and its cancellation.
+const MAX_CANCEL_DELAY: Duration = Duration::from_secs(4);
 
-/// One kind of job: its number of tasks, how many jobs before it each one that it depends on was
-/// submitted, and whether it is cancelled.
-struct Kind {
+/// Kind of job in the workload: the number of its tasks, its dependencies, and whether it is
+/// cancelled. Each entry of `dependencies` is the distance, in submissions, back to a job that this
+/// one depends on.
+struct JobKind {
     tasks: u32,
-    needs: &'static [usize],
+    dependencies: &'static [usize],
     cancelled: bool,
 }
 
-/// The kinds in the order in which they are submitted, again and again.
-const KINDS: [Kind; 6] = [
-    Kind { tasks: 6, needs: &[], cancelled: false },
-    Kind { tasks: 1, needs: &[], cancelled: false },
-    Kind { tasks: 3, needs: &[1, 2], cancelled: false },
-    Kind { tasks: 4, needs: &[], cancelled: true },
-    Kind { tasks: 1, needs: &[1], cancelled: false },
-    Kind { tasks: 2, needs: &[3], cancelled: false },
+/// Job kinds in the order of submission; the sequence repeats.
+const JOB_KINDS: [JobKind; 6] = [
+    JobKind { tasks: 6, dependencies: &[], cancelled: false },
+    JobKind { tasks: 1, dependencies: &[], cancelled: false },
+    JobKind { tasks: 3, dependencies: &[1, 2], cancelled: false },
+    JobKind { tasks: 4, dependencies: &[], cancelled: true },
+    JobKind { tasks: 1, dependencies: &[1], cancelled: false },
+    JobKind { tasks: 2, dependencies: &[3], cancelled: false },
 ];
 
-/// A job that was accepted.
+/// Job that a controller accepted.
 #[derive(Debug)]
 pub struct Job {
-    /// The job's id.
+    /// Name under which the job was submitted.
     pub name: String,
-    /// The jobs that it depends on.
-    pub needs: Vec<String>,
-    /// The number of the controller that accepted it.
+    /// Names of the jobs that must be done before this one starts.
+    pub dependencies: Vec<String>,
+    /// Index of the controller that accepted the job.
     pub accepted_by: usize,
-    /// Whether a controller told that its cancellation came before its end.
+    /// Whether a controller confirmed that the job was cancelled before it was done.
     pub cancelled: bool,
 }
 
-/// What was submitted, in order.
+/// Submitted jobs and the outcome of their cancellations.
 #[derive(Debug, Default)]
 pub struct Workload {
-    /// What was submitted, in order.
+    /// Accepted jobs in the order of submission.
     pub jobs: Vec<Job>,
-    /// Submissions and cancellations that no controller decided in time.
+    /// Names of the jobs whose submission or cancellation no controller accepted in time.
     pub undecided: Vec<String>,
 }
 
 impl Workload {
-    /// Submits jobs until it is told to stop, and waits for all decisions.
-    pub async fn submit(user: Arc<User>, stop: Arc<AtomicBool>) -> Workload {
+    /// Submits jobs until `stop` is set, then waits for the responses to all cancellations.
+    pub async fn submit(client: Arc<UserClient>, stop: Arc<AtomicBool>) -> Workload {
         let mut workload = Workload::default();
         let mut cancellations: JoinSet<(String, Option<String>)> = JoinSet::new();
-        let kinds = KINDS.iter().cycle();
+        let kinds = JOB_KINDS.iter().cycle();
         for (number, kind) in kinds.enumerate().take_while(|_| !stop.load(Ordering::Relaxed)) {
-            if workload.submit_one(&user, number, kind).await && kind.cancelled {
-                let (user, name) = (user.clone(), job_name(number));
+            if workload.submit_job(&client, number, kind).await && kind.cancelled {
+                let (client, name) = (client.clone(), job_name(number));
                 cancellations.spawn(async move {
-                    tokio::time::sleep(CANCEL_WITHIN.mul_f64(rand::random_range(0.1..1.0))).await;
-                    let stage = user.cancel(&name, number % user.controllers()).await;
+                    tokio::time::sleep(MAX_CANCEL_DELAY.mul_f64(rand::random_range(0.1..1.0)))
+                        .await;
+                    let stage = client.cancel(&name, number % client.controllers()).await;
                     (name, stage)
                 });
             }
-            tokio::time::sleep(SUBMIT_EVERY).await;
+            tokio::time::sleep(SUBMIT_INTERVAL).await;
         }
         for (name, stage) in cancellations.join_all().await {
-            workload.cancelled(name, stage.as_deref());
+            workload.record_cancellation(name, stage.as_deref());
         }
         workload
     }
 
-    /// Whether the job was accepted.
-    async fn submit_one(&mut self, user: &User, number: usize, kind: &Kind) -> bool {
+    /// Submits one job, depending only on jobs that were accepted. Returns whether it was accepted.
+    async fn submit_job(&mut self, client: &UserClient, number: usize, kind: &JobKind) -> bool {
         let name = job_name(number);
-        let accepted = |need: &String| self.jobs.iter().any(|job| job.name == *need);
-        let needs = kind.needs.iter().map(|back| job_name(number - back)).filter(accepted);
-        let needs: Vec<String> = needs.collect();
+        let accepted = |dependency: &String| self.jobs.iter().any(|job| job.name == *dependency);
+        let dependencies =
+            kind.dependencies.iter().map(|distance| job_name(number - distance)).filter(accepted);
+        let dependencies: Vec<String> = dependencies.collect();
         let mut job = submission(&name, TEAM, kind.tasks);
-        job["waits"] = json!(needs);
+        job["waits"] = json!(dependencies);
         job["harvestS"] = json!(DEADLINE_S);
-        match user.submit(&job, number % user.controllers()).await {
+        match client.submit(&job, number % client.controllers()).await {
             Some(accepted_by) => {
-                self.jobs.push(Job { name, needs, accepted_by, cancelled: false });
+                self.jobs.push(Job { name, dependencies, accepted_by, cancelled: false });
                 true
             }
             None => {
@@ -103,7 +107,7 @@
         }
     }
 
-    fn cancelled(&mut self, name: String, stage: Option<&str>) {
+    fn record_cancellation(&mut self, name: String, stage: Option<&str>) {
         match stage {
             Some("aborted") => {
                 let job = self.jobs.iter_mut().find(|job| job.name == name);
@@ -114,11 +118,13 @@
         }
     }
 
-    /// The jobs that have to end as cancelled: those that were, and all that depend on them.
+    /// Returns the jobs that must end as aborted: the cancelled ones and all that depend on them.
     pub fn aborted(&self) -> BTreeSet<&str> {
         let mut aborted = BTreeSet::new();
         for job in &self.jobs {
-            if job.cancelled || job.needs.iter().any(|need| aborted.contains(need.as_str())) {
+            if job.cancelled
+                || job.dependencies.iter().any(|dependency| aborted.contains(dependency.as_str()))
+            {
                 aborted.insert(job.name.as_str());
             }
         }
--- a/crates/fault-injection/tests/elections.rs
+++ b/crates/fault-injection/tests/elections.rs
@@ -1,7 +1,7 @@
-//! What a history tells of elections and of jobs that lived under both versions.
+//! Tests how elections and jobs are counted from a store history with leaders of two versions.
 
 use serde_json::{json, Value};
-use walnutlug_fault_injection::elections::{BothWays, Elections, Version};
+use walnutlug_fault_injection::elections::{DirectionCounts, Elections, Version};
 use walnutlug_fault_injection::fake_key_value_store::Event;
 
 fn event(key: &str, value: Option<Value>) -> Event {
@@ -16,8 +16,8 @@
     put("leader", json!({"node": node}))
 }
 
-fn read(history: &[Event]) -> Elections {
-    Elections::read(history, |node| match node {
+fn summarize(history: &[Event]) -> Elections {
+    Elections::from_history(history, |node| match node {
         "old" => Some(Version::Previous),
         "new-1" | "new-2" => Some(Version::New),
         _ => None,
@@ -26,24 +26,24 @@
 
 #[test]
 fn elections_are_counted_by_the_version_before() {
-    let vacant = event("leader", None);
-    let told = read(&[
+    let no_leader = event("leader", None);
+    let summary = summarize(&[
         leader("new-1"),
-        vacant.clone(),
+        no_leader.clone(),
         leader("new-2"),
         leader("old"),
-        vacant,
+        no_leader,
         leader("new-1"),
         leader("old"),
     ]);
-    assert_eq!(told.elections, BothWays { previous_to_new: 1, new_to_previous: 2 });
-    assert_eq!(told.same_version, 1);
-    assert_eq!(told.elections.least(), 1);
+    assert_eq!(summary.elections, DirectionCounts { previous_to_new: 1, new_to_previous: 2 });
+    assert_eq!(summary.same_version, 1);
+    assert_eq!(summary.elections.min(), 1);
 }
 
 #[test]
 fn a_job_counts_for_the_way_it_went() {
-    let told = read(&[
+    let summary = summarize(&[
         leader("old"),
         put("job/req-1", json!(1)),
         put("job/req-2", json!(1)),
@@ -55,23 +55,23 @@
         put("end/req-1", json!("done")),
         put("end/req-2", json!("aborted")),
     ]);
-    let one = BothWays { previous_to_new: 1, new_to_previous: 0 };
-    assert_eq!(told.accepted_then_done, one);
-    assert_eq!(told.started_then_done, one);
-    assert_eq!(told.accepted_then_aborted, one);
-    assert_eq!(told.done_under["req-1"], Version::New);
-    assert_eq!(told.done_under["req-3"], Version::Previous);
-    assert!(!told.done_under.contains_key("req-2"));
+    let one = DirectionCounts { previous_to_new: 1, new_to_previous: 0 };
+    assert_eq!(summary.accepted_then_done, one);
+    assert_eq!(summary.started_then_done, one);
+    assert_eq!(summary.accepted_then_aborted, one);
+    assert_eq!(summary.done_under["req-1"], Version::New);
+    assert_eq!(summary.done_under["req-3"], Version::Previous);
+    assert!(!summary.done_under.contains_key("req-2"));
 }
 
 #[test]
 fn what_is_written_without_a_leader_counts_for_no_way() {
-    let told = read(&[
+    let summary = summarize(&[
         leader("old"),
         event("leader", None),
         put("job/req-1", json!(1)),
         leader("new-1"),
         put("end/req-1", json!("done")),
     ]);
-    assert_eq!(told.accepted_then_done, BothWays::default());
+    assert_eq!(summary.accepted_then_done, DirectionCounts::default());
 }
