--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -9,7 +9,9 @@
 use walnutlug_fault_injection::{freeze_scenario, overload_scenario, version_scenario};
 
 #[derive(Parser)]
-#[command(about = "Plays failures of three real controllers on loopback")]
+#[command(
+    about = "Runs fault-injection scenarios with three real controllers on the loopback interface"
+)]
 struct Args {
     /// Controller program to run
     #[arg(long, global = true, default_value = "target/release/walnutlug")]
@@ -92,13 +94,13 @@
 }
 
 fn print_overload_report(report: &overload_scenario::Report) -> ExitCode {
-    println!("controllers killed {}, frozen {}", report.killed, report.frozen);
-    println!("tasks that ran twice at once {:?}", report.duplicate_executions);
+    println!("controllers killed: {}, leaders frozen: {}", report.killed, report.frozen);
+    println!("tasks that ran on two machines at the same time: {:?}", report.duplicate_executions);
     let mut lost = 0;
     for (team, team_report) in &report.teams {
         let start_delay = |quantile| team_report.start_delay_ms.value_at_quantile(quantile);
         println!(
-            "{team}: accepted {}, told to come again {}, unanswered {}, given up {}, done {}",
+            "{team}: jobs accepted {}, submissions refused {}, without response {}, jobs given up {}, done {}",
             team_report.accepted,
             team_report.refused,
             team_report.unanswered,
@@ -106,14 +108,14 @@
             team_report.done
         );
         println!(
-            "{team}: first start after ms: median {}, 99th percentile {}, most {}; longest without one {} ms",
+            "{team}: time to first start in ms: median {}, 99th percentile {}, maximum {}; longest time without a start {} ms",
             start_delay(0.5),
             start_delay(0.99),
             team_report.start_delay_ms.max(),
             team_report.longest_without_start.as_millis()
         );
         println!(
-            "{team}: jobs of the flood that started before one of its own, at most {}",
+            "{team}: maximum number of jobs of the flooding team that started before a waiting job: {}",
             team_report.max_overtaken
         );
         lost += team_report.accepted - team_report.done;
@@ -126,14 +128,17 @@
 
 fn print_freeze_report(report: &freeze_scenario::Report) -> ExitCode {
     let leaderless = |quantile| report.leaderless_ms.value_at_quantile(quantile);
-    println!("freezes {} (aimed at each point: {:?})", report.freezes, report.aimed);
-    println!("terms {}, intents stored {}", report.terms, report.intents);
-    println!("jobs accepted {}, done {}", report.accepted, report.done);
-    println!("tasks that ran twice at once {:?}", report.duplicate_executions);
+    println!("freezes: {} (at each point of an action: {:?})", report.freezes, report.aimed);
+    println!("terms: {}, intents stored: {}", report.terms, report.intents);
+    println!("jobs accepted: {}, done: {}", report.accepted, report.done);
+    println!("tasks that ran on two machines at the same time: {:?}", report.duplicate_executions);
     println!("{:#?}", report.findings);
-    println!("uncovered actions of replaced holders {}", report.findings.unfenced_actions());
     println!(
-        "time without a leader: median {} ms, 99th percentile {} ms, most {} ms",
+        "actions of replaced leaders without a stored intent: {}",
+        report.findings.unfenced_actions()
+    );
+    println!(
+        "time without a leader: median {} ms, 99th percentile {} ms, maximum {} ms",
         leaderless(0.5),
         leaderless(0.99),
         report.leaderless_ms.max()
@@ -147,12 +152,18 @@
 fn print_version_report(report: &version_scenario::Report) -> ExitCode {
     let history = &report.history;
     let transitions = [
-        ("elections", history.elections),
-        ("jobs accepted under one version, done under the other", history.accepted_then_done),
-        ("jobs started under one version, done under the other", history.started_then_done),
-        ("jobs whose acceptance one version wrote, done under the other", report.written_then_done),
+        ("elections won by the other version", history.elections),
+        (
+            "jobs accepted while one version led, done while the other led",
+            history.accepted_then_done,
+        ),
+        ("jobs started while one version led, done while the other led", history.started_then_done),
+        (
+            "jobs accepted by a node of one version, done while the other led",
+            report.written_then_done,
+        ),
         (
-            "jobs accepted under one version, cancelled under the other",
+            "jobs accepted while one version led, aborted while the other led",
             history.accepted_then_aborted,
         ),
     ];
@@ -162,15 +173,21 @@
             counts.previous_to_new, counts.new_to_previous
         );
     }
-    println!("elections within a version {}", history.same_version);
-    println!("jobs accepted by each node, the previous version's first {:?}", report.accepted_by);
-    println!("jobs to be done {}, to be aborted {}", report.done, report.aborted);
-    println!("undecided requests {:?}", report.undecided);
-    println!("wrong answers {:?}", report.wrong_stages);
-    println!("tasks that ran twice at once {:?}", report.duplicate_executions);
+    println!("elections won by the same version: {}", history.same_version);
+    println!(
+        "jobs accepted by each node, starting with the previous version's: {:?}",
+        report.accepted_by
+    );
+    println!("jobs expected to be done: {}, to be aborted: {}", report.done, report.aborted);
+    println!(
+        "jobs with a submission or cancellation that no controller accepted: {:?}",
+        report.undecided
+    );
+    println!("unexpected job stages: {:?}", report.wrong_stages);
+    println!("tasks that ran on two machines at the same time: {:?}", report.duplicate_executions);
     let checks = report.checks();
     for (description, passed) in &checks {
-        println!("{}: {description}", if *passed { "holds" } else { "FAILS" });
+        println!("{}: {description}", if *passed { "passed" } else { "FAILED" });
     }
     match checks.iter().all(|(_, passed)| *passed) {
         true => ExitCode::SUCCESS,
--- a/crates/fault-injection/src/version_scenario.rs
+++ b/crates/fault-injection/src/version_scenario.rs
@@ -85,14 +85,23 @@
         let handovers =
             [history.accepted_then_done, history.started_then_done, self.written_then_done];
         vec![
-            ("each version was elected often after the other", self.has_min_elections()),
-            ("every node accepted jobs", self.accepted_by.iter().all(|&jobs| jobs > 0)),
-            ("jobs were done, and jobs were aborted", self.done > 0 && self.aborted > 0),
-            ("every request was decided", self.undecided.is_empty()),
-            ("every node of both versions tells every job's end", self.wrong_stages.is_empty()),
-            ("no task ran twice at once", self.duplicate_executions.is_empty()),
             (
-                "each version read the other's records",
+                "enough elections took place in both directions between the versions",
+                self.has_min_elections(),
+            ),
+            ("every node accepted at least one job", self.accepted_by.iter().all(|&jobs| jobs > 0)),
+            ("the workload has both finished and aborted jobs", self.done > 0 && self.aborted > 0),
+            (
+                "every submission and cancellation was accepted by a controller",
+                self.undecided.is_empty(),
+            ),
+            (
+                "every node reports the expected final stage of every job",
+                self.wrong_stages.is_empty(),
+            ),
+            ("no task ran on two machines at the same time", self.duplicate_executions.is_empty()),
+            (
+                "each version finished jobs that were accepted or started under the other",
                 handovers.iter().all(|counts| counts.min() > 0),
             ),
         ]
@@ -130,7 +139,7 @@
     let submitter = tokio::spawn(Workload::submit(user.clone(), stop.clone()));
     change_leaders(scenario.submit_time, &mut controllers, &store).await;
     stop.store(true, Ordering::Relaxed);
-    let workload = submitter.await.expect("submissions end by themselves");
+    let workload = submitter.await.expect("submission task panicked");
     let stages_by_node = wait_until_jobs_ended(&user, &workload).await;
     let history = history(&store, &controllers);
     controllers.kill_all();
@@ -207,7 +216,7 @@
     }
     let mut stages_by_node = Vec::new();
     for node in queries {
-        stages_by_node.push(node.await.expect("questions end by themselves"));
+        stages_by_node.push(node.await.expect("job query task panicked"));
     }
     stages_by_node
 }
@@ -227,7 +236,7 @@
                 queries.spawn(async move { (user.stage_at(node, &name).await, name) });
             }
             for (stage, name) in queries.join_all().await {
-                stages.insert(name, stage.unwrap_or_else(|| "not known".to_owned()));
+                stages.insert(name, stage.unwrap_or_else(|| "not reported".to_owned()));
             }
         }
         open_jobs.retain(|name| !matches!(stages[name].as_str(), "done" | "aborted"));
@@ -253,9 +262,12 @@
         }
         let expected = if aborted.contains(job.name.as_str()) { "aborted" } else { "done" };
         for (node, stages) in stages_by_node.iter().enumerate() {
-            let stage = stages.get(&job.name).map_or("not asked", String::as_str);
+            let stage = stages.get(&job.name).map_or("not queried", String::as_str);
             if stage != expected {
-                wrong_stages.push(format!("node {node}: {} is {stage}, not {expected}", job.name));
+                wrong_stages.push(format!(
+                    "node {node} reports job {} as {stage}, expected {expected}",
+                    job.name
+                ));
             }
         }
     }
