--- a/crates/fault-injection/tests/elections.rs
+++ b/crates/fault-injection/tests/elections.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn elections_are_counted_by_the_version_before() {
+fn elections_are_counted_by_direction_of_version_change() {
     let no_leader = event("leader", None);
     let summary = summarize(&[
         leader("new-1"),
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_job_counts_for_the_way_it_went() {
+fn jobs_are_counted_by_versions_leading_at_acceptance_start_and_end() {
     let summary = summarize(&[
         leader("old"),
         put("job/req-1", json!(1)),
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn what_is_written_without_a_leader_counts_for_no_way() {
+fn job_accepted_without_a_leader_is_not_counted() {
     let summary = summarize(&[
         leader("old"),
         event("leader", None),
