--- a/crates/controller/src/node/heartbeats/follower.rs
+++ b/crates/controller/src/node/heartbeats/follower.rs
@@ -95,7 +95,7 @@
     let Some(term) = follower.granted_term() else { return };
     let Some(leader) = node.other_leader_in_term(term) else { return };
     for chunk in repeated.chunks(MAX_ENTRIES) {
-        node.send_to_peer(&leader, &Frame::RepeatedHeartbeats { term, heard: chunk.to_vec() });
+        node.send_to_peer(&leader, &Frame::RepeatedHeartbeats { term, heartbeats: chunk.to_vec() });
     }
 }
 
--- a/crates/controller/src/node/peer_messages.rs
+++ b/crates/controller/src/node/peer_messages.rs
@@ -23,8 +23,8 @@
             Frame::CancellationLogEnd(end) => self.cancellations.log_end_received(self.now(), &end),
             Frame::ForwardedHeartbeat(heartbeat) => leader::answer_forwarded(self, &heartbeat),
             Frame::ForwardedResponse(response) => follower::apply_response(self, response),
-            Frame::RepeatedHeartbeats { term, heard } => {
-                leader::record_repeated_heartbeats(self, term, &heard);
+            Frame::RepeatedHeartbeats { term, heartbeats } => {
+                leader::record_repeated_heartbeats(self, term, &heartbeats);
             }
             Frame::DelegationRequest(request) => leader::grant_delegation(self, &request),
             Frame::DelegationGranted(granted) => follower::apply_grant(self, granted),
--- a/crates/controller/src/peers/frame.rs
+++ b/crates/controller/src/peers/frame.rs
@@ -110,7 +110,7 @@
     /// The leader's answer to it.
     ForwardedResponse(ForwardedResponse),
     /// Machines that repeated their cached heartbeats to a follower, under that leader's term.
-    RepeatedHeartbeats { term: Term, heard: Vec<RepeatedHeartbeat> },
+    RepeatedHeartbeats { term: Term, heartbeats: Vec<RepeatedHeartbeat> },
     /// A follower asks to answer heartbeats on the leader's behalf.
     DelegationRequest(DelegationRequest),
     /// The leader lets it.
@@ -147,8 +147,8 @@
             Frame::CancellationLogEnd(end) => (kind::CANCELLATION_LOG_END, end.encode()),
             Frame::ForwardedHeartbeat(frame) => (kind::FORWARDED_HEARTBEAT, frame.encode()),
             Frame::ForwardedResponse(frame) => (kind::FORWARDED_RESPONSE, frame.encode()),
-            Frame::RepeatedHeartbeats { term, heard } => {
-                (kind::REPEATED_HEARTBEATS, encode_repeated_heartbeats(*term, heard))
+            Frame::RepeatedHeartbeats { term, heartbeats } => {
+                (kind::REPEATED_HEARTBEATS, encode_repeated_heartbeats(*term, heartbeats))
             }
             Frame::DelegationRequest(frame) => (kind::DELEGATION_REQUEST, frame.encode()),
             Frame::DelegationGranted(frame) => (kind::DELEGATION_GRANTED, frame.encode()),
@@ -183,8 +183,8 @@
             }
             kind::FORWARDED_RESPONSE => Frame::ForwardedResponse(ForwardedResponse::decode(body)?),
             kind::REPEATED_HEARTBEATS => {
-                let (term, heard) = decode_repeated_heartbeats(body)?;
-                Frame::RepeatedHeartbeats { term, heard }
+                let (term, heartbeats) = decode_repeated_heartbeats(body)?;
+                Frame::RepeatedHeartbeats { term, heartbeats }
             }
             kind::DELEGATION_REQUEST => Frame::DelegationRequest(DelegationRequest::decode(body)?),
             kind::DELEGATION_GRANTED => Frame::DelegationGranted(DelegationGranted::decode(body)?),
--- a/crates/controller/src/peers/golden_tests.rs
+++ b/crates/controller/src/peers/golden_tests.rs
@@ -148,7 +148,7 @@
         ..unanswered.clone()
     };
     let unsettled = ForwardedResponse { cache_entry: None, ..answered.clone() };
-    let heard = |machine, number, sequence| RepeatedHeartbeat { machine, number, sequence };
+    let repeated = |machine, number, sequence| RepeatedHeartbeat { machine, number, sequence };
     vec![
         (
             "forwarded report",
@@ -166,9 +166,9 @@
             "heard",
             Frame::RepeatedHeartbeats {
                 term: Term(0x0102_0304_0506_0708),
-                heard: vec![
-                    heard(MachineIndex(1), 2, 3),
-                    heard(MachineIndex(0x1112_1314), 1 << 40, 1 << 50),
+                heartbeats: vec![
+                    repeated(MachineIndex(1), 2, 3),
+                    repeated(MachineIndex(0x1112_1314), 1 << 40, 1 << 50),
                 ],
             },
         ),
--- a/crates/controller/src/peers/heartbeat_frames.rs
+++ b/crates/controller/src/peers/heartbeat_frames.rs
@@ -224,9 +224,9 @@
 }
 
 /// The body of a frame of machines that repeated their heartbeats under the term.
-pub(super) fn encode_repeated_heartbeats(term: Term, heard: &[RepeatedHeartbeat]) -> Vec<u8> {
+pub(super) fn encode_repeated_heartbeats(term: Term, heartbeats: &[RepeatedHeartbeat]) -> Vec<u8> {
     let mut body = RepeatedHeartbeatsHead { term: term.get().into() }.as_bytes().to_vec();
-    for one in heard.iter().take(MAX_ENTRIES) {
+    for one in heartbeats.iter().take(MAX_ENTRIES) {
         let entry = RepeatedHeartbeatEntry {
             machine: one.machine.get().into(),
             number: one.number.into(),
@@ -242,12 +242,12 @@
 ) -> Result<(Term, Vec<RepeatedHeartbeat>), FrameError> {
     let (head, rest) = fixed_part::<RepeatedHeartbeatsHead>(body)?;
     let entries = entries::<RepeatedHeartbeatEntry>(rest)?;
-    let heard = entries.map(|entry| RepeatedHeartbeat {
+    let heartbeats = entries.map(|entry| RepeatedHeartbeat {
         machine: MachineIndex(entry.machine.get()),
         number: entry.number.get(),
         sequence: entry.sequence.get(),
     });
-    Ok((Term(head.term.get()), heard.collect()))
+    Ok((Term(head.term.get()), heartbeats.collect()))
 }
 
 /// The body of a frame of invalidated cache entries, with the number of the first.
--- a/crates/controller/src/peers/tests.rs
+++ b/crates/controller/src/peers/tests.rs
@@ -58,7 +58,7 @@
         redirect_count: 20,
         redirect_to: Some("kernel-2".into()),
     };
-    let heard = |machine| RepeatedHeartbeat { machine, number: 5, sequence: 1 << 34 };
+    let repeated = |machine| RepeatedHeartbeat { machine, number: 5, sequence: 1 << 34 };
     vec![
         Frame::ForwardedHeartbeat(ForwardedHeartbeat {
             node: "kernel-1".into(),
@@ -74,7 +74,7 @@
         }),
         Frame::RepeatedHeartbeats {
             term: Term(1 << 40),
-            heard: (0..MAX_ENTRIES as u32).map(MachineIndex).map(heard).collect(),
+            heartbeats: (0..MAX_ENTRIES as u32).map(MachineIndex).map(repeated).collect(),
         },
         Frame::DelegationRequest(DelegationRequest {
             node: "kernel-1".into(),
