--- a/crates/controller/src/heartbeat_delegation.rs
+++ b/crates/controller/src/heartbeat_delegation.rs
@@ -68,7 +68,7 @@
     }
 
     /// The node to which the worker should report instead, if this one has more than its share.
-    pub(crate) fn another_node_for(&self, heartbeat_bytes: usize) -> Option<String> {
+    pub(crate) fn take_redirect_target(&self, heartbeat_bytes: usize) -> Option<String> {
         // A longer heartbeat would come back: followers don't forward it.
         if heartbeat_bytes > MAX_FORWARDED_BYTES / 2 {
             return None;
--- a/crates/controller/src/node/heartbeats/tests.rs
+++ b/crates/controller/src/node/heartbeats/tests.rs
@@ -374,11 +374,11 @@
         // once no follower requests delegations any more.
         node.delegation.worker_connections().set(40);
         balance_workers(&node);
-        assert_eq!(node.delegation.another_node_for(100), None);
+        assert_eq!(node.delegation.take_redirect_target(100), None);
         node.delegation.worker_connections().set(300);
         tokio::time::advance(FOLLOWER_VALID).await;
         balance_workers(&node);
-        assert_eq!(node.delegation.another_node_for(100), None);
+        assert_eq!(node.delegation.take_redirect_target(100), None);
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
--- a/crates/controller/src/worker_api.rs
+++ b/crates/controller/src/worker_api.rs
@@ -54,7 +54,7 @@
     // The first heartbeat on a connection is never redirected for load: a worker that can't reach the
     // other node comes straight back, and its lease must not expire while two nodes redirect it to
     // each other.
-    let other_node = if is_first { None } else { node.delegation.another_node_for(body.len()) };
+    let other_node = if is_first { None } else { node.delegation.take_redirect_target(body.len()) };
     if other_node.is_some() {
         return redirect_to(other_node);
     }
