--- a/crates/controller/src/node/cancellations.rs
+++ b/crates/controller/src/node/cancellations.rs
@@ -69,12 +69,12 @@
     }
 
     /// Builds the answer to a leader's status: the index of the last entry in this node's log.
-    pub(super) fn log_end(&self, asker_incarnation: u64, asked: u64) -> CancellationLogEnd {
+    pub(super) fn log_end(&self, requester_incarnation: u64, asked: u64) -> CancellationLogEnd {
         CancellationLogEnd {
             node: self.own_name.clone(),
             incarnation: self.own_incarnation,
             last: self.log.borrow().last().0,
-            asker_incarnation,
+            requester_incarnation,
             asked,
         }
     }
@@ -114,7 +114,7 @@
 
     /// Records where a peer's log ends. Ignores an answer to an earlier process of this node.
     pub(super) fn log_end_received(&self, now: Timestamp, end: &CancellationLogEnd) {
-        if end.asker_incarnation == self.own_incarnation {
+        if end.requester_incarnation == self.own_incarnation {
             let mut watermark = self.watermark.borrow_mut();
             let (peer_incarnation, last) = (Incarnation(end.incarnation), LogIndex(end.last));
             watermark.request_answered(
--- a/crates/controller/src/node/heartbeats/follower.rs
+++ b/crates/controller/src/node/heartbeats/follower.rs
@@ -73,7 +73,7 @@
 
 /// Applies a grant, unless it answers a request of an earlier process of this node.
 pub(in crate::node) fn apply_grant(node: &Node, granted: DelegationGranted) {
-    if granted.asker_incarnation != node.identity.incarnation {
+    if granted.requester_incarnation != node.identity.incarnation {
         return;
     }
     let follower = node.delegation.follower();
@@ -102,7 +102,7 @@
 /// Passes the leader's response to the heartbeat that waits for it, unless an earlier process of
 /// this node forwarded that heartbeat.
 pub(in crate::node) fn apply_response(node: &Node, response: ForwardedResponse) {
-    if response.asker_incarnation == node.identity.incarnation {
+    if response.requester_incarnation == node.identity.incarnation {
         node.delegation.follower().respond(response);
     }
 }
--- a/crates/controller/src/node/heartbeats/leader.rs
+++ b/crates/controller/src/node/heartbeats/leader.rs
@@ -77,7 +77,7 @@
         invalidated: node.delegation.leader().invalidated(peer_index, cached.term),
     });
     let response = ForwardedResponse {
-        asker_incarnation: forwarded.incarnation,
+        requester_incarnation: forwarded.incarnation,
         number: forwarded.number,
         answer: answer.filter(|body| body.len() <= MAX_FORWARDED_BYTES),
         cache_entry,
@@ -103,7 +103,7 @@
         worker_shares(node).and_then(|shares| shares.move_from_follower(request.workers));
     let granted = DelegationGranted {
         node: node.settings.node_name.clone(),
-        asker_incarnation: request.incarnation,
+        requester_incarnation: request.incarnation,
         grant,
         redirect_count: redirected.map_or(0, |moved| moved.workers.min(u32::from(u16::MAX)) as u16),
         redirect_to: redirected.map(|moved| redirect_target(node, moved)),
--- a/crates/controller/src/peers/golden_tests.rs
+++ b/crates/controller/src/peers/golden_tests.rs
@@ -87,7 +87,7 @@
                 node: "kernel-0".into(),
                 incarnation: 0x0102_0304_0506_0708,
                 last: 0x1112_1314_1516_1718,
-                asker_incarnation: 0x2122_2324_2526_2728,
+                requester_incarnation: 0x2122_2324_2526_2728,
                 asked: 0x3132_3334_3536_3738,
             }),
         ),
@@ -137,7 +137,7 @@
         invalidated: 0x7172_7374_7576_7778,
     };
     let unanswered = ForwardedResponse {
-        asker_incarnation: 0x0102_0304_0506_0708,
+        requester_incarnation: 0x0102_0304_0506_0708,
         number: 0x1112_1314_1516_1718,
         answer: None,
         cache_entry: None,
@@ -179,7 +179,7 @@
     let granting = |redirect_count, redirect_to| {
         Frame::DelegationGranted(DelegationGranted {
             node: "kernel-0".into(),
-            asker_incarnation: 0x0102_0304_0506_0708,
+            requester_incarnation: 0x0102_0304_0506_0708,
             grant: DelegationGrant {
                 term: Term(0x1112_1314_1516_1718),
                 request_number: 0x2122_2324_2526_2728,
--- a/crates/controller/src/peers/heartbeat_frames.rs
+++ b/crates/controller/src/peers/heartbeat_frames.rs
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct ForwardedResponse {
     /// The incarnation of the follower that asked.
-    pub(crate) asker_incarnation: u64,
+    pub(crate) requester_incarnation: u64,
     /// The number of the heartbeat.
     pub(crate) number: u64,
     /// The body for the worker; `None`: the leader doesn't answer this one.
@@ -80,7 +80,7 @@
     /// The leader.
     pub(crate) node: String,
     /// The incarnation of the follower that asked.
-    pub(crate) asker_incarnation: u64,
+    pub(crate) requester_incarnation: u64,
     /// What the leader grants.
     pub(crate) grant: DelegationGrant,
     /// Workers that the follower should redirect.
@@ -100,7 +100,7 @@
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned, Clone, Copy)]
 #[repr(C)]
 struct ForwardedResponseBody {
-    asker_incarnation: U64,
+    requester_incarnation: U64,
     number: U64,
     answered: u8,
     cached: u8,
@@ -139,7 +139,7 @@
 #[repr(C)]
 struct DelegationGrantedBody {
     node: [u8; NODE_NAME_BYTES],
-    asker_incarnation: U64,
+    requester_incarnation: U64,
     term: U64,
     asked: U64,
     unknown_for_us: U64,
@@ -188,7 +188,7 @@
         let cache_entry = self.cache_entry.as_ref();
         let cached = cache_entry.map(|entry| entry.cached);
         let head = ForwardedResponseBody {
-            asker_incarnation: self.asker_incarnation.into(),
+            requester_incarnation: self.requester_incarnation.into(),
             number: self.number.into(),
             answered: u8::from(self.answer.is_some()),
             cached: u8::from(cache_entry.is_some()),
@@ -215,7 +215,7 @@
             invalidated: head.invalidated.get(),
         };
         Ok(ForwardedResponse {
-            asker_incarnation: head.asker_incarnation.get(),
+            requester_incarnation: head.requester_incarnation.get(),
             number: head.number.get(),
             answer: (head.answered != 0).then(|| answer.to_vec()),
             cache_entry: (head.cached != 0).then_some(cache_entry),
@@ -303,7 +303,7 @@
     pub(super) fn encode(&self) -> Vec<u8> {
         let body = DelegationGrantedBody {
             node: name_field(&self.node),
-            asker_incarnation: self.asker_incarnation.into(),
+            requester_incarnation: self.requester_incarnation.into(),
             term: self.grant.term.get().into(),
             asked: self.grant.request_number.into(),
             unknown_for_us: self.grant.watermark_age.0.into(),
@@ -318,7 +318,7 @@
         let (body, _) = fixed_part::<DelegationGrantedBody>(body)?;
         Ok(DelegationGranted {
             node: layout::name(&body.node)?,
-            asker_incarnation: body.asker_incarnation.get(),
+            requester_incarnation: body.requester_incarnation.get(),
             grant: DelegationGrant {
                 term: Term(body.term.get()),
                 request_number: body.asked.get(),
--- a/crates/controller/src/peers/job_frames.rs
+++ b/crates/controller/src/peers/job_frames.rs
@@ -103,7 +103,7 @@
     /// The number of the log's last job.
     pub(crate) last: u64,
     /// The leader's incarnation.
-    pub(crate) asker_incarnation: u64,
+    pub(crate) requester_incarnation: u64,
     /// The count of the leader's status.
     pub(crate) asked: u64,
 }
@@ -132,7 +132,7 @@
     node: [u8; NODE_NAME_BYTES],
     incarnation: U64,
     last: U64,
-    asker_incarnation: U64,
+    requester_incarnation: U64,
     asked: U64,
 }
 
@@ -194,7 +194,7 @@
             node: name_field(&self.node),
             incarnation: self.incarnation.into(),
             last: self.last.into(),
-            asker_incarnation: self.asker_incarnation.into(),
+            requester_incarnation: self.requester_incarnation.into(),
             asked: self.asked.into(),
         };
         body.as_bytes().to_vec()
@@ -206,7 +206,7 @@
             node: layout::name(&body.node)?,
             incarnation: body.incarnation.get(),
             last: body.last.get(),
-            asker_incarnation: body.asker_incarnation.get(),
+            requester_incarnation: body.requester_incarnation.get(),
             asked: body.asked.get(),
         })
     }
--- a/crates/controller/src/peers/tests.rs
+++ b/crates/controller/src/peers/tests.rs
@@ -44,7 +44,7 @@
         invalidated: 90_000,
     };
     let answer =
-        ForwardedResponse { asker_incarnation: 3, number: 9, answer: None, cache_entry: None };
+        ForwardedResponse { requester_incarnation: 3, number: 9, answer: None, cache_entry: None };
     let grant = DelegationGrant {
         term: Term(1 << 40),
         request_number: 17,
@@ -53,7 +53,7 @@
     };
     let granting = DelegationGranted {
         node: "kernel-0".into(),
-        asker_incarnation: 1 << 50,
+        requester_incarnation: 1 << 50,
         grant,
         redirect_count: 20,
         redirect_to: Some("kernel-2".into()),
