--- a/crates/controller/src/key_value_client.rs
+++ b/crates/controller/src/key_value_client.rs
@@ -25,7 +25,7 @@
 use walnutlug_scheduler::storage::keys;
 use walnutlug_scheduler::storage::revision::Revision;
 
-pub(crate) use error::{InvalidResponse, KeyValueError, LostAnswer, Rejection};
+pub(crate) use error::{InvalidResponse, KeyValueError, Rejection, UnknownOutcome};
 pub(crate) use limits::Limits;
 pub(crate) use rate_limiter::{RequestClass, WriteAllowance};
 pub(crate) use request::StoreRequest;
@@ -231,7 +231,7 @@
                 return Ok(response);
             }
             Ok(response) if response.status == 503 => rejected(request, Rejection::Unavailable),
-            Ok(response) => indeterminate(request, LostAnswer::Status(response.status)),
+            Ok(response) => indeterminate(request, UnknownOutcome::Status(response.status)),
             Err(HttpError::NotSent(source)) => rejected(request, source.into()),
             Err(HttpError::Indeterminate(source)) => indeterminate(request, source.into()),
         };
@@ -400,7 +400,7 @@
     KeyValueError::Rejected { request: request.clone(), source }
 }
 
-fn indeterminate(request: &StoreRequest, source: LostAnswer) -> KeyValueError {
+fn indeterminate(request: &StoreRequest, source: UnknownOutcome) -> KeyValueError {
     KeyValueError::Indeterminate { request: request.clone(), source }
 }
 
--- a/crates/controller/src/key_value_client/error.rs
+++ b/crates/controller/src/key_value_client/error.rs
@@ -11,7 +11,7 @@
     Rejected { request: StoreRequest, source: Rejection },
     /// May have been executed, or may be later.
     #[error("{request}: may have been executed: {source}")]
-    Indeterminate { request: StoreRequest, source: LostAnswer },
+    Indeterminate { request: StoreRequest, source: UnknownOutcome },
     /// What the request names is gone: a lease, or the history from a revision on.
     #[error("{request}: expired")]
     Expired { request: StoreRequest },
@@ -40,7 +40,7 @@
 
 /// Why the answer to a request is missing.
 #[derive(Debug, thiserror::Error)]
-pub(crate) enum LostAnswer {
+pub(crate) enum UnknownOutcome {
     #[error("the store answered with status {0}")]
     Status(u16),
     #[error("the transaction's outcome is unknown")]
--- a/crates/controller/src/node/leader/job_ends.rs
+++ b/crates/controller/src/node/leader/job_ends.rs
@@ -8,7 +8,7 @@
 use walnutlug_scheduler::storage::revision::Revision;
 
 use crate::key_value_client::{
-    InvalidResponse, KeyValueError, LostAnswer, Rejection, RequestClass, StoreRequest,
+    InvalidResponse, KeyValueError, Rejection, RequestClass, StoreRequest, UnknownOutcome,
 };
 use crate::node::Node;
 
@@ -44,7 +44,7 @@
                 return Err(KeyValueError::Rejected { request, source: Rejection::Transaction });
             }
             TransactionOutcome::Indeterminate => {
-                let source = LostAnswer::Transaction;
+                let source = UnknownOutcome::Transaction;
                 return Err(KeyValueError::Indeterminate { request, source });
             }
         }
--- a/crates/controller/src/user_api/tests.rs
+++ b/crates/controller/src/user_api/tests.rs
@@ -11,7 +11,7 @@
 use crate::http::client::NotSent;
 use crate::http::server::Answer;
 use crate::key_value_client::{
-    InvalidResponse, KeyValueError, LostAnswer, Rejection, StoreRequest,
+    InvalidResponse, KeyValueError, Rejection, StoreRequest, UnknownOutcome,
 };
 use crate::node::Node;
 
@@ -355,7 +355,7 @@
         source: Rejection::NotSent(NotSent::ConnectTimeout),
     };
     assert_eq!(rejected.to_string(), "get job/req-000412: not executed: connecting took too long");
-    let lost = LostAnswer::Status(500);
+    let lost = UnknownOutcome::Status(500);
     let indeterminate = KeyValueError::Indeterminate { request: request.clone(), source: lost };
     let expired = KeyValueError::Expired { request: request.clone() };
     let invalid = KeyValueError::InvalidResponse { request, source: InvalidResponse::Status(302) };
