--- a/crates/controller/src/cloud_client.rs
+++ b/crates/controller/src/cloud_client.rs
@@ -17,7 +17,7 @@
 use crate::http::client::{Client, HttpError, Request, Response};
 use pacer::Pacer;
 
-pub(crate) use request::{CloudError, CloudRequest, Rejection, UnusableAnswer};
+pub(crate) use request::{CloudError, CloudRequest, Rejection, UnknownOutcome};
 
 /// Whether a request may still be sent, asked directly before it is.
 pub(crate) type MaySend<'a> = &'a dyn Fn() -> bool;
@@ -97,7 +97,7 @@
         match self.scale_out_once(request, may_send).await {
             Err(error @ (CloudError::Rejected { .. } | CloudError::NotSent { .. })) => {
                 let request = scale_out_request(request);
-                Err(indeterminate(&request, UnusableAnswer::RepetitionFailed(Box::new(error))))
+                Err(indeterminate(&request, UnknownOutcome::RepetitionFailed(Box::new(error))))
             }
             second => second,
         }
@@ -171,7 +171,7 @@
     CloudError::Rejected { request: request.clone(), source }
 }
 
-fn indeterminate(request: &CloudRequest, source: UnusableAnswer) -> CloudError {
+fn indeterminate(request: &CloudRequest, source: UnknownOutcome) -> CloudError {
     CloudError::Indeterminate { request: request.clone(), source }
 }
 
@@ -187,7 +187,7 @@
 /// The body of an answer that has to have status 200.
 fn read<T: DeserializeOwned>(request: &CloudRequest, response: &Response) -> Result<T, CloudError> {
     if response.status != 200 {
-        return Err(indeterminate(request, UnusableAnswer::Status(response.status)));
+        return Err(indeterminate(request, UnknownOutcome::Status(response.status)));
     }
     serde_json::from_slice(&response.body).map_err(|error| indeterminate(request, error.into()))
 }
--- a/crates/controller/src/cloud_client/request.rs
+++ b/crates/controller/src/cloud_client/request.rs
@@ -65,7 +65,7 @@
     NotSent { request: CloudRequest, source: NotSent },
     /// No usable answer; the request may have been carried out, or may be later.
     #[error("{request}: may have been carried out: {source}")]
-    Indeterminate { request: CloudRequest, source: UnusableAnswer },
+    Indeterminate { request: CloudRequest, source: UnknownOutcome },
 }
 
 /// Why the cloud refused a request.
@@ -88,7 +88,7 @@
 
 /// Why it isn't known whether a request was carried out.
 #[derive(Debug, thiserror::Error)]
-pub(crate) enum UnusableAnswer {
+pub(crate) enum UnknownOutcome {
     #[error("status {0}")]
     Status(u16),
     #[error(transparent)]
