--- a/crates/controller/src/node/cancellations.rs
+++ b/crates/controller/src/node/cancellations.rs
@@ -69,13 +69,17 @@
     }
 
     /// Builds the answer to a leader's status: the index of the last entry in this node's log.
-    pub(super) fn log_end(&self, requester_incarnation: u64, asked: u64) -> CancellationLogEnd {
+    pub(super) fn log_end(
+        &self,
+        requester_incarnation: u64,
+        status_count: u64,
+    ) -> CancellationLogEnd {
         CancellationLogEnd {
             node: self.own_name.clone(),
             incarnation: self.own_incarnation,
             last: self.log.borrow().last().0,
             requester_incarnation,
-            asked,
+            status_count,
         }
     }
 
@@ -122,7 +126,7 @@
                 &end.node,
                 peer_incarnation,
                 last,
-                RequestId(end.asked),
+                RequestId(end.status_count),
             );
         }
     }
--- a/crates/controller/src/peers/golden_tests.rs
+++ b/crates/controller/src/peers/golden_tests.rs
@@ -88,7 +88,7 @@
                 incarnation: 0x0102_0304_0506_0708,
                 last: 0x1112_1314_1516_1718,
                 requester_incarnation: 0x2122_2324_2526_2728,
-                asked: 0x3132_3334_3536_3738,
+                status_count: 0x3132_3334_3536_3738,
             }),
         ),
     ]
--- a/crates/controller/src/peers/job_frames.rs
+++ b/crates/controller/src/peers/job_frames.rs
@@ -105,7 +105,7 @@
     /// The leader's incarnation.
     pub(crate) requester_incarnation: u64,
     /// The count of the leader's status.
-    pub(crate) asked: u64,
+    pub(crate) status_count: u64,
 }
 
 /// Before the names in a part of a log of cancellations.
@@ -133,7 +133,7 @@
     incarnation: U64,
     last: U64,
     requester_incarnation: U64,
-    asked: U64,
+    status_count: U64,
 }
 
 impl Cancellations {
@@ -195,7 +195,7 @@
             incarnation: self.incarnation.into(),
             last: self.last.into(),
             requester_incarnation: self.requester_incarnation.into(),
-            asked: self.asked.into(),
+            status_count: self.status_count.into(),
         };
         body.as_bytes().to_vec()
     }
@@ -207,7 +207,7 @@
             incarnation: body.incarnation.get(),
             last: body.last.get(),
             requester_incarnation: body.requester_incarnation.get(),
-            asked: body.asked.get(),
+            status_count: body.status_count.get(),
         })
     }
 }
