--- a/crates/controller/src/key_value_client/rate_limiter.rs
+++ b/crates/controller/src/key_value_client/rate_limiter.rs
@@ -103,7 +103,7 @@
     /// At once, now. Negative while there is a debt.
     pub(crate) now: f64,
     /// At once, at most.
-    pub(crate) most: f64,
+    pub(crate) max_burst: f64,
 }
 
 /// Two token buckets of one second's worth each.
@@ -194,7 +194,7 @@
         let reserve = RequestClass::Dispatch.reserve() * self.rates.writes_per_s;
         WriteAllowance {
             now: self.tokens.writes - reserve,
-            most: self.rates.writes_per_s - reserve,
+            max_burst: self.rates.writes_per_s - reserve,
         }
     }
 }
--- a/crates/controller/src/node/leader.rs
+++ b/crates/controller/src/node/leader.rs
@@ -167,7 +167,8 @@
 
 fn run_scheduler_tick(node: &Node, scheduler: &mut Scheduler, now: Timestamp) -> Vec<Command> {
     let allowance = node.key_value.write_allowance();
-    scheduler.set_write_allowance(WriteAllowance { left: allowance.now, per_s: allowance.most });
+    scheduler
+        .set_write_allowance(WriteAllowance { left: allowance.now, per_s: allowance.max_burst });
     let limits = node.key_value.limits();
     scheduler.set_limits(TransactionLimits {
         value_bytes: limits.value_bytes,
