--- a/crates/controller/src/heartbeat_delegation.rs
+++ b/crates/controller/src/heartbeat_delegation.rs
@@ -12,7 +12,7 @@
 pub(crate) use follower::RESPONSE_TIMEOUT;
 pub(crate) use leader::LeaderSide;
 #[cfg(test)]
-pub(crate) use leader::FOLLOWER_VALID;
+pub(crate) use leader::FOLLOWER_TIMEOUT;
 
 use std::cell::Cell;
 use std::rc::Rc;
--- a/crates/controller/src/heartbeat_delegation/leader.rs
+++ b/crates/controller/src/heartbeat_delegation/leader.rs
@@ -10,7 +10,7 @@
 use crate::peers::{Frame, MAX_ENTRIES};
 
 /// A follower that has not asked for so long is sent no workers.
-pub(crate) const FOLLOWER_VALID: Duration = Duration::from_millis(2_500);
+pub(crate) const FOLLOWER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Cache entries invalidated under one term.
 #[derive(Debug, Default, Clone, Copy)]
@@ -29,7 +29,7 @@
 
 impl Follower {
     fn is_fresh(&self) -> bool {
-        self.last_request.is_some_and(|at| at.elapsed() < FOLLOWER_VALID)
+        self.last_request.is_some_and(|at| at.elapsed() < FOLLOWER_TIMEOUT)
     }
 
     /// The count under the term, which begins at zero.
--- a/crates/controller/src/node/heartbeats/tests.rs
+++ b/crates/controller/src/node/heartbeats/tests.rs
@@ -7,7 +7,7 @@
 
 use super::follower::{request_delegation, send_repeated_heartbeats};
 use super::leader::{balance_workers, send_invalidations};
-use crate::heartbeat_delegation::{FOLLOWER_VALID, RESPONSE_TIMEOUT};
+use crate::heartbeat_delegation::{FOLLOWER_TIMEOUT, RESPONSE_TIMEOUT};
 use crate::node::tests::{
     cluster_with_running_task, elect_leader_with_running_task, idle_heartbeat,
     running_task_heartbeat, JOB,
@@ -376,7 +376,7 @@
         balance_workers(&node);
         assert_eq!(node.delegation.take_redirect_target(100), None);
         node.delegation.worker_connections().set(300);
-        tokio::time::advance(FOLLOWER_VALID).await;
+        tokio::time::advance(FOLLOWER_TIMEOUT).await;
         balance_workers(&node);
         assert_eq!(node.delegation.take_redirect_target(100), None);
     };
