--- a/crates/controller/src/heartbeat_delegation.rs
+++ b/crates/controller/src/heartbeat_delegation.rs
@@ -1,6 +1,9 @@
-//! Workers' heartbeats answered by every node: followers forward to the leader what may be new, and answer repetitions
-//! themselves within the bound that `walnutlug_scheduler::reconciliation::delegation` keeps. Here is what a node keeps
-//! for that as a follower and as the leader, and how workers are balanced among the nodes.
+//! Delegation of worker heartbeats, which lets every node answer workers and not only the leader.
+//!
+//! Followers forward heartbeats that may carry news to the leader, and answer repeated heartbeats
+//! themselves within the time bound enforced by `walnutlug_scheduler::reconciliation::delegation`.
+//! This module holds the state that a node keeps for this as a follower and as the leader, and
+//! balances the workers among the nodes.
 
 mod balancing;
 mod follower;
@@ -21,9 +24,9 @@
 
 use crate::peers::MAX_FORWARDED_BYTES;
 
-/// A node's part in answering heartbeats, as a follower and as the leader.
+/// Delegation state of a node, both as a follower and as the leader.
 pub(crate) struct HeartbeatDelegation {
-    /// Connections on which workers have reported.
+    /// Number of open connections on which a worker has sent a heartbeat.
     worker_connections: Rc<Cell<u32>>,
     follower: FollowerSide,
     leader: LeaderSide,
@@ -31,8 +34,10 @@
 }
 
 impl HeartbeatDelegation {
-    /// With nothing granted and no followers. Each connection has at most one heartbeat in flight, so as many may wait
-    /// as there may be connections: after an outage every heartbeat differs from the last.
+    /// Creates the state of a node with `peers` other nodes, without a grant and without followers.
+    /// `max_pending` limits the forwarded heartbeats that await a response. It has to equal the
+    /// maximum number of connections: each connection has at most one heartbeat in flight, and
+    /// after an outage every heartbeat differs from the last one and is forwarded.
     pub(crate) fn new(site: &Site, peers: usize, max_pending: usize) -> HeartbeatDelegation {
         HeartbeatDelegation {
             worker_connections: Rc::default(),
@@ -42,34 +47,37 @@
         }
     }
 
-    /// The count of connections on which workers have reported, which the connections keep.
+    /// Returns the counter of connections on which workers have reported; the connections update
+    /// it.
     pub(crate) fn worker_connections(&self) -> &Rc<Cell<u32>> {
         &self.worker_connections
     }
 
-    /// The node's state as a follower.
+    /// Returns the state used while another node leads.
     pub(crate) fn follower(&self) -> &FollowerSide {
         &self.follower
     }
 
-    /// The node's state as the leader.
+    /// Returns the state used while this node leads.
     pub(crate) fn leader(&self) -> &LeaderSide {
         &self.leader
     }
 
-    /// The workers that this node still has to redirect.
+    /// Returns the pending redirection of workers to another node.
     pub(crate) fn redirection(&self) -> &Redirection {
         &self.redirection
     }
 
-    /// Whether other nodes hold workers' connections now.
+    /// Returns whether any follower with a recent request holds worker connections.
     pub(crate) fn has_followers(&self) -> bool {
         self.leader.has_followers()
     }
 
-    /// The node to which the worker should report instead, if this one has more than its share.
+    /// Returns the node to which the worker should report from now on, if this node has more than
+    /// its share of the workers. Counts the worker as redirected.
     pub(crate) fn take_redirect_target(&self, heartbeat_bytes: usize) -> Option<String> {
-        // A longer heartbeat would come back: followers don't forward it.
+        // Followers don't forward heartbeats above `MAX_FORWARDED_BYTES`, so a worker with long
+        // heartbeats would come back.
         if heartbeat_bytes > MAX_FORWARDED_BYTES / 2 {
             return None;
         }
--- a/crates/controller/src/heartbeat_delegation/balancing/tests.rs
+++ b/crates/controller/src/heartbeat_delegation/balancing/tests.rs
@@ -1,8 +1,9 @@
 use super::*;
 
-/// Workers are spread anew within a minute, whatever their number.
+/// The limit of redirected workers per second grows with the fleet, so that rebalancing takes at
+/// most a minute at any size.
 #[test]
-fn more_workers_are_moved_where_there_are_more() {
-    assert_eq!(max_moved_per_second(500), MIN_MOVED_PER_SECOND);
-    assert_eq!(max_moved_per_second(4_200), 70);
+fn redirect_limit_grows_with_the_number_of_workers() {
+    assert_eq!(redirect_limit_per_s(500), MIN_REDIRECT_LIMIT_PER_S);
+    assert_eq!(redirect_limit_per_s(4_200), 70);
 }
--- a/crates/controller/src/heartbeat_delegation/follower.rs
+++ b/crates/controller/src/heartbeat_delegation/follower.rs
@@ -1,5 +1,5 @@
-//! The follower's side: what the leader lets it answer, the heartbeats that wait for the leader's answer, and the
-//! repetitions that the leader has to be told of.
+//! Delegation state of a follower: the leader's grant, the forwarded heartbeats that await a
+//! response, and the repeated heartbeats that have to be reported to the leader.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -17,22 +17,24 @@
 
 use crate::peers::{ForwardedResponse, RepeatedHeartbeat};
 
-/// How long the leader may take to answer a heartbeat; the worker waits for four seconds.
+/// Time limit for the leader's response to a forwarded heartbeat; the worker waits for four
+/// seconds.
 pub(crate) const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A node's state as a follower.
+/// State of a node that answers heartbeats on the leader's behalf.
 pub(crate) struct FollowerSide {
     delegation: RefCell<FollowerDelegation>,
-    /// Forwarded heartbeats by their numbers.
+    /// Channels for the responses to forwarded heartbeats, by heartbeat number.
     pending: RefCell<HashMap<u64, oneshot::Sender<ForwardedResponse>>>,
     max_pending: usize,
     last_forwarded: Cell<u64>,
-    /// Repetitions answered since the leader was told last.
+    /// Repeated heartbeats answered since the last report to the leader.
     repeated: RefCell<Vec<RepeatedHeartbeat>>,
 }
 
 impl FollowerSide {
-    /// With nothing granted, and room for that many heartbeats that wait for the leader.
+    /// Creates the state without a grant. At most `max_pending` forwarded heartbeats await a
+    /// response at any time.
     pub(crate) fn new(site: &Site, max_pending: usize) -> FollowerSide {
         FollowerSide {
             delegation: RefCell::new(FollowerDelegation::new(site)),
@@ -43,7 +45,9 @@
         }
     }
 
-    /// The token with which the repetition of a cached heartbeat may be answered now. It is kept to tell the leader.
+    /// Returns the fencing token for the response to a repetition of a cached heartbeat, or `None`
+    /// if this node may not answer it now. The repetition is recorded for the next report to the
+    /// leader.
     pub(crate) fn answer_repeated(
         &self,
         now: Timestamp,
@@ -56,17 +60,18 @@
         Some(token)
     }
 
-    /// Takes the repetitions answered since the last call.
+    /// Removes and returns the repeated heartbeats that have not been reported to the leader.
     pub(crate) fn take_repeated(&self) -> Vec<RepeatedHeartbeat> {
         self.repeated.take()
     }
 
-    /// The term under whose leader heartbeats may be forwarded now.
+    /// Returns the term of the leader to which heartbeats may be forwarded now.
     pub(crate) fn forwarding_term(&self, now: Timestamp) -> Option<Term> {
         self.delegation.borrow().forwarding_term(now)
     }
 
-    /// Reserves a place for a heartbeat that waits for the leader. `None` if too many do.
+    /// Registers a heartbeat that is about to be forwarded. Returns `None` if too many heartbeats
+    /// await a response.
     pub(crate) fn begin_forward(&self) -> Option<PendingForward<'_>> {
         let mut pending = self.pending.borrow_mut();
         if pending.len() >= self.max_pending {
@@ -79,52 +84,55 @@
         Some(PendingForward { follower: self, number, response })
     }
 
-    /// Hands the leader's answer to the heartbeat that waits for it, if one still does.
+    /// Passes the leader's response to the task that forwarded the heartbeat. Does nothing if that
+    /// task no longer waits.
     pub(crate) fn respond(&self, response: ForwardedResponse) {
         if let Some(pending) = self.pending.borrow_mut().remove(&response.number) {
             let _ = pending.send(response);
         }
     }
 
-    /// Caches a heartbeat whose repetitions the leader lets this node answer. `None` if the grant came too late.
+    /// Caches a heartbeat whose repetitions this node may answer. Returns `None` if the cache entry
+    /// can no longer be used, for example after a later invalidation.
     pub(crate) fn cache(&self, now: Timestamp, entry: &CacheGrant) -> Option<CachedHeartbeat> {
         self.delegation.borrow_mut().add_entry(now, entry).then_some(entry.cached)
     }
 
-    /// The number of the next request to the leader.
+    /// Registers a new delegation request and returns its number.
     pub(crate) fn next_request(&self, now: Timestamp) -> u64 {
         self.delegation.borrow_mut().begin_request(now)
     }
 
-    /// The term of the last grant.
+    /// Returns the term of the latest accepted grant.
     pub(crate) fn granted_term(&self) -> Option<Term> {
         self.delegation.borrow().term()
     }
 
-    /// Takes a grant. Whether it counts.
+    /// Applies a grant from the leader. Returns whether it was accepted.
     pub(crate) fn take_grant(&self, now: Timestamp, grant: &DelegationGrant) -> bool {
         self.delegation.borrow_mut().accept_grant(now, grant)
     }
 
-    /// Drops cache entries that are valid no more, with the number of the first.
+    /// Removes cache entries, given by machine and heartbeat number, that the leader has
+    /// invalidated. `first` is the number of the first invalidation.
     pub(crate) fn invalidate(&self, term: Term, first: u64, entries: &[(MachineIndex, u64)]) {
         self.delegation.borrow_mut().invalidate(term, first, entries);
     }
 
-    /// Heartbeats that wait for the leader.
+    /// Returns the number of forwarded heartbeats that await a response.
     #[cfg(test)]
     pub(crate) fn pending(&self) -> usize {
         self.pending.borrow().len()
     }
 
-    /// Forgets all grants, as a restarted node has.
+    /// Discards all grants, as a restart of the node does.
     #[cfg(test)]
     pub(crate) fn forget_grants(&self, site: &Site) {
         self.delegation.replace(FollowerDelegation::new(site));
     }
 }
 
-/// A heartbeat that waits for the leader's answer; its place is free again when it is dropped.
+/// A forwarded heartbeat that awaits the leader's response. Dropping it removes the registration.
 pub(crate) struct PendingForward<'a> {
     follower: &'a FollowerSide,
     number: u64,
@@ -132,12 +140,13 @@
 }
 
 impl PendingForward<'_> {
-    /// The number under which it is forwarded.
+    /// Returns the number that the response to this heartbeat will carry.
     pub(crate) fn number(&self) -> u64 {
         self.number
     }
 
-    /// The leader's answer, if it comes in time.
+    /// Waits for the leader's response. Returns `None` if it doesn't arrive within
+    /// [`RESPONSE_TIMEOUT`].
     pub(crate) async fn response(mut self) -> Option<ForwardedResponse> {
         timeout(RESPONSE_TIMEOUT, &mut self.response).await.ok()?.ok()
     }
--- a/crates/controller/src/heartbeat_delegation/leader.rs
+++ b/crates/controller/src/heartbeat_delegation/leader.rs
@@ -1,4 +1,5 @@
-//! The leader's side: what it knows of each follower, and how many cache entries it has invalidated there.
+//! Delegation state of the leader: the last request and the workers of each follower, and how many
+//! of its cache entries were invalidated.
 
 use std::cell::RefCell;
 use walnutlug_scheduler::leadership::fencing_token::Term;
@@ -9,17 +10,17 @@
 use super::balancing::FollowerLoad;
 use crate::peers::{Frame, MAX_ENTRIES};
 
-/// A follower that has not asked for so long is sent no workers.
+/// Time since its last request after which a follower is considered gone and is sent no workers.
 pub(crate) const FOLLOWER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Cache entries invalidated under one term.
+/// Number of cache entries invalidated at a follower under one term.
 #[derive(Debug, Default, Clone, Copy)]
 struct InvalidatedCount {
     term: Term,
     count: u64,
 }
 
-/// What the leader knows of a follower.
+/// The leader's record of one follower.
 #[derive(Debug, Default, Clone, Copy)]
 struct Follower {
     last_request: Option<Instant>,
@@ -28,11 +29,11 @@
 }
 
 impl Follower {
-    fn is_fresh(&self) -> bool {
+    fn is_active(&self) -> bool {
         self.last_request.is_some_and(|at| at.elapsed() < FOLLOWER_TIMEOUT)
     }
 
-    /// The count under the term, which begins at zero.
+    /// Returns the counter of invalidated entries for the term; it starts at zero for a new term.
     fn invalidated_under(&mut self, term: Term) -> &mut u64 {
         if self.invalidated.term != term {
             self.invalidated = InvalidatedCount { term, count: 0 };
@@ -41,42 +42,45 @@
     }
 }
 
-/// A node's state as the leader. Followers are known by their places among the peers.
+/// State of a node that lets followers answer heartbeats. Followers are identified by their index
+/// in the list of peers.
 pub(crate) struct LeaderSide {
     followers: RefCell<Vec<Follower>>,
 }
 
 impl LeaderSide {
-    /// With that many other nodes, none of which has asked yet.
+    /// Creates the state for `peers` other nodes, none of which has sent a request yet.
     pub(crate) fn new(peers: usize) -> LeaderSide {
         LeaderSide { followers: RefCell::new(vec![Follower::default(); peers]) }
     }
 
-    /// Whether other nodes hold workers' connections now.
+    /// Returns whether any follower with a recent request holds worker connections.
     pub(crate) fn has_followers(&self) -> bool {
-        self.followers.borrow().iter().any(|follower| follower.is_fresh() && follower.workers > 0)
+        self.followers.borrow().iter().any(|follower| follower.is_active() && follower.workers > 0)
     }
 
-    /// The follower has asked, and holds the connections of so many workers.
-    pub(crate) fn record_request(&self, place: usize, workers: u32) {
-        let follower = &mut self.followers.borrow_mut()[place];
+    /// Records a delegation request of a follower that holds the connections of `workers` workers.
+    pub(crate) fn record_request(&self, peer_index: usize, workers: u32) {
+        let follower = &mut self.followers.borrow_mut()[peer_index];
         follower.last_request = Some(Instant::now());
         follower.workers = workers;
     }
 
-    /// Cache entries invalidated at the follower under the term.
-    pub(crate) fn invalidated(&self, place: usize, term: Term) -> u64 {
-        *self.followers.borrow_mut()[place].invalidated_under(term)
+    /// Returns how many cache entries of the follower were invalidated under the term, which is
+    /// also the number of the last invalidation.
+    pub(crate) fn invalidated(&self, peer_index: usize, term: Term) -> u64 {
+        *self.followers.borrow_mut()[peer_index].invalidated_under(term)
     }
 
-    /// The frames that invalidate the entries at the follower, numbered on from those before.
+    /// Returns the frames that invalidate the entries at the follower. The invalidations are
+    /// numbered consecutively, continuing from earlier calls.
     pub(crate) fn invalidate(
         &self,
-        place: usize,
+        peer_index: usize,
         term: Term,
         entries: &[(MachineIndex, u64)],
     ) -> Vec<Frame> {
-        let follower = &mut self.followers.borrow_mut()[place];
+        let follower = &mut self.followers.borrow_mut()[peer_index];
         let count = follower.invalidated_under(term);
         let mut frame = |entries: &[(MachineIndex, u64)]| {
             let first = *count + 1;
@@ -86,10 +90,12 @@
         entries.chunks(MAX_ENTRIES).map(&mut frame).collect()
     }
 
-    /// The followers that have asked lately.
+    /// Returns the number of workers of each follower with a recent request.
     pub(crate) fn loads(&self) -> Vec<FollowerLoad> {
         let followers = self.followers.borrow();
-        let fresh = followers.iter().enumerate().filter(|(_, follower)| follower.is_fresh());
-        fresh.map(|(place, follower)| FollowerLoad { place, workers: follower.workers }).collect()
+        let active = followers.iter().enumerate().filter(|(_, follower)| follower.is_active());
+        active
+            .map(|(peer_index, follower)| FollowerLoad { peer_index, workers: follower.workers })
+            .collect()
     }
 }
