--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -1,6 +1,8 @@
-//! What the nodes send each other: frames of fixed layouts, and the connections that carry them. Losing or delaying
-//! any of it costs time and never a rule, so a frame that can't be read simply closes its connection. All of it is
-//! hints but cancellations, which are sent only once they are stored: those are facts, acknowledged and repeated
+//! Messages between nodes: frames with fixed binary layouts, and the connections that carry them.
+//!
+//! Losing or delaying a frame costs time but never breaks an invariant, so a frame that can't be
+//! decoded simply closes its connection. All frames are hints except cancellations: these are sent
+//! only once they are stored, and are acknowledged and retransmitted
 //! (`walnutlug_scheduler::leadership::watermark`).
 
 mod connections;
--- a/crates/controller/src/peers/connections.rs
+++ b/crates/controller/src/peers/connections.rs
@@ -1,5 +1,5 @@
-//! The connections between nodes: each node sends to each other one over a connection of its own, and only reads on
-//! those that it accepted.
+//! Connections between nodes. Each node sends to every other node over a connection of its own, and
+//! only reads from the connections that it accepts.
 
 use std::cell::Cell;
 use std::net::SocketAddrV4;
@@ -12,46 +12,46 @@
 use tokio::time::timeout;
 use tracing::debug;
 
-use super::frame::{read_frame, Frame, MAX_BODY};
+use super::frame::{read_frame, Frame, MAX_BODY_BYTES};
 use crate::settings::SocketBudget;
 
-/// Connections from peers at once, with room for stale ones.
+/// Maximum number of open connections from peers, with room for stale ones.
 pub(crate) const MAX_CONNECTIONS: u32 = 64;
-/// Bytes sent in one piece, about.
-const MAX_WRITE: usize = 32 * 1024;
-/// Time to connect to a peer, and to write one piece.
+/// Approximate maximum size of one write, in bytes: queued frames are combined up to here.
+const MAX_WRITE_BYTES: usize = 32 * 1024;
+/// Time limit for connecting to a peer, and for each write.
 const SEND_TIMEOUT: Duration = Duration::from_secs(1);
-/// A connection on which nothing came for so long is closed.
+/// Time without a frame after which an accepted connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Pause after a connection couldn't be accepted.
+/// Pause after an error while accepting a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
-/// Messages that wait for another node beside its workers' heartbeats: a status, some addresses and the progress of
-/// every open job each second. If one doesn't fit, only a hint is lost.
-const QUEUED_HINTS: usize = 2_048;
+/// Capacity of a send queue for frames other than heartbeats and responses: each second a status,
+/// some addresses and the progress of every open job. If one doesn't fit, only a hint is lost.
+const MAX_QUEUED_HINTS: usize = 2_048;
 
-/// A frame's bytes on their way to one peer or several.
+/// Encoded bytes of a frame, shared by the queues of all peers that it is sent to.
 pub(crate) type EncodedFrame = Rc<Vec<u8>>;
 
-/// Messages that may wait for another node: in a burst the heartbeats on all of a node's connections, or the answers
-/// to as many, and the hints.
+/// Returns the capacity of the send queue for one peer. It holds the hints and a burst of
+/// heartbeats from all of a node's connections, or the responses to as many.
 pub(crate) fn queue_length(sockets: SocketBudget) -> usize {
-    sockets.inbound as usize + QUEUED_HINTS
+    sockets.inbound as usize + MAX_QUEUED_HINTS
 }
 
-/// The queues of frames to the other nodes, by name. What doesn't fit is dropped.
+/// Send queues to the other nodes, by node name. Frames that don't fit into a queue are dropped.
 pub(crate) struct PeerSenders {
     queues: Vec<(String, mpsc::Sender<EncodedFrame>)>,
 }
 
 impl PeerSenders {
-    /// With the queue of each peer.
+    /// Creates the senders from the name and the send queue of each peer.
     pub(crate) fn new(
         queues: impl IntoIterator<Item = (String, mpsc::Sender<EncodedFrame>)>,
     ) -> PeerSenders {
         PeerSenders { queues: queues.into_iter().collect() }
     }
 
-    /// Sends the frame to all peers.
+    /// Queues the frame for all peers.
     pub(crate) fn broadcast(&self, frame: &Frame) {
         let bytes = Rc::new(frame.encode());
         for (_, queue) in &self.queues {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Sends the frame to the peer; to no one if there is none of that name.
+    /// Queues the frame for one peer. Does nothing if there is no peer of that name.
     pub(crate) fn send(&self, peer: &str, frame: &Frame) {
         if let Some((_, queue)) = self.queues.iter().find(|(name, _)| name == peer) {
             let _ = queue.try_send(Rc::new(frame.encode()));
@@ -67,7 +67,8 @@
     }
 }
 
-/// Counts a connection as closed when its task ends, however it ends.
+/// Counts an open connection, and decrements the count when dropped, however the task of the
+/// connection ends.
 struct OpenConnection(Rc<Cell<u32>>);
 
 impl OpenConnection {
@@ -83,7 +84,7 @@
     }
 }
 
-/// Accepts connections from other nodes and hands their frames on.
+/// Accepts connections from other nodes and passes their frames to `handle`.
 pub(crate) async fn listen(listener: TcpListener, handle: impl Fn(Frame) + Clone + 'static) {
     let open = Rc::new(Cell::new(0));
     loop {
@@ -103,16 +104,17 @@
     }
 }
 
-/// Reads frames until the connection ends, is idle or can't be understood.
+/// Reads frames until the connection ends, is idle for [`IDLE_TIMEOUT`], or carries an invalid
+/// frame.
 async fn read_frames(stream: TcpStream, handle: impl Fn(Frame)) {
-    // Frames come in bunches; each system call is paid for.
-    let mut stream = BufReader::with_capacity(MAX_BODY, stream);
+    // Frames arrive in bursts; the buffer saves system calls.
+    let mut stream = BufReader::with_capacity(MAX_BODY_BYTES, stream);
     loop {
         match timeout(IDLE_TIMEOUT, read_frame(&mut stream)).await {
             Ok(Ok(Some(frame))) => handle(frame),
             Ok(Ok(None)) => {}
             Ok(Err(reason)) => {
-                debug!(%reason, "peer connection closed");
+                debug!(%reason, "closing a peer connection that ended or carried an invalid frame");
                 return;
             }
             Err(_) => return,
@@ -120,12 +122,12 @@
     }
 }
 
-/// Sends what is queued for one peer over a connection that is made anew when it breaks. What can't be sent is
-/// dropped: it was only a hint, or is repeated.
+/// Sends the queued frames to one peer, and reconnects when the connection breaks. Frames that
+/// can't be sent are dropped: each was only a hint or is retransmitted.
 pub(crate) async fn run_sender(address: SocketAddrV4, mut queue: mpsc::Receiver<EncodedFrame>) {
     let mut connection: Option<TcpStream> = None;
     while let Some(first) = queue.recv().await {
-        let message = queued_with(&first, &mut queue);
+        let message = combine_queued(&first, &mut queue);
         if connection.is_none() {
             connection = connect(address).await;
         }
@@ -137,10 +139,11 @@
     }
 }
 
-/// The frame and those queued behind it, in one piece.
-fn queued_with(first: &[u8], queue: &mut mpsc::Receiver<EncodedFrame>) -> Vec<u8> {
+/// Combines the frame and those queued behind it into one write of about [`MAX_WRITE_BYTES`] at
+/// most.
+fn combine_queued(first: &[u8], queue: &mut mpsc::Receiver<EncodedFrame>) -> Vec<u8> {
     let mut message = first.to_vec();
-    while message.len() < MAX_WRITE {
+    while message.len() < MAX_WRITE_BYTES {
         let Ok(more) = queue.try_recv() else { break };
         message.extend_from_slice(&more);
     }
--- a/crates/controller/src/peers/frame.rs
+++ b/crates/controller/src/peers/frame.rs
@@ -1,4 +1,5 @@
-//! One message between nodes: a header with a magic number, a version, a kind and a length, then the kind's body.
+//! Encoding of messages between nodes: a header with a magic number, a version, a kind and a
+//! length, followed by a body whose layout depends on the kind.
 
 use std::io;
 use walnutlug_scheduler::leadership::fencing_token::Term;
@@ -18,8 +19,8 @@
 
 const MAGIC: u32 = 0x4755_4c57;
 const VERSION: u16 = 2;
-/// Bytes of a body, at most.
-pub(super) const MAX_BODY: usize = 4096;
+/// Maximum size of a frame's body, in bytes.
+pub(super) const MAX_BODY_BYTES: usize = 4096;
 
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned, Clone, Copy)]
 #[repr(C)]
@@ -30,20 +31,20 @@
     length: U32,
 }
 
-/// The kinds' numbers on the wire. A version ignores the kinds that it doesn't know.
+/// Numbers of the frame kinds on the wire. A node ignores kinds that its version doesn't know.
 mod kind {
     pub(super) const STATUS: u16 = 1;
     pub(super) const PROGRESS: u16 = 2;
     pub(super) const ENDED: u16 = 3;
     pub(super) const NEW_JOB: u16 = 4;
     pub(super) const MACHINES: u16 = 6;
-    /// New with job dependencies.
+    /// Introduced with job dependencies.
     pub(super) const LIMITS_LOWERED: u16 = 7;
-    /// New with the watermark of cancellations, as are the next two.
+    /// Introduced with the watermark of cancellations, like the next two.
     pub(super) const CANCELLATIONS: u16 = 8;
     pub(super) const CANCELLATIONS_ACK: u16 = 9;
     pub(super) const CANCELLATION_LOG_END: u16 = 10;
-    /// New with heartbeats answered by followers, as are all that follow.
+    /// Introduced with heartbeats answered by followers, like all that follow.
     pub(super) const FORWARDED_HEARTBEAT: u16 = 11;
     pub(super) const FORWARDED_RESPONSE: u16 = 12;
     pub(super) const REPEATED_HEARTBEATS: u16 = 13;
@@ -52,75 +53,78 @@
     pub(super) const INVALIDATED: u16 = 16;
 }
 
-/// Why no frame could be read. The connection is closed then.
+/// Reason why a frame can't be read. The connection is closed then.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum FrameError {
-    /// The connection ended or failed, between two frames or within one.
-    #[error("the connection ended: {0}")]
+    /// The connection was closed or failed, between two frames or within one.
+    #[error("connection closed or failed: {0}")]
     Connection(#[from] io::Error),
-    /// The bytes don't begin with the magic number.
-    #[error("the magic number is {found:#x}")]
+    /// The header doesn't start with the magic number.
+    #[error("unexpected magic number {found:#x}")]
     BadMagic { found: u32 },
-    /// The header is of another version of the protocol.
-    #[error("the protocol's version is {found}")]
+    /// The header names another version of the protocol.
+    #[error("unsupported protocol version {found}")]
     UnknownVersion { found: u16 },
-    /// The body is longer than any that a node sends.
-    #[error("a body of {length} bytes is too long")]
+    /// The header announces a body longer than [`MAX_BODY_BYTES`].
+    #[error("frame body of {length} bytes exceeds the maximum size")]
     BodyTooLong { length: usize },
-    /// The body is shorter than its kind's fixed part.
-    #[error("a body of {length} bytes is shorter than {least}")]
-    BodyTooShort { length: usize, least: usize },
-    /// A list doesn't end with a whole entry.
-    #[error("a list of {length} bytes has no whole number of entries of {entry_size}")]
+    /// The body is shorter than the fixed part of its kind.
+    #[error("frame body of {length} bytes is shorter than its fixed part of {min_length} bytes")]
+    BodyTooShort { length: usize, min_length: usize },
+    /// The length of a list is not a multiple of its entry size.
+    #[error("list of {length} bytes does not consist of whole entries of {entry_size} bytes")]
     PartialEntry { length: usize, entry_size: usize },
-    /// More machines than any node sends in one frame.
-    #[error("a list of machines of {length} bytes is too long")]
+    /// A list of machines is longer than any that a node sends.
+    #[error("list of machines of {length} bytes exceeds the maximum size")]
     TooManyMachines { length: usize },
-    /// A name is empty, no text, or no job's where a job is named.
-    #[error("a name is invalid")]
+    /// A name field is empty or not valid UTF-8, or holds no job id where one is required.
+    #[error("name field is empty, not UTF-8, or not a job id")]
     BadName,
-    /// A job's end is neither done nor cancelled.
-    #[error("{code} is no end of a job")]
+    /// The code for a job's end stands neither for done nor for cancelled.
+    #[error("unknown code {code} for the end of a job")]
     BadJobEnd { code: u8 },
 }
 
-/// One message between nodes.
+/// A message between nodes.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum Frame {
-    /// What a node says of itself.
+    /// The status of the sender, such as its term and whether it reaches the store.
     Status(NodeStatus),
-    /// A job's counts of tasks, for display.
+    /// Task counts of a job, which are only displayed.
     Progress { job: String, done: u32, running: u32 },
-    /// A job has ended.
+    /// A job has ended, either done or cancelled.
     Ended { job: String, end: JobEnd },
     /// A job was accepted.
     NewJob { job: String },
-    /// The sender found the key-value store at its lower limits. Whoever receives this only sends less.
+    /// The key-value store enforces its lower, announced limits at the sender. A node that receives
+    /// this only reduces what it sends.
     LimitsLowered,
-    /// Where machines that report to the leader can be reached.
+    /// Addresses of machines that report to the leader.
     Machines(Vec<MachineAddress>),
-    /// A part of a node's log of cancellations.
+    /// Consecutive entries of a node's cancellation log.
     Cancellations(Cancellations),
-    /// The acknowledgement of such parts.
+    /// Acknowledges entries of a cancellation log.
     CancellationsAck(CancellationsAck),
-    /// How far a node's log of cancellations goes.
+    /// The number of the last entry in a node's cancellation log.
     CancellationLogEnd(CancellationLogEnd),
-    /// A worker's heartbeat on its way to the leader.
+    /// A worker's heartbeat that a follower forwards to the leader.
     ForwardedHeartbeat(ForwardedHeartbeat),
-    /// The leader's answer to it.
+    /// The leader's response to a forwarded heartbeat.
     ForwardedResponse(ForwardedResponse),
-    /// Machines that repeated their cached heartbeats to a follower, under that leader's term.
+    /// Machines that repeated their cached heartbeats to a follower, under the term of the leader
+    /// that this is sent to.
     RepeatedHeartbeats { term: Term, heartbeats: Vec<RepeatedHeartbeat> },
-    /// A follower asks to answer heartbeats on the leader's behalf.
+    /// Asks the leader to let a follower answer heartbeats on its behalf.
     DelegationRequest(DelegationRequest),
-    /// The leader lets it.
+    /// Lets a follower answer heartbeats on the leader's behalf.
     DelegationGranted(DelegationGranted),
-    /// Cached heartbeats that are valid no more, with the number of the first.
+    /// Invalidates cached heartbeats, given by machine and heartbeat number. `first` is the number
+    /// of the first invalidation.
     Invalidated { term: Term, first: u64, cache_entries: Vec<(MachineIndex, u64)> },
 }
 
 impl Frame {
-    /// The frame's bytes, header and body.
+    /// Encodes the header and the body.
     pub(crate) fn encode(&self) -> Vec<u8> {
         let (kind, body) = self.kind_and_body();
         let header = Header {
@@ -158,7 +162,8 @@
         }
     }
 
-    /// The frame of that kind and body. `Ok(None)`: a kind of a later version, to be ignored.
+    /// Decodes a body of the given kind. Returns `Ok(None)` for an unknown kind, which belongs to a
+    /// later version and is ignored.
     pub(super) fn decode(kind: u16, body: &[u8]) -> Result<Option<Frame>, FrameError> {
         let frame = match kind {
             kind::STATUS => Frame::Status(NodeStatus::decode(body)?),
@@ -198,10 +203,11 @@
     }
 }
 
-/// Reads one frame. `Ok(None)`: one of a kind that this version doesn't know.
+/// Reads one frame. Returns `Ok(None)` for a frame of a kind that this version doesn't know.
 ///
 /// # Errors
-/// If the connection ended, or the bytes are no frame.
+///
+/// If the connection ends or the bytes are not a valid frame.
 pub(crate) async fn read_frame<R: AsyncRead + Unpin>(
     from: &mut R,
 ) -> Result<Option<Frame>, FrameError> {
@@ -215,7 +221,7 @@
         return Err(FrameError::UnknownVersion { found: header.version.get() });
     }
     let length = header.length.get() as usize;
-    if length > MAX_BODY {
+    if length > MAX_BODY_BYTES {
         return Err(FrameError::BodyTooLong { length });
     }
     let mut body = vec![0u8; length];
--- a/crates/controller/src/peers/golden_tests.rs
+++ b/crates/controller/src/peers/golden_tests.rs
@@ -1,5 +1,5 @@
-//! Every kind of frame between nodes, byte by byte as it is kept in `golden/frames.txt`: written,
-//! read field by field, and written again.
+//! Compares every kind of frame between nodes with the golden bytes in `golden/frames.txt`: encodes
+//! it, decodes the golden bytes, compares all fields, and encodes the result again.
 
 use std::net::SocketAddrV4;
 
@@ -13,11 +13,12 @@
 use super::*;
 use crate::golden_file::{hexadecimal, Golden};
 
-const FILE: &str = "src/peers/golden/frames.txt";
-/// Kinds of frames; the numbers from 1 to 16 without 5, which no version in use knows.
-const KINDS: usize = 15;
+const GOLDEN_FILE: &str = "src/peers/golden/frames.txt";
+/// Number of frame kinds: 1 to 16 without 5, which no version in use knows.
+const KIND_COUNT: usize = 15;
 
-/// The number of the frame's kind on the wire. A new kind has to be added here and to [`frames`].
+/// Returns the number of the frame's kind on the wire. A new kind has to be added here and to
+/// [`frames`].
 fn kind_number(frame: &Frame) -> u16 {
     match frame {
         Frame::Status(_) => 1,
@@ -38,8 +39,8 @@
     }
 }
 
-/// One frame or more of each kind. No two fields of a frame hold the same value, so that fields that
-/// change places show.
+/// Returns at least one frame of each kind. No two fields of a frame hold the same value, so that
+/// swapped fields are detected.
 fn frames() -> Vec<(&'static str, Frame)> {
     let mut all = job_frames();
     all.extend(node_frames());
@@ -147,7 +148,7 @@
         cache_entry: Some(cache_entry),
         ..unanswered.clone()
     };
-    let unsettled = ForwardedResponse { cache_entry: None, ..answered.clone() };
+    let uncached = ForwardedResponse { cache_entry: None, ..answered.clone() };
     let repeated = |machine, number, sequence| RepeatedHeartbeat { machine, number, sequence };
     vec![
         (
@@ -160,7 +161,7 @@
             }),
         ),
         ("forwarded answer, none", Frame::ForwardedResponse(unanswered)),
-        ("forwarded answer", Frame::ForwardedResponse(unsettled)),
+        ("forwarded answer", Frame::ForwardedResponse(uncached)),
         ("forwarded answer and mark", Frame::ForwardedResponse(answered)),
         (
             "heard",
@@ -176,7 +177,7 @@
 }
 
 fn grant_frames() -> Vec<(&'static str, Frame)> {
-    let granting = |redirect_count, redirect_to| {
+    let granted = |redirect_count, redirect_to| {
         Frame::DelegationGranted(DelegationGranted {
             node: "kernel-0".into(),
             requester_incarnation: 0x0102_0304_0506_0708,
@@ -200,8 +201,8 @@
                 workers: 0x2122_2324,
             }),
         ),
-        ("granting", granting(0x5152, Some("kernel-2".into()))),
-        ("granting, none to spare", granting(0, None)),
+        ("granting", granted(0x5152, Some("kernel-2".into()))),
+        ("granting, none to spare", granted(0, None)),
         (
             "withdrawn",
             Frame::Invalidated {
@@ -214,37 +215,38 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn every_kind_of_frame_is_written_and_read_as_before() {
+async fn every_frame_kind_matches_its_golden_bytes() {
     let frames = frames();
     let written = |(kind, frame): &(&'static str, Frame)| (*kind, hexadecimal(&frame.encode()));
-    let golden = Golden::check(FILE, &frames.iter().map(written).collect::<Vec<_>>());
+    let golden = Golden::check(GOLDEN_FILE, &frames.iter().map(written).collect::<Vec<_>>());
     let mut numbers = std::collections::BTreeSet::new();
     for (kind, frame) in &frames {
         let bytes = golden.bytes(kind);
         let header = [0x57, 0x4c, 0x55, 0x47, 2, 0];
-        assert!(bytes[..6] == header, "{kind}: magic number and version");
+        assert!(bytes[..6] == header, "{kind}: wrong magic number or version");
         let number = u16::from_le_bytes([bytes[6], bytes[7]]);
-        assert!(number == kind_number(frame), "{kind}: the number of its kind");
+        assert!(number == kind_number(frame), "{kind}: wrong kind number");
         numbers.insert(number);
         let read = read_frame(&mut bytes.as_slice()).await;
-        let Ok(Some(read)) = read else { panic!("{kind}: can't be read") };
-        assert!(read == *frame, "{kind}: a field was read otherwise");
-        assert!(read.encode() == bytes, "{kind}: written again it differs");
+        let Ok(Some(read)) = read else { panic!("{kind}: the golden bytes can't be decoded") };
+        assert!(read == *frame, "{kind}: the decoded frame differs");
+        assert!(read.encode() == bytes, "{kind}: encoding the decoded frame yields other bytes");
     }
-    assert_eq!(numbers.len(), KINDS, "every kind is here");
+    assert_eq!(numbers.len(), KIND_COUNT, "a frame kind has no golden bytes");
 }
 
-/// Looked up in the kept bytes themselves, so that the layout stands in words too.
+/// Reads the fields at fixed offsets of the golden bytes, so that the test also documents the
+/// layout.
 #[test]
-fn the_fields_of_a_status_are_where_they_were() {
-    let bytes = Golden::open(FILE).bytes("status of a leader");
+fn status_fields_keep_their_offsets() {
+    let bytes = Golden::open(GOLDEN_FILE).bytes("status of a leader");
     let digits = |from: usize, length: usize| hexadecimal(&bytes[from..from + length]);
     assert_eq!(bytes.len(), 12 + 8 + 64 + 1 + 1 + 2 + 8 + 8);
     assert_eq!(digits(0, 12), "574c5547020001005c000000", "header");
     assert_eq!(digits(12, 8), "0807060504030201", "term");
     assert_eq!(digits(20, 9), "6b65726e656c2d3100", "name");
-    assert_eq!(digits(84, 2), "0100", "leading and served");
+    assert_eq!(digits(84, 2), "0100", "leading, store_reachable");
     assert_eq!(digits(86, 2), "1211", "redirected");
-    assert_eq!(digits(88, 8), "2827262524232221", "life");
+    assert_eq!(digits(88, 8), "2827262524232221", "incarnation");
     assert_eq!(digits(96, 8), "3837363534333231", "count");
 }
--- a/crates/controller/src/peers/heartbeat_frames.rs
+++ b/crates/controller/src/peers/heartbeat_frames.rs
@@ -1,5 +1,5 @@
-//! The frames with which followers answer workers on the leader's behalf. Their protocol is in
-//! `walnutlug_scheduler::reconciliation::delegation`.
+//! Frames for heartbeats that followers answer on the leader's behalf. The protocol is implemented
+//! in `walnutlug_scheduler::reconciliation::delegation`.
 
 use walnutlug_scheduler::leadership::fencing_token::{FencingToken, Term};
 use walnutlug_scheduler::model::ids::MachineIndex;
@@ -9,83 +9,85 @@
 use zerocopy::little_endian::{U16, U32, U64};
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
 
-use super::frame::MAX_BODY;
-use super::layout::{self, entries, fixed_part, name_field, optional_name, NODE_NAME_BYTES};
+use super::frame::MAX_BODY_BYTES;
+use super::layout::{self, entries, name_field, optional_name, split_fixed_part, NODE_NAME_BYTES};
 use super::FrameError;
 
-/// Bytes of a heartbeat or an answer that fit one frame; a worker with longer ones reports to the leader itself.
+/// Maximum size of a heartbeat or response that fits into one frame, in bytes. A worker with longer
+/// ones reports to the leader itself.
 pub(crate) const MAX_FORWARDED_BYTES: usize = 3_500;
-/// Entries in one frame.
+/// Maximum number of repeated heartbeats or invalidations in one frame.
 pub(crate) const MAX_ENTRIES: usize = 150;
 
-const _: () = assert!(size_of::<ForwardedResponseBody>() + MAX_FORWARDED_BYTES < MAX_BODY);
+const _: () = assert!(size_of::<ForwardedResponseBody>() + MAX_FORWARDED_BYTES < MAX_BODY_BYTES);
 const _: () = assert!(
-    size_of::<RepeatedHeartbeatsHead>() + MAX_ENTRIES * size_of::<RepeatedHeartbeatEntry>()
-        < MAX_BODY
+    size_of::<RepeatedHeartbeatsPrefix>() + MAX_ENTRIES * size_of::<RepeatedHeartbeatEntry>()
+        < MAX_BODY_BYTES
 );
 
-/// A worker's heartbeat on its way to the leader.
+/// A worker's heartbeat that a follower forwards to the leader.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct ForwardedHeartbeat {
-    /// The follower that asks.
+    /// Name of the follower that forwards it.
     pub(crate) node: String,
-    /// Its incarnation.
+    /// Incarnation of the follower.
     pub(crate) incarnation: u64,
-    /// Identifies the answer.
+    /// Number chosen by the follower, which the response repeats.
     pub(crate) number: u64,
-    /// As the worker sent it.
+    /// The heartbeat as the worker sent it.
     pub(crate) heartbeat: Vec<u8>,
 }
 
-/// The leader's answer to it.
+/// The leader's response to a forwarded heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct ForwardedResponse {
-    /// The incarnation of the follower that asked.
+    /// Incarnation of the follower that forwarded the heartbeat.
     pub(crate) requester_incarnation: u64,
-    /// The number of the heartbeat.
+    /// Number of the forwarded heartbeat.
     pub(crate) number: u64,
-    /// The body for the worker; `None`: the leader doesn't answer this one.
+    /// The response body for the worker; `None` if the leader doesn't answer this heartbeat.
     pub(crate) answer: Option<Vec<u8>>,
-    /// Present if repetitions of the heartbeat may be answered without asking.
+    /// Set if the follower may answer repetitions of the heartbeat itself.
     pub(crate) cache_entry: Option<CacheGrant>,
 }
 
 /// A machine that repeated its cached heartbeat to a follower.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct RepeatedHeartbeat {
-    /// The machine.
+    /// The machine that sent the heartbeat.
     pub(crate) machine: MachineIndex,
-    /// The number of the cached heartbeat.
+    /// Number of the cached heartbeat that was repeated.
     pub(crate) number: u64,
-    /// The sequence number of the repetition.
+    /// Sequence number of the repetition.
     pub(crate) sequence: u64,
 }
 
-/// A follower asks the leader to let it answer workers.
+/// A follower's request to answer workers on the leader's behalf.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct DelegationRequest {
-    /// The follower.
+    /// Name of the follower.
     pub(crate) node: String,
-    /// Its incarnation.
+    /// Incarnation of the follower.
     pub(crate) incarnation: u64,
-    /// Identifies the grant.
+    /// Number of the request, which the grant repeats.
     pub(crate) number: u64,
-    /// Workers whose connections the follower holds.
+    /// Number of workers whose connections the follower holds.
     pub(crate) workers: u32,
 }
 
-/// The leader lets a follower answer workers, and says how many of them it should redirect to which other node.
+/// The leader's grant to a follower to answer workers, with the number of workers that the follower
+/// should redirect to another node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct DelegationGranted {
-    /// The leader.
+    /// Name of the leader.
     pub(crate) node: String,
-    /// The incarnation of the follower that asked.
+    /// Incarnation of the follower that sent the request.
     pub(crate) requester_incarnation: u64,
-    /// What the leader grants.
+    /// The conditions under which the follower may answer.
     pub(crate) grant: DelegationGrant,
-    /// Workers that the follower should redirect.
+    /// Number of workers that the follower should redirect.
     pub(crate) redirect_count: u16,
-    /// The node to which it should redirect them.
+    /// Name of the node to which it should redirect them.
     pub(crate) redirect_to: Option<String>,
 }
 
@@ -114,7 +116,7 @@
 
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned, Clone, Copy)]
 #[repr(C)]
-struct RepeatedHeartbeatsHead {
+struct RepeatedHeartbeatsPrefix {
     term: U64,
 }
 
@@ -150,7 +152,7 @@
 
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned, Clone, Copy)]
 #[repr(C)]
-struct InvalidatedHead {
+struct InvalidatedPrefix {
     term: U64,
     first: U64,
 }
@@ -173,9 +175,9 @@
     }
 
     pub(super) fn decode(body: &[u8]) -> Result<ForwardedHeartbeat, FrameError> {
-        let (head, heartbeat) = fixed_part::<ForwardedHeartbeatBody>(body)?;
+        let (head, heartbeat) = split_fixed_part::<ForwardedHeartbeatBody>(body)?;
         Ok(ForwardedHeartbeat {
-            node: layout::name(&head.node)?,
+            node: layout::required_name(&head.node)?,
             incarnation: head.incarnation.get(),
             number: head.number.get(),
             heartbeat: heartbeat.to_vec(),
@@ -203,7 +205,7 @@
     }
 
     pub(super) fn decode(body: &[u8]) -> Result<ForwardedResponse, FrameError> {
-        let (head, answer) = fixed_part::<ForwardedResponseBody>(body)?;
+        let (head, answer) = split_fixed_part::<ForwardedResponseBody>(body)?;
         let cache_entry = CacheGrant {
             cached: CachedHeartbeat {
                 term: Term(head.term.get()),
@@ -223,14 +225,15 @@
     }
 }
 
-/// The body of a frame of machines that repeated their heartbeats under the term.
+/// Encodes the body of [`Frame::RepeatedHeartbeats`](super::Frame::RepeatedHeartbeats): at most
+/// [`MAX_ENTRIES`] heartbeats, repeated under the term.
 pub(super) fn encode_repeated_heartbeats(term: Term, heartbeats: &[RepeatedHeartbeat]) -> Vec<u8> {
-    let mut body = RepeatedHeartbeatsHead { term: term.get().into() }.as_bytes().to_vec();
-    for one in heartbeats.iter().take(MAX_ENTRIES) {
+    let mut body = RepeatedHeartbeatsPrefix { term: term.get().into() }.as_bytes().to_vec();
+    for heartbeat in heartbeats.iter().take(MAX_ENTRIES) {
         let entry = RepeatedHeartbeatEntry {
-            machine: one.machine.get().into(),
-            number: one.number.into(),
-            sequence: one.sequence.into(),
+            machine: heartbeat.machine.get().into(),
+            number: heartbeat.number.into(),
+            sequence: heartbeat.sequence.into(),
         };
         body.extend_from_slice(entry.as_bytes());
     }
@@ -240,7 +243,7 @@
 pub(super) fn decode_repeated_heartbeats(
     body: &[u8],
 ) -> Result<(Term, Vec<RepeatedHeartbeat>), FrameError> {
-    let (head, rest) = fixed_part::<RepeatedHeartbeatsHead>(body)?;
+    let (head, rest) = split_fixed_part::<RepeatedHeartbeatsPrefix>(body)?;
     let entries = entries::<RepeatedHeartbeatEntry>(rest)?;
     let heartbeats = entries.map(|entry| RepeatedHeartbeat {
         machine: MachineIndex(entry.machine.get()),
@@ -250,13 +253,14 @@
     Ok((Term(head.term.get()), heartbeats.collect()))
 }
 
-/// The body of a frame of invalidated cache entries, with the number of the first.
+/// Encodes the body of [`Frame::Invalidated`](super::Frame::Invalidated): at most [`MAX_ENTRIES`]
+/// cache entries, of which the first has the invalidation number `first`.
 pub(super) fn encode_invalidated(
     term: Term,
     first: u64,
     cache_entries: &[(MachineIndex, u64)],
 ) -> Vec<u8> {
-    let head = InvalidatedHead { term: term.get().into(), first: first.into() };
+    let head = InvalidatedPrefix { term: term.get().into(), first: first.into() };
     let mut body = head.as_bytes().to_vec();
     for &(machine, number) in cache_entries.iter().take(MAX_ENTRIES) {
         let entry = InvalidatedEntry { machine: machine.get().into(), number: number.into() };
@@ -265,11 +269,11 @@
     body
 }
 
-/// The term, the number of the first, and the cache entries.
+/// Term, number of the first invalidation, and the cache entries by machine and heartbeat number.
 type InvalidatedEntries = (Term, u64, Vec<(MachineIndex, u64)>);
 
 pub(super) fn decode_invalidated(body: &[u8]) -> Result<InvalidatedEntries, FrameError> {
-    let (head, rest) = fixed_part::<InvalidatedHead>(body)?;
+    let (head, rest) = split_fixed_part::<InvalidatedPrefix>(body)?;
     let cache_entries = entries::<InvalidatedEntry>(rest)?;
     let cache_entries = cache_entries
         .map(|entry| (MachineIndex(entry.machine.get()), entry.number.get()))
@@ -289,9 +293,9 @@
     }
 
     pub(super) fn decode(body: &[u8]) -> Result<DelegationRequest, FrameError> {
-        let (body, _) = fixed_part::<DelegationRequestBody>(body)?;
+        let (body, _) = split_fixed_part::<DelegationRequestBody>(body)?;
         Ok(DelegationRequest {
-            node: layout::name(&body.node)?,
+            node: layout::required_name(&body.node)?,
             incarnation: body.incarnation.get(),
             number: body.number.get(),
             workers: body.workers.get(),
@@ -315,9 +319,9 @@
     }
 
     pub(super) fn decode(body: &[u8]) -> Result<DelegationGranted, FrameError> {
-        let (body, _) = fixed_part::<DelegationGrantedBody>(body)?;
+        let (body, _) = split_fixed_part::<DelegationGrantedBody>(body)?;
         Ok(DelegationGranted {
-            node: layout::name(&body.node)?,
+            node: layout::required_name(&body.node)?,
             requester_incarnation: body.requester_incarnation.get(),
             grant: DelegationGrant {
                 term: Term(body.term.get()),
--- a/crates/controller/src/peers/job_frames.rs
+++ b/crates/controller/src/peers/job_frames.rs
@@ -1,5 +1,5 @@
-//! The frames about jobs: hints of new jobs, progress and ends, and the logs of cancellations, whose protocol is in
-//! `walnutlug_scheduler::leadership::cancellation_log`.
+//! Frames about jobs: hints of new jobs, progress and ends, and the cancellation logs, whose
+//! protocol is implemented in `walnutlug_scheduler::leadership::cancellation_log`.
 
 use walnutlug_scheduler::leadership::cancellation_log::MAX_ENTRIES_PER_MESSAGE;
 use walnutlug_scheduler::model::job_spec::JobEnd;
@@ -13,7 +13,7 @@
 const END_DONE: u8 = 1;
 const END_CANCELLED: u8 = 2;
 
-/// The body of all frames about one job; what a frame doesn't need is zero.
+/// Body shared by all frames about one job. Fields that a kind doesn't use are zero.
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned, Clone, Copy)]
 #[repr(C)]
 pub(super) struct JobBody {
@@ -42,11 +42,11 @@
     }
 
     pub(super) fn decode(body: &[u8]) -> Result<JobBody, FrameError> {
-        Ok(layout::fixed_part::<JobBody>(body)?.0)
+        Ok(layout::split_fixed_part::<JobBody>(body)?.0)
     }
 
     pub(super) fn job(&self) -> Result<String, FrameError> {
-        layout::name(&self.name)
+        layout::required_name(&self.name)
     }
 
     pub(super) fn done(&self) -> u32 {
@@ -66,49 +66,49 @@
     }
 }
 
-/// A part of the log of cancellations that this incarnation of the node confirmed.
+/// Consecutive entries of the log of cancellations that one incarnation of a node has confirmed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Cancellations {
-    /// The node whose log it is.
+    /// Name of the node whose log it is.
     pub(crate) node: String,
-    /// The incarnation whose log it is.
+    /// Incarnation of that node.
     pub(crate) incarnation: u64,
-    /// The number of the first job in the log.
+    /// Number of the first of these entries in the log.
     pub(crate) first: u64,
-    /// The jobs, in the order of the log.
+    /// Cancelled jobs, in the order of the log.
     pub(crate) jobs: Vec<String>,
 }
 
-/// All of a log up to a number has been applied.
+/// Acknowledges that all entries of a log up to a number have been applied.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct CancellationsAck {
-    /// The reader of the log.
+    /// Name of the node that read the log.
     pub(crate) node: String,
-    /// The reader's incarnation.
+    /// Incarnation of the reader.
     pub(crate) incarnation: u64,
-    /// The incarnation whose log it is.
+    /// Incarnation of the node whose log it is.
     pub(crate) log_incarnation: u64,
-    /// The last number up to which nothing is missing.
+    /// Number of the last entry up to which none is missing.
     pub(crate) up_to: u64,
 }
 
-/// The answer to a leader's status, which is named by the leader's incarnation and the status's count: how far the
-/// speaker's log goes by now.
+/// Reply to a leader's status, which is identified by the leader's incarnation and the count of the
+/// status. Tells where the sender's cancellation log ended at the time of the reply.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct CancellationLogEnd {
-    /// The node whose log it is.
+    /// Name of the node whose log it is.
     pub(crate) node: String,
-    /// The incarnation whose log it is.
+    /// Incarnation of that node.
     pub(crate) incarnation: u64,
-    /// The number of the log's last job.
+    /// Number of the last entry in the log.
     pub(crate) last: u64,
-    /// The leader's incarnation.
+    /// Incarnation of the leader that sent the status.
     pub(crate) requester_incarnation: u64,
-    /// The count of the leader's status.
+    /// Count of the status that this frame replies to.
     pub(crate) status_count: u64,
 }
 
-/// Before the names in a part of a log of cancellations.
+/// Fixed part of [`Cancellations`], followed by the names of the jobs.
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned, Clone, Copy)]
 #[repr(C)]
 struct CancellationsBody {
@@ -151,14 +151,15 @@
     }
 
     pub(super) fn decode(body: &[u8]) -> Result<Cancellations, FrameError> {
-        let (head, names) = layout::fixed_part::<CancellationsBody>(body)?;
-        // These are acted on: a name that no job has is no cancellation.
+        let (head, names) = layout::split_fixed_part::<CancellationsBody>(body)?;
+        // Cancellations take effect at the receiver, so an entry that is not a valid job id is an
+        // error.
         let job = |field: [u8; JOB_NAME_BYTES]| {
             layout::optional_name(&field).filter(|name| is_job_id(name)).ok_or(FrameError::BadName)
         };
         let jobs = layout::entries(names)?.map(job).collect::<Result<_, _>>()?;
         Ok(Cancellations {
-            node: layout::name(&head.node)?,
+            node: layout::required_name(&head.node)?,
             incarnation: head.incarnation.get(),
             first: head.first.get(),
             jobs,
@@ -178,9 +179,9 @@
     }
 
     pub(super) fn decode(body: &[u8]) -> Result<CancellationsAck, FrameError> {
-        let (body, _) = layout::fixed_part::<CancellationsAckBody>(body)?;
+        let (body, _) = layout::split_fixed_part::<CancellationsAckBody>(body)?;
         Ok(CancellationsAck {
-            node: layout::name(&body.node)?,
+            node: layout::required_name(&body.node)?,
             incarnation: body.incarnation.get(),
             log_incarnation: body.log_incarnation.get(),
             up_to: body.up_to.get(),
@@ -201,9 +202,9 @@
     }
 
     pub(super) fn decode(body: &[u8]) -> Result<CancellationLogEnd, FrameError> {
-        let (body, _) = layout::fixed_part::<CancellationLogEndBody>(body)?;
+        let (body, _) = layout::split_fixed_part::<CancellationLogEndBody>(body)?;
         Ok(CancellationLogEnd {
-            node: layout::name(&body.node)?,
+            node: layout::required_name(&body.node)?,
             incarnation: body.incarnation.get(),
             last: body.last.get(),
             requester_incarnation: body.requester_incarnation.get(),
--- a/crates/controller/src/peers/node_frames.rs
+++ b/crates/controller/src/peers/node_frames.rs
@@ -1,4 +1,4 @@
-//! The frames about nodes and machines: a node's status, and where machines can be reached.
+//! Frames about nodes and machines: the status of a node, and the addresses of machines.
 
 use std::net::SocketAddrV4;
 use walnutlug_scheduler::leadership::fencing_token::Term;
@@ -9,28 +9,28 @@
 use super::layout::{self, name_field, NODE_NAME_BYTES};
 use super::FrameError;
 
-/// Machines in one frame. One frame each, the hints of a large fleet overran the queue, and a failover asked only a
-/// part of it.
+/// Maximum number of machines in one frame. With one machine per frame, the hints of a large fleet
+/// overflowed the send queue, and a failover queried only a part of the machines.
 pub(crate) const MAX_MACHINES: usize = 120;
-/// Bytes of a machine's name.
+/// Size of a field that holds a machine's name, in bytes.
 const MACHINE_NAME_BYTES: usize = 26;
 
-/// What a node says of itself.
+/// Status that a node sends to its peers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct NodeStatus {
-    /// The node that speaks.
+    /// Name of the sender.
     pub(crate) name: String,
-    /// The term under which it leads; zero if it doesn't.
+    /// Term under which the sender leads; zero if it doesn't lead.
     pub(crate) term: Term,
-    /// Whether it leads.
+    /// Whether the sender is the leader.
     pub(crate) leading: bool,
-    /// Whether the key-value store serves it.
+    /// Whether the key-value store answers the sender.
     pub(crate) store_reachable: bool,
-    /// Worker heartbeats answered with a redirect in the last seconds.
+    /// Number of worker heartbeats that the sender answered with a redirect in the last seconds.
     pub(crate) redirected: u16,
-    /// Which incarnation of the node speaks.
+    /// Incarnation of the sender.
     pub(crate) incarnation: u64,
-    /// Statuses that this incarnation sent before.
+    /// Number of statuses that this incarnation sent before this one.
     pub(crate) count: u64,
 }
 
@@ -61,9 +61,9 @@
     }
 
     pub(super) fn decode(body: &[u8]) -> Result<NodeStatus, FrameError> {
-        let (body, _) = layout::fixed_part::<StatusBody>(body)?;
+        let (body, _) = layout::split_fixed_part::<StatusBody>(body)?;
         Ok(NodeStatus {
-            name: layout::name(&body.name)?,
+            name: layout::required_name(&body.name)?,
             term: Term(body.term.get()),
             leading: body.leading != 0,
             store_reachable: body.store_reachable != 0,
@@ -74,16 +74,16 @@
     }
 }
 
-/// Where a machine can be reached.
+/// Network address of a machine's worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct MachineAddress {
-    /// The machine's name.
+    /// Name of the machine.
     pub(crate) machine: String,
-    /// Where its worker listens for commands.
+    /// Address on which the worker listens for commands.
     pub(crate) address: SocketAddrV4,
 }
 
-/// One machine of many in a frame.
+/// One entry in a frame of machine addresses.
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned, Clone, Copy)]
 #[repr(C)]
 struct MachineEntry {
@@ -94,7 +94,8 @@
 
 pub(super) fn encode_machines(machines: &[MachineAddress]) -> Vec<u8> {
     let mut body = Vec::with_capacity(machines.len() * size_of::<MachineEntry>());
-    // A longer name than any cloud gave so far doesn't fit, and its machine reports by itself later.
+    // No cloud has used names too long for the field so far. A machine with such a name is left out
+    // of the hints and reports by itself later.
     let fits = |entry: &&MachineAddress| entry.machine.len() <= MACHINE_NAME_BYTES;
     for MachineAddress { machine, address } in machines.iter().take(MAX_MACHINES).filter(fits) {
         let entry = MachineEntry {
@@ -114,7 +115,7 @@
     }
     let machine = |entry: MachineEntry| {
         let address = SocketAddrV4::new(entry.ip.get().into(), entry.port.get());
-        Ok(MachineAddress { machine: layout::name(&entry.name)?, address })
+        Ok(MachineAddress { machine: layout::required_name(&entry.name)?, address })
     };
     entries.map(machine).collect()
 }
--- a/crates/controller/src/peers/tests.rs
+++ b/crates/controller/src/peers/tests.rs
@@ -1,6 +1,6 @@
 use std::net::SocketAddrV4;
 
-use super::frame::{Header, MAX_BODY};
+use super::frame::{Header, MAX_BODY_BYTES};
 use super::*;
 use walnutlug_scheduler::leadership::fencing_token::{FencingToken, Term};
 use walnutlug_scheduler::model::ids::MachineIndex;
@@ -51,7 +51,7 @@
         watermark_age: TimeDelta::from_millis(900),
         invalidated: 4,
     };
-    let granting = DelegationGranted {
+    let granted = DelegationGranted {
         node: "kernel-0".into(),
         requester_incarnation: 1 << 50,
         grant,
@@ -82,8 +82,8 @@
             number: 2,
             workers: 300,
         }),
-        Frame::DelegationGranted(granting.clone()),
-        Frame::DelegationGranted(DelegationGranted { redirect_to: None, ..granting }),
+        Frame::DelegationGranted(granted.clone()),
+        Frame::DelegationGranted(DelegationGranted { redirect_to: None, ..granted }),
         Frame::Invalidated {
             term: Term(1 << 40),
             first: 8,
@@ -92,13 +92,13 @@
     ]
 }
 
-/// Each costs the connection, and nothing else.
+/// A truncated frame must yield an error, which only closes the connection that it came on.
 #[tokio::test(start_paused = true)]
-async fn damaged_frames_of_reports_are_refused() {
+async fn truncated_heartbeat_frames_are_rejected() {
     for frame in heartbeat_frames() {
         let bytes = frame.encode();
         let head = size_of::<Header>();
-        // Cut short, and said to be so by their header: a part of what is fixed is missing.
+        // The body is cut within its fixed part, as if the header announced only seven bytes.
         let short = Frame::decode(u16::from_le_bytes([bytes[6], bytes[7]]), &bytes[head..head + 7]);
         assert!(short.is_err(), "{frame:?}");
         assert!(read_frame(&mut &bytes[..bytes.len() - 1]).await.is_err(), "{frame:?}");
@@ -109,73 +109,75 @@
     let body = &list[size_of::<Header>()..list.len() - 1];
     assert!(
         Frame::decode(u16::from_le_bytes([list[6], list[7]]), body).is_err(),
-        "an entry that is cut"
+        "a list that ends within an entry must be rejected"
     );
 }
 
 #[tokio::test(start_paused = true)]
-async fn frames_survive_the_wire() {
+async fn decoding_an_encoded_frame_yields_the_same_frame() {
     for frame in frames().into_iter().chain([Frame::LimitsLowered]).chain(heartbeat_frames()) {
         let bytes = frame.encode();
         let read = read_frame(&mut bytes.as_slice()).await;
-        assert_eq!(read.expect("a frame"), Some(frame));
+        assert_eq!(read.expect("a valid frame"), Some(frame));
     }
 }
 
-/// Frames as the production version sends them, made by its own code: each is read, and sent the
-/// same to the byte, so that it can read those of this version.
+/// The fixture holds frames that the production version encoded. Each must decode, and encode again
+/// to the same bytes, so that the production version can read the frames of this version.
 #[tokio::test(start_paused = true)]
-async fn frames_are_those_of_the_production_version() {
+async fn frames_are_byte_compatible_with_the_production_version() {
     let lines = include_str!("../../fixtures/production-frames.hex").lines();
     let bytes = |line: &str| -> Vec<u8> {
-        let digits = |i: usize| u8::from_str_radix(&line[i..i + 2], 16).expect("digits");
+        let digits =
+            |i: usize| u8::from_str_radix(&line[i..i + 2], 16).expect("hexadecimal digits");
         (0..line.len()).step_by(2).map(digits).collect()
     };
-    let then: Vec<Vec<u8>> = lines.map(bytes).collect();
-    assert_eq!(then.len(), frames().len());
-    for (frame, then) in frames().into_iter().zip(then) {
-        let read = read_frame(&mut then.as_slice()).await;
-        assert_eq!(read.expect("a frame"), Some(frame.clone()));
-        assert_eq!(frame.encode(), then);
+    let expected: Vec<Vec<u8>> = lines.map(bytes).collect();
+    assert_eq!(expected.len(), frames().len());
+    for (frame, expected) in frames().into_iter().zip(expected) {
+        let read = read_frame(&mut expected.as_slice()).await;
+        assert_eq!(read.expect("a valid frame"), Some(frame.clone()));
+        assert_eq!(frame.encode(), expected);
     }
 }
 
+/// With one machine per frame, the addresses of a large fleet overflowed the send queue.
 #[test]
-fn the_hints_of_a_large_fleet_take_few_frames() {
+fn machine_addresses_of_a_large_fleet_fit_into_few_frames() {
     let address = SocketAddrV4::new([10, 0, 0, 1].into(), 9000);
     let machine = |i: usize| MachineAddress { machine: format!("n-{i:06}"), address };
     let all: Vec<_> = (0..2_060).map(machine).collect();
     let frames: Vec<Vec<u8>> =
         all.chunks(MAX_MACHINES).map(|c| Frame::Machines(c.to_vec()).encode()).collect();
-    assert!(frames.len() <= 18, "{} frames", frames.len());
-    assert!(frames.iter().all(|f| f.len() <= MAX_BODY));
+    assert!(frames.len() <= 18, "too many frames: {}", frames.len());
+    assert!(frames.iter().all(|f| f.len() <= MAX_BODY_BYTES));
 }
 
 #[tokio::test(start_paused = true)]
-async fn bad_frames_are_refused() {
+async fn malformed_frames_are_rejected_and_unknown_kinds_ignored() {
     for frame in frames() {
-        let good = frame.encode();
-        for cut in 0..good.len() {
-            assert!(read_frame(&mut &good[..cut]).await.is_err(), "cut at {cut}");
+        let valid = frame.encode();
+        for cut in 0..valid.len() {
+            assert!(read_frame(&mut &valid[..cut]).await.is_err(), "cut at {cut}");
         }
-        let mut magic = good.clone();
+        let mut magic = valid.clone();
         magic[0] ^= 1;
         let read = read_frame(&mut magic.as_slice()).await;
         assert!(matches!(read, Err(FrameError::BadMagic { .. })), "{read:?}");
-        let mut version = good.clone();
+        let mut version = valid.clone();
         version[4] = 9;
         let read = read_frame(&mut version.as_slice()).await;
         assert!(matches!(read, Err(FrameError::UnknownVersion { found: 9 })), "{read:?}");
-        let mut long = good.clone();
+        let mut long = valid.clone();
         long[8..12].copy_from_slice(&u32::MAX.to_le_bytes());
         let read = read_frame(&mut long.as_slice()).await;
         assert!(matches!(read, Err(FrameError::BodyTooLong { .. })), "{read:?}");
-        let mut short = good.clone();
+        let mut short = valid.clone();
         short[8..12].copy_from_slice(&5u32.to_le_bytes());
         assert!(read_frame(&mut short.as_slice()).await.is_err());
-        let mut later = good.clone();
-        later[6] = 99;
-        let read = read_frame(&mut later.as_slice()).await;
+        let mut unknown_kind = valid.clone();
+        unknown_kind[6] = 99;
+        let read = read_frame(&mut unknown_kind.as_slice()).await;
         assert!(matches!(read, Ok(None)), "{read:?}");
     }
 }
