--- a/crates/controller/src/key_value_client.rs
+++ b/crates/controller/src/key_value_client.rs
@@ -1,7 +1,7 @@
-//! The client of the consensus-backed key-value store.
+//! Client of the consensus-backed key-value store.
 //!
-//! It keeps this node within its share of the store's request and write rates, learns the store's
-//! limits from its refusals, and knows whether the store serves this node.
+//! It keeps this node within its share of the store's request and write rates, learns lowered
+//! limits from the store's refusals, and tracks whether the store is reachable from this node.
 
 mod error;
 mod health;
@@ -35,27 +35,29 @@
 use limits::{KnownLimits, LoweredBy};
 use rate_limiter::{RateLimiter, Rates, Tokens};
 
-/// How long a request is tried again that finds the rate used up.
-const RATE_PATIENCE: Duration = Duration::from_secs(3);
-/// Pause after a refusal for the rate, in milliseconds, so that the nodes don't come back together.
+/// Time limit for retrying a request that exceeds the request or write rate.
+const RATE_LIMIT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Pause after a refusal for the rate, in milliseconds. It is random so that the nodes don't retry
+/// at the same time.
 const RATE_REFUSAL_PAUSE_MS: std::ops::Range<u64> = 40..160;
-/// Conditions that one transaction may compare for each operation that it might apply, and at most.
+/// Maximum number of compares in a transaction without operations: this many for each operation
+/// that the store accepts per transaction, up to [`MAX_COMPARES`].
 const COMPARES_PER_OPERATION: usize = 4;
 const MAX_COMPARES: usize = 200;
-/// How the store's answer names a put under a lease that has expired.
+/// Text in the store's answer to a put under a lease that has expired.
 const NO_SUCH_LEASE: &str = "no such lease";
 
-/// All pairs below a prefix.
+/// All key-value pairs below a prefix, with the revision of the listing.
 #[derive(Debug)]
 pub(crate) struct Listing {
-    /// In the order of their keys.
+    /// The pairs, sorted by key.
     pub(crate) key_values: Vec<KeyValue>,
-    /// The revision from which to watch them: that of the first page, so that nothing that changes
-    /// meanwhile is missed.
+    /// Revision from which to watch the prefix. It is the revision of the first page, so that a
+    /// watch includes all changes made while later pages were read.
     pub(crate) store_revision: Revision,
 }
 
-/// The client of the key-value store.
+/// Client of the key-value store, shared by all tasks of a node.
 pub(crate) struct KeyValueClient {
     client: Rc<Client>,
     addr: SocketAddrV4,
@@ -66,8 +68,8 @@
 }
 
 impl KeyValueClient {
-    /// A client of the store at that address. `announced` are the limits that the store may come down
-    /// to at any time.
+    /// Creates a client of the store at `addr`. `limits` are the configured limits, and `announced`
+    /// those to which the store may lower them at any time.
     pub(crate) fn new(
         client: Rc<Client>,
         addr: SocketAddrV4,
@@ -86,29 +88,30 @@
         }
     }
 
-    /// Takes the leader's share of the common rates, or a follower's.
+    /// Switches to the leader's or a follower's share of the request and write rates.
     pub(crate) fn set_leading(&self, leading: bool) {
         self.leading.set(leading);
         let rates = Rates::of_node(self.limits(), leading);
         self.rate_limiter.borrow_mut().set_rates(rates);
     }
 
-    /// What the store accepts now, as far as is known.
+    /// Returns the limits that the store enforces now, as far as this node knows.
     pub(crate) fn limits(&self) -> Limits {
         self.limits.borrow().current()
     }
 
-    /// Conditions in one transaction that only compares.
+    /// Returns the maximum number of compares in a transaction without operations.
     pub(crate) fn max_compares(&self) -> usize {
         (self.limits().txn_ops * COMPARES_PER_OPERATION).min(MAX_COMPARES)
     }
 
-    /// Whether this process takes the announced limits for those in force.
+    /// Returns whether limits were announced and this process considers them to be in force.
     pub(crate) fn limits_lowered(&self) -> bool {
         self.limits.borrow().announced_are_in_force()
     }
 
-    /// Another node met with the announced limits. Were it wrong, this one would only send less.
+    /// Applies the announced limits because another node reports that they are in force. If the
+    /// report is wrong, this node only sends less than it could.
     pub(crate) fn learn_limits_lowered(&self) {
         if !self.limits.borrow().are_lowered() {
             self.lower_limits(LoweredBy::Peer);
@@ -120,8 +123,8 @@
         self.set_leading(self.leading.get());
     }
 
-    /// A value or a transaction was refused for its size. Such a refusal is certain, and would come
-    /// again: what is sent from now on is smaller.
+    /// Reduces the limits for values and transactions after a refusal for size. Such a refusal is
+    /// certain and would recur, so everything sent from now on has to be smaller.
     fn shrink_limits(&self) {
         if self.limits.borrow().are_lowered() {
             self.limits.borrow_mut().halve();
@@ -130,72 +133,73 @@
         }
     }
 
-    fn count_rate_refusal(&self) {
-        self.rate_limiter.borrow_mut().common_allowance_spent();
-        if self.limits.borrow_mut().rate_refusals_prove_lowering(Instant::now()) {
+    fn record_rate_refusal(&self) {
+        self.rate_limiter.borrow_mut().drain_after_refusal();
+        if self.limits.borrow_mut().record_rate_refusal(Instant::now()) {
             self.lower_limits(LoweredBy::RateRefusals);
         }
     }
 
-    /// How long the writes of submissions take at this node's share of the write rate.
+    /// Returns how long the writes of submissions take at this node's share of the write rate.
     pub(crate) fn submission_delay(&self, writes: usize) -> Duration {
         self.rate_limiter.borrow_mut().submission_delay(Instant::now(), writes)
     }
 
-    /// How many writes of the leader's round the rate limiter would let through at once.
+    /// Returns how many writes of a dispatch round by the leader the rate limiter admits at once.
     pub(crate) fn write_allowance(&self) -> WriteAllowance {
         self.rate_limiter.borrow_mut().write_allowance(Instant::now())
     }
 
-    /// Whether the store answers this node, by an answer of the last seconds: a node that sent no
-    /// request doesn't know, and must not tell others that it is served.
+    /// Returns whether the store has answered this node within the last seconds. A node that has
+    /// sent no request doesn't know, and must not report to others that the store is reachable.
     pub(crate) fn store_reachable(&self) -> bool {
         self.health.is_reachable()
     }
 
-    /// Whether the store has not answered this node for so long that a user who waits for one more
-    /// try would only wait.
+    /// Returns whether the store has not answered this node for so long that another attempt would
+    /// only make a user wait.
     pub(crate) fn is_down(&self) -> bool {
         self.health.is_down()
     }
 
-    /// How long the store has not answered this node.
+    /// Returns how long ago the store last answered; zero while the store is reachable.
     pub(crate) fn unreachable_for(&self) -> Duration {
         self.health.unreachable_for()
     }
 
-    /// Sends a cheap request if nothing was answered lately, so that
-    /// [`KeyValueClient::store_reachable`] is known even where no users come.
+    /// Reads a small key if the store has not answered lately, so that
+    /// [`KeyValueClient::store_reachable`] is up to date even on a node without requests from
+    /// users.
     pub(crate) async fn probe(&self) {
         if self.health.needs_probe() {
             let _ = self.get(RequestClass::Leadership, keys::LEADER).await;
         }
     }
 
-    /// Sends a request once this node's share of the rates allows it, and again while the store
-    /// refuses it for the common rate.
+    /// Sends a request once this node's share of the rates admits it, and retries while the store
+    /// refuses it because all nodes together exceed the rate.
     async fn send(
         &self,
         class: RequestClass,
         request: &StoreRequest,
         body: &[u8],
     ) -> Result<Response, KeyValueError> {
-        let give_up_at = Instant::now() + RATE_PATIENCE;
+        let deadline = Instant::now() + RATE_LIMIT_TIMEOUT;
         let path = request.path();
         let (method, timeout) = (request.method(), request.timeout());
         let http_request = Request { method, path: &path, body, timeout };
         loop {
-            self.wait_for_tokens(class, request, give_up_at).await?;
+            self.wait_for_tokens(class, request, deadline).await?;
             let answer = self.client.send(self.addr, &http_request).await;
             if !matches!(&answer, Ok(response) if response.status == 429) {
-                return self.checked(request, answer);
+                return self.classify_response(request, answer);
             }
-            // Not executed. The limits are shared, so some other node spent them.
-            self.count_rate_refusal();
+            // Not executed. All nodes share the rate, so another node has used it up.
+            self.record_rate_refusal();
             let pause = rand::random_range(RATE_REFUSAL_PAUSE_MS);
             sleep(Duration::from_millis(pause)).await;
-            if Instant::now() > give_up_at {
-                return Err(rejected(request, Rejection::CommonRateUsedUp));
+            if Instant::now() > deadline {
+                return Err(rejected(request, Rejection::SharedRateExceeded));
             }
         }
     }
@@ -204,14 +208,14 @@
         &self,
         class: RequestClass,
         request: &StoreRequest,
-        give_up_at: Instant,
+        deadline: Instant,
     ) -> Result<(), KeyValueError> {
         loop {
             let taken =
                 self.rate_limiter.borrow_mut().take(Instant::now(), class, request.writes());
             match taken {
                 Ok(()) => return Ok(()),
-                Err(_) if Instant::now() > give_up_at => {
+                Err(_) if Instant::now() > deadline => {
                     return Err(rejected(request, Rejection::RateLimited));
                 }
                 Err(wait) => sleep(wait).await,
@@ -219,15 +223,17 @@
         }
     }
 
-    /// Tells answers from failures, and notes which of them the store's health shows.
-    fn checked(
+    /// Returns the response if the store executed or refused the request, and otherwise an error
+    /// that tells whether the request may have been executed. Records the result in the store's
+    /// health.
+    fn classify_response(
         &self,
         request: &StoreRequest,
         answer: Result<Response, HttpError>,
     ) -> Result<Response, KeyValueError> {
         let error = match answer {
             Ok(response) if response.status < 500 => {
-                self.health.answered();
+                self.health.record_answer();
                 return Ok(response);
             }
             Ok(response) if response.status == 503 => rejected(request, Rejection::Unavailable),
@@ -235,11 +241,11 @@
             Err(HttpError::NotSent(source)) => rejected(request, source.into()),
             Err(HttpError::Indeterminate(source)) => indeterminate(request, source.into()),
         };
-        self.health.failed();
+        self.health.record_failure();
         Err(error)
     }
 
-    /// A key's value and revision, or `None` if there is no such key.
+    /// Reads a key's value and revision. Returns `None` if the key doesn't exist.
     pub(crate) async fn get(
         &self,
         class: RequestClass,
@@ -248,13 +254,13 @@
         let request = StoreRequest::Get { key: key.to_owned() };
         let response = self.send(class, &request, b"").await?;
         match response.status {
-            200 => Ok(Some(read(request, &response)?)),
+            200 => Ok(Some(decode_body(request, &response)?)),
             404 => Ok(None),
             _ => Err(unexpected_status(request, &response)),
         }
     }
 
-    /// All pairs below a prefix, read page by page.
+    /// Lists all key-value pairs below a prefix, page by page.
     pub(crate) async fn list(
         &self,
         class: RequestClass,
@@ -269,7 +275,7 @@
             if response.status != 200 {
                 return Err(unexpected_status(request, &response));
             }
-            let page: Page = read(request, &response)?;
+            let page: Page = decode_body(request, &response)?;
             let store_revision = *first_revision.get_or_insert(page.store_revision);
             let is_last = !page.more || page.key_values.is_empty();
             key_values.extend(page.key_values);
@@ -279,7 +285,8 @@
         }
     }
 
-    /// Sends a compare-and-swap transaction. One without operations only compares.
+    /// Commits a compare-and-swap transaction. A transaction without operations only evaluates its
+    /// compares.
     pub(crate) async fn commit(
         &self,
         class: RequestClass,
@@ -298,8 +305,8 @@
         }
     }
 
-    /// What the answer to a transaction means. Where it makes no sense the transaction may have been
-    /// executed.
+    /// Maps the answer to a transaction to its outcome. After an answer that can't be interpreted
+    /// the transaction may have been executed.
     fn transaction_outcome(&self, response: &Response) -> TransactionOutcome {
         match response.status {
             200 => match serde_json::from_slice::<Committed>(&response.body) {
@@ -319,7 +326,10 @@
                 if answer.contains(NO_SUCH_LEASE) {
                     return TransactionOutcome::Rejected;
                 }
-                tracing::warn!(%answer, "the key-value store refuses a transaction as it is");
+                tracing::warn!(
+                    %answer,
+                    "key-value store refused a transaction with status 400: lowering the size limits"
+                );
                 self.shrink_limits();
                 TransactionOutcome::TooLarge
             }
@@ -327,22 +337,22 @@
         }
     }
 
-    /// A new lease, by its identifier.
+    /// Grants a new lease with the time to live `ttl` and returns its identifier.
     pub(crate) async fn grant_lease(&self, ttl: Duration) -> Result<u64, KeyValueError> {
         let body = json!({"ttlMs": ttl.as_millis() as u64}).to_string();
         let request = StoreRequest::GrantLease;
         let response = self.send(RequestClass::Leadership, &request, body.as_bytes()).await?;
         match response.status {
-            200 => Ok(read::<LeaseGrant>(request, &response)?.hold),
+            200 => Ok(decode_body::<LeaseGrant>(request, &response)?.hold),
             _ => Err(unexpected_status(request, &response)),
         }
     }
 
-    /// Gives the lease its full time again.
+    /// Renews the lease for its full time to live.
     ///
     /// # Errors
     ///
-    /// [`KeyValueError::Expired`] if there is no such lease any more.
+    /// [`KeyValueError::Expired`] if the lease no longer exists.
     pub(crate) async fn renew_lease(&self, lease: u64) -> Result<(), KeyValueError> {
         let request = StoreRequest::RenewLease { lease };
         let response = self.send(RequestClass::Leadership, &request, b"").await?;
@@ -353,17 +363,18 @@
         }
     }
 
-    /// Ends the lease, and deletes the keys that were put under it.
+    /// Revokes the lease, which deletes all keys that were put under it.
     pub(crate) async fn revoke_lease(&self, lease: u64) -> Result<(), KeyValueError> {
         let request = StoreRequest::RevokeLease { lease };
         self.send(RequestClass::Leadership, &request, b"").await.map(|_| ())
     }
 
-    /// The changes below a prefix after a revision. The store waits as long as `hold` for the first.
+    /// Returns the changes below a prefix after a revision. If there are none yet, the store waits
+    /// up to `hold` for the first one.
     ///
     /// # Errors
     ///
-    /// [`KeyValueError::Expired`] if the store has no history from that revision on.
+    /// [`KeyValueError::Expired`] if the store no longer keeps the history since that revision.
     pub(crate) async fn watch(
         &self,
         class: RequestClass,
@@ -374,13 +385,13 @@
         let request = StoreRequest::Watch { prefix: prefix.to_owned(), from, hold };
         let response = self.send(class, &request, b"").await?;
         match response.status {
-            200 => read(request, &response),
+            200 => decode_body(request, &response),
             410 => Err(KeyValueError::Expired { request }),
             _ => Err(unexpected_status(request, &response)),
         }
     }
 
-    /// How the job ended, if it has.
+    /// Reads how the job ended. Returns `None` if it hasn't ended.
     pub(crate) async fn job_end(&self, job: &str) -> Result<Option<JobEnd>, KeyValueError> {
         let key = keys::end(job);
         let Some(key_value) = self.get(RequestClass::Submission, &key).await? else {
@@ -409,7 +420,7 @@
     KeyValueError::InvalidResponse { request, source }
 }
 
-fn read<T: DeserializeOwned>(
+fn decode_body<T: DeserializeOwned>(
     request: StoreRequest,
     response: &Response,
 ) -> Result<T, KeyValueError> {
@@ -417,8 +428,8 @@
         .map_err(|error| KeyValueError::InvalidResponse { request, source: error.into() })
 }
 
-/// The value under the leader key. It names the lease, so that the node itself, back before the lease
-/// expires, can revoke it.
+/// Returns the value of the leader key. It contains the lease, so that a node that restarts before
+/// the lease expires can revoke it.
 pub(crate) fn leader_record(node: &str, incarnation: &str, lease: u64) -> Value {
     json!({"node": node, "inc": incarnation, "lease": lease})
 }
--- a/crates/controller/src/key_value_client/error.rs
+++ b/crates/controller/src/key_value_client/error.rs
@@ -1,35 +1,35 @@
-//! What can become of a request to the store, other than its answer.
+//! Errors of requests to the key-value store.
 
 use super::request::StoreRequest;
 use crate::http::client::{NoResponse, NotSent};
 
-/// Why a request to the store has no usable answer.
+/// Reason why a request to the store has no usable answer.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum KeyValueError {
-    /// Certainly not executed.
+    /// The request was certainly not executed.
     #[error("{request}: not executed: {source}")]
     Rejected { request: StoreRequest, source: Rejection },
-    /// May have been executed, or may be later.
+    /// The request may have been executed, or may still be executed later.
     #[error("{request}: may have been executed: {source}")]
     Indeterminate { request: StoreRequest, source: UnknownOutcome },
-    /// What the request names is gone: a lease, or the history from a revision on.
+    /// The object of the request no longer exists: a lease, or the history since a revision.
     #[error("{request}: expired")]
     Expired { request: StoreRequest },
-    /// An answer that makes no sense, which counts as none.
+    /// The answer can't be interpreted, which counts as no answer.
     #[error("{request}: invalid response: {source}")]
     InvalidResponse { request: StoreRequest, source: InvalidResponse },
 }
 
-/// Why a request was certainly not executed.
+/// Reason why a request was certainly not executed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Rejection {
-    /// The rate limiter let it through at no time of its patience.
-    #[error("this node's share of the rate is used up")]
+    /// The rate limiter of this node didn't admit the request in time.
+    #[error("this node's share of the rate is exhausted")]
     RateLimited,
-    /// The store refused it for the rate that all nodes share.
-    #[error("the common rate is used up")]
-    CommonRateUsedUp,
-    /// Status 503.
+    /// The store refused the request because all nodes together exceed the rate.
+    #[error("the rate shared by all nodes is exhausted")]
+    SharedRateExceeded,
+    /// The store answered with status 503.
     #[error("the store is unavailable")]
     Unavailable,
     #[error("the transaction was rejected")]
@@ -38,7 +38,7 @@
     NotSent(#[from] NotSent),
 }
 
-/// Why the answer to a request is missing.
+/// Reason why it is unknown whether a request was executed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum UnknownOutcome {
     #[error("the store answered with status {0}")]
@@ -49,12 +49,12 @@
     NoResponse(#[from] NoResponse),
 }
 
-/// What makes no sense about an answer.
+/// Reason why an answer can't be interpreted.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum InvalidResponse {
-    #[error("status {0}")]
+    #[error("unexpected status {0}")]
     Status(u16),
-    #[error("a conflict on none of the compared keys")]
+    #[error("the reported conflict is on none of the compared keys")]
     UnrelatedConflict,
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
--- a/crates/controller/src/key_value_client/health.rs
+++ b/crates/controller/src/key_value_client/health.rs
@@ -1,54 +1,57 @@
-//! Whether the store serves this node, by its own requests.
+//! Tracks whether the key-value store answers this node, based on the node's own requests.
 
 use std::cell::Cell;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// How old an answer may be to show that the store serves this node.
-const FRESH: Duration = Duration::from_millis(2_500);
+/// Age up to which the last answer shows that the store is reachable.
+const REACHABLE_FOR: Duration = Duration::from_millis(2_500);
+/// Time without an answer after which a store that fails requests counts as down.
 const DOWN_AFTER: Duration = Duration::from_millis(1_500);
-/// How old the last answer must be for a probe to be worth a request.
+/// Age of the last answer after which a probe is worth a request.
 const PROBE_AFTER: Duration = Duration::from_millis(900);
 
-/// When the store last answered this node, and when it last failed to.
+/// Time of the store's last answer to this node, and of the last failed request.
 #[derive(Debug)]
 pub(super) struct StoreHealth {
     last_answer: Cell<Instant>,
-    last_fault: Cell<Option<Instant>>,
+    last_failure: Cell<Option<Instant>>,
 }
 
 impl StoreHealth {
     pub(super) fn new(now: Instant) -> StoreHealth {
-        StoreHealth { last_answer: Cell::new(now), last_fault: Cell::new(None) }
+        StoreHealth { last_answer: Cell::new(now), last_failure: Cell::new(None) }
     }
 
-    pub(super) fn answered(&self) {
+    pub(super) fn record_answer(&self) {
         self.last_answer.set(Instant::now());
     }
 
-    pub(super) fn failed(&self) {
-        self.last_fault.set(Some(Instant::now()));
+    pub(super) fn record_failure(&self) {
+        self.last_failure.set(Some(Instant::now()));
     }
 
-    /// Whether the store answers this node, by an answer of the last seconds: a node that sent no
-    /// request doesn't know, and must not say that it is served.
+    /// Returns whether the store has answered this node within the last seconds, and no later
+    /// request has failed. A node that has sent no request doesn't know, and must not report that
+    /// the store is reachable.
     pub(super) fn is_reachable(&self) -> bool {
         let last_answer = self.last_answer.get();
-        let is_fresh = last_answer.elapsed() < FRESH;
-        is_fresh && self.last_fault.get().is_none_or(|fault| last_answer >= fault)
+        let is_fresh = last_answer.elapsed() < REACHABLE_FOR;
+        is_fresh && self.last_failure.get().is_none_or(|failure| last_answer >= failure)
     }
 
-    /// Whether the store has not answered this node for so long that a user who waits for one more
-    /// try would only wait. (In a partition that answers nothing, each try took its whole timeout.)
+    /// Returns whether the store has not answered this node for so long that another attempt would
+    /// only make a user wait. (In a partition without any answers, each attempt took its whole
+    /// timeout.)
     pub(super) fn is_down(&self) -> bool {
         let last_answer = self.last_answer.get();
         !self.is_reachable()
-            && self.last_fault.get().is_some_and(|fault| fault > last_answer)
+            && self.last_failure.get().is_some_and(|failure| failure > last_answer)
             && last_answer.elapsed() > DOWN_AFTER
     }
 
-    /// How long the store has not answered this node.
+    /// Returns how long ago the store last answered; zero while the store is reachable.
     pub(super) fn unreachable_for(&self) -> Duration {
         if self.is_reachable() {
             Duration::ZERO
--- a/crates/controller/src/key_value_client/limits.rs
+++ b/crates/controller/src/key_value_client/limits.rs
@@ -1,25 +1,25 @@
-//! What the store accepts, as far as this node knows: configured, announced to come, or learned from
-//! its refusals.
+//! Limits of the key-value store as known to this node: configured, announced in advance, or
+//! learned from refusals.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// What the store accepts, as the platform's settings say.
+/// Limits of the key-value store, which are part of the platform's settings.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Limits {
-    /// Requests per second, of all nodes together.
+    /// Requests per second by all nodes together.
     pub(crate) rps: f64,
-    /// Written operations per second, of all nodes together.
+    /// Write operations per second by all nodes together.
     pub(crate) write_rps: f64,
-    /// Bytes of one value.
+    /// Maximum size of one value, in bytes.
     pub(crate) value_bytes: usize,
-    /// Operations of one transaction.
+    /// Maximum number of operations in one transaction.
     pub(crate) txn_ops: usize,
 }
 
 impl Limits {
-    /// The smaller of each limit.
+    /// Returns the minimum of each limit.
     pub(crate) fn smaller_of_each(self, other: Limits) -> Limits {
         Limits {
             rps: self.rps.min(other.rps),
@@ -30,20 +30,22 @@
     }
 }
 
-/// Rate refusals within [`RATE_REFUSAL_WINDOW`] that prove the rate to have been lowered.
-const RATE_REFUSALS_AS_PROOF: u32 = 5;
+/// Number of rate refusals within [`RATE_REFUSAL_WINDOW`] that show that the store has lowered the
+/// rate.
+const MIN_RATE_REFUSALS: u32 = 5;
 const RATE_REFUSAL_WINDOW: Duration = Duration::from_secs(10);
-/// Value bytes that are always assumed to be accepted, whatever was refused for its size.
+/// Minimum size limit for values, in bytes. Values up to this size are sent whatever the store has
+/// refused.
 pub(super) const MIN_VALUE_BYTES: usize = 512;
 
-/// How this node learned that the announced limits are in force.
+/// Evidence from which this node learned that the announced limits are in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum LoweredBy {
-    /// A transaction was refused for its size.
+    /// The store refused a transaction for its size.
     SizeRefusal,
-    /// [`RATE_REFUSALS_AS_PROOF`] requests were refused for their rate.
+    /// The store refused [`MIN_RATE_REFUSALS`] requests for the rate.
     RateRefusals,
-    /// Another node said so.
+    /// Another node reported the lower limits.
     Peer,
 }
 
@@ -57,22 +59,22 @@
     }
 }
 
-/// Rate refusals since the first one that counts.
+/// Number of rate refusals, counted from the first one in the current window.
 #[derive(Debug, Clone, Copy)]
 struct RateRefusals {
     count: u32,
     since: Instant,
 }
 
-/// The limits that this node keeps to. They only ever fall.
+/// Limits that this node keeps to. They never rise during the life of the process.
 #[derive(Debug)]
 pub(super) struct KnownLimits {
     current: Limits,
-    /// What the store may come down to without notice.
+    /// Limits to which the store may switch without notice.
     announced: Limits,
-    /// Whether the announced limits differ from the configured ones.
+    /// Set if limits were announced that are lower than the configured ones.
     lowering_announced: bool,
-    /// Whether the announced limits are in force.
+    /// Whether the announced limits are in force, as far as this node knows.
     lowered: bool,
     rate_refusals: RateRefusals,
 }
@@ -81,7 +83,8 @@
     pub(super) fn new(configured: Limits, announced: Option<Limits>, now: Instant) -> KnownLimits {
         let announced = announced.map_or(configured, |limits| limits.smaller_of_each(configured));
         KnownLimits {
-            // Smaller transactions cost a few more requests, of which there are plenty.
+            // Smaller transactions cost a few more requests, and the request rate has plenty of
+            // room.
             current: Limits { txn_ops: announced.txn_ops, ..configured },
             announced,
             lowering_announced: announced != configured,
@@ -94,18 +97,18 @@
         self.current
     }
 
-    /// Whether the announced limits are in force, or none were announced.
+    /// Returns whether the announced limits are in force, or none were announced.
     pub(super) fn are_lowered(&self) -> bool {
         self.lowered
     }
 
-    /// Whether limits were announced, and are in force as far as this node knows.
+    /// Returns whether limits were announced and are in force, as far as this node knows.
     pub(super) fn announced_are_in_force(&self) -> bool {
         self.lowered && self.lowering_announced
     }
 
-    /// The store has come down to the announced limits. They hold for the rest of this process's
-    /// life.
+    /// Switches to the announced limits, which the store now enforces. They hold for the rest of
+    /// the life of this process.
     pub(super) fn lower(&mut self, by: LoweredBy) {
         let limits = self.announced;
         self.lowered = true;
@@ -115,11 +118,12 @@
             txn_ops = limits.txn_ops,
             write_rps = limits.write_rps,
             learned_by = by.name(),
-            "the key-value store has lowered its limits to the announced ones"
+            "key-value store enforces the announced lower limits"
         );
     }
 
-    /// Halves what is sent, after a refusal for size that no announcement explains.
+    /// Halves the limits for values and transactions, after a refusal for size that no announced
+    /// limit explains.
     pub(super) fn halve(&mut self) {
         let mut limits = self.current;
         if limits.value_bytes <= MIN_VALUE_BYTES && limits.txn_ops == 1 {
@@ -131,13 +135,14 @@
         tracing::warn!(
             value_bytes = limits.value_bytes,
             txn_ops = limits.txn_ops,
-            "the key-value store accepts less than configured: sending smaller transactions"
+            "key-value store refuses sizes within the configured limits: halving value and transaction sizes"
         );
     }
 
-    /// Counts a refusal for the rate, which all nodes share. Several at once, while every node keeps
-    /// to its share, prove that there is less to share: returns whether these do.
-    pub(super) fn rate_refusals_prove_lowering(&mut self, now: Instant) -> bool {
+    /// Counts a refusal for the rate, which all nodes share. Several refusals in a short time,
+    /// while every node keeps to its share, show that the store has lowered the rate. Returns
+    /// whether that is the case.
+    pub(super) fn record_rate_refusal(&mut self, now: Instant) -> bool {
         if self.lowered {
             return false;
         }
@@ -148,6 +153,6 @@
         } else {
             RateRefusals { count: 1, since: now }
         };
-        self.rate_refusals.count >= RATE_REFUSALS_AS_PROOF
+        self.rate_refusals.count >= MIN_RATE_REFUSALS
     }
 }
--- a/crates/controller/src/key_value_client/rate_limiter.rs
+++ b/crates/controller/src/key_value_client/rate_limiter.rs
@@ -1,5 +1,5 @@
-//! Keeps this node within its share of the store's request and write rates, the leadership's
-//! requests first.
+//! Keeps this node within its share of the store's request and write rates. Requests that keep the
+//! leadership take precedence.
 
 use std::time::Duration;
 
@@ -7,27 +7,30 @@
 
 use super::limits::Limits;
 
-/// What a request is for. Lower classes leave a part of the allowance to those above.
+/// Purpose of a request, in order of precedence. Requests of a lower class leave a part of the
+/// allowance to higher classes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RequestClass {
-    /// The leader key and leases. Never waits.
+    /// Requests for the leader key and leases. They never wait.
     Leadership,
-    /// A user's submission or cancellation.
+    /// Submission or cancellation of a job by a user.
     Submission,
-    /// The leader's transactions and reads.
+    /// Transactions and reads of the leader's dispatch rounds.
     Dispatch,
-    /// How jobs stand, for users who ask.
+    /// Reads for users who ask for the state of their jobs.
     Poll,
-    /// What is read or written in the background.
+    /// Background reads and writes.
     Watch,
 }
 
 impl RequestClass {
-    /// The part of a second's allowance that must be left after a request of the class.
+    /// Returns the fraction of one second's allowance that must remain after a request of the
+    /// class.
     fn reserve(self) -> f64 {
         match self {
             RequestClass::Leadership => 0.0,
-            // An acceptance is one small write whose user waits; it goes before a round's.
+            // Accepting a submission is one small write for which a user waits, so it takes
+            // precedence over the writes of a dispatch round.
             RequestClass::Submission => 0.0,
             RequestClass::Dispatch => 0.1,
             RequestClass::Poll => 0.15,
@@ -36,34 +39,36 @@
     }
 }
 
-/// This node's share of the store's rates before it has led or stood back once.
+/// Share of the store's rates until the node first becomes leader or follower.
 const INITIAL_SHARE: f64 = 0.3;
-/// The leader does most of the work and gets most of the common allowance.
+/// Share of the store's rates for the leader, which does most of the work.
 const LEADER_SHARE: f64 = 0.8;
+/// Share of the store's rates for a follower.
 const FOLLOWER_SHARE: f64 = 0.5;
-/// Requests, and writes, per second that are never gone below.
+/// Lower bound of this node's requests per second, and of its writes per second.
 const MIN_RATE: f64 = 2.0;
-/// The part of a second's writes by which submissions may be in debt.
-const SUBMISSION_DEBT: f64 = 0.5;
-/// The part of the bucket that is left once the store says that the common allowance is spent.
-const LEFT_WHEN_SPENT: f64 = 0.2;
-/// A transaction of more writes than this part of a full bucket waits only for this part, and
-/// leaves a debt.
-const MAX_WRITES_WAITED_FOR: f64 = 0.7;
-/// Bounds of one wait, in seconds.
+/// Fraction of the store's writes in one second by which submissions may exceed this node's tokens.
+const MAX_SUBMISSION_DEBT: f64 = 0.5;
+/// Fraction of a full bucket that remains for requests after the store has refused one for the
+/// rate.
+const REQUESTS_LEFT_AFTER_REFUSAL: f64 = 0.2;
+/// Fraction of a full write bucket for which a transaction waits at most. A larger transaction is
+/// sent at that point and leaves a debt.
+const MAX_AWAITED_WRITES: f64 = 0.7;
+/// Bounds of a single wait, in seconds.
 const MIN_WAIT_S: f64 = 0.002;
 const MAX_WAIT_S: f64 = 1.0;
 
-/// This node's share of the store's rates.
+/// This node's share of the store's request and write rates.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Rates {
     pub(super) requests_per_s: f64,
     pub(super) writes_per_s: f64,
-    /// Writes by which submissions may be ahead of what this node has earned. Its share is small, for
-    /// all nodes together must keep within the rate; but submissions come in bunches, and the store
-    /// allows a whole second's worth at once. (With a share of 4 writes a second, a chain submitted
-    /// job by job waited whole seconds at a node that had nothing else to write.)
-    pub(super) submission_debt: f64,
+    /// Number of writes by which submissions may exceed this node's tokens. The node's share is
+    /// small because all nodes together must stay within the rate, but submissions arrive in bursts
+    /// and the store allows a whole second's worth at once. (With a share of 4 writes per second, a
+    /// chain submitted job by job waited whole seconds at a node that had nothing else to write.)
+    pub(super) max_submission_debt: f64,
 }
 
 impl Rates {
@@ -71,7 +76,7 @@
         Rates {
             requests_per_s: limits.rps * INITIAL_SHARE,
             writes_per_s: limits.write_rps * INITIAL_SHARE,
-            submission_debt: limits.write_rps * SUBMISSION_DEBT,
+            max_submission_debt: limits.write_rps * MAX_SUBMISSION_DEBT,
         }
     }
 
@@ -80,12 +85,12 @@
         Rates {
             requests_per_s: (limits.rps * share).max(MIN_RATE),
             writes_per_s: (limits.write_rps * share).max(MIN_RATE),
-            submission_debt: limits.write_rps * SUBMISSION_DEBT,
+            max_submission_debt: limits.write_rps * MAX_SUBMISSION_DEBT,
         }
     }
 }
 
-/// Requests and writes that may be sent at once. Negative writes are a debt.
+/// Requests and writes that may be sent at once. A negative number of writes is a debt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Tokens {
     pub(super) requests: f64,
@@ -93,20 +98,20 @@
 }
 
 impl Tokens {
-    /// What a node starts with.
+    /// Tokens of a node when it starts.
     pub(super) const INITIAL: Tokens = Tokens { requests: 5.0, writes: 2.0 };
 }
 
-/// Writes of the class [`RequestClass::Dispatch`] that the rate limiter would let through.
+/// Number of writes of the class [`RequestClass::Dispatch`] that the rate limiter admits.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct WriteAllowance {
-    /// At once, now. Negative while there is a debt.
+    /// Writes admitted immediately. Negative while there is a debt.
     pub(crate) now: f64,
-    /// At once, at most.
+    /// Writes admitted at once when the bucket is full.
     pub(crate) max_burst: f64,
 }
 
-/// Two token buckets of one second's worth each.
+/// Token buckets for requests and for writes; each holds at most one second's worth.
 #[derive(Debug)]
 pub(super) struct RateLimiter {
     rates: Rates,
@@ -138,19 +143,19 @@
         self.tokens.writes = writes.min(writes_per_s);
     }
 
-    /// The store says that the common allowance is spent: what this node thought it had left is not
-    /// there.
-    pub(super) fn common_allowance_spent(&mut self) {
-        let left = self.rates.requests_per_s * LEFT_WHEN_SPENT;
+    /// Removes most tokens after the store has refused a request for the rate that all nodes share:
+    /// the tokens left at this node were not backed by the store's allowance.
+    pub(super) fn drain_after_refusal(&mut self) {
+        let left = self.rates.requests_per_s * REQUESTS_LEFT_AFTER_REFUSAL;
         self.tokens.requests = self.tokens.requests.min(left);
         self.tokens.writes = self.tokens.writes.min(0.0);
     }
 
-    /// Takes the tokens of one request.
+    /// Takes the tokens for one request.
     ///
     /// # Errors
     ///
-    /// How long to wait before the next try.
+    /// Returns the time to wait before the next attempt.
     pub(super) fn take(
         &mut self,
         now: Instant,
@@ -172,20 +177,20 @@
         Ok(())
     }
 
-    /// Writes that a request has to wait for.
+    /// Returns the number of write tokens that a request of the class still lacks.
     fn missing_writes(&self, class: RequestClass, writes: f64) -> f64 {
-        let needed = writes.min(self.rates.writes_per_s * MAX_WRITES_WAITED_FOR);
+        let needed = writes.min(self.rates.writes_per_s * MAX_AWAITED_WRITES);
         let reserve = match class {
-            RequestClass::Submission => -self.rates.submission_debt,
+            RequestClass::Submission => -self.rates.max_submission_debt,
             _ => class.reserve() * self.rates.writes_per_s,
         };
         needed + reserve - self.tokens.writes
     }
 
-    /// How long the writes of submissions take at this node's share of the write rate.
+    /// Returns how long the writes of submissions take at this node's share of the write rate.
     pub(super) fn submission_delay(&mut self, now: Instant, writes: usize) -> Duration {
         self.refill(now);
-        let missing = writes as f64 - self.tokens.writes - self.rates.submission_debt;
+        let missing = writes as f64 - self.tokens.writes - self.rates.max_submission_debt;
         Duration::from_secs_f64(missing.max(0.0) / self.rates.writes_per_s)
     }
 
--- a/crates/controller/src/key_value_client/request.rs
+++ b/crates/controller/src/key_value_client/request.rs
@@ -1,34 +1,35 @@
-//! Requests to the store as they are sent, but for their bodies.
+//! Requests to the key-value store: method, path and timeout. The bodies are built by the client.
 
 use std::fmt;
 use std::time::Duration;
 
 use walnutlug_scheduler::storage::revision::Revision;
 
-/// How long an answer is waited for, where nothing else is said.
+/// Time limit for an answer, except for the requests below.
 const TIMEOUT: Duration = Duration::from_millis(900);
+/// Time limit for one page of a listing.
 const LIST_TIMEOUT: Duration = Duration::from_secs(3);
-/// A renewal has to be tried again before the lease expires.
+/// Time limit for renewing a lease: short enough to retry before the lease expires.
 const RENEWAL_TIMEOUT: Duration = Duration::from_millis(600);
-/// How much longer than asked for a watch is waited for.
+/// Time limit for the answer to a watch, beyond the time that the store was asked to wait.
 const WATCH_GRACE: Duration = Duration::from_secs(2);
 
-/// One request, as errors name it.
+/// A request to the store. Errors display it to identify what failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum StoreRequest {
-    /// One key's value and revision.
+    /// Reads one key's value and revision.
     Get { key: String },
-    /// A page of the keys below a prefix, after the key `from`.
+    /// Reads one page of the keys below a prefix, after the key `from`.
     List { prefix: String, from: Option<String> },
-    /// A transaction of so many operations.
+    /// Commits a transaction with this number of operations.
     Commit { operations: usize },
-    /// A new lease.
+    /// Grants a new lease.
     GrantLease,
-    /// The lease's full time again.
+    /// Renews a lease for its full time to live.
     RenewLease { lease: u64 },
-    /// The end of the lease, and of the keys that were put under it.
+    /// Revokes a lease, which deletes the keys that were put under it.
     RevokeLease { lease: u64 },
-    /// The changes below a prefix after a revision, waited for as long as `hold`.
+    /// Waits up to `hold` for changes below a prefix after a revision.
     Watch { prefix: String, from: Revision, hold: Duration },
 }
 
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Operations that count against the write rate.
+    /// Returns the number of operations that count against the write rate.
     pub(super) fn writes(&self) -> usize {
         match self {
             StoreRequest::Commit { operations } => *operations,
--- a/crates/controller/src/key_value_client/tests.rs
+++ b/crates/controller/src/key_value_client/tests.rs
@@ -1,99 +1,104 @@
 use super::limits::MIN_VALUE_BYTES;
 use super::*;
 
-/// As the production version writes it, made by its own code.
+/// The fixture is a leader key as the code of the production version writes it.
 #[test]
-fn the_leader_key_is_that_of_the_production_version() {
-    let then = include_str!("../../fixtures/production-leader.json").trim();
-    assert_eq!(leader_record("kernel-1", "00ff00ff00ff00ff", 7).to_string(), then);
+fn leader_record_matches_the_production_version() {
+    let expected = include_str!("../../fixtures/production-leader.json").trim();
+    assert_eq!(leader_record("kernel-1", "00ff00ff00ff00ff", 7).to_string(), expected);
 }
 
 fn limits() -> (Limits, Limits) {
-    let now = Limits { rps: 100.0, write_rps: 40.0, value_bytes: 8_192, txn_ops: 32 };
-    (now, Limits { rps: 100.0, write_rps: 28.0, value_bytes: 2_048, txn_ops: 10 })
+    let configured = Limits { rps: 100.0, write_rps: 40.0, value_bytes: 8_192, txn_ops: 32 };
+    (configured, Limits { rps: 100.0, write_rps: 28.0, value_bytes: 2_048, txn_ops: 10 })
 }
 
-fn refusing(statuses: &'static [u16], next: Option<Limits>) -> KeyValueClient {
-    let asked = Cell::new(0);
+fn client_with_statuses(statuses: &'static [u16], announced: Option<Limits>) -> KeyValueClient {
+    let requests = Cell::new(0);
     let script = move |_: &str, _: &str, _: &[u8]| {
-        let status = statuses[asked.get().min(statuses.len() - 1)];
-        asked.set(asked.get() + 1);
+        let status = statuses[requests.get().min(statuses.len() - 1)];
+        requests.set(requests.get() + 1);
         Ok(Response { status, body: br#"{"growth":1}"#.to_vec() })
     };
     let client = Rc::new(Client::scripted(Box::new(script)));
-    KeyValueClient::new(client, "127.0.0.1:1".parse().expect("an address"), limits().0, next)
+    KeyValueClient::new(client, "127.0.0.1:1".parse().expect("an address"), limits().0, announced)
 }
 
-/// A refusal for size is certain, is not asked again as it was, and holds from then on.
+/// A refusal for size is certain: the same transaction is not sent again, and the lower limits stay
+/// in force.
 #[tokio::test(start_paused = true)]
-async fn limits_fall_with_the_first_refusal_for_size_and_stay() {
-    let (now, next) = limits();
-    let state = refusing(&[200, 400, 200], Some(next));
-    // Transactions are small from the start; large values are used while they are taken.
-    assert_eq!(state.limits(), Limits { txn_ops: 10, ..now });
+async fn first_size_refusal_lowers_the_limits_permanently() {
+    let (configured, announced) = limits();
+    let store = client_with_statuses(&[200, 400, 200], Some(announced));
+    // Transactions keep to the announced limit from the start; large values are used as long as the
+    // store accepts them.
+    assert_eq!(store.limits(), Limits { txn_ops: 10, ..configured });
     assert!(matches!(
-        state.commit(RequestClass::Dispatch, &Transaction::default()).await,
+        store.commit(RequestClass::Dispatch, &Transaction::default()).await,
         TransactionOutcome::Committed { .. }
     ));
     assert_eq!(
-        state.commit(RequestClass::Dispatch, &Transaction::default()).await,
+        store.commit(RequestClass::Dispatch, &Transaction::default()).await,
         TransactionOutcome::TooLarge
     );
-    assert_eq!(state.limits(), next);
-    state.set_leading(true);
-    assert_eq!(state.rate_limiter.borrow().rates().writes_per_s, 28.0 * 0.8);
-    let _ = state.commit(RequestClass::Dispatch, &Transaction::default()).await;
-    assert_eq!(state.limits(), next);
-    // Without a word of what comes, each refusal halves what is sent, down to a least.
-    let state = refusing(&[400], None);
+    assert_eq!(store.limits(), announced);
+    store.set_leading(true);
+    assert_eq!(store.rate_limiter.borrow().rates().writes_per_s, 28.0 * 0.8);
+    let _ = store.commit(RequestClass::Dispatch, &Transaction::default()).await;
+    assert_eq!(store.limits(), announced);
+    // If no lower limits were announced, each refusal halves the sizes down to a minimum.
+    let store = client_with_statuses(&[400], None);
     for _ in 0..9 {
         assert_eq!(
-            state.commit(RequestClass::Dispatch, &Transaction::default()).await,
+            store.commit(RequestClass::Dispatch, &Transaction::default()).await,
             TransactionOutcome::TooLarge
         );
     }
-    assert_eq!((state.limits().value_bytes, state.limits().txn_ops), (MIN_VALUE_BYTES, 1));
-    assert!(!state.limits_lowered(), "others may be served better");
-    // What another node met with is taken from it.
-    let state = refusing(&[200], Some(next));
-    assert!(!state.limits_lowered());
-    state.learn_limits_lowered();
-    assert!(state.limits_lowered() && state.limits() == next);
+    assert_eq!((store.limits().value_bytes, store.limits().txn_ops), (MIN_VALUE_BYTES, 1));
+    assert!(
+        !store.limits_lowered(),
+        "must not be reported to other nodes, from which the store may accept more"
+    );
+    // The limits also fall when another node reports that the announced ones are in force.
+    let store = client_with_statuses(&[200], Some(announced));
+    assert!(!store.limits_lowered());
+    store.learn_limits_lowered();
+    assert!(store.limits_lowered() && store.limits() == announced);
 }
 
 #[tokio::test(start_paused = true)]
-async fn limits_fall_with_refusals_for_the_rate_but_not_with_a_few() {
-    let (now, next) = limits();
-    let state = refusing(&[429, 200, 429, 200, 429, 200], Some(next));
+async fn only_a_burst_of_rate_refusals_lowers_the_limits() {
+    let (configured, announced) = limits();
+    let store = client_with_statuses(&[429, 200, 429, 200, 429, 200], Some(announced));
     for _ in 0..3 {
-        let _ = state.commit(RequestClass::Dispatch, &Transaction::default()).await;
+        let _ = store.commit(RequestClass::Dispatch, &Transaction::default()).await;
     }
-    assert_eq!(state.limits().write_rps, now.write_rps);
-    let state = refusing(&[429, 429, 429, 429, 429, 200], Some(next));
-    let _ = state.commit(RequestClass::Dispatch, &Transaction::default()).await;
-    assert_eq!(state.limits(), next);
+    assert_eq!(store.limits().write_rps, configured.write_rps);
+    let store = client_with_statuses(&[429, 429, 429, 429, 429, 200], Some(announced));
+    let _ = store.commit(RequestClass::Dispatch, &Transaction::default()).await;
+    assert_eq!(store.limits(), announced);
 }
 
-/// A lease that has ended says nothing of limits.
+/// The store answers 400 to a put under an expired lease, which is not a refusal for size.
 #[tokio::test(start_paused = true)]
-async fn a_put_on_an_ended_lease_lowers_no_limits() {
+async fn put_under_an_expired_lease_does_not_lower_the_limits() {
     let script = |_: &str, _: &str, _: &[u8]| {
         Ok(Response { status: 400, body: br#"{"error":"no such lease"}"#.to_vec() })
     };
     let client = Rc::new(Client::scripted(Box::new(script)));
     let addr = "127.0.0.1:1".parse().expect("an address");
-    let state = KeyValueClient::new(client, addr, limits().0, Some(limits().1));
+    let store = KeyValueClient::new(client, addr, limits().0, Some(limits().1));
     assert_eq!(
-        state.commit(RequestClass::Leadership, &Transaction::default()).await,
+        store.commit(RequestClass::Leadership, &Transaction::default()).await,
         TransactionOutcome::Rejected
     );
-    assert_eq!(state.limits().value_bytes, limits().0.value_bytes);
+    assert_eq!(store.limits().value_bytes, limits().0.value_bytes);
 }
 
 #[tokio::test(start_paused = true)]
-async fn lower_classes_leave_room_for_the_leadership() {
+async fn lower_request_classes_reserve_tokens_for_higher_ones() {
     let now = Instant::now();
-    let rates = Rates { requests_per_s: 10.0, writes_per_s: 10.0, submission_debt: 4.0 };
+    let rates = Rates { requests_per_s: 10.0, writes_per_s: 10.0, max_submission_debt: 4.0 };
     let mut limiter = RateLimiter::new(rates, Tokens { requests: 10.0, writes: 10.0 }, now);
     let mut polls = 0;
     while limiter.take(now, RequestClass::Poll, 0).is_ok() {
@@ -101,15 +106,24 @@
     }
     assert_eq!(polls, 8);
     assert!(limiter.take(now, RequestClass::Dispatch, 1).is_ok());
-    assert!(limiter.take(now, RequestClass::Dispatch, 1).is_err(), "leaves one for an acceptance");
-    assert!(limiter.take(now, RequestClass::Submission, 40).is_ok(), "leaves a debt of writes");
+    assert!(
+        limiter.take(now, RequestClass::Dispatch, 1).is_err(),
+        "dispatch must leave a token for a submission"
+    );
+    assert!(
+        limiter.take(now, RequestClass::Submission, 40).is_ok(),
+        "a submission may leave a write debt"
+    );
     assert!(
         limiter.take(now, RequestClass::Submission, 1).is_err(),
-        "which has to be earned first"
+        "no submission is admitted beyond the maximum debt"
     );
     for _ in 0..5 {
-        assert!(limiter.take(now, RequestClass::Leadership, 0).is_ok(), "never waits");
+        assert!(
+            limiter.take(now, RequestClass::Leadership, 0).is_ok(),
+            "leadership requests never wait"
+        );
     }
-    let wait = limiter.take(now, RequestClass::Poll, 0).expect_err("must wait");
+    let wait = limiter.take(now, RequestClass::Poll, 0).expect_err("the bucket is empty");
     assert!(limiter.take(now + wait + Duration::from_secs(2), RequestClass::Poll, 0).is_ok());
 }
