--- a/crates/controller/src/cloud_client.rs
+++ b/crates/controller/src/cloud_client.rs
@@ -1,5 +1,5 @@
-//! The client of the cloud: machine types, scale out, scale in and the list of machines, within the
-//! cloud's rate.
+//! Client of the cloud: lists machine types and machines, rents machines and returns them, within
+//! the cloud's request rate.
 
 mod pacer;
 mod request;
@@ -19,26 +19,27 @@
 
 pub(crate) use request::{CloudError, CloudRequest, Rejection, UnknownOutcome};
 
-/// Whether a request may still be sent, asked directly before it is.
+/// Tells whether a request may still be sent. It is called directly before the request is written
+/// to the connection.
 pub(crate) type MaySend<'a> = &'a dyn Fn() -> bool;
 
-/// For requests that change nothing.
-fn always() -> bool {
+/// Permits sending at any time, for requests that change nothing.
+fn may_always_send() -> bool {
     true
 }
 
-/// Machines in a list, many times those of any fleet.
-const MAX_LISTED: usize = 50_000;
-/// How long an answer is waited for.
+/// Maximum number of machines in a listing, many times that of any fleet.
+const MAX_LISTED_MACHINES: usize = 50_000;
+/// Time limit for an answer.
 const TIMEOUT: Duration = Duration::from_secs(5);
-/// Times that a request is sent which the cloud refuses for its rate.
+/// Maximum number of times that a request is sent if the cloud refuses it for the rate.
 const MAX_ATTEMPTS: u32 = 4;
-/// Pause after such a refusal, in milliseconds.
+/// Pause after a refusal for the rate, in milliseconds.
 const RATE_REFUSAL_PAUSE_MS: std::ops::Range<u64> = 300..900;
-/// How the cloud's answer names a lack of machines.
+/// Text in the cloud's answer when it has no machine of the requested type.
 const NO_CAPACITY: &str = "no capacity";
 
-/// The client of the cloud.
+/// Client of the cloud, whose requests are paced to the cloud's rate.
 pub(crate) struct CloudClient {
     client: Rc<Client>,
     addr: SocketAddrV4,
@@ -46,7 +47,7 @@
 }
 
 impl CloudClient {
-    /// A client of the cloud at that address, which takes so many requests per second.
+    /// Creates a client of the cloud at `addr`, which accepts `requests_per_s` requests per second.
     pub(crate) fn new(client: Rc<Client>, addr: SocketAddrV4, requests_per_s: f64) -> CloudClient {
         CloudClient { client, addr, pacer: Pacer::new(requests_per_s) }
     }
@@ -69,22 +70,23 @@
                     sleep(Duration::from_millis(pause)).await;
                 }
                 Ok(response) => return Ok(response),
-                Err(error) => return Err(unanswered(request, error)),
+                Err(error) => return Err(http_failure(request, error)),
             }
         }
-        Err(rejected(request, Rejection::RateUsedUp))
+        Err(rejected(request, Rejection::RateExceeded))
     }
 
-    /// The machine types that the cloud offers, but for those that make no sense.
+    /// Reads the machine types that the cloud offers, without those whose values are not usable.
     pub(crate) async fn types(&self) -> Result<Vec<MachineType>, CloudError> {
         let request = CloudRequest::Types;
-        let response = self.send(&request, b"", &always).await?;
-        let types: MachineTypes = read(&request, &response)?;
+        let response = self.send(&request, b"", &may_always_send).await?;
+        let types: MachineTypes = decode_body(&request, &response)?;
         Ok(usable_types(types.types))
     }
 
-    /// Rents machines, and returns their names. If no answer comes the request is sent once more: under
-    /// the same name it gets the same answer and rents nothing twice.
+    /// Rents machines and returns their names. If no usable answer arrives, the request is sent
+    /// once more. The repetition has the same name, so the cloud answers as before and rents
+    /// nothing twice.
     pub(crate) async fn scale_out(
         &self,
         request: &ScaleOutRequest,
@@ -115,7 +117,7 @@
         };
         let response = self.send(&request, &body, may_send).await?;
         match response.status {
-            200 => Ok(read::<MachineIds>(&request, &response)?.machines),
+            200 => Ok(decode_body::<MachineIds>(&request, &response)?.machines),
             503 if String::from_utf8_lossy(&response.body).contains(NO_CAPACITY) => {
                 Err(CloudError::NoCapacity { request })
             }
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Returns machines to the cloud. Once this is `Ok` they are gone.
+    /// Returns machines to the cloud. On `Ok` the machines are gone.
     pub(crate) async fn terminate(
         &self,
         machines: &[String],
@@ -141,21 +143,21 @@
         }
     }
 
-    /// All machines of the cloud, read page by page.
+    /// Lists all machines of the cloud, page by page.
     pub(crate) async fn list(&self) -> Result<Vec<ListedMachine>, CloudError> {
         let mut all: Vec<ListedMachine> = Vec::new();
         loop {
             let last = all.last().map(|machine| machine.name.clone());
             let request = CloudRequest::List { from: last.clone() };
-            let response = self.send(&request, b"", &always).await?;
-            let page: MachineList = read(&request, &response)?;
-            // Ordered by name, each page beginning after the last: a page that doesn't go on from
-            // there would be asked for for ever.
+            let response = self.send(&request, b"", &may_always_send).await?;
+            let page: MachineList = decode_body(&request, &response)?;
+            // Each page is sorted by name and starts after the last machine of the page before.
+            // Stop at a page that makes no progress, because it would be requested forever.
             let last = last.unwrap_or_default();
             let before = all.len();
             all.extend(page.machines.into_iter().filter(|machine| machine.name > last));
             all.dedup_by(|a, b| a.name == b.name);
-            if !page.more || all.len() == before || all.len() > MAX_LISTED {
+            if !page.more || all.len() == before || all.len() > MAX_LISTED_MACHINES {
                 return Ok(all);
             }
         }
@@ -175,7 +177,7 @@
     CloudError::Indeterminate { request: request.clone(), source }
 }
 
-fn unanswered(request: &CloudRequest, error: HttpError) -> CloudError {
+fn http_failure(request: &CloudRequest, error: HttpError) -> CloudError {
     match error {
         HttpError::NotSent(source) => {
             CloudError::NotSent { request: request.clone(), source: source.into() }
@@ -184,19 +186,23 @@
     }
 }
 
-/// The body of an answer that has to have status 200.
-fn read<T: DeserializeOwned>(request: &CloudRequest, response: &Response) -> Result<T, CloudError> {
+/// Decodes the body of an answer, which has to have status 200.
+fn decode_body<T: DeserializeOwned>(
+    request: &CloudRequest,
+    response: &Response,
+) -> Result<T, CloudError> {
     if response.status != 200 {
         return Err(indeterminate(request, UnknownOutcome::Status(response.status)));
     }
     serde_json::from_slice(&response.body).map_err(|error| indeterminate(request, error.into()))
 }
 
-/// Leaves out what can't be reckoned with, so that nonsense from the cloud never reaches a decision.
+/// Removes machine types with values that can't be computed with, so that invalid data from the
+/// cloud never affects a decision.
 pub(crate) fn usable_types(types: Vec<MachineType>) -> Vec<MachineType> {
     let (usable, unusable): (Vec<_>, Vec<_>) = types.into_iter().partition(is_usable);
     for machine_type in unusable {
-        tracing::warn!(machine_type = ?machine_type.name, "a machine type makes no sense and is left out");
+        tracing::warn!(machine_type = ?machine_type.name, "ignoring a machine type with missing or invalid values");
     }
     usable
 }
--- a/crates/controller/src/cloud_client/golden_tests.rs
+++ b/crates/controller/src/cloud_client/golden_tests.rs
@@ -1,5 +1,5 @@
-//! Every request to the cloud, as it is sent, and what is read of its answers. Kept in
-//! `golden/requests.txt`.
+//! Compares every request to the cloud with `golden/requests.txt`, and checks how the answers are
+//! decoded.
 
 use std::cell::RefCell;
 
@@ -8,32 +8,33 @@
 use super::*;
 use crate::golden_file::Golden;
 
-const FILE: &str = "src/cloud_client/golden/requests.txt";
+const GOLDEN_FILE: &str = "src/cloud_client/golden/requests.txt";
 
-/// A cloud that gives these answers, one after the other, and what it was asked.
-struct Scripted {
-    cloud: CloudClient,
-    asked: Rc<RefCell<Vec<String>>>,
+/// A fake cloud that returns the given answers in order and records the requests, with a client of
+/// it.
+struct FakeCloud {
+    client: CloudClient,
+    requests: Rc<RefCell<Vec<String>>>,
 }
 
-impl Scripted {
-    fn new(answers: &[(u16, &'static str)]) -> Scripted {
-        let asked: Rc<RefCell<Vec<String>>> = Rc::default();
+impl FakeCloud {
+    fn new(answers: &[(u16, &'static str)]) -> FakeCloud {
+        let requests: Rc<RefCell<Vec<String>>> = Rc::default();
         let answers = RefCell::new(answers.to_vec());
-        let noted = asked.clone();
+        let recorded = requests.clone();
         let script = move |method: &str, path: &str, body: &[u8]| {
             let body = String::from_utf8(body.to_vec()).expect("text");
-            noted.borrow_mut().push(format!("{method} {path}\n{body}").trim_end().to_owned());
+            recorded.borrow_mut().push(format!("{method} {path}\n{body}").trim_end().to_owned());
             let (status, body) = answers.borrow_mut().remove(0);
             Ok(Response { status, body: body.as_bytes().to_vec() })
         };
         let addr = SocketAddrV4::new([127, 0, 0, 1].into(), 1);
         let client = Rc::new(Client::scripted(Box::new(script)));
-        Scripted { cloud: CloudClient::new(client, addr, 1_000.0), asked }
+        FakeCloud { client: CloudClient::new(client, addr, 1_000.0), requests }
     }
 
-    fn asked(&self) -> String {
-        self.asked.borrow().join("\n")
+    fn requests(&self) -> String {
+        self.requests.borrow().join("\n")
     }
 }
 
@@ -48,11 +49,11 @@
 }
 
 async fn types_request() -> (&'static str, String) {
-    let scripted = Scripted::new(&[(
+    let cloud = FakeCloud::new(&[(
         200,
         r#"{"breeds":[{"sku":"g8","vcpus":96,"gpus":8,"memoryGb":768,"localGb":200,"pullGbPerS":1.5,"price":12.0,"lowPrice":4.5,"bootS":45,"groves":["a","b"]}]}"#,
     )]);
-    let types = scripted.cloud.types().await.expect("types");
+    let types = cloud.client.types().await.expect("types");
     let read = MachineType {
         name: "g8".into(),
         cpus: 96.0,
@@ -65,34 +66,40 @@
         boot_s: 45.0,
         zones: vec!["a".into(), "b".into()],
     };
-    assert!(types == [read], "machine types: a field was read otherwise");
-    ("machine types", scripted.asked())
+    assert!(types == [read], "machine types: the decoded type differs");
+    ("machine types", cloud.requests())
 }
 
 async fn rent_requests() -> Vec<(&'static str, String)> {
-    let rented = Scripted::new(&[(200, r#"{"trees":["n-000231","n-000232"]}"#)]);
-    let names = rented.cloud.scale_out(&scale_out(), &always).await;
-    assert!(names.expect("names") == ["n-000231", "n-000232"], "rent: the names");
-    // An answer that can't be read: asked once more under the same name.
-    let again = Scripted::new(&[(200, "?"), (503, r#"{"error":"no capacity"}"#)]);
-    let answer = again.cloud.scale_out(&scale_out(), &always).await;
-    assert!(matches!(answer, Err(CloudError::NoCapacity { .. })), "rent: no capacity");
-    let refused = Scripted::new(&[(503, r#"{"error":"trouble"}"#)]);
-    let answer = refused.cloud.scale_out(&scale_out(), &always).await;
-    assert!(matches!(answer, Err(CloudError::Rejected { .. })), "rent: refused");
-    vec![("rent", rented.asked()), ("rent, twice", again.asked())]
+    let rented = FakeCloud::new(&[(200, r#"{"trees":["n-000231","n-000232"]}"#)]);
+    let names = rented.client.scale_out(&scale_out(), &may_always_send).await;
+    assert!(names.expect("names") == ["n-000231", "n-000232"], "rent: wrong machine names");
+    // After an answer that can't be decoded, the request is sent once more under the same name.
+    let retried = FakeCloud::new(&[(200, "?"), (503, r#"{"error":"no capacity"}"#)]);
+    let answer = retried.client.scale_out(&scale_out(), &may_always_send).await;
+    assert!(
+        matches!(answer, Err(CloudError::NoCapacity { .. })),
+        "rent: the retry must report missing capacity"
+    );
+    let refused = FakeCloud::new(&[(503, r#"{"error":"trouble"}"#)]);
+    let answer = refused.client.scale_out(&scale_out(), &may_always_send).await;
+    assert!(
+        matches!(answer, Err(CloudError::Rejected { .. })),
+        "rent: a refusal must be reported as rejected"
+    );
+    vec![("rent", rented.requests()), ("rent, twice", retried.requests())]
 }
 
 async fn return_request() -> (&'static str, String) {
-    let scripted = Scripted::new(&[(200, "{}")]);
+    let cloud = FakeCloud::new(&[(200, "{}")]);
     let names = ["n-000231".to_owned(), "n-000232".to_owned()];
-    let answer = scripted.cloud.terminate(&names, &always).await;
-    assert!(matches!(answer, Ok(())), "return");
-    ("return", scripted.asked())
+    let answer = cloud.client.terminate(&names, &may_always_send).await;
+    assert!(matches!(answer, Ok(())), "return: failed");
+    ("return", cloud.requests())
 }
 
 async fn list_request() -> (&'static str, String) {
-    let scripted = Scripted::new(&[
+    let cloud = FakeCloud::new(&[
         (
             200,
             r#"{"trees":[{"ref":"n-000231","address":"10.1.0.232:9000","breed":"g8","grove":"a","windfall":true,"stage":"running","ageS":61.5},{"ref":"n-000232","address":null,"breed":"t8","grove":"b","windfall":false,"stage":"booting"}],"hasNext":true}"#,
@@ -102,26 +109,32 @@
             r#"{"trees":[{"ref":"n-000233","breed":"t8","grove":"b","windfall":false,"stage":"failed","ageS":3},{"ref":"n-000234","breed":"t8","grove":"b","windfall":false,"stage":"later"}],"hasNext":false}"#,
         ),
     ]);
-    let machines = scripted.cloud.list().await.expect("a list");
+    let machines = cloud.client.list().await.expect("a list");
     let first = &machines[0];
-    assert!(first.name == "n-000231" && first.kind == "g8" && first.zone == "a", "list: names");
-    assert!(first.address.as_deref() == Some("10.1.0.232:9000"), "list: address");
-    assert!(first.spot && first.age_s == 61.5, "list: spot and age");
-    assert!(machines[1].address.is_none() && !machines[1].spot, "list: a booting machine");
-    let stages: Vec<CloudMachineState> = machines.iter().map(|machine| machine.stage).collect();
+    assert!(
+        first.name == "n-000231" && first.kind == "g8" && first.zone == "a",
+        "list: wrong name, type or zone"
+    );
+    assert!(first.address.as_deref() == Some("10.1.0.232:9000"), "list: wrong address");
+    assert!(first.spot && first.age_s == 61.5, "list: wrong spot flag or age");
+    assert!(
+        machines[1].address.is_none() && !machines[1].spot,
+        "list: wrong address or spot flag of a booting machine"
+    );
+    let states: Vec<CloudMachineState> = machines.iter().map(|machine| machine.stage).collect();
     let expected = [
         CloudMachineState::Running,
         CloudMachineState::Booting,
         CloudMachineState::Failed,
         CloudMachineState::Other,
     ];
-    assert!(stages == expected, "list: stages");
-    ("list", scripted.asked())
+    assert!(states == expected, "list: wrong machine states");
+    ("list", cloud.requests())
 }
 
 #[tokio::test(start_paused = true)]
-async fn requests_are_sent_and_answers_read_as_before() {
+async fn requests_match_golden_file_and_answers_are_decoded() {
     let mut found = vec![types_request().await, return_request().await, list_request().await];
     found.extend(rent_requests().await);
-    Golden::check(FILE, &found);
+    Golden::check(GOLDEN_FILE, &found);
 }
--- a/crates/controller/src/cloud_client/request.rs
+++ b/crates/controller/src/cloud_client/request.rs
@@ -1,19 +1,19 @@
-//! Requests to the cloud as they are sent, but for their bodies, and what can become of them.
+//! Requests to the cloud (method and path; the client builds the bodies), and their errors.
 
 use std::fmt;
 
 use crate::http::client;
 
-/// One request, as errors name it.
+/// A request to the cloud. Errors display it to identify what failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum CloudRequest {
-    /// The machine types and their prices.
+    /// Lists the machine types and their prices.
     Types,
-    /// New machines of one type in one zone.
+    /// Rents machines of one type in one zone.
     ScaleOut { kind: String, zone: String, count: u32 },
-    /// The return of so many machines.
+    /// Returns this number of machines to the cloud.
     Terminate { count: usize },
-    /// A page of the machines, after the one named `from`.
+    /// Lists one page of the machines, after the one named `from`.
     List { from: Option<String> },
 }
 
@@ -51,51 +51,52 @@
     }
 }
 
-/// Why a request to the cloud was not carried out, or may not have been.
+/// Reason why a request to the cloud was not carried out, or may not have been.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CloudError {
-    /// The cloud has no machine of this type in the zone.
+    /// The cloud has no machine of this type available in the zone.
     #[error("{request}: no capacity")]
     NoCapacity { request: CloudRequest },
-    /// Certainly not carried out, for another reason than capacity.
+    /// The request was certainly not carried out, for a reason other than capacity.
     #[error("{request}: rejected: {source}")]
     Rejected { request: CloudRequest, source: Rejection },
-    /// Nothing was sent: there was no connection, or it was not to be sent any more.
+    /// The request was not sent: no connection was made, or the caller withdrew the request.
     #[error("{request}: not sent: {source}")]
     NotSent { request: CloudRequest, source: NotSent },
-    /// No usable answer; the request may have been carried out, or may be later.
+    /// There is no usable answer; the request may have been carried out, or may still be later.
     #[error("{request}: may have been carried out: {source}")]
     Indeterminate { request: CloudRequest, source: UnknownOutcome },
 }
 
-/// Why the cloud refused a request.
+/// Reason why the cloud refused a request.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Rejection {
-    #[error("status {0}")]
+    #[error("unexpected status {0}")]
     Status(u16),
-    #[error("the cloud's rate is used up")]
-    RateUsedUp,
+    #[error("the cloud's request rate is exceeded")]
+    RateExceeded,
 }
 
-/// Why a request was not sent.
+/// Reason why a request was not sent.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum NotSent {
     #[error(transparent)]
     Http(#[from] client::NotSent),
-    #[error("the body can't be written: {0}")]
+    #[error("the request body can't be serialized: {0}")]
     Body(#[from] serde_json::Error),
 }
 
-/// Why it isn't known whether a request was carried out.
+/// Reason why it is unknown whether a request was carried out.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum UnknownOutcome {
-    #[error("status {0}")]
+    #[error("unexpected status {0}")]
     Status(u16),
     #[error(transparent)]
     Http(#[from] client::NoResponse),
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
-    /// A rejection of a repeated request says nothing of the request before.
-    #[error("repeated after no answer, then: {0}")]
+    /// The request was repeated because the first answer was missing. A rejection of the repetition
+    /// doesn't tell whether the first request was carried out.
+    #[error("no usable answer to the first attempt, and the second failed: {0}")]
     RepetitionFailed(Box<CloudError>),
 }
