--- a/crates/controller/src/key_value_client/limits.rs
+++ b/crates/controller/src/key_value_client/limits.rs
@@ -83,8 +83,8 @@
     pub(super) fn new(configured: Limits, announced: Option<Limits>, now: Instant) -> KnownLimits {
         let announced = announced.map_or(configured, |limits| limits.smaller_of_each(configured));
         KnownLimits {
-            // Smaller transactions cost a few more requests, and the request rate has plenty of
-            // room.
+            // Transactions keep to the announced size from the start: smaller ones cost a few
+            // more requests, of which there are plenty.
             current: Limits { txn_ops: announced.txn_ops, ..configured },
             announced,
             lowering_announced: announced != configured,
--- a/crates/controller/src/peers/connections.rs
+++ b/crates/controller/src/peers/connections.rs
@@ -17,7 +17,7 @@
 
 /// Maximum number of open connections from peers, with room for stale ones.
 pub(crate) const MAX_CONNECTIONS: u32 = 64;
-/// Approximate maximum size of one write, in bytes: queued frames are combined up to here.
+/// Approximate maximum size of one write, in bytes: queued frames are combined up to this size.
 const MAX_WRITE_BYTES: usize = 32 * 1024;
 /// Time limit for connecting to a peer, and for each write.
 const SEND_TIMEOUT: Duration = Duration::from_secs(1);
