--- a/crates/controller/src/node/heartbeats/tests.rs
+++ b/crates/controller/src/node/heartbeats/tests.rs
@@ -7,7 +7,7 @@
 
 use super::follower::{request_delegation, send_repeated_heartbeats};
 use super::leader::{balance_workers, send_invalidations};
-use crate::heartbeat_delegation::{FOLLOWER_VALID, RESPONSE_TIMEOUT};
+use crate::heartbeat_delegation::{FOLLOWER_TIMEOUT, RESPONSE_TIMEOUT};
 use crate::node::tests::{
     cluster_with_running_task, elect_leader_with_running_task, idle_heartbeat,
     running_task_heartbeat, JOB,
@@ -374,11 +374,11 @@
         // once no follower requests delegations any more.
         node.delegation.worker_connections().set(40);
         balance_workers(&node);
-        assert_eq!(node.delegation.another_node_for(100), None);
+        assert_eq!(node.delegation.take_redirect_target(100), None);
         node.delegation.worker_connections().set(300);
-        tokio::time::advance(FOLLOWER_VALID).await;
+        tokio::time::advance(FOLLOWER_TIMEOUT).await;
         balance_workers(&node);
-        assert_eq!(node.delegation.another_node_for(100), None);
+        assert_eq!(node.delegation.take_redirect_target(100), None);
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
