--- a/crates/scheduler/src/autoscaling.rs
+++ b/crates/scheduler/src/autoscaling.rs
@@ -35,7 +35,7 @@
     last_assessed: Timestamp,
     last_rent: Timestamp,
     /// When slow machines were looked for last.
-    pub(crate) slow_looked_for: Timestamp,
+    pub(crate) last_slow_check: Timestamp,
     /// Requests to return machines that have no outcome yet.
     pub returning: u32,
     usage: Usage,
--- a/crates/scheduler/src/scheduler/machine_health.rs
+++ b/crates/scheduler/src/scheduler/machine_health.rs
@@ -44,8 +44,8 @@
         for machine in health::overdue_boots(&self.cluster, now, timeout, boot_patience) {
             self.drain(machine, DrainReason::NeverCameUp);
         }
-        if now.since(self.autoscaler.slow_looked_for) >= health::SLOW_TASK_CHECK_INTERVAL {
-            self.autoscaler.slow_looked_for = now;
+        if now.since(self.autoscaler.last_slow_check) >= health::SLOW_TASK_CHECK_INTERVAL {
+            self.autoscaler.last_slow_check = now;
             for machine in health::slow_machines(&self.cluster, now, self.tunables.slow_factor) {
                 self.drain(machine, DrainReason::Slow);
             }
