--- a/crates/controller/src/node/fleet_role.rs
+++ b/crates/controller/src/node/fleet_role.rs
@@ -226,7 +226,7 @@
         Err(CloudError::Rejected { .. }) => Err(()),
         // The request is repeated, and its machines may still arrive.
         Err(CloudError::NotSent { .. } | CloudError::Indeterminate { .. }) => {
-            return with_scheduler(&node, term, |scheduler, now| scheduler.cloud_in_trouble(now));
+            return with_scheduler(&node, term, |scheduler, now| scheduler.pause_cloud(now));
         }
     };
     let ScaleOut { kind, zone, spot, count, .. } = &scale_out;
--- a/crates/scheduler/src/autoscaling.rs
+++ b/crates/scheduler/src/autoscaling.rs
@@ -528,7 +528,7 @@
     }
 
     /// The cloud gives no usable answers: nothing more is asked for during a moment.
-    pub fn cloud_in_trouble(&mut self, now: Timestamp) {
+    pub fn pause_cloud(&mut self, now: Timestamp) {
         self.autoscaler.down_until = now + CLOUD_PAUSE;
     }
 
@@ -562,7 +562,7 @@
         let got = match answer {
             Ok(names) => names,
             Err(()) => {
-                self.cloud_in_trouble(now);
+                self.pause_cloud(now);
                 return;
             }
         };
