--- a/crates/controller/src/settings.rs
+++ b/crates/controller/src/settings.rs
@@ -121,7 +121,7 @@
         value_bytes: smallest_limits.value_bytes,
         txn_ops: smallest_limits.txn_ops,
         list_lag,
-        most_messages: SocketBudget::for_limit(fd_limit).messages as usize,
+        max_messages_in_flight: SocketBudget::for_limit(fd_limit).messages as usize,
     };
     Settings {
         node_name,
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -166,7 +166,8 @@
         gate: &StartGate,
         is_sweep: bool,
     ) -> DueMessages {
-        let pass = SendPass { site, gate, max_heartbeat_requests: site.most_messages / 3 + 1 };
+        let pass =
+            SendPass { site, gate, max_heartbeat_requests: site.max_messages_in_flight / 3 + 1 };
         let mut due = DueMessages::default();
         let mut overdue = Vec::new();
         for index in self.take_candidates(cluster, is_sweep) {
@@ -234,7 +235,7 @@
             && !machine.channel.has_request_in_flight()
             && !machine.channel.is_paused(now)
             && !machine.address.is_empty()
-            && self.in_flight < site.most_messages
+            && self.in_flight < site.max_messages_in_flight
     }
 
     /// Selects the machines with overdue heartbeats that are asked now, in the slots left by more
--- a/crates/scheduler/src/tunables.rs
+++ b/crates/scheduler/src/tunables.rs
@@ -150,7 +150,7 @@
     /// How far the cloud's list of machines may lag.
     pub list_lag: TimeDelta,
     /// Messages to workers that may be under way at once.
-    pub most_messages: usize,
+    pub max_messages_in_flight: usize,
 }
 
 impl Site {
--- a/crates/scheduler/src/tunables/tests.rs
+++ b/crates/scheduler/src/tunables/tests.rs
@@ -13,7 +13,7 @@
         value_bytes: 4096,
         txn_ops: 12,
         list_lag: TimeDelta::from_secs(4),
-        most_messages: 300,
+        max_messages_in_flight: 300,
     };
     for _ in 0..2 {
         assert_eq!(site.start_objective("c"), Some(TimeDelta::from_secs(3)));
--- a/crates/scheduler/tests/fleet_size.rs
+++ b/crates/scheduler/tests/fleet_size.rs
@@ -98,7 +98,7 @@
     for name in machine_names() {
         world.leader.cluster.hint_address(world.now, &name, "10.0.0.1:1");
     }
-    let most_under_way = world.leader.site.most_messages;
+    let most_under_way = world.leader.site.max_messages_in_flight;
     let token = world.token_now();
     let mut messages = 0;
     for round in 0.. {
--- a/crates/scheduler/tests/world/mod.rs
+++ b/crates/scheduler/tests/world/mod.rs
@@ -298,7 +298,7 @@
         value_bytes: 4096,
         txn_ops: 12,
         list_lag: TimeDelta::from_secs(4),
-        most_messages: 300,
+        max_messages_in_flight: 300,
     }
 }
 
