--- a/crates/scheduler/src/autoscaling.rs
+++ b/crates/scheduler/src/autoscaling.rs
@@ -177,7 +177,7 @@
                 && m.expected
                 && m.drain_reason.is_none()
                 && m.hinted_up_at.is_none_or(|t| now.since(t) < ANSWER_WITHIN);
-            if !coming && !self.open_for_work(now, m) {
+            if !coming && !self.is_schedulable(now, m) {
                 continue;
             }
             let t = &self.cluster.machine_types[kind];
@@ -358,7 +358,7 @@
         let Some(job) = self.cluster.job(ix) else { return false };
         self.cluster.machines.iter().any(|m| {
             let kind = m.kind.and_then(|k| self.cluster.machine_types.get(k));
-            self.open_for_work(now, m)
+            self.is_schedulable(now, m)
                 && !m.tasks.is_empty()
                 && (job.spec.spot || !m.spot)
                 && job.spec.zone.as_ref().is_none_or(|z| *z == m.zone)
@@ -431,7 +431,7 @@
             .cluster
             .machines
             .iter()
-            .filter(|m| self.open_for_work(now, m))
+            .filter(|m| self.is_schedulable(now, m))
             .filter_map(|m| Some(self.cluster.machine_types[m.kind?].cpus - m.used().cpus))
             .sum();
         let headroom = self.headroom_cpus(now);
@@ -444,7 +444,7 @@
                     (false, true) => self.tunables.idle_spot,
                     (false, false) => self.tunables.idle_ordinary,
                 };
-                self.open_for_work(now, m) && m.tasks.is_empty() && now.since(m.idle_since) > limit
+                self.is_schedulable(now, m) && m.tasks.is_empty() && now.since(m.idle_since) > limit
             })
             .collect();
         idle.sort_by_key(|&i| (self.cluster.machines[i].spot, self.cluster.machines[i].idle_since));
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -103,7 +103,7 @@
     }
 
     /// Whether anything may be started on the machine now.
-    pub fn open_for_work(&self, now: Timestamp, m: &Machine) -> bool {
+    pub fn is_schedulable(&self, now: Timestamp, m: &Machine) -> bool {
         // A heartbeat under this term is what opens a machine: until then nobody can tell what the
         // last leader left on it. One that has been silent for a while is not trusted either.
         m.state == MachineState::Up
@@ -235,7 +235,7 @@
                 .kind
                 .and_then(|k| self.cluster.machine_types.get(k))
                 .map_or(Resources::NONE, |k| k.room());
-            if self.has_room(m, least) && self.open_for_work(now, m) {
+            if self.has_room(m, least) && self.is_schedulable(now, m) {
                 open.push(MachineIndex(ix));
             }
         }
@@ -343,7 +343,7 @@
                 && (job.spec.spot || !m.spot)
                 && job.spec.zone.as_ref().is_none_or(|z| *z == m.zone)
                 && self.zone_allows(job, &m.zone)
-                && self.open_for_work(now, m)
+                && self.is_schedulable(now, m)
         };
         let mut nearest: Vec<(f64, MachineIndex)> = (0..self.cluster.machines.len())
             .map(MachineIndex::from)
@@ -498,7 +498,7 @@
             // jobs found none there.
             let may_make_room =
                 m.stopping() > 0 || within_guarantee || m.lowest_priority() < Some(highest);
-            if m.tasks.is_empty() || !may_make_room || !self.open_for_work(now, m) {
+            if m.tasks.is_empty() || !may_make_room || !self.is_schedulable(now, m) {
                 continue;
             }
             let Some(kind) = m.kind.and_then(|k| self.cluster.machine_types.get(k)) else {
--- a/crates/scheduler/src/scheduler/machine_health.rs
+++ b/crates/scheduler/src/scheduler/machine_health.rs
@@ -62,7 +62,7 @@
             .cluster
             .machines
             .iter()
-            .filter(|machine| self.open_for_work(now, machine))
+            .filter(|machine| self.is_schedulable(now, machine))
             .filter_map(|machine| {
                 let machine_type = self.cluster.machine_types.get(machine.kind?)?;
                 Some((machine_type.cpus - machine.used().cpus).max(0.0))
--- a/crates/scheduler/tests/untrusted_heartbeats.rs
+++ b/crates/scheduler/tests/untrusted_heartbeats.rs
@@ -95,12 +95,12 @@
     let stale = next_heartbeat(&mut w, "n-1");
     let _ = w.leader.handle_heartbeat(w.now, &stale);
     assert!(
-        !w.leader.open_for_work(w.now, machine(&w, "n-1")),
+        !w.leader.is_schedulable(w.now, machine(&w, "n-1")),
         "the old heartbeat does not acknowledge the raised token"
     );
     w.heartbeat("n-1");
     w.heartbeat("n-1");
-    assert!(w.leader.open_for_work(w.now, machine(&w, "n-1")));
+    assert!(w.leader.is_schedulable(w.now, machine(&w, "n-1")));
 }
 
 #[test]
@@ -169,7 +169,7 @@
             (m.state, m.last_heartbeat, m.interruption_at),
             (MachineState::Booting, heard, None)
         );
-        assert!(!w.leader.open_for_work(w.now, m));
+        assert!(!w.leader.is_schedulable(w.now, m));
     }
     w.tick();
     let is_heartbeat_request =
