--- a/crates/scheduler/src/autoscaling.rs
+++ b/crates/scheduler/src/autoscaling.rs
@@ -40,7 +40,7 @@
     pub returning: u32,
     usage: Usage,
     /// Whether a whole machine list was read under this term.
-    pub listed: bool,
+    pub machine_list_read: bool,
 }
 
 /// What the money of the last minute went to, in hours of each kind's price.
@@ -93,8 +93,8 @@
             return;
         }
         // A new leader first hears what machines there are.
-        let knows_fleet =
-            self.autoscaler.listed || now.since(self.started_at) > TimeDelta::from_secs(10);
+        let knows_fleet = self.autoscaler.machine_list_read
+            || now.since(self.started_at) > TimeDelta::from_secs(10);
         let pause = if self.autoscaler.asking.is_empty() { SCALE_OUT_EVERY } else { LOOK_EVERY };
         if knows_fleet && now.since(self.autoscaler.last_rent) >= pause {
             self.autoscaler.last_rent = now;
@@ -600,7 +600,7 @@
     /// A whole machine list. It lags, so what is missing from it proves nothing; what it calls
     /// failed has stopped by itself.
     pub fn machine_list(&mut self, now: Timestamp, list: &[ListedMachine]) {
-        self.autoscaler.listed = true;
+        self.autoscaler.machine_list_read = true;
         for entry in list {
             let m = self.cluster.machine_named(now, &entry.name);
             let kind = self.cluster.machine_types.iter().position(|t| t.name == entry.kind);
--- a/crates/scheduler/src/queue/fair_share.rs
+++ b/crates/scheduler/src/queue/fair_share.rs
@@ -262,7 +262,8 @@
         if !self.tunables.shared_order {
             return;
         }
-        let knows_fleet = self.autoscaler.listed || now.since(self.started_at) > KNOWS_FLEET_AFTER;
+        let knows_fleet =
+            self.autoscaler.machine_list_read || now.since(self.started_at) > KNOWS_FLEET_AFTER;
         if !knows_fleet || now.since(self.fair_share.observed_at) < OBSERVE_EVERY {
             return;
         }
--- a/crates/scheduler/tests/fair_share.rs
+++ b/crates/scheduler/tests/fair_share.rs
@@ -25,7 +25,7 @@
     let names: Vec<String> = (0..MACHINES).map(|i| format!("n-{i:03}")).collect();
     let machines: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "a")).collect();
     let mut world = World::of(Site { teams, ..site() }, &machines);
-    world.leader.autoscaler.listed = true;
+    world.leader.autoscaler.machine_list_read = true;
     world
 }
 
@@ -126,7 +126,7 @@
 
     fn take_over(&mut self) {
         self.world.take_over();
-        self.world.leader.autoscaler.listed = true;
+        self.world.leader.autoscaler.machine_list_read = true;
         self.world.all_report();
         self.world.all_report();
     }
--- a/crates/scheduler/tests/repeated_heartbeats.rs
+++ b/crates/scheduler/tests/repeated_heartbeats.rs
@@ -162,7 +162,7 @@
         if gone {
             w.leader.machine_gone(w.now, MACHINE);
         } else {
-            w.leader.autoscaler.listed = true;
+            w.leader.autoscaler.machine_list_read = true;
             let returned = |c: &Command| matches!(c, Command::ScaleIn { .. });
             while !w.commands.iter().any(returned) {
                 w.wait(1_000);
--- a/crates/scheduler/tests/transcripts/scripts.rs
+++ b/crates/scheduler/tests/transcripts/scripts.rs
@@ -246,7 +246,7 @@
 pub fn preemption() {
     let teams = vec![team("one", 8.0, 0.0), team("two", 0.0, 60.0)];
     let mut world = fleet_of(Site { teams, ..site() }, 10);
-    world.leader.autoscaler.listed = true;
+    world.leader.autoscaler.machine_list_read = true;
     let mut dice = Dice::new(5);
     for step in 0..160usize {
         if step % 2 == 0 && step < 120 {
@@ -285,7 +285,7 @@
         team("free", 0.0, 0.0),
     ];
     let mut world = fleet_of(Site { teams, ..site() }, 16);
-    world.leader.autoscaler.listed = true;
+    world.leader.autoscaler.machine_list_read = true;
     let mut dice = Dice::new(6);
     let mut shared = 0;
     for second in 0..70usize {
@@ -309,7 +309,7 @@
         }
         if second == 40 {
             world.take_over();
-            world.leader.autoscaler.listed = true;
+            world.leader.autoscaler.machine_list_read = true;
             world.all_report();
         }
         some_tasks_end(&mut world, &mut dice, 25, &[ExitReason::Done]);
@@ -671,7 +671,7 @@
     let mut tunables = (*world.leader.tunables).clone();
     tunables.shared_order = false;
     world.leader.tunables = Rc::new(tunables);
-    world.leader.autoscaler.listed = true;
+    world.leader.autoscaler.machine_list_read = true;
     let mut dice = Dice::new(12);
     for second in 0..40usize {
         for (index, team) in ["one", "one", "one", "two"].into_iter().enumerate() {
