--- a/crates/scheduler/src/tunables.rs
+++ b/crates/scheduler/src/tunables.rs
@@ -1,72 +1,81 @@
-//! What the operators may set, beyond the platform's own file, and what the platform tells.
+//! Settings of the scheduler: the operators' tunables, and the deployment's configuration from the
+//! platform.
 
 use std::collections::BTreeMap;
 
 use crate::model::team::Team;
 use crate::time::TimeDelta;
 
-/// The operators' settings. `docs/operations.md` says what each is for; the binary reads them from
-/// a script and checks their ranges.
+/// The operators' settings; `docs/operations.md` describes each. The binary reads them from a
+/// script and checks their ranges.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tunables {
-    /// How long the leader's lease in the key-value store lasts.
+    /// Duration of the leader's lease in the key-value store.
     pub leader_lease: TimeDelta,
-    /// Added to the worker lease before an unconfirmed start is settled as unknown.
+    /// Time beyond the worker lease after which an unconfirmed start is settled as unknown.
     pub settle_margin: TimeDelta,
-    /// Silence beyond an overdue report after which a machine is given back to the cloud.
+    /// How long a machine may stay silent after a heartbeat is overdue before it is returned to the
+    /// cloud.
     pub patience: TimeDelta,
-    /// Idle time after which a spot machine is returned.
+    /// Idle time after which a spot machine is returned while ordinary ones are expensive.
     pub idle_spot: TimeDelta,
-    /// Idle time after which an ordinary machine is returned.
+    /// Idle time after which an ordinary machine is returned while ordinary ones are expensive.
     pub idle_ordinary: TimeDelta,
-    /// A job with less time than this to its latest start may rent ordinary machines.
+    /// While ordinary machines are expensive, one is requested only for a job that has to start
+    /// within this time.
     pub ordinary_slack: TimeDelta,
-    /// Ordinary machines up to this many times as dear as spot ones are rented as freely.
+    /// Largest ratio of the price of ordinary machines to that of spot ones at which both are
+    /// requested alike and count as cheap.
     pub premium: f64,
-    /// A job with less time than this to its latest start, beyond a boot, may rent spot machines;
-    /// with more, it waits for running work to make room.
+    /// A job that can wait for a boot and this time beyond it waits for running work to free
+    /// capacity; otherwise machines are requested for it.
     pub rent_slack: TimeDelta,
-    /// A job with less time than this to its latest start may stop work of lower priority.
+    /// A job that has to start within this time may preempt work of lower priority.
     pub preempt_slack: TimeDelta,
-    /// Spare room kept for classes with a wait aim, in jobs of the usual size.
+    /// Spare capacity for classes with a short start objective, in jobs of their usual size.
     pub headroom: f64,
-    /// The same where ordinary machines are cheap (see `premium`): there standing by costs little
-    /// beside what a boot costs in time.
+    /// The value of `headroom` while ordinary machines are cheap (see `premium`): then idle
+    /// machines cost little compared with the time of a boot.
     pub headroom_cheap: f64,
-    /// Idle time before a return where ordinary machines are cheap.
+    /// Idle time after which a machine is returned while ordinary machines are cheap.
     pub idle_cheap: TimeDelta,
-    /// Age at which the first task of a job of which nothing has run yet goes before all others.
+    /// Age after which the first task of a job that hasn't started goes before all others.
     pub begin_within: TimeDelta,
-    /// Age at which an unfinished job goes before younger ones, within `lift_share`.
+    /// Age after which an unfinished job goes before younger ones, within `lift_share`.
     pub lift_after: TimeDelta,
-    /// The part of the fleet in which age goes before priority.
+    /// Share of the fleet in which age goes before priority.
     pub lift_share: f64,
-    /// Boot times (of the type's own) after which a machine that never came up is returned.
+    /// Multiple of its type's boot time after which a machine that never came up is returned.
     pub boot_patience: f64,
-    /// Failed tasks of different jobs that make a machine suspect.
+    /// Number of failed tasks of different jobs after which a machine counts as faulty.
     pub sick_after: u32,
-    /// Times its siblings' run time at which a running task marks its machine slow.
+    /// Multiple of the run time of a job's other tasks at which a running task marks its machine as
+    /// slow.
     pub slow_factor: f64,
-    /// Shortest time between two rounds of decisions; under load they come less often.
+    /// Shortest time between two scheduling rounds; under load they are less frequent.
     pub round_every: TimeDelta,
-    /// Longest that evidence (finishes, tasks proven absent) waits for company before it is written.
+    /// Longest delay of evidence (finished tasks, tasks proven absent) that waits to be written
+    /// together with more.
     pub evidence_delay: TimeDelta,
-    /// What each later step of a chain is expected to take beyond the run of its slowest task: its
-    /// release, its starts and its images.
+    /// Expected time of each later job of a chain beyond the run time of its slowest task: its
+    /// release, its starts and the fetching of its images.
     pub chain_step: TimeDelta,
-    /// Most transactions of the leader under way at once.
+    /// Most transactions of the leader in flight at once.
     pub txns_in_flight: u32,
-    /// Whether an overloaded fleet is shared between teams and classes; see [`crate::queue::fair_share`].
+    /// Whether an overloaded fleet is shared between teams and classes; see
+    /// [`crate::queue::fair_share`].
     pub shared_order: bool,
-    /// Work that waits without room, as a part of the fleet, from which on the fleet is overloaded.
+    /// Waiting work without capacity, as a share of the fleet, at which the fleet counts as
+    /// overloaded.
     pub overload_at: f64,
-    /// The part of an overloaded fleet that each team's class with work is brought up to before the
-    /// priorities count.
+    /// Share of an overloaded fleet that each class of a team with work gets before priorities
+    /// count.
     pub class_floor: f64,
-    /// Parts of an overloaded fleet relative to one another; a team that isn't named has what its
-    /// guarantee gives it, or 1.
+    /// Weights of the teams in an overloaded fleet, relative to one another. A team without an
+    /// entry has a weight by its guarantee, or 1.
     pub team_weights: BTreeMap<String, f64>,
-    /// Whether rentals and returns are recorded before they are sent, and duties held under leases.
+    /// Whether scale-outs and scale-ins are recorded before they are sent, and leases guard the
+    /// roles that send them.
     pub fenced_duties: bool,
 }
 
@@ -104,114 +113,114 @@
     }
 }
 
-/// An aim on starting or finishing, from the platform's file.
+/// A service-level objective for a class of jobs, from the platform's configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Objective {
-    /// Done within `times` the deadline that the owner set.
+    /// Jobs should be done within a multiple of the deadline that their owner set.
     Deadline {
-        /// The class.
+        /// The class of jobs that the objective is for.
         class: String,
         /// The multiple of the deadline.
         times: f64,
     },
-    /// Tasks started within a time.
+    /// Tasks should start within a time.
     Wait {
-        /// The class.
+        /// The class of jobs that the objective is for.
         class: String,
-        /// From the job's submission.
+        /// Time from the job's submission.
         within: TimeDelta,
     },
-    /// Jobs done within a time.
+    /// Jobs should be done within a time.
     Finished {
-        /// The class.
+        /// The class of jobs that the objective is for.
         class: String,
-        /// From the job's submission.
+        /// Time from the job's submission.
         within: TimeDelta,
     },
 }
 
-/// What the platform's file says about the deployment.
+/// The deployment's configuration, from the platform's file.
 #[derive(Debug, Clone)]
 pub struct Site {
-    /// The teams, with quotas and limits.
+    /// The teams, with their guarantees and limits.
     pub teams: Vec<Team>,
-    /// The service-level objectives.
+    /// The service-level objectives of all classes, in any order.
     pub objectives: Vec<Objective>,
-    /// How often workers send heartbeats.
+    /// Interval between two heartbeats of a worker.
     pub heartbeat_interval: TimeDelta,
-    /// How long a worker keeps its tasks without an answer.
+    /// How long a worker keeps its tasks running without an answer to its heartbeats.
     pub worker_lease: TimeDelta,
-    /// Within what time of its confirmation a cancelled job's tasks must be gone.
+    /// Longest time from the confirmation of a cancellation until the job's tasks are stopped.
     pub cancel_within: TimeDelta,
-    /// The largest value that the key-value store takes.
+    /// Size in bytes of the largest value that the key-value store accepts.
     pub value_bytes: usize,
-    /// The most operations of a transaction.
+    /// Most operations that the key-value store accepts in one transaction.
     pub txn_ops: usize,
-    /// How far the cloud's list of machines may lag.
+    /// Longest delay after which a change shows up in the cloud's machine list.
     pub list_lag: TimeDelta,
-    /// Messages to workers that may be under way at once.
+    /// Most messages to workers in flight at once.
     pub max_messages_in_flight: usize,
 }
 
 impl Site {
-    /// The team of that name.
+    /// Returns the team of that name, if it is configured.
     pub fn team(&self, name: &str) -> Option<&Team> {
         self.teams.iter().find(|t| t.name == name)
     }
 
-    fn waits<'a>(&'a self, class: &'a str) -> impl Iterator<Item = TimeDelta> + 'a {
+    fn start_objectives<'a>(&'a self, class: &'a str) -> impl Iterator<Item = TimeDelta> + 'a {
         self.objectives.iter().filter_map(move |o| match o {
             Objective::Wait { class: c, within } if c == class => Some(*within),
             _ => None,
         })
     }
 
-    /// The shortest time within which tasks of the class should start, if an aim says so.
+    /// The shortest start objective of the class, if it has one.
     pub fn start_objective(&self, class: &str) -> Option<TimeDelta> {
-        self.waits(class).min()
+        self.start_objectives(class).min()
     }
 
-    /// The shortest of the class's aims on starting that is longer than `lost`. A class may have
-    /// several, in any order: once the tighter can't be met the looser one counts.
-    pub fn next_start_objective(&self, class: &str, lost: TimeDelta) -> Option<TimeDelta> {
-        self.waits(class).filter(|w| *w > lost).min()
+    /// The shortest start objective of the class that is longer than `missed`. A class may have
+    /// several, in any order: once a tighter one can't be met, the next looser one counts.
+    pub fn next_start_objective(&self, class: &str, missed: TimeDelta) -> Option<TimeDelta> {
+        self.start_objectives(class).filter(|w| *w > missed).min()
     }
 
-    fn finishes<'a>(&'a self, class: &'a str) -> impl Iterator<Item = TimeDelta> + 'a {
+    fn finish_objectives<'a>(&'a self, class: &'a str) -> impl Iterator<Item = TimeDelta> + 'a {
         self.objectives.iter().filter_map(move |o| match o {
             Objective::Finished { class: c, within } if c == class => Some(*within),
             _ => None,
         })
     }
 
-    /// Within what time jobs of the class should be complete, if an aim says so.
+    /// The shortest finish objective of the class, if it has one.
     pub fn finish_objective(&self, class: &str) -> Option<TimeDelta> {
-        self.finishes(class).min()
+        self.finish_objectives(class).min()
     }
 
-    /// The shortest of the class's aims on completion that leaves a job `needed` time in all.
+    /// The shortest finish objective of the class that leaves a job at least `needed` time.
     pub fn next_finish_objective(&self, class: &str, needed: TimeDelta) -> Option<TimeDelta> {
-        self.finishes(class).filter(|within| *within >= needed).min()
+        self.finish_objectives(class).filter(|within| *within >= needed).min()
     }
 
-    /// How many times its deadline a job of the class may take and still count: the least multiple
-    /// of at least `least`, or else the greatest there is. A job that can't make its deadline any
-    /// more still counts at the longer one.
-    pub fn deadline_times(&self, class: &str, least: f64) -> f64 {
-        let (mut next, mut last) = (f64::INFINITY, 0.0f64);
+    /// The multiple of its deadline within which a job of the class still counts as done in time:
+    /// the smallest one of at least `min_multiple`, or else the largest; 1 without an objective. A
+    /// job that can't meet its deadline any more still counts at a larger multiple.
+    pub fn deadline_times(&self, class: &str, min_multiple: f64) -> f64 {
+        let (mut smallest_sufficient, mut largest) = (f64::INFINITY, 0.0f64);
         for o in &self.objectives {
             if let Objective::Deadline { class: c, times } = o {
                 if c == class {
-                    last = last.max(*times);
-                    if *times >= least {
-                        next = next.min(*times);
+                    largest = largest.max(*times);
+                    if *times >= min_multiple {
+                        smallest_sufficient = smallest_sufficient.min(*times);
                     }
                 }
             }
         }
-        match (next.is_finite(), last > 0.0) {
-            (true, _) => next,
-            (false, true) => last,
+        match (smallest_sufficient.is_finite(), largest > 0.0) {
+            (true, _) => smallest_sufficient,
+            (false, true) => largest,
             (false, false) => 1.0,
         }
     }
--- a/crates/scheduler/src/tunables/tests.rs
+++ b/crates/scheduler/src/tunables/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn several_aims_of_a_class_count_in_any_order() {
+fn objectives_of_a_class_apply_regardless_of_their_order() {
     let wait = |s| Objective::Wait { class: "c".into(), within: TimeDelta::from_secs(s) };
     let deadline = |times| Objective::Deadline { class: "c".into(), times };
     let mut site = Site {
