--- a/crates/scheduler/src/autoscaling/offers.rs
+++ b/crates/scheduler/src/autoscaling/offers.rs
@@ -1,83 +1,86 @@
-//! What the cloud offers, and trying placements on machines that aren't there yet.
+//! Offers of the cloud, and simulated placement on machines that exist, are booting or are to be
+//! requested.
 
 use crate::model::job_spec::JobSpec;
 use crate::model::EPSILON;
 
-/// A kind of machine that can be asked for: type, zone, spot or ordinary.
+/// A kind of machine that can be requested: index of the machine type, zone, and whether it is a
+/// spot machine.
 pub type InstanceOffer = (usize, String, bool);
 
-/// Machines in one request, by the protocol.
+/// Most machines in one request; a limit of the cloud's API.
 pub(crate) const MAX_MACHINES_PER_REQUEST: u32 = 50;
 
-/// Room on a machine that is there, coming or wanted, for trying placements on paper.
-pub(crate) struct WhatIfMachine {
+/// Free resources of a machine that is up, booting or to be requested, for simulated placement.
+pub(crate) struct SimulatedMachine {
     pub offer: usize,
     pub cpus: f64,
     pub gpus: f64,
     pub memory: f64,
 }
 
-impl WhatIfMachine {
-    /// Puts as many of `todo` tasks on it as there is room for.
-    pub fn take(&mut self, spec: &JobSpec, todo: u32) -> u32 {
-        let by =
-            |free: f64, takes: f64| if takes > 0.0 { (free + EPSILON) / takes } else { f64::MAX };
-        let fit = by(self.cpus, spec.cpus)
-            .min(by(self.gpus, spec.gpus))
-            .min(by(self.memory, spec.memory_gb));
-        let n = (fit.max(0.0) as u32).min(todo);
-        self.cpus -= spec.cpus * f64::from(n);
-        self.gpus -= spec.gpus * f64::from(n);
-        self.memory -= spec.memory_gb * f64::from(n);
-        n
+impl SimulatedMachine {
+    /// Places as many of `unplaced` tasks as fit, and returns their number.
+    pub fn place_tasks(&mut self, spec: &JobSpec, unplaced: u32) -> u32 {
+        let fitting =
+            |free: f64, need: f64| if need > 0.0 { (free + EPSILON) / need } else { f64::MAX };
+        let fitting_tasks = fitting(self.cpus, spec.cpus)
+            .min(fitting(self.gpus, spec.gpus))
+            .min(fitting(self.memory, spec.memory_gb));
+        let placed = (fitting_tasks.max(0.0) as u32).min(unplaced);
+        self.cpus -= spec.cpus * f64::from(placed);
+        self.gpus -= spec.gpus * f64::from(placed);
+        self.memory -= spec.memory_gb * f64::from(placed);
+        placed
     }
 }
 
-/// What can be asked for, and how many of each there are, are coming or are wanted. Counted once a
-/// look: at several hundred machines, counting them anew for each one wanted took whole seconds of
-/// a node's share, and was cut off at 400, where the fleet then stopped growing.
+/// The offers that can be requested, with the number of machines of each that are up, booting or to
+/// be requested. Counted once per assessment: counted again for each machine to request, it took
+/// whole seconds of CPU at several hundred machines; it was then cut off at 400 machines, where the
+/// fleet stopped growing.
 #[derive(Default)]
 pub(crate) struct InstanceOffers {
     pub offers: Vec<InstanceOffer>,
     price: Vec<f64>,
-    open: Vec<bool>,
-    pub there: Vec<u32>,
+    available: Vec<bool>,
+    pub machine_counts: Vec<u32>,
     pub desired: Vec<u32>,
 }
 
 impl InstanceOffers {
-    pub fn add(&mut self, offer: InstanceOffer, price: f64, open: bool) -> usize {
+    pub fn add(&mut self, offer: InstanceOffer, price: f64, available: bool) -> usize {
         self.offers.push(offer);
         self.price.push(price);
-        self.open.push(open);
-        self.there.push(0);
+        self.available.push(available);
+        self.machine_counts.push(0);
         self.desired.push(0);
         self.offers.len() - 1
     }
 
-    /// The offer's place; one that the cloud doesn't name any more is added as closed.
+    /// The position of the offer. One that the cloud no longer lists is added as unavailable.
     pub fn index(&mut self, kind: usize, zone: &str, spot: bool) -> usize {
         let known = self.offers.iter().position(|o| o.0 == kind && o.2 == spot && o.1 == zone);
         known.unwrap_or_else(|| self.add((kind, zone.to_owned(), spot), f64::INFINITY, false))
     }
 
-    /// The cheapest of those allowed, by price per processor. Among equals the one with fewest
-    /// machines, so that one wave doesn't take them all.
+    /// The cheapest available offer per CPU among those that `allowed` accepts. Ties go to the
+    /// offer with fewest machines, so that one wave of reclaimed machines doesn't take them all.
     pub fn cheapest(&self, allowed: impl Fn(usize) -> bool) -> Option<usize> {
-        let open = (0..self.offers.len()).filter(|&i| self.open[i] && allowed(i));
-        open.min_by(|&a, &b| {
+        let available = (0..self.offers.len()).filter(|&i| self.available[i] && allowed(i));
+        available.min_by(|&a, &b| {
             let by_price = self.price[a].total_cmp(&self.price[b]);
-            by_price.then(self.there[a].cmp(&self.there[b])).then(a.cmp(&b))
+            by_price.then(self.machine_counts[a].cmp(&self.machine_counts[b])).then(a.cmp(&b))
         })
     }
 
     pub fn add_desired(&mut self, offer: usize) {
-        self.there[offer] += 1;
+        self.machine_counts[offer] += 1;
         self.desired[offer] += 1;
     }
 
-    /// Whether any more can be asked for in this look.
-    pub fn has_room(&self) -> bool {
+    /// Whether a request of this assessment can take another machine.
+    pub fn can_request_more(&self) -> bool {
         self.desired.iter().any(|&n| n < MAX_MACHINES_PER_REQUEST)
     }
 }
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -1,4 +1,5 @@
-//! What runs where: the order of jobs, the fullest machine that fits, and what may be stopped.
+//! Placement of tasks on machines: ranking of machines for a job, team and zone limits, reservation
+//! of machines for aged jobs, and preemption.
 
 use walnutlug_admission::resources::Resources;
 
@@ -14,46 +15,50 @@
 use crate::scheduler::{Scheduler, OVERDUE_INTERVALS};
 use crate::time::{TimeDelta, Timestamp};
 
-/// Without a job of a class for this long, no room is kept for its next one.
-const LULL: TimeDelta = TimeDelta::from_secs(120);
-/// Seconds of lost work that a job's missed deadline counts for when choosing what to stop.
-const SPOILT: f64 = 300.0;
-/// Shortest time between two looks for work to stop: what was stopped needs a moment to go.
-const PREEMPT_EVERY: TimeDelta = TimeDelta::from_millis(300);
-/// Jobs for which work is stopped in one look; the next look takes the next.
+/// Headroom for a class is dropped when no job of it has been seen for this long.
+const HEADROOM_RETENTION: TimeDelta = TimeDelta::from_secs(120);
+/// Added to the cost of preempting a task if its job would then miss its deadline, in seconds of
+/// lost work.
+const MISSED_DEADLINE_COST_S: f64 = 300.0;
+/// Shortest time between two preemption passes: preempted tasks need a moment to stop.
+const PREEMPT_INTERVAL: TimeDelta = TimeDelta::from_millis(300);
+/// Most jobs for which one preemption pass stops work; the next pass serves the following ones.
 pub(crate) const MAX_PREEMPTING_JOBS: usize = 16;
-/// Seconds that it takes to place a stopped task again.
-const RESTART: f64 = 10.0;
+/// Expected time to place a preempted task again, in seconds.
+const RESTART_S: f64 = 10.0;
 
-/// How well a machine suits a job; what comes first here counts first, and the larger is the better.
+/// Ranking of a machine for a job. Fields are compared in order of declaration; the larger value
+/// wins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Fitness {
-    /// Of the kind, spot or ordinary, that work like the job's is kept to where both cost about the same.
-    safe: bool,
-    /// Has the image, for a class with an aim on starting.
-    ready: bool,
-    /// In quarters of the machine.
+struct MachineRank {
+    /// Whether the machine is of the kind, spot or ordinary (not spot), that jobs of this class are
+    /// kept on while both kinds cost about the same.
+    preferred_pricing: bool,
+    /// Whether the machine has the image, for a class with a start objective; `false` for other
+    /// classes.
+    image_for_start_objective: bool,
+    /// Negated free share of the machine's CPUs, in quarters rounded up: larger is fuller.
     fullness: i64,
-    image: bool,
+    has_image: bool,
 }
 
-/// Room on a machine.
+/// Resources that are free, or being freed, on a machine.
 #[derive(Debug, Clone, Copy)]
-struct Amount {
+struct FreeResources {
     cpus: f64,
     gpus: f64,
     memory: f64,
 }
 
-impl Amount {
-    fn add(&mut self, spec: &JobSpec) {
+impl FreeResources {
+    fn release(&mut self, spec: &JobSpec) {
         self.cpus += spec.cpus;
         self.gpus += spec.gpus;
         self.memory += spec.memory_gb;
     }
 
-    /// Takes the room of one task, if it is there.
-    fn take(&mut self, spec: &JobSpec) -> bool {
+    /// Subtracts the resources of one task if they are free; returns whether they were.
+    fn try_reserve(&mut self, spec: &JobSpec) -> bool {
         let fits = spec.cpus <= self.cpus + EPSILON
             && spec.gpus <= self.gpus + EPSILON
             && spec.memory_gb <= self.memory + EPSILON;
@@ -66,46 +71,49 @@
     }
 }
 
-/// Work that could be stopped for a more urgent job.
+/// A running task that may be preempted for a more urgent job.
 #[derive(Debug)]
 struct PreemptionCandidate {
-    /// Seconds of work that would be lost.
+    /// Seconds of work that preempting the task would lose, with [`MISSED_DEADLINE_COST_S`] if it
+    /// makes its job late.
     cost: f64,
     id: TaskId,
     stopped: bool,
 }
 
-/// A machine with such work, the least lost first.
+/// A machine with tasks that may be preempted, cheapest first.
 #[derive(Debug)]
 struct PreemptableMachine {
     machine: MachineIndex,
-    /// What is free, or is being freed.
-    free: Amount,
+    /// Free resources, including those of tasks that are already stopping.
+    free: FreeResources,
     candidates: Vec<PreemptionCandidate>,
 }
 
 impl Scheduler {
-    /// Processors of open machines that old jobs may still be given ahead of others.
-    pub(crate) fn room_for_aged(&self, now: Timestamp) -> f64 {
-        let all: f64 = self
+    /// CPUs that aged jobs may still take ahead of all others: `lift_share` of the machines that
+    /// are up, less what aged jobs hold.
+    pub(crate) fn cpus_left_for_aged(&self, now: Timestamp) -> f64 {
+        let fleet_cpus: f64 = self
             .cluster
             .machines
             .iter()
             .filter(|m| m.state == MachineState::Up)
             .filter_map(|m| Some(self.cluster.machine_types.get(m.kind?)?.cpus))
             .sum();
-        let old = self.cluster.jobs.values().filter(|j| j.placed > 0 && !j.is_ended());
-        let used: f64 = old
+        let aged = self.cluster.jobs.values().filter(|j| j.placed > 0 && !j.is_ended());
+        let aged_cpus: f64 = aged
             .filter(|j| now.since(j.ready_at) > self.tunables.lift_after)
             .map(|j| f64::from(j.placed) * j.spec.cpus)
             .sum();
-        all * self.tunables.lift_share - used
+        fleet_cpus * self.tunables.lift_share - aged_cpus
     }
 
-    /// Whether anything may be started on the machine now.
+    /// Whether tasks may be started on the machine now.
     pub fn is_schedulable(&self, now: Timestamp, m: &Machine) -> bool {
-        // A heartbeat under this term is what opens a machine: until then nobody can tell what the
-        // last leader left on it. One that has been silent for a while is not trusted either.
+        // A machine becomes schedulable with a heartbeat under the current term: before that,
+        // nobody knows which tasks the previous leader left on it. A machine whose heartbeat is
+        // overdue isn't trusted either.
         m.state == MachineState::Up
             && m.kind.is_some()
             && m.fence.is_acknowledged(self.term)
@@ -118,7 +126,8 @@
                     + TimeDelta::from_millis(300)
     }
 
-    /// Whether one more task of the job fits the machine as it is.
+    /// Whether one more task of the job fits into the machine's free resources and meets the job's
+    /// spot, type and zone constraints.
     pub fn fits(&self, job: &Job, m: &Machine) -> bool {
         let Some(kind) = m.kind.and_then(|k| self.cluster.machine_types.get(k)) else {
             return false;
@@ -132,18 +141,18 @@
             && m.used().memory_gb + spec.memory_gb <= kind.memory_gb + EPSILON
     }
 
-    /// Whether the job's other tasks allow one more in the zone. Every task that is not proven
-    /// absent counts, so that a late start can't break the rule.
+    /// Whether the job's `one_zone` and `spread` constraints allow one more task in the zone. Every
+    /// task that isn't proven absent counts, so that a late start can't violate them.
     pub fn zone_allows(&self, job: &Job, zone: &str) -> bool {
         if job.spec.one_zone && job.zones.keys().any(|z| z != zone) {
             return false;
         }
         if job.spec.spread {
-            let most = job.spec.tasks.div_ceil(2);
-            // Tasks whose machine's zone is not known yet could be anywhere.
-            let unknown = job.zones.get("").copied().unwrap_or(0);
-            let here = job.zones.get(zone).copied().unwrap_or(0);
-            if here + unknown + 1 > most {
+            let max_per_zone = job.spec.tasks.div_ceil(2);
+            // Tasks on machines of unknown zone could be in any zone.
+            let in_unknown_zone = job.zones.get("").copied().unwrap_or(0);
+            let in_zone = job.zones.get(zone).copied().unwrap_or(0);
+            if in_zone + in_unknown_zone + 1 > max_per_zone {
                 return false;
             }
         }
@@ -157,20 +166,26 @@
         team.allows(cpus + job.spec.cpus, gpus + job.spec.gpus)
     }
 
-    /// The machines among `open` that the job fits, the best first. The fullest comes first;
-    /// fullness counts in quarters of a machine, so that ties are common; they go to a machine with
-    /// the image, then to the cheapest. A task makes its machine fuller, so the best stays the best
-    /// until it is full: one look serves all tasks of the job.
-    fn candidates(&self, now: Timestamp, job: &Job, open: &[MachineIndex]) -> Vec<MachineIndex> {
-        // Where the aim on starting leaves no time for a fetch, the image comes before fullness.
-        let waits = self.site.start_objective(&job.spec.class).is_some();
-        // Where ordinary machines cost little more than spot ones they are there anyway, and what is
-        // pressed for time goes to them: of a job of many tasks nearly always one is on a spot machine
-        // that the cloud takes, and the job is late by all that this task had run. What has more time
-        // leaves them free.
-        let lean = self.ordinary_is_cheap();
-        let quick = self.has_short_start_objective(&job.spec.class);
-        let mut found: Vec<(Fitness, f64, MachineIndex)> = Vec::new();
+    /// Machines among `open` that can take a task of the job, best first: the fullest, then one
+    /// with the image, then the cheapest. Fullness is rounded to quarters of a machine, so that
+    /// ties are common and the image and the price decide. Placing a task makes its machine fuller,
+    /// so the order stays valid until the machine is full, and one ranking serves all tasks of the
+    /// job.
+    fn candidate_machines(
+        &self,
+        now: Timestamp,
+        job: &Job,
+        open: &[MachineIndex],
+    ) -> Vec<MachineIndex> {
+        // A start objective leaves no time to fetch the image, so the image ranks above fullness.
+        let has_start_objective = self.site.start_objective(&job.spec.class).is_some();
+        // While ordinary machines cost little more than spot ones, they are part of the fleet
+        // anyway, and jobs with short start objectives go to them; other jobs leave them free. A
+        // job of many tasks nearly always has one on a spot machine that the cloud reclaims, which
+        // delays the job by the whole run time of that task.
+        let ordinary_is_cheap = self.ordinary_is_cheap();
+        let short_start = self.has_short_start_objective(&job.spec.class);
+        let mut ranked: Vec<(MachineRank, f64, MachineIndex)> = Vec::new();
         for &ix in open {
             let m = &self.cluster.machines[ix];
             if !self.fits(job, m) || job.avoids(now, ix) {
@@ -179,25 +194,25 @@
             let Some(kind) = m.kind.and_then(|k| self.cluster.machine_types.get(k)) else {
                 continue;
             };
-            let left = (kind.cpus - m.used().cpus).max(0.0) / kind.cpus.max(EPSILON);
-            let image = m.has_image(&job.spec.image);
-            let fitness = Fitness {
-                safe: lean && m.spot != quick,
-                ready: waits && image,
-                fullness: -((left * 4.0).ceil() as i64),
-                image,
+            let free_share = (kind.cpus - m.used().cpus).max(0.0) / kind.cpus.max(EPSILON);
+            let has_image = m.has_image(&job.spec.image);
+            let rank = MachineRank {
+                preferred_pricing: ordinary_is_cheap && m.spot != short_start,
+                image_for_start_objective: has_start_objective && has_image,
+                fullness: -((free_share * 4.0).ceil() as i64),
+                has_image,
             };
             let price = if m.spot { kind.spot_price } else { kind.price } / kind.cpus.max(EPSILON);
-            found.push((fitness, price, ix));
+            ranked.push((rank, price, ix));
         }
-        found.sort_by(|a, b| b.0.cmp(&a.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2)));
-        found.into_iter().map(|f| f.2).collect()
+        ranked.sort_by(|a, b| b.0.cmp(&a.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2)));
+        ranked.into_iter().map(|f| f.2).collect()
     }
 
-    /// For a job whose tasks must share a zone: the zone with most room for it, while none of it
-    /// is placed.
+    /// The zone with most capacity for a job whose tasks must share one and none of which is
+    /// placed.
     fn zone_for(&self, job: &Job, open: &[MachineIndex]) -> Option<String> {
-        let mut room: std::collections::BTreeMap<&str, u32> = Default::default();
+        let mut capacity: std::collections::BTreeMap<&str, u32> = Default::default();
         for m in open.iter().map(|&ix| &self.cluster.machines[ix]) {
             if !self.fits(job, m) {
                 continue;
@@ -205,18 +220,19 @@
             let Some(kind) = m.kind.and_then(|k| self.cluster.machine_types.get(k)) else {
                 continue;
             };
-            let by = |free: f64, takes: f64| if takes > 0.0 { free / takes } else { f64::MAX };
-            let n = by(kind.cpus - m.used().cpus + EPSILON, job.spec.cpus)
-                .min(by(kind.gpus - m.used().gpus + EPSILON, job.spec.gpus))
-                .min(by(kind.memory_gb - m.used().memory_gb + EPSILON, job.spec.memory_gb));
-            *room.entry(&m.zone).or_default() += n as u32;
+            let fitting =
+                |free: f64, needed: f64| if needed > 0.0 { free / needed } else { f64::MAX };
+            let n = fitting(kind.cpus - m.used().cpus + EPSILON, job.spec.cpus)
+                .min(fitting(kind.gpus - m.used().gpus + EPSILON, job.spec.gpus))
+                .min(fitting(kind.memory_gb - m.used().memory_gb + EPSILON, job.spec.memory_gb));
+            *capacity.entry(&m.zone).or_default() += n as u32;
         }
-        room.into_iter().max_by_key(|&(_, n)| n).map(|(z, _)| z.to_owned())
+        capacity.into_iter().max_by_key(|&(_, n)| n).map(|(z, _)| z.to_owned())
     }
 
-    /// One round of decisions over everything that waits. Which machines have any room is looked up
-    /// once; a job then looks at those alone, so that a round costs about what it changes and not
-    /// tasks times machines.
+    /// Runs one placement round over all queued jobs, then preempts for those that found no
+    /// machine. The machines with free capacity are collected once and only these are examined for
+    /// each job, so the cost follows the number of changes and not tasks times machines.
     pub fn place(&mut self, now: Timestamp) {
         let queue = self.queue(now);
         if queue.is_empty() {
@@ -224,7 +240,7 @@
             return;
         }
         self.examined.jobs += 2 * queue.len() as u64;
-        let least = self.smallest_task(&queue);
+        let smallest = self.smallest_task(&queue);
         let mut open: Vec<MachineIndex> = Vec::new();
         let mut fleet = Resources::NONE;
         for (m, ix) in self.cluster.machines.iter().zip(0..) {
@@ -234,68 +250,70 @@
             fleet += m
                 .kind
                 .and_then(|k| self.cluster.machine_types.get(k))
-                .map_or(Resources::NONE, |k| k.room());
-            if self.has_room(m, least) && self.is_schedulable(now, m) {
+                .map_or(Resources::NONE, |k| k.resources());
+            if self.has_free_capacity(m, smallest) && self.is_schedulable(now, m) {
                 open.push(MachineIndex(ix));
             }
         }
         self.fleet_cpus = fleet.cpus;
         self.cluster.shares.set_fleet(fleet);
-        let shared = self.fair_share.is_active();
-        let blocked = if shared {
-            self.place_by_share(now, &queue, open, least)
+        let fair_sharing = self.fair_share.is_active();
+        let blocked = if fair_sharing {
+            self.place_by_share(now, &queue, open, smallest)
         } else {
-            self.place_in_order(now, queue.clone(), open, least)
+            self.place_in_order(now, queue.clone(), open, smallest)
         };
         self.observe_saturation(now, &queue);
         self.preempt(now, &blocked);
     }
 
-    /// The least of each resource that any task of the queue takes.
+    /// The smallest CPU and memory request among the tasks of the queued jobs; a machine with less
+    /// free can take none of them.
     fn smallest_task(&self, queue: &[(QueueKey, JobIndex)]) -> Resources {
-        let most = f64::INFINITY;
-        let mut least = Resources { cpus: most, gpus: 0.0, memory_gb: most };
+        let unbounded = f64::INFINITY;
+        let mut smallest = Resources { cpus: unbounded, gpus: 0.0, memory_gb: unbounded };
         for job in queue.iter().filter_map(|&(_, ix)| self.cluster.job(ix)) {
-            least.cpus = least.cpus.min(job.spec.cpus);
-            least.memory_gb = least.memory_gb.min(job.spec.memory_gb);
+            smallest.cpus = smallest.cpus.min(job.spec.cpus);
+            smallest.memory_gb = smallest.memory_gb.min(job.spec.memory_gb);
         }
-        least
+        smallest
     }
 
-    /// Whether the machine has room for that much.
-    pub(crate) fn has_room(&self, m: &Machine, task: Resources) -> bool {
+    /// Whether the machine has at least the CPUs and the memory of `task` free.
+    pub(crate) fn has_free_capacity(&self, m: &Machine, task: Resources) -> bool {
         m.kind.and_then(|k| self.cluster.machine_types.get(k)).is_some_and(|kind| {
             kind.cpus - m.used().cpus + EPSILON >= task.cpus
                 && kind.memory_gb - m.used().memory_gb + EPSILON >= task.memory_gb
         })
     }
 
-    /// Places what it can in the order of the queue. Returns the jobs that found no machine.
+    /// Places tasks in queue order. Returns the jobs left with tasks that found no machine.
     fn place_in_order(
         &mut self,
         now: Timestamp,
         mut queue: Vec<(QueueKey, JobIndex)>,
         mut open: Vec<MachineIndex>,
-        least: Resources,
+        smallest: Resources,
     ) -> Vec<(QueueKey, JobIndex)> {
         let mut blocked: Vec<(QueueKey, JobIndex)> = Vec::new();
         self.examined.jobs += 2 * queue.len() as u64;
-        // What age lifts goes first, within its part; beyond that it takes its turn.
+        // Aged jobs are placed first, up to their share of the fleet; beyond it they are placed in
+        // queue order.
         let aged: Vec<(QueueKey, JobIndex)> =
             queue.iter().filter(|q| q.0.aging > Aging::None).copied().collect();
-        let mut room = if aged.is_empty() { 0.0 } else { self.room_for_aged(now) };
+        let mut aged_cpus_left = if aged.is_empty() { 0.0 } else { self.cpus_left_for_aged(now) };
         let mut reserved: Vec<MachineIndex> = Vec::new();
         let max_reserved = self.max_reserved();
         for (queue_key, ix) in aged {
             let Some(job) = self.cluster.job(ix) else { continue };
             let cpus = job.spec.cpus.max(0.1);
-            let most = match queue_key.aging {
-                Aging::Unbegun => 1,
-                _ => (room / cpus).max(0.0) as u32,
+            let max_tasks = match queue_key.aging {
+                Aging::NotStarted => 1,
+                _ => (aged_cpus_left / cpus).max(0.0) as u32,
             };
-            let (placed, stuck) = self.place_job(now, ix, &open, most);
-            room -= f64::from(placed) * cpus;
-            if stuck && reserved.len() < max_reserved {
+            let (placed, out_of_machines) = self.place_job(now, ix, &open, max_tasks);
+            aged_cpus_left -= f64::from(placed) * cpus;
+            if out_of_machines && reserved.len() < max_reserved {
                 reserved.extend(self.machines_to_reserve(now, ix, &reserved, 1));
             }
         }
@@ -308,33 +326,35 @@
             if self.place_job(now, ix, &open, u32::MAX).1 {
                 blocked.push((queue_key, ix));
             }
-            open.retain(|&ix| self.has_room(&self.cluster.machines[ix], least));
+            open.retain(|&ix| self.has_free_capacity(&self.cluster.machines[ix], smallest));
         }
         blocked
     }
 
-    /// How many machines at most are kept for lifted jobs that found no room.
+    /// Most machines that are reserved for aged jobs that found no machine.
     pub(crate) fn max_reserved(&self) -> usize {
         ((self.cluster.machines.len() as f64 * self.tunables.lift_share / 2.0) as usize).max(1)
     }
 
-    /// The machines on which room for a task of the job is nearest, `count` at most: they get no other
-    /// work until there is. Without this, a large task never finds its room on machines where small ones take every
-    /// bit that gets free. (Seen on a recorded day: a route sheet began after 500 s among alarms.)
+    /// The machines, `count` at most, that are closest to fitting a task of the job. They take no
+    /// other work until the task fits. Without a reservation, small tasks take all capacity as it
+    /// becomes free and a large task never starts. (On a recorded day a large job started only
+    /// after 500 s, among urgent ones.)
     pub(crate) fn machines_to_reserve(
         &self,
         now: Timestamp,
         ix: JobIndex,
-        taken: &[MachineIndex],
+        already_reserved: &[MachineIndex],
         count: usize,
     ) -> Vec<MachineIndex> {
         let Some(job) = self.cluster.job(ix) else { return Vec::new() };
-        let free = |m: &Machine| {
+        let free_tasks = |m: &Machine| {
             let kind = &self.cluster.machine_types[m.kind.unwrap_or_default()];
-            let by = |free: f64, takes: f64| if takes > 0.0 { free / takes } else { f64::MAX };
-            by(kind.cpus - m.used().cpus, job.spec.cpus)
-                .min(by(kind.memory_gb - m.used().memory_gb, job.spec.memory_gb))
-                .min(by(kind.gpus - m.used().gpus, job.spec.gpus))
+            let fitting =
+                |free: f64, needed: f64| if needed > 0.0 { free / needed } else { f64::MAX };
+            fitting(kind.cpus - m.used().cpus, job.spec.cpus)
+                .min(fitting(kind.memory_gb - m.used().memory_gb, job.spec.memory_gb))
+                .min(fitting(kind.gpus - m.used().gpus, job.spec.gpus))
         };
         let usable = |m: &Machine| {
             m.kind
@@ -347,10 +367,10 @@
         };
         let mut nearest: Vec<(f64, MachineIndex)> = (0..self.cluster.machines.len())
             .map(MachineIndex::from)
-            .filter(|m| !taken.contains(m) && !job.avoids(now, *m))
+            .filter(|m| !already_reserved.contains(m) && !job.avoids(now, *m))
             .map(|ix| (ix, &self.cluster.machines[ix]))
             .filter(|(_, m)| usable(m))
-            .map(|(ix, m)| (free(m), ix))
+            .map(|(ix, m)| (free_tasks(m), ix))
             .collect();
         let order = |a: &(f64, MachineIndex), b: &(f64, MachineIndex)| {
             b.0.total_cmp(&a.0).then(a.1.cmp(&b.1))
@@ -362,17 +382,17 @@
         nearest.into_iter().map(|(_, ix)| ix).collect()
     }
 
-    /// Places up to `most` tasks of one job. Returns how many, and whether tasks are left that found no
-    /// machine.
+    /// Places up to `max_tasks` tasks of the job on `open` machines. Returns how many were placed,
+    /// and whether it stopped for want of a machine.
     pub(crate) fn place_job(
         &mut self,
         now: Timestamp,
         ix: JobIndex,
         open: &[MachineIndex],
-        most: u32,
+        max_tasks: u32,
     ) -> (u32, bool) {
         let Some(job) = self.cluster.job(ix) else { return (0, false) };
-        if most == 0 || job.pending() == 0 {
+        if max_tasks == 0 || job.pending() == 0 {
             return (0, false);
         }
         self.examined.machines += open.len() as u64;
@@ -380,13 +400,13 @@
         let Some(job) = self.cluster.job(ix) else { return (0, false) };
         let zone =
             (job.spec.one_zone && job.zones.is_empty()).then(|| self.zone_for(job, open)).flatten();
-        let machines = self.candidates(now, job, open);
+        let machines = self.candidate_machines(now, job, open);
         let mut machines = machines.into_iter().peekable();
         let mut index = job.scan_from;
         let total = job.spec.tasks;
-        let mut stuck = false;
+        let mut out_of_machines = false;
         let mut placed = 0;
-        while index < total && placed < most {
+        while index < total && placed < max_tasks {
             let Some(job) = self.cluster.job(ix) else { break };
             if job.tasks[index as usize].phase != TaskPhase::Pending {
                 index += 1;
@@ -396,7 +416,7 @@
                 break;
             }
             let Some(&m) = machines.peek() else {
-                stuck = true;
+                out_of_machines = true;
                 break;
             };
             let machine = &self.cluster.machines[m];
@@ -414,16 +434,16 @@
         if let Some(job) = self.cluster.jobs.get_mut(&ix) {
             job.scan_from = index;
         }
-        (placed, stuck)
+        (placed, out_of_machines)
     }
 
-    /// Stops work of lower priority for urgent jobs that found no room: the least lost work
-    /// first, and no more than they need beyond the room that is already being made. What could be
-    /// stopped is looked up once for all of them.
+    /// Preempts tasks for urgent jobs that found no machine: cheapest first, and no more than the
+    /// jobs need beyond the capacity that is already being freed. The candidates are collected once
+    /// for all jobs.
     ///
-    /// Room is made machine by machine, as much as a task takes. (Counted over the whole fleet, the
-    /// youngest small tasks made way here and there for a large one that fitted nowhere; their own job
-    /// was placed there again, to be stopped again a moment later: 8,000 times in four minutes.)
+    /// Capacity is freed machine by machine, in amounts that fit a whole task. (Counted over the
+    /// whole fleet, the youngest small tasks were stopped on several machines for a large task that
+    /// still fitted on none, placed there again and stopped again: 8,000 times in four minutes.)
     fn preempt(&mut self, now: Timestamp, blocked: &[(QueueKey, JobIndex)]) {
         let blocked: Vec<(QueueKey, JobIndex)> = blocked
             .iter()
@@ -434,21 +454,22 @@
             .take(MAX_PREEMPTING_JOBS)
             .copied()
             .collect();
-        let Some(highest) = blocked.iter().map(|b| b.0.priority).max() else { return };
-        if now.since(self.last_preempt) < PREEMPT_EVERY {
+        let Some(highest_priority) = blocked.iter().map(|b| b.0.priority).max() else { return };
+        if now.since(self.last_preempt) < PREEMPT_INTERVAL {
             self.cluster.placement_needed = true;
             return;
         }
         self.last_preempt = now;
         let within_guarantee = blocked.iter().any(|b| b.0.within_guarantee);
-        let mut rooms = self.preemptable_machines(now, highest, within_guarantee);
-        let old = (self.room_for_aged(now) >= 0.0).then(|| now - self.tunables.lift_after);
+        let mut preemptable = self.preemptable_machines(now, highest_priority, within_guarantee);
+        let aged_before =
+            (self.cpus_left_for_aged(now) >= 0.0).then(|| now - self.tunables.lift_after);
         for (queue_key, ix) in blocked {
             let Some(job) = self.cluster.job(ix) else { continue };
-            let mut need = job.pending();
-            let mut offers: Vec<(f64, usize, Vec<usize>)> = Vec::new();
-            for (at, room) in rooms.iter_mut().enumerate() {
-                let m = &self.cluster.machines[room.machine];
+            let mut tasks_needed = job.pending();
+            let mut options: Vec<(f64, usize, Vec<usize>)> = Vec::new();
+            for (slot, machine) in preemptable.iter_mut().enumerate() {
+                let m = &self.cluster.machines[machine.machine];
                 if !m
                     .kind
                     .and_then(|k| self.cluster.machine_types.get(k))
@@ -456,57 +477,59 @@
                     || (m.spot && !job.spec.spot)
                     || job.spec.zone.as_ref().is_some_and(|z| *z != m.zone)
                     || !self.zone_allows(job, &m.zone)
-                    || job.avoids(now, room.machine)
+                    || job.avoids(now, machine.machine)
                 {
                     continue;
                 }
-                // What is being freed already serves the most pressed first.
-                while need > 0 && room.free.take(&job.spec) {
-                    need -= 1;
+                // Capacity that is already being freed goes to the most urgent jobs first.
+                while tasks_needed > 0 && machine.free.try_reserve(&job.spec) {
+                    tasks_needed -= 1;
                 }
-                if need == 0 {
+                if tasks_needed == 0 {
                     break;
                 }
-                self.preemption_options(queue_key, job, old, at, room, &mut offers);
+                self.preemption_options(queue_key, job, aged_before, slot, machine, &mut options);
             }
-            offers.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-            for (_, at, candidates) in offers.into_iter().take(need as usize) {
+            options.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+            for (_, slot, candidates) in options.into_iter().take(tasks_needed as usize) {
                 for candidate in candidates {
-                    self.preempt_candidate(now, queue_key, &mut rooms[at], candidate);
+                    self.preempt_candidate(now, queue_key, &mut preemptable[slot], candidate);
                 }
                 let Some(job) = self.cluster.job(ix) else { break };
-                rooms[at].free.take(&job.spec);
+                preemptable[slot].free.try_reserve(&job.spec);
             }
         }
     }
 
-    /// Whether the job is late enough to have work of lower priority stopped.
+    /// Whether the job's slack is short enough for it to preempt work of lower priority.
     pub(crate) fn is_urgent(&self, queue_key: &QueueKey) -> bool {
         queue_key.slack <= self.tunables.preempt_slack.as_secs_f64()
     }
 
-    /// The machines with work that could be stopped, and what is being freed there already.
+    /// The machines with tasks that may be preempted or are stopping, with the capacity being freed
+    /// there.
     fn preemptable_machines(
         &self,
         now: Timestamp,
-        highest: Priority,
+        highest_priority: Priority,
         within_guarantee: bool,
     ) -> Vec<PreemptableMachine> {
-        let mut rooms = Vec::new();
+        let mut preemptable = Vec::new();
         for (machine, m) in self.cluster.machines.iter().enumerate() {
-            // Without work to stop, and none that is stopping, a machine has no more room than when the
-            // jobs found none there.
-            let may_make_room =
-                m.stopping() > 0 || within_guarantee || m.lowest_priority() < Some(highest);
-            if m.tasks.is_empty() || !may_make_room || !self.is_schedulable(now, m) {
+            // A machine with no preemptable and no stopping task has no more capacity than when the
+            // jobs failed to fit on it.
+            let may_free_capacity = m.stopping() > 0
+                || within_guarantee
+                || m.lowest_priority() < Some(highest_priority);
+            if m.tasks.is_empty() || !may_free_capacity || !self.is_schedulable(now, m) {
                 continue;
             }
             let Some(kind) = m.kind.and_then(|k| self.cluster.machine_types.get(k)) else {
                 continue;
             };
-            let mut room = PreemptableMachine {
+            let mut entry = PreemptableMachine {
                 machine: machine.into(),
-                free: Amount {
+                free: FreeResources {
                     cpus: kind.cpus - m.used().cpus,
                     gpus: kind.gpus - m.used().gpus,
                     memory: kind.memory_gb - m.used().memory_gb,
@@ -516,52 +539,53 @@
             for &id in &m.tasks {
                 let Some(other) = self.cluster.job(id.0) else { continue };
                 match other.tasks[id.1 as usize].phase {
-                    TaskPhase::Stopping => room.free.add(&other.spec),
-                    TaskPhase::Running if other.priority < highest || within_guarantee => {
+                    TaskPhase::Stopping => entry.free.release(&other.spec),
+                    TaskPhase::Running if other.priority < highest_priority || within_guarantee => {
                         let Some(&began) = other.started.get(&id.1) else { continue };
                         let ran = now.since(began).as_secs_f64();
                         let saves = other.spec.checkpoint_s > 0.0;
                         let mut cost = if saves { other.spec.save_s.min(ran) } else { ran };
-                        if self.would_be_late(now, other, ran) {
-                            cost += SPOILT;
+                        if self.restart_misses_deadline(now, other, ran) {
+                            cost += MISSED_DEADLINE_COST_S;
                         }
-                        room.candidates.push(PreemptionCandidate { cost, id, stopped: false });
+                        entry.candidates.push(PreemptionCandidate { cost, id, stopped: false });
                     }
                     _ => {}
                 }
             }
-            room.candidates.sort_by(|a, b| a.cost.total_cmp(&b.cost).then(a.id.cmp(&b.id)));
-            rooms.push(room);
+            entry.candidates.sort_by(|a, b| a.cost.total_cmp(&b.cost).then(a.id.cmp(&b.id)));
+            preemptable.push(entry);
         }
-        rooms
+        preemptable
     }
 
-    /// What would have to be stopped on one machine for each further task of the job, and at what
-    /// cost.
+    /// Adds an option to `options` for each further task of the job that preemption could fit on
+    /// the machine: the cost, the machine and the tasks to stop.
     fn preemption_options(
         &self,
         queue_key: QueueKey,
         job: &Job,
-        old: Option<Timestamp>,
-        at: usize,
-        room: &PreemptableMachine,
-        offers: &mut Vec<(f64, usize, Vec<usize>)>,
+        aged_before: Option<Timestamp>,
+        slot: usize,
+        machine: &PreemptableMachine,
+        options: &mut Vec<(f64, usize, Vec<usize>)>,
     ) {
-        let mut free = room.free;
-        let (mut cost, mut least, mut candidates) = (0.0, 0.0f64, Vec::new());
-        for (i, candidate) in room.candidates.iter().enumerate() {
+        let mut free = machine.free;
+        let (mut cost, mut min_cost, mut candidates) = (0.0, 0.0f64, Vec::new());
+        for (i, candidate) in machine.candidates.iter().enumerate() {
             let Some(other) = self.cluster.job(candidate.id.0) else { continue };
-            if candidate.stopped || !self.may_stop(queue_key, job, other, old) {
+            if candidate.stopped || !self.may_be_preempted(queue_key, job, other, aged_before) {
                 continue;
             }
-            free.add(&other.spec);
+            free.release(&other.spec);
             cost += candidate.cost;
             candidates.push(i);
-            // One large task may make room for several small ones.
-            while free.take(&job.spec) {
-                // Never cheaper than the one before it, on which it rests.
-                least = least.max(cost);
-                offers.push((least, at, std::mem::take(&mut candidates)));
+            // Stopping one large task may free capacity for several small ones.
+            while free.try_reserve(&job.spec) {
+                // An option depends on those before it on this machine, so it must not sort ahead
+                // of them.
+                min_cost = min_cost.max(cost);
+                options.push((min_cost, slot, std::mem::take(&mut candidates)));
                 cost = 0.0;
             }
         }
@@ -571,73 +595,75 @@
         &mut self,
         now: Timestamp,
         queue_key: QueueKey,
-        room: &mut PreemptableMachine,
+        machine: &mut PreemptableMachine,
         candidate: usize,
     ) {
-        let id = room.candidates[candidate].id;
-        room.candidates[candidate].stopped = true;
+        let id = machine.candidates[candidate].id;
+        machine.candidates[candidate].stopped = true;
         let Some(other) = self.cluster.job(id.0) else { return };
         if !queue_key.within_guarantee && self.is_at_floor(other) {
-            return; // What was stopped before it in this look brought its class down there.
+            return; // Earlier preemptions of this pass brought the class down to its floor.
         }
-        room.free.add(&other.spec);
+        machine.free.release(&other.spec);
         let grace = other.spec.stop_grace_s();
         let task = format!("{}/{}", other.name, id.1);
         self.log(Event::TaskPreempted { task });
         self.stop(now, id, grace);
     }
 
-    /// Whether the job is in time as things stand and would not be if a task that has run for
-    /// `ran` seconds had to start again.
-    fn would_be_late(&self, now: Timestamp, job: &Job, ran: f64) -> bool {
-        let Some(due) = &job.effective_deadline else { return false };
-        let left = due.left(now);
+    /// Whether the job is on time now but would be late if a task that has run for `ran` seconds
+    /// had to start again.
+    fn restart_misses_deadline(&self, now: Timestamp, job: &Job, ran: f64) -> bool {
+        let Some(deadline) = &job.effective_deadline else { return false };
+        let left = deadline.left(now);
         let run = self.run_times.expected_run(job);
-        left >= (run - ran).max(0.0) && left < run + RESTART
+        left >= (run - ran).max(0.0) && left < run + RESTART_S
     }
 
-    /// The protocol's reasons for stopping one job's task for another's. What age has lifted is
-    /// left alone while it keeps to its part of the fleet, or it would never get done.
-    fn may_stop(
+    /// Whether the rules of preemption allow stopping a task of `other` for `job`. Aged jobs are
+    /// exempt while they stay within their share of the fleet; otherwise they would never finish.
+    fn may_be_preempted(
         &self,
         queue_key: QueueKey,
         job: &Job,
         other: &Job,
-        old: Option<Timestamp>,
+        aged_before: Option<Timestamp>,
     ) -> bool {
-        if old.is_some_and(|before| other.ready_at < before) {
+        if aged_before.is_some_and(|before| other.ready_at < before) {
             return false;
         }
-        // At last it has begun: its first task is left to its end.
-        let first = !other.has_started || (other.done == 0 && other.placed == 1);
-        if first && self.last_round.since(other.ready_at) > self.tunables.begin_within {
+        // The first task of a job that started only after `begin_within` runs to its end.
+        let runs_first_task = !other.has_started || (other.done == 0 && other.placed == 1);
+        if runs_first_task && self.last_round.since(other.ready_at) > self.tunables.begin_within {
             return false;
         }
-        // In an overload a class keeps its floor, but against a guarantee.
+        // Under overload a class keeps its floor, except against a team's guarantee.
         if !queue_key.within_guarantee && self.is_at_floor(other) {
             return false;
         }
-        // A step of a chain counts as what needs it, when it stops others and when others would stop
-        // it: stopped for work below the chain's last job, it would make that job late.
+        // A job in a chain counts with the priority inherited from its dependents, both when it
+        // preempts and when it may be preempted: stopped for work of lower priority than the
+        // chain's last job, it would make that job late.
         if other.priority < job.priority {
             return true;
         }
         if !queue_key.within_guarantee || other.spec.team == job.spec.team {
             return false;
         }
-        // Work beyond another team's guarantee gives way to a team's own guarantee.
+        // A team that is within its guarantee may preempt work of teams that exceed theirs.
         self.site.team(&other.spec.team).is_some_and(|team| {
             let TeamUsage { cpus, gpus } = self.cluster.team_usage(&other.spec.team);
             cpus > team.cpus + EPSILON || gpus > team.gpus + EPSILON
         })
     }
 
-    /// Whether the class is one whose tasks should start within a short time.
+    /// Whether tasks of the class should start within less than 30 s.
     pub(crate) fn has_short_start_objective(&self, class: &str) -> bool {
         self.site.start_objective(class).is_some_and(|w| w < TimeDelta::from_secs(30))
     }
 
-    /// Room that a job of a class with a wait aim may need at any moment.
+    /// CPUs to keep free for the next job of a class with a short start objective; the largest need
+    /// among such classes seen lately.
     pub fn headroom_cpus(&self, now: Timestamp) -> f64 {
         let jobs = if self.ordinary_is_cheap() {
             self.tunables.headroom_cheap
@@ -648,7 +674,7 @@
             .sizes
             .iter()
             .filter(|(class, _)| self.has_short_start_objective(class))
-            .filter(|(_, size)| now.since(size.last_seen) < LULL)
+            .filter(|(_, size)| now.since(size.last_seen) < HEADROOM_RETENTION)
             .map(|(_, size)| size.cpus * jobs)
             .fold(0.0, f64::max)
     }
--- a/crates/scheduler/src/queue.rs
+++ b/crates/scheduler/src/queue.rs
@@ -1,4 +1,5 @@
-//! Which jobs wait, and in what order they are served.
+//! The job queue: the order in which jobs are served, sharing of an overloaded fleet, and
+//! dependencies between jobs.
 
 pub mod dependencies;
 pub mod fair_share;
--- a/crates/scheduler/tests/dependencies.rs
+++ b/crates/scheduler/tests/dependencies.rs
@@ -1,5 +1,5 @@
-//! Job chains: nothing begins before what it needs is done by its stored end, and what stands behind a
-//! cancelled job ends with it, whoever leads and whatever is lost.
+//! Dependencies between jobs: a job starts only after the stored ends of its dependencies are
+//! `done`, and a cancellation ends all dependents, across failovers and lost messages.
 
 mod world;
 
@@ -14,7 +14,7 @@
 const FIRST: &str = "req-000001";
 const SECOND: &str = "req-000002";
 
-fn after(dependencies: &[&str]) -> JobSpec {
+fn depending_on(dependencies: &[&str]) -> JobSpec {
     JobSpec { dependencies: dependencies.iter().map(|n| (*n).to_owned()).collect(), ..spec(1) }
 }
 
@@ -22,18 +22,19 @@
     format!("req-{i:06}")
 }
 
-/// A job of one task that is done but for its end, and another that needs it.
-fn before_the_end() -> World {
+/// A job of one task whose task is finished but whose end isn't written yet, and a second job that
+/// depends on it.
+fn job_before_its_end() -> World {
     let mut w = one_machine();
     w.submit(FIRST, &spec(1));
-    w.submit(SECOND, &after(&[FIRST]));
+    w.submit(SECOND, &depending_on(&[FIRST]));
     w.settle();
     w.finish("n-1", "req-000001/0");
     w.all_report();
     w
 }
 
-fn asked(w: &mut World) -> Vec<String> {
+fn take_looked_up_names(w: &mut World) -> Vec<String> {
     w.tick();
     let mut names = Vec::new();
     w.commands.retain(|c| match c {
@@ -47,24 +48,24 @@
 }
 
 #[test]
-fn a_job_begins_in_the_turn_in_which_the_end_of_its_need_is_committed() {
-    let mut w = before_the_end();
-    // All its tasks are finished, by report; their end is not written yet.
+fn a_job_is_released_as_soon_as_the_end_of_its_dependency_is_committed() {
+    let mut w = job_before_its_end();
+    // All tasks are reported as finished; the job's end isn't written yet.
     w.tick();
     let (id, transaction) = w.take_commit();
     assert!(transaction.operations.len() == 1 && w.leader.queue(w.now).is_empty());
     let outcome = w.store.apply(&transaction);
     w.leader.transaction_answered(w.now, id, outcome);
-    assert_eq!(w.leader.queue(w.now).len(), 1, "released at once");
+    assert_eq!(w.leader.queue(w.now).len(), 1, "released by the commit");
     w.run_out();
     assert_eq!(w.end(SECOND), Some(&json!("done")));
     assert!(!w.store.keys.keys().any(|k| k.starts_with("run/") || k.starts_with("todo")));
 }
 
-/// The commit's answer is lost: the end may be stored or not, and only reading it tells.
+/// The answer to the commit is lost: the end may be stored or not, and only reading it tells.
 #[test]
-fn a_commit_in_doubt_releases_nothing() {
-    let mut w = before_the_end();
+fn a_commit_of_unknown_outcome_releases_no_job() {
+    let mut w = job_before_its_end();
     w.tick();
     let (id, transaction) = w.take_commit();
     w.store.apply(&transaction);
@@ -76,30 +77,33 @@
     let outcome = w.store.apply(&transaction);
     assert!(matches!(outcome, TransactionOutcome::Conflict { .. }));
     w.leader.transaction_answered(w.now, id, outcome);
-    assert!(w.leader.queue(w.now).is_empty(), "that it ended doesn't tell how");
-    assert_eq!(asked(&mut w), [FIRST]);
+    assert!(w.leader.queue(w.now).is_empty(), "a conflict does not tell how the job ended");
+    assert_eq!(take_looked_up_names(&mut w), [FIRST]);
     w.leader.job_ends_found(w.now, &[(FIRST.to_owned(), JobEndLookup::Ended(JobEnd::Done))]);
     assert_eq!(w.leader.queue(w.now).len(), 1);
 }
 
 #[test]
-fn that_a_job_is_over_for_some_reason_releases_nothing() {
+fn an_end_of_unknown_kind_releases_no_job() {
     let mut w = one_machine();
     w.submit(FIRST, &spec(1));
-    w.submit(SECOND, &after(&[FIRST]));
+    w.submit(SECOND, &depending_on(&[FIRST]));
     w.leader.mark_job_ended(w.now, FIRST);
     w.settle();
     assert!(w.places().is_empty() && w.leader.queue(w.now).is_empty());
 }
 
 #[test]
-fn a_take_over_knows_released_jobs_anew_when_the_records_before_are_gone() {
-    let mut w = before_the_end();
+fn a_released_job_stays_released_across_a_failover_after_its_dependency_was_deleted() {
+    let mut w = job_before_its_end();
     w.settle();
     w.all_report();
     w.settle();
-    assert!(!w.store.keys.contains_key(&keys::todo(FIRST)), "cleaned up");
-    assert_eq!(w.places().len(), 1, "the second runs");
+    assert!(
+        !w.store.keys.contains_key(&keys::todo(FIRST)),
+        "the records of the dependency are deleted"
+    );
+    assert_eq!(w.places().len(), 1, "the dependent job runs");
     w.take_over();
     w.all_report();
     assert!(w.leader.queue(w.now).is_empty());
@@ -109,21 +113,26 @@
 }
 
 #[test]
-fn a_take_over_holds_what_waits_until_the_ends_are_read() {
+fn a_new_leader_releases_no_job_until_the_ends_are_read() {
     let mut w = one_machine();
     w.store.put(&keys::job(FIRST), json!(1));
-    w.submit(SECOND, &after(&[FIRST]));
+    w.submit(SECOND, &depending_on(&[FIRST]));
     w.take_over();
     w.all_report();
     w.all_report();
-    assert_eq!(asked(&mut w), [FIRST]);
+    assert_eq!(take_looked_up_names(&mut w), [FIRST]);
     w.leader.job_ends_found(w.now, &[]);
     w.wait(1_000);
-    assert_eq!(asked(&mut w), [FIRST], "what was not answered is asked again");
+    assert_eq!(
+        take_looked_up_names(&mut w),
+        [FIRST],
+        "names without an answer are looked up again"
+    );
     w.leader.job_ends_found(w.now, &[(FIRST.to_owned(), JobEndLookup::Open)]);
     w.run_out();
     assert!(w.places().is_empty() && w.end(SECOND).is_none());
-    // Not in the registry, so no commit of this leader's tells; the watch or the next reading does.
+    // The job isn't in the registry, so no commit of this leader reports its end; the watch or the
+    // next reload does.
     assert_eq!(w.leader.open_dependencies(), [FIRST]);
     w.store.put(&keys::end(FIRST), json!("done"));
     w.leader.job_ended(w.now, FIRST, JobEnd::Done);
@@ -131,32 +140,34 @@
     assert_eq!(w.end(SECOND), Some(&json!("done")));
 }
 
-/// A cancellation goes on from the store alone: a new leader after each of its transactions.
+/// A cancellation continues from the store alone: a new leader takes over after each of its
+/// transactions.
 #[test]
-fn a_cancelled_chain_ends_at_every_depth_whoever_leads() {
+fn a_cancellation_ends_the_whole_chain_across_failovers() {
     for answered in [true, false] {
         let mut w = one_machine();
         w.submit(&name(0), &spec(1));
         for i in 1..40 {
-            w.submit(&name(i), &after(&[&name(i - 1)]));
+            w.submit(&name(i), &depending_on(&[&name(i - 1)]));
         }
         w.settle();
         w.withdraw(&name(0));
         let open = |w: &World| (0..40).filter(|&i| w.end(&name(i)).is_none()).count();
-        let mut turns = 0;
+        let mut leaders = 0;
         while open(&w) > 0 {
             w.tick();
-            // Before any other write, and as many at once as the limits allow.
+            // The ends are written before anything else, as many at once as the limits allow.
             let before = open(&w);
-            // A new leader cleans up until it has read the ends; then nothing goes before them.
+            // A new leader deletes other records until it has read the ends; after that the ends go
+            // first.
             w.commands.retain(|c| match c {
                 Command::Commit { transaction, .. } => {
                     transaction.compares.iter().any(|g| g.key.starts_with(keys::END))
                 }
                 _ => true,
             });
-            let at = w.commands.iter().position(|c| matches!(c, Command::Commit { .. }));
-            if at.is_some() {
+            let commit = w.commands.iter().position(|c| matches!(c, Command::Commit { .. }));
+            if commit.is_some() {
                 let (id, transaction) = w.take_commit();
                 let outcome = w.store.apply(&transaction);
                 assert_eq!(before - open(&w), 12.min(before), "{transaction:?}");
@@ -166,54 +177,55 @@
             }
             w.take_over();
             w.all_report();
-            let names = asked(&mut w);
+            let names = take_looked_up_names(&mut w);
             let found = w.store.ends(&names);
             w.leader.job_ends_found(w.now, &found);
-            turns += 1;
-            assert!(turns < 10, "{} are still open", open(&w));
+            leaders += 1;
+            assert!(leaders < 10, "{} are still open", open(&w));
         }
         w.run_out();
         for i in 0..40 {
             assert_eq!(w.end(&name(i)), Some(&json!("aborted")), "{i}");
         }
-        assert!(!w.store.keys.keys().any(|k| k.starts_with("todo")), "all cleaned up");
+        assert!(!w.store.keys.keys().any(|k| k.starts_with("todo")), "all records are deleted");
     }
 }
 
-/// Accepted while the job before it was being cancelled, and told only after that was cleaned up.
+/// The job is accepted while its dependency is being cancelled, and reaches the leader only after
+/// the dependency's records were deleted.
 #[test]
-fn a_job_accepted_behind_a_cancelled_one_is_cancelled() {
+fn a_job_accepted_after_its_dependency_was_cancelled_is_cancelled() {
     let mut w = one_machine();
     w.submit(FIRST, &spec(1));
     w.settle();
     w.withdraw(FIRST);
     w.run_out();
     assert!(!w.store.keys.contains_key(&keys::todo(FIRST)));
-    w.submit(SECOND, &after(&[FIRST]));
-    w.submit("req-000003", &after(&[SECOND]));
+    w.submit(SECOND, &depending_on(&[FIRST]));
+    w.submit("req-000003", &depending_on(&[SECOND]));
     w.run_out();
     assert_eq!(w.end(SECOND), Some(&json!("aborted")));
     assert_eq!(w.end("req-000003"), Some(&json!("aborted")));
 }
 
 #[test]
-fn a_cancellation_that_came_after_the_end_leaves_the_rest_to_go_on() {
-    let mut w = before_the_end();
+fn a_cancellation_after_the_end_does_not_affect_dependents() {
+    let mut w = job_before_its_end();
     w.settle();
     assert_eq!(w.end(FIRST), Some(&json!("done")));
-    // What a user is told then is the end as it is stored.
+    // The user is told the end as it is stored.
     w.leader.job_ended(w.now, FIRST, JobEnd::Done);
     w.run_out();
     assert_eq!(w.end(SECOND), Some(&json!("done")));
 }
 
-/// One of several ends was written by a user meanwhile: the others go on without it.
+/// A user's request wrote one of several ends first: the others are written all the same.
 #[test]
-fn an_end_that_a_user_wrote_first_holds_up_no_other() {
+fn an_end_written_by_a_user_does_not_hold_up_the_other_ends() {
     let mut w = one_machine();
     w.submit(FIRST, &spec(1));
     for i in 2..6 {
-        w.submit(&name(i), &after(&[FIRST]));
+        w.submit(&name(i), &depending_on(&[FIRST]));
     }
     w.settle();
     w.withdraw(FIRST);
@@ -225,36 +237,43 @@
 }
 
 #[test]
-fn a_step_has_the_priority_and_the_deadline_of_what_needs_it() {
+fn a_job_inherits_priority_and_deadline_from_its_dependents() {
     let mut w = one_machine();
     let step = JobSpec { priority: Priority::Low, deadline_s: None, ..spec(1) };
     w.submit(FIRST, &step);
     w.submit(SECOND, &JobSpec { dependencies: vec![FIRST.into()], ..step.clone() });
-    let state = |w: &World| {
+    let priority_and_slack = |w: &World| {
         let job =
             w.leader.cluster.job(w.leader.cluster.jobs_by_name[FIRST]).expect("the first step");
         (job.priority, w.leader.queue_key(w.now, job).slack)
     };
-    let (priority, alone) = state(&w);
+    let (priority, own_slack) = priority_and_slack(&w);
     assert_eq!(priority, Priority::Low);
-    let last = JobSpec { priority: Priority::High, deadline_s: Some(100.0), ..after(&[SECOND]) };
+    let last =
+        JobSpec { priority: Priority::High, deadline_s: Some(100.0), ..depending_on(&[SECOND]) };
     w.submit("req-000003", &last);
-    let (priority, pressed) = state(&w);
+    let (priority, inherited_slack) = priority_and_slack(&w);
     assert_eq!(priority, Priority::High);
-    // 100 s less three runs of 10 s, of which two are later steps with what they take beyond.
-    assert!((50.0..70.0).contains(&pressed) && alone > 1_000.0, "{pressed} {alone}");
-    // A tighter one behind the same step, and its end.
+    // 100 s less three runs of 10 s; two of them are of later jobs, which take some time more.
+    assert!(
+        (50.0..70.0).contains(&inherited_slack) && own_slack > 1_000.0,
+        "{inherited_slack} {own_slack}"
+    );
+    // A job with a tighter deadline depends on the same job, and is then cancelled.
     w.submit("req-000004", &JobSpec { deadline_s: Some(60.0), ..last.clone() });
-    assert!(state(&w).1 < pressed - 35.0);
+    assert!(priority_and_slack(&w).1 < inherited_slack - 35.0);
     w.withdraw("req-000004");
-    assert!((state(&w).1 - pressed).abs() < 0.5);
+    assert!((priority_and_slack(&w).1 - inherited_slack).abs() < 0.5);
     w.withdraw("req-000003");
-    assert_eq!((state(&w).0, state(&w).1 > 1_000.0), (Priority::Low, true));
+    assert_eq!(
+        (priority_and_slack(&w).0, priority_and_slack(&w).1 > 1_000.0),
+        (Priority::Low, true)
+    );
 }
 
-/// After a failover the steps of a chain come in the order of their names, which is any.
+/// After a failover the jobs of a chain are loaded in the order of their names, which is arbitrary.
 #[test]
-fn a_take_over_knows_the_priorities_of_a_chain_in_whatever_order_it_is_read() {
+fn inherited_priorities_are_restored_after_a_failover_in_any_load_order() {
     for names in
         [["req-1", "req-2", "req-3"], ["req-3", "req-2", "req-1"], ["req-2", "req-3", "req-1"]]
     {
@@ -264,62 +283,62 @@
         w.submit(names[1], &JobSpec { dependencies: vec![names[0].into()], ..step.clone() });
         let dependencies = vec![names[1].into()];
         w.submit(names[2], &JobSpec { priority: Priority::High, dependencies, ..spec(1) });
-        let state = |w: &World| {
+        let inherited = |w: &World| {
             let job = |n: &str| {
                 w.leader.cluster.job(w.leader.cluster.jobs_by_name[n]).cloned().expect("job")
             };
-            names.map(|n| (job(n).priority, job(n).effective_deadline.map(|d| d.after_s.round())))
+            names.map(|n| (job(n).priority, job(n).effective_deadline.map(|d| d.chain_s.round())))
         };
-        let before = state(&w);
+        let before = inherited(&w);
         assert!(before.iter().all(|s| s.0 == Priority::High), "{before:?}");
         w.take_over();
-        assert_eq!(state(&w), before, "{names:?}");
+        assert_eq!(inherited(&w), before, "{names:?}");
     }
 }
 
 #[test]
-fn what_waits_takes_no_part_in_any_decision() {
+fn blocked_jobs_are_not_queued_and_request_no_machines() {
     let mut w = World::new(&[]);
     w.store.put(&keys::job(FIRST), json!(1));
-    let large = JobSpec { tasks: 60, deadline_s: Some(5.0), ..after(&[FIRST]) };
+    let large = JobSpec { tasks: 60, deadline_s: Some(5.0), ..depending_on(&[FIRST]) };
     w.submit(SECOND, &large);
     w.settle();
     w.wait(60_000);
     w.leader.autoscale(w.now);
-    let rents = |w: &mut World| {
+    let requests_machines = |w: &mut World| {
         let commands = w.leader.take_commands();
         commands.iter().any(|c| matches!(c, Command::ScaleOut { .. }))
     };
-    assert!(!rents(&mut w) && w.leader.queue(w.now).is_empty());
+    assert!(!requests_machines(&mut w) && w.leader.queue(w.now).is_empty());
     w.leader.job_ended(w.now, FIRST, JobEnd::Done);
     let queue = w.leader.queue(w.now);
     assert_eq!(queue.len(), 1);
-    assert_eq!(queue[0].0.accepted, w.now, "its times count from here");
+    assert_eq!(queue[0].0.ready_at, w.now, "its wait counts from its release");
     w.wait(1_000);
     w.leader.autoscale(w.now);
-    assert!(rents(&mut w));
+    assert!(requests_machines(&mut w));
 }
 
 #[test]
-fn a_need_that_nobody_submitted_keeps_its_job_queued_and_is_told_once() {
+fn a_dependency_that_was_never_submitted_blocks_the_job_and_is_logged_once() {
     let mut w = one_machine();
-    w.submit(SECOND, &after(&[FIRST]));
-    let mut notes = 0;
+    w.submit(SECOND, &depending_on(&[FIRST]));
+    let mut log_count = 0;
     for _ in 0..5 {
-        let names = asked(&mut w);
+        let names = take_looked_up_names(&mut w);
         let found = w.store.ends(&names);
         w.leader.job_ends_found(w.now, &found);
         let commands = w.leader.take_commands();
-        let told = |c: &&Command| {
+        let is_log_entry = |c: &&Command| {
             matches!(
                 c,
                 Command::Log(Event::Anomaly { kind: Anomaly::DependencyNeverSubmitted, .. })
             )
         };
-        notes += commands.iter().filter(told).count();
+        log_count += commands.iter().filter(is_log_entry).count();
         w.wait(1_000);
     }
-    assert_eq!(notes, 1);
+    assert_eq!(log_count, 1);
     assert!(w.places().is_empty());
     w.withdraw(SECOND);
     w.run_out();
@@ -327,10 +346,10 @@
 }
 
 #[test]
-fn records_that_name_each_other_in_a_circle_do_no_harm() {
+fn jobs_in_a_dependency_cycle_never_run_and_can_be_cancelled() {
     let mut w = one_machine();
-    w.submit(FIRST, &after(&[SECOND]));
-    w.submit(SECOND, &after(&[FIRST, SECOND]));
+    w.submit(FIRST, &depending_on(&[SECOND]));
+    w.submit(SECOND, &depending_on(&[FIRST, SECOND]));
     w.run_out();
     assert!(w.places().is_empty());
     w.withdraw(FIRST);
@@ -339,34 +358,34 @@
 }
 
 #[test]
-fn long_chains_wide_ones_and_diamonds_work() {
+fn long_wide_and_diamond_shaped_dependency_graphs_work() {
     let mut w = one_machine();
-    // A chain of hundreds of steps, whose last presses the first.
+    // A chain of hundreds of jobs, whose last one gives its priority to the first.
     w.submit(&name(0), &spec(1));
     for i in 1..600 {
-        w.submit(&name(i), &JobSpec { deadline_s: None, ..after(&[&name(i - 1)]) });
+        w.submit(&name(i), &JobSpec { deadline_s: None, ..depending_on(&[&name(i - 1)]) });
     }
-    w.submit(&name(600), &JobSpec { priority: Priority::Prod, ..after(&[&name(599)]) });
+    w.submit(&name(600), &JobSpec { priority: Priority::Prod, ..depending_on(&[&name(599)]) });
     assert_eq!(
         w.leader.cluster.job(w.leader.cluster.jobs_by_name[&name(0)]).map(|j| j.priority),
         Some(Priority::Prod)
     );
-    // Thousands behind one job, and one behind many of them.
+    // Thousands of jobs that depend on one, and one that depends on many of them.
     w.submit(&name(1_000), &spec(1));
     for i in 2_000..5_000 {
-        w.submit(&name(i), &after(&[&name(1_000)]));
+        w.submit(&name(i), &depending_on(&[&name(1_000)]));
     }
     let many: Vec<String> = (2_000..2_064).map(name).collect();
     let many: Vec<&str> = many.iter().map(String::as_str).collect();
-    w.submit(&name(5_000), &after(&many));
-    // Diamonds one behind the other: 2^20 ways through them.
+    w.submit(&name(5_000), &depending_on(&many));
+    // A sequence of diamonds, with 2^20 paths through it.
     w.submit(&name(6_000), &spec(1));
     for i in 0..20 {
         let top = name(6_000 + 3 * i);
         let (left, right) = (name(6_001 + 3 * i), name(6_002 + 3 * i));
-        w.submit(&left, &after(&[&top]));
-        w.submit(&right, &after(&[&top]));
-        w.submit(&name(6_003 + 3 * i), &after(&[&left, &right]));
+        w.submit(&left, &depending_on(&[&top]));
+        w.submit(&right, &depending_on(&[&top]));
+        w.submit(&name(6_003 + 3 * i), &depending_on(&[&left, &right]));
     }
     for first in [0, 1_000, 6_000] {
         w.withdraw(&name(first));
