--- a/crates/scheduler/tests/autoscaling.rs
+++ b/crates/scheduler/tests/autoscaling.rs
@@ -1,4 +1,5 @@
-//! The fleet and the rounds at the size of thousands: what is rented, returned, trusted and looked at.
+//! Scaling out and in, machine health and failover, and the cost of scheduling rounds with
+//! thousands of machines.
 
 mod world;
 
@@ -17,55 +18,58 @@
 
 const JOB: &str = "req-000001";
 
-/// A job with time to spare waits for running work to make room, but not on an empty fleet.
+/// A job with time to spare waits for running work to free capacity. On an empty fleet there is
+/// none, and the job must get a machine without delay.
 #[test]
-fn a_job_with_time_to_spare_gets_a_machine_where_there_is_none() {
+fn a_job_with_slack_gets_a_machine_at_once_on_an_empty_fleet() {
     let mut w = World::new(&[]);
     w.submit(JOB, &JobSpec { deadline_s: None, ..spec(6) });
     w.leader.machine_list(w.now, &[]);
     w.wait(1_000);
     w.leader.autoscale(w.now);
-    let asked = w.leader.take_commands();
-    assert!(asked.iter().any(|c| matches!(c, Command::ScaleOut { .. })), "{asked:?}");
+    let commands = w.leader.take_commands();
+    assert!(commands.iter().any(|c| matches!(c, Command::ScaleOut { .. })), "{commands:?}");
 }
 
-/// And it doesn't wait for ever for work that never ends.
+/// A job with time to spare waits for running work at most for `rent_slack`, here 60 s, even if
+/// that work never ends.
 #[test]
-fn a_job_with_time_to_spare_does_not_wait_for_ever() {
+fn a_job_with_slack_waits_for_running_work_at_most_for_rent_slack() {
     let mut w = one_machine();
     w.submit("req-000009", &spec(4));
     w.settle();
     w.submit(JOB, &JobSpec { deadline_s: None, ..spec(2) });
-    let mut rented_after = None;
+    let mut requested_after = None;
     for second in 0..90 {
         w.wait(1_000);
         w.heartbeat("n-1");
         w.leader.machine_list(w.now, &[]);
         w.leader.autoscale(w.now);
-        let rents = |c: &Command| matches!(c, Command::ScaleOut { .. });
-        if w.leader.take_commands().iter().any(rents) {
-            rented_after.get_or_insert(second);
+        let is_scale_out = |c: &Command| matches!(c, Command::ScaleOut { .. });
+        if w.leader.take_commands().iter().any(is_scale_out) {
+            requested_after.get_or_insert(second);
         }
     }
-    assert!(rented_after.is_some_and(|s| (50..70).contains(&s)), "{rented_after:?}");
+    assert!(requested_after.is_some_and(|s| (50..70).contains(&s)), "{requested_after:?}");
 }
 
-/// A new leader asks the machines it was told of, idle ones too, and doesn't wait for their next
-/// reports; one that was told wrongly holds nothing up.
+/// A new leader polls the machines whose addresses it was given, idle ones too, instead of waiting
+/// for their next heartbeats. An address of a machine that doesn't exist holds nothing up.
 #[test]
-fn a_take_over_asks_the_machines_it_was_told_of() {
+fn a_new_leader_polls_machines_known_by_address() {
     let mut w = World::new(&[("n-1", "a")]);
     w.take_over();
     w.leader.cluster.hint_address(w.now, "n-1", "10.0.0.1:1");
     w.leader.cluster.hint_address(w.now, "n-gone", "10.0.0.9:1");
     w.submit(JOB, &spec(1));
     w.settle();
-    assert_eq!(w.places().len(), 1, "placed before any report came");
+    assert_eq!(w.places().len(), 1, "placed before any heartbeat came");
 }
 
-/// A leader that no worker reaches any more says so, but not while one of them still reports.
+/// A leader that gets no heartbeat from any worker detects it, but not while one of them still
+/// reports.
 #[test]
-fn a_leader_that_hears_of_no_worker_is_deaf() {
+fn silence_is_detected_only_when_no_worker_reports() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "b")]);
     assert!(!w.leader.receives_no_heartbeats(w.now));
     w.wait(20_000);
@@ -74,9 +78,10 @@
     assert!(!w.leader.receives_no_heartbeats(w.now), "one worker is heard");
 }
 
-/// The fleet once stopped growing at 400 machines, rented and wanted together, whatever waited.
+/// Regression test: the fleet used to stop growing at 400 machines, present and requested together,
+/// whatever was queued.
 #[test]
-fn a_large_fleet_grows_as_far_as_the_work_needs() {
+fn scale_out_of_a_large_fleet_is_limited_only_by_demand() {
     let names: Vec<String> = (0..500).map(|i| format!("n-{i:03}")).collect();
     let machines: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "a")).collect();
     let mut w = World::new(&machines);
@@ -85,7 +90,7 @@
         w.submit(&format!("req-00000{i}"), &JobSpec { cpus: 8.0, ..spec(100) });
     }
     w.all_report();
-    let mut got = 0;
+    let mut granted = 0;
     for _ in 0..20 {
         w.wait(600);
         w.all_report();
@@ -93,21 +98,22 @@
         w.leader.autoscale(w.now);
         for command in w.leader.take_commands() {
             if let Command::ScaleOut { kind, zone, spot, count } = command {
-                assert!(count <= 50, "by the protocol");
-                let names: Vec<String> = (0..count).map(|i| format!("r-{:04}", got + i)).collect();
-                got += count;
+                assert!(count <= 50, "limit of the cloud API");
+                let names: Vec<String> =
+                    (0..count).map(|i| format!("r-{:04}", granted + i)).collect();
+                granted += count;
                 w.leader.scale_out_answered(w.now, &kind, &zone, spot, count, Ok(names));
             }
         }
     }
-    assert_eq!(got, 300, "800 tasks, a machine each, and 500 machines");
+    assert_eq!(granted, 300, "800 tasks of one machine each, and 500 machines");
 }
 
-/// Counts of writes, at the tighter deployment's size. Evidence was once written every second for
-/// every job with a finish, and clean-up at once: most of 20 changes a second, which starts and
-/// acceptances then waited for.
+/// Counts transactions at the size of the deployment with the tighter limits. Evidence used to be
+/// written every second for every job with a finished task, and records were deleted at once: that
+/// took most of 20 changes a second, and starts and acceptances waited.
 #[test]
-fn finishes_share_few_writes_and_starts_go_first() {
+fn finished_tasks_are_written_in_batches_and_starts_first() {
     let mut w = World::new(&[]);
     for i in 0..100 {
         let name = format!("n-{i:03}");
@@ -117,12 +123,12 @@
     w.all_report();
     w.submit(JOB, &spec(300));
     w.settle();
-    let puts = |w: &World| {
+    let revision_and_keys = |w: &World| {
         let keys = w.store.keys.values().map(|v| v.1).collect::<std::collections::BTreeSet<_>>();
         (w.store.store_revision, keys.len())
     };
-    let before = puts(&w).0;
-    // One task after the other ends, over half a minute.
+    let before = revision_and_keys(&w).0;
+    // The tasks end one after the other over 30 s.
     for index in 0..300 {
         let task = format!("{JOB}/{index}");
         let machine = w.places()[&task][0].clone();
@@ -132,11 +138,11 @@
         w.settle();
     }
     assert_eq!(w.end(JOB), Some(&json!("done")));
-    // Four chunks, every four seconds, and 30 + 300 * 1.0 s of settling.
-    let writes = puts(&w).0.get() - before.get();
+    // Four chunks written every four seconds, and 30 + 300 * 1.0 s of settling.
+    let writes = revision_and_keys(&w).0.get() - before.get();
     assert!(writes < 330 / 4 + 10, "{writes} transactions for 300 finishes");
 
-    // With room for two changes, they go to the start of the more urgent job.
+    // Two more changes are allowed: they go to the start of the more urgent job.
     w.settle();
     w.submit("req-000002", &spec(4));
     w.submit(
@@ -160,17 +166,17 @@
     assert!(commits[0].compares.iter().any(|g| g.key == keys::run("req-000003", 0)));
 }
 
-/// A round's cost at full size, counted in machines looked at. It once was tasks times machines: each
-/// of a burst's tasks looked at all of some hundred machines, and so did every job that waited, in
-/// every round.
+/// Counts the machines that a round examines at full size. It used to be tasks times machines: each
+/// task of a burst examined all of some hundred machines, and so did every queued job in every
+/// round.
 #[test]
-fn a_round_looks_at_machines_with_room_and_once_a_job() {
+fn a_round_examines_only_machines_with_free_capacity_once_per_job() {
     let names: Vec<String> = (0..2_060).map(|i| format!("n-{i:04}")).collect();
     let machines: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "a")).collect();
     let mut w = World::new(&machines);
     w.submit("req-000001", &JobSpec { cpus: 8.0, ..spec(300) });
     w.tick();
-    assert_eq!(w.leader.examined.machines, 2_060, "one look for 300 tasks");
+    assert_eq!(w.leader.examined.machines, 2_060, "each machine is examined once for 300 tasks");
     w.settle();
     assert_eq!(w.places().len(), 300);
     w.submit("req-000002", &JobSpec { cpus: 8.0, ..spec(1_760) });
@@ -182,8 +188,12 @@
     let before = w.leader.examined.machines;
     w.leader.cluster.placement_needed = true;
     w.tick();
-    assert_eq!(w.leader.examined.machines - before, 0, "60 jobs wait and no machine has room");
-    // One machine has room: it alone is looked at, until it is full.
+    assert_eq!(
+        w.leader.examined.machines - before,
+        0,
+        "60 jobs are queued and no machine has free capacity"
+    );
+    // One machine has free capacity: only that one is examined, until it is full.
     w.finish("n-0007", &w.places().into_iter().find(|p| p.1[0] == "n-0007").expect("task").0);
     w.heartbeat("n-0007");
     let before = w.leader.examined.machines;
@@ -191,10 +201,10 @@
     assert_eq!(w.leader.examined.machines - before, 1);
 }
 
-/// A failover asks the whole fleet, a part at a time: sockets and processor are for starts and for
-/// answers to workers first.
+/// After a failover the new leader polls the whole fleet in batches, so that sockets and CPU stay
+/// available for starts and for answers to workers.
 #[test]
-fn a_take_over_asks_a_large_fleet_in_parts() {
+fn a_new_leader_polls_a_large_fleet_in_batches() {
     let names: Vec<String> = (0..2_060).map(|i| format!("n-{i:04}")).collect();
     let machines: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "a")).collect();
     let mut w = World::new(&machines);
@@ -203,7 +213,7 @@
         w.leader.cluster.hint_address(w.now, name, "10.0.0.1:1");
     }
     let mut rounds = 0;
-    let seen = |w: &World| {
+    let acknowledged = |w: &World| {
         w.leader
             .cluster
             .machines
@@ -211,9 +221,9 @@
             .filter(|m| m.fence.acknowledged() > FencingToken(0))
             .count()
     };
-    while seen(&w) < 2_060 {
+    while acknowledged(&w) < 2_060 {
         rounds += 1;
-        assert!(rounds < 90, "{} of 2,060 asked after 90 rounds", seen(&w));
+        assert!(rounds < 90, "{} of 2,060 polled after 90 rounds", acknowledged(&w));
         w.wait(150);
         w.tick();
         let sent = std::mem::take(&mut w.commands);
@@ -226,11 +236,11 @@
     }
 }
 
-/// Seen on the rough day of the grown maps cluster: within a second of each failover a third of the
-/// fleet was given back as "never came up", since it was older than a boot and had not reported to
-/// the new leader yet.
+/// Regression test: within a second of each failover a third of the fleet was returned as "never
+/// came up", since it was older than a boot and hadn't reported to the new leader yet. Seen on a
+/// day with many disruptions, on a cluster that had grown.
 #[test]
-fn a_take_over_gives_idle_machines_time_to_answer() {
+fn a_new_leader_gives_idle_machines_time_to_answer_before_draining() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "b")]);
     w.take_over();
     let listed = |name: &str| ListedMachine {
@@ -243,10 +253,10 @@
         age_s: 500.0,
     };
     w.leader.machine_list(w.now, &[listed("n-1"), listed("n-2"), listed("n-dead")]);
-    let mut given_up: Vec<(u64, String)> = Vec::new();
-    // They answer after some seconds, as in a failover of hundreds.
-    let awake = |w: &mut World, on: bool| w.workers.values_mut().for_each(|k| k.alive = on);
-    awake(&mut w, false);
+    let mut drained: Vec<(u64, String)> = Vec::new();
+    // The machines answer after some seconds, as in a failover with hundreds of them.
+    let set_alive = |w: &mut World, on: bool| w.workers.values_mut().for_each(|k| k.alive = on);
+    set_alive(&mut w, false);
     for second in 0..20 {
         w.wait(1_000);
         w.leader.autoscale(w.now);
@@ -256,30 +266,30 @@
                 reason: DrainReason::NeverCameUp,
             }) = command
             {
-                given_up.push((second, machine));
+                drained.push((second, machine));
             }
         }
         if second == 4 {
-            awake(&mut w, true);
+            set_alive(&mut w, true);
         }
         w.settle();
     }
-    assert_eq!(given_up.len(), 1, "{given_up:?}");
-    assert!(given_up[0].1 == "n-dead" && given_up[0].0 >= 9, "{given_up:?}");
+    assert_eq!(drained.len(), 1, "{drained:?}");
+    assert!(drained[0].1 == "n-dead" && drained[0].0 >= 9, "{drained:?}");
 }
 
-/// A third of the spot machines got notice, and their tasks stayed until the machines were gone and
-/// found to be gone.
+/// Regression test: a third of the spot machines got an interruption notice, and their tasks stayed
+/// until the machines were gone and found to be gone.
 #[test]
-fn notice_moves_what_would_not_be_done_in_time_if_there_is_room() {
+fn interruption_notice_moves_tasks_that_cannot_finish_if_capacity_is_free() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
     w.submit("req-000001", &JobSpec { estimate_s: 60.0, ..spec(1) });
     w.submit("req-000002", &JobSpec { estimate_s: 4.0, ..spec(1) });
     w.settle();
     let name = w.places()["req-000001/0"][0].clone();
-    assert_eq!(w.places()["req-000002/0"][0], name, "the fullest");
+    assert_eq!(w.places()["req-000002/0"][0], name, "the fullest machine is preferred");
     w.all_report();
-    let interruption_at = |w: &mut World| {
+    let send_interruption_notice = |w: &mut World| {
         w.workers.get_mut(&name).expect("worker").interruption_at = Some(12.0);
         w.heartbeat(&name);
         w.leader.autoscale(w.now);
@@ -287,23 +297,24 @@
         w.all_report();
         w.settle();
     };
-    interruption_at(&mut w);
+    send_interruption_notice(&mut w);
     let places = w.places();
     assert_ne!(places["req-000001/0"][0], name, "moved");
-    assert_eq!(places["req-000002/0"][0], name, "will be done in time");
-    // With nowhere to go it stays.
+    assert_eq!(places["req-000002/0"][0], name, "finishes before the interruption");
+    // Without free capacity elsewhere the task stays.
     let mut w = World::new(&[("n-1", "a")]);
     w.submit("req-000001", &JobSpec { estimate_s: 60.0, ..spec(1) });
     w.settle();
     w.all_report();
-    interruption_at(&mut w);
+    send_interruption_notice(&mut w);
     assert_eq!(w.places().len(), 1);
 }
 
-/// With reports every six seconds, give or take a quarter, each machine whose report was a bit late
-/// was given back with its work: patience was six and a half seconds, whatever the interval.
+/// Regression test: patience used to be six and a half seconds whatever the heartbeat interval.
+/// With heartbeats every six seconds, give or take a quarter, each machine that reported a bit late
+/// was returned with its tasks.
 #[test]
-fn patience_counts_from_when_a_report_is_overdue() {
+fn patience_with_a_silent_machine_starts_when_its_heartbeat_is_overdue() {
     for heartbeat in [3, 6, 20] {
         let site = Site {
             heartbeat_interval: TimeDelta::from_secs(heartbeat),
@@ -316,12 +327,12 @@
         let holder = w.places()["req-000001/0"][0].clone();
         w.all_report();
         let mut silent_ms = 0;
-        let given_back = loop {
+        let returned_after = loop {
             w.wait(100);
             silent_ms += 150;
             w.tick();
             w.leader.autoscale(w.now);
-            // Nobody is asked successfully; the others report.
+            // No poll is answered; the other machines report.
             for name in ["n-1", "n-2", "n-3"].into_iter().filter(|n| *n != holder) {
                 w.heartbeat(name);
             }
@@ -341,20 +352,20 @@
             }
             assert!(silent_ms < 60_000);
         };
-        // Late by a quarter and asked, with the two seconds that a question may take.
+        // A quarter of an interval of delay, a poll, and the two seconds that the poll may take.
         assert!(
-            given_back as f64 > heartbeat as f64 * 1_250.0 + 2_000.0,
-            "{heartbeat}: {given_back} ms"
+            returned_after as f64 > heartbeat as f64 * 1_250.0 + 2_000.0,
+            "{heartbeat}: {returned_after} ms"
         );
         assert!(
-            given_back as f64 <= heartbeat as f64 * 1_400.0 + 3_000.0,
-            "{heartbeat}: {given_back} ms"
+            returned_after as f64 <= heartbeat as f64 * 1_400.0 + 3_000.0,
+            "{heartbeat}: {returned_after} ms"
         );
     }
 }
 
 #[test]
-fn machines_that_are_long_gone_leave_their_places() {
+fn machines_terminated_long_ago_are_removed_from_the_registry() {
     let mut w = World::new(&[("n-1", "a")]);
     for i in 0..3_000 {
         let name = format!("x-{i:06}");
@@ -362,7 +373,7 @@
         w.leader.machine_gone(w.now, &name);
         w.wait(1_000);
     }
-    // Those of the last ten minutes are remembered, against late heartbeats of them.
+    // Machines that terminated within the last ten minutes are kept, in case of late heartbeats.
     let table = w.leader.cluster.machines.len();
     assert!((500..700).contains(&table), "{table}");
     assert_eq!(w.leader.cluster.machines_by_name.len(), table);
@@ -372,11 +383,12 @@
     );
 }
 
-/// A leader cut off from the workers gave back 500 of 800 machines, those that had reported longest ago
-/// first, before it found that it heard of none. A cut of one zone looks the same for that zone.
+/// Regression test: a leader cut off from the workers returned 500 of 800 machines, those with the
+/// oldest heartbeats first, before it found that it heard none. When one zone is cut off, the
+/// machines of that zone look the same.
 #[test]
-fn a_zone_that_is_unheard_as_a_whole_is_not_given_back_one_by_one() {
-    for cut in [vec!["a"], vec!["a", "b"]] {
+fn machines_of_a_completely_silent_zone_are_not_returned() {
+    for silent_zones in [vec!["a"], vec!["a", "b"]] {
         let names: Vec<(String, &str)> =
             (0..40).map(|i| (format!("n-{i:03}"), if i % 2 == 0 { "a" } else { "b" })).collect();
         let machines: Vec<(&str, &str)> = names.iter().map(|(n, z)| (n.as_str(), *z)).collect();
@@ -388,54 +400,55 @@
             },
             &machines,
         );
-        // Work on every machine, and more of it than fits.
+        // Every machine has tasks, and more are queued than fit.
         w.submit(JOB, &JobSpec { cpus: 8.0, estimate_s: 900.0, deadline_s: Some(1.0), ..spec(60) });
         w.settle();
-        // Reports come one after the other, each machine's every five seconds.
-        let (mut given_back, mut rented, mut deaf_at) = (0, 0, None);
+        // Heartbeats arrive one by one, each machine's every five seconds.
+        let (mut returned_count, mut requested, mut silence_detected_at) = (0, 0, None);
         for step in 0..200 {
             let (name, zone) = machines[step % 40];
             let at_ms = step as u64 * 125;
-            if at_ms < 5_000 || !cut.contains(&zone) {
+            if at_ms < 5_000 || !silent_zones.contains(&zone) {
                 w.heartbeat(name);
             }
             w.wait(75);
             w.tick();
             w.leader.autoscale(w.now);
-            if deaf_at.is_none() && w.leader.receives_no_heartbeats(w.now) {
-                deaf_at = Some(at_ms);
+            if silence_detected_at.is_none() && w.leader.receives_no_heartbeats(w.now) {
+                silence_detected_at = Some(at_ms);
             }
             w.commands.extend(w.leader.take_commands());
             for command in std::mem::take(&mut w.commands) {
-                let cut_for = at_ms.saturating_sub(5_000);
+                let silent_for_ms = at_ms.saturating_sub(5_000);
                 match command {
-                    Command::ScaleIn { machines } => given_back += machines.len(),
-                    Command::ScaleOut { count, .. } if cut_for > 3_000 => rented += count,
+                    Command::ScaleIn { machines } => returned_count += machines.len(),
+                    Command::ScaleOut { count, .. } if silent_for_ms > 3_000 => requested += count,
                     _ => {}
                 }
             }
         }
-        assert_eq!(given_back, 0, "{cut:?}");
-        match cut.len() {
-            1 => assert_eq!(deaf_at, None),
+        assert_eq!(returned_count, 0, "{silent_zones:?}");
+        match silent_zones.len() {
+            1 => assert_eq!(silence_detected_at, None),
             _ => {
-                assert_eq!(rented, 0, "nothing is rented for what only isn't heard");
-                let at = deaf_at.expect("deaf at last");
+                assert_eq!(requested, 0, "no machine is requested to replace silent ones");
+                let at = silence_detected_at.expect("silence is detected");
                 assert!((9_000..11_000).contains(&at), "{at} ms");
             }
         }
     }
 }
 
-/// Counted from the failover, run times were learned far too short, all that ran on looked slow beside
-/// them, and a fifth of a fleet without a slow machine was drained.
+/// Regression test: run times were measured from the failover and learned as far too short. All
+/// tasks that ran on looked slow beside them, and a fifth of a fleet without a slow machine was
+/// drained.
 #[test]
-fn a_new_leader_knows_for_how_long_tasks_have_run() {
+fn run_times_include_the_time_before_a_failover() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a"), ("n-3", "a"), ("n-4", "b")]);
     w.submit(JOB, &JobSpec { cpus: 4.0, estimate_s: 100.0, deadline_s: Some(900.0), ..spec(8) });
     w.settle();
     w.all_report();
-    let keep_running = |w: &mut World, seconds: u64| {
+    let advance_seconds = |w: &mut World, seconds: u64| {
         for _ in 0..seconds {
             w.wait(950);
             w.settle();
@@ -444,12 +457,12 @@
             w.commands.extend(w.leader.take_commands());
         }
     };
-    keep_running(&mut w, 40);
+    advance_seconds(&mut w, 40);
     w.take_over();
     w.settle();
     w.all_report();
-    keep_running(&mut w, 3);
-    // Three are done after some 80 s (a settling takes a second too), the others run on.
+    advance_seconds(&mut w, 3);
+    // Three tasks are done after some 80 s (each settling takes a second too), the others run on.
     let tasks: Vec<(String, String)> = w
         .workers
         .values()
@@ -459,7 +472,7 @@
     for (machine, task) in tasks {
         w.finish(&machine, &task);
     }
-    keep_running(&mut w, 8);
+    advance_seconds(&mut w, 8);
     let ix = w.leader.cluster.jobs_by_name[JOB];
     let job = w.leader.cluster.job(ix).expect("the job");
     let ran = job.run_times.0 / f64::from(job.run_times.1.max(1));
@@ -467,16 +480,18 @@
     assert!((75.0..100.0).contains(&ran), "ran {ran} s");
     assert!(
         w.leader.cluster.machines.iter().all(|m| m.drain_reason != Some(DrainReason::Slow)),
-        "none is slow"
+        "no machine is slow"
     );
 }
 
-/// Jobs of many short, pressed tasks were late whenever the cloud took one spot machine of many.
+/// Regression test: jobs of many short, urgent tasks were late whenever the cloud reclaimed one of
+/// many spot machines.
 #[test]
-fn pressed_work_goes_to_ordinary_machines_where_they_cost_little_more() {
-    for (price, apart) in [(0.5, true), (3.0, false)] {
-        let quick = Objective::Wait { class: "quick".into(), within: TimeDelta::from_secs(3) };
-        let site = Site { objectives: vec![quick], ..site() };
+fn jobs_with_short_start_objectives_use_ordinary_machines_while_cheap() {
+    for (price, separated) in [(0.5, true), (3.0, false)] {
+        let short_start =
+            Objective::Wait { class: "quick".into(), within: TimeDelta::from_secs(3) };
+        let site = Site { objectives: vec![short_start], ..site() };
         let mut w = World::of(site, &[("n-1", "a"), ("n-2", "a")]);
         w.leader.cluster.set_types(vec![MachineType { price, ..types().remove(0) }]);
         w.leader.cluster.machines[0].spot = true;
@@ -484,23 +499,26 @@
         w.submit("req-000002", &JobSpec { class: "quick".into(), ..spec(1) });
         w.settle();
         let places = w.places();
-        if apart {
+        if separated {
             assert_eq!(
                 places["req-000001/0"],
                 ["n-1"],
-                "what has time leaves the ordinary one free"
+                "jobs with slack leave the ordinary machine free"
             );
             assert_eq!(places["req-000002/0"], ["n-2"]);
         } else {
-            assert_eq!(places["req-000001/0"], places["req-000002/0"], "the fullest");
+            assert_eq!(
+                places["req-000001/0"], places["req-000002/0"],
+                "the fullest machine is preferred"
+            );
         }
     }
 }
 
-/// Each look rented anew for a job whose machines on their way a more urgent job, for which nothing dear is
-/// rented, took on paper.
+/// Regression test: each assessment requested machines again for a job whose booting machines were
+/// assigned, in the simulation, to a more urgent job for which no expensive machine is requested.
 #[test]
-fn dear_machines_are_rented_once_for_the_same_need() {
+fn expensive_machines_are_requested_once_for_the_same_demand() {
     let mut w = one_machine();
     let late = JobSpec { priority: Priority::High, deadline_s: Some(1.0), ..spec(200) };
     w.submit("req-000001", &late);
@@ -508,7 +526,7 @@
     w.settle();
     w.all_report();
     w.leader.machine_list(w.now, &[]);
-    let mut rented = 0;
+    let mut granted_count = 0;
     for _ in 0..12 {
         w.wait(500);
         w.tick();
@@ -516,20 +534,22 @@
         w.commands.extend(w.leader.take_commands());
         for command in std::mem::take(&mut w.commands) {
             let Command::ScaleOut { kind, zone, spot, count } = command else { continue };
-            let names = (rented..rented + count).map(|i| format!("x-{i:03}")).collect();
-            let got = if spot { Vec::new() } else { names };
-            rented += got.len() as u32;
-            w.leader.scale_out_answered(w.now, &kind, &zone, spot, count, Ok(got));
+            let names =
+                (granted_count..granted_count + count).map(|i| format!("x-{i:03}")).collect();
+            let granted = if spot { Vec::new() } else { names };
+            granted_count += granted.len() as u32;
+            w.leader.scale_out_answered(w.now, &kind, &zone, spot, count, Ok(granted));
         }
     }
-    // Sixteen tasks of two processors, eight on a machine.
-    assert!((1..=4).contains(&rented), "{rented} machines");
+    // Sixteen tasks of two CPUs, at most eight on a machine.
+    assert!((1..=4).contains(&granted_count), "{granted_count} machines");
 }
 
-/// One job's tasks failed 412 times on one machine: it was the first to be free each time. Three such
-/// machines made the job look at fault, and no machine was blamed.
+/// Regression test: one job's tasks failed 412 times on one machine, since it was the first with
+/// free capacity each time. With three such machines the job seemed to be at fault, and no machine
+/// was drained.
 #[test]
-fn a_job_keeps_away_from_machines_that_failed_it_and_they_are_drained() {
+fn machines_that_fail_tasks_are_avoided_by_the_job_and_drained() {
     use walnutlug_scheduler::protocol::workers::{ExitReason, TaskState};
     let names: Vec<String> = (0..8).map(|i| format!("n-{i}")).collect();
     let machines: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "a")).collect();
@@ -540,14 +560,14 @@
             w.submit(&format!("req-0000{round:02}"), &spec(10));
         }
         w.settle();
-        // The first three are sick, the others complete.
+        // The first three machines are faulty; tasks on the others complete.
         for worker in w.workers.values_mut() {
-            let sick = ["n-0", "n-1", "n-2"].contains(&worker.name.as_str());
+            let faulty = ["n-0", "n-1", "n-2"].contains(&worker.name.as_str());
             for state in worker.tasks.values_mut().filter(|s| s.0 != TaskState::Exited) {
-                failures += u32::from(sick);
+                failures += u32::from(faulty);
                 *state = (
                     TaskState::Exited,
-                    Some(if sick { ExitReason::Error } else { ExitReason::Done }),
+                    Some(if faulty { ExitReason::Error } else { ExitReason::Done }),
                 );
             }
         }
@@ -563,59 +583,66 @@
         .map(|m| m.name.as_str())
         .collect();
     assert_eq!(drained, ["n-0", "n-1", "n-2"]);
-    // Four at a time on each, for two jobs and perhaps one more that was placed meanwhile.
+    // Four tasks at a time on each machine, of two jobs and perhaps of one more that was placed
+    // meanwhile.
     assert!(failures <= 3 * 12, "{failures}");
     assert!(w.leader.cluster.open_jobs().is_empty(), "all are done");
 }
 
-/// After a partly filled request an offer was closed for up to 64 s, also for what was given back since.
+/// Regression test: after a request that was filled only in part, the offer wasn't requested again
+/// for up to 64 s, even if one of its machines had been returned since.
 #[test]
-fn what_was_given_back_is_on_offer_again_and_refusals_pause_for_sixteen_seconds() {
+fn returning_a_machine_reopens_its_offer_and_refusals_pause_it_for_sixteen_seconds() {
     let mut w = one_machine();
     w.leader.machine_list(w.now, &[]);
-    // Work for ten machines that only spot ones of zone a may do, far beyond its time.
+    // Work for ten machines, only on spot machines of zone a, long past its deadline.
     let work = JobSpec { cpus: 8.0, zone: Some("a".into()), deadline_s: Some(1.0), ..spec(10) };
     w.submit(JOB, &work);
     w.settle();
-    let mut asked_at = Vec::new();
-    let look = |w: &mut World, asked_at: &mut Vec<u64>, fill: usize| {
+    let mut requested_at = Vec::new();
+    let assess = |w: &mut World, requested_at: &mut Vec<u64>, granted: usize| {
         w.wait(450);
         w.tick();
         w.leader.autoscale(w.now);
         w.commands.extend(w.leader.take_commands());
         for command in std::mem::take(&mut w.commands) {
             let Command::ScaleOut { kind, zone, spot, count } = command else { continue };
-            let fill = if spot { fill } else { 0 };
-            let names = (0..fill).map(|i| format!("x-{i}")).collect();
+            let granted = if spot { granted } else { 0 };
+            let names = (0..granted).map(|i| format!("x-{i}")).collect();
             if spot {
-                asked_at.push(w.now.0 / 1_000_000);
+                requested_at.push(w.now.0 / 1_000_000);
             }
             w.leader.scale_out_answered(w.now, &kind, &zone, spot, count, Ok(names));
         }
     };
-    look(&mut w, &mut asked_at, 2);
-    assert_eq!(asked_at.len(), 1);
+    assess(&mut w, &mut requested_at, 2);
+    assert_eq!(requested_at.len(), 1);
     for _ in 0..160 {
-        look(&mut w, &mut asked_at, 0);
+        assess(&mut w, &mut requested_at, 0);
     }
-    let longest = asked_at.windows(2).map(|p| p[1] - p[0]).max().expect("asked again");
-    assert!((14..=17).contains(&longest), "{asked_at:?}");
-    // Just refused; then one is given back.
-    while asked_at.last() != Some(&(w.now.0 / 1_000_000)) {
-        look(&mut w, &mut asked_at, 0);
+    let longest = requested_at.windows(2).map(|p| p[1] - p[0]).max().expect("requested again");
+    assert!((14..=17).contains(&longest), "{requested_at:?}");
+    // The offer was refused just now; then one of its machines is returned.
+    while requested_at.last() != Some(&(w.now.0 / 1_000_000)) {
+        assess(&mut w, &mut requested_at, 0);
     }
-    let before = asked_at.len();
-    look(&mut w, &mut asked_at, 0);
-    assert_eq!(asked_at.len(), before, "refused a moment ago");
+    let before = requested_at.len();
+    assess(&mut w, &mut requested_at, 0);
+    assert_eq!(requested_at.len(), before, "the offer was refused just now");
     w.leader.scale_in_answered(w.now, &["x-0".to_owned()], true);
-    look(&mut w, &mut asked_at, 0);
-    assert_eq!(asked_at.len(), before + 1, "what was given back is to be had");
+    assess(&mut w, &mut requested_at, 0);
+    assert_eq!(
+        requested_at.len(),
+        before + 1,
+        "the offer of the returned machine is requested again"
+    );
 }
 
-/// Seen on the troubles day of a deployment with chains: the youngest small tasks of every machine made
-/// way for a large one that fitted nowhere, and were placed there again, thousands of times.
+/// Regression test: the youngest small tasks of every machine were preempted for a large one that
+/// fitted nowhere, and were placed there again, thousands of times. Seen on a day with many
+/// disruptions, on a deployment with job chains.
 #[test]
-fn room_for_a_large_task_is_made_on_one_machine() {
+fn preemption_frees_capacity_for_a_large_task_on_one_machine() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
     let small = JobSpec { priority: Priority::Low, deadline_s: None, ..spec(1) };
     let fill = |w: &mut World, from: usize| {
@@ -627,7 +654,7 @@
     };
     fill(&mut w, 0);
     w.wait(2_500);
-    // Two of each machine are young, and so the least lost.
+    // Two tasks of each machine are young, so preempting them loses least.
     let places = w.places();
     for name in ["n-1", "n-2"] {
         let here = places.iter().filter(|(_, m)| m[0] == name).take(2);
@@ -636,22 +663,23 @@
     w.all_report();
     w.settle();
     fill(&mut w, 100);
-    assert_eq!(w.places().len(), 8, "both are full");
+    assert_eq!(w.places().len(), 8, "both machines are full");
     w.submit(
         "req-500",
         &JobSpec { priority: Priority::High, cpus: 8.0, deadline_s: Some(1.0), ..spec(1) },
     );
     w.wait(300);
     w.tick();
-    let gave = |w: &World| {
+    let preempted_count = |w: &World| {
         w.commands.iter().filter(|c| matches!(c, Command::Log(Event::TaskPreempted { .. }))).count()
     };
-    assert_eq!(gave(&w), 4);
+    assert_eq!(preempted_count(&w), 4);
     w.settle();
     w.all_report();
     w.settle();
     assert_eq!(w.places_of("req-500/0").len(), 1, "{:?}", w.places());
-    // And one large task makes room for several small ones: no more are stopped than are needed.
+    // One large task frees capacity for several small ones: no more tasks are stopped than are
+    // needed.
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
     w.submit("req-1", &JobSpec { priority: Priority::Low, cpus: 8.0, deadline_s: None, ..spec(2) });
     w.settle();
@@ -659,47 +687,50 @@
     w.submit("req-2", &JobSpec { priority: Priority::High, deadline_s: Some(1.0), ..spec(4) });
     w.wait(300);
     w.tick();
-    assert_eq!(gave(&w), 1);
+    assert_eq!(preempted_count(&w), 1);
 }
 
-/// A leader that is cut off from the workers, while other nodes pass their heartbeats on to it, isn't deaf; but
-/// nothing that it sends arrives.
+/// A leader that is cut off from the workers still hears them while other nodes forward their
+/// heartbeats, but none of its messages arrives.
 #[test]
-fn a_leader_whose_messages_are_all_lost_reaches_no_worker() {
+fn a_leader_detects_that_all_its_messages_are_lost() {
     let names: Vec<String> = (0..20).map(|i| format!("n-{i:02}")).collect();
     let machines: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "a")).collect();
     let mut w = World::new(&machines);
     w.submit("req-000001", &JobSpec { cpus: 8.0, ..spec(20) });
     w.place_and_commit();
-    let lost = |w: &mut World| {
+    let lose_messages = |w: &mut World| {
         for command in std::mem::take(&mut w.commands) {
             if let Command::SendToWorker { machine, .. } = command {
                 w.leader.message_answered(w.now, machine, MessageOutcome::Indeterminate);
             }
         }
     };
-    lost(&mut w);
-    assert!(!w.leader.workers_unreachable(w.now), "all at once may be one moment's trouble");
+    lose_messages(&mut w);
+    assert!(
+        !w.leader.workers_unreachable(w.now),
+        "losing all messages of one moment is not enough"
+    );
     for _ in 0..4 {
         w.wait(1_000);
         w.all_report();
         w.tick();
-        lost(&mut w);
+        lose_messages(&mut w);
     }
-    assert!(!w.leader.receives_no_heartbeats(w.now), "reports come");
+    assert!(!w.leader.receives_no_heartbeats(w.now), "heartbeats still arrive");
     assert!(w.leader.workers_unreachable(w.now));
-    // One answer, and it does.
-    let direct = |c: &Command| matches!(c, Command::SendToWorker { .. });
+    // One answered message is enough to count as reaching workers.
+    let is_message = |c: &Command| matches!(c, Command::SendToWorker { .. });
     for _ in 0..20 {
         w.wait(500);
         w.leader.tick(w.now);
         w.commands.extend(w.leader.take_commands());
-        if w.commands.iter().any(direct) {
+        if w.commands.iter().any(is_message) {
             break;
         }
     }
     assert!(w.leader.workers_unreachable(w.now));
-    let at = w.commands.iter().position(direct).expect("a message");
+    let at = w.commands.iter().position(is_message).expect("a message");
     if let Command::SendToWorker { machine, token, agent_epoch, calls, .. } = w.commands.remove(at)
     {
         w.deliver(machine, token, agent_epoch, &calls);
@@ -707,9 +738,10 @@
     assert!(!w.leader.workers_unreachable(w.now));
 }
 
-/// Seen on loopback: the whole fleet was idle and returned, and the messages under way to it were lost.
+/// The whole fleet was idle and was returned, and the messages in flight to it were lost; the
+/// leader must not take that for unreachable workers. Seen in a run over the loopback interface.
 #[test]
-fn a_leader_that_returned_its_whole_fleet_goes_on_leading() {
+fn returning_the_whole_fleet_does_not_count_as_unreachable_workers() {
     let names: Vec<String> = (0..20).map(|i| format!("n-{i:02}")).collect();
     let machines: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "a")).collect();
     let mut w = World::new(&machines);
@@ -721,7 +753,7 @@
         }
     }
     w.wait(4_000);
-    assert!(w.leader.workers_unreachable(w.now), "twenty messages were lost");
+    assert!(w.leader.workers_unreachable(w.now), "all twenty messages were lost");
     w.leader.scale_in_answered(w.now, &names, true);
-    assert!(!w.leader.workers_unreachable(w.now), "there is nothing to reach");
+    assert!(!w.leader.workers_unreachable(w.now), "no machine is left to reach");
 }
--- a/crates/scheduler/tests/fair_share.rs
+++ b/crates/scheduler/tests/fair_share.rs
@@ -1,5 +1,5 @@
-//! An overloaded fleet is shared: floods by a team and by a class, across changes of the leader, and
-//! the order below overload.
+//! Sharing of an overloaded fleet: bursts by one team or one class, failovers during overload, and
+//! the unchanged order below overload.
 
 mod world;
 
@@ -12,9 +12,9 @@
 use world::{site, spec, World};
 
 const MACHINES: usize = 20;
-/// The longest run of a task.
+/// Longest run time of a task, in seconds.
 const RUN_S: u64 = 5;
-/// Jobs that the flood keeps waiting: several fleets' worth.
+/// Jobs that the flood keeps waiting: several times the work that the fleet can hold.
 const BACKLOG: usize = 120;
 
 fn team(name: &str, cpus: f64, cpus_max: f64) -> Team {
@@ -29,13 +29,13 @@
     world
 }
 
-fn set(world: &mut World, change: impl FnOnce(&mut Tunables)) {
+fn set_tunables(world: &mut World, change: impl FnOnce(&mut Tunables)) {
     let mut tunables = (*world.leader.tunables).clone();
     change(&mut tunables);
     world.leader.tunables = Rc::new(tunables);
 }
 
-/// A job whose aim on time is as tight as that of every other one here.
+/// A job with the estimate and deadline that these tests use unless they need another.
 fn job(team: &str, class: &str, priority: Priority, tasks: u32) -> JobSpec {
     let names = (class.to_owned(), team.to_owned());
     JobSpec {
@@ -48,12 +48,13 @@
     }
 }
 
-/// A flood that never ends, and what else is submitted beside it, second by second.
+/// An endless flood of jobs, the jobs submitted beside it, and when each started, in steps of a
+/// second.
 struct Overload {
     world: World,
     flood: JobSpec,
-    /// Jobs of the flood that come each second; otherwise it keeps its backlog.
-    flood_a_second: Option<usize>,
+    /// Jobs of the flood submitted each second; if unset, the flood keeps up its backlog.
+    flood_jobs_per_second: Option<usize>,
     next: u32,
     submitted: BTreeMap<String, u64>,
     started: BTreeMap<String, u64>,
@@ -66,7 +67,7 @@
         Overload {
             world,
             flood,
-            flood_a_second: None,
+            flood_jobs_per_second: None,
             next: 0,
             submitted: BTreeMap::new(),
             started: BTreeMap::new(),
@@ -83,9 +84,9 @@
         name
     }
 
-    /// One second: the flood's jobs come, tasks that ran their time end, everybody reports, and the
-    /// leader does what it decides.
-    fn pass(&mut self) {
+    /// Advances by one second: submits jobs of the flood, ends tasks that ran their time, sends all
+    /// heartbeats, and carries out what the leader decides.
+    fn advance_second(&mut self) {
         self.second += 1;
         let waiting = self
             .world
@@ -95,8 +96,8 @@
             .values()
             .filter(|j| !j.is_ended() && j.pending() > 0)
             .count();
-        let coming = self.flood_a_second.unwrap_or(BACKLOG.saturating_sub(waiting));
-        for _ in 0..coming {
+        let new_jobs = self.flood_jobs_per_second.unwrap_or(BACKLOG.saturating_sub(waiting));
+        for _ in 0..new_jobs {
             let flood = self.flood.clone();
             self.submit(&flood);
         }
@@ -107,7 +108,7 @@
             let since = *self.running_since.entry(task.clone()).or_insert(self.second);
             let job = task.split('/').next().expect("a job").to_owned();
             self.started.entry(job).or_insert(self.second);
-            if self.second - since >= run_of(&task) {
+            if self.second - since >= run_time_s(&task) {
                 self.world.finish(&machines[0], &task);
             }
         }
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Seconds from the job's submission to its first start; so far, if it has not started.
+    /// Seconds from the job's submission to its first start, or until now if it hasn't started.
     fn waited(&self, name: &str) -> u64 {
         self.started.get(name).unwrap_or(&self.second) - self.submitted[name]
     }
@@ -132,21 +133,23 @@
     }
 }
 
-/// Tasks end at different times, so that room for a large one never comes by itself.
-fn run_of(task: &str) -> u64 {
+/// Run time of a task in seconds. Tasks end at different times, so that capacity for a large task
+/// never becomes free by chance.
+fn run_time_s(task: &str) -> u64 {
     let sum: u64 = task.bytes().map(u64::from).sum();
     RUN_S - sum % 4
 }
 
-/// The longest that an urgent job of team `two` waits in four minutes of a flood by team `one` at three
-/// times what the fleet can do, with a new leader every forty seconds that knows no more than what is stored.
-fn longest_wait_beside_a_flood(shared_order: bool) -> u64 {
+/// The longest wait, in seconds, of an urgent job of team `two` in four minutes of a flood by team
+/// `one` at three times the fleet's capacity. A new leader that knows only what is stored takes
+/// over every forty seconds.
+fn longest_urgent_wait_during_flood(shared_order: bool) -> u64 {
     let mut world = fleet(vec![team("one", 0.0, 0.0), team("two", 0.0, 0.0)]);
-    set(&mut world, |t| t.shared_order = shared_order);
-    // Each of its jobs is more pressed for time than the other team's.
+    set_tunables(&mut world, |t| t.shared_order = shared_order);
+    // Each job of the flood has a tighter deadline than those of the other team.
     let flood = JobSpec { deadline_s: Some(6.0), ..job("one", "flood", Priority::High, 8) };
     let mut overload = Overload::new(world, flood);
-    overload.flood_a_second = Some(9);
+    overload.flood_jobs_per_second = Some(9);
     let mut urgent = Vec::new();
     for second in 0..240 {
         if second % 40 == 39 {
@@ -156,26 +159,29 @@
             let fix = JobSpec { deadline_s: Some(40.0), ..job("two", "fix", Priority::High, 4) };
             urgent.push(overload.submit(&fix));
         }
-        overload.pass();
+        overload.advance_second();
     }
     urgent.iter().map(|name| overload.waited(name)).max().expect("jobs")
 }
 
-/// Within one run of a task, since equal priorities stop nothing, and a failover that may fall in; both
-/// ends of a run are seen a second late here.
+/// The bound is one run time of a task, since equal priorities don't preempt, and a failover that
+/// may fall into it; the start and the end of a run are each seen a second late here.
 #[test]
-fn urgent_work_of_a_team_below_its_share_starts_soon_whoever_leads() {
+fn urgent_jobs_of_a_team_below_its_share_start_soon_across_failovers() {
     let bound = RUN_S + 4;
-    let waited = longest_wait_beside_a_flood(true);
+    let waited = longest_urgent_wait_during_flood(true);
     assert!(waited <= bound, "{waited} s");
-    let unshared = longest_wait_beside_a_flood(false);
-    assert!(unshared > 3 * bound, "the flood is none: {unshared} s without shares");
+    let without_shares = longest_urgent_wait_during_flood(false);
+    assert!(
+        without_shares > 3 * bound,
+        "the flood causes no contention: {without_shares} s without shares"
+    );
 }
 
-/// Half an hour in which one class floods its own team's other one and another team's, both of lower
-/// priority and with larger tasks.
+/// One class floods the fleet for half an hour, against another class of its team and one of
+/// another team, both of lower priority and with larger tasks.
 #[test]
-fn every_class_with_work_gets_its_floor() {
+fn every_class_with_work_holds_its_floor_during_a_flood() {
     let world = fleet(vec![team("one", 0.0, 0.0), team("two", 0.0, 0.0)]);
     let mut overload = Overload::new(world, job("one", "flood", Priority::High, 8));
     let others = [("one", "sheets"), ("two", "tiles")];
@@ -185,34 +191,35 @@
         ..job(team, class, Priority::Normal, 6)
     };
     let mut jobs: [Vec<String>; 2] = Default::default();
-    let mut share = [0.0; 2];
+    let mut share_sums = [0.0; 2];
     for second in 0..1_800 {
         if second % 300 == 299 {
             overload.take_over();
         }
-        for (at, class) in others.into_iter().enumerate() {
+        for (index, class) in others.into_iter().enumerate() {
             let done = |name: &String| overload.world.end(name).is_some();
-            if jobs[at].last().is_none_or(done) {
-                jobs[at].push(overload.submit(&large(class)));
+            if jobs[index].last().is_none_or(done) {
+                jobs[index].push(overload.submit(&large(class)));
             }
             let shares = &overload.world.leader.cluster.shares;
-            share[at] +=
-                job_of(&overload, jobs[at].last()).map_or(0.0, |class| shares.class_share(class));
+            share_sums[index] += share_class_of(&overload, jobs[index].last())
+                .map_or(0.0, |class| shares.class_share(class));
         }
-        overload.pass();
+        overload.advance_second();
     }
-    // Each has one job of 36 processors' worth at a time, of 160; a floor of a tenth is 16, two of its
-    // tasks at once, so six take three runs and what clearing the machines takes.
-    for (at, class) in others.iter().enumerate() {
-        let waits = jobs[at].iter().map(|name| overload.waited(name));
+    // Each class has one job of 36 CPUs at a time, of 160 in the fleet. A floor of a tenth is 16
+    // CPUs, two of its tasks at once, so six tasks take three runs and the time to free the
+    // machines.
+    for (index, class) in others.iter().enumerate() {
+        let waits = jobs[index].iter().map(|name| overload.waited(name));
         let longest = waits.max().expect("jobs");
         assert!(longest <= 3 * RUN_S + 5, "{class:?} waited {longest} s");
-        let mean = share[at] / 1_800.0;
-        assert!(mean >= 0.04, "{class:?} held {mean} of the fleet, in {} jobs", jobs[at].len());
+        let mean = share_sums[index] / 1_800.0;
+        assert!(mean >= 0.04, "{class:?} held {mean} of the fleet, in {} jobs", jobs[index].len());
     }
 }
 
-fn job_of(
+fn share_class_of(
     overload: &Overload,
     name: Option<&String>,
 ) -> Option<walnutlug_admission::shares::ClassId> {
@@ -220,13 +227,13 @@
     Some(leader.cluster.job(*leader.cluster.jobs_by_name.get(name?)?)?.share_class())
 }
 
-/// Work that fits, with passing queues, blocked jobs and preemption.
+/// The load mostly fits, with short queues, blocked jobs and preemption.
 #[test]
-fn below_overload_every_command_is_the_same() {
-    let play = |shared_order: bool, crowded: bool| {
+fn fair_sharing_changes_no_command_below_overload() {
+    let run_load = |shared_order: bool, crowded: bool| {
         let mut world = fleet(vec![team("one", 8.0, 0.0), team("two", 0.0, 130.0)]);
-        set(&mut world, |t| t.shared_order = shared_order);
-        let mut said = Vec::new();
+        set_tunables(&mut world, |t| t.shared_order = shared_order);
+        let mut commands = Vec::new();
         let mut overloaded = false;
         for step in 0..400u32 {
             if step % 2 == 0 {
@@ -240,33 +247,34 @@
                     &JobSpec { cpus, deadline_s: Some(7.0), ..job(team, "class", priority, tasks) },
                 );
             }
-            // Room comes in bunches, so that there are queues in between.
-            let ending = if step % 40 < 20 { 2 } else { 60 };
-            for (task, machines) in world.places().into_iter().take(ending) {
+            // Tasks end in bursts, so that queues form in between.
+            let tasks_to_end = if step % 40 < 20 { 2 } else { 60 };
+            for (task, machines) in world.places().into_iter().take(tasks_to_end) {
                 world.finish(&machines[0], &task);
             }
             world.all_report();
             world.tick();
             world.leader.autoscale(world.now);
             overloaded |= world.leader.fair_share.is_active();
-            said.extend(world.commands.iter().map(|command| format!("{command:?}")));
+            commands.extend(world.commands.iter().map(|command| format!("{command:?}")));
             world.carry_out();
         }
-        (said, overloaded)
+        (commands, overloaded)
     };
-    let (with, overloaded) = play(true, false);
-    let (without, _) = play(false, false);
+    let (shared, overloaded) = run_load(true, false);
+    let (unshared, _) = run_load(false, false);
     assert!(!overloaded, "this load is no overload");
-    assert!(without.iter().any(|c| c.contains("TaskPreempted")), "somebody had to wait");
-    assert_eq!(with, without);
-    let (with, overloaded) = play(true, true);
-    assert!(overloaded && with != play(false, true).0, "an overload is shared");
+    assert!(unshared.iter().any(|c| c.contains("TaskPreempted")), "some task was preempted");
+    assert_eq!(shared, unshared);
+    let (shared, overloaded) = run_load(true, true);
+    assert!(overloaded && shared != run_load(false, true).0, "an overload is shared");
 }
 
-/// A guarantee goes before shares and floors; limits hold whatever the order.
+/// Guarantees go before shares and floors; limits hold in any order.
 #[test]
-fn guarantees_and_limits_hold_in_an_overload() {
-    // Guarantees of three times the fleet, one three times the other and so its weight; one team at its limit, one with a limit of none.
+fn guarantees_and_limits_hold_under_overload() {
+    // The guarantees add up to three times the fleet; one is three times the other, and so is its
+    // weight. One team is at its limit, one has neither limit nor guarantee.
     let teams = vec![
         team("one", 120.0, 0.0),
         team("two", 360.0, 0.0),
@@ -281,7 +289,7 @@
                     .submit(&JobSpec { deadline_s: None, ..job(team, "c", Priority::High, 80) });
             }
         }
-        overload.pass();
+        overload.advance_second();
         let used = |team: &str| {
             overload.world.leader.cluster.team_usage.get(team).map_or(0.0, |used| used.cpus)
         };
@@ -292,14 +300,15 @@
                 "{:?}",
                 overload.world.leader.cluster.team_usage
             );
-            assert!(used("free") >= 10.0, "its floor: {}", used("free"));
+            assert!(used("free") >= 10.0, "its floor share: {}", used("free"));
         }
     }
 }
 
-/// Classes without number, estimates of nothing or of thousands of years, tasks that take next to nothing.
+/// Tests more than a thousand classes, estimates of zero or of thousands of years, and tasks that
+/// need next to no CPU.
 #[test]
-fn absurd_jobs_neither_starve_others_nor_stop_the_round() {
+fn extreme_job_specs_neither_starve_other_jobs_nor_stall_the_round() {
     let mut overload = Overload::new(
         fleet(vec![team("one", 0.0, 0.0), team("two", 0.0, 0.0)]),
         job("one", "flood", Priority::High, 8),
@@ -309,30 +318,31 @@
         let estimate_s = estimates[at as usize % 4];
         let class = format!("class-{at}");
         let cpus = [1e-9, 2.0, 8.0][at as usize % 3];
-        let absurd = JobSpec { estimate_s, cpus, ..job("one", &class, Priority::High, 1) };
-        overload.submit(&absurd);
+        let extreme = JobSpec { estimate_s, cpus, ..job("one", &class, Priority::High, 1) };
+        overload.submit(&extreme);
     }
-    (0..20).for_each(|_| overload.pass());
+    (0..20).for_each(|_| overload.advance_second());
     assert!(overload.world.leader.cluster.shares.classes_kept() <= 1_003);
     let urgent = overload.submit(&job("two", "fix", Priority::High, 4));
-    (0..RUN_S + 3).for_each(|_| overload.pass());
+    (0..RUN_S + 3).for_each(|_| overload.advance_second());
     assert!(overload.started.contains_key(&urgent));
 }
 
-/// What a round looks at with 10,000 jobs of four teams that wait, shared and not.
+/// Counts the entries that a round examines with 10,000 queued jobs of four teams, with and without
+/// fair sharing: at most a tenth more with it.
 #[test]
-fn a_round_over_ten_thousand_jobs_looks_at_no_more_than_before() {
-    let machines_examined = |shared_order: bool| {
+fn fair_sharing_examines_few_more_entries_per_round_with_ten_thousand_jobs() {
+    let entries_examined = |shared_order: bool| {
         let teams = ["one", "two", "three", "four"];
         let mut world = fleet(teams.iter().map(|name| team(name, 0.0, 0.0)).collect());
-        set(&mut world, |t| t.shared_order = shared_order);
+        set_tunables(&mut world, |t| t.shared_order = shared_order);
         for at in 0..10_000usize {
             let priority = [Priority::Normal, Priority::High][at % 2];
             world.submit(&format!("req-{at:06}"), &job(teams[at % 4], "class", priority, 4));
         }
         world.settle();
         assert_eq!(world.leader.fair_share.is_active(), shared_order);
-        // One machine has room again.
+        // One machine has free capacity again.
         for (task, machines) in world.places() {
             if machines[0] == "n-007" {
                 world.finish("n-007", &task);
@@ -344,6 +354,6 @@
         world.tick();
         entries(&world) - before
     };
-    let (before, shared) = (machines_examined(false), machines_examined(true));
-    assert!(before > 0 && shared * 10 <= before * 11, "{shared} instead of {before}");
+    let (unshared, shared) = (entries_examined(false), entries_examined(true));
+    assert!(unshared > 0 && shared * 10 <= unshared * 11, "{shared} entries instead of {unshared}");
 }
--- a/crates/scheduler/tests/fleet_size.rs
+++ b/crates/scheduler/tests/fleet_size.rs
@@ -1,5 +1,6 @@
-//! The scheduler at 4,200 machines: what a start, a failover, a change of every machine at once and the end
-//! of an outage cost, in entries looked at, messages, transactions and bytes kept.
+//! The scheduler at 4,200 machines: the cost of starts, of a failover, of a change on every machine
+//! at once and of the end of an outage, in entries examined, messages, transactions and bytes of
+//! memory.
 
 mod world;
 
@@ -13,19 +14,20 @@
 use walnutlug_scheduler::scheduler::Scheduler;
 use world::{spec, World};
 
-/// Counts what the tests of this file allocate.
+/// Counts the memory that the tests of this file allocate.
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
 const MACHINES: usize = 4_200;
-const TASKS_EACH: usize = 4;
+const TASKS_PER_MACHINE: usize = 4;
 const JOBS: usize = 84;
-const TASKS_OF_A_JOB: u32 = 200;
-/// What the registry may take for a machine with its tasks; when this was written it took 1,592.
-const MAX_BYTES_A_MACHINE: usize = 2_000;
+const TASKS_PER_JOB: u32 = 200;
+/// Most bytes of memory that the registry may take per machine with its tasks; it took 1,592 when
+/// the limit was set.
+const MAX_BYTES_PER_MACHINE: usize = 2_000;
 
-/// The tests run one at a time, since the allocator counts for all of them.
-fn alone() -> MutexGuard<'static, ()> {
+/// Makes the tests run one at a time, since the allocator counts for all of them.
+fn run_alone() -> MutexGuard<'static, ()> {
     static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
     ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -38,13 +40,13 @@
     format!("req-{index:06}")
 }
 
-/// A fleet of which every machine is full.
+/// A world in which every machine is full of running tasks.
 fn full_fleet() -> World {
     let names = machine_names();
     let machines: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "a")).collect();
     let mut world = World::new(&machines);
     for index in 0..JOBS {
-        world.submit(&job_name(index), &JobSpec { cpus: 2.0, ..spec(TASKS_OF_A_JOB) });
+        world.submit(&job_name(index), &JobSpec { cpus: 2.0, ..spec(TASKS_PER_JOB) });
     }
     for _ in 0..40 {
         world.settle();
@@ -52,30 +54,30 @@
     world
 }
 
-fn running(world: &World) -> usize {
+fn running_tasks(world: &World) -> usize {
     world.workers.values().map(|worker| worker.live().len()).sum()
 }
 
 #[test]
-fn every_machine_is_used_at_a_bounded_cost_in_looks_and_bytes() {
-    let _alone = alone();
+fn filling_the_fleet_examines_each_machine_once_per_job_in_bounded_memory() {
+    let _alone = run_alone();
     let names = machine_names();
     let machines: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "a")).collect();
     let mut world = World::new(&machines);
     let before_jobs = world.leader.examined.machines;
     for index in 0..JOBS {
-        world.submit(&job_name(index), &JobSpec { cpus: 2.0, ..spec(TASKS_OF_A_JOB) });
+        world.submit(&job_name(index), &JobSpec { cpus: 2.0, ..spec(TASKS_PER_JOB) });
     }
     world.tick();
     let machines_examined = world.leader.examined.machines - before_jobs;
     assert!(
         machines_examined <= (JOBS * MACHINES) as u64,
-        "a job looks at each machine once: {machines_examined}"
+        "each job examines each machine at most once: {machines_examined}"
     );
     for _ in 0..40 {
         world.settle();
     }
-    assert_eq!(running(&world), MACHINES * TASKS_EACH);
+    assert_eq!(running_tasks(&world), MACHINES * TASKS_PER_MACHINE);
     let empty = Scheduler::new(
         world.leader.site.clone(),
         world.leader.tunables.clone(),
@@ -87,35 +89,38 @@
     let region = Region::new(ALLOCATOR);
     drop(leader);
     let held = region.change().bytes_deallocated;
-    assert!(held < MACHINES * MAX_BYTES_A_MACHINE, "{held} bytes for {MACHINES} machines");
+    assert!(held < MACHINES * MAX_BYTES_PER_MACHINE, "{held} bytes for {MACHINES} machines");
 }
 
 #[test]
-fn a_new_leader_hears_of_every_machine_in_bounded_parts() {
-    let _alone = alone();
+fn a_new_leader_reaches_every_machine_with_a_bounded_number_of_messages() {
+    let _alone = run_alone();
     let mut world = full_fleet();
     world.take_over();
     for name in machine_names() {
         world.leader.cluster.hint_address(world.now, &name, "10.0.0.1:1");
     }
-    let most_under_way = world.leader.site.max_messages_in_flight;
+    let max_in_flight = world.leader.site.max_messages_in_flight;
     let token = world.token_now();
     let mut messages = 0;
     for round in 0.. {
-        let heard = world
+        let acknowledged = world
             .leader
             .cluster
             .machines
             .iter()
             .filter(|m| m.fence.acknowledged() >= token)
             .count();
-        assert!(round < 120, "{heard} are heard after {round} rounds, {messages} messages");
+        assert!(
+            round < 120,
+            "{acknowledged} acknowledged the leader after {round} rounds, {messages} messages"
+        );
         world.wait(150);
         world.tick();
         let commands = std::mem::take(&mut world.commands);
-        let direct = commands.iter().filter(|c| matches!(c, Command::SendToWorker { .. })).count();
-        assert!(direct <= most_under_way, "{direct} messages at once");
-        messages += direct;
+        let sent = commands.iter().filter(|c| matches!(c, Command::SendToWorker { .. })).count();
+        assert!(sent <= max_in_flight, "{sent} messages at once");
+        messages += sent;
         for command in commands {
             match command {
                 Command::SendToWorker { machine, token, agent_epoch, calls, .. } => {
@@ -134,12 +139,16 @@
         }
     }
     assert!(messages <= 3 * MACHINES, "{messages} messages");
-    assert_eq!(running(&world), MACHINES * TASKS_EACH, "nothing was stopped or started anew");
+    assert_eq!(
+        running_tasks(&world),
+        MACHINES * TASKS_PER_MACHINE,
+        "no task was stopped or started again"
+    );
 }
 
 #[test]
-fn a_change_on_every_machine_at_once_looks_at_each_a_few_times() {
-    let _alone = alone();
+fn a_change_on_every_machine_at_once_costs_a_few_checks_and_writes_each() {
+    let _alone = run_alone();
     let mut world = full_fleet();
     let places = world.places();
     let mut changed = std::collections::BTreeSet::new();
@@ -149,11 +158,11 @@
         }
     }
     assert_eq!(changed.len(), MACHINES);
-    let (looks, written) = (world.leader.examined.send_checks, world.store.store_revision);
+    let (checks_before, written) = (world.leader.examined.send_checks, world.store.store_revision);
     world.all_report();
     world.tick();
-    let looked = world.leader.examined.send_checks - looks;
-    assert!(looked <= 3 * MACHINES as u64, "{looked} looks for {MACHINES} reports");
+    let checks = world.leader.examined.send_checks - checks_before;
+    assert!(checks <= 3 * MACHINES as u64, "{checks} checks for {MACHINES} heartbeats");
     for _ in 0..10 {
         world.wait(1_000);
         world.settle();
@@ -167,8 +176,8 @@
 }
 
 #[test]
-fn what_ended_in_an_outage_is_caught_up_in_few_transactions() {
-    let _alone = alone();
+fn tasks_that_end_during_a_store_outage_are_recorded_in_few_transactions() {
+    let _alone = run_alone();
     let mut world = full_fleet();
     let refuse = |world: &mut World| {
         world.tick();
@@ -186,7 +195,7 @@
         world.all_report();
         refuse(&mut world);
     }
-    assert_eq!(running(&world), 0);
+    assert_eq!(running_tasks(&world), 0);
     let chunks: usize = world.leader.cluster.jobs.values().map(|job| job.chunks.len()).sum();
     let written = world.store.store_revision;
     for _ in 0..60 {
