--- a/crates/scheduler/src/scheduler/machine_health.rs
+++ b/crates/scheduler/src/scheduler/machine_health.rs
@@ -44,8 +44,8 @@
         for machine in health::overdue_boots(&self.cluster, now, timeout, boot_patience) {
             self.drain(machine, DrainReason::NeverCameUp);
         }
-        if now.since(self.autoscaler.slow_looked_for) >= health::SLOW_TASK_CHECK_INTERVAL {
-            self.autoscaler.slow_looked_for = now;
+        if now.since(self.autoscaler.last_slow_check) >= health::SLOW_TASK_CHECK_INTERVAL {
+            self.autoscaler.last_slow_check = now;
             for machine in health::slow_machines(&self.cluster, now, self.tunables.slow_factor) {
                 self.drain(machine, DrainReason::Slow);
             }
@@ -62,7 +62,7 @@
             .cluster
             .machines
             .iter()
-            .filter(|machine| self.open_for_work(now, machine))
+            .filter(|machine| self.is_schedulable(now, machine))
             .filter_map(|machine| {
                 let machine_type = self.cluster.machine_types.get(machine.kind?)?;
                 Some((machine_type.cpus - machine.used().cpus).max(0.0))
