--- a/crates/admission/tests/transcripts.rs
+++ b/crates/admission/tests/transcripts.rs
@@ -10,7 +10,7 @@
 
 use std::collections::HashMap;
 
-use golden::{Dice, Transcript};
+use golden::{SeededRng, Transcript};
 use walnutlug_admission::deal::{ProgressiveFilling, Rules, Waiting};
 use walnutlug_admission::resources::Resources;
 use walnutlug_admission::saturation::{Change, Saturation, Thresholds};
@@ -52,7 +52,7 @@
 /// Simulation of a fleet that is divided again and again while jobs come and go.
 struct Simulation {
     transcript: Transcript,
-    dice: Dice,
+    rng: SeededRng,
     shares: Shares,
     placed_jobs: Vec<PlacedJob>,
 }
@@ -74,20 +74,20 @@
         let mut shares = Shares::new(entitlements());
         shares.set_fleet(Resources { cpus: 1_000.0, gpus: 64.0, memory_gb: 4_000.0 });
         let transcript = Transcript::new("deal");
-        Simulation { transcript, dice: Dice::new(31), shares, placed_jobs: Vec::new() }
+        Simulation { transcript, rng: SeededRng::new(31), shares, placed_jobs: Vec::new() }
     }
 
     fn random_jobs(&mut self) -> Vec<Waiting> {
-        (0..1 + self.dice.below(30))
+        (0..1 + self.rng.below(30))
             .map(|_| {
-                let team = format!("team-{}", self.dice.below(4));
-                let class = format!("class-{}", self.dice.below(3));
-                let cpus = [0.5, 2.0, 8.0, 0.1][self.dice.below(4)];
-                let gpus = [0.0, 0.0, 0.0, 1.0][self.dice.below(4)];
+                let team = format!("team-{}", self.rng.below(4));
+                let class = format!("class-{}", self.rng.below(3));
+                let cpus = [0.5, 2.0, 8.0, 0.1][self.rng.below(4)];
+                let gpus = [0.0, 0.0, 0.0, 1.0][self.rng.below(4)];
                 let task = Resources { cpus, gpus, memory_gb: cpus * 3.0 };
                 let class = self.shares.add_job(&team, &class);
-                let tier = self.dice.below(3) as u8;
-                Waiting { tier, class, task, tasks: self.dice.below(300) as u32 }
+                let tier = self.rng.below(3) as u8;
+                Waiting { tier, class, task, tasks: self.rng.below(300) as u32 }
             })
             .collect()
     }
@@ -95,7 +95,7 @@
     fn run_round(&mut self) {
         self.transcript.next_step();
         let jobs = self.random_jobs();
-        let mut free_cpus = self.dice.below(900) as f64;
+        let mut free_cpus = self.rng.below(900) as f64;
         let mut filling = ProgressiveFilling::new(&self.shares, jobs.iter().copied(), RULES);
         let floors: Vec<String> =
             filling.floors().values().map(|floor| format_exact(*floor)).collect();
@@ -148,10 +148,10 @@
     /// told to stop first.
     fn remove_random_jobs(&mut self) {
         let (gone, kept): (Vec<PlacedJob>, Vec<PlacedJob>) =
-            std::mem::take(&mut self.placed_jobs).into_iter().partition(|_| self.dice.chance(55));
+            std::mem::take(&mut self.placed_jobs).into_iter().partition(|_| self.rng.chance(55));
         self.placed_jobs = kept;
         for PlacedJob { class, task, tasks } in gone {
-            let stopping = self.dice.chance(30);
+            let stopping = self.rng.chance(30);
             for _ in 0..tasks {
                 if stopping {
                     self.shares.task_stopping(class, task);
@@ -175,13 +175,13 @@
 #[test]
 fn round_robin_queue_matches_the_golden_transcript() {
     let mut transcript = Transcript::new("turns");
-    let mut dice = Dice::new(32);
+    let mut rng = SeededRng::new(32);
     let mut queue: RoundRobinQueue<usize, usize> = RoundRobinQueue::default();
     for entry in 0..3_000 {
         transcript.next_step();
-        match dice.below(20) {
+        match rng.below(20) {
             0..10 => {
-                let lane = if dice.chance(60) { 0 } else { dice.below(6) };
+                let lane = if rng.chance(60) { 0 } else { rng.below(6) };
                 transcript.line("ahead", &format!("{lane}: {}", queue.ahead_of(&lane)));
                 queue.push(lane, entry);
             }
@@ -193,7 +193,7 @@
                 transcript.line("popped", &names.join(" "));
             }
             _ => {
-                let part = 2 + dice.below(9);
+                let part = 2 + rng.below(9);
                 queue.retain(|entry| entry % part != 0);
                 transcript.line("retained", &part.to_string());
             }
@@ -205,7 +205,7 @@
 #[test]
 fn saturation_matches_the_golden_transcript() {
     let mut transcript = Transcript::new("saturation");
-    let mut dice = Dice::new(33);
+    let mut rng = SeededRng::new(33);
     let limits = Thresholds {
         enter: 0.25,
         leave: 0.05,
@@ -218,9 +218,9 @@
     let mut level = 0;
     for _ in 0..4_000 {
         transcript.next_step();
-        now = now + TimeDelta::from_millis(dice.below(4_000) as u64);
-        if dice.chance(8) {
-            level = dice.below(4);
+        now = now + TimeDelta::from_millis(rng.below(4_000) as u64);
+        if rng.chance(8) {
+            level = rng.below(4);
         }
         let waiting = [0.0, 0.1, 0.3, 1.6][level];
         let change = match saturation.observe(now, waiting, &limits) {
--- a/crates/fencing/tests/transcripts.rs
+++ b/crates/fencing/tests/transcripts.rs
@@ -10,7 +10,7 @@
 
 use std::collections::BTreeMap;
 
-use golden::{Dice, Transcript};
+use golden::{SeededRng, Transcript};
 use serde_json::{json, Value};
 use walnutlug_fencing::action_state::{ActionAnswer, ActionId};
 use walnutlug_fencing::fence::Fence;
@@ -113,7 +113,7 @@
 /// Simulation of a holder of the fleet role with the key-value store and the cloud.
 struct Simulation {
     transcript: Transcript,
-    dice: Dice,
+    rng: SeededRng,
     now: Timestamp,
     revision: u64,
     keys: BTreeMap<String, (Value, u64)>,
@@ -134,7 +134,7 @@
         let limits = WriteLimits { value_bytes: 400, txn_ops: 3 };
         let mut simulation = Simulation {
             transcript: Transcript::new("ledger"),
-            dice: Dice::new(21),
+            rng: SeededRng::new(21),
             now: START,
             revision: 1,
             keys: BTreeMap::new(),
@@ -153,15 +153,15 @@
 
     fn step(&mut self) {
         self.transcript.next_step();
-        match self.dice.below(20) {
+        match self.rng.below(20) {
             0 => self.scale_out(),
             1 | 2 => self.scale_in(),
             3..6 => {
-                self.now = self.now + TimeDelta::from_millis(100 + self.dice.below(3_000) as u64)
+                self.now = self.now + TimeDelta::from_millis(100 + self.rng.below(3_000) as u64)
             }
             6..10 => self.tick(),
             10..19 => (0..3).for_each(|_| self.deliver()),
-            _ if self.dice.chance(20) => self.replace(),
+            _ if self.rng.chance(20) => self.replace(),
             _ => self.change_limits(),
         }
         let open = self.intent_log.open_actions();
@@ -178,19 +178,19 @@
         let scale_out = ScaleOut {
             request: format!("ask-{}", self.requests),
             kind: "t8".into(),
-            zone: ["a", "b"][self.dice.below(2)].into(),
-            spot: self.dice.chance(50),
-            count: 1 + self.dice.below(4) as u32,
+            zone: ["a", "b"][self.rng.below(2)].into(),
+            spot: self.rng.chance(50),
+            count: 1 + self.rng.below(4) as u32,
         };
         let taken = self.intent_log.scale_out(scale_out);
         self.line("wants to rent", &format!("taken={taken}"));
     }
 
     fn scale_in(&mut self) {
-        let machines: Vec<TerminatedMachine> = (0..1 + self.dice.below(12))
+        let machines: Vec<TerminatedMachine> = (0..1 + self.rng.below(12))
             .map(|_| TerminatedMachine {
-                machine: format!("n-{:03}", self.dice.below(60)),
-                holds_tasks: self.dice.chance(30),
+                machine: format!("n-{:03}", self.rng.below(60)),
+                holds_tasks: self.rng.chance(30),
             })
             .collect();
         let first = machines[0].machine.clone();
@@ -200,7 +200,7 @@
     }
 
     fn tick(&mut self) {
-        let holds_lease = self.dice.chance(90);
+        let holds_lease = self.rng.chance(90);
         self.intent_log.tick(self.now, holds_lease);
         for command in self.intent_log.take_commands() {
             match command {
@@ -228,10 +228,10 @@
         if self.pending.is_empty() {
             return;
         }
-        let index = self.dice.below(self.pending.len());
+        let index = self.rng.below(self.pending.len());
         match self.pending.remove(index) {
             PendingCommand::Write { id, transaction } => {
-                let outcome = match self.dice.below(10) {
+                let outcome = match self.rng.below(10) {
                     0 => TransactionOutcome::Rejected,
                     1 => TransactionOutcome::Indeterminate,
                     2 => {
@@ -257,10 +257,10 @@
                     (ActionAnswer::Refused, "answered: refused"),
                     (ActionAnswer::NotSent, "answered: not sent"),
                     (ActionAnswer::Unknown, "answered: unknown"),
-                ][self.dice.below(5)];
+                ][self.rng.below(5)];
                 let rented: Vec<String> = match (&action, answer) {
                     (Action::ScaleOut(scale_out), ActionAnswer::Done) => (0..scale_out.count)
-                        .map(|_| format!("n-{:03}", self.dice.below(60)))
+                        .map(|_| format!("n-{:03}", self.rng.below(60)))
                         .collect(),
                     _ => Vec::new(),
                 };
@@ -306,7 +306,7 @@
     fn replace(&mut self) {
         self.revision += 1;
         self.keys.insert(LeasedRole::Fleet.key(), (Value::Null, self.revision));
-        if self.dice.chance(50) {
+        if self.rng.chance(50) {
             self.tick();
             self.deliver();
         }
@@ -335,10 +335,10 @@
     }
 
     fn change_limits(&mut self) {
-        let (value_bytes, txn_ops) = [(400, 3), (200, 2), (900, 8)][self.dice.below(3)];
+        let (value_bytes, txn_ops) = [(400, 3), (200, 2), (900, 8)][self.rng.below(3)];
         self.limits = WriteLimits { value_bytes, txn_ops };
         // Otherwise the intent log learns of the limits only when a write is rejected.
-        if self.dice.chance(70) {
+        if self.rng.chance(70) {
             self.intent_log.set_limits(self.limits);
         }
         self.line("limits", &format!("{value_bytes} {txn_ops}"));
@@ -357,17 +357,17 @@
 #[test]
 fn role_lease_matches_its_transcript() {
     let mut transcript = Transcript::new("leases");
-    let mut dice = Dice::new(22);
+    let mut rng = SeededRng::new(22);
     let mut now = START;
     for (lease_number, ttl) in [10, 4, 30].into_iter().cycle().take(60).enumerate() {
         let mut lease = RoleLease::new(TimeDelta::from_secs(ttl));
         for _ in 0..40 {
             transcript.next_step();
-            now = now + TimeDelta::from_millis(dice.below(4_000) as u64);
-            let sent = now - TimeDelta::from_millis(dice.below(900) as u64);
-            let later_revision = 40 + lease_number as u64 + dice.below(30) as u64;
-            let revision = [later_revision, later_revision, 0, 5, Epoch::LIMIT + 1][dice.below(5)];
-            let (input, name) = match dice.below(10) {
+            now = now + TimeDelta::from_millis(rng.below(4_000) as u64);
+            let sent = now - TimeDelta::from_millis(rng.below(900) as u64);
+            let later_revision = 40 + lease_number as u64 + rng.below(30) as u64;
+            let revision = [later_revision, later_revision, 0, 5, Epoch::LIMIT + 1][rng.below(5)];
+            let (input, name) = match rng.below(10) {
                 0 | 1 => (LeaseInput::Granted { sent }, "granted"),
                 2 | 3 => (LeaseInput::Won { revision: Revision(revision) }, "won"),
                 4 => (LeaseInput::Failed, "failed"),
@@ -375,7 +375,7 @@
                 _ => (LeaseInput::Ended, "ended"),
             };
             let changed = lease.step(input);
-            if dice.chance(3) {
+            if rng.chance(3) {
                 lease.observe(Epoch::try_from(Revision(later_revision)).expect("a valid epoch"));
             }
             let state = match lease.state() {
@@ -399,22 +399,22 @@
 #[test]
 fn role_balancer_matches_its_transcript() {
     let mut transcript = Transcript::new("balance");
-    let mut dice = Dice::new(23);
+    let mut rng = SeededRng::new(23);
     let mut now = START;
     let mut balancer = RoleBalancer::default();
     let (mut leads, mut others_lead) = (false, false);
     for _ in 0..2_000 {
         transcript.next_step();
-        now = now + TimeDelta::from_millis(dice.below(3_000) as u64);
-        if dice.chance(4) {
-            (leads, others_lead) = (dice.chance(50), dice.chance(50));
+        now = now + TimeDelta::from_millis(rng.below(3_000) as u64);
+        if rng.chance(4) {
+            (leads, others_lead) = (rng.chance(50), rng.chance(50));
         }
-        let own = NodeLoad { leads, store_reachable: dice.chance(90) };
+        let own = NodeLoad { leads, store_reachable: rng.chance(90) };
         let others = [
-            NodeLoad { leads: others_lead, store_reachable: dice.chance(97) },
-            NodeLoad { leads: false, store_reachable: dice.chance(97) },
+            NodeLoad { leads: others_lead, store_reachable: rng.chance(97) },
+            NodeLoad { leads: false, store_reachable: rng.chance(97) },
         ];
-        match dice.below(20) {
+        match rng.below(20) {
             0 => balancer.taken(),
             1 => {
                 let takes = balancer.should_take(now, own);
--- a/crates/scheduler/tests/transcripts/golden.rs
+++ b/crates/scheduler/tests/transcripts/golden.rs
@@ -35,11 +35,11 @@
 }
 
 /// Chance that is the same at every run, whatever the version of any package.
-pub(crate) struct Dice(u64);
+pub(crate) struct SeededRng(u64);
 
-impl Dice {
-    pub(crate) fn new(seed: u64) -> Dice {
-        Dice(digest(&seed.to_le_bytes(), EMPTY))
+impl SeededRng {
+    pub(crate) fn new(seed: u64) -> SeededRng {
+        SeededRng(digest(&seed.to_le_bytes(), EMPTY))
     }
 
     /// One of the numbers below that one, by xorshift.
--- a/crates/scheduler/tests/transcripts/scripts.rs
+++ b/crates/scheduler/tests/transcripts/scripts.rs
@@ -24,7 +24,7 @@
 use walnutlug_scheduler::time::{TimeDelta, Timestamp};
 use walnutlug_scheduler::tunables::{Objective, Site};
 
-use crate::world::golden::Dice;
+use crate::world::golden::SeededRng;
 use crate::world::{site, spec, transcript, Worker, World};
 
 const PRODUCTION_RECORDS: &str = include_str!("../fixtures/production-records.json");
@@ -46,11 +46,11 @@
 }
 
 /// Every live task comes to an end of that kind with that chance.
-fn some_tasks_end(world: &mut World, dice: &mut Dice, percent: usize, causes: &[ExitReason]) {
+fn some_tasks_end(world: &mut World, rng: &mut SeededRng, percent: usize, causes: &[ExitReason]) {
     for worker in world.workers.values_mut().filter(|worker| worker.alive) {
         for state in worker.tasks.values_mut().filter(|state| state.0 != TaskState::Exited) {
-            if dice.chance(percent) {
-                *state = (TaskState::Exited, Some(causes[dice.below(causes.len())]));
+            if rng.chance(percent) {
+                *state = (TaskState::Exited, Some(causes[rng.below(causes.len())]));
             }
         }
     }
@@ -58,31 +58,31 @@
 
 /// Carries out what the leader wants done, but for the share of it that is lost or refused. What is lost
 /// was carried out half of the time.
-fn carry_out_with_losses(world: &mut World, dice: &mut Dice, percent: usize) {
+fn carry_out_with_losses(world: &mut World, rng: &mut SeededRng, percent: usize) {
     for command in std::mem::take(&mut world.commands) {
         match command {
-            Command::Commit { id, .. } if dice.chance(percent / 2) => {
+            Command::Commit { id, .. } if rng.chance(percent / 2) => {
                 transcript::count("commit refused", 1);
                 world.leader.transaction_answered(world.now, id, TransactionOutcome::Rejected);
             }
-            Command::Commit { id, transaction } if dice.chance(percent) => {
+            Command::Commit { id, transaction } if rng.chance(percent) => {
                 transcript::count("commit lost", 1);
-                if dice.chance(50) {
+                if rng.chance(50) {
                     world.store.apply(&transaction);
                 }
                 world.leader.transaction_answered(world.now, id, TransactionOutcome::Indeterminate);
             }
             Command::SendToWorker { machine, token, agent_epoch, calls, .. }
-                if dice.chance(percent) =>
+                if rng.chance(percent) =>
             {
                 transcript::count("direct lost", 1);
                 let name = world.leader.cluster.machines[machine].name.clone();
-                if dice.chance(50) {
+                if rng.chance(50) {
                     if let Some(worker) = world.workers.get_mut(&name) {
                         worker.direct(token, agent_epoch, &calls);
                     }
                 }
-                let outcome = if dice.chance(80) {
+                let outcome = if rng.chance(80) {
                     MessageOutcome::Indeterminate
                 } else {
                     MessageOutcome::NotSent
@@ -90,9 +90,9 @@
                 world.leader.message_answered(world.now, machine, outcome);
             }
             // What isn't answered, or not in whole, is asked again.
-            Command::FindJobEnds { names } if dice.chance(70) => {
+            Command::FindJobEnds { names } if rng.chance(70) => {
                 transcript::count("find-ends answered in part", 1);
-                let known = dice.below(2) * names.len() / 2;
+                let known = rng.below(2) * names.len() / 2;
                 let found = world.store.ends(&names[..known]);
                 world.leader.job_ends_found(world.now, &found);
             }
@@ -107,22 +107,22 @@
 /// Arrays that start, end and fail, with lost and refused commits and messages on the way.
 pub fn starts() {
     let mut world = fleet_of(site(), 6);
-    let mut dice = Dice::new(1);
+    let mut rng = SeededRng::new(1);
     for round in 0..60 {
         if round % 4 == 0 && round < 40 {
-            let tasks = 1 + dice.below(14) as u32;
-            let priority = [Priority::Low, Priority::Normal, Priority::High][dice.below(3)];
-            let team = ["one", "capped"][dice.below(2)].to_owned();
-            let zone = dice.chance(20).then(|| "b".to_owned());
-            let (one_zone, spread) = [(false, false), (true, false), (false, true)][dice.below(3)];
+            let tasks = 1 + rng.below(14) as u32;
+            let priority = [Priority::Low, Priority::Normal, Priority::High][rng.below(3)];
+            let team = ["one", "capped"][rng.below(2)].to_owned();
+            let zone = rng.chance(20).then(|| "b".to_owned());
+            let (one_zone, spread) = [(false, false), (true, false), (false, true)][rng.below(3)];
             let job = JobSpec { priority, team, zone, one_zone, spread, ..spec(tasks) };
             world.submit(&job_name(round), &job);
         }
         for _ in 0..3 {
             world.tick();
-            carry_out_with_losses(&mut world, &mut dice, 12);
+            carry_out_with_losses(&mut world, &mut rng, 12);
         }
-        some_tasks_end(&mut world, &mut dice, 25, &[ExitReason::Done]);
+        some_tasks_end(&mut world, &mut rng, 25, &[ExitReason::Done]);
         world.all_report();
         world.wait(600);
     }
@@ -133,7 +133,7 @@
 /// leader, and commits whose answers are lost.
 pub fn chains() {
     let mut world = fleet_of(site(), 4);
-    let mut dice = Dice::new(2);
+    let mut rng = SeededRng::new(2);
     let dependencies = |names: &[usize]| names.iter().map(|&n| job_name(n)).collect::<Vec<_>>();
     for index in 0..40usize {
         let needed: Vec<usize> = match index % 8 {
@@ -157,9 +157,9 @@
     for round in 0..70 {
         for _ in 0..2 {
             world.tick();
-            carry_out_with_losses(&mut world, &mut dice, 10);
+            carry_out_with_losses(&mut world, &mut rng, 10);
         }
-        some_tasks_end(&mut world, &mut dice, 30, &[ExitReason::Done]);
+        some_tasks_end(&mut world, &mut rng, 30, &[ExitReason::Done]);
         if round % 15 == 14 {
             world.withdraw_if_open(&job_name(8 * (round / 15)));
         }
@@ -179,21 +179,21 @@
 /// Jobs of every stage are cancelled, by users and in outages, and their machines fall silent.
 pub fn cancellations() {
     let mut world = fleet_of(site(), 6);
-    let mut dice = Dice::new(3);
+    let mut rng = SeededRng::new(3);
     for round in 0..80 {
         if round < 60 && round % 2 == 0 {
-            let checkpoint_s = if dice.chance(50) { 5.0 } else { 0.0 };
-            let job = JobSpec { checkpoint_s, save_s: 2.0, ..spec(1 + dice.below(8) as u32) };
+            let checkpoint_s = if rng.chance(50) { 5.0 } else { 0.0 };
+            let job = JobSpec { checkpoint_s, save_s: 2.0, ..spec(1 + rng.below(8) as u32) };
             world.submit(&job_name(round), &job);
         }
         world.tick();
-        if dice.chance(40) {
-            world.withdraw_if_open(&job_name(2 * dice.below(30)));
+        if rng.chance(40) {
+            world.withdraw_if_open(&job_name(2 * rng.below(30)));
         }
-        carry_out_with_losses(&mut world, &mut dice, 15);
+        carry_out_with_losses(&mut world, &mut rng, 15);
         some_tasks_end(
             &mut world,
-            &mut dice,
+            &mut rng,
             8,
             &[ExitReason::Done, ExitReason::Done, ExitReason::Error],
         );
@@ -212,16 +212,16 @@
 /// Leaders follow on one another while commits and messages are lost, and machines end for good.
 pub fn failovers() {
     let mut world = fleet_of(site(), 8);
-    let mut dice = Dice::new(4);
+    let mut rng = SeededRng::new(4);
     for round in 0..90 {
         if round < 60 && round % 3 == 0 {
-            world.submit(&job_name(round), &spec(1 + dice.below(10) as u32));
+            world.submit(&job_name(round), &spec(1 + rng.below(10) as u32));
         }
         for _ in 0..2 {
             world.tick();
-            carry_out_with_losses(&mut world, &mut dice, 10);
+            carry_out_with_losses(&mut world, &mut rng, 10);
         }
-        if dice.chance(12) {
+        if rng.chance(12) {
             transcript::line("next leader", "");
             world.take_over();
             for worker in world.workers.values() {
@@ -235,7 +235,7 @@
             worker.tasks.clear();
             world.leader.machine_gone(world.now, &name);
         }
-        some_tasks_end(&mut world, &mut dice, 15, &[ExitReason::Done]);
+        some_tasks_end(&mut world, &mut rng, 15, &[ExitReason::Done]);
         world.all_report();
         world.wait(500);
     }
@@ -247,27 +247,27 @@
     let teams = vec![team("one", 8.0, 0.0), team("two", 0.0, 60.0)];
     let mut world = fleet_of(Site { teams, ..site() }, 10);
     world.leader.autoscaler.machine_list_read = true;
-    let mut dice = Dice::new(5);
+    let mut rng = SeededRng::new(5);
     for step in 0..160usize {
         if step % 2 == 0 && step < 120 {
             let priority =
                 [Priority::Normal, Priority::High, Priority::Low, Priority::Prod][step / 2 % 4];
-            let cpus = [1.0, 2.0, 4.0, 8.0][dice.below(4)];
+            let cpus = [1.0, 2.0, 4.0, 8.0][rng.below(4)];
             let team = ["one", "two"][step / 2 % 2].to_owned();
-            let (checkpoint_s, save_s) = if dice.chance(30) { (3.0, 1.0) } else { (0.0, 0.0) };
+            let (checkpoint_s, save_s) = if rng.chance(30) { (3.0, 1.0) } else { (0.0, 0.0) };
             let job = JobSpec {
                 priority,
                 cpus,
                 team,
                 checkpoint_s,
                 save_s,
-                one_zone: dice.chance(20),
+                one_zone: rng.chance(20),
                 deadline_s: Some(7.0),
-                ..spec(1 + dice.below(24) as u32)
+                ..spec(1 + rng.below(24) as u32)
             };
             world.submit(&job_name(step), &job);
         }
-        some_tasks_end(&mut world, &mut dice, 6, &[ExitReason::Done]);
+        some_tasks_end(&mut world, &mut rng, 6, &[ExitReason::Done]);
         world.all_report();
         world.tick();
         world.autoscale();
@@ -286,7 +286,7 @@
     ];
     let mut world = fleet_of(Site { teams, ..site() }, 16);
     world.leader.autoscaler.machine_list_read = true;
-    let mut dice = Dice::new(6);
+    let mut rng = SeededRng::new(6);
     let mut shared = 0;
     for second in 0..70usize {
         let job = |team: &str, class: &str, priority| JobSpec {
@@ -302,7 +302,7 @@
         }
         if second % 5 == 4 {
             for (index, team) in ["two", "capped", "free"].into_iter().enumerate() {
-                let class = ["fix", "sheets"][dice.below(2)];
+                let class = ["fix", "sheets"][rng.below(2)];
                 let job = JobSpec { cpus: 3.0, ..job(team, class, Priority::Normal) };
                 world.submit(&job_name(10 * second + 5 + index), &job);
             }
@@ -312,7 +312,7 @@
             world.leader.autoscaler.machine_list_read = true;
             world.all_report();
         }
-        some_tasks_end(&mut world, &mut dice, 25, &[ExitReason::Done]);
+        some_tasks_end(&mut world, &mut rng, 25, &[ExitReason::Done]);
         world.all_report();
         for _ in 0..3 {
             world.wait(250);
@@ -342,12 +342,12 @@
     }
 
     /// What the leader wants rented and returned is done, in part or not at all at times.
-    fn carry_out(&mut self, world: &mut World, dice: &mut Dice) {
+    fn carry_out(&mut self, world: &mut World, rng: &mut SeededRng) {
         let mut others = Vec::new();
         for command in std::mem::take(&mut world.commands) {
             match command {
                 Command::ScaleOut { kind, zone, spot, count } => {
-                    let answer = match dice.below(10) {
+                    let answer = match rng.below(10) {
                         0 => Err(()),
                         1 => Ok(Vec::new()),
                         2 => Ok(self.scale_out(world.now, &zone, spot, count / 2)),
@@ -356,7 +356,7 @@
                     world.leader.scale_out_answered(world.now, &kind, &zone, spot, count, answer);
                 }
                 Command::ScaleIn { machines } => {
-                    let done = dice.chance(80);
+                    let done = rng.chance(80);
                     for name in machines.iter().filter(|_| done) {
                         world.workers.remove(name);
                         self.coming.retain(|(_, worker)| worker.name != *name);
@@ -385,7 +385,7 @@
     }
 
     /// Machines come up, spot machines get notice and go, one fails, and the list is read.
-    fn pass(&mut self, world: &mut World, dice: &mut Dice) {
+    fn pass(&mut self, world: &mut World, rng: &mut SeededRng) {
         let now = world.now;
         for (_, worker) in self.coming.extract_if(.., |(at, _)| *at <= now) {
             self.listed.get_mut(&worker.name).expect("a listed machine").2 =
@@ -394,8 +394,8 @@
         }
         for worker in world.workers.values_mut().filter(|worker| worker.alive) {
             match worker.interruption_at {
-                None if worker.spot && dice.chance(2) => worker.interruption_at = Some(6.0),
-                None if dice.below(1_000) < 4 => worker.stop(&mut self.listed),
+                None if worker.spot && rng.chance(2) => worker.interruption_at = Some(6.0),
+                None if rng.below(1_000) < 4 => worker.stop(&mut self.listed),
                 Some(left) if left <= 1.0 => worker.stop(&mut self.listed),
                 Some(left) => worker.interruption_at = Some(left - 1.0),
                 None => {}
@@ -435,34 +435,34 @@
     let within = TimeDelta::from_secs(3);
     let objectives = vec![Objective::Wait { class: "quick".into(), within }];
     let mut world = fleet_of(Site { objectives, ..site() }, 2);
-    let mut dice = Dice::new(7);
+    let mut rng = SeededRng::new(7);
     let mut cloud = Cloud::new(&world);
     for second in 0..150usize {
         if second < 90 && second % 5 == 0 {
-            let quick = dice.chance(30);
+            let quick = rng.chance(30);
             let job = JobSpec {
                 class: if quick { "quick" } else { "c" }.into(),
                 priority: if quick { Priority::High } else { Priority::Normal },
-                cpus: [1.0, 2.0, 8.0][dice.below(3)],
-                spot: dice.chance(70),
-                zone: dice.chance(20).then(|| "b".to_owned()),
+                cpus: [1.0, 2.0, 8.0][rng.below(3)],
+                spot: rng.chance(70),
+                zone: rng.chance(20).then(|| "b".to_owned()),
                 estimate_s: 8.0,
                 deadline_s: Some(15.0),
-                ..spec(1 + dice.below(30) as u32)
+                ..spec(1 + rng.below(30) as u32)
             };
             world.submit(&job_name(second), &job);
         }
         if second == 60 {
             world.take_over();
         }
-        cloud.pass(&mut world, &mut dice);
-        some_tasks_end(&mut world, &mut dice, 12, &[ExitReason::Done]);
+        cloud.pass(&mut world, &mut rng);
+        some_tasks_end(&mut world, &mut rng, 12, &[ExitReason::Done]);
         world.all_report();
         for _ in 0..2 {
             world.wait(400);
             world.tick();
             world.autoscale();
-            cloud.carry_out(&mut world, &mut dice);
+            cloud.carry_out(&mut world, &mut rng);
         }
     }
 }
@@ -470,7 +470,7 @@
 /// Tasks end for every cause there is; three machines fail whatever they are given.
 pub fn failing_machines() {
     let mut world = fleet_of(site(), 8);
-    let mut dice = Dice::new(8);
+    let mut rng = SeededRng::new(8);
     let causes = [
         ExitReason::Done,
         ExitReason::Error,
@@ -480,18 +480,18 @@
     ];
     for round in 0..50 {
         if round < 30 && round % 2 == 0 {
-            world.submit(&job_name(round), &spec(4 + dice.below(8) as u32));
+            world.submit(&job_name(round), &spec(4 + rng.below(8) as u32));
         }
         for _ in 0..2 {
             world.tick();
             world.autoscale();
-            carry_out_with_losses(&mut world, &mut dice, 4);
+            carry_out_with_losses(&mut world, &mut rng, 4);
         }
         for worker in world.workers.values_mut().take(3) {
             let live = worker.tasks.values_mut().filter(|state| state.0 != TaskState::Exited);
             live.for_each(|state| *state = (TaskState::Exited, Some(ExitReason::Error)));
         }
-        some_tasks_end(&mut world, &mut dice, 20, &causes);
+        some_tasks_end(&mut world, &mut rng, 20, &causes);
         world.all_report();
         world.wait(500);
     }
@@ -501,7 +501,7 @@
 pub fn falling_limits() {
     let job = job_name(1);
     let mut world = fleet_of(site(), 40);
-    let mut dice = Dice::new(9);
+    let mut rng = SeededRng::new(9);
     world.submit_in_chunks(&job, &spec(160), 168);
     world.settle();
     let fall = |world: &mut World, bytes: usize, operations: usize| {
@@ -510,14 +510,14 @@
     };
     fall(&mut world, 2_048, 4);
     for round in 0..10 {
-        some_tasks_end(&mut world, &mut dice, 8, &[ExitReason::Done]);
+        some_tasks_end(&mut world, &mut rng, 8, &[ExitReason::Done]);
         if round % 3 == 1 {
             world.take_over();
         }
         world.all_report();
         for _ in 0..3 {
             world.tick();
-            carry_out_with_losses(&mut world, &mut dice, 10);
+            carry_out_with_losses(&mut world, &mut rng, 10);
         }
         world.wait(3_000);
     }
@@ -574,7 +574,7 @@
     let names: Vec<String> = (0..4_200).map(|i| format!("n-{i:06}")).collect();
     let machines: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "a")).collect();
     let mut world = World::new(&machines);
-    let mut dice = Dice::new(10);
+    let mut rng = SeededRng::new(10);
     for index in 0..84 {
         world.submit(&job_name(index), &spec(200));
     }
@@ -585,7 +585,7 @@
         }
     };
     play(&mut world, 30);
-    some_tasks_end(&mut world, &mut dice, 5, &[ExitReason::Done]);
+    some_tasks_end(&mut world, &mut rng, 5, &[ExitReason::Done]);
     for name in names.iter().step_by(600) {
         let worker = world.workers.get_mut(name).expect("worker");
         worker.alive = false;
@@ -607,16 +607,16 @@
 
 /// Who may lead, and what the nodes know of each other's cancellations, under any order of events.
 pub fn leadership_and_watermark() {
-    let mut dice = Dice::new(11);
+    let mut rng = SeededRng::new(11);
     let mut leadership = Leadership::default();
     let mut log = CancellationLog::new(&site());
     let mut watermark = Watermark::new(["p".to_owned(), "q".to_owned()]);
     let mut now = Timestamp(1 << 40);
     for step in 0..1_500u64 {
         transcript::next_step();
-        now = now + TimeDelta::from_millis(dice.below(900) as u64);
-        let term = Term(1 + dice.below(3) as u64);
-        let changed = match dice.below(7) {
+        now = now + TimeDelta::from_millis(rng.below(900) as u64);
+        let term = Term(1 + rng.below(3) as u64);
+        let changed = match rng.below(7) {
             0 => leadership.step(now, ElectionEvent::Vacant),
             1 => leadership.step(now, ElectionEvent::Won { term }),
             2 => leadership.step(now, ElectionEvent::Failed),
@@ -634,24 +634,24 @@
             Role::Leader { term } => format!("leads {term}"),
         };
         transcript::line("role", &format!("{role} changed={changed}"));
-        let node = ["p", "q"][dice.below(2)];
-        let incarnation = Incarnation(1 + step / 400 + u64::from(dice.chance(10)));
-        match dice.below(8) {
+        let node = ["p", "q"][rng.below(2)];
+        let incarnation = Incarnation(1 + step / 400 + u64::from(rng.chance(10)));
+        match rng.below(8) {
             0 => log.append(now, &job_name(step as usize)),
             1 => log.peer_seen(node, incarnation),
-            2 => log.acknowledged(node, incarnation, LogIndex(dice.below(60) as u64)),
+            2 => log.acknowledged(node, incarnation, LogIndex(rng.below(60) as u64)),
             3 => watermark.request_sent(now, RequestId(step)),
             4 => watermark.request_answered(
                 now,
                 node,
                 incarnation,
-                LogIndex(dice.below(40) as u64),
+                LogIndex(rng.below(40) as u64),
                 RequestId(step.saturating_sub(2)),
             ),
             5 => watermark.records_read(now),
             6 => watermark.peer_seen(now, node, incarnation),
             _ => {
-                let first = LogIndex(dice.below(40) as u64);
+                let first = LogIndex(rng.below(40) as u64);
                 let up_to = watermark.entries_received(now, node, incarnation, first, 3);
                 transcript::line("acknowledge", &up_to.map_or("-".into(), |n| n.0.to_string()));
             }
@@ -672,13 +672,13 @@
     tunables.shared_order = false;
     world.leader.tunables = Rc::new(tunables);
     world.leader.autoscaler.machine_list_read = true;
-    let mut dice = Dice::new(12);
+    let mut rng = SeededRng::new(12);
     for second in 0..40usize {
         for (index, team) in ["one", "one", "one", "two"].into_iter().enumerate() {
             let job = JobSpec { team: team.into(), deadline_s: Some(9.0), ..spec(6) };
             world.submit(&job_name(10 * second + index), &job);
         }
-        some_tasks_end(&mut world, &mut dice, 25, &[ExitReason::Done]);
+        some_tasks_end(&mut world, &mut rng, 25, &[ExitReason::Done]);
         world.all_report();
         world.tick();
         world.autoscale();
@@ -691,19 +691,19 @@
 /// beside jobs that stand alone.
 pub fn pressed_chains() {
     let mut world = fleet_of(site(), 2);
-    let mut dice = Dice::new(13);
+    let mut rng = SeededRng::new(13);
     let mut last = 0;
     for round in 0..90usize {
         if round < 50 && round % 2 == 0 {
-            let steps = 1 + dice.below(4);
+            let steps = 1 + rng.below(4);
             for step in 0..steps {
                 let dependencies = if step == 0 { Vec::new() } else { vec![job_name(last)] };
                 let ends = step + 1 == steps;
-                let deadline_s = ends.then(|| 20.0 + dice.below(120) as f64);
+                let deadline_s = ends.then(|| 20.0 + rng.below(120) as f64);
                 let priority =
-                    if ends && dice.chance(15) { Priority::High } else { Priority::Normal };
-                let estimate_s = 4.0 + dice.below(9) as f64;
-                let tasks = 1 + dice.below(3) as u32;
+                    if ends && rng.chance(15) { Priority::High } else { Priority::Normal };
+                let estimate_s = 4.0 + rng.below(9) as f64;
+                let tasks = 1 + rng.below(3) as u32;
                 last += 1;
                 let job = JobSpec { dependencies, priority, deadline_s, estimate_s, ..spec(tasks) };
                 world.submit(&job_name(last), &job);
@@ -711,8 +711,8 @@
         }
         world.tick();
         world.autoscale();
-        carry_out_with_losses(&mut world, &mut dice, 5);
-        some_tasks_end(&mut world, &mut dice, 30, &[ExitReason::Done]);
+        carry_out_with_losses(&mut world, &mut rng, 5);
+        some_tasks_end(&mut world, &mut rng, 30, &[ExitReason::Done]);
         if round == 45 {
             world.take_over();
         }
@@ -735,23 +735,23 @@
         Objective::Finished { class: "soon".into(), within: TimeDelta::from_secs(40) },
     ];
     let mut world = fleet_of(Site { objectives, ..site() }, 3);
-    let mut dice = Dice::new(14);
+    let mut rng = SeededRng::new(14);
     for round in 0..160usize {
         if round < 120 {
-            let class = ["quick", "soon", "c"][dice.below(3)].to_owned();
-            let deadline_s = dice.chance(40).then(|| 5.0 + dice.below(60) as f64);
-            let priority = [Priority::Normal, Priority::High][usize::from(dice.chance(20))];
-            let estimate_s = 1.0 + dice.below(12) as f64;
+            let class = ["quick", "soon", "c"][rng.below(3)].to_owned();
+            let deadline_s = rng.chance(40).then(|| 5.0 + rng.below(60) as f64);
+            let priority = [Priority::Normal, Priority::High][usize::from(rng.chance(20))];
+            let estimate_s = 1.0 + rng.below(12) as f64;
             let job = JobSpec {
                 class,
                 deadline_s,
                 priority,
                 estimate_s,
-                ..spec(1 + dice.below(6) as u32)
+                ..spec(1 + rng.below(6) as u32)
             };
             world.submit(&job_name(round), &job);
         }
-        some_tasks_end(&mut world, &mut dice, 22, &[ExitReason::Done]);
+        some_tasks_end(&mut world, &mut rng, 22, &[ExitReason::Done]);
         world.all_report();
         world.tick();
         world.autoscale();
@@ -764,21 +764,21 @@
 /// none, with tasks of all lengths.
 pub fn notices() {
     let mut world = fleet_of(site(), 12);
-    let mut dice = Dice::new(15);
+    let mut rng = SeededRng::new(15);
     for worker in world.workers.values_mut().skip(4) {
         worker.spot = true;
     }
     for second in 0..140usize {
         if second < 120 && (second < 6 || second % 3 == 0) {
-            let estimate_s = [4.0, 15.0, 40.0, 90.0][dice.below(4)];
-            let checkpoint_s = [0.0, 5.0][dice.below(2)];
+            let estimate_s = [4.0, 15.0, 40.0, 90.0][rng.below(4)];
+            let checkpoint_s = [0.0, 5.0][rng.below(2)];
             let job = JobSpec { estimate_s, checkpoint_s, deadline_s: Some(200.0), ..spec(4) };
             world.submit(&job_name(second), &job);
         }
         for worker in world.workers.values_mut().filter(|worker| worker.spot) {
             match worker.interruption_at {
-                None if worker.alive && dice.chance(3) => {
-                    worker.interruption_at = Some(3.0 + dice.below(40) as f64);
+                None if worker.alive && rng.chance(3) => {
+                    worker.interruption_at = Some(3.0 + rng.below(40) as f64);
                 }
                 // It is gone, and another stands in its place some time later.
                 Some(left) if left <= 1.0 => {
@@ -791,7 +791,7 @@
                 None => {}
             }
         }
-        some_tasks_end(&mut world, &mut dice, 4, &[ExitReason::Done]);
+        some_tasks_end(&mut world, &mut rng, 4, &[ExitReason::Done]);
         world.all_report();
         for _ in 0..2 {
             world.wait(400);
@@ -805,29 +805,29 @@
 /// Reports that left nothing to do come again, in and out of their order, here and at another node.
 pub fn repeated_reports() {
     let mut world = fleet_of(site(), 4);
-    let mut dice = Dice::new(16);
+    let mut rng = SeededRng::new(16);
     let names: Vec<String> = world.workers.keys().cloned().collect();
     let mut cache_entries = BTreeMap::new();
     for round in 0..300usize {
         if round % 20 == 0 {
-            world.submit(&job_name(round), &spec(1 + dice.below(6) as u32));
+            world.submit(&job_name(round), &spec(1 + rng.below(6) as u32));
         }
         if round == 150 {
             world.take_over();
         }
         world.tick();
-        carry_out_with_losses(&mut world, &mut dice, 5);
-        some_tasks_end(&mut world, &mut dice, 2, &[ExitReason::Done]);
+        carry_out_with_losses(&mut world, &mut rng, 5);
+        some_tasks_end(&mut world, &mut rng, 2, &[ExitReason::Done]);
         let now = world.now;
         for name in &names {
             let heartbeat = world.workers.get_mut(name).expect("worker").heartbeat();
-            if dice.chance(50) {
+            if rng.chance(50) {
                 let answer = world.leader.handle_heartbeat(now, &heartbeat).ok();
                 transcript::answer("whole", name, answer.as_ref());
                 let Some(HeartbeatAnswer { token, commands: calls }) = answer else { continue };
                 let worker = world.workers.get_mut(name).expect("worker");
                 worker.answered(heartbeat.agent_epoch, token, &calls);
-                let holder = dice.below(3) as u16;
+                let holder = rng.below(3) as u16;
                 let revision = world.leader.cache_heartbeat(now, &heartbeat, holder);
                 if let Some(revision) = revision {
                     let valid_for = world.leader.cached_for(now, revision).0;
@@ -836,7 +836,7 @@
                     cache_entries.insert(name.clone(), revision);
                 }
             } else if let Some(&revision) = cache_entries.get(name) {
-                let sequence = (heartbeat.sequence + 1).saturating_sub(dice.below(3) as u64);
+                let sequence = (heartbeat.sequence + 1).saturating_sub(rng.below(3) as u64);
                 let token = world.leader.answer_repeated_heartbeat(now, revision, sequence);
                 let token = token.map_or("-".to_owned(), |token| token.to_string());
                 transcript::line("repeated", &format!("{name} sequence={sequence} {token}"));
@@ -850,6 +850,6 @@
                 format!("holder={holder} machine={} number={}", revision.machine, revision.number);
             transcript::line("withdrawn", &text);
         }
-        world.wait([300, 900, 4_000][usize::from(dice.chance(20)) + usize::from(dice.chance(5))]);
+        world.wait([300, 900, 4_000][usize::from(rng.chance(20)) + usize::from(rng.chance(5))]);
     }
 }
