--- a/crates/admission/tests/transcripts.rs
+++ b/crates/admission/tests/transcripts.rs
@@ -169,7 +169,7 @@
 fn progressive_filling_matches_the_golden_transcript() {
     let mut simulation = Simulation::new();
     (0..300).for_each(|_| simulation.run_round());
-    simulation.transcript.hold_against_golden();
+    simulation.transcript.assert_matches_golden();
 }
 
 #[test]
@@ -199,7 +199,7 @@
             }
         }
     }
-    transcript.hold_against_golden();
+    transcript.assert_matches_golden();
 }
 
 #[test]
@@ -230,7 +230,7 @@
         };
         transcript.line(&format!("change {change}"), &saturation.is_saturated().to_string());
     }
-    transcript.hold_against_golden();
+    transcript.assert_matches_golden();
 }
 
 #[test]
--- a/crates/fencing/tests/transcripts.rs
+++ b/crates/fencing/tests/transcripts.rs
@@ -351,7 +351,7 @@
     for _ in 0..4_000 {
         simulation.step();
     }
-    simulation.transcript.hold_against_golden();
+    simulation.transcript.assert_matches_golden();
 }
 
 #[test]
@@ -393,7 +393,7 @@
             transcript.line(&format!("lease {name}"), &text);
         }
     }
-    transcript.hold_against_golden();
+    transcript.assert_matches_golden();
 }
 
 #[test]
@@ -427,7 +427,7 @@
             }
         }
     }
-    transcript.hold_against_golden();
+    transcript.assert_matches_golden();
 }
 
 fn read_holders(transcript: &mut Transcript) {
@@ -501,7 +501,7 @@
     }
     read_holders(&mut transcript);
     read_intents(&mut transcript);
-    transcript.hold_against_golden();
+    transcript.assert_matches_golden();
 }
 
 #[test]
--- a/crates/scheduler/tests/transcripts.rs
+++ b/crates/scheduler/tests/transcripts.rs
@@ -127,7 +127,7 @@
 
 fn hold(name: &str) {
     let (_, script) = SCRIPTS.iter().find(|(of, _)| *of == name).expect("a script");
-    transcript::record(name, script).hold_against_golden();
+    transcript::record(name, script).assert_matches_golden();
 }
 
 fn meeting_name(index: usize) -> String {
@@ -148,7 +148,7 @@
                 }
             }
         });
-        transcript.hold_against_golden();
+        transcript.assert_matches_golden();
     }
 }
 
--- a/crates/scheduler/tests/transcripts/golden.rs
+++ b/crates/scheduler/tests/transcripts/golden.rs
@@ -109,7 +109,7 @@
 
     /// Fails unless the file in the package's `tests/transcripts` says the same, and names the first step
     /// that differs.
-    pub(crate) fn hold_against_golden(&self) {
+    pub(crate) fn assert_matches_golden(&self) {
         let path = path_of(&self.name);
         let now = self.summary();
         self.write_whole();
