--- a/crates/admission/tests/transcripts.rs
+++ b/crates/admission/tests/transcripts.rs
@@ -235,5 +235,5 @@
 
 #[test]
 fn transcripts_contain_the_minimum_number_of_lines() {
-    golden::must_reach(&SCRIPTS, MIN_LINE_COUNTS);
+    golden::assert_min_counts(&SCRIPTS, MIN_LINE_COUNTS);
 }
--- a/crates/fencing/tests/transcripts.rs
+++ b/crates/fencing/tests/transcripts.rs
@@ -506,5 +506,5 @@
 
 #[test]
 fn transcripts_contain_the_minimum_number_of_each_event() {
-    golden::must_reach(&SCRIPTS, MIN_EVENT_COUNTS);
+    golden::assert_min_counts(&SCRIPTS, MIN_EVENT_COUNTS);
 }
--- a/crates/scheduler/tests/transcripts.rs
+++ b/crates/scheduler/tests/transcripts.rs
@@ -236,5 +236,5 @@
     let mut names: Vec<String> = SCRIPTS.iter().map(|(name, _)| (*name).to_owned()).collect();
     names.extend((0..MEETINGS.len()).map(meeting_name));
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    golden::must_reach(&names, REACHED);
+    golden::assert_min_counts(&names, REACHED);
 }
--- a/crates/scheduler/tests/transcripts/golden.rs
+++ b/crates/scheduler/tests/transcripts/golden.rs
@@ -219,7 +219,7 @@
 
 /// Fails if the files hold less of some kind than they have to. By the files, so that a transcript that
 /// was written anew and covers less is found.
-pub(crate) fn must_reach(names: &[&str], reached: &[(&str, u64)]) {
+pub(crate) fn assert_min_counts(names: &[&str], reached: &[(&str, u64)]) {
     if std::env::var_os(UPDATE).is_some() {
         return;
     }
