--- a/crates/scheduler/tests/transcripts/golden.rs
+++ b/crates/scheduler/tests/transcripts/golden.rs
@@ -1,48 +1,52 @@
-//! A transcript: what was decided in a script, step by step, as neutral text. It is held against a file
-//! with a digest of each step, so that a difference is found at the step in which it begins.
+//! Golden transcripts: the decisions made during a script, recorded step by step as text. A
+//! transcript is compared with a file that holds a digest of each step, so that a failure names the
+//! first step that differs.
 //!
-//! Nothing here knows a type of the packages, and every word of the text is a literal of the tests, so
-//! that a change of names leaves all digests as they are.
+//! This module uses no types of the packages under test, and the recorded words are literals of the
+//! tests, so renaming an identifier changes no digest.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::path::PathBuf;
 
-/// With this variable set, the files are written anew instead of read.
-const UPDATE: &str = "UPDATE_TRANSCRIPTS";
-/// A folder into which the whole text of each transcript is written, to compare two versions line by line.
-const WHOLE: &str = "WHOLE_TRANSCRIPTS";
-/// The longest line of digests.
-const LINE: usize = 100;
-/// So many lines of the first differing step are printed.
-const PRINTED: usize = 300;
-
-/// FNV-1a with 64 bits: the same on every machine and with every version of the compiler.
-fn digest(text: &[u8], mut state: u64) -> u64 {
-    for byte in text {
+/// Environment variable that makes the tests rewrite the golden files instead of comparing them.
+const UPDATE_VAR: &str = "UPDATE_TRANSCRIPTS";
+/// Environment variable with a directory to which the full text of each transcript is written, so
+/// that two versions can be compared line by line.
+const FULL_TEXT_DIR_VAR: &str = "WHOLE_TRANSCRIPTS";
+/// Maximum length of a line of digests, in characters.
+const MAX_LINE_LENGTH: usize = 100;
+/// Maximum number of lines that are printed of the first differing step.
+const MAX_PRINTED_LINES: usize = 300;
+
+/// Continues a 64-bit FNV-1a hash from `state`. Unlike the standard library's default hash, it is
+/// the same on every machine and with every compiler version.
+fn fnv1a(bytes: &[u8], mut state: u64) -> u64 {
+    for byte in bytes {
         state = (state ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3);
     }
     state
 }
 
-const EMPTY: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 
-/// A step's digest, in the 32 bits that a file holds of it.
-fn short(text: &str) -> String {
-    let full = digest(text.as_bytes(), EMPTY);
+/// Returns the digest of a step as stored in the golden file, shortened to 32 bits.
+fn short_digest(text: &str) -> String {
+    let full = fnv1a(text.as_bytes(), FNV_OFFSET_BASIS);
     format!("{:08x}", (full >> 32) ^ (full & 0xffff_ffff))
 }
 
-/// Chance that is the same at every run, whatever the version of any package.
+/// Xorshift random number generator. Its numbers depend only on the seed, not on the version of any
+/// package.
 pub(crate) struct SeededRng(u64);
 
 impl SeededRng {
     pub(crate) fn new(seed: u64) -> SeededRng {
-        SeededRng(digest(&seed.to_le_bytes(), EMPTY))
+        SeededRng(fnv1a(&seed.to_le_bytes(), FNV_OFFSET_BASIS))
     }
 
-    /// One of the numbers below that one, by xorshift.
+    /// Returns a random number in `0..bound`.
     pub(crate) fn below(&mut self, bound: usize) -> usize {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
@@ -50,17 +54,18 @@
         ((self.0 >> 16) % bound as u64) as usize
     }
 
+    /// Returns true with a probability of `percent` in a hundred.
     pub(crate) fn chance(&mut self, percent: usize) -> bool {
         self.below(100) < percent
     }
 }
 
-/// What came to pass in one script.
+/// Recorded text and event counts of one script.
 pub(crate) struct Transcript {
     name: String,
-    /// The text of each step.
+    /// Recorded text of each step; empty if nothing happened in it.
     steps: Vec<String>,
-    /// Lines and other events by their kind.
+    /// Number of lines and other events of each kind.
     counts: BTreeMap<String, u64>,
 }
 
@@ -69,19 +74,19 @@
         Transcript { name: name.to_owned(), steps: vec![String::new()], counts: BTreeMap::new() }
     }
 
-    /// What follows belongs to the next step.
+    /// Begins a new step, which receives all further lines.
     pub(crate) fn next_step(&mut self) {
         self.steps.push(String::new());
     }
 
-    /// A line of that kind; its text follows the kind.
+    /// Adds the line `kind text` to the current step and counts it under `kind`.
     pub(crate) fn line(&mut self, kind: &str, text: &str) {
         self.count(kind, 1);
-        let step = self.steps.last_mut().expect("a step");
-        writeln!(step, "{kind} {text}").expect("writing to a string");
+        let step = self.steps.last_mut().expect("a transcript has at least one step");
+        writeln!(step, "{kind} {text}").expect("writing to a String never fails");
     }
 
-    /// Something that is counted and not told.
+    /// Counts events of a kind without adding a line.
     pub(crate) fn count(&mut self, kind: &str, times: u64) {
         match self.counts.get_mut(kind) {
             Some(count) => *count += times,
@@ -89,95 +94,113 @@
         }
     }
 
+    /// Returns how many lines and other events of a kind were counted so far.
     pub(crate) fn count_of(&self, kind: &str) -> u64 {
         self.counts.get(kind).copied().unwrap_or(0)
     }
 
-    /// The file's text: a head with counts, an empty line, and the digests of the steps.
+    /// Formats the contents of the golden file: a header with the counts, an empty line, and the
+    /// digests of the steps.
     fn summary(&self) -> String {
-        let total = self.steps.iter().fold(EMPTY, |state, step| {
-            let state = digest(step.as_bytes(), state);
-            digest(b"\0", state)
+        let total = self.steps.iter().fold(FNV_OFFSET_BASIS, |state, step| {
+            let state = fnv1a(step.as_bytes(), state);
+            fnv1a(b"\0", state)
         });
         let mut text = format!("script {}\nsteps {}\n", self.name, self.steps.len());
-        writeln!(text, "digest {total:016x}").expect("writing to a string");
+        writeln!(text, "digest {total:016x}").expect("writing to a String never fails");
         for (kind, count) in &self.counts {
-            writeln!(text, "count {count} {kind}").expect("writing to a string");
+            writeln!(text, "count {count} {kind}").expect("writing to a String never fails");
         }
-        text + "\n" + &folded(&self.steps)
+        text + "\n" + &format_digests(&self.steps)
     }
 
-    /// Fails unless the file in the package's `tests/transcripts` says the same, and names the first step
-    /// that differs.
+    /// Panics if the transcript differs from its golden file in the package's `tests/transcripts`,
+    /// and names the first step that differs. With [`UPDATE_VAR`] set, rewrites the file instead.
     pub(crate) fn assert_matches_golden(&self) {
-        let path = path_of(&self.name);
-        let now = self.summary();
-        self.write_whole();
-        if std::env::var_os(UPDATE).is_some() {
-            std::fs::write(&path, now).expect("the golden file is written");
+        let path = golden_path(&self.name);
+        let actual = self.summary();
+        self.write_full_text();
+        if std::env::var_os(UPDATE_VAR).is_some() {
+            std::fs::write(&path, actual).expect("the golden file is writable");
             return;
         }
-        let then = std::fs::read_to_string(&path)
-            .unwrap_or_else(|e| panic!("{}: {e}; {UPDATE}=1 writes it", path.display()));
-        if then != now {
-            panic!("{}", self.difference(&then, &now));
+        let expected = std::fs::read_to_string(&path)
+            .unwrap_or_else(|e| panic!("{}: {e}; {UPDATE_VAR}=1 creates it", path.display()));
+        if expected != actual {
+            panic!("{}", self.describe_difference(&expected, &actual));
         }
     }
 
-    fn write_whole(&self) {
-        let Some(folder) = std::env::var_os(WHOLE) else { return };
+    /// Writes the full text to the directory that [`FULL_TEXT_DIR_VAR`] names, if it is set.
+    fn write_full_text(&self) {
+        let Some(directory) = std::env::var_os(FULL_TEXT_DIR_VAR) else { return };
         let steps = self.steps.iter().enumerate();
-        let text: Vec<String> = steps.map(|(at, step)| format!("step {at}\n{step}")).collect();
-        let path = PathBuf::from(folder).join(file_name(&self.name));
-        std::fs::write(path, text.concat()).expect("the whole transcript is written");
+        let text: Vec<String> =
+            steps.map(|(index, step)| format!("step {index}\n{step}")).collect();
+        let path = PathBuf::from(directory).join(file_name(&self.name));
+        std::fs::write(path, text.concat())
+            .expect("the directory for full transcripts is writable");
     }
 
-    fn difference(&self, then: &str, now: &str) -> String {
-        let (head_then, steps_then) = parts(then);
-        let (head_now, steps_now) = parts(now);
-        let mut text = format!("script {:?} differs from its transcript\n", self.name);
-        for line in head_then.lines().filter(|line| !head_now.contains(&format!("{line}\n"))) {
-            writeln!(text, "  was: {line}").expect("writing to a string");
+    /// Describes the differing header lines, and the first differing step with its actual text.
+    fn describe_difference(&self, expected: &str, actual: &str) -> String {
+        let (expected_header, expected_steps) = parse_golden(expected);
+        let (actual_header, actual_steps) = parse_golden(actual);
+        let mut text = format!("script {:?} differs from its golden file\n", self.name);
+        for line in
+            expected_header.lines().filter(|line| !actual_header.contains(&format!("{line}\n")))
+        {
+            writeln!(text, "  expected: {line}").expect("writing to a String never fails");
         }
-        for line in head_now.lines().filter(|line| !head_then.contains(&format!("{line}\n"))) {
-            writeln!(text, "  now: {line}").expect("writing to a string");
+        for line in
+            actual_header.lines().filter(|line| !expected_header.contains(&format!("{line}\n")))
+        {
+            writeln!(text, "  actual:   {line}").expect("writing to a String never fails");
         }
-        let most = steps_then.len().max(steps_now.len());
-        match (0..most).find(|&at| steps_then.get(at) != steps_now.get(at)) {
-            Some(at) => {
-                let step = self.steps.get(at).map_or("(the script ends before it)", |s| s.as_str());
-                let lines: Vec<&str> = step.lines().take(PRINTED).collect();
-                writeln!(text, "first differing step: {at}; it is now:\n{}", lines.join("\n"))
+        let step_count = expected_steps.len().max(actual_steps.len());
+        match (0..step_count).find(|&index| expected_steps.get(index) != actual_steps.get(index)) {
+            Some(index) => {
+                let step = self
+                    .steps
+                    .get(index)
+                    .map_or("(the script ended before this step)", |s| s.as_str());
+                let lines: Vec<&str> = step.lines().take(MAX_PRINTED_LINES).collect();
+                writeln!(
+                    text,
+                    "first differing step: {index}; its actual text:\n{}",
+                    lines.join("\n")
+                )
             }
-            None => writeln!(text, "no step differs in its short digest"),
+            None => writeln!(text, "the shortened digests of all steps are equal"),
         }
-        .expect("writing to a string");
+        .expect("writing to a String never fails");
         text
     }
 }
 
-fn path_of(name: &str) -> PathBuf {
-    let folder = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/transcripts");
-    folder.join(file_name(name))
+fn golden_path(name: &str) -> PathBuf {
+    let directory = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/transcripts");
+    directory.join(file_name(name))
 }
 
 fn file_name(name: &str) -> String {
     format!("{}.txt", name.replace(' ', "-"))
 }
 
-/// The digests, several on a line; `.7` stands for seven steps in which nothing happened.
-fn folded(steps: &[String]) -> String {
+/// Formats the digests of the steps, several per line; `.7` stands for seven steps in which nothing
+/// happened.
+fn format_digests(steps: &[String]) -> String {
     let mut words: Vec<String> = Vec::new();
-    for run in steps.chunk_by(|one, next| one.is_empty() && next.is_empty()) {
-        match run[0].as_str() {
-            "" => words.push(format!(".{}", run.len())),
-            step => words.push(short(step)),
+    for group in steps.chunk_by(|one, next| one.is_empty() && next.is_empty()) {
+        match group[0].as_str() {
+            "" => words.push(format!(".{}", group.len())),
+            step => words.push(short_digest(step)),
         }
     }
     let mut text = String::new();
     let mut length = 0;
     for word in words {
-        if length > 0 && length + word.len() >= LINE {
+        if length > 0 && length + word.len() >= MAX_LINE_LENGTH {
             text.push('\n');
             length = 0;
         } else if length > 0 {
@@ -189,9 +212,10 @@
     text + "\n"
 }
 
-/// The head, and the digests with one entry for each step.
-fn parts(text: &str) -> (String, Vec<String>) {
-    let (head, digests) = text.split_once("\n\n").unwrap_or((text, ""));
+/// Splits the contents of a golden file into its header and the digests of the steps. A step in
+/// which nothing happened has an empty digest.
+fn parse_golden(text: &str) -> (String, Vec<String>) {
+    let (header, digests) = text.split_once("\n\n").unwrap_or((text, ""));
     let mut steps = Vec::new();
     for word in digests.split_whitespace() {
         match word.strip_prefix('.').and_then(|count| count.parse().ok()) {
@@ -199,36 +223,37 @@
             None => steps.push(word.to_owned()),
         }
     }
-    (format!("{head}\n"), steps)
+    (format!("{header}\n"), steps)
 }
 
-/// What the files of these scripts count of each kind, all scripts together.
-fn counted(names: &[&str]) -> BTreeMap<String, u64> {
+/// Sums the event counts of each kind over the golden files of the scripts.
+fn total_counts(names: &[&str]) -> BTreeMap<String, u64> {
     let mut sums = BTreeMap::new();
     for name in names {
-        let path = path_of(name);
+        let path = golden_path(name);
         let text = std::fs::read_to_string(&path)
-            .unwrap_or_else(|e| panic!("{}: {e}; {UPDATE}=1 writes it", path.display()));
+            .unwrap_or_else(|e| panic!("{}: {e}; {UPDATE_VAR}=1 creates it", path.display()));
         for line in text.lines().filter_map(|line| line.strip_prefix("count ")) {
-            let (count, kind) = line.split_once(' ').expect("a count and a kind");
-            *sums.entry(kind.to_owned()).or_default() += count.parse::<u64>().expect("a count");
+            let (count, kind) =
+                line.split_once(' ').expect("a line of the form `count NUMBER KIND`");
+            *sums.entry(kind.to_owned()).or_default() += count.parse::<u64>().expect("a number");
         }
     }
     sums
 }
 
-/// Fails if the files hold less of some kind than they have to. By the files, so that a transcript that
-/// was written anew and covers less is found.
-pub(crate) fn assert_min_counts(names: &[&str], reached: &[(&str, u64)]) {
-    if std::env::var_os(UPDATE).is_some() {
+/// Panics if the golden files together count fewer events of a kind than its minimum. The counts
+/// come from the files, so that a transcript that was rewritten with less coverage fails too.
+pub(crate) fn assert_min_counts(names: &[&str], min_counts: &[(&str, u64)]) {
+    if std::env::var_os(UPDATE_VAR).is_some() {
         return;
     }
-    let counted = counted(names);
-    let missing: Vec<String> = reached
+    let counts = total_counts(names);
+    let missing: Vec<String> = min_counts
         .iter()
-        .map(|(kind, least)| (kind, least, counted.get(*kind).copied().unwrap_or(0)))
-        .filter(|(_, least, count)| count < least)
-        .map(|(kind, least, count)| format!("{kind}: {count} of at least {least}"))
+        .map(|(kind, minimum)| (kind, minimum, counts.get(*kind).copied().unwrap_or(0)))
+        .filter(|(_, minimum, count)| count < minimum)
+        .map(|(kind, minimum, count)| format!("{kind}: {count}, expected at least {minimum}"))
         .collect();
-    assert!(missing.is_empty(), "the transcripts cover less than they did: {missing:#?}");
+    assert!(missing.is_empty(), "the golden files count too few events: {missing:#?}");
 }
