--- a/crates/scheduler/tests/transcripts.rs
+++ b/crates/scheduler/tests/transcripts.rs
@@ -1,24 +1,27 @@
-//! Transcripts: fixed scripts over the scheduler, each with every command, every answer to a heartbeat and every
-//! byte that is written to the store, held against the files in `transcripts/`. They hold across a change
-//! of names and modules, and fail at the first step that differs. `UPDATE_TRANSCRIPTS=1` writes the files
-//! anew, which only a change that is meant to change behaviour may do.
+//! Transcript tests: fixed scripts drive the scheduler, and every command, every answer to a
+//! heartbeat and every byte written to the store is compared with the files in `transcripts/`.
+//! Renaming or moving code changes no transcript; a change of behaviour fails the test at the first
+//! step that differs. `UPDATE_TRANSCRIPTS=1` rewrites the files; use it only for an intended change
+//! of behaviour.
 //!
-//! Left out, as it is free text: what is written to the log, and the reason for which a leader steps down.
+//! Log messages and the reasons for which a leader steps down are free text and not recorded.
 //!
-//! What the scripts reach, stated once:
+//! Coverage by module. Scripts are named as in [`SCRIPTS`]. The scenarios are the failure scenarios
+//! in `sim/meetings.rs`, whose transcripts are the files `meeting-*.txt`:
 //!
-//! | module | reached by |
+//! | module | scripts |
 //! | --- | --- |
-//! | `registry`, `commands`, `dispatch`, `heartbeats`, `task`, `job`, `records`, `document`, `wire` (commands, transactions) | all but leadership and watermark |
-//! | `placement`, `queue` | starts, objectives, preemption, large fleet, the meetings (zones, gangs, spread) |
-//! | `chain` | chains, pressed chains, former records |
-//! | `sharing`, with the package `admission` | floods, the meetings with a flood |
-//! | `fleet`, `offers`, `tunables` (objectives) | scale out and in, preemption, the meetings |
-//! | `health` | failing machines, notices |
-//! | `unchanged`, `serving` | repeated heartbeats (`unchanged`), the meetings: half of the workers are answered by a follower |
-//! | `leadership`, `watermark` | leadership and watermark |
+//! | `scheduler`, `dispatch`, `storage`, `reconciliation::heartbeats`, `model::task`, `model::job`, `protocol` (commands, transactions) | all but leadership and watermark |
+//! | `placement`, `queue` | starts, objectives, preemption, large fleet, the scenarios (zones, `one_zone` and `spread` jobs) |
+//! | `queue::dependencies` | chains, pressed chains, former records |
+//! | `queue::fair_share`, with the package `admission` | floods, the scenarios with a flood |
+//! | `autoscaling`, `autoscaling::offers`, `tunables` (objectives) | scale out and in, preemption, the scenarios |
+//! | `reconciliation::health` | failing machines, notices |
+//! | `reconciliation::repeated_heartbeats`, `reconciliation::delegation` | repeated reports (`repeated_heartbeats`), the scenarios: a follower answers half of the workers |
+//! | `leadership::election`, `leadership::cancellation_log`, `leadership::watermark` | leadership and watermark |
 //!
-//! Not reached here: `protocol::users::parse_submission` and the answers to users, which are held byte by byte elsewhere.
+//! Not covered: `protocol::users::parse_submission` and the responses to users, which golden tests
+//! compare byte by byte.
 
 mod sim;
 mod world;
@@ -32,30 +35,30 @@
 use sim::{Sim, Trouble};
 use world::{golden, transcript};
 
-/// The scripts of the scripted world, by the names of their files.
+/// Scripts that run in the scripted world, with the names of their golden files.
 const SCRIPTS: [(&str, fn()); 17] = [
-    ("starts", scripts::starts),
-    ("chains", scripts::chains),
+    ("starts", scripts::task_starts),
+    ("chains", scripts::job_chains),
     ("cancellations", scripts::cancellations),
     ("failovers", scripts::failovers),
     ("preemption", scripts::preemption),
-    ("floods", scripts::floods),
-    ("unshared flood", scripts::unshared_flood),
+    ("floods", scripts::overload_with_fair_share),
+    ("unshared flood", scripts::overload_without_fair_share),
     ("scale out and in", scripts::scale_out_and_in),
     ("failing machines", scripts::failing_machines),
-    ("falling limits", scripts::falling_limits),
-    ("former records", scripts::former_records),
+    ("falling limits", scripts::decreasing_store_limits),
+    ("former records", scripts::records_of_previous_version),
     ("large fleet", scripts::large_fleet),
     ("leadership and watermark", scripts::leadership_and_watermark),
-    ("pressed chains", scripts::pressed_chains),
+    ("pressed chains", scripts::competing_chains),
     ("objectives", scripts::objectives),
-    ("notices", scripts::notices),
-    ("repeated reports", scripts::repeated_reports),
+    ("notices", scripts::interruption_notices),
+    ("repeated reports", scripts::repeated_heartbeats),
 ];
 
-/// What has to be in the transcripts, all together, at least so often: nine tenths of what was in them when
-/// they were written.
-const REACHED: &[(&str, u64)] = &[
+/// Minimum number of events of each kind in all transcripts together: nine tenths of the numbers
+/// when the transcripts were written.
+const MIN_EVENT_COUNTS: &[(&str, u64)] = &[
     ("acknowledge", 174),
     ("answer to a forwarded report", 6_323),
     ("answer to a late report", 350),
@@ -125,26 +128,31 @@
     ("written by others", 7_235),
 ];
 
-fn hold(name: &str) {
-    let (_, script) = SCRIPTS.iter().find(|(of, _)| *of == name).expect("a script");
+/// Runs a script and compares its transcript with the golden file.
+fn check_script(name: &str) {
+    let (_, script) = SCRIPTS
+        .iter()
+        .find(|(script_name, _)| *script_name == name)
+        .expect("a script of that name");
     transcript::record(name, script).assert_matches_golden();
 }
 
-fn meeting_name(index: usize) -> String {
+fn scenario_name(index: usize) -> String {
     format!("meeting {index:02}")
 }
 
-/// Every third meeting, from that one on: three tests share them. Each is played with three seeds.
-fn hold_meetings(from: usize) {
-    for (index, meeting) in MEETINGS.iter().enumerate().skip(from).step_by(3) {
-        let script: Vec<(u64, Trouble)> = LOAD.iter().chain(meeting.script).copied().collect();
-        let transcript = transcript::record(&meeting_name(index), || {
+/// Runs every third failure scenario, beginning with the given index, so that three tests share
+/// them, and compares the transcripts with the golden files. Each scenario runs with three seeds.
+fn check_scenarios(first: usize) {
+    for (index, scenario) in MEETINGS.iter().enumerate().skip(first).step_by(3) {
+        let script: Vec<(u64, Trouble)> = LOAD.iter().chain(scenario.script).copied().collect();
+        let transcript = transcript::record(&scenario_name(index), || {
             for seed in 1..=3 {
-                transcript::line("meeting", &format!("{} (seed {seed})", meeting.name));
-                let mut sim = Sim::new(meeting.name.to_owned(), seed);
+                transcript::line("meeting", &format!("{} (seed {seed})", scenario.name));
+                let mut sim = Sim::new(scenario.name.to_owned(), seed);
                 sim.play(&script, 130);
-                for (what, times) in &sim.seen {
-                    transcript::count(&format!("seen {what}"), *times);
+                for (condition, times) in &sim.seen {
+                    transcript::count(&format!("seen {condition}"), *times);
                 }
             }
         });
@@ -152,53 +160,53 @@
     }
 }
 
-macro_rules! held {
+macro_rules! transcript_tests {
     ($($test:ident: $script:literal,)*) => {
         $(#[test]
         fn $test() {
-            hold($script);
+            check_script($script);
         })*
     };
 }
 
-held! {
-    starts: "starts",
-    chains: "chains",
-    cancellations: "cancellations",
-    failovers: "failovers",
-    preemption: "preemption",
-    floods: "floods",
-    unshared_flood: "unshared flood",
-    scale_out_and_in: "scale out and in",
-    failing_machines: "failing machines",
-    falling_limits: "falling limits",
-    former_records: "former records",
-    large_fleet: "large fleet",
-    leadership_and_watermark: "leadership and watermark",
-    pressed_chains: "pressed chains",
-    objectives: "objectives",
-    notices: "notices",
-    repeated_reports: "repeated reports",
+transcript_tests! {
+    task_starts_match_the_transcript: "starts",
+    job_chains_match_the_transcript: "chains",
+    cancellations_match_the_transcript: "cancellations",
+    failovers_match_the_transcript: "failovers",
+    preemption_matches_the_transcript: "preemption",
+    overload_with_fair_share_matches_the_transcript: "floods",
+    overload_without_fair_share_matches_the_transcript: "unshared flood",
+    scale_out_and_scale_in_match_the_transcript: "scale out and in",
+    failing_machines_match_the_transcript: "failing machines",
+    decreasing_store_limits_match_the_transcript: "falling limits",
+    records_of_the_previous_version_match_the_transcript: "former records",
+    large_fleet_matches_the_transcript: "large fleet",
+    leader_election_and_watermark_match_the_transcript: "leadership and watermark",
+    competing_chains_match_the_transcript: "pressed chains",
+    start_and_completion_objectives_match_the_transcript: "objectives",
+    interruption_notices_match_the_transcript: "notices",
+    repeated_heartbeats_match_the_transcript: "repeated reports",
 }
 
 #[test]
-fn meetings_first_third() {
-    hold_meetings(0);
+fn first_third_of_the_failure_scenarios_matches_the_transcripts() {
+    check_scenarios(0);
 }
 
 #[test]
-fn meetings_second_third() {
-    hold_meetings(1);
+fn second_third_of_the_failure_scenarios_matches_the_transcripts() {
+    check_scenarios(1);
 }
 
 #[test]
-fn meetings_last_third() {
-    hold_meetings(2);
+fn last_third_of_the_failure_scenarios_matches_the_transcripts() {
+    check_scenarios(2);
 }
 
-/// The trouble's word in the statement of what the meetings cover.
-fn word_of(trouble: Trouble) -> &'static str {
-    match trouble {
+/// Returns the label of a scripted event in the check that each kind of event occurs.
+fn event_label(event: Trouble) -> &'static str {
+    match event {
         Trouble::Crash => "crash",
         Trouble::Away(_) => "away",
         Trouble::RefuseLeader(_) => "refuse leader",
@@ -225,16 +233,16 @@
 }
 
 #[test]
-fn every_trouble_is_in_a_meeting() {
-    let words = MEETINGS.iter().flat_map(|m| m.script).chain(&LOAD).map(|(_, t)| word_of(*t));
-    let words: BTreeSet<&str> = words.collect();
-    assert_eq!(words.len(), 22, "{words:?}");
+fn every_kind_of_scripted_event_occurs_in_a_failure_scenario() {
+    let labels = MEETINGS.iter().flat_map(|m| m.script).chain(&LOAD).map(|(_, t)| event_label(*t));
+    let labels: BTreeSet<&str> = labels.collect();
+    assert_eq!(labels.len(), 22, "{labels:?}");
 }
 
 #[test]
-fn the_transcripts_cover_what_they_did() {
+fn transcripts_contain_the_minimum_number_of_each_event() {
     let mut names: Vec<String> = SCRIPTS.iter().map(|(name, _)| (*name).to_owned()).collect();
-    names.extend((0..MEETINGS.len()).map(meeting_name));
+    names.extend((0..MEETINGS.len()).map(scenario_name));
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    golden::assert_min_counts(&names, REACHED);
+    golden::assert_min_counts(&names, MIN_EVENT_COUNTS);
 }
--- a/crates/scheduler/tests/transcripts/scripts.rs
+++ b/crates/scheduler/tests/transcripts/scripts.rs
@@ -1,5 +1,5 @@
-//! The scripts that are played in the scripted world. Each is the same at every run: what chance decides in
-//! them follows from a fixed seed.
+//! Scripts for the transcript tests. Every run of a script is identical, since all random decisions
+//! come from a generator with a fixed seed.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -33,7 +33,8 @@
     format!("req-{index:06}")
 }
 
-fn fleet_of(site: Site, machines: usize) -> World {
+/// Builds a world whose machines alternate between the zones `a` and `b`.
+fn world_with_machines(site: Site, machines: usize) -> World {
     let names: Vec<String> = (0..machines).map(|i| format!("n-{i:03}")).collect();
     let zones = ["a", "b"];
     let machines: Vec<(&str, &str)> =
@@ -45,8 +46,14 @@
     Team { name: name.into(), cpus, cpus_max, gpus: 0.0, gpus_max: 0.0 }
 }
 
-/// Every live task comes to an end of that kind with that chance.
-fn some_tasks_end(world: &mut World, rng: &mut SeededRng, percent: usize, causes: &[ExitReason]) {
+/// Lets each live task exit with a probability of `percent` in a hundred, for a random one of the
+/// reasons in `causes`.
+fn exit_random_tasks(
+    world: &mut World,
+    rng: &mut SeededRng,
+    percent: usize,
+    causes: &[ExitReason],
+) {
     for worker in world.workers.values_mut().filter(|worker| worker.alive) {
         for state in worker.tasks.values_mut().filter(|state| state.0 != TaskState::Exited) {
             if rng.chance(percent) {
@@ -56,9 +63,10 @@
     }
 }
 
-/// Carries out what the leader wants done, but for the share of it that is lost or refused. What is lost
-/// was carried out half of the time.
-fn carry_out_with_losses(world: &mut World, rng: &mut SeededRng, percent: usize) {
+/// Executes the leader's commands. Commits and messages are lost with a probability of `percent` in
+/// a hundred, and half of the lost ones take effect nevertheless. Commits are also rejected, half
+/// as often as they are lost.
+fn execute_commands_with_losses(world: &mut World, rng: &mut SeededRng, percent: usize) {
     for command in std::mem::take(&mut world.commands) {
         match command {
             Command::Commit { id, .. } if rng.chance(percent / 2) => {
@@ -89,7 +97,7 @@
                 };
                 world.leader.message_answered(world.now, machine, outcome);
             }
-            // What isn't answered, or not in whole, is asked again.
+            // Finds only some of the jobs or none; the leader must ask for the others again.
             Command::FindJobEnds { names } if rng.chance(70) => {
                 transcript::count("find-ends answered in part", 1);
                 let known = rng.below(2) * names.len() / 2;
@@ -104,9 +112,9 @@
     }
 }
 
-/// Arrays that start, end and fail, with lost and refused commits and messages on the way.
-pub fn starts() {
-    let mut world = fleet_of(site(), 6);
+/// Array jobs start and end while commits and messages are lost or rejected.
+pub fn task_starts() {
+    let mut world = world_with_machines(site(), 6);
     let mut rng = SeededRng::new(1);
     for round in 0..60 {
         if round % 4 == 0 && round < 40 {
@@ -120,19 +128,19 @@
         }
         for _ in 0..3 {
             world.tick();
-            carry_out_with_losses(&mut world, &mut rng, 12);
+            execute_commands_with_losses(&mut world, &mut rng, 12);
         }
-        some_tasks_end(&mut world, &mut rng, 25, &[ExitReason::Done]);
+        exit_random_tasks(&mut world, &mut rng, 25, &[ExitReason::Done]);
         world.all_report();
         world.wait(600);
     }
     world.run_out();
 }
 
-/// Chains, diamonds, needs that nobody submitted, a cancellation that goes down a chain, changes of the
-/// leader, and commits whose answers are lost.
-pub fn chains() {
-    let mut world = fleet_of(site(), 4);
+/// Job chains and diamonds, dependencies on jobs that were never submitted, cancellations that
+/// propagate along a chain, changes of leader, and commits whose answers are lost.
+pub fn job_chains() {
+    let mut world = world_with_machines(site(), 4);
     let mut rng = SeededRng::new(2);
     let dependencies = |names: &[usize]| names.iter().map(|&n| job_name(n)).collect::<Vec<_>>();
     for index in 0..40usize {
@@ -157,9 +165,9 @@
     for round in 0..70 {
         for _ in 0..2 {
             world.tick();
-            carry_out_with_losses(&mut world, &mut rng, 10);
+            execute_commands_with_losses(&mut world, &mut rng, 10);
         }
-        some_tasks_end(&mut world, &mut rng, 30, &[ExitReason::Done]);
+        exit_random_tasks(&mut world, &mut rng, 30, &[ExitReason::Done]);
         if round % 15 == 14 {
             world.withdraw_if_open(&job_name(8 * (round / 15)));
         }
@@ -176,9 +184,10 @@
     world.run_out();
 }
 
-/// Jobs of every stage are cancelled, by users and in outages, and their machines fall silent.
+/// Jobs in every stage are cancelled, also during an outage in which the leader learns nothing from
+/// the store or its peers, and a worker loses its lease.
 pub fn cancellations() {
-    let mut world = fleet_of(site(), 6);
+    let mut world = world_with_machines(site(), 6);
     let mut rng = SeededRng::new(3);
     for round in 0..80 {
         if round < 60 && round % 2 == 0 {
@@ -190,15 +199,15 @@
         if rng.chance(40) {
             world.withdraw_if_open(&job_name(2 * rng.below(30)));
         }
-        carry_out_with_losses(&mut world, &mut rng, 15);
-        some_tasks_end(
+        execute_commands_with_losses(&mut world, &mut rng, 15);
+        exit_random_tasks(
             &mut world,
             &mut rng,
             8,
             &[ExitReason::Done, ExitReason::Done, ExitReason::Error],
         );
         match round {
-            20 => world.workers.get_mut("n-002").expect("worker").lease_ends(),
+            20 => world.workers.get_mut("n-002").expect("a known worker").lease_ends(),
             30 => world.cut_off = true,
             50 => world.cut_off = false,
             _ => {}
@@ -209,9 +218,9 @@
     world.run_out();
 }
 
-/// Leaders follow on one another while commits and messages are lost, and machines end for good.
+/// The leader is replaced repeatedly while commits and messages are lost and machines terminate.
 pub fn failovers() {
-    let mut world = fleet_of(site(), 8);
+    let mut world = world_with_machines(site(), 8);
     let mut rng = SeededRng::new(4);
     for round in 0..90 {
         if round < 60 && round % 3 == 0 {
@@ -219,7 +228,7 @@
         }
         for _ in 0..2 {
             world.tick();
-            carry_out_with_losses(&mut world, &mut rng, 10);
+            execute_commands_with_losses(&mut world, &mut rng, 10);
         }
         if rng.chance(12) {
             transcript::line("next leader", "");
@@ -230,22 +239,22 @@
         }
         if round == 35 || round == 55 {
             let name = format!("n-{:03}", round / 10);
-            let worker = world.workers.get_mut(&name).expect("worker");
+            let worker = world.workers.get_mut(&name).expect("a known worker");
             worker.alive = false;
             worker.tasks.clear();
             world.leader.machine_gone(world.now, &name);
         }
-        some_tasks_end(&mut world, &mut rng, 15, &[ExitReason::Done]);
+        exit_random_tasks(&mut world, &mut rng, 15, &[ExitReason::Done]);
         world.all_report();
         world.wait(500);
     }
     world.run_out();
 }
 
-/// Work of three priorities crowds a small fleet, so that the urgent stops the other.
+/// Jobs of all priorities overload a small fleet, so that urgent tasks preempt others.
 pub fn preemption() {
     let teams = vec![team("one", 8.0, 0.0), team("two", 0.0, 60.0)];
-    let mut world = fleet_of(Site { teams, ..site() }, 10);
+    let mut world = world_with_machines(Site { teams, ..site() }, 10);
     world.leader.autoscaler.machine_list_read = true;
     let mut rng = SeededRng::new(5);
     for step in 0..160usize {
@@ -267,7 +276,7 @@
             };
             world.submit(&job_name(step), &job);
         }
-        some_tasks_end(&mut world, &mut rng, 6, &[ExitReason::Done]);
+        exit_random_tasks(&mut world, &mut rng, 6, &[ExitReason::Done]);
         world.all_report();
         world.tick();
         world.autoscale();
@@ -276,18 +285,19 @@
     }
 }
 
-/// A flood of one team beside guarantees and a limit, with a change of the leader in it.
-pub fn floods() {
+/// One team submits far more than the fleet can run, next to teams with a guaranteed quota, with a
+/// limit and with neither. The leader changes during the overload.
+pub fn overload_with_fair_share() {
     let teams = vec![
         team("one", 0.0, 0.0),
         team("two", 30.0, 0.0),
         team("capped", 0.0, 12.0),
         team("free", 0.0, 0.0),
     ];
-    let mut world = fleet_of(Site { teams, ..site() }, 16);
+    let mut world = world_with_machines(Site { teams, ..site() }, 16);
     world.leader.autoscaler.machine_list_read = true;
     let mut rng = SeededRng::new(6);
-    let mut shared = 0;
+    let mut overloaded_seconds = 0;
     for second in 0..70usize {
         let job = |team: &str, class: &str, priority| JobSpec {
             team: team.into(),
@@ -312,7 +322,7 @@
             world.leader.autoscaler.machine_list_read = true;
             world.all_report();
         }
-        some_tasks_end(&mut world, &mut rng, 25, &[ExitReason::Done]);
+        exit_random_tasks(&mut world, &mut rng, 25, &[ExitReason::Done]);
         world.all_report();
         for _ in 0..3 {
             world.wait(250);
@@ -320,29 +330,33 @@
             world.autoscale();
             world.carry_out();
         }
-        shared += u64::from(world.leader.fair_share.is_active());
+        overloaded_seconds += u64::from(world.leader.fair_share.is_active());
     }
-    transcript::count("seconds with an overload shared", shared);
-    assert!(shared > 10, "the flood is an overload");
+    transcript::count("seconds with an overload shared", overloaded_seconds);
+    assert!(overloaded_seconds > 10, "the flood didn't cause an overload");
 }
 
-/// The cloud of a script: machines come after a while, or not at all, and go.
-struct Cloud {
-    next: usize,
-    coming: Vec<(Timestamp, Worker)>,
+/// A fake cloud API: rented machines take time to boot, requests may fail or be filled only in
+/// part, and machines terminate.
+struct FakeCloud {
+    last_number: usize,
+    /// Rented machines that aren't up yet, each with the time at which it will be.
+    booting: Vec<(Timestamp, Worker)>,
+    /// The machine list: name, whether it is a spot machine, zone and state.
     listed: BTreeMap<String, (bool, String, CloudMachineState)>,
 }
 
-impl Cloud {
-    fn new(world: &World) -> Cloud {
+impl FakeCloud {
+    fn new(world: &World) -> FakeCloud {
         let listed = world.workers.values().map(|worker| {
             (worker.name.clone(), (false, worker.zone.clone(), CloudMachineState::Running))
         });
-        Cloud { next: 0, coming: Vec::new(), listed: listed.collect() }
+        FakeCloud { last_number: 0, booting: Vec::new(), listed: listed.collect() }
     }
 
-    /// What the leader wants rented and returned is done, in part or not at all at times.
-    fn carry_out(&mut self, world: &mut World, rng: &mut SeededRng) {
+    /// Executes the leader's commands. Requests to rent or return machines sometimes fail or are
+    /// filled only in part.
+    fn execute_commands(&mut self, world: &mut World, rng: &mut SeededRng) {
         let mut others = Vec::new();
         for command in std::mem::take(&mut world.commands) {
             match command {
@@ -359,7 +373,7 @@
                     let done = rng.chance(80);
                     for name in machines.iter().filter(|_| done) {
                         world.workers.remove(name);
-                        self.coming.retain(|(_, worker)| worker.name != *name);
+                        self.booting.retain(|(_, worker)| worker.name != *name);
                         self.listed.remove(name);
                     }
                     world.leader.scale_in_answered(world.now, &machines, done);
@@ -371,23 +385,25 @@
         world.carry_out();
     }
 
+    /// Rents machines that are up five seconds later, and returns their names.
     fn scale_out(&mut self, now: Timestamp, zone: &str, spot: bool, count: u32) -> Vec<String> {
         let mut names = Vec::new();
         for _ in 0..count {
-            self.next += 1;
-            let name = format!("x-{:03}", self.next);
+            self.last_number += 1;
+            let name = format!("x-{:03}", self.last_number);
             let worker = Worker { spot, ..Worker::new(&name, zone) };
-            self.coming.push((now + TimeDelta::from_secs(5), worker));
+            self.booting.push((now + TimeDelta::from_secs(5), worker));
             self.listed.insert(name.clone(), (spot, zone.to_owned(), CloudMachineState::Booting));
             names.push(name);
         }
         names
     }
 
-    /// Machines come up, spot machines get notice and go, one fails, and the list is read.
-    fn pass(&mut self, world: &mut World, rng: &mut SeededRng) {
+    /// Advances the cloud: machines finish booting, spot machines get an interruption notice and
+    /// terminate, other machines fail, and the leader receives the machine list.
+    fn advance(&mut self, world: &mut World, rng: &mut SeededRng) {
         let now = world.now;
-        for (_, worker) in self.coming.extract_if(.., |(at, _)| *at <= now) {
+        for (_, worker) in self.booting.extract_if(.., |(at, _)| *at <= now) {
             self.listed.get_mut(&worker.name).expect("a listed machine").2 =
                 CloudMachineState::Running;
             world.workers.insert(worker.name.clone(), worker);
@@ -395,8 +411,8 @@
         for worker in world.workers.values_mut().filter(|worker| worker.alive) {
             match worker.interruption_at {
                 None if worker.spot && rng.chance(2) => worker.interruption_at = Some(6.0),
-                None if rng.below(1_000) < 4 => worker.stop(&mut self.listed),
-                Some(left) if left <= 1.0 => worker.stop(&mut self.listed),
+                None if rng.below(1_000) < 4 => worker.terminate(&mut self.listed),
+                Some(left) if left <= 1.0 => worker.terminate(&mut self.listed),
                 Some(left) => worker.interruption_at = Some(left - 1.0),
                 None => {}
             }
@@ -418,8 +434,8 @@
 }
 
 impl Worker {
-    /// It ends by itself; the list tells so.
-    fn stop(&mut self, listed: &mut BTreeMap<String, (bool, String, CloudMachineState)>) {
+    /// Terminates the machine without a request of the leader; the machine list shows it as failed.
+    fn terminate(&mut self, listed: &mut BTreeMap<String, (bool, String, CloudMachineState)>) {
         transcript::count("machines that ended by themselves", 1);
         self.alive = false;
         self.tasks.clear();
@@ -429,14 +445,15 @@
     }
 }
 
-/// The fleet grows with the work and shrinks after it, in two zones, on spot and ordinary machines, with
-/// notices, failures, refusals, an objective, and a change of the leader.
+/// The fleet grows with the workload and shrinks after it, in two zones, with spot and on-demand
+/// machines, interruption notices, machine failures, rejected requests, an objective for start
+/// times and a change of leader.
 pub fn scale_out_and_in() {
     let within = TimeDelta::from_secs(3);
     let objectives = vec![Objective::Wait { class: "quick".into(), within }];
-    let mut world = fleet_of(Site { objectives, ..site() }, 2);
+    let mut world = world_with_machines(Site { objectives, ..site() }, 2);
     let mut rng = SeededRng::new(7);
-    let mut cloud = Cloud::new(&world);
+    let mut cloud = FakeCloud::new(&world);
     for second in 0..150usize {
         if second < 90 && second % 5 == 0 {
             let quick = rng.chance(30);
@@ -455,21 +472,21 @@
         if second == 60 {
             world.take_over();
         }
-        cloud.pass(&mut world, &mut rng);
-        some_tasks_end(&mut world, &mut rng, 12, &[ExitReason::Done]);
+        cloud.advance(&mut world, &mut rng);
+        exit_random_tasks(&mut world, &mut rng, 12, &[ExitReason::Done]);
         world.all_report();
         for _ in 0..2 {
             world.wait(400);
             world.tick();
             world.autoscale();
-            cloud.carry_out(&mut world, &mut rng);
+            cloud.execute_commands(&mut world, &mut rng);
         }
     }
 }
 
-/// Tasks end for every cause there is; three machines fail whatever they are given.
+/// Tasks exit for different reasons, and three machines fail every task that they are given.
 pub fn failing_machines() {
-    let mut world = fleet_of(site(), 8);
+    let mut world = world_with_machines(site(), 8);
     let mut rng = SeededRng::new(8);
     let causes = [
         ExitReason::Done,
@@ -485,56 +502,58 @@
         for _ in 0..2 {
             world.tick();
             world.autoscale();
-            carry_out_with_losses(&mut world, &mut rng, 4);
+            execute_commands_with_losses(&mut world, &mut rng, 4);
         }
         for worker in world.workers.values_mut().take(3) {
             let live = worker.tasks.values_mut().filter(|state| state.0 != TaskState::Exited);
             live.for_each(|state| *state = (TaskState::Exited, Some(ExitReason::Error)));
         }
-        some_tasks_end(&mut world, &mut rng, 20, &causes);
+        exit_random_tasks(&mut world, &mut rng, 20, &causes);
         world.all_report();
         world.wait(500);
     }
 }
 
-/// The limits of the key-value store fall while a large array runs, and again before a transaction's answer.
-pub fn falling_limits() {
+/// The limits of the key-value store are lowered while a large array job runs, and again before the
+/// answer to a transaction.
+pub fn decreasing_store_limits() {
     let job = job_name(1);
-    let mut world = fleet_of(site(), 40);
+    let mut world = world_with_machines(site(), 40);
     let mut rng = SeededRng::new(9);
     world.submit_in_chunks(&job, &spec(160), 168);
     world.settle();
-    let fall = |world: &mut World, bytes: usize, operations: usize| {
+    let lower_limits = |world: &mut World, bytes: usize, operations: usize| {
         world.store.limits = Some((bytes, operations));
         world.leader.set_limits(TransactionLimits { value_bytes: bytes, operations });
     };
-    fall(&mut world, 2_048, 4);
+    lower_limits(&mut world, 2_048, 4);
     for round in 0..10 {
-        some_tasks_end(&mut world, &mut rng, 8, &[ExitReason::Done]);
+        exit_random_tasks(&mut world, &mut rng, 8, &[ExitReason::Done]);
         if round % 3 == 1 {
             world.take_over();
         }
         world.all_report();
         for _ in 0..3 {
             world.tick();
-            carry_out_with_losses(&mut world, &mut rng, 10);
+            execute_commands_with_losses(&mut world, &mut rng, 10);
         }
         world.wait(3_000);
     }
-    // The answer tells that it was too large before the leader hears of the limits.
+    // The store rejects a transaction as too large before the leader learns the new limits.
     world.submit_in_chunks(&job_name(2), &spec(60), 168);
     world.store.limits = Some((700, 2));
     world.tick();
     world.carry_out();
-    fall(&mut world, 700, 2);
+    lower_limits(&mut world, 700, 2);
     world.run_out();
 }
 
-/// Records that the former version wrote are taken over, done and cleaned up, and the lead goes to and fro
-/// between the versions.
-pub fn former_records() {
+/// A leader loads the records of the previous version, runs their jobs to completion and deletes
+/// them. Leadership then alternates between the two versions.
+pub fn records_of_previous_version() {
     let mut world = World::new(&[("n-000001", "a"), ("n-000002", "b")]);
-    let records: Vec<KeyValue> = serde_json::from_str(PRODUCTION_RECORDS).expect("the fixture");
+    let records: Vec<KeyValue> =
+        serde_json::from_str(PRODUCTION_RECORDS).expect("the fixture is a list of records");
     for key_value in records.into_iter().filter(|key_value| key_value.key != keys::LEADER) {
         world.store.put(&key_value.key, key_value.value);
     }
@@ -545,7 +564,7 @@
         ("n-000001", "req-000002/0"),
         ("n-000001", "req-000002/1"),
     ] {
-        let worker = world.workers.get_mut(machine).expect("worker");
+        let worker = world.workers.get_mut(machine).expect("a known worker");
         worker.tasks.insert((task.to_owned(), Attempt(1)), (TaskState::Running, None));
     }
     world.take_over();
@@ -569,7 +588,7 @@
     world.run_out();
 }
 
-/// 4,200 machines are filled, some work ends, some machines go, and another leader takes over.
+/// Jobs fill 4,200 machines, some tasks end, some machines are lost, and another leader takes over.
 pub fn large_fleet() {
     let names: Vec<String> = (0..4_200).map(|i| format!("n-{i:06}")).collect();
     let machines: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "a")).collect();
@@ -578,34 +597,34 @@
     for index in 0..84 {
         world.submit(&job_name(index), &spec(200));
     }
-    let play = |world: &mut World, ticks: usize| {
+    let run_ticks = |world: &mut World, ticks: usize| {
         for _ in 0..ticks {
             world.tick();
             world.carry_out();
         }
     };
-    play(&mut world, 30);
-    some_tasks_end(&mut world, &mut rng, 5, &[ExitReason::Done]);
+    run_ticks(&mut world, 30);
+    exit_random_tasks(&mut world, &mut rng, 5, &[ExitReason::Done]);
     for name in names.iter().step_by(600) {
-        let worker = world.workers.get_mut(name).expect("worker");
+        let worker = world.workers.get_mut(name).expect("a known worker");
         worker.alive = false;
         worker.tasks.clear();
         world.leader.machine_gone(world.now, name);
     }
     world.all_report();
-    play(&mut world, 4);
+    run_ticks(&mut world, 4);
     world.all_report();
-    play(&mut world, 4);
+    run_ticks(&mut world, 4);
     world.take_over();
     for name in &names {
         world.leader.cluster.hint_address(world.now, name, "10.0.0.1:1");
     }
-    play(&mut world, 6);
+    run_ticks(&mut world, 6);
     world.all_report();
-    play(&mut world, 4);
+    run_ticks(&mut world, 4);
 }
 
-/// Who may lead, and what the nodes know of each other's cancellations, under any order of events.
+/// Leader election, the cancellation log and the watermark process random sequences of events.
 pub fn leadership_and_watermark() {
     let mut rng = SeededRng::new(11);
     let mut leadership = Leadership::default();
@@ -664,10 +683,10 @@
     }
 }
 
-/// Tunables other than the usual ones, for a script that plays with them.
-pub fn unshared_flood() {
+/// An overload while fair sharing is disabled by the tunable `shared_order`.
+pub fn overload_without_fair_share() {
     let teams = vec![team("one", 0.0, 0.0), team("two", 0.0, 0.0)];
-    let mut world = fleet_of(Site { teams, ..site() }, 6);
+    let mut world = world_with_machines(Site { teams, ..site() }, 6);
     let mut tunables = (*world.leader.tunables).clone();
     tunables.shared_order = false;
     world.leader.tunables = Rc::new(tunables);
@@ -678,7 +697,7 @@
             let job = JobSpec { team: team.into(), deadline_s: Some(9.0), ..spec(6) };
             world.submit(&job_name(10 * second + index), &job);
         }
-        some_tasks_end(&mut world, &mut rng, 25, &[ExitReason::Done]);
+        exit_random_tasks(&mut world, &mut rng, 25, &[ExitReason::Done]);
         world.all_report();
         world.tick();
         world.autoscale();
@@ -687,10 +706,10 @@
     }
 }
 
-/// Chains of unlike lengths press for room on two machines, each by its last step's deadline and priority,
-/// beside jobs that stand alone.
-pub fn pressed_chains() {
-    let mut world = fleet_of(site(), 2);
+/// Chains of different lengths and jobs without dependencies compete for two machines. The urgency
+/// of a chain follows from the deadline and priority of its last job.
+pub fn competing_chains() {
+    let mut world = world_with_machines(site(), 2);
     let mut rng = SeededRng::new(13);
     let mut last = 0;
     for round in 0..90usize {
@@ -698,10 +717,10 @@
             let steps = 1 + rng.below(4);
             for step in 0..steps {
                 let dependencies = if step == 0 { Vec::new() } else { vec![job_name(last)] };
-                let ends = step + 1 == steps;
-                let deadline_s = ends.then(|| 20.0 + rng.below(120) as f64);
+                let is_last = step + 1 == steps;
+                let deadline_s = is_last.then(|| 20.0 + rng.below(120) as f64);
                 let priority =
-                    if ends && rng.chance(15) { Priority::High } else { Priority::Normal };
+                    if is_last && rng.chance(15) { Priority::High } else { Priority::Normal };
                 let estimate_s = 4.0 + rng.below(9) as f64;
                 let tasks = 1 + rng.below(3) as u32;
                 last += 1;
@@ -711,8 +730,8 @@
         }
         world.tick();
         world.autoscale();
-        carry_out_with_losses(&mut world, &mut rng, 5);
-        some_tasks_end(&mut world, &mut rng, 30, &[ExitReason::Done]);
+        execute_commands_with_losses(&mut world, &mut rng, 5);
+        exit_random_tasks(&mut world, &mut rng, 30, &[ExitReason::Done]);
         if round == 45 {
             world.take_over();
         }
@@ -721,7 +740,7 @@
     }
 }
 
-/// Classes that have to start or finish within a time crowd a small fleet.
+/// Jobs of classes with objectives for start or completion times overload a small fleet.
 pub fn objectives() {
     let wait = |class: &str, within| Objective::Wait {
         class: class.into(),
@@ -734,7 +753,7 @@
         Objective::Deadline { class: "c".into(), times: 2.0 },
         Objective::Finished { class: "soon".into(), within: TimeDelta::from_secs(40) },
     ];
-    let mut world = fleet_of(Site { objectives, ..site() }, 3);
+    let mut world = world_with_machines(Site { objectives, ..site() }, 3);
     let mut rng = SeededRng::new(14);
     for round in 0..160usize {
         if round < 120 {
@@ -751,7 +770,7 @@
             };
             world.submit(&job_name(round), &job);
         }
-        some_tasks_end(&mut world, &mut rng, 22, &[ExitReason::Done]);
+        exit_random_tasks(&mut world, &mut rng, 22, &[ExitReason::Done]);
         world.all_report();
         world.tick();
         world.autoscale();
@@ -760,10 +779,10 @@
     }
 }
 
-/// Spot machines get notice long and short before they go, while there is room elsewhere and while there is
-/// none, with tasks of all lengths.
-pub fn notices() {
-    let mut world = fleet_of(site(), 12);
+/// Spot machines get interruption notices 3 to 42 s ahead, with and without free capacity on other
+/// machines, while they run tasks of different lengths.
+pub fn interruption_notices() {
+    let mut world = world_with_machines(site(), 12);
     let mut rng = SeededRng::new(15);
     for worker in world.workers.values_mut().skip(4) {
         worker.spot = true;
@@ -780,7 +799,7 @@
                 None if worker.alive && rng.chance(3) => {
                     worker.interruption_at = Some(3.0 + rng.below(40) as f64);
                 }
-                // It is gone, and another stands in its place some time later.
+                // The machine has terminated. About ten seconds later, another takes its place.
                 Some(left) if left <= 1.0 => {
                     worker.alive = left < -9.0;
                     worker.interruption_at = (!worker.alive).then_some(left - 1.0);
@@ -791,7 +810,7 @@
                 None => {}
             }
         }
-        some_tasks_end(&mut world, &mut rng, 4, &[ExitReason::Done]);
+        exit_random_tasks(&mut world, &mut rng, 4, &[ExitReason::Done]);
         world.all_report();
         for _ in 0..2 {
             world.wait(400);
@@ -802,9 +821,10 @@
     }
 }
 
-/// Reports that left nothing to do come again, in and out of their order, here and at another node.
-pub fn repeated_reports() {
-    let mut world = fleet_of(site(), 4);
+/// Heartbeats that required no action are repeated, in and out of order, to the leader and to other
+/// nodes.
+pub fn repeated_heartbeats() {
+    let mut world = world_with_machines(site(), 4);
     let mut rng = SeededRng::new(16);
     let names: Vec<String> = world.workers.keys().cloned().collect();
     let mut cache_entries = BTreeMap::new();
@@ -816,16 +836,16 @@
             world.take_over();
         }
         world.tick();
-        carry_out_with_losses(&mut world, &mut rng, 5);
-        some_tasks_end(&mut world, &mut rng, 2, &[ExitReason::Done]);
+        execute_commands_with_losses(&mut world, &mut rng, 5);
+        exit_random_tasks(&mut world, &mut rng, 2, &[ExitReason::Done]);
         let now = world.now;
         for name in &names {
-            let heartbeat = world.workers.get_mut(name).expect("worker").heartbeat();
+            let heartbeat = world.workers.get_mut(name).expect("a known worker").heartbeat();
             if rng.chance(50) {
                 let answer = world.leader.handle_heartbeat(now, &heartbeat).ok();
                 transcript::answer("whole", name, answer.as_ref());
                 let Some(HeartbeatAnswer { token, commands: calls }) = answer else { continue };
-                let worker = world.workers.get_mut(name).expect("worker");
+                let worker = world.workers.get_mut(name).expect("a known worker");
                 worker.answered(heartbeat.agent_epoch, token, &calls);
                 let holder = rng.below(3) as u16;
                 let revision = world.leader.cache_heartbeat(now, &heartbeat, holder);
@@ -840,8 +860,8 @@
                 let token = world.leader.answer_repeated_heartbeat(now, revision, sequence);
                 let token = token.map_or("-".to_owned(), |token| token.to_string());
                 transcript::line("repeated", &format!("{name} sequence={sequence} {token}"));
-                let again = world.leader.record_repeated_heartbeat(now, revision, sequence);
-                transcript::line("repeated again", &format!("{name} {again}"));
+                let recorded = world.leader.record_repeated_heartbeat(now, revision, sequence);
+                transcript::line("repeated again", &format!("{name} {recorded}"));
             }
         }
         for invalidated in world.leader.cluster.take_invalidations() {
