--- a/crates/scheduler/tests/transcripts/scripts.rs
+++ b/crates/scheduler/tests/transcripts/scripts.rs
@@ -169,7 +169,7 @@
         }
         exit_random_tasks(&mut world, &mut rng, 30, &[ExitReason::Done]);
         if round % 15 == 14 {
-            world.withdraw_if_open(&job_name(8 * (round / 15)));
+            world.cancel_job_if_open(&job_name(8 * (round / 15)));
         }
         if round % 23 == 22 {
             world.take_over_as(round == 45);
@@ -197,7 +197,7 @@
         }
         world.tick();
         if rng.chance(40) {
-            world.withdraw_if_open(&job_name(2 * rng.below(30)));
+            world.cancel_job_if_open(&job_name(2 * rng.below(30)));
         }
         execute_commands_with_losses(&mut world, &mut rng, 15);
         exit_random_tasks(
--- a/crates/scheduler/tests/world/mod.rs
+++ b/crates/scheduler/tests/world/mod.rs
@@ -444,7 +444,7 @@
     }
 
     /// The same, if nothing has ended it yet.
-    pub fn withdraw_if_open(&mut self, job: &str) {
+    pub fn cancel_job_if_open(&mut self, job: &str) {
         let accepted = self.store.keys.contains_key(&keys::job(job));
         if accepted && self.end(job).is_none() {
             self.withdraw(job);
