--- a/crates/scheduler/tests/cancellations.rs
+++ b/crates/scheduler/tests/cancellations.rs
@@ -540,7 +540,7 @@
     w.settle();
     w.heartbeat("n-1");
     w.settle();
-    w.withdraw(JOB);
+    w.cancel_job(JOB);
     w.tick();
     let (machine, _, _, calls) = w.take_direct();
     assert_eq!(calls.len(), 1);
@@ -575,7 +575,7 @@
         machine,
         walnutlug_scheduler::command::MessageOutcome::Answered(Box::new(newer)),
     );
-    w.withdraw(JOB);
+    w.cancel_job(JOB);
     let HeartbeatAnswer { token, commands: calls } =
         w.leader.handle_heartbeat(w.now, &overtaken).expect("an answer");
     w.workers.get_mut("n-1").expect("worker").answered(AgentEpoch(1), token, &calls);
--- a/crates/scheduler/tests/dependencies.rs
+++ b/crates/scheduler/tests/dependencies.rs
@@ -151,7 +151,7 @@
             w.submit(&name(i), &depending_on(&[&name(i - 1)]));
         }
         w.settle();
-        w.withdraw(&name(0));
+        w.cancel_job(&name(0));
         let open = |w: &World| (0..40).filter(|&i| w.end(&name(i)).is_none()).count();
         let mut leaders = 0;
         while open(&w) > 0 {
@@ -198,7 +198,7 @@
     let mut w = one_machine();
     w.submit(FIRST, &spec(1));
     w.settle();
-    w.withdraw(FIRST);
+    w.cancel_job(FIRST);
     w.run_out();
     assert!(!w.store.keys.contains_key(&keys::todo(FIRST)));
     w.submit(SECOND, &depending_on(&[FIRST]));
@@ -228,7 +228,7 @@
         w.submit(&name(i), &depending_on(&[FIRST]));
     }
     w.settle();
-    w.withdraw(FIRST);
+    w.cancel_job(FIRST);
     w.store.put(&keys::end(&name(3)), json!("aborted"));
     w.run_out();
     for i in 2..6 {
@@ -262,9 +262,9 @@
     // A job with a tighter deadline depends on the same job, and is then cancelled.
     w.submit("req-000004", &JobSpec { deadline_s: Some(60.0), ..last.clone() });
     assert!(priority_and_slack(&w).1 < inherited_slack - 35.0);
-    w.withdraw("req-000004");
+    w.cancel_job("req-000004");
     assert!((priority_and_slack(&w).1 - inherited_slack).abs() < 0.5);
-    w.withdraw("req-000003");
+    w.cancel_job("req-000003");
     assert_eq!(
         (priority_and_slack(&w).0, priority_and_slack(&w).1 > 1_000.0),
         (Priority::Low, true)
@@ -340,7 +340,7 @@
     }
     assert_eq!(log_count, 1);
     assert!(w.places().is_empty());
-    w.withdraw(SECOND);
+    w.cancel_job(SECOND);
     w.run_out();
     assert!(!w.store.keys.contains_key(&keys::description(SECOND, true)));
 }
@@ -352,7 +352,7 @@
     w.submit(SECOND, &depending_on(&[FIRST, SECOND]));
     w.run_out();
     assert!(w.places().is_empty());
-    w.withdraw(FIRST);
+    w.cancel_job(FIRST);
     w.run_out();
     assert_eq!(w.end(SECOND), Some(&json!("aborted")));
 }
@@ -388,7 +388,7 @@
         w.submit(&name(6_003 + 3 * i), &depending_on(&[&left, &right]));
     }
     for first in [0, 1_000, 6_000] {
-        w.withdraw(&name(first));
+        w.cancel_job(&name(first));
     }
     for _ in 0..60 {
         w.settle();
--- a/crates/scheduler/tests/golden_bytes.rs
+++ b/crates/scheduler/tests/golden_bytes.rs
@@ -425,7 +425,7 @@
         self.begin_section("4 withdrawn and done");
         self.world.submit("req-000004", &spec(2));
         self.run_rounds(3);
-        self.world.withdraw("req-000004");
+        self.world.cancel_job("req-000004");
         self.run_rounds(3);
         for _ in 0..6 {
             for (task, machines) in self.world.places() {
--- a/crates/scheduler/tests/random_interleavings.rs
+++ b/crates/scheduler/tests/random_interleavings.rs
@@ -286,7 +286,7 @@
             28 if pick.is_multiple_of(16) => {
                 let job = JOBS[pick / 16 % self.accepted].0;
                 if self.w.end(job).is_none() {
-                    self.w.withdraw(job);
+                    self.w.cancel_job(job);
                 }
             }
             31 if pick.is_multiple_of(8) && self.accepted < JOBS.len() => {
--- a/crates/scheduler/tests/repeated_heartbeats.rs
+++ b/crates/scheduler/tests/repeated_heartbeats.rs
@@ -85,7 +85,7 @@
 fn a_repetition_is_not_answered_from_the_cache_after_a_relevant_change() {
     type Operation = fn(&mut World, &Heartbeat);
     let cases: [(&str, Operation); 9] = [
-        ("the job is cancelled", |w, _| w.withdraw(JOB)),
+        ("the job is cancelled", |w, _| w.cancel_job(JOB)),
         ("the job has ended with an unknown outcome", |w, _| w.leader.mark_job_ended(w.now, JOB)),
         ("another heartbeat arrived", |w, _| w.heartbeat(MACHINE)),
         ("a request to the machine was lost", |w, _| {
--- a/crates/scheduler/tests/world/mod.rs
+++ b/crates/scheduler/tests/world/mod.rs
@@ -438,7 +438,7 @@
     }
 
     /// The job has ended for its user: the end is stored, and told to the leader.
-    pub fn withdraw(&mut self, job: &str) {
+    pub fn cancel_job(&mut self, job: &str) {
         self.store.put(&keys::end(job), json!("aborted"));
         self.leader.job_ended(self.now, job, JobEnd::Cancelled);
     }
@@ -447,7 +447,7 @@
     pub fn cancel_job_if_open(&mut self, job: &str) {
         let accepted = self.store.keys.contains_key(&keys::job(job));
         if accepted && self.end(job).is_none() {
-            self.withdraw(job);
+            self.cancel_job(job);
         }
     }
 
