--- a/crates/scheduler/tests/dependencies.rs
+++ b/crates/scheduler/tests/dependencies.rs
@@ -57,7 +57,7 @@
     let outcome = w.store.apply(&transaction);
     w.leader.transaction_answered(w.now, id, outcome);
     assert_eq!(w.leader.queue(w.now).len(), 1, "released by the commit");
-    w.run_out();
+    w.run_to_completion();
     assert_eq!(w.end(SECOND), Some(&json!("done")));
     assert!(!w.store.keys.keys().any(|k| k.starts_with("run/") || k.starts_with("todo")));
 }
@@ -107,7 +107,7 @@
     w.take_over();
     w.all_report();
     assert!(w.leader.queue(w.now).is_empty());
-    w.run_out();
+    w.run_to_completion();
     assert_eq!(w.end(SECOND), Some(&json!("done")));
     assert_eq!(w.places().len(), 0);
 }
@@ -129,14 +129,14 @@
         "names without an answer are looked up again"
     );
     w.leader.job_ends_found(w.now, &[(FIRST.to_owned(), JobEndLookup::Open)]);
-    w.run_out();
+    w.run_to_completion();
     assert!(w.places().is_empty() && w.end(SECOND).is_none());
     // The job isn't in the registry, so no commit of this leader reports its end; the watch or the
     // next reload does.
     assert_eq!(w.leader.open_dependencies(), [FIRST]);
     w.store.put(&keys::end(FIRST), json!("done"));
     w.leader.job_ended(w.now, FIRST, JobEnd::Done);
-    w.run_out();
+    w.run_to_completion();
     assert_eq!(w.end(SECOND), Some(&json!("done")));
 }
 
@@ -183,7 +183,7 @@
             leaders += 1;
             assert!(leaders < 10, "{} are still open", open(&w));
         }
-        w.run_out();
+        w.run_to_completion();
         for i in 0..40 {
             assert_eq!(w.end(&name(i)), Some(&json!("aborted")), "{i}");
         }
@@ -199,11 +199,11 @@
     w.submit(FIRST, &spec(1));
     w.settle();
     w.cancel_job(FIRST);
-    w.run_out();
+    w.run_to_completion();
     assert!(!w.store.keys.contains_key(&keys::todo(FIRST)));
     w.submit(SECOND, &depending_on(&[FIRST]));
     w.submit("req-000003", &depending_on(&[SECOND]));
-    w.run_out();
+    w.run_to_completion();
     assert_eq!(w.end(SECOND), Some(&json!("aborted")));
     assert_eq!(w.end("req-000003"), Some(&json!("aborted")));
 }
@@ -215,7 +215,7 @@
     assert_eq!(w.end(FIRST), Some(&json!("done")));
     // The user is told the end as it is stored.
     w.leader.job_ended(w.now, FIRST, JobEnd::Done);
-    w.run_out();
+    w.run_to_completion();
     assert_eq!(w.end(SECOND), Some(&json!("done")));
 }
 
@@ -230,7 +230,7 @@
     w.settle();
     w.cancel_job(FIRST);
     w.store.put(&keys::end(&name(3)), json!("aborted"));
-    w.run_out();
+    w.run_to_completion();
     for i in 2..6 {
         assert_eq!(w.end(&name(i)), Some(&json!("aborted")), "{i}");
     }
@@ -341,7 +341,7 @@
     assert_eq!(log_count, 1);
     assert!(w.places().is_empty());
     w.cancel_job(SECOND);
-    w.run_out();
+    w.run_to_completion();
     assert!(!w.store.keys.contains_key(&keys::description(SECOND, true)));
 }
 
@@ -350,10 +350,10 @@
     let mut w = one_machine();
     w.submit(FIRST, &depending_on(&[SECOND]));
     w.submit(SECOND, &depending_on(&[FIRST, SECOND]));
-    w.run_out();
+    w.run_to_completion();
     assert!(w.places().is_empty());
     w.cancel_job(FIRST);
-    w.run_out();
+    w.run_to_completion();
     assert_eq!(w.end(SECOND), Some(&json!("aborted")));
 }
 
--- a/crates/scheduler/tests/storage_limits.rs
+++ b/crates/scheduler/tests/storage_limits.rs
@@ -97,7 +97,7 @@
         w.wait(6_000);
     }
     assert!(chunk_keys(&w).iter().any(|k| k.contains('.')), "{:?}", chunk_keys(&w));
-    w.run_out();
+    w.run_to_completion();
     assert_eq!(w.end(JOB), Some(&json!("done")));
     assert_eq!(chunk_keys(&w).len(), 0, "parts were not deleted with the chunks");
     assert!(!w.store.keys.contains_key(&keys::todo(JOB)));
@@ -118,7 +118,7 @@
     lower_limits(&mut w);
     w.settle();
     assert_eq!(w.places().len(), 160);
-    w.run_out();
+    w.run_to_completion();
     assert_eq!(w.end(JOB), Some(&json!("done")));
 }
 
@@ -156,7 +156,7 @@
         let attempts =
             w.leader.cluster.job(job_index).expect("job").tasks.iter().map(|t| t.attempt);
         assert_eq!(attempts.max(), Some(Attempt(1)), "applied: {applied}");
-        w.run_out();
+        w.run_to_completion();
         assert_eq!(w.end(JOB), Some(&json!("done")));
     }
 }
@@ -208,6 +208,6 @@
     );
     w.store.limits = Some(LOWERED_LIMITS);
     w.leader.set_limits(TransactionLimits { value_bytes: 8_192, operations: LOWERED_LIMITS.1 });
-    w.run_out();
+    w.run_to_completion();
     assert_eq!(w.end(JOB), Some(&json!("done")));
 }
--- a/crates/scheduler/tests/transcripts/scripts.rs
+++ b/crates/scheduler/tests/transcripts/scripts.rs
@@ -134,7 +134,7 @@
         world.all_report();
         world.wait(600);
     }
-    world.run_out();
+    world.run_to_completion();
 }
 
 /// Job chains and diamonds, dependencies on jobs that were never submitted, cancellations that
@@ -181,7 +181,7 @@
         world.all_report();
         world.wait(700);
     }
-    world.run_out();
+    world.run_to_completion();
 }
 
 /// Jobs in every stage are cancelled, also during an outage in which the leader learns nothing from
@@ -215,7 +215,7 @@
         world.all_report();
         world.wait(700);
     }
-    world.run_out();
+    world.run_to_completion();
 }
 
 /// The leader is replaced repeatedly while commits and messages are lost and machines terminate.
@@ -248,7 +248,7 @@
         world.all_report();
         world.wait(500);
     }
-    world.run_out();
+    world.run_to_completion();
 }
 
 /// Jobs of all priorities overload a small fleet, so that urgent tasks preempt others.
@@ -545,7 +545,7 @@
     world.tick();
     world.carry_out();
     lower_limits(&mut world, 700, 2);
-    world.run_out();
+    world.run_to_completion();
 }
 
 /// A leader loads the records of the previous version, runs their jobs to completion and deletes
@@ -569,7 +569,7 @@
     }
     world.take_over();
     world.all_report();
-    world.run_out();
+    world.run_to_completion();
     world.submit_in_chunks(&job_name(11), &spec(3), 168);
     world.submit(&job_name(12), &JobSpec { dependencies: vec![job_name(11)], ..spec(3) });
     for turn in 0..8 {
@@ -585,7 +585,7 @@
     }
     world.take_over();
     world.all_report();
-    world.run_out();
+    world.run_to_completion();
 }
 
 /// Jobs fill 4,200 machines, some tasks end, some machines are lost, and another leader takes over.
--- a/crates/scheduler/tests/version_compatibility.rs
+++ b/crates/scheduler/tests/version_compatibility.rs
@@ -50,7 +50,7 @@
     assert_eq!((job.spec.zone.as_deref(), job.spec.priority), (Some("a"), Priority::Normal));
     assert!(job.spec.dependencies.is_empty() && !job.is_blocked());
     w.all_report();
-    w.run_out();
+    w.run_to_completion();
     for job in ["req-000001", "req-000002"] {
         assert_eq!(w.end(job), Some(&json!("done")));
     }
@@ -147,6 +147,6 @@
     // A leader of this version has seen the first job complete; the second job then runs only once.
     w.take_over();
     w.all_report();
-    w.run_out();
+    w.run_to_completion();
     assert_eq!(w.end("req-000002"), Some(&json!("done")));
 }
--- a/crates/scheduler/tests/world/mod.rs
+++ b/crates/scheduler/tests/world/mod.rs
@@ -452,7 +452,7 @@
     }
 
     /// Lets everything that runs complete, round by round, until all is done that can be.
-    pub fn run_out(&mut self) {
+    pub fn run_to_completion(&mut self) {
         for _ in 0..40 {
             self.settle();
             let places = self.places();
