--- a/crates/scheduler/tests/fair_share.rs
+++ b/crates/scheduler/tests/fair_share.rs
@@ -116,7 +116,7 @@
         for _ in 0..4 {
             self.world.wait(200);
             self.world.tick();
-            self.world.carry_out();
+            self.world.execute_commands();
         }
     }
 
@@ -257,7 +257,7 @@
             world.leader.autoscale(world.now);
             overloaded |= world.leader.fair_share.is_active();
             commands.extend(world.commands.iter().map(|command| format!("{command:?}")));
-            world.carry_out();
+            world.execute_commands();
         }
         (commands, overloaded)
     };
--- a/crates/scheduler/tests/golden_bytes.rs
+++ b/crates/scheduler/tests/golden_bytes.rs
@@ -305,7 +305,7 @@
     fn run_rounds(&mut self, rounds: usize) {
         for _ in 0..rounds {
             self.tick_and_record();
-            self.world.carry_out();
+            self.world.execute_commands();
         }
     }
 
@@ -314,7 +314,7 @@
         for _ in 0..rounds {
             self.tick_and_record();
             self.world.commands.retain(|c| !matches!(c, Command::SendToWorker { .. }));
-            self.world.carry_out();
+            self.world.execute_commands();
         }
     }
 
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -788,11 +788,11 @@
         let commands = l.s.take_commands();
         transcript::commands(term, &commands);
         for command in commands {
-            self.carry_out(i, term, served, command);
+            self.execute_commands(i, term, served, command);
         }
     }
 
-    fn carry_out(&mut self, i: usize, term: Term, served: bool, command: Command) {
+    fn execute_commands(&mut self, i: usize, term: Term, served: bool, command: Command) {
         match command {
             Command::Log(_) | Command::FindJobEnds { .. } => {}
             Command::VerifyLeadership | Command::StepDown(_) => {
--- a/crates/scheduler/tests/transcripts/scripts.rs
+++ b/crates/scheduler/tests/transcripts/scripts.rs
@@ -106,7 +106,7 @@
             }
             command => {
                 world.commands.push(command);
-                world.carry_out();
+                world.execute_commands();
             }
         }
     }
@@ -280,7 +280,7 @@
         world.all_report();
         world.tick();
         world.autoscale();
-        world.carry_out();
+        world.execute_commands();
         world.wait(250);
     }
 }
@@ -328,7 +328,7 @@
             world.wait(250);
             world.tick();
             world.autoscale();
-            world.carry_out();
+            world.execute_commands();
         }
         overloaded_seconds += u64::from(world.leader.fair_share.is_active());
     }
@@ -382,7 +382,7 @@
             }
         }
         world.commands = others;
-        world.carry_out();
+        world.execute_commands();
     }
 
     /// Rents machines that are up five seconds later, and returns their names.
@@ -543,7 +543,7 @@
     world.submit_in_chunks(&job_name(2), &spec(60), 168);
     world.store.limits = Some((700, 2));
     world.tick();
-    world.carry_out();
+    world.execute_commands();
     lower_limits(&mut world, 700, 2);
     world.run_to_completion();
 }
@@ -600,7 +600,7 @@
     let run_ticks = |world: &mut World, ticks: usize| {
         for _ in 0..ticks {
             world.tick();
-            world.carry_out();
+            world.execute_commands();
         }
     };
     run_ticks(&mut world, 30);
@@ -701,7 +701,7 @@
         world.all_report();
         world.tick();
         world.autoscale();
-        world.carry_out();
+        world.execute_commands();
         world.wait(900);
     }
 }
@@ -774,7 +774,7 @@
         world.all_report();
         world.tick();
         world.autoscale();
-        world.carry_out();
+        world.execute_commands();
         world.wait(500);
     }
 }
@@ -816,7 +816,7 @@
             world.wait(400);
             world.tick();
             world.autoscale();
-            world.carry_out();
+            world.execute_commands();
         }
     }
 }
--- a/crates/scheduler/tests/world/mod.rs
+++ b/crates/scheduler/tests/world/mod.rs
@@ -469,12 +469,12 @@
     pub fn settle(&mut self) {
         for _ in 0..20 {
             self.tick();
-            self.carry_out();
+            self.execute_commands();
         }
     }
 
     /// Carries out, faultlessly, what the leader wants done now.
-    pub fn carry_out(&mut self) {
+    pub fn execute_commands(&mut self) {
         for command in std::mem::take(&mut self.commands) {
             match command {
                 Command::Commit { id, transaction } => {
