--- a/crates/scheduler/tests/autoscaling.rs
+++ b/crates/scheduler/tests/autoscaling.rs
@@ -89,11 +89,11 @@
     for i in 0..8 {
         w.submit(&format!("req-00000{i}"), &JobSpec { cpus: 8.0, ..spec(100) });
     }
-    w.all_report();
+    w.send_all_heartbeats();
     let mut granted = 0;
     for _ in 0..20 {
         w.wait(600);
-        w.all_report();
+        w.send_all_heartbeats();
         w.settle();
         w.leader.autoscale(w.now);
         for command in w.leader.take_commands() {
@@ -119,8 +119,8 @@
         let name = format!("n-{i:03}");
         w.workers.insert(name.clone(), world::Worker::new(&name, "a"));
     }
-    w.all_report();
-    w.all_report();
+    w.send_all_heartbeats();
+    w.send_all_heartbeats();
     w.submit(JOB, &spec(300));
     w.settle();
     let revision_and_keys = |w: &World| {
@@ -288,13 +288,13 @@
     w.settle();
     let name = w.places()["req-000001/0"][0].clone();
     assert_eq!(w.places()["req-000002/0"][0], name, "the fullest machine is preferred");
-    w.all_report();
+    w.send_all_heartbeats();
     let send_interruption_notice = |w: &mut World| {
         w.workers.get_mut(&name).expect("worker").interruption_at = Some(12.0);
         w.heartbeat(&name);
         w.leader.autoscale(w.now);
         w.settle();
-        w.all_report();
+        w.send_all_heartbeats();
         w.settle();
     };
     send_interruption_notice(&mut w);
@@ -305,7 +305,7 @@
     let mut w = World::new(&[("n-1", "a")]);
     w.submit("req-000001", &JobSpec { estimate_s: 60.0, ..spec(1) });
     w.settle();
-    w.all_report();
+    w.send_all_heartbeats();
     send_interruption_notice(&mut w);
     assert_eq!(w.places().len(), 1);
 }
@@ -325,7 +325,7 @@
         w.submit("req-000001", &JobSpec { estimate_s: 900.0, deadline_s: None, ..spec(3) });
         w.settle();
         let holder = w.places()["req-000001/0"][0].clone();
-        w.all_report();
+        w.send_all_heartbeats();
         let mut silent_ms = 0;
         let returned_after = loop {
             w.wait(100);
@@ -447,12 +447,12 @@
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a"), ("n-3", "a"), ("n-4", "b")]);
     w.submit(JOB, &JobSpec { cpus: 4.0, estimate_s: 100.0, deadline_s: Some(900.0), ..spec(8) });
     w.settle();
-    w.all_report();
+    w.send_all_heartbeats();
     let advance_seconds = |w: &mut World, seconds: u64| {
         for _ in 0..seconds {
             w.wait(950);
             w.settle();
-            w.all_report();
+            w.send_all_heartbeats();
             w.leader.autoscale(w.now);
             w.commands.extend(w.leader.take_commands());
         }
@@ -460,7 +460,7 @@
     advance_seconds(&mut w, 40);
     w.take_over();
     w.settle();
-    w.all_report();
+    w.send_all_heartbeats();
     advance_seconds(&mut w, 3);
     // Three tasks are done after some 80 s (each settling takes a second too), the others run on.
     let tasks: Vec<(String, String)> = w
@@ -524,7 +524,7 @@
     w.submit("req-000001", &late);
     w.submit("req-000002", &JobSpec { deadline_s: Some(60.0), ..spec(16) });
     w.settle();
-    w.all_report();
+    w.send_all_heartbeats();
     w.leader.machine_list(w.now, &[]);
     let mut granted_count = 0;
     for _ in 0..12 {
@@ -571,7 +571,7 @@
                 );
             }
         }
-        w.all_report();
+        w.send_all_heartbeats();
         w.wait(500);
     }
     let drained: Vec<&str> = w
@@ -650,7 +650,7 @@
             w.submit(&format!("req-{i}"), &small);
         }
         w.settle();
-        w.all_report();
+        w.send_all_heartbeats();
     };
     fill(&mut w, 0);
     w.wait(2_500);
@@ -660,7 +660,7 @@
         let here = places.iter().filter(|(_, m)| m[0] == name).take(2);
         here.for_each(|(task, _)| w.finish(name, task));
     }
-    w.all_report();
+    w.send_all_heartbeats();
     w.settle();
     fill(&mut w, 100);
     assert_eq!(w.places().len(), 8, "both machines are full");
@@ -675,7 +675,7 @@
     };
     assert_eq!(preempted_count(&w), 4);
     w.settle();
-    w.all_report();
+    w.send_all_heartbeats();
     w.settle();
     assert_eq!(w.places_of("req-500/0").len(), 1, "{:?}", w.places());
     // One large task frees capacity for several small ones: no more tasks are stopped than are
@@ -683,7 +683,7 @@
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
     w.submit("req-1", &JobSpec { priority: Priority::Low, cpus: 8.0, deadline_s: None, ..spec(2) });
     w.settle();
-    w.all_report();
+    w.send_all_heartbeats();
     w.submit("req-2", &JobSpec { priority: Priority::High, deadline_s: Some(1.0), ..spec(4) });
     w.wait(300);
     w.tick();
@@ -713,7 +713,7 @@
     );
     for _ in 0..4 {
         w.wait(1_000);
-        w.all_report();
+        w.send_all_heartbeats();
         w.tick();
         lose_messages(&mut w);
     }
--- a/crates/scheduler/tests/dependencies.rs
+++ b/crates/scheduler/tests/dependencies.rs
@@ -30,7 +30,7 @@
     w.submit(SECOND, &depending_on(&[FIRST]));
     w.settle();
     w.finish("n-1", "req-000001/0");
-    w.all_report();
+    w.send_all_heartbeats();
     w
 }
 
@@ -97,7 +97,7 @@
 fn a_released_job_stays_released_across_a_failover_after_its_dependency_was_deleted() {
     let mut w = job_before_its_end();
     w.settle();
-    w.all_report();
+    w.send_all_heartbeats();
     w.settle();
     assert!(
         !w.store.keys.contains_key(&keys::todo(FIRST)),
@@ -105,7 +105,7 @@
     );
     assert_eq!(w.places().len(), 1, "the dependent job runs");
     w.take_over();
-    w.all_report();
+    w.send_all_heartbeats();
     assert!(w.leader.queue(w.now).is_empty());
     w.run_to_completion();
     assert_eq!(w.end(SECOND), Some(&json!("done")));
@@ -118,8 +118,8 @@
     w.store.put(&keys::job(FIRST), json!(1));
     w.submit(SECOND, &depending_on(&[FIRST]));
     w.take_over();
-    w.all_report();
-    w.all_report();
+    w.send_all_heartbeats();
+    w.send_all_heartbeats();
     assert_eq!(take_looked_up_names(&mut w), [FIRST]);
     w.leader.job_ends_found(w.now, &[]);
     w.wait(1_000);
@@ -176,7 +176,7 @@
                 }
             }
             w.take_over();
-            w.all_report();
+            w.send_all_heartbeats();
             let names = take_looked_up_names(&mut w);
             let found = w.store.ends(&names);
             w.leader.job_ends_found(w.now, &found);
--- a/crates/scheduler/tests/fair_share.rs
+++ b/crates/scheduler/tests/fair_share.rs
@@ -112,7 +112,7 @@
                 self.world.finish(&machines[0], &task);
             }
         }
-        self.world.all_report();
+        self.world.send_all_heartbeats();
         for _ in 0..4 {
             self.world.wait(200);
             self.world.tick();
@@ -128,8 +128,8 @@
     fn take_over(&mut self) {
         self.world.take_over();
         self.world.leader.autoscaler.machine_list_read = true;
-        self.world.all_report();
-        self.world.all_report();
+        self.world.send_all_heartbeats();
+        self.world.send_all_heartbeats();
     }
 }
 
@@ -252,7 +252,7 @@
             for (task, machines) in world.places().into_iter().take(tasks_to_end) {
                 world.finish(&machines[0], &task);
             }
-            world.all_report();
+            world.send_all_heartbeats();
             world.tick();
             world.leader.autoscale(world.now);
             overloaded |= world.leader.fair_share.is_active();
--- a/crates/scheduler/tests/fleet_size.rs
+++ b/crates/scheduler/tests/fleet_size.rs
@@ -159,7 +159,7 @@
     }
     assert_eq!(changed.len(), MACHINES);
     let (checks_before, written) = (world.leader.examined.send_checks, world.store.store_revision);
-    world.all_report();
+    world.send_all_heartbeats();
     world.tick();
     let checks = world.leader.examined.send_checks - checks_before;
     assert!(checks <= 3 * MACHINES as u64, "{checks} checks for {MACHINES} heartbeats");
@@ -192,7 +192,7 @@
     }
     for _ in 0..40 {
         world.wait(500);
-        world.all_report();
+        world.send_all_heartbeats();
         refuse(&mut world);
     }
     assert_eq!(running_tasks(&world), 0);
@@ -200,7 +200,7 @@
     let written = world.store.store_revision;
     for _ in 0..60 {
         world.wait(500);
-        world.all_report();
+        world.send_all_heartbeats();
         world.settle();
     }
     let ended = (0..JOBS).filter(|&index| world.end(&job_name(index)).is_some()).count();
--- a/crates/scheduler/tests/golden_bytes.rs
+++ b/crates/scheduler/tests/golden_bytes.rs
@@ -341,7 +341,7 @@
         self.begin_section_in_new_world("6 drained");
         self.world.submit(JOB, &JobSpec { cpus: 6.0, estimate_s: 600.0, ..spec(2) });
         self.run_rounds(4);
-        self.world.all_report();
+        self.world.send_all_heartbeats();
         self.run_rounds(1);
         self.world.workers.get_mut("n-000001").expect("a worker").interruption_at = Some(30.0);
         self.world.heartbeat("n-000001");
@@ -359,7 +359,7 @@
         self.begin_section_in_new_world("7 short of room");
         self.world.submit(JOB, &JobSpec { cpus: 6.0, ..spec(5) });
         self.run_rounds(4);
-        self.world.all_report();
+        self.world.send_all_heartbeats();
         self.run_rounds(1);
         for name in ["n-000002", "n-000003"] {
             self.world.workers.remove(name);
@@ -387,7 +387,7 @@
         self.world.submit(JOB, &JobSpec { checkpoint_s: 5.0, save_s: 2.0, ..spec(5) });
         self.world.submit("req-000002", &JobSpec { dependencies: vec![JOB.into()], ..spec(1) });
         self.run_rounds(4);
-        self.world.all_report();
+        self.world.send_all_heartbeats();
         self.run_rounds(2);
     }
 
@@ -413,10 +413,10 @@
     fn take_over(&mut self) {
         self.begin_section("3 another leader");
         self.world.take_over();
-        self.world.all_report();
+        self.world.send_all_heartbeats();
         self.run_rounds(4);
         self.world.wait(3_000);
-        self.world.all_report();
+        self.world.send_all_heartbeats();
         self.run_rounds(2);
     }
 
@@ -432,7 +432,7 @@
                 self.world.finish(&machines[0], &task);
             }
             self.world.wait(3_000);
-            self.world.all_report();
+            self.world.send_all_heartbeats();
             self.run_rounds(4);
         }
     }
@@ -451,7 +451,7 @@
         }
         for _ in 0..6 {
             self.world.wait(1_000);
-            self.world.all_report();
+            self.world.send_all_heartbeats();
             self.run_rounds(1);
         }
     }
--- a/crates/scheduler/tests/random_interleavings.rs
+++ b/crates/scheduler/tests/random_interleavings.rs
@@ -391,7 +391,7 @@
     let w = &mut play.w;
     w.take_over();
     for _ in 0..80 {
-        w.all_report();
+        w.send_all_heartbeats();
         // What died with its absence unwritten is silent for the new leader, which gives it back.
         w.leader.autoscale(w.now);
         for command in w.leader.take_commands() {
--- a/crates/scheduler/tests/repeated_heartbeats.rs
+++ b/crates/scheduler/tests/repeated_heartbeats.rs
@@ -31,7 +31,7 @@
     let mut w = one_machine();
     w.submit(JOB, &JobSpec { cpus: 4.0, ..spec(3) });
     w.settle();
-    w.all_report();
+    w.send_all_heartbeats();
     w.settle();
     assert_eq!(w.places().len(), 2);
     let (heartbeat, cached) = send_and_cache_heartbeat(&mut w);
@@ -136,7 +136,7 @@
     let mut new_entry = None;
     while new_entry.is_none_or(|cache_entry: CachedHeartbeat| cache_entry.number < cached.number) {
         w.wait(500);
-        w.all_report();
+        w.send_all_heartbeats();
         w.settle();
         new_entry = send_and_cache_heartbeat(&mut w).1;
     }
@@ -194,7 +194,7 @@
     assert_eq!(cached, None, "the start of the third task is planned");
     w.settle();
     w.wait(TimeDelta::from_secs(1).0 / 1_000);
-    w.all_report();
+    w.send_all_heartbeats();
     w.settle();
     assert!(send_and_cache_heartbeat(&mut w).1.is_some());
 }
@@ -232,7 +232,7 @@
         let mut w = World::new(&machines);
         w.submit(JOB, &JobSpec { cpus: 4.0, ..spec(3) });
         w.settle();
-        w.all_report();
+        w.send_all_heartbeats();
         w.settle();
         let machine_name = w.places().into_values().next().expect("a task")[0].clone();
         let heartbeat = w.workers.get_mut(&machine_name).expect("worker").heartbeat();
--- a/crates/scheduler/tests/storage_limits.rs
+++ b/crates/scheduler/tests/storage_limits.rs
@@ -51,8 +51,8 @@
         );
     }
     drop(former_leader);
-    w.all_report();
-    w.all_report();
+    w.send_all_heartbeats();
+    w.send_all_heartbeats();
 }
 
 #[test]
@@ -78,7 +78,7 @@
             worker.tasks.clear();
             w.leader.machine_gone(w.now, &lost_machine);
         }
-        w.all_report();
+        w.send_all_heartbeats();
         for _ in 0..200 {
             w.tick();
             let at = w.commands.iter().position(|c| matches!(c, Command::Commit { .. }));
--- a/crates/scheduler/tests/task_starts.rs
+++ b/crates/scheduler/tests/task_starts.rs
@@ -52,10 +52,10 @@
         assert_eq!(machines.len(), 1);
         w.finish(&machines[0], &task);
     }
-    w.all_report();
+    w.send_all_heartbeats();
     w.settle();
     assert_eq!(w.end(JOB), Some(&json!("done")));
-    w.all_report();
+    w.send_all_heartbeats();
     w.settle();
     assert!(!w.store.keys.keys().any(|k| k.starts_with("run/") || k.starts_with("todo/")));
     assert!(w.store.keys.contains_key(&keys::job(JOB)), "the job record is kept permanently");
@@ -284,7 +284,7 @@
     assert!(matches!(outcome, TransactionOutcome::Conflict { .. }));
     w.leader.transaction_answered(w.now, id, outcome);
     w.settle();
-    w.all_report();
+    w.send_all_heartbeats();
     w.settle();
     assert!(w.places().is_empty());
     assert!(!w.store.keys.contains_key(&keys::todo(JOB)), "cleaned up");
@@ -315,7 +315,7 @@
     w.store.put(&keys::end(JOB), json!("aborted"));
     w.settle();
     assert_eq!(w.end(JOB), Some(&json!("aborted")));
-    w.all_report();
+    w.send_all_heartbeats();
     w.settle();
     assert!(w.leader.cluster.jobs_by_name.is_empty());
 }
@@ -378,8 +378,8 @@
     );
     old.transaction_answered(w.now, id, outcome);
     assert!(old.take_commands().iter().any(|c| matches!(c, Command::StepDown(_))));
-    w.all_report();
-    w.all_report();
+    w.send_all_heartbeats();
+    w.send_all_heartbeats();
     w.settle();
     assert_eq!(w.places().len(), 1);
 }
@@ -417,8 +417,8 @@
     w.store.apply(&transaction);
     // The starts are stored but not sent when the leader fails.
     w.take_over();
-    w.all_report();
-    w.all_report();
+    w.send_all_heartbeats();
+    w.send_all_heartbeats();
     w.settle();
     assert_eq!(w.places().len(), 8);
     assert!(w.places().values().all(|m| m.len() == 1));
@@ -440,7 +440,7 @@
         old.handle_heartbeat(w.now, &heartbeat).expect("the heartbeat is answered");
     worker.answered(heartbeat.agent_epoch, token, &calls);
     assert!(calls.is_empty());
-    w.all_report();
+    w.send_all_heartbeats();
     // A worker that has seen the new term is no longer answered by the old leader.
     let heartbeat = w.workers.get_mut("n-1").expect("worker").heartbeat();
     let answer = old.handle_heartbeat(w.now, &heartbeat);
@@ -481,7 +481,7 @@
     w.workers.get_mut(&machine).expect("worker").alive = false;
     for _ in 0..20 {
         w.wait(2_000);
-        w.all_report();
+        w.send_all_heartbeats();
         w.settle();
     }
     assert_eq!(
@@ -489,7 +489,7 @@
         "tasks in unknown state count towards the limit"
     );
     w.leader.machine_gone(w.now, &machine);
-    w.all_report();
+    w.send_all_heartbeats();
     w.settle();
     assert_eq!(w.places().len(), 2);
 }
@@ -542,7 +542,7 @@
                 }
             }
         }
-        w.all_report();
+        w.send_all_heartbeats();
         w.wait(1_000);
     }
     let machines = &w.leader.cluster.machines;
@@ -579,7 +579,7 @@
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
     w.submit(JOB, &spec(1));
     w.settle();
-    w.all_report();
+    w.send_all_heartbeats();
     let place = w.places_of(&format!("{JOB}/0"))[0].to_owned();
     // Contrary to the cluster state, an earlier attempt is running, and the recorded attempt was
     // refused because of it.
@@ -592,7 +592,7 @@
     assert_eq!(w.attempt(JOB, 0), Attempt(1), "the task is still on its machine");
     // After the earlier attempt was stopped, the task runs once, on either machine.
     for _ in 0..6 {
-        w.all_report();
+        w.send_all_heartbeats();
         w.settle();
         assert!(w.places_of(&task).len() <= 1);
     }
@@ -623,7 +623,7 @@
     w.settle();
     assert_eq!(w.places_of(&task), [other], "no second copy is started");
     w.workers.get_mut(other).expect("worker").answered(AgentEpoch(1), token, &calls);
-    w.all_report();
+    w.send_all_heartbeats();
     w.settle();
     assert_eq!(
         w.places_of(&task),
--- a/crates/scheduler/tests/transcripts/scripts.rs
+++ b/crates/scheduler/tests/transcripts/scripts.rs
@@ -131,7 +131,7 @@
             execute_commands_with_losses(&mut world, &mut rng, 12);
         }
         exit_random_tasks(&mut world, &mut rng, 25, &[ExitReason::Done]);
-        world.all_report();
+        world.send_all_heartbeats();
         world.wait(600);
     }
     world.run_to_completion();
@@ -178,7 +178,7 @@
             world.store.put(&keys::end(&job_name(905)), json!("done"));
             world.leader.job_ended(world.now, &job_name(905), JobEnd::Done);
         }
-        world.all_report();
+        world.send_all_heartbeats();
         world.wait(700);
     }
     world.run_to_completion();
@@ -212,7 +212,7 @@
             50 => world.cut_off = false,
             _ => {}
         }
-        world.all_report();
+        world.send_all_heartbeats();
         world.wait(700);
     }
     world.run_to_completion();
@@ -245,7 +245,7 @@
             world.leader.machine_gone(world.now, &name);
         }
         exit_random_tasks(&mut world, &mut rng, 15, &[ExitReason::Done]);
-        world.all_report();
+        world.send_all_heartbeats();
         world.wait(500);
     }
     world.run_to_completion();
@@ -277,7 +277,7 @@
             world.submit(&job_name(step), &job);
         }
         exit_random_tasks(&mut world, &mut rng, 6, &[ExitReason::Done]);
-        world.all_report();
+        world.send_all_heartbeats();
         world.tick();
         world.autoscale();
         world.execute_commands();
@@ -320,10 +320,10 @@
         if second == 40 {
             world.take_over();
             world.leader.autoscaler.machine_list_read = true;
-            world.all_report();
+            world.send_all_heartbeats();
         }
         exit_random_tasks(&mut world, &mut rng, 25, &[ExitReason::Done]);
-        world.all_report();
+        world.send_all_heartbeats();
         for _ in 0..3 {
             world.wait(250);
             world.tick();
@@ -474,7 +474,7 @@
         }
         cloud.advance(&mut world, &mut rng);
         exit_random_tasks(&mut world, &mut rng, 12, &[ExitReason::Done]);
-        world.all_report();
+        world.send_all_heartbeats();
         for _ in 0..2 {
             world.wait(400);
             world.tick();
@@ -509,7 +509,7 @@
             live.for_each(|state| *state = (TaskState::Exited, Some(ExitReason::Error)));
         }
         exit_random_tasks(&mut world, &mut rng, 20, &causes);
-        world.all_report();
+        world.send_all_heartbeats();
         world.wait(500);
     }
 }
@@ -532,7 +532,7 @@
         if round % 3 == 1 {
             world.take_over();
         }
-        world.all_report();
+        world.send_all_heartbeats();
         for _ in 0..3 {
             world.tick();
             execute_commands_with_losses(&mut world, &mut rng, 10);
@@ -568,14 +568,14 @@
         worker.tasks.insert((task.to_owned(), Attempt(1)), (TaskState::Running, None));
     }
     world.take_over();
-    world.all_report();
+    world.send_all_heartbeats();
     world.run_to_completion();
     world.submit_in_chunks(&job_name(11), &spec(3), 168);
     world.submit(&job_name(12), &JobSpec { dependencies: vec![job_name(11)], ..spec(3) });
     for turn in 0..8 {
         world.take_over_as(turn % 3 != 2);
-        world.all_report();
-        world.all_report();
+        world.send_all_heartbeats();
+        world.send_all_heartbeats();
         if turn == 4 {
             for (task, machines) in world.places() {
                 world.finish(&machines[0], &task);
@@ -584,7 +584,7 @@
         world.settle();
     }
     world.take_over();
-    world.all_report();
+    world.send_all_heartbeats();
     world.run_to_completion();
 }
 
@@ -611,16 +611,16 @@
         worker.tasks.clear();
         world.leader.machine_gone(world.now, name);
     }
-    world.all_report();
+    world.send_all_heartbeats();
     run_ticks(&mut world, 4);
-    world.all_report();
+    world.send_all_heartbeats();
     run_ticks(&mut world, 4);
     world.take_over();
     for name in &names {
         world.leader.cluster.hint_address(world.now, name, "10.0.0.1:1");
     }
     run_ticks(&mut world, 6);
-    world.all_report();
+    world.send_all_heartbeats();
     run_ticks(&mut world, 4);
 }
 
@@ -698,7 +698,7 @@
             world.submit(&job_name(10 * second + index), &job);
         }
         exit_random_tasks(&mut world, &mut rng, 25, &[ExitReason::Done]);
-        world.all_report();
+        world.send_all_heartbeats();
         world.tick();
         world.autoscale();
         world.execute_commands();
@@ -735,7 +735,7 @@
         if round == 45 {
             world.take_over();
         }
-        world.all_report();
+        world.send_all_heartbeats();
         world.wait(900);
     }
 }
@@ -771,7 +771,7 @@
             world.submit(&job_name(round), &job);
         }
         exit_random_tasks(&mut world, &mut rng, 22, &[ExitReason::Done]);
-        world.all_report();
+        world.send_all_heartbeats();
         world.tick();
         world.autoscale();
         world.execute_commands();
@@ -811,7 +811,7 @@
             }
         }
         exit_random_tasks(&mut world, &mut rng, 4, &[ExitReason::Done]);
-        world.all_report();
+        world.send_all_heartbeats();
         for _ in 0..2 {
             world.wait(400);
             world.tick();
--- a/crates/scheduler/tests/untrusted_heartbeats.rs
+++ b/crates/scheduler/tests/untrusted_heartbeats.rs
@@ -267,18 +267,18 @@
     w.settle();
     // The machine restarts quickly, with the same name and agent epoch but without tasks.
     w.workers.get_mut("n-1").expect("worker").tasks.clear();
-    w.all_report();
+    w.send_all_heartbeats();
     w.settle();
-    w.all_report();
+    w.send_all_heartbeats();
     w.settle();
     assert_eq!(w.places().len(), 3);
     assert_eq!(w.attempt(JOB, 0), Attempt(2));
     // The machine restarts with a new agent epoch and without any token.
     let fresh = Worker { agent_epoch: AgentEpoch(2), sequence: 0, ..Worker::new("n-1", "a") };
     w.workers.insert("n-1".into(), fresh);
-    w.all_report();
+    w.send_all_heartbeats();
     w.settle();
-    w.all_report();
+    w.send_all_heartbeats();
     w.settle();
     assert_eq!(w.places().len(), 3);
     assert_eq!(w.attempt(JOB, 0), Attempt(3));
@@ -316,7 +316,7 @@
                 w.finish(&machines[0], &task);
             }
         }
-        w.all_report();
+        w.send_all_heartbeats();
     }
     assert!(
         first.is_some_and(|s| s < 240.0),
@@ -343,7 +343,7 @@
             w.finish(&machines[0], &task);
         }
     }
-    w.all_report();
+    w.send_all_heartbeats();
 }
 
 #[test]
--- a/crates/scheduler/tests/version_compatibility.rs
+++ b/crates/scheduler/tests/version_compatibility.rs
@@ -49,7 +49,7 @@
     let job = w.leader.cluster.job(w.leader.cluster.jobs_by_name["req-000002"]).expect("job");
     assert_eq!((job.spec.zone.as_deref(), job.spec.priority), (Some("a"), Priority::Normal));
     assert!(job.spec.dependencies.is_empty() && !job.is_blocked());
-    w.all_report();
+    w.send_all_heartbeats();
     w.run_to_completion();
     for job in ["req-000001", "req-000002"] {
         assert_eq!(w.end(job), Some(&json!("done")));
@@ -131,8 +131,8 @@
     w.settle();
     for turn in 0..8 {
         w.take_over_as(turn % 3 != 2);
-        w.all_report();
-        w.all_report();
+        w.send_all_heartbeats();
+        w.send_all_heartbeats();
         if turn == 4 {
             let places = w.places();
             for (task, machines) in places {
@@ -146,7 +146,7 @@
     }
     // A leader of this version has seen the first job complete; the second job then runs only once.
     w.take_over();
-    w.all_report();
+    w.send_all_heartbeats();
     w.run_to_completion();
     assert_eq!(w.end("req-000002"), Some(&json!("done")));
 }
--- a/crates/scheduler/tests/world/mod.rs
+++ b/crates/scheduler/tests/world/mod.rs
@@ -341,8 +341,8 @@
         let leader =
             Scheduler::new(Rc::new(site), Rc::new(Tunables::default()), term.into(), types(), now);
         let mut world = World { now, store, workers, leader, commands: Vec::new(), cut_off: false };
-        world.all_report();
-        world.all_report();
+        world.send_all_heartbeats();
+        world.send_all_heartbeats();
         world
     }
 
@@ -460,7 +460,7 @@
                 assert_eq!(machines.len(), 1, "{task} is on {machines:?}");
                 self.finish(&machines[0], &task);
             }
-            self.all_report();
+            self.send_all_heartbeats();
             self.wait(700);
         }
     }
@@ -525,7 +525,7 @@
         }
     }
 
-    pub fn all_report(&mut self) {
+    pub fn send_all_heartbeats(&mut self) {
         let names: Vec<String> = self.workers.keys().cloned().collect();
         for name in names {
             if self.workers[&name].alive {
