--- a/crates/scheduler/tests/task_starts.rs
+++ b/crates/scheduler/tests/task_starts.rs
@@ -67,7 +67,7 @@
 #[test]
 fn a_heartbeat_without_the_task_under_the_same_token_does_not_prove_absence() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
-    let (name, (machine, token, agent_epoch, calls)) = w.start_under_way(JOB);
+    let (name, (machine, token, agent_epoch, calls)) = w.submit_with_start_in_flight(JOB);
     w.heartbeat(&name);
     w.settle();
     assert_eq!(w.phase(JOB, 0), TaskPhase::Dispatching);
@@ -84,7 +84,7 @@
 #[test]
 fn a_lost_start_is_retried_only_after_the_worker_has_seen_a_raised_token() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
-    let (name, (machine, token, agent_epoch, calls)) = w.start_under_way(JOB);
+    let (name, (machine, token, agent_epoch, calls)) = w.submit_with_start_in_flight(JOB);
     w.leader.message_answered(w.now, machine, MessageOutcome::Indeterminate);
     // The worker has not seen the raised token when it sends this heartbeat.
     let old = w.workers.get_mut(&name).expect("worker").heartbeat();
@@ -136,7 +136,7 @@
 #[test]
 fn a_refused_connection_retracts_the_start_immediately() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
-    let (_, (machine, ..)) = w.start_under_way(JOB);
+    let (_, (machine, ..)) = w.submit_with_start_in_flight(JOB);
     w.leader.message_answered(w.now, machine, MessageOutcome::NotSent);
     assert_eq!((w.phase(JOB, 0), w.attempt(JOB, 0)), (TaskPhase::Pending, Attempt(2)));
     w.settle();
@@ -148,7 +148,7 @@
 #[test]
 fn a_refused_connection_does_not_affect_the_next_attempt() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
-    let (name, (machine, ..)) = w.start_under_way(JOB);
+    let (name, (machine, ..)) = w.submit_with_start_in_flight(JOB);
     w.workers.get_mut(&name).expect("worker").alive = false;
     w.leader.machine_gone(w.now, &name);
     w.settle();
@@ -160,7 +160,7 @@
 #[test]
 fn an_unconfirmed_start_becomes_unknown_and_is_not_sent_again() {
     let mut w = one_machine();
-    let (_, (machine, ..)) = w.start_under_way(JOB);
+    let (_, (machine, ..)) = w.submit_with_start_in_flight(JOB);
     w.leader.message_answered(w.now, machine, MessageOutcome::Indeterminate);
     w.workers.get_mut("n-1").expect("worker").alive = false;
     for _ in 0..30 {
@@ -389,7 +389,7 @@
 #[test]
 fn a_new_leader_accepts_absence_only_from_workers_that_have_seen_its_term() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
-    let (name, (_, token, agent_epoch, calls)) = w.start_under_way(JOB);
+    let (name, (_, token, agent_epoch, calls)) = w.submit_with_start_in_flight(JOB);
     let other = if name == "n-1" { "n-2" } else { "n-1" };
     w.take_over();
     let before = w.workers.get_mut(&name).expect("worker").heartbeat();
--- a/crates/scheduler/tests/untrusted_heartbeats.rs
+++ b/crates/scheduler/tests/untrusted_heartbeats.rs
@@ -46,7 +46,7 @@
 #[test]
 fn a_machine_that_requests_do_not_reach_gets_no_work_and_is_returned() {
     let mut w = World::new(&[("n-1", "a")]);
-    let (_, (m, ..)) = w.start_under_way(JOB);
+    let (_, (m, ..)) = w.submit_with_start_in_flight(JOB);
     w.leader.message_answered(w.now, m, MessageOutcome::Indeterminate);
     w.submit("req-000002", &spec(2));
     let mut returned_at = None;
@@ -89,7 +89,7 @@
 #[test]
 fn a_machine_gets_no_work_after_a_lost_request_until_it_acknowledges_the_raised_token() {
     let mut w = World::new(&[("n-1", "a")]);
-    let (_, (m, ..)) = w.start_under_way(JOB);
+    let (_, (m, ..)) = w.submit_with_start_in_flight(JOB);
     w.leader.message_answered(w.now, m, MessageOutcome::Indeterminate);
     w.wait(5_000);
     let stale = next_heartbeat(&mut w, "n-1");
--- a/crates/scheduler/tests/world/mod.rs
+++ b/crates/scheduler/tests/world/mod.rs
@@ -427,7 +427,7 @@
     }
 
     /// A job of one task whose start is on its way: the machine's name and the message.
-    pub fn start_under_way(
+    pub fn submit_with_start_in_flight(
         &mut self,
         job: &str,
     ) -> (String, (MachineIndex, FencingToken, AgentEpoch, Vec<WorkerCommand>)) {
