--- a/crates/scheduler/tests/autoscaling.rs
+++ b/crates/scheduler/tests/autoscaling.rs
@@ -321,7 +321,7 @@
             worker_lease: TimeDelta::from_secs(5 * heartbeat),
             ..site()
         };
-        let mut w = World::of(site, &[("n-1", "a"), ("n-2", "a"), ("n-3", "b")]);
+        let mut w = World::with_site(site, &[("n-1", "a"), ("n-2", "a"), ("n-3", "b")]);
         w.submit("req-000001", &JobSpec { estimate_s: 900.0, deadline_s: None, ..spec(3) });
         w.settle();
         let holder = w.places()["req-000001/0"][0].clone();
@@ -392,7 +392,7 @@
         let names: Vec<(String, &str)> =
             (0..40).map(|i| (format!("n-{i:03}"), if i % 2 == 0 { "a" } else { "b" })).collect();
         let machines: Vec<(&str, &str)> = names.iter().map(|(n, z)| (n.as_str(), *z)).collect();
-        let mut w = World::of(
+        let mut w = World::with_site(
             Site {
                 heartbeat_interval: TimeDelta::from_secs(5),
                 worker_lease: TimeDelta::from_secs(24),
@@ -492,7 +492,7 @@
         let short_start =
             Objective::Wait { class: "quick".into(), within: TimeDelta::from_secs(3) };
         let site = Site { objectives: vec![short_start], ..site() };
-        let mut w = World::of(site, &[("n-1", "a"), ("n-2", "a")]);
+        let mut w = World::with_site(site, &[("n-1", "a"), ("n-2", "a")]);
         w.leader.cluster.set_types(vec![MachineType { price, ..types().remove(0) }]);
         w.leader.cluster.machines[0].spot = true;
         w.submit("req-000001", &spec(1));
--- a/crates/scheduler/tests/cancellations.rs
+++ b/crates/scheduler/tests/cancellations.rs
@@ -92,7 +92,7 @@
 impl Simulation {
     /// Creates a leader that could use the key-value store until now, with one running task.
     fn new(site: &Site) -> Simulation {
-        let mut w = World::of(site.clone(), &[("n-1", "a")]);
+        let mut w = World::with_site(site.clone(), &[("n-1", "a")]);
         w.submit(JOB, &spec(1));
         w.settle();
         w.heartbeat("n-1");
--- a/crates/scheduler/tests/fair_share.rs
+++ b/crates/scheduler/tests/fair_share.rs
@@ -24,7 +24,7 @@
 fn fleet(teams: Vec<Team>) -> World {
     let names: Vec<String> = (0..MACHINES).map(|i| format!("n-{i:03}")).collect();
     let machines: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "a")).collect();
-    let mut world = World::of(Site { teams, ..site() }, &machines);
+    let mut world = World::with_site(Site { teams, ..site() }, &machines);
     world.leader.autoscaler.machine_list_read = true;
     world
 }
--- a/crates/scheduler/tests/transcripts/scripts.rs
+++ b/crates/scheduler/tests/transcripts/scripts.rs
@@ -39,7 +39,7 @@
     let zones = ["a", "b"];
     let machines: Vec<(&str, &str)> =
         names.iter().enumerate().map(|(i, n)| (n.as_str(), zones[i % 2])).collect();
-    World::of(site, &machines)
+    World::with_site(site, &machines)
 }
 
 fn team(name: &str, cpus: f64, cpus_max: f64) -> Team {
--- a/crates/scheduler/tests/world/mod.rs
+++ b/crates/scheduler/tests/world/mod.rs
@@ -330,10 +330,10 @@
 
 impl World {
     pub fn new(machines: &[(&str, &str)]) -> World {
-        World::of(site(), machines)
+        World::with_site(site(), machines)
     }
 
-    pub fn of(site: Site, machines: &[(&str, &str)]) -> World {
+    pub fn with_site(site: Site, machines: &[(&str, &str)]) -> World {
         let mut store = Store::default();
         let term = store.put(keys::LEADER, json!("first"));
         let now = Timestamp(START);
