--- a/crates/scheduler/tests/cancellations.rs
+++ b/crates/scheduler/tests/cancellations.rs
@@ -225,7 +225,7 @@
         self.w.leader.authority.set_cancellations_known_until(self.watermark.known_until(now));
         let lease = self.w.leader.site.worker_lease.mul_f64(WORKER_CLOCK_SLOWDOWN);
         if now.since(self.lease_renewed_at) > lease {
-            self.w.workers.get_mut("n-1").expect("worker").lease_ends();
+            self.w.workers.get_mut("n-1").expect("worker").expire_lease();
             self.lease_renewed_at = now;
         }
         if elapsed_ms.is_multiple_of(3_000) {
--- a/crates/scheduler/tests/random_interleavings.rs
+++ b/crates/scheduler/tests/random_interleavings.rs
@@ -264,7 +264,7 @@
                     self.completed.insert(task);
                 }
             }
-            25 => self.w.workers.get_mut(name).expect("worker").lease_ends(),
+            25 => self.w.workers.get_mut(name).expect("worker").expire_lease(),
             26 if pick.is_multiple_of(4) => {
                 // Killed, returned and replaced: the answer to the return is proof.
                 let worker = self.w.workers.get_mut(name).expect("worker");
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -641,7 +641,7 @@
             return;
         }
         if now.since(m.renewed) > self.site.worker_lease {
-            m.worker.lease_ends();
+            m.worker.expire_lease();
             m.renewed = now;
             m.report_at = now;
         }
--- a/crates/scheduler/tests/task_starts.rs
+++ b/crates/scheduler/tests/task_starts.rs
@@ -124,7 +124,7 @@
     w.submit(JOB, &spec(1));
     w.tick();
     let (id, transaction) = w.take_commit();
-    w.workers.get_mut("n-1").expect("worker").lease_ends();
+    w.workers.get_mut("n-1").expect("worker").expire_lease();
     w.heartbeat("n-1");
     let outcome = w.store.apply(&transaction);
     w.leader.transaction_answered(w.now, id, outcome);
--- a/crates/scheduler/tests/transcripts/scripts.rs
+++ b/crates/scheduler/tests/transcripts/scripts.rs
@@ -207,7 +207,7 @@
             &[ExitReason::Done, ExitReason::Done, ExitReason::Error],
         );
         match round {
-            20 => world.workers.get_mut("n-002").expect("a known worker").lease_ends(),
+            20 => world.workers.get_mut("n-002").expect("a known worker").expire_lease(),
             30 => world.cut_off = true,
             50 => world.cut_off = false,
             _ => {}
--- a/crates/scheduler/tests/untrusted_heartbeats.rs
+++ b/crates/scheduler/tests/untrusted_heartbeats.rs
@@ -74,7 +74,7 @@
     w.settle();
     assert_eq!(w.phase(JOB, 0), TaskPhase::Running);
     // The lease runs out although the heartbeats arrive, so the worker receives no responses.
-    w.workers.get_mut("n-1").expect("worker").lease_ends();
+    w.workers.get_mut("n-1").expect("worker").expire_lease();
     let heartbeat = next_heartbeat(&mut w, "n-1");
     let _ = w.leader.handle_heartbeat(w.now, &heartbeat);
     assert_eq!(w.attempt(JOB, 0), Attempt(2), "a later agent epoch proves absence");
@@ -109,7 +109,7 @@
     let mut old = next_heartbeat(&mut w, "n-1");
     old.interruption_notice_s = Some(5.0);
     old.address = "10.9.9.9:9".into();
-    w.workers.get_mut("n-1").expect("worker").lease_ends();
+    w.workers.get_mut("n-1").expect("worker").expire_lease();
     w.heartbeat("n-1");
     w.settle();
     let before = machine(&w, "n-1").clone();
--- a/crates/scheduler/tests/world/mod.rs
+++ b/crates/scheduler/tests/world/mod.rs
@@ -243,7 +243,7 @@
         }
     }
 
-    pub fn lease_ends(&mut self) {
+    pub fn expire_lease(&mut self) {
         self.tasks.clear();
         self.agent_epoch.0 += 1;
     }
