--- a/crates/scheduler/tests/cancellations.rs
+++ b/crates/scheduler/tests/cancellations.rs
@@ -542,7 +542,7 @@
     w.settle();
     w.cancel_job(JOB);
     w.tick();
-    let (machine, _, _, calls) = w.take_direct();
+    let (machine, _, _, calls) = w.take_worker_message();
     assert_eq!(calls.len(), 1);
     w.leader.message_answered(
         w.now,
--- a/crates/scheduler/tests/task_starts.rs
+++ b/crates/scheduler/tests/task_starts.rs
@@ -37,7 +37,7 @@
     assert!(w.store.keys.contains_key(&keys::run(JOB, 0)));
     w.leader.transaction_answered(w.now, id, outcome);
     w.tick();
-    let (_, _, _, calls) = w.take_direct();
+    let (_, _, _, calls) = w.take_worker_message();
     assert_eq!(calls, [WorkerCommand::Run { task: format!("{JOB}/0"), attempt: Attempt(1) }]);
 }
 
@@ -244,7 +244,7 @@
     let mut w = one_machine();
     w.submit(JOB, &spec(2));
     w.place_and_commit();
-    let (machine, token, agent_epoch, calls) = w.take_direct();
+    let (machine, token, agent_epoch, calls) = w.take_worker_message();
     w.deliver(machine, token, agent_epoch, &calls);
     w.finish("n-1", &format!("{JOB}/0"));
     w.heartbeat("n-1");
--- a/crates/scheduler/tests/world/mod.rs
+++ b/crates/scheduler/tests/world/mod.rs
@@ -405,7 +405,9 @@
         }
     }
 
-    pub fn take_direct(&mut self) -> (MachineIndex, FencingToken, AgentEpoch, Vec<WorkerCommand>) {
+    pub fn take_worker_message(
+        &mut self,
+    ) -> (MachineIndex, FencingToken, AgentEpoch, Vec<WorkerCommand>) {
         let with_calls =
             |c: &Command| matches!(c, Command::SendToWorker { calls, .. } if !calls.is_empty());
         let at = self.commands.iter().position(with_calls);
@@ -433,7 +435,7 @@
     ) -> (String, (MachineIndex, FencingToken, AgentEpoch, Vec<WorkerCommand>)) {
         self.submit(job, &spec(1));
         self.place_and_commit();
-        let message = self.take_direct();
+        let message = self.take_worker_message();
         (self.leader.cluster.machines[message.0].name.clone(), message)
     }
 
