--- a/crates/scheduler/tests/random_interleavings.rs
+++ b/crates/scheduler/tests/random_interleavings.rs
@@ -194,11 +194,11 @@
                     0 => (MessageOutcome::Indeterminate, true),
                     2 => (MessageOutcome::NotSent, false),
                     1 if worker.alive => {
-                        worker.direct(token, agent_epoch, &calls);
+                        worker.run_commands(token, agent_epoch, &calls);
                         (MessageOutcome::Indeterminate, fate % 12 == 1)
                     }
                     _ if worker.alive => {
-                        let heartbeat = worker.direct(token, agent_epoch, &calls);
+                        let heartbeat = worker.run_commands(token, agent_epoch, &calls);
                         // A repeat of a request that was carried out may follow.
                         (MessageOutcome::Answered(Box::new(heartbeat)), fate % 12 == 3)
                     }
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -653,7 +653,7 @@
         m.held = rest;
         let late = due.len();
         for (_, token, agent_epoch, calls) in due {
-            m.worker.direct(token, agent_epoch, &calls);
+            m.worker.run_commands(token, agent_epoch, &calls);
         }
         let mut ended = Vec::new();
         for (key, state) in &mut m.worker.tasks {
@@ -848,7 +848,7 @@
                     m.held.push((at, token, agent_epoch, calls));
                     return self.events.push(answer(late, MessageOutcome::Indeterminate));
                 }
-                let heartbeat = m.worker.direct(token, agent_epoch, &calls);
+                let heartbeat = m.worker.run_commands(token, agent_epoch, &calls);
                 if !calls.is_empty() {
                     // A change of its tasks is reported, within half a second.
                     m.report_at = m.report_at.min(now + TimeDelta::from_millis(500));
--- a/crates/scheduler/tests/task_starts.rs
+++ b/crates/scheduler/tests/task_starts.rs
@@ -95,7 +95,7 @@
     assert_eq!(w.attempt(JOB, 0), Attempt(2));
     assert_eq!(w.places().len(), 1);
     // The delayed request arrives at last and is refused.
-    w.workers.get_mut(&name).expect("worker").direct(token, agent_epoch, &calls);
+    w.workers.get_mut(&name).expect("worker").run_commands(token, agent_epoch, &calls);
     assert!(w.places().values().all(|m| m.len() == 1));
 }
 
@@ -252,7 +252,7 @@
     w.settle();
     w.heartbeat("n-1");
     assert!(!w.workers["n-1"].tasks.keys().any(|k| k.0.ends_with("/0")));
-    w.workers.get_mut("n-1").expect("worker").direct(token, agent_epoch, &calls);
+    w.workers.get_mut("n-1").expect("worker").run_commands(token, agent_epoch, &calls);
     assert!(
         !w.workers["n-1"].live().contains(&format!("{JOB}/0")),
         "a completed task was started again"
@@ -400,7 +400,7 @@
     w.tick();
     assert!(w.places().is_empty());
     // The old start arrives before the worker has seen the new token.
-    w.workers.get_mut(&name).expect("worker").direct(token, agent_epoch, &calls);
+    w.workers.get_mut(&name).expect("worker").run_commands(token, agent_epoch, &calls);
     w.heartbeat(&name);
     w.heartbeat(&name);
     w.settle();
--- a/crates/scheduler/tests/transcripts/scripts.rs
+++ b/crates/scheduler/tests/transcripts/scripts.rs
@@ -87,7 +87,7 @@
                 let name = world.leader.cluster.machines[machine].name.clone();
                 if rng.chance(50) {
                     if let Some(worker) = world.workers.get_mut(&name) {
-                        worker.direct(token, agent_epoch, &calls);
+                        worker.run_commands(token, agent_epoch, &calls);
                     }
                 }
                 let outcome = if rng.chance(80) {
--- a/crates/scheduler/tests/world/mod.rs
+++ b/crates/scheduler/tests/world/mod.rs
@@ -217,7 +217,7 @@
     }
 
     /// `/commands`: the heartbeat after them, executed or not.
-    pub fn direct(
+    pub fn run_commands(
         &mut self,
         token: FencingToken,
         agent_epoch: AgentEpoch,
@@ -509,7 +509,7 @@
         let name = self.leader.cluster.machines[machine].name.clone();
         let outcome = match self.workers.get_mut(&name) {
             Some(worker) if worker.alive => {
-                MessageOutcome::Answered(Box::new(worker.direct(token, agent_epoch, calls)))
+                MessageOutcome::Answered(Box::new(worker.run_commands(token, agent_epoch, calls)))
             }
             Some(_) => MessageOutcome::Indeterminate,
             None => MessageOutcome::NotSent,
