--- a/crates/scheduler/tests/cancellations.rs
+++ b/crates/scheduler/tests/cancellations.rs
@@ -235,7 +235,7 @@
                 self.w.leader.handle_heartbeat(now, &heartbeat)
             {
                 let worker = self.w.workers.get_mut("n-1").expect("worker");
-                worker.answered(heartbeat.agent_epoch, token, &calls);
+                worker.receive_heartbeat_response(heartbeat.agent_epoch, token, &calls);
                 self.lease_renewed_at = now;
             }
         }
@@ -578,7 +578,11 @@
     w.cancel_job(JOB);
     let HeartbeatAnswer { token, commands: calls } =
         w.leader.handle_heartbeat(w.now, &overtaken).expect("an answer");
-    w.workers.get_mut("n-1").expect("worker").answered(AgentEpoch(1), token, &calls);
+    w.workers.get_mut("n-1").expect("worker").receive_heartbeat_response(
+        AgentEpoch(1),
+        token,
+        &calls,
+    );
     assert!(
         w.places_of(&format!("{JOB}/0")).is_empty(),
         "the lease was renewed without a stop command"
--- a/crates/scheduler/tests/random_interleavings.rs
+++ b/crates/scheduler/tests/random_interleavings.rs
@@ -234,7 +234,7 @@
                 {
                     let worker = self.w.workers.get_mut(&heartbeat.machine).expect("worker");
                     if worker.alive {
-                        worker.answered(heartbeat.agent_epoch, token, &calls);
+                        worker.receive_heartbeat_response(heartbeat.agent_epoch, token, &calls);
                     }
                 }
             }
--- a/crates/scheduler/tests/repeated_heartbeats.rs
+++ b/crates/scheduler/tests/repeated_heartbeats.rs
@@ -22,7 +22,11 @@
         w.leader.handle_heartbeat(w.now, &heartbeat).expect("the heartbeat is answered");
     let cached =
         calls.is_empty().then(|| w.leader.cache_heartbeat(w.now, &heartbeat, OWN_NODE)).flatten();
-    w.workers.get_mut(MACHINE).expect("worker").answered(heartbeat.agent_epoch, token, &calls);
+    w.workers.get_mut(MACHINE).expect("worker").receive_heartbeat_response(
+        heartbeat.agent_epoch,
+        token,
+        &calls,
+    );
     (heartbeat, cached)
 }
 
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -724,7 +724,7 @@
             if token >= m.worker.token && heartbeat.agent_epoch == m.worker.agent_epoch {
                 m.renewed = now;
             }
-            m.worker.answered(heartbeat.agent_epoch, token, &calls);
+            m.worker.receive_heartbeat_response(heartbeat.agent_epoch, token, &calls);
         }
     }
 
--- a/crates/scheduler/tests/task_starts.rs
+++ b/crates/scheduler/tests/task_starts.rs
@@ -438,7 +438,7 @@
     let heartbeat = worker.heartbeat();
     let HeartbeatAnswer { token, commands: calls } =
         old.handle_heartbeat(w.now, &heartbeat).expect("the heartbeat is answered");
-    worker.answered(heartbeat.agent_epoch, token, &calls);
+    worker.receive_heartbeat_response(heartbeat.agent_epoch, token, &calls);
     assert!(calls.is_empty());
     w.send_all_heartbeats();
     // A worker that has seen the new term is no longer answered by the old leader.
@@ -622,7 +622,11 @@
         w.leader.handle_heartbeat(w.now, &heartbeat).expect("the heartbeat is answered");
     w.settle();
     assert_eq!(w.places_of(&task), [other], "no second copy is started");
-    w.workers.get_mut(other).expect("worker").answered(AgentEpoch(1), token, &calls);
+    w.workers.get_mut(other).expect("worker").receive_heartbeat_response(
+        AgentEpoch(1),
+        token,
+        &calls,
+    );
     w.send_all_heartbeats();
     w.settle();
     assert_eq!(
--- a/crates/scheduler/tests/transcripts/scripts.rs
+++ b/crates/scheduler/tests/transcripts/scripts.rs
@@ -846,7 +846,7 @@
                 transcript::answer("whole", name, answer.as_ref());
                 let Some(HeartbeatAnswer { token, commands: calls }) = answer else { continue };
                 let worker = world.workers.get_mut(name).expect("a known worker");
-                worker.answered(heartbeat.agent_epoch, token, &calls);
+                worker.receive_heartbeat_response(heartbeat.agent_epoch, token, &calls);
                 let holder = rng.below(3) as u16;
                 let revision = world.leader.cache_heartbeat(now, &heartbeat, holder);
                 if let Some(revision) = revision {
--- a/crates/scheduler/tests/world/mod.rs
+++ b/crates/scheduler/tests/world/mod.rs
@@ -231,7 +231,7 @@
     }
 
     /// The answer to a heartbeat of the given agent epoch.
-    pub fn answered(
+    pub fn receive_heartbeat_response(
         &mut self,
         agent_epoch: AgentEpoch,
         token: FencingToken,
@@ -523,7 +523,7 @@
         let answer = self.leader.handle_heartbeat(self.now, &heartbeat).ok();
         transcript::answer("whole", name, answer.as_ref());
         if let Some(HeartbeatAnswer { token, commands: calls }) = answer {
-            worker.answered(heartbeat.agent_epoch, token, &calls);
+            worker.receive_heartbeat_response(heartbeat.agent_epoch, token, &calls);
         }
     }
 
