--- a/crates/scheduler/tests/concurrent_failures.rs
+++ b/crates/scheduler/tests/concurrent_failures.rs
@@ -3,12 +3,12 @@
 mod sim;
 mod world;
 
-use sim::meetings::{LOAD, MEETINGS};
+use sim::meetings::{LOAD, SCENARIOS};
 use sim::{Sim, Trouble};
 
 #[test]
 fn no_rule_breaks_where_two_troubles_meet() {
-    for m in MEETINGS {
+    for m in SCENARIOS {
         for seed in 1..=6 {
             let mut sim = Sim::new(format!("{} (seed {seed})", m.name), seed);
             let script: Vec<(u64, Trouble)> = LOAD.iter().chain(m.script).copied().collect();
--- a/crates/scheduler/tests/sim/meetings.rs
+++ b/crates/scheduler/tests/sim/meetings.rs
@@ -22,7 +22,7 @@
 ];
 
 /// All meetings, in the order in which they were written.
-pub const MEETINGS: &[Meeting] = &[
+pub const SCENARIOS: &[Meeting] = &[
     Meeting {
         name: "controllers hand over and back, all end, one returns within a second",
         script: &[(6_000, Crash), (10_000, Crash), (11_000, Cancel(2)), (14_000, Away(700)), (16_000, Crash)],
--- a/crates/scheduler/tests/transcripts.rs
+++ b/crates/scheduler/tests/transcripts.rs
@@ -31,7 +31,7 @@
 
 use std::collections::BTreeSet;
 
-use sim::meetings::{LOAD, MEETINGS};
+use sim::meetings::{LOAD, SCENARIOS};
 use sim::{Sim, Trouble};
 use world::{golden, transcript};
 
@@ -144,7 +144,7 @@
 /// Runs every third failure scenario, beginning with the given index, so that three tests share
 /// them, and compares the transcripts with the golden files. Each scenario runs with three seeds.
 fn check_scenarios(first: usize) {
-    for (index, scenario) in MEETINGS.iter().enumerate().skip(first).step_by(3) {
+    for (index, scenario) in SCENARIOS.iter().enumerate().skip(first).step_by(3) {
         let script: Vec<(u64, Trouble)> = LOAD.iter().chain(scenario.script).copied().collect();
         let transcript = transcript::record(&scenario_name(index), || {
             for seed in 1..=3 {
@@ -234,7 +234,7 @@
 
 #[test]
 fn every_kind_of_scripted_event_occurs_in_a_failure_scenario() {
-    let labels = MEETINGS.iter().flat_map(|m| m.script).chain(&LOAD).map(|(_, t)| event_label(*t));
+    let labels = SCENARIOS.iter().flat_map(|m| m.script).chain(&LOAD).map(|(_, t)| event_label(*t));
     let labels: BTreeSet<&str> = labels.collect();
     assert_eq!(labels.len(), 22, "{labels:?}");
 }
@@ -242,7 +242,7 @@
 #[test]
 fn transcripts_contain_the_minimum_number_of_each_event() {
     let mut names: Vec<String> = SCRIPTS.iter().map(|(name, _)| (*name).to_owned()).collect();
-    names.extend((0..MEETINGS.len()).map(scenario_name));
+    names.extend((0..SCENARIOS.len()).map(scenario_name));
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     golden::assert_min_counts(&names, MIN_EVENT_COUNTS);
 }
