--- a/crates/scheduler/tests/concurrent_failures.rs
+++ b/crates/scheduler/tests/concurrent_failures.rs
@@ -3,7 +3,7 @@
 mod sim;
 mod world;
 
-use sim::meetings::{LOAD, SCENARIOS};
+use sim::meetings::{BASE_WORKLOAD, SCENARIOS};
 use sim::{Sim, Trouble};
 
 #[test]
@@ -11,7 +11,8 @@
     for m in SCENARIOS {
         for seed in 1..=6 {
             let mut sim = Sim::new(format!("{} (seed {seed})", m.name), seed);
-            let script: Vec<(u64, Trouble)> = LOAD.iter().chain(m.script).copied().collect();
+            let script: Vec<(u64, Trouble)> =
+                BASE_WORKLOAD.iter().chain(m.script).copied().collect();
             sim.play(&script, 130);
             assert!(
                 sim.repeated_by_follower() > 0,
--- a/crates/scheduler/tests/sim/meetings.rs
+++ b/crates/scheduler/tests/sim/meetings.rs
@@ -12,7 +12,7 @@
 }
 
 /// What is submitted in each of them.
-pub const LOAD: [(u64, Trouble); 6] = [
+pub const BASE_WORKLOAD: [(u64, Trouble); 6] = [
     (500, Submit(2, Plain(6))),
     (600, Submit(2, Long(4))),
     (700, Submit(2, Capped(3))),
--- a/crates/scheduler/tests/transcripts.rs
+++ b/crates/scheduler/tests/transcripts.rs
@@ -31,7 +31,7 @@
 
 use std::collections::BTreeSet;
 
-use sim::meetings::{LOAD, SCENARIOS};
+use sim::meetings::{BASE_WORKLOAD, SCENARIOS};
 use sim::{Sim, Trouble};
 use world::{golden, transcript};
 
@@ -145,7 +145,8 @@
 /// them, and compares the transcripts with the golden files. Each scenario runs with three seeds.
 fn check_scenarios(first: usize) {
     for (index, scenario) in SCENARIOS.iter().enumerate().skip(first).step_by(3) {
-        let script: Vec<(u64, Trouble)> = LOAD.iter().chain(scenario.script).copied().collect();
+        let script: Vec<(u64, Trouble)> =
+            BASE_WORKLOAD.iter().chain(scenario.script).copied().collect();
         let transcript = transcript::record(&scenario_name(index), || {
             for seed in 1..=3 {
                 transcript::line("meeting", &format!("{} (seed {seed})", scenario.name));
@@ -234,7 +235,8 @@
 
 #[test]
 fn every_kind_of_scripted_event_occurs_in_a_failure_scenario() {
-    let labels = SCENARIOS.iter().flat_map(|m| m.script).chain(&LOAD).map(|(_, t)| event_label(*t));
+    let labels =
+        SCENARIOS.iter().flat_map(|m| m.script).chain(&BASE_WORKLOAD).map(|(_, t)| event_label(*t));
     let labels: BTreeSet<&str> = labels.collect();
     assert_eq!(labels.len(), 22, "{labels:?}");
 }
