--- a/crates/scheduler/tests/concurrent_failures.rs
+++ b/crates/scheduler/tests/concurrent_failures.rs
@@ -21,10 +21,10 @@
             );
             for what in m.seen {
                 assert!(
-                    sim.seen.contains_key(what),
+                    sim.occurrences.contains_key(what),
                     "{} (seed {seed}): no meeting, nothing {what}: {:?}",
                     m.name,
-                    sim.seen
+                    sim.occurrences
                 );
             }
         }
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -211,7 +211,7 @@
     /// Answers half of the workers.
     follower: Follower,
     /// What came to pass, to see that a meeting took place.
-    pub seen: BTreeMap<&'static str, u64>,
+    pub occurrences: BTreeMap<&'static str, u64>,
 }
 
 impl Sim {
@@ -239,7 +239,7 @@
             next_machine: 0,
             next_job: 0,
             follower: Follower::new(&world::site()),
-            seen: BTreeMap::new(),
+            occurrences: BTreeMap::new(),
         };
         for i in 0..8 {
             sim.boot(if i % 2 == 0 { "a" } else { "b" }, START);
@@ -261,7 +261,7 @@
     }
 
     fn saw(&mut self, what: &'static str) {
-        *self.seen.entry(what).or_default() += 1;
+        *self.occurrences.entry(what).or_default() += 1;
     }
 
     fn on(&self, trouble: &'static str) -> Option<u64> {
@@ -463,7 +463,7 @@
             ("cancelled while the leader was refused", "leader refused alone"),
         ] {
             let cut = self.leaders.iter().any(|l| l.no_state > self.now);
-            if cut && self.seen.contains_key(met) {
+            if cut && self.occurrences.contains_key(met) {
                 self.saw(what);
             }
         }
@@ -761,7 +761,7 @@
         l.s.autoscale(now);
         let shared = l.s.fair_share.is_active();
         if shared {
-            *self.seen.entry("an overload shared").or_default() += 1;
+            *self.occurrences.entry("an overload shared").or_default() += 1;
         }
         if now.0 % 3_000_000 < STEP.0 {
             let list: Vec<ListedMachine> = self
--- a/crates/scheduler/tests/transcripts.rs
+++ b/crates/scheduler/tests/transcripts.rs
@@ -152,7 +152,7 @@
                 transcript::line("meeting", &format!("{} (seed {seed})", scenario.name));
                 let mut sim = Sim::new(scenario.name.to_owned(), seed);
                 sim.play(&script, 130);
-                for (condition, times) in &sim.seen {
+                for (condition, times) in &sim.occurrences {
                     transcript::count(&format!("seen {condition}"), *times);
                 }
             }
