--- a/crates/scheduler/tests/concurrent_failures.rs
+++ b/crates/scheduler/tests/concurrent_failures.rs
@@ -4,14 +4,14 @@
 mod world;
 
 use sim::meetings::{BASE_WORKLOAD, SCENARIOS};
-use sim::{Sim, Trouble};
+use sim::{ScriptedEvent, Sim};
 
 #[test]
 fn no_rule_breaks_where_two_troubles_meet() {
     for m in SCENARIOS {
         for seed in 1..=6 {
             let mut sim = Sim::new(format!("{} (seed {seed})", m.name), seed);
-            let script: Vec<(u64, Trouble)> =
+            let script: Vec<(u64, ScriptedEvent)> =
                 BASE_WORKLOAD.iter().chain(m.script).copied().collect();
             sim.play(&script, 130);
             assert!(
--- a/crates/scheduler/tests/sim/meetings.rs
+++ b/crates/scheduler/tests/sim/meetings.rs
@@ -1,18 +1,18 @@
 //! The scripts in which troubles meet. They are played for their verdicts and for their transcripts.
 
 use super::Kind::*;
-use super::Trouble::{self, *};
+use super::ScriptedEvent::{self, *};
 
 /// Two troubles or more that are laid over the load.
 pub struct Meeting {
     pub name: &'static str,
-    pub script: &'static [(u64, Trouble)],
+    pub script: &'static [(u64, ScriptedEvent)],
     /// What has to have come to pass on every seed, or the meeting did not take place.
     pub seen: &'static [&'static str],
 }
 
 /// What is submitted in each of them.
-pub const BASE_WORKLOAD: [(u64, Trouble); 6] = [
+pub const BASE_WORKLOAD: [(u64, ScriptedEvent); 6] = [
     (500, Submit(2, Plain(6))),
     (600, Submit(2, Long(4))),
     (700, Submit(2, Capped(3))),
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -39,7 +39,7 @@
 
 /// A trouble, and for how long; shares are of a hundred machines, messages or jobs.
 #[derive(Debug, Clone, Copy)]
-pub enum Trouble {
+pub enum ScriptedEvent {
     /// The leader ends; another leads as soon as it can.
     Crash,
     /// All controllers are away.
@@ -298,24 +298,24 @@
         }
     }
 
-    pub fn trouble(&mut self, trouble: Trouble) {
+    pub fn trouble(&mut self, trouble: ScriptedEvent) {
         let end = |sim: &Sim, ms: u64| sim.now + TimeDelta::from_millis(ms);
         let spell = |sim: &mut Sim, what: &'static str, share: u64, ms: u64| {
             sim.until.insert(what, (share, sim.now + TimeDelta::from_millis(ms)));
         };
         match trouble {
-            Trouble::Crash => {
+            ScriptedEvent::Crash => {
                 if self.leaders.pop().is_some() {
                     self.saw("leader ended");
                 }
                 self.elect_at = Some(end(self, 3_500));
             }
-            Trouble::Away(ms) => {
+            ScriptedEvent::Away(ms) => {
                 self.leaders.clear();
                 self.saw("all away");
                 self.elect_at = Some(end(self, ms));
             }
-            Trouble::RefuseLeader(ms) => {
+            ScriptedEvent::RefuseLeader(ms) => {
                 let until = end(self, ms);
                 if let Some(l) = self.leaders.last_mut() {
                     l.no_state = until;
@@ -323,7 +323,7 @@
                     self.saw("leader refused alone");
                 }
             }
-            Trouble::CutLeader(ms) => {
+            ScriptedEvent::CutLeader(ms) => {
                 let until = end(self, ms);
                 if let Some(l) = self.leaders.last_mut() {
                     (l.no_state, l.no_peers) = (until, until);
@@ -331,35 +331,35 @@
                     self.saw("leader cut");
                 }
             }
-            Trouble::Outage(ms) => spell(self, "outage", 0, ms),
-            Trouble::PeersLost(ms) => spell(self, "peers", 0, ms),
-            Trouble::LostAnswers(share, ms) => spell(self, "lost", share, ms),
-            Trouble::LateWrites(share, ms) => spell(self, "late", share, ms),
-            Trouble::HoldCommands(share, ms) => spell(self, "hold", share, ms),
-            Trouble::LateReports(share, ms) => spell(self, "copies", share, ms),
-            Trouble::ReportsForNext(ms) => spell(self, "next", 0, ms),
-            Trouble::CancelAtEnd(share, ms) => spell(self, "at end", share, ms),
-            Trouble::Ones(ms) => spell(self, "ones", 0, ms),
-            Trouble::Boots(ms) => self.boots = end(self, ms),
-            Trouble::Mute(share, ms)
-            | Trouble::Deaf(share, ms)
-            | Trouble::CutMachines(share, ms)
-            | Trouble::Hang(share, ms) => {
+            ScriptedEvent::Outage(ms) => spell(self, "outage", 0, ms),
+            ScriptedEvent::PeersLost(ms) => spell(self, "peers", 0, ms),
+            ScriptedEvent::LostAnswers(share, ms) => spell(self, "lost", share, ms),
+            ScriptedEvent::LateWrites(share, ms) => spell(self, "late", share, ms),
+            ScriptedEvent::HoldCommands(share, ms) => spell(self, "hold", share, ms),
+            ScriptedEvent::LateReports(share, ms) => spell(self, "copies", share, ms),
+            ScriptedEvent::ReportsForNext(ms) => spell(self, "next", 0, ms),
+            ScriptedEvent::CancelAtEnd(share, ms) => spell(self, "at end", share, ms),
+            ScriptedEvent::Ones(ms) => spell(self, "ones", 0, ms),
+            ScriptedEvent::Boots(ms) => self.boots = end(self, ms),
+            ScriptedEvent::Mute(share, ms)
+            | ScriptedEvent::Deaf(share, ms)
+            | ScriptedEvent::CutMachines(share, ms)
+            | ScriptedEvent::Hang(share, ms) => {
                 let until = end(self, ms);
                 for name in self.some_machines(share) {
                     self.touch(&name, trouble, until);
                 }
             }
-            Trouble::CutZone(zone, ms) => {
+            ScriptedEvent::CutZone(zone, ms) => {
                 let until = end(self, ms);
                 let there = |m: &&Machine| m.worker.zone == zone;
                 let names: Vec<String> =
                     self.machines.values().filter(there).map(|m| m.worker.name.clone()).collect();
                 for name in names {
-                    self.touch(&name, Trouble::CutMachines(0, 0), until);
+                    self.touch(&name, ScriptedEvent::CutMachines(0, 0), until);
                 }
             }
-            Trouble::Die(n) => {
+            ScriptedEvent::Die(n) => {
                 for name in self.some_machines(40).into_iter().take(n as usize) {
                     let m = self.machines.get_mut(&name).expect("machine");
                     m.gone = true;
@@ -367,7 +367,7 @@
                     self.saw("machines died");
                 }
             }
-            Trouble::Cancel(n) => {
+            ScriptedEvent::Cancel(n) => {
                 let live = self.live();
                 let running: Vec<String> = self
                     .jobs
@@ -382,7 +382,7 @@
                     self.cancel(&name);
                 }
             }
-            Trouble::Submit(n, kind) => {
+            ScriptedEvent::Submit(n, kind) => {
                 for _ in 0..n {
                     self.submit(kind);
                 }
@@ -390,19 +390,19 @@
         }
     }
 
-    fn touch(&mut self, name: &str, trouble: Trouble, until: Timestamp) {
+    fn touch(&mut self, name: &str, trouble: ScriptedEvent, until: Timestamp) {
         let holds = self.machines.get(name).is_some_and(|m| !m.worker.live().is_empty());
         let Some(m) = self.machines.get_mut(name) else { return };
         let what = match trouble {
-            Trouble::Mute(..) => {
+            ScriptedEvent::Mute(..) => {
                 m.mute = until;
                 "mute with tasks"
             }
-            Trouble::Deaf(..) => {
+            ScriptedEvent::Deaf(..) => {
                 m.deaf = until;
                 "deaf with tasks"
             }
-            Trouble::Hang(..) => {
+            ScriptedEvent::Hang(..) => {
                 m.hung = until;
                 "hung with tasks"
             }
@@ -926,8 +926,8 @@
     }
 
     /// Plays the script, then a time without troubles; then nothing may be left.
-    pub fn play(&mut self, script: &[(u64, Trouble)], for_s: u64) {
-        let mut script: Vec<(u64, Trouble)> = script.to_vec();
+    pub fn play(&mut self, script: &[(u64, ScriptedEvent)], for_s: u64) {
+        let mut script: Vec<(u64, ScriptedEvent)> = script.to_vec();
         script.sort_by_key(|s| s.0);
         let mut script = script.into_iter().peekable();
         while self.now.since(START) < TimeDelta::from_secs(for_s) {
--- a/crates/scheduler/tests/transcripts.rs
+++ b/crates/scheduler/tests/transcripts.rs
@@ -32,7 +32,7 @@
 use std::collections::BTreeSet;
 
 use sim::meetings::{BASE_WORKLOAD, SCENARIOS};
-use sim::{Sim, Trouble};
+use sim::{ScriptedEvent, Sim};
 use world::{golden, transcript};
 
 /// Scripts that run in the scripted world, with the names of their golden files.
@@ -145,7 +145,7 @@
 /// them, and compares the transcripts with the golden files. Each scenario runs with three seeds.
 fn check_scenarios(first: usize) {
     for (index, scenario) in SCENARIOS.iter().enumerate().skip(first).step_by(3) {
-        let script: Vec<(u64, Trouble)> =
+        let script: Vec<(u64, ScriptedEvent)> =
             BASE_WORKLOAD.iter().chain(scenario.script).copied().collect();
         let transcript = transcript::record(&scenario_name(index), || {
             for seed in 1..=3 {
@@ -206,30 +206,30 @@
 }
 
 /// Returns the label of a scripted event in the check that each kind of event occurs.
-fn event_label(event: Trouble) -> &'static str {
+fn event_label(event: ScriptedEvent) -> &'static str {
     match event {
-        Trouble::Crash => "crash",
-        Trouble::Away(_) => "away",
-        Trouble::RefuseLeader(_) => "refuse leader",
-        Trouble::CutLeader(_) => "cut leader",
-        Trouble::Outage(_) => "outage",
-        Trouble::PeersLost(_) => "peers lost",
-        Trouble::LostAnswers(..) => "lost answers",
-        Trouble::LateWrites(..) => "late writes",
-        Trouble::Mute(..) => "mute",
-        Trouble::Deaf(..) => "deaf",
-        Trouble::CutMachines(..) => "cut machines",
-        Trouble::CutZone(..) => "cut zone",
-        Trouble::Hang(..) => "hang",
-        Trouble::Die(_) => "die",
-        Trouble::HoldCommands(..) => "hold commands",
-        Trouble::LateReports(..) => "late reports",
-        Trouble::ReportsForNext(_) => "reports for next",
-        Trouble::Cancel(_) => "cancel",
-        Trouble::CancelAtEnd(..) => "cancel at end",
-        Trouble::Submit(..) => "submit",
-        Trouble::Ones(_) => "ones",
-        Trouble::Boots(_) => "boots",
+        ScriptedEvent::Crash => "crash",
+        ScriptedEvent::Away(_) => "away",
+        ScriptedEvent::RefuseLeader(_) => "refuse leader",
+        ScriptedEvent::CutLeader(_) => "cut leader",
+        ScriptedEvent::Outage(_) => "outage",
+        ScriptedEvent::PeersLost(_) => "peers lost",
+        ScriptedEvent::LostAnswers(..) => "lost answers",
+        ScriptedEvent::LateWrites(..) => "late writes",
+        ScriptedEvent::Mute(..) => "mute",
+        ScriptedEvent::Deaf(..) => "deaf",
+        ScriptedEvent::CutMachines(..) => "cut machines",
+        ScriptedEvent::CutZone(..) => "cut zone",
+        ScriptedEvent::Hang(..) => "hang",
+        ScriptedEvent::Die(_) => "die",
+        ScriptedEvent::HoldCommands(..) => "hold commands",
+        ScriptedEvent::LateReports(..) => "late reports",
+        ScriptedEvent::ReportsForNext(_) => "reports for next",
+        ScriptedEvent::Cancel(_) => "cancel",
+        ScriptedEvent::CancelAtEnd(..) => "cancel at end",
+        ScriptedEvent::Submit(..) => "submit",
+        ScriptedEvent::Ones(_) => "ones",
+        ScriptedEvent::Boots(_) => "boots",
     }
 }
 
