--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, Copy)]
 pub enum ScriptedEvent {
     /// The leader ends; another leads as soon as it can.
-    Crash,
+    CrashLeader,
     /// All controllers are away.
     Away(u64),
     /// The key-value store refuses the leader alone, which is replaced unless it is down for all.
@@ -304,7 +304,7 @@
             sim.until.insert(what, (share, sim.now + TimeDelta::from_millis(ms)));
         };
         match trouble {
-            ScriptedEvent::Crash => {
+            ScriptedEvent::CrashLeader => {
                 if self.leaders.pop().is_some() {
                     self.saw("leader ended");
                 }
--- a/crates/scheduler/tests/transcripts.rs
+++ b/crates/scheduler/tests/transcripts.rs
@@ -208,7 +208,7 @@
 /// Returns the label of a scripted event in the check that each kind of event occurs.
 fn event_label(event: ScriptedEvent) -> &'static str {
     match event {
-        ScriptedEvent::Crash => "crash",
+        ScriptedEvent::CrashLeader => "crash",
         ScriptedEvent::Away(_) => "away",
         ScriptedEvent::RefuseLeader(_) => "refuse leader",
         ScriptedEvent::CutLeader(_) => "cut leader",
