--- a/crates/scheduler/tests/sim/meetings.rs
+++ b/crates/scheduler/tests/sim/meetings.rs
@@ -25,7 +25,7 @@
 pub const SCENARIOS: &[Meeting] = &[
     Meeting {
         name: "controllers hand over and back, all end, one returns within a second",
-        script: &[(6_000, CrashLeader), (10_000, CrashLeader), (11_000, Cancel(2)), (14_000, Away(700)), (16_000, CrashLeader)],
+        script: &[(6_000, CrashLeader), (10_000, CrashLeader), (11_000, Cancel(2)), (14_000, StopAllControllers(700)), (16_000, CrashLeader)],
         seen: &["leader ended", "all away", "elected", "cancelled"],
     },
     Meeting {
@@ -152,7 +152,7 @@
     },
     Meeting {
         name: "all controllers away for longer than a lease",
-        script: &[(7_000, Cancel(2)), (7_200, Away(26_000)), (36_000, Cancel(2)), (40_000, Away(24_000))],
+        script: &[(7_000, Cancel(2)), (7_200, StopAllControllers(26_000)), (36_000, Cancel(2)), (40_000, StopAllControllers(24_000))],
         seen: &["all away", "cancelled"],
     },
     Meeting {
@@ -255,7 +255,7 @@
             (18_000, LateWrites(30, 15_000)),
             (20_000, Submit(3, Capped(3))),
             (22_000, Cancel(8)),
-            (30_000, Away(700)),
+            (30_000, StopAllControllers(700)),
             (41_000, CrashLeader),
         ],
         seen: &["an overload shared", "leader ended", "all away", "carried out late", "team at its limit"],
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -43,7 +43,7 @@
     /// The leader ends; another leads as soon as it can.
     CrashLeader,
     /// All controllers are away.
-    Away(u64),
+    StopAllControllers(u64),
     /// The key-value store refuses the leader alone, which is replaced unless it is down for all.
     RefuseLeader(u64),
     /// The leader loses the key-value store and the other nodes; another leads, and both reach workers.
@@ -310,7 +310,7 @@
                 }
                 self.elect_at = Some(end(self, 3_500));
             }
-            ScriptedEvent::Away(ms) => {
+            ScriptedEvent::StopAllControllers(ms) => {
                 self.leaders.clear();
                 self.saw("all away");
                 self.elect_at = Some(end(self, ms));
--- a/crates/scheduler/tests/transcripts.rs
+++ b/crates/scheduler/tests/transcripts.rs
@@ -209,7 +209,7 @@
 fn event_label(event: ScriptedEvent) -> &'static str {
     match event {
         ScriptedEvent::CrashLeader => "crash",
-        ScriptedEvent::Away(_) => "away",
+        ScriptedEvent::StopAllControllers(_) => "away",
         ScriptedEvent::RefuseLeader(_) => "refuse leader",
         ScriptedEvent::CutLeader(_) => "cut leader",
         ScriptedEvent::Outage(_) => "outage",
