--- a/crates/scheduler/tests/sim/meetings.rs
+++ b/crates/scheduler/tests/sim/meetings.rs
@@ -104,7 +104,7 @@
     Meeting {
         name: "cancelled at the moment of the refusal, a second later down for all",
         script: &[
-            (7_000, RefuseLeader(14_000)),
+            (7_000, RejectLeader(14_000)),
             (7_100, Cancel(3)),
             (7_900, Cancel(3)),
             (8_000, Outage(46_000)),
@@ -116,7 +116,7 @@
         name: "the same with the frames between nodes lost",
         script: &[
             (6_500, PeersLost(60_000)),
-            (7_000, RefuseLeader(14_000)),
+            (7_000, RejectLeader(14_000)),
             (7_100, Cancel(3)),
             (7_900, Cancel(3)),
             (8_000, Outage(46_000)),
@@ -231,7 +231,7 @@
     },
     Meeting {
         name: "one-task jobs several a second, a quarter cancelled, while the work changes hands",
-        script: &[(1_500, Ones(60_000)), (12_000, CrashLeader), (30_000, RefuseLeader(9_000)), (45_000, CrashLeader)],
+        script: &[(1_500, Ones(60_000)), (12_000, CrashLeader), (30_000, RejectLeader(9_000)), (45_000, CrashLeader)],
         seen: &["cancelled while the lead changed hands", "leader refused alone"],
     },
     Meeting {
@@ -268,7 +268,7 @@
             (16_000, Cancel(10)),
             (22_000, HoldCommands(30, 20_000)),
             (25_000, Deaf(30, 20_000)),
-            (34_000, RefuseLeader(9_000)),
+            (34_000, RejectLeader(9_000)),
         ],
         seen: &["an overload shared", "leader cut", "cancelled while the leader was cut", "commands held up"],
     },
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -45,7 +45,7 @@
     /// All controllers are away.
     StopAllControllers(u64),
     /// The key-value store refuses the leader alone, which is replaced unless it is down for all.
-    RefuseLeader(u64),
+    RejectLeader(u64),
     /// The leader loses the key-value store and the other nodes; another leads, and both reach workers.
     CutLeader(u64),
     Outage(u64),
@@ -315,7 +315,7 @@
                 self.saw("all away");
                 self.elect_at = Some(end(self, ms));
             }
-            ScriptedEvent::RefuseLeader(ms) => {
+            ScriptedEvent::RejectLeader(ms) => {
                 let until = end(self, ms);
                 if let Some(l) = self.leaders.last_mut() {
                     l.no_state = until;
--- a/crates/scheduler/tests/transcripts.rs
+++ b/crates/scheduler/tests/transcripts.rs
@@ -210,7 +210,7 @@
     match event {
         ScriptedEvent::CrashLeader => "crash",
         ScriptedEvent::StopAllControllers(_) => "away",
-        ScriptedEvent::RefuseLeader(_) => "refuse leader",
+        ScriptedEvent::RejectLeader(_) => "refuse leader",
         ScriptedEvent::CutLeader(_) => "cut leader",
         ScriptedEvent::Outage(_) => "outage",
         ScriptedEvent::PeersLost(_) => "peers lost",
