--- a/crates/scheduler/tests/sim/meetings.rs
+++ b/crates/scheduler/tests/sim/meetings.rs
@@ -137,7 +137,7 @@
     },
     Meeting {
         name: "a leader cut from state and peers while workers reach it, cancelled through the new one",
-        script: &[(6_000, CutLeader(60_000)), (7_000, Cancel(2)), (10_500, Cancel(3)), (20_000, Cancel(3))],
+        script: &[(6_000, PartitionLeader(60_000)), (7_000, Cancel(2)), (10_500, Cancel(3)), (20_000, Cancel(3))],
         seen: &["leader cut", "cancelled while the leader was cut", "a report to the former leader"],
     },
     Meeting {
@@ -264,7 +264,7 @@
         name: "a flood of urgent jobs while the leader is cut off and jobs are cancelled through the next one",
         script: &[
             (3_000, Submit(45, Flood(20))),
-            (10_000, CutLeader(30_000)),
+            (10_000, PartitionLeader(30_000)),
             (16_000, Cancel(10)),
             (22_000, HoldCommands(30, 20_000)),
             (25_000, Deaf(30, 20_000)),
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -47,7 +47,7 @@
     /// The key-value store refuses the leader alone, which is replaced unless it is down for all.
     RejectLeader(u64),
     /// The leader loses the key-value store and the other nodes; another leads, and both reach workers.
-    CutLeader(u64),
+    PartitionLeader(u64),
     Outage(u64),
     /// Frames between nodes are lost.
     PeersLost(u64),
@@ -323,7 +323,7 @@
                     self.saw("leader refused alone");
                 }
             }
-            ScriptedEvent::CutLeader(ms) => {
+            ScriptedEvent::PartitionLeader(ms) => {
                 let until = end(self, ms);
                 if let Some(l) = self.leaders.last_mut() {
                     (l.no_state, l.no_peers) = (until, until);
--- a/crates/scheduler/tests/transcripts.rs
+++ b/crates/scheduler/tests/transcripts.rs
@@ -211,7 +211,7 @@
         ScriptedEvent::CrashLeader => "crash",
         ScriptedEvent::StopAllControllers(_) => "away",
         ScriptedEvent::RejectLeader(_) => "refuse leader",
-        ScriptedEvent::CutLeader(_) => "cut leader",
+        ScriptedEvent::PartitionLeader(_) => "cut leader",
         ScriptedEvent::Outage(_) => "outage",
         ScriptedEvent::PeersLost(_) => "peers lost",
         ScriptedEvent::LostAnswers(..) => "lost answers",
