--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -48,7 +48,7 @@
     RejectLeader(u64),
     /// The leader loses the key-value store and the other nodes; another leads, and both reach workers.
     PartitionLeader(u64),
-    Outage(u64),
+    StoreOutage(u64),
     /// Frames between nodes are lost.
     PeersLost(u64),
     /// Transactions are carried out, and nobody hears of it.
@@ -331,7 +331,7 @@
                     self.saw("leader cut");
                 }
             }
-            ScriptedEvent::Outage(ms) => spell(self, "outage", 0, ms),
+            ScriptedEvent::StoreOutage(ms) => spell(self, "outage", 0, ms),
             ScriptedEvent::PeersLost(ms) => spell(self, "peers", 0, ms),
             ScriptedEvent::LostAnswers(share, ms) => spell(self, "lost", share, ms),
             ScriptedEvent::LateWrites(share, ms) => spell(self, "late", share, ms),
--- a/crates/scheduler/tests/transcripts.rs
+++ b/crates/scheduler/tests/transcripts.rs
@@ -212,7 +212,7 @@
         ScriptedEvent::StopAllControllers(_) => "away",
         ScriptedEvent::RejectLeader(_) => "refuse leader",
         ScriptedEvent::PartitionLeader(_) => "cut leader",
-        ScriptedEvent::Outage(_) => "outage",
+        ScriptedEvent::StoreOutage(_) => "outage",
         ScriptedEvent::PeersLost(_) => "peers lost",
         ScriptedEvent::LostAnswers(..) => "lost answers",
         ScriptedEvent::LateWrites(..) => "late writes",
