--- a/crates/scheduler/tests/sim/meetings.rs
+++ b/crates/scheduler/tests/sim/meetings.rs
@@ -115,7 +115,7 @@
     Meeting {
         name: "the same with the frames between nodes lost",
         script: &[
-            (6_500, PeersLost(60_000)),
+            (6_500, LosePeerMessages(60_000)),
             (7_000, RejectLeader(14_000)),
             (7_100, Cancel(3)),
             (7_900, Cancel(3)),
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -50,7 +50,7 @@
     PartitionLeader(u64),
     StoreOutage(u64),
     /// Frames between nodes are lost.
-    PeersLost(u64),
+    LosePeerMessages(u64),
     /// Transactions are carried out, and nobody hears of it.
     LostAnswers(u64, u64),
     /// Transactions get no answer and are carried out 2 to 12 s later.
@@ -332,7 +332,7 @@
                 }
             }
             ScriptedEvent::StoreOutage(ms) => spell(self, "outage", 0, ms),
-            ScriptedEvent::PeersLost(ms) => spell(self, "peers", 0, ms),
+            ScriptedEvent::LosePeerMessages(ms) => spell(self, "peers", 0, ms),
             ScriptedEvent::LostAnswers(share, ms) => spell(self, "lost", share, ms),
             ScriptedEvent::LateWrites(share, ms) => spell(self, "late", share, ms),
             ScriptedEvent::HoldCommands(share, ms) => spell(self, "hold", share, ms),
--- a/crates/scheduler/tests/transcripts.rs
+++ b/crates/scheduler/tests/transcripts.rs
@@ -213,7 +213,7 @@
         ScriptedEvent::RejectLeader(_) => "refuse leader",
         ScriptedEvent::PartitionLeader(_) => "cut leader",
         ScriptedEvent::StoreOutage(_) => "outage",
-        ScriptedEvent::PeersLost(_) => "peers lost",
+        ScriptedEvent::LosePeerMessages(_) => "peers lost",
         ScriptedEvent::LostAnswers(..) => "lost answers",
         ScriptedEvent::LateWrites(..) => "late writes",
         ScriptedEvent::Mute(..) => "mute",
