--- a/crates/scheduler/tests/sim/meetings.rs
+++ b/crates/scheduler/tests/sim/meetings.rs
@@ -42,7 +42,7 @@
     Meeting {
         name: "transactions carried out at once unheard, and the leader ends",
         script: &[
-            (3_000, LostAnswers(40, 25_000)),
+            (3_000, LoseCommitResponses(40, 25_000)),
             (5_000, Submit(3, Plain(5))),
             (9_000, Cancel(3)),
             (12_000, CrashLeader),
@@ -240,7 +240,7 @@
             (1_500, Submit(6, Plain(2))),
             (1_500, Submit(4, Long(3))),
             (7_000, CrashLeader),
-            (11_000, LostAnswers(30, 20_000)),
+            (11_000, LoseCommitResponses(30, 20_000)),
             (14_000, CrashLeader),
             (60_000, CrashLeader),
         ],
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -52,7 +52,7 @@
     /// Frames between nodes are lost.
     LosePeerMessages(u64),
     /// Transactions are carried out, and nobody hears of it.
-    LostAnswers(u64, u64),
+    LoseCommitResponses(u64, u64),
     /// Transactions get no answer and are carried out 2 to 12 s later.
     LateWrites(u64, u64),
     /// Reports don't arrive; direct commands do.
@@ -333,7 +333,7 @@
             }
             ScriptedEvent::StoreOutage(ms) => spell(self, "outage", 0, ms),
             ScriptedEvent::LosePeerMessages(ms) => spell(self, "peers", 0, ms),
-            ScriptedEvent::LostAnswers(share, ms) => spell(self, "lost", share, ms),
+            ScriptedEvent::LoseCommitResponses(share, ms) => spell(self, "lost", share, ms),
             ScriptedEvent::LateWrites(share, ms) => spell(self, "late", share, ms),
             ScriptedEvent::HoldCommands(share, ms) => spell(self, "hold", share, ms),
             ScriptedEvent::LateReports(share, ms) => spell(self, "copies", share, ms),
--- a/crates/scheduler/tests/transcripts.rs
+++ b/crates/scheduler/tests/transcripts.rs
@@ -214,7 +214,7 @@
         ScriptedEvent::PartitionLeader(_) => "cut leader",
         ScriptedEvent::StoreOutage(_) => "outage",
         ScriptedEvent::LosePeerMessages(_) => "peers lost",
-        ScriptedEvent::LostAnswers(..) => "lost answers",
+        ScriptedEvent::LoseCommitResponses(..) => "lost answers",
         ScriptedEvent::LateWrites(..) => "late writes",
         ScriptedEvent::Mute(..) => "mute",
         ScriptedEvent::Deaf(..) => "deaf",
