--- a/crates/scheduler/tests/sim/meetings.rs
+++ b/crates/scheduler/tests/sim/meetings.rs
@@ -31,7 +31,7 @@
     Meeting {
         name: "transactions carried out late, after newer ones, and the leader ends",
         script: &[
-            (4_000, LateWrites(40, 25_000)),
+            (4_000, DelayCommits(40, 25_000)),
             (5_000, Submit(3, Plain(5))),
             (9_000, Cancel(3)),
             (12_000, CrashLeader),
@@ -193,7 +193,7 @@
         name: "new machines up within two seconds get work while writes lag, and the leader ends",
         script: &[
             (1_500, Boots(40_000)),
-            (2_000, LateWrites(35, 25_000)),
+            (2_000, DelayCommits(35, 25_000)),
             (3_000, Submit(12, Plain(6))),
             (8_000, CrashLeader),
             (10_000, Submit(8, Urgent(3))),
@@ -252,7 +252,7 @@
             (3_000, Submit(45, Flood(20))),
             (9_000, CutMachines(30, 25_000)),
             (12_000, CrashLeader),
-            (18_000, LateWrites(30, 15_000)),
+            (18_000, DelayCommits(30, 15_000)),
             (20_000, Submit(3, Capped(3))),
             (22_000, Cancel(8)),
             (30_000, StopAllControllers(700)),
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -54,7 +54,7 @@
     /// Transactions are carried out, and nobody hears of it.
     LoseCommitResponses(u64, u64),
     /// Transactions get no answer and are carried out 2 to 12 s later.
-    LateWrites(u64, u64),
+    DelayCommits(u64, u64),
     /// Reports don't arrive; direct commands do.
     Mute(u64, u64),
     /// Reports arrive; answers and direct commands don't.
@@ -334,7 +334,7 @@
             ScriptedEvent::StoreOutage(ms) => spell(self, "outage", 0, ms),
             ScriptedEvent::LosePeerMessages(ms) => spell(self, "peers", 0, ms),
             ScriptedEvent::LoseCommitResponses(share, ms) => spell(self, "lost", share, ms),
-            ScriptedEvent::LateWrites(share, ms) => spell(self, "late", share, ms),
+            ScriptedEvent::DelayCommits(share, ms) => spell(self, "late", share, ms),
             ScriptedEvent::HoldCommands(share, ms) => spell(self, "hold", share, ms),
             ScriptedEvent::LateReports(share, ms) => spell(self, "copies", share, ms),
             ScriptedEvent::ReportsForNext(ms) => spell(self, "next", 0, ms),
--- a/crates/scheduler/tests/transcripts.rs
+++ b/crates/scheduler/tests/transcripts.rs
@@ -215,7 +215,7 @@
         ScriptedEvent::StoreOutage(_) => "outage",
         ScriptedEvent::LosePeerMessages(_) => "peers lost",
         ScriptedEvent::LoseCommitResponses(..) => "lost answers",
-        ScriptedEvent::LateWrites(..) => "late writes",
+        ScriptedEvent::DelayCommits(..) => "late writes",
         ScriptedEvent::Mute(..) => "mute",
         ScriptedEvent::Deaf(..) => "deaf",
         ScriptedEvent::CutMachines(..) => "cut machines",
