--- a/crates/scheduler/tests/sim/meetings.rs
+++ b/crates/scheduler/tests/sim/meetings.rs
@@ -63,7 +63,7 @@
     },
     Meeting {
         name: "workers reach no controller, direct commands reach them, jobs are cancelled",
-        script: &[(6_000, Mute(100, 30_000)), (8_000, Cancel(4)), (12_000, CrashLeader), (16_000, Cancel(2))],
+        script: &[(6_000, LoseHeartbeats(100, 30_000)), (8_000, Cancel(4)), (12_000, CrashLeader), (16_000, Cancel(2))],
         seen: &["mute with tasks", "cancelled on an ill machine", "leader ended"],
     },
     Meeting {
@@ -183,7 +183,7 @@
             (2_600, Submit(3, Spread(7))),
             (7_000, Die(3)),
             (8_000, CrashLeader),
-            (12_000, Mute(40, 24_000)),
+            (12_000, LoseHeartbeats(40, 24_000)),
             (20_000, Die(3)),
             (24_000, CrashLeader),
         ],
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -56,7 +56,7 @@
     /// Transactions get no answer and are carried out 2 to 12 s later.
     DelayCommits(u64, u64),
     /// Reports don't arrive; direct commands do.
-    Mute(u64, u64),
+    LoseHeartbeats(u64, u64),
     /// Reports arrive; answers and direct commands don't.
     Deaf(u64, u64),
     /// Neither.
@@ -341,7 +341,7 @@
             ScriptedEvent::CancelAtEnd(share, ms) => spell(self, "at end", share, ms),
             ScriptedEvent::Ones(ms) => spell(self, "ones", 0, ms),
             ScriptedEvent::Boots(ms) => self.boots = end(self, ms),
-            ScriptedEvent::Mute(share, ms)
+            ScriptedEvent::LoseHeartbeats(share, ms)
             | ScriptedEvent::Deaf(share, ms)
             | ScriptedEvent::CutMachines(share, ms)
             | ScriptedEvent::Hang(share, ms) => {
@@ -394,7 +394,7 @@
         let holds = self.machines.get(name).is_some_and(|m| !m.worker.live().is_empty());
         let Some(m) = self.machines.get_mut(name) else { return };
         let what = match trouble {
-            ScriptedEvent::Mute(..) => {
+            ScriptedEvent::LoseHeartbeats(..) => {
                 m.mute = until;
                 "mute with tasks"
             }
--- a/crates/scheduler/tests/transcripts.rs
+++ b/crates/scheduler/tests/transcripts.rs
@@ -216,7 +216,7 @@
         ScriptedEvent::LosePeerMessages(_) => "peers lost",
         ScriptedEvent::LoseCommitResponses(..) => "lost answers",
         ScriptedEvent::DelayCommits(..) => "late writes",
-        ScriptedEvent::Mute(..) => "mute",
+        ScriptedEvent::LoseHeartbeats(..) => "mute",
         ScriptedEvent::Deaf(..) => "deaf",
         ScriptedEvent::CutMachines(..) => "cut machines",
         ScriptedEvent::CutZone(..) => "cut zone",
