--- a/crates/scheduler/tests/sim/meetings.rs
+++ b/crates/scheduler/tests/sim/meetings.rs
@@ -70,7 +70,7 @@
         name: "a team at its limit when the leader changes, some machines can't be asked, a cancellation",
         script: &[
             (2_000, Submit(4, Capped(4))),
-            (6_000, Deaf(60, 25_000)),
+            (6_000, LoseInboundMessages(60, 25_000)),
             (6_500, CrashLeader),
             (9_000, Cancel(4)),
             (11_000, Submit(2, Capped(4))),
@@ -143,7 +143,7 @@
     Meeting {
         name: "a leader ends while machines with long tasks don't hear the new one",
         script: &[
-            (6_000, Deaf(50, 45_000)),
+            (6_000, LoseInboundMessages(50, 45_000)),
             (6_000, CutMachines(30, 28_000)),
             (7_000, CrashLeader),
             (15_000, Cancel(3)),
@@ -267,7 +267,7 @@
             (10_000, PartitionLeader(30_000)),
             (16_000, Cancel(10)),
             (22_000, HoldCommands(30, 20_000)),
-            (25_000, Deaf(30, 20_000)),
+            (25_000, LoseInboundMessages(30, 20_000)),
             (34_000, RejectLeader(9_000)),
         ],
         seen: &["an overload shared", "leader cut", "cancelled while the leader was cut", "commands held up"],
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -58,7 +58,7 @@
     /// Reports don't arrive; direct commands do.
     LoseHeartbeats(u64, u64),
     /// Reports arrive; answers and direct commands don't.
-    Deaf(u64, u64),
+    LoseInboundMessages(u64, u64),
     /// Neither.
     CutMachines(u64, u64),
     /// Neither, for the machines of one zone.
@@ -342,7 +342,7 @@
             ScriptedEvent::Ones(ms) => spell(self, "ones", 0, ms),
             ScriptedEvent::Boots(ms) => self.boots = end(self, ms),
             ScriptedEvent::LoseHeartbeats(share, ms)
-            | ScriptedEvent::Deaf(share, ms)
+            | ScriptedEvent::LoseInboundMessages(share, ms)
             | ScriptedEvent::CutMachines(share, ms)
             | ScriptedEvent::Hang(share, ms) => {
                 let until = end(self, ms);
@@ -398,7 +398,7 @@
                 m.mute = until;
                 "mute with tasks"
             }
-            ScriptedEvent::Deaf(..) => {
+            ScriptedEvent::LoseInboundMessages(..) => {
                 m.deaf = until;
                 "deaf with tasks"
             }
--- a/crates/scheduler/tests/transcripts.rs
+++ b/crates/scheduler/tests/transcripts.rs
@@ -217,7 +217,7 @@
         ScriptedEvent::LoseCommitResponses(..) => "lost answers",
         ScriptedEvent::DelayCommits(..) => "late writes",
         ScriptedEvent::LoseHeartbeats(..) => "mute",
-        ScriptedEvent::Deaf(..) => "deaf",
+        ScriptedEvent::LoseInboundMessages(..) => "deaf",
         ScriptedEvent::CutMachines(..) => "cut machines",
         ScriptedEvent::CutZone(..) => "cut zone",
         ScriptedEvent::Hang(..) => "hang",
