--- a/crates/scheduler/tests/sim/meetings.rs
+++ b/crates/scheduler/tests/sim/meetings.rs
@@ -54,7 +54,7 @@
         script: &[
             (2_000, Submit(4, Capped(4))),
             (6_000, Hang(50, 18_000)),
-            (6_000, CutMachines(40, 30_000)),
+            (6_000, PartitionMachines(40, 30_000)),
             (7_000, Cancel(5)),
             (8_000, CrashLeader),
             (13_000, Cancel(2)),
@@ -95,7 +95,7 @@
             (2_000, ReportsForNext(50_000)),
             (9_000, CrashLeader),
             (10_000, Cancel(2)),
-            (22_000, CutMachines(40, 30_000)),
+            (22_000, PartitionMachines(40, 30_000)),
             (24_000, CrashLeader),
             (36_000, CrashLeader),
         ],
@@ -144,7 +144,7 @@
         name: "a leader ends while machines with long tasks don't hear the new one",
         script: &[
             (6_000, LoseInboundMessages(50, 45_000)),
-            (6_000, CutMachines(30, 28_000)),
+            (6_000, PartitionMachines(30, 28_000)),
             (7_000, CrashLeader),
             (15_000, Cancel(3)),
         ],
@@ -250,7 +250,7 @@
         name: "a flood of urgent jobs while leaders end, writes are late and machines are cut off",
         script: &[
             (3_000, Submit(45, Flood(20))),
-            (9_000, CutMachines(30, 25_000)),
+            (9_000, PartitionMachines(30, 25_000)),
             (12_000, CrashLeader),
             (18_000, DelayCommits(30, 15_000)),
             (20_000, Submit(3, Capped(3))),
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -60,7 +60,7 @@
     /// Reports arrive; answers and direct commands don't.
     LoseInboundMessages(u64, u64),
     /// Neither.
-    CutMachines(u64, u64),
+    PartitionMachines(u64, u64),
     /// Neither, for the machines of one zone.
     CutZone(&'static str, u64),
     /// They stand still, and go on.
@@ -343,7 +343,7 @@
             ScriptedEvent::Boots(ms) => self.boots = end(self, ms),
             ScriptedEvent::LoseHeartbeats(share, ms)
             | ScriptedEvent::LoseInboundMessages(share, ms)
-            | ScriptedEvent::CutMachines(share, ms)
+            | ScriptedEvent::PartitionMachines(share, ms)
             | ScriptedEvent::Hang(share, ms) => {
                 let until = end(self, ms);
                 for name in self.some_machines(share) {
@@ -356,7 +356,7 @@
                 let names: Vec<String> =
                     self.machines.values().filter(there).map(|m| m.worker.name.clone()).collect();
                 for name in names {
-                    self.touch(&name, ScriptedEvent::CutMachines(0, 0), until);
+                    self.touch(&name, ScriptedEvent::PartitionMachines(0, 0), until);
                 }
             }
             ScriptedEvent::Die(n) => {
--- a/crates/scheduler/tests/transcripts.rs
+++ b/crates/scheduler/tests/transcripts.rs
@@ -218,7 +218,7 @@
         ScriptedEvent::DelayCommits(..) => "late writes",
         ScriptedEvent::LoseHeartbeats(..) => "mute",
         ScriptedEvent::LoseInboundMessages(..) => "deaf",
-        ScriptedEvent::CutMachines(..) => "cut machines",
+        ScriptedEvent::PartitionMachines(..) => "cut machines",
         ScriptedEvent::CutZone(..) => "cut zone",
         ScriptedEvent::Hang(..) => "hang",
         ScriptedEvent::Die(_) => "die",
