--- a/crates/scheduler/tests/sim/meetings.rs
+++ b/crates/scheduler/tests/sim/meetings.rs
@@ -204,7 +204,7 @@
     },
     Meeting {
         name: "a zone cut off for longer than a lease, and the leader changes",
-        script: &[(6_000, CutZone("a", 28_000)), (7_000, Cancel(3)), (9_000, CrashLeader), (14_000, Cancel(3))],
+        script: &[(6_000, PartitionZone("a", 28_000)), (7_000, Cancel(3)), (9_000, CrashLeader), (14_000, Cancel(3))],
         seen: &["cut with tasks", "cancelled on an ill machine", "leader ended"],
     },
     Meeting {
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -62,7 +62,7 @@
     /// Neither.
     PartitionMachines(u64, u64),
     /// Neither, for the machines of one zone.
-    CutZone(&'static str, u64),
+    PartitionZone(&'static str, u64),
     /// They stand still, and go on.
     Hang(u64, u64),
     Die(u64),
@@ -350,7 +350,7 @@
                     self.touch(&name, trouble, until);
                 }
             }
-            ScriptedEvent::CutZone(zone, ms) => {
+            ScriptedEvent::PartitionZone(zone, ms) => {
                 let until = end(self, ms);
                 let there = |m: &&Machine| m.worker.zone == zone;
                 let names: Vec<String> =
--- a/crates/scheduler/tests/transcripts.rs
+++ b/crates/scheduler/tests/transcripts.rs
@@ -219,7 +219,7 @@
         ScriptedEvent::LoseHeartbeats(..) => "mute",
         ScriptedEvent::LoseInboundMessages(..) => "deaf",
         ScriptedEvent::PartitionMachines(..) => "cut machines",
-        ScriptedEvent::CutZone(..) => "cut zone",
+        ScriptedEvent::PartitionZone(..) => "cut zone",
         ScriptedEvent::Hang(..) => "hang",
         ScriptedEvent::Die(_) => "die",
         ScriptedEvent::HoldCommands(..) => "hold commands",
