--- a/crates/scheduler/tests/sim/meetings.rs
+++ b/crates/scheduler/tests/sim/meetings.rs
@@ -53,7 +53,7 @@
         name: "teams at their limits, cancelled on machines that hang or are cut, the leader changes",
         script: &[
             (2_000, Submit(4, Capped(4))),
-            (6_000, Hang(50, 18_000)),
+            (6_000, PauseMachines(50, 18_000)),
             (6_000, PartitionMachines(40, 30_000)),
             (7_000, Cancel(5)),
             (8_000, CrashLeader),
@@ -211,9 +211,9 @@
         name: "commands or their answers held up for seconds, machines hang and go on",
         script: &[
             (3_000, HoldCommands(50, 40_000)),
-            (6_000, Hang(50, 15_000)),
+            (6_000, PauseMachines(50, 15_000)),
             (7_000, Cancel(4)),
-            (24_000, Hang(50, 19_000)),
+            (24_000, PauseMachines(50, 19_000)),
             (25_000, Cancel(2)),
             (26_000, CrashLeader),
         ],
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -64,7 +64,7 @@
     /// Neither, for the machines of one zone.
     PartitionZone(&'static str, u64),
     /// They stand still, and go on.
-    Hang(u64, u64),
+    PauseMachines(u64, u64),
     Die(u64),
     /// Direct commands are held up for two to nine seconds, and carried out then.
     HoldCommands(u64, u64),
@@ -344,7 +344,7 @@
             ScriptedEvent::LoseHeartbeats(share, ms)
             | ScriptedEvent::LoseInboundMessages(share, ms)
             | ScriptedEvent::PartitionMachines(share, ms)
-            | ScriptedEvent::Hang(share, ms) => {
+            | ScriptedEvent::PauseMachines(share, ms) => {
                 let until = end(self, ms);
                 for name in self.some_machines(share) {
                     self.touch(&name, trouble, until);
@@ -402,7 +402,7 @@
                 m.deaf = until;
                 "deaf with tasks"
             }
-            ScriptedEvent::Hang(..) => {
+            ScriptedEvent::PauseMachines(..) => {
                 m.hung = until;
                 "hung with tasks"
             }
--- a/crates/scheduler/tests/transcripts.rs
+++ b/crates/scheduler/tests/transcripts.rs
@@ -220,7 +220,7 @@
         ScriptedEvent::LoseInboundMessages(..) => "deaf",
         ScriptedEvent::PartitionMachines(..) => "cut machines",
         ScriptedEvent::PartitionZone(..) => "cut zone",
-        ScriptedEvent::Hang(..) => "hang",
+        ScriptedEvent::PauseMachines(..) => "hang",
         ScriptedEvent::Die(_) => "die",
         ScriptedEvent::HoldCommands(..) => "hold commands",
         ScriptedEvent::LateReports(..) => "late reports",
