--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -65,7 +65,7 @@
     PartitionZone(&'static str, u64),
     /// They stand still, and go on.
     PauseMachines(u64, u64),
-    Die(u64),
+    KillMachines(u64),
     /// Direct commands are held up for two to nine seconds, and carried out then.
     HoldCommands(u64, u64),
     /// Copies of reports arrive again, up to two leases later, at whoever leads then.
@@ -359,7 +359,7 @@
                     self.touch(&name, ScriptedEvent::PartitionMachines(0, 0), until);
                 }
             }
-            ScriptedEvent::Die(n) => {
+            ScriptedEvent::KillMachines(n) => {
                 for name in self.some_machines(40).into_iter().take(n as usize) {
                     let m = self.machines.get_mut(&name).expect("machine");
                     m.gone = true;
--- a/crates/scheduler/tests/transcripts.rs
+++ b/crates/scheduler/tests/transcripts.rs
@@ -221,7 +221,7 @@
         ScriptedEvent::PartitionMachines(..) => "cut machines",
         ScriptedEvent::PartitionZone(..) => "cut zone",
         ScriptedEvent::PauseMachines(..) => "hang",
-        ScriptedEvent::Die(_) => "die",
+        ScriptedEvent::KillMachines(_) => "die",
         ScriptedEvent::HoldCommands(..) => "hold commands",
         ScriptedEvent::LateReports(..) => "late reports",
         ScriptedEvent::ReportsForNext(_) => "reports for next",
