--- a/crates/scheduler/tests/sim/meetings.rs
+++ b/crates/scheduler/tests/sim/meetings.rs
@@ -127,7 +127,7 @@
         name: "more work than room, urgent and not, commands held up",
         script: &[
             (2_000, Submit(10, Plain(6))),
-            (3_000, HoldCommands(40, 30_000)),
+            (3_000, DelayCommands(40, 30_000)),
             (5_000, Submit(8, Urgent(3))),
             (9_000, CrashLeader),
             (14_000, Submit(5, Urgent(3))),
@@ -210,7 +210,7 @@
     Meeting {
         name: "commands or their answers held up for seconds, machines hang and go on",
         script: &[
-            (3_000, HoldCommands(50, 40_000)),
+            (3_000, DelayCommands(50, 40_000)),
             (6_000, PauseMachines(50, 15_000)),
             (7_000, Cancel(4)),
             (24_000, PauseMachines(50, 19_000)),
@@ -266,7 +266,7 @@
             (3_000, Submit(45, Flood(20))),
             (10_000, PartitionLeader(30_000)),
             (16_000, Cancel(10)),
-            (22_000, HoldCommands(30, 20_000)),
+            (22_000, DelayCommands(30, 20_000)),
             (25_000, LoseInboundMessages(30, 20_000)),
             (34_000, RejectLeader(9_000)),
         ],
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -67,7 +67,7 @@
     PauseMachines(u64, u64),
     KillMachines(u64),
     /// Direct commands are held up for two to nine seconds, and carried out then.
-    HoldCommands(u64, u64),
+    DelayCommands(u64, u64),
     /// Copies of reports arrive again, up to two leases later, at whoever leads then.
     LateReports(u64, u64),
     /// The next leader hears old heartbeats first.
@@ -335,7 +335,7 @@
             ScriptedEvent::LosePeerMessages(ms) => spell(self, "peers", 0, ms),
             ScriptedEvent::LoseCommitResponses(share, ms) => spell(self, "lost", share, ms),
             ScriptedEvent::DelayCommits(share, ms) => spell(self, "late", share, ms),
-            ScriptedEvent::HoldCommands(share, ms) => spell(self, "hold", share, ms),
+            ScriptedEvent::DelayCommands(share, ms) => spell(self, "hold", share, ms),
             ScriptedEvent::LateReports(share, ms) => spell(self, "copies", share, ms),
             ScriptedEvent::ReportsForNext(ms) => spell(self, "next", 0, ms),
             ScriptedEvent::CancelAtEnd(share, ms) => spell(self, "at end", share, ms),
--- a/crates/scheduler/tests/transcripts.rs
+++ b/crates/scheduler/tests/transcripts.rs
@@ -222,7 +222,7 @@
         ScriptedEvent::PartitionZone(..) => "cut zone",
         ScriptedEvent::PauseMachines(..) => "hang",
         ScriptedEvent::KillMachines(_) => "die",
-        ScriptedEvent::HoldCommands(..) => "hold commands",
+        ScriptedEvent::DelayCommands(..) => "hold commands",
         ScriptedEvent::LateReports(..) => "late reports",
         ScriptedEvent::ReportsForNext(_) => "reports for next",
         ScriptedEvent::Cancel(_) => "cancel",
