--- a/crates/scheduler/tests/sim/meetings.rs
+++ b/crates/scheduler/tests/sim/meetings.rs
@@ -80,7 +80,7 @@
     Meeting {
         name: "reports held back until a new leader has acted",
         script: &[
-            (2_000, LateReports(60, 40_000)),
+            (2_000, DuplicateHeartbeats(60, 40_000)),
             (8_000, CrashLeader),
             (10_000, Cancel(2)),
             (16_000, KillMachines(2)),
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -69,7 +69,7 @@
     /// Direct commands are held up for two to nine seconds, and carried out then.
     DelayCommands(u64, u64),
     /// Copies of reports arrive again, up to two leases later, at whoever leads then.
-    LateReports(u64, u64),
+    DuplicateHeartbeats(u64, u64),
     /// The next leader hears old heartbeats first.
     ReportsForNext(u64),
     /// Users cancel so many of the jobs that run.
@@ -336,7 +336,7 @@
             ScriptedEvent::LoseCommitResponses(share, ms) => spell(self, "lost", share, ms),
             ScriptedEvent::DelayCommits(share, ms) => spell(self, "late", share, ms),
             ScriptedEvent::DelayCommands(share, ms) => spell(self, "hold", share, ms),
-            ScriptedEvent::LateReports(share, ms) => spell(self, "copies", share, ms),
+            ScriptedEvent::DuplicateHeartbeats(share, ms) => spell(self, "copies", share, ms),
             ScriptedEvent::ReportsForNext(ms) => spell(self, "next", 0, ms),
             ScriptedEvent::CancelAtEnd(share, ms) => spell(self, "at end", share, ms),
             ScriptedEvent::Ones(ms) => spell(self, "ones", 0, ms),
--- a/crates/scheduler/tests/transcripts.rs
+++ b/crates/scheduler/tests/transcripts.rs
@@ -223,7 +223,7 @@
         ScriptedEvent::PauseMachines(..) => "hang",
         ScriptedEvent::KillMachines(_) => "die",
         ScriptedEvent::DelayCommands(..) => "hold commands",
-        ScriptedEvent::LateReports(..) => "late reports",
+        ScriptedEvent::DuplicateHeartbeats(..) => "late reports",
         ScriptedEvent::ReportsForNext(_) => "reports for next",
         ScriptedEvent::Cancel(_) => "cancel",
         ScriptedEvent::CancelAtEnd(..) => "cancel at end",
