--- a/crates/scheduler/tests/sim/meetings.rs
+++ b/crates/scheduler/tests/sim/meetings.rs
@@ -92,7 +92,7 @@
     Meeting {
         name: "old reports reach everybody just as a new leader begins",
         script: &[
-            (2_000, ReportsForNext(50_000)),
+            (2_000, ReplayToNextLeader(50_000)),
             (9_000, CrashLeader),
             (10_000, Cancel(2)),
             (22_000, PartitionMachines(40, 30_000)),
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -71,7 +71,7 @@
     /// Copies of reports arrive again, up to two leases later, at whoever leads then.
     DuplicateHeartbeats(u64, u64),
     /// The next leader hears old heartbeats first.
-    ReportsForNext(u64),
+    ReplayToNextLeader(u64),
     /// Users cancel so many of the jobs that run.
     Cancel(u64),
     /// Jobs are cancelled in the step in which their last task ends.
@@ -337,7 +337,7 @@
             ScriptedEvent::DelayCommits(share, ms) => spell(self, "late", share, ms),
             ScriptedEvent::DelayCommands(share, ms) => spell(self, "hold", share, ms),
             ScriptedEvent::DuplicateHeartbeats(share, ms) => spell(self, "copies", share, ms),
-            ScriptedEvent::ReportsForNext(ms) => spell(self, "next", 0, ms),
+            ScriptedEvent::ReplayToNextLeader(ms) => spell(self, "next", 0, ms),
             ScriptedEvent::CancelAtEnd(share, ms) => spell(self, "at end", share, ms),
             ScriptedEvent::Ones(ms) => spell(self, "ones", 0, ms),
             ScriptedEvent::Boots(ms) => self.boots = end(self, ms),
--- a/crates/scheduler/tests/transcripts.rs
+++ b/crates/scheduler/tests/transcripts.rs
@@ -224,7 +224,7 @@
         ScriptedEvent::KillMachines(_) => "die",
         ScriptedEvent::DelayCommands(..) => "hold commands",
         ScriptedEvent::DuplicateHeartbeats(..) => "late reports",
-        ScriptedEvent::ReportsForNext(_) => "reports for next",
+        ScriptedEvent::ReplayToNextLeader(_) => "reports for next",
         ScriptedEvent::Cancel(_) => "cancel",
         ScriptedEvent::CancelAtEnd(..) => "cancel at end",
         ScriptedEvent::Submit(..) => "submit",
