--- a/crates/scheduler/tests/sim/meetings.rs
+++ b/crates/scheduler/tests/sim/meetings.rs
@@ -222,7 +222,7 @@
     Meeting {
         name: "cancellations meet the ends of jobs' last tasks",
         script: &[
-            (1_000, CancelAtEnd(50, 60_000)),
+            (1_000, CancelOnTaskExit(50, 60_000)),
             (2_000, Submit(20, Plain(1))),
             (12_000, Submit(20, Plain(2))),
             (24_000, CrashLeader),
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -75,7 +75,7 @@
     /// Users cancel so many of the jobs that run.
     Cancel(u64),
     /// Jobs are cancelled in the step in which their last task ends.
-    CancelAtEnd(u64, u64),
+    CancelOnTaskExit(u64, u64),
     /// So many jobs of that kind are submitted.
     Submit(u64, Kind),
     /// Jobs of one task, two in three steps, a quarter of them cancelled soon.
@@ -338,7 +338,7 @@
             ScriptedEvent::DelayCommands(share, ms) => spell(self, "hold", share, ms),
             ScriptedEvent::DuplicateHeartbeats(share, ms) => spell(self, "copies", share, ms),
             ScriptedEvent::ReplayToNextLeader(ms) => spell(self, "next", 0, ms),
-            ScriptedEvent::CancelAtEnd(share, ms) => spell(self, "at end", share, ms),
+            ScriptedEvent::CancelOnTaskExit(share, ms) => spell(self, "at end", share, ms),
             ScriptedEvent::Ones(ms) => spell(self, "ones", 0, ms),
             ScriptedEvent::Boots(ms) => self.boots = end(self, ms),
             ScriptedEvent::LoseHeartbeats(share, ms)
--- a/crates/scheduler/tests/transcripts.rs
+++ b/crates/scheduler/tests/transcripts.rs
@@ -226,7 +226,7 @@
         ScriptedEvent::DuplicateHeartbeats(..) => "late reports",
         ScriptedEvent::ReplayToNextLeader(_) => "reports for next",
         ScriptedEvent::Cancel(_) => "cancel",
-        ScriptedEvent::CancelAtEnd(..) => "cancel at end",
+        ScriptedEvent::CancelOnTaskExit(..) => "cancel at end",
         ScriptedEvent::Submit(..) => "submit",
         ScriptedEvent::Ones(_) => "ones",
         ScriptedEvent::Boots(_) => "boots",
