--- a/crates/scheduler/tests/sim/meetings.rs
+++ b/crates/scheduler/tests/sim/meetings.rs
@@ -231,7 +231,7 @@
     },
     Meeting {
         name: "one-task jobs several a second, a quarter cancelled, while the work changes hands",
-        script: &[(1_500, Ones(60_000)), (12_000, CrashLeader), (30_000, RejectLeader(9_000)), (45_000, CrashLeader)],
+        script: &[(1_500, SubmitSingleTaskJobs(60_000)), (12_000, CrashLeader), (30_000, RejectLeader(9_000)), (45_000, CrashLeader)],
         seen: &["cancelled while the lead changed hands", "leader refused alone"],
     },
     Meeting {
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -79,7 +79,7 @@
     /// So many jobs of that kind are submitted.
     Submit(u64, Kind),
     /// Jobs of one task, two in three steps, a quarter of them cancelled soon.
-    Ones(u64),
+    SubmitSingleTaskJobs(u64),
     /// New machines are up at once, and until then more are to be had.
     Boots(u64),
 }
@@ -339,7 +339,7 @@
             ScriptedEvent::DuplicateHeartbeats(share, ms) => spell(self, "copies", share, ms),
             ScriptedEvent::ReplayToNextLeader(ms) => spell(self, "next", 0, ms),
             ScriptedEvent::CancelOnTaskExit(share, ms) => spell(self, "at end", share, ms),
-            ScriptedEvent::Ones(ms) => spell(self, "ones", 0, ms),
+            ScriptedEvent::SubmitSingleTaskJobs(ms) => spell(self, "ones", 0, ms),
             ScriptedEvent::Boots(ms) => self.boots = end(self, ms),
             ScriptedEvent::LoseHeartbeats(share, ms)
             | ScriptedEvent::LoseInboundMessages(share, ms)
--- a/crates/scheduler/tests/transcripts.rs
+++ b/crates/scheduler/tests/transcripts.rs
@@ -228,7 +228,7 @@
         ScriptedEvent::Cancel(_) => "cancel",
         ScriptedEvent::CancelOnTaskExit(..) => "cancel at end",
         ScriptedEvent::Submit(..) => "submit",
-        ScriptedEvent::Ones(_) => "ones",
+        ScriptedEvent::SubmitSingleTaskJobs(_) => "ones",
         ScriptedEvent::Boots(_) => "boots",
     }
 }
