--- a/crates/scheduler/tests/sim/meetings.rs
+++ b/crates/scheduler/tests/sim/meetings.rs
@@ -192,7 +192,7 @@
     Meeting {
         name: "new machines up within two seconds get work while writes lag, and the leader ends",
         script: &[
-            (1_500, Boots(40_000)),
+            (1_500, FastBoots(40_000)),
             (2_000, DelayCommits(35, 25_000)),
             (3_000, Submit(12, Plain(6))),
             (8_000, CrashLeader),
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -81,7 +81,7 @@
     /// Jobs of one task, two in three steps, a quarter of them cancelled soon.
     SubmitSingleTaskJobs(u64),
     /// New machines are up at once, and until then more are to be had.
-    Boots(u64),
+    FastBoots(u64),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -340,7 +340,7 @@
             ScriptedEvent::ReplayToNextLeader(ms) => spell(self, "next", 0, ms),
             ScriptedEvent::CancelOnTaskExit(share, ms) => spell(self, "at end", share, ms),
             ScriptedEvent::SubmitSingleTaskJobs(ms) => spell(self, "ones", 0, ms),
-            ScriptedEvent::Boots(ms) => self.boots = end(self, ms),
+            ScriptedEvent::FastBoots(ms) => self.boots = end(self, ms),
             ScriptedEvent::LoseHeartbeats(share, ms)
             | ScriptedEvent::LoseInboundMessages(share, ms)
             | ScriptedEvent::PartitionMachines(share, ms)
--- a/crates/scheduler/tests/transcripts.rs
+++ b/crates/scheduler/tests/transcripts.rs
@@ -229,7 +229,7 @@
         ScriptedEvent::CancelOnTaskExit(..) => "cancel at end",
         ScriptedEvent::Submit(..) => "submit",
         ScriptedEvent::SubmitSingleTaskJobs(_) => "ones",
-        ScriptedEvent::Boots(_) => "boots",
+        ScriptedEvent::FastBoots(_) => "boots",
     }
 }
 
