--- a/crates/scheduler/tests/concurrent_failures.rs
+++ b/crates/scheduler/tests/concurrent_failures.rs
@@ -1,4 +1,4 @@
-//! Two troubles at once, each meeting with several seeds over the simulated deployment.
+//! Plays every scenario with overlapping faults in the simulated cluster, each with six seeds.
 
 mod sim;
 mod world;
@@ -7,23 +7,23 @@
 use sim::{ScriptedEvent, Sim};
 
 #[test]
-fn no_rule_breaks_where_two_troubles_meet() {
-    for m in SCENARIOS {
+fn invariants_hold_when_failures_overlap() {
+    for scenario in SCENARIOS {
         for seed in 1..=6 {
-            let mut sim = Sim::new(format!("{} (seed {seed})", m.name), seed);
+            let mut sim = Sim::new(format!("{} (seed {seed})", scenario.name), seed);
             let script: Vec<(u64, ScriptedEvent)> =
-                BASE_WORKLOAD.iter().chain(m.script).copied().collect();
+                BASE_WORKLOAD.iter().chain(scenario.script).copied().collect();
             sim.play(&script, 130);
             assert!(
                 sim.repeated_by_follower() > 0,
-                "{} (seed {seed}): no report was answered by the follower alone",
-                m.name
+                "{} (seed {seed}): the follower answered no repeated heartbeat by itself",
+                scenario.name
             );
-            for what in m.seen {
+            for condition in scenario.expected {
                 assert!(
-                    sim.occurrences.contains_key(what),
-                    "{} (seed {seed}): no meeting, nothing {what}: {:?}",
-                    m.name,
+                    sim.occurrences.contains_key(condition),
+                    "{} (seed {seed}): \"{condition}\" never occurred, only {:?}",
+                    scenario.name,
                     sim.occurrences
                 );
             }
--- a/crates/scheduler/tests/sim/follower.rs
+++ b/crates/scheduler/tests/sim/follower.rs
@@ -1,5 +1,7 @@
-//! A node that answers workers on the leader's behalf, in the simulation: the other side of a stream of
-//! frames that are late by up to a third of a second, and lost while the nodes don't hear each other.
+//! A simulated follower node that answers workers on the leader's behalf.
+//!
+//! It gets messages from the leader in order, up to 300 ms late, and loses them while the nodes
+//! can't reach each other.
 
 use walnutlug_scheduler::leadership::fencing_token::Term;
 use walnutlug_scheduler::protocol::workers::Heartbeat;
@@ -14,45 +16,56 @@
 use super::Leader;
 use crate::world::transcript;
 
-/// Its number as a holder of marks.
+/// The follower's number as a holder of heartbeat cache entries.
 const HOLDER: u16 = 1;
 
+/// A message from the leader's node.
 enum ToFollower {
-    DelegationGrant(DelegationGrant),
-    Invalidated { term: Term, first: u64, cached: CachedHeartbeat },
+    Granted(DelegationGrant),
+    /// An entry may not be used any more; `first` is the number of the invalidation in its term.
+    Invalidated {
+        term: Term,
+        first: u64,
+        cached: CachedHeartbeat,
+    },
 }
 
+/// The follower's state.
 pub(super) struct Follower {
-    served: FollowerDelegation,
-    frames: Vec<(Timestamp, ToFollower)>,
-    last_frame: Timestamp,
-    heard: Vec<(CachedHeartbeat, u64)>,
-    /// Marks withdrawn by the leader of a term.
+    /// What the leader delegated to it, with the cache entries that it may use.
+    grant: FollowerDelegation,
+    /// Messages from the leader and when they arrive.
+    messages: Vec<(Timestamp, ToFollower)>,
+    /// When the last message arrives; later ones can't overtake it.
+    last_arrival: Timestamp,
+    /// Repeated heartbeats that the leader hasn't been told of yet, with their sequence numbers.
+    unreported: Vec<(CachedHeartbeat, u64)>,
+    /// A leader's term and how many invalidations it has sent.
     invalidated: (Term, u64),
-    asks_at: Timestamp,
-    /// Repetitions that it answered by itself.
-    pub(super) repeated: u64,
+    next_request: Timestamp,
+    /// How many repeated heartbeats it answered without asking the leader.
+    pub(super) repeated_answered: u64,
 }
 
 impl Follower {
     pub(super) fn new(site: &Site) -> Follower {
         Follower {
-            served: FollowerDelegation::new(site),
-            frames: Vec::new(),
-            last_frame: Timestamp(0),
-            heard: Vec::new(),
+            grant: FollowerDelegation::new(site),
+            messages: Vec::new(),
+            last_arrival: Timestamp(0),
+            unreported: Vec::new(),
             invalidated: (Term(0), 0),
-            asks_at: Timestamp(0),
-            repeated: 0,
+            next_request: Timestamp(0),
+            repeated_answered: 0,
         }
     }
 
-    fn send(&mut self, now: Timestamp, delay_ms: u64, frame: ToFollower) {
-        self.last_frame = self.last_frame.max(now + TimeDelta::from_millis(delay_ms));
-        self.frames.push((self.last_frame, frame));
+    fn send(&mut self, now: Timestamp, delay_ms: u64, message: ToFollower) {
+        self.last_arrival = self.last_arrival.max(now + TimeDelta::from_millis(delay_ms));
+        self.messages.push((self.last_arrival, message));
     }
 
-    /// What the leader withdrew goes out, or is lost with the connection.
+    /// Sends the leader's invalidations; without a connection they are lost, but still counted.
     fn send_invalidations(
         &mut self,
         now: Timestamp,
@@ -60,8 +73,8 @@
         linked: bool,
         delay_ms: u64,
     ) {
-        let term = leader.s.term;
-        for CacheInvalidation { cached, .. } in leader.s.cluster.take_invalidations() {
+        let term = leader.scheduler.term;
+        for CacheInvalidation { cached, .. } in leader.scheduler.cluster.take_invalidations() {
             if self.invalidated.0 != term {
                 self.invalidated = (term, 0);
             }
@@ -73,7 +86,8 @@
         }
     }
 
-    /// One step: it hears, is heard, and asks.
+    /// Exchanges messages with the leader: sends invalidations, requests a delegation once a
+    /// second, reports answered repetitions, and handles the messages that have arrived.
     pub(super) fn step(
         &mut self,
         now: Timestamp,
@@ -83,35 +97,36 @@
     ) {
         if let Some(leader) = leader {
             self.send_invalidations(now, leader, linked, delay_ms);
-            if now >= self.asks_at {
-                self.asks_at = now + TimeDelta::from_secs(1);
-                let request_number = self.served.begin_request(now);
-                let term = leader.s.term;
+            if now >= self.next_request {
+                self.next_request = now + TimeDelta::from_secs(1);
+                let request_number = self.grant.begin_request(now);
+                let term = leader.scheduler.term;
                 let invalidated = if self.invalidated.0 == term { self.invalidated.1 } else { 0 };
-                let watermark_age = now.since(leader.known);
+                let watermark_age = now.since(leader.cancellations_known_until);
                 if linked {
                     let grant =
                         DelegationGrant { term, request_number, watermark_age, invalidated };
-                    self.send(now, delay_ms, ToFollower::DelegationGrant(grant));
-                    for (cached, sequence) in std::mem::take(&mut self.heard) {
-                        leader.s.record_repeated_heartbeat(now, cached, sequence);
+                    self.send(now, delay_ms, ToFollower::Granted(grant));
+                    for (cached, sequence) in std::mem::take(&mut self.unreported) {
+                        leader.scheduler.record_repeated_heartbeat(now, cached, sequence);
                     }
                 }
             }
         }
-        let frames = std::mem::take(&mut self.frames);
-        for (at, frame) in frames {
-            match frame {
-                frame if at > now => self.frames.push((at, frame)),
-                ToFollower::DelegationGrant(grant) => drop(self.served.accept_grant(now, &grant)),
+        let messages = std::mem::take(&mut self.messages);
+        for (at, message) in messages {
+            match message {
+                message if at > now => self.messages.push((at, message)),
+                ToFollower::Granted(grant) => drop(self.grant.accept_grant(now, &grant)),
                 ToFollower::Invalidated { term, first, cached } => {
-                    self.served.invalidate(term, first, &[(cached.machine, cached.number)]);
+                    self.grant.invalidate(term, first, &[(cached.machine, cached.number)]);
                 }
             }
         }
     }
 
-    /// The answer to a worker's heartbeat; `None`: the worker goes to the leader.
+    /// Answers a worker's heartbeat from the cache or through the leader. Returns `None` if the
+    /// worker has to contact the leader itself.
     pub(super) fn answer(
         &mut self,
         now: Timestamp,
@@ -120,28 +135,31 @@
         cached: &mut Option<(Heartbeat, CachedHeartbeat)>,
         heartbeat: &Heartbeat,
     ) -> Option<HeartbeatAnswer> {
-        if let Some(cache_entry) = super::repeats(cached, heartbeat) {
-            if let Some(token) = self.served.cached_response_token(now, cache_entry) {
-                self.heard.push((cache_entry, heartbeat.sequence));
-                self.repeated += 1;
+        if let Some(cache_entry) = super::entry_if_repeated(cached, heartbeat) {
+            if let Some(token) = self.grant.cached_response_token(now, cache_entry) {
+                self.unreported.push((cache_entry, heartbeat.sequence));
+                self.repeated_answered += 1;
                 let answer = Some(HeartbeatAnswer { token, commands: Vec::new() });
                 transcript::answer("repeated (at a follower)", &heartbeat.machine, answer.as_ref());
                 return answer;
             }
         }
-        let leader =
-            leader.filter(|l| linked && self.served.forwarding_term(now) == Some(l.s.term))?;
-        leader.s.authority.set_cancellations_known_until(leader.known);
-        let answer = leader.s.handle_heartbeat(now, heartbeat).ok();
+        let leader = leader
+            .filter(|l| linked && self.grant.forwarding_term(now) == Some(l.scheduler.term))?;
+        leader.scheduler.authority.set_cancellations_known_until(leader.cancellations_known_until);
+        let answer = leader.scheduler.handle_heartbeat(now, heartbeat).ok();
         transcript::answer("forwarded", &heartbeat.machine, answer.as_ref());
         let HeartbeatAnswer { token, commands: calls } = answer?;
-        let cache_entry =
-            if calls.is_empty() { leader.s.cache_heartbeat(now, heartbeat, HOLDER) } else { None };
+        let cache_entry = if calls.is_empty() {
+            leader.scheduler.cache_heartbeat(now, heartbeat, HOLDER)
+        } else {
+            None
+        };
         self.send_invalidations(now, leader, linked, 300);
         *cached = cache_entry.and_then(|cached| {
-            let valid_for = leader.s.cached_for(now, cached);
+            let valid_for = leader.scheduler.cached_for(now, cached);
             let new = CacheGrant { cached, token, valid_for, invalidated: self.invalidated.1 };
-            self.served.add_entry(now, &new).then(|| (heartbeat.clone(), cached))
+            self.grant.add_entry(now, &new).then(|| (heartbeat.clone(), cached))
         });
         Some(HeartbeatAnswer { token, commands: calls })
     }
--- a/crates/scheduler/tests/sim/mod.rs
+++ b/crates/scheduler/tests/sim/mod.rs
@@ -1,6 +1,8 @@
-//! A small deployment in steps of a tenth of a second: workers with leases, one leader after another,
-//! users, and troubles laid over each other. The rules are looked at after every step. What a leader
-//! and a worker do is theirs; only the messages between them are the simulation's.
+//! Deterministic simulation of a small cluster with overlapping faults.
+//!
+//! Time advances in steps of 100 ms. The simulation holds workers with leases, successive leaders,
+//! a key-value store and users, and checks the scheduler's invariants after every step. Leaders run
+//! the real scheduler; the simulation decides only when messages arrive or get lost.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -32,103 +34,125 @@
 use follower::Follower;
 
 const STEP: TimeDelta = TimeDelta::from_millis(100);
-/// A step of a transcript, in which several of these are told together.
+/// Length of a transcript step; it covers several simulation steps.
 const RECORDED_STEP: TimeDelta = TimeDelta::from_millis(500);
 const START: Timestamp = Timestamp(1 << 40);
+/// Tasks per chunk of the submitted jobs.
 const CHUNK: u32 = 20;
 
-/// A trouble, and for how long; shares are of a hundred machines, messages or jobs.
+/// A fault or user action that a script injects.
+///
+/// A variant's last number is its duration in milliseconds, except for those that count machines
+/// or jobs. A number before the duration is the affected percentage of machines, messages or jobs.
 #[derive(Debug, Clone, Copy)]
 pub enum ScriptedEvent {
-    /// The leader ends; another leads as soon as it can.
+    /// The leader crashes; a new one is elected 3.5 s later.
     CrashLeader,
-    /// All controllers are away.
+    /// All controllers are down.
     StopAllControllers(u64),
-    /// The key-value store refuses the leader alone, which is replaced unless it is down for all.
+    /// The key-value store rejects only the leader's requests; a new leader is elected unless the
+    /// store is down for all.
     RejectLeader(u64),
-    /// The leader loses the key-value store and the other nodes; another leads, and both reach workers.
+    /// The leader reaches neither the key-value store nor the other nodes. A new leader is elected,
+    /// and both can reach workers.
     PartitionLeader(u64),
+    /// The key-value store is down for all nodes.
     StoreOutage(u64),
-    /// Frames between nodes are lost.
+    /// Messages between nodes are lost.
     LosePeerMessages(u64),
-    /// Transactions are carried out, and nobody hears of it.
+    /// Transactions are executed, but their responses are lost.
     LoseCommitResponses(u64, u64),
-    /// Transactions get no answer and are carried out 2 to 12 s later.
+    /// Transactions get no response and are executed 2 to 12 s later.
     DelayCommits(u64, u64),
-    /// Reports don't arrive; direct commands do.
+    /// Heartbeats are lost; commands reach the machine.
     LoseHeartbeats(u64, u64),
-    /// Reports arrive; answers and direct commands don't.
+    /// Heartbeats arrive; their responses and commands to the machine are lost.
     LoseInboundMessages(u64, u64),
-    /// Neither.
+    /// Machines are partitioned: messages are lost in both directions.
     PartitionMachines(u64, u64),
-    /// Neither, for the machines of one zone.
+    /// All machines of one zone are partitioned.
     PartitionZone(&'static str, u64),
-    /// They stand still, and go on.
+    /// Machines are paused and then resume where they stopped.
     PauseMachines(u64, u64),
+    /// Up to this many machines die.
     KillMachines(u64),
-    /// Direct commands are held up for two to nine seconds, and carried out then.
+    /// Commands to machines are executed 2.5 to 9 s late.
     DelayCommands(u64, u64),
-    /// Copies of reports arrive again, up to two leases later, at whoever leads then.
+    /// Heartbeats arrive a second time, up to two worker leases later, at the leader of that time.
     DuplicateHeartbeats(u64, u64),
-    /// The next leader hears old heartbeats first.
+    /// Heartbeats sent during this time arrive again as the first messages of the next leader.
     ReplayToNextLeader(u64),
-    /// Users cancel so many of the jobs that run.
+    /// Users cancel up to this many of the running jobs.
     Cancel(u64),
-    /// Jobs are cancelled in the step in which their last task ends.
+    /// Jobs are cancelled in the step in which one of their tasks exits.
     CancelOnTaskExit(u64, u64),
-    /// So many jobs of that kind are submitted.
-    Submit(u64, Kind),
-    /// Jobs of one task, two in three steps, a quarter of them cancelled soon.
+    /// This many jobs of the given kind are submitted.
+    Submit(u64, JobKind),
+    /// In two of three steps a one-task job is submitted; a quarter of them are cancelled within
+    /// 9 s.
     SubmitSingleTaskJobs(u64),
-    /// New machines are up at once, and until then more are to be had.
+    /// Machines rented during this time boot within 2 s instead of 12 s.
     FastBoots(u64),
 }
 
+/// What kind of job is submitted, with its number of tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum JobKind {
     Plain(u32),
-    /// Of a team at its limit.
+    /// A job of the team with a limit of 4 CPUs.
     Capped(u32),
-    /// Bound to zone a.
-    Bound(u32),
-    Together(u32),
+    /// A job whose tasks may run only in zone a.
+    InZoneA(u32),
+    /// A job whose tasks must all run in one zone.
+    SingleZone(u32),
+    /// A job whose tasks must be spread over the zones.
     Spread(u32),
-    Urgent(u32),
-    /// Its tasks take long.
+    /// A job of high priority.
+    HighPriority(u32),
+    /// A job whose tasks take 60 s instead of 7 s.
     Long(u32),
-    /// Urgent, of a class of its own.
+    /// A job of high priority and of the class `flood`, with a deadline of 20 s.
     Flood(u32),
 }
 
+/// A scheduler that leads, or that doesn't know yet that it was replaced.
 struct Leader {
-    s: Scheduler,
-    /// When it was last served by the key-value store.
-    served: Timestamp,
-    /// Up to when it is cut from the key-value store, and from the other nodes.
-    no_state: Timestamp,
-    no_peers: Timestamp,
-    known: Timestamp,
-    hears_at: Timestamp,
+    scheduler: Scheduler,
+    /// Time of the last successful request to the key-value store; zero once it has stepped down.
+    last_store_contact: Timestamp,
+    /// When the partition from the key-value store ends.
+    store_unreachable_until: Timestamp,
+    /// When the partition from the other nodes ends.
+    peers_unreachable_until: Timestamp,
+    /// The leader knows every cancellation confirmed before this time.
+    cancellations_known_until: Timestamp,
+    /// When it next reads new jobs and job ends from the key-value store.
+    next_store_poll: Timestamp,
 }
 
 struct Machine {
     worker: Worker,
-    renewed: Timestamp,
-    report_at: Timestamp,
-    up_at: Timestamp,
-    mute: Timestamp,
-    deaf: Timestamp,
-    hung: Timestamp,
-    /// Messages that came while it hung or that were held up.
-    held: Vec<(Timestamp, FencingToken, AgentEpoch, Vec<WorkerCommand>)>,
-    ran: BTreeMap<(String, Attempt), TimeDelta>,
-    gone: bool,
-    /// Its last heartbeat, if that left nothing to do.
-    cached: Option<(Heartbeat, CachedHeartbeat)>,
+    lease_renewed_at: Timestamp,
+    next_heartbeat: Timestamp,
+    booted_at: Timestamp,
+    /// Its heartbeats are lost until then.
+    heartbeats_lost_until: Timestamp,
+    /// Commands and heartbeat responses to it are lost until then.
+    inbound_lost_until: Timestamp,
+    paused_until: Timestamp,
+    /// Commands that arrived during a pause or were delayed, and when they are executed.
+    delayed_commands: Vec<(Timestamp, FencingToken, AgentEpoch, Vec<WorkerCommand>)>,
+    /// How long each attempt of a task has run.
+    run_times: BTreeMap<(String, Attempt), TimeDelta>,
+    /// The machine died or was returned to the cloud.
+    removed: bool,
+    /// The last heartbeat with its cache entry, if it needed no commands in response.
+    cached_heartbeat: Option<(Heartbeat, CachedHeartbeat)>,
 }
 
-/// The mark of the machine's last heartbeat, if this one is that again.
-fn repeats(
+/// Returns the cache entry of the last heartbeat if the new one differs from it only in its
+/// sequence number.
+fn entry_if_repeated(
     cached: &Option<(Heartbeat, CachedHeartbeat)>,
     heartbeat: &Heartbeat,
 ) -> Option<CachedHeartbeat> {
@@ -137,112 +161,115 @@
     (format!("{last:?}") == format!("{heartbeat:?}")).then_some(*cache_entry)
 }
 
-/// Answers as a node does: a repetition of a heartbeat that left nothing to do is not read in full.
-fn answer(
+/// Responds to a heartbeat as the leader's node does: a repetition of a cached heartbeat is
+/// answered from the cache, any other is handled in full and cached if it needs no commands.
+fn respond_to_heartbeat(
     leader: &mut Leader,
     now: Timestamp,
     cached: &mut Option<(Heartbeat, CachedHeartbeat)>,
     heartbeat: &Heartbeat,
 ) -> Option<HeartbeatAnswer> {
-    leader.s.authority.set_cancellations_known_until(leader.known);
-    if let Some(cache_entry) = repeats(cached, heartbeat) {
+    leader.scheduler.authority.set_cancellations_known_until(leader.cancellations_known_until);
+    if let Some(cache_entry) = entry_if_repeated(cached, heartbeat) {
         if let Some(token) =
-            leader.s.answer_repeated_heartbeat(now, cache_entry, heartbeat.sequence)
+            leader.scheduler.answer_repeated_heartbeat(now, cache_entry, heartbeat.sequence)
         {
             let answer = Some(HeartbeatAnswer { token, commands: Vec::new() });
             transcript::answer("repeated", &heartbeat.machine, answer.as_ref());
             return answer;
         }
     }
-    let answer = leader.s.handle_heartbeat(now, heartbeat).ok();
+    let answer = leader.scheduler.handle_heartbeat(now, heartbeat).ok();
     transcript::answer("whole", &heartbeat.machine, answer.as_ref());
-    let quiet = answer.as_ref().is_some_and(|answer| answer.commands.is_empty());
-    let cache_entry = quiet.then(|| leader.s.cache_heartbeat(now, heartbeat, OWN_NODE)).flatten();
+    let no_commands = answer.as_ref().is_some_and(|answer| answer.commands.is_empty());
+    let cache_entry =
+        no_commands.then(|| leader.scheduler.cache_heartbeat(now, heartbeat, OWN_NODE)).flatten();
     *cached = cache_entry.map(|cache_entry| (heartbeat.clone(), cache_entry));
     answer
 }
 
 struct Job {
     spec: JobSpec,
-    told: Option<Timestamp>,
-    runs: TimeDelta,
+    /// When the cancellation was confirmed to the user.
+    cancelled_at: Option<Timestamp>,
+    /// How long each task runs.
+    run_time: TimeDelta,
 }
 
-enum Event {
-    Answer {
-        term: Term,
-        id: u64,
-        outcome: TransactionOutcome,
-    },
-    Read {
-        term: Term,
-        id: u64,
-        outcome: ReadOutcome,
-    },
-    Direct {
-        term: Term,
-        machine: MachineIndex,
-        outcome: MessageOutcome,
-    },
-    /// A transaction that nobody waits for any more.
-    Late(Transaction),
-    Copy(Heartbeat),
-    Told {
-        job: String,
-    },
+/// A message that arrives at a later time.
+enum Delivery {
+    /// The store's response to a transaction.
+    CommitResponse { term: Term, id: u64, outcome: TransactionOutcome },
+    /// The store's response to the read of a key.
+    ReadResponse { term: Term, id: u64, outcome: ReadOutcome },
+    /// A worker's response to commands.
+    CommandResponse { term: Term, machine: MachineIndex, outcome: MessageOutcome },
+    /// A delayed transaction whose sender no longer waits for the response.
+    DelayedTransaction(Transaction),
+    /// A duplicate of an earlier heartbeat.
+    HeartbeatCopy(Heartbeat),
+    /// A node tells the leaders about a cancelled job. If the name starts with `!`, the user
+    /// cancels the job only now.
+    Cancellation { job: String },
 }
 
+/// State of the simulated cluster.
 pub struct Sim {
     pub now: Timestamp,
-    what: String,
+    /// Name and seed of the scenario, for failure messages.
+    scenario: String,
     rng: StdRng,
     site: Rc<Site>,
     store: Store,
+    /// All schedulers that believe they lead, the newest last.
     leaders: Vec<Leader>,
-    elect_at: Option<Timestamp>,
+    next_election: Option<Timestamp>,
     machines: BTreeMap<String, Machine>,
     jobs: BTreeMap<String, Job>,
-    events: Vec<(Timestamp, Event)>,
-    until: BTreeMap<&'static str, (u64, Timestamp)>,
-    boots: Timestamp,
-    kept: Vec<Heartbeat>,
+    /// Messages under way and when they arrive.
+    deliveries: Vec<(Timestamp, Delivery)>,
+    /// Timed faults by name, with the affected percentage and their end.
+    active_faults: BTreeMap<&'static str, (u64, Timestamp)>,
+    fast_boots_until: Timestamp,
+    /// Copies of heartbeats that the next leader receives first.
+    heartbeats_for_next_leader: Vec<Heartbeat>,
     next_machine: u32,
     next_job: u32,
-    /// Answers half of the workers.
+    /// A node that answers the heartbeats of half of the workers.
     follower: Follower,
-    /// What came to pass, to see that a meeting took place.
+    /// How often each condition occurred, so that tests can check that a scenario was effective.
     pub occurrences: BTreeMap<&'static str, u64>,
 }
 
 impl Sim {
-    /// Repetitions that the follower answered by itself.
+    /// Returns how many repeated heartbeats the follower answered without asking the leader.
     pub fn repeated_by_follower(&self) -> u64 {
-        self.follower.repeated
+        self.follower.repeated_answered
     }
 
-    pub fn new(what: String, seed: u64) -> Sim {
+    pub fn new(scenario: String, seed: u64) -> Sim {
         let site = Rc::new(world::site());
         let mut sim = Sim {
             now: START,
-            what,
+            scenario,
             rng: StdRng::seed_from_u64(seed),
             site,
             store: Store::default(),
             leaders: Vec::new(),
-            elect_at: Some(START),
+            next_election: Some(START),
             machines: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            events: Vec::new(),
-            until: BTreeMap::new(),
-            boots: START,
-            kept: Vec::new(),
+            deliveries: Vec::new(),
+            active_faults: BTreeMap::new(),
+            fast_boots_until: START,
+            heartbeats_for_next_leader: Vec::new(),
             next_machine: 0,
             next_job: 0,
             follower: Follower::new(&world::site()),
             occurrences: BTreeMap::new(),
         };
         for i in 0..8 {
-            sim.boot(if i % 2 == 0 { "a" } else { "b" }, START);
+            sim.boot_machine(if i % 2 == 0 { "a" } else { "b" }, START);
         }
         sim
     }
@@ -251,44 +278,48 @@
         self.rng.random_range(0..100) < percent
     }
 
-    fn between(&mut self, from: u64, to: u64) -> u64 {
+    fn random_between(&mut self, from: u64, to: u64) -> u64 {
         self.rng.random_range(from..to)
     }
 
-    fn in_ms(&mut self, from: u64, to: u64) -> Timestamp {
-        let ms = self.between(from, to);
+    /// Returns a random time from `from` to `to` milliseconds after now.
+    fn random_time_in(&mut self, from: u64, to: u64) -> Timestamp {
+        let ms = self.random_between(from, to);
         self.now + TimeDelta::from_millis(ms)
     }
 
-    fn saw(&mut self, what: &'static str) {
-        *self.occurrences.entry(what).or_default() += 1;
+    fn count_occurrence(&mut self, condition: &'static str) {
+        *self.occurrences.entry(condition).or_default() += 1;
     }
 
-    fn on(&self, trouble: &'static str) -> Option<u64> {
-        self.until.get(trouble).filter(|u| self.now < u.1).map(|u| u.0)
+    /// Returns the affected percentage of a timed fault if it is active.
+    fn active(&self, fault: &'static str) -> Option<u64> {
+        self.active_faults.get(fault).filter(|u| self.now < u.1).map(|u| u.0)
     }
 
-    fn boot(&mut self, zone: &str, up_at: Timestamp) -> String {
+    /// Adds a machine whose worker starts at `booted_at`, and returns its name.
+    fn boot_machine(&mut self, zone: &str, booted_at: Timestamp) -> String {
         self.next_machine += 1;
         let name = format!("n-{:03}", self.next_machine);
         let machine = Machine {
             worker: Worker::new(&name, zone),
-            renewed: up_at,
-            report_at: up_at,
-            up_at,
-            mute: START,
-            deaf: START,
-            hung: START,
-            held: Vec::new(),
-            ran: BTreeMap::new(),
-            gone: false,
-            cached: None,
+            lease_renewed_at: booted_at,
+            next_heartbeat: booted_at,
+            booted_at,
+            heartbeats_lost_until: START,
+            inbound_lost_until: START,
+            paused_until: START,
+            delayed_commands: Vec::new(),
+            run_times: BTreeMap::new(),
+            removed: false,
+            cached_heartbeat: None,
         };
         self.machines.insert(name.clone(), machine);
         name
     }
 
-    fn some_machines(&mut self, percent: u64) -> Vec<String> {
+    /// Picks each machine with the given chance, and at least one.
+    fn random_machines(&mut self, percent: u64) -> Vec<String> {
         let names: Vec<String> = self.machines.keys().cloned().collect();
         let picked: Vec<String> = names.iter().filter(|_| self.chance(percent)).cloned().collect();
         if picked.is_empty() {
@@ -298,82 +329,83 @@
         }
     }
 
-    pub fn trouble(&mut self, trouble: ScriptedEvent) {
+    /// Applies one event of a script.
+    pub fn inject(&mut self, event: ScriptedEvent) {
         let end = |sim: &Sim, ms: u64| sim.now + TimeDelta::from_millis(ms);
-        let spell = |sim: &mut Sim, what: &'static str, share: u64, ms: u64| {
-            sim.until.insert(what, (share, sim.now + TimeDelta::from_millis(ms)));
+        let start = |sim: &mut Sim, fault: &'static str, percent: u64, ms: u64| {
+            sim.active_faults.insert(fault, (percent, sim.now + TimeDelta::from_millis(ms)));
         };
-        match trouble {
+        match event {
             ScriptedEvent::CrashLeader => {
                 if self.leaders.pop().is_some() {
-                    self.saw("leader ended");
+                    self.count_occurrence("leader ended");
                 }
-                self.elect_at = Some(end(self, 3_500));
+                self.next_election = Some(end(self, 3_500));
             }
             ScriptedEvent::StopAllControllers(ms) => {
                 self.leaders.clear();
-                self.saw("all away");
-                self.elect_at = Some(end(self, ms));
+                self.count_occurrence("all away");
+                self.next_election = Some(end(self, ms));
             }
             ScriptedEvent::RejectLeader(ms) => {
                 let until = end(self, ms);
                 if let Some(l) = self.leaders.last_mut() {
-                    l.no_state = until;
-                    self.elect_at = Some(end(self, 3_000));
-                    self.saw("leader refused alone");
+                    l.store_unreachable_until = until;
+                    self.next_election = Some(end(self, 3_000));
+                    self.count_occurrence("leader refused alone");
                 }
             }
             ScriptedEvent::PartitionLeader(ms) => {
                 let until = end(self, ms);
                 if let Some(l) = self.leaders.last_mut() {
-                    (l.no_state, l.no_peers) = (until, until);
-                    self.elect_at = Some(end(self, 3_000));
-                    self.saw("leader cut");
+                    (l.store_unreachable_until, l.peers_unreachable_until) = (until, until);
+                    self.next_election = Some(end(self, 3_000));
+                    self.count_occurrence("leader cut");
                 }
             }
-            ScriptedEvent::StoreOutage(ms) => spell(self, "outage", 0, ms),
-            ScriptedEvent::LosePeerMessages(ms) => spell(self, "peers", 0, ms),
-            ScriptedEvent::LoseCommitResponses(share, ms) => spell(self, "lost", share, ms),
-            ScriptedEvent::DelayCommits(share, ms) => spell(self, "late", share, ms),
-            ScriptedEvent::DelayCommands(share, ms) => spell(self, "hold", share, ms),
-            ScriptedEvent::DuplicateHeartbeats(share, ms) => spell(self, "copies", share, ms),
-            ScriptedEvent::ReplayToNextLeader(ms) => spell(self, "next", 0, ms),
-            ScriptedEvent::CancelOnTaskExit(share, ms) => spell(self, "at end", share, ms),
-            ScriptedEvent::SubmitSingleTaskJobs(ms) => spell(self, "ones", 0, ms),
-            ScriptedEvent::FastBoots(ms) => self.boots = end(self, ms),
-            ScriptedEvent::LoseHeartbeats(share, ms)
-            | ScriptedEvent::LoseInboundMessages(share, ms)
-            | ScriptedEvent::PartitionMachines(share, ms)
-            | ScriptedEvent::PauseMachines(share, ms) => {
+            ScriptedEvent::StoreOutage(ms) => start(self, "outage", 0, ms),
+            ScriptedEvent::LosePeerMessages(ms) => start(self, "peers", 0, ms),
+            ScriptedEvent::LoseCommitResponses(percent, ms) => start(self, "lost", percent, ms),
+            ScriptedEvent::DelayCommits(percent, ms) => start(self, "late", percent, ms),
+            ScriptedEvent::DelayCommands(percent, ms) => start(self, "hold", percent, ms),
+            ScriptedEvent::DuplicateHeartbeats(percent, ms) => start(self, "copies", percent, ms),
+            ScriptedEvent::ReplayToNextLeader(ms) => start(self, "next", 0, ms),
+            ScriptedEvent::CancelOnTaskExit(percent, ms) => start(self, "at end", percent, ms),
+            ScriptedEvent::SubmitSingleTaskJobs(ms) => start(self, "ones", 0, ms),
+            ScriptedEvent::FastBoots(ms) => self.fast_boots_until = end(self, ms),
+            ScriptedEvent::LoseHeartbeats(percent, ms)
+            | ScriptedEvent::LoseInboundMessages(percent, ms)
+            | ScriptedEvent::PartitionMachines(percent, ms)
+            | ScriptedEvent::PauseMachines(percent, ms) => {
                 let until = end(self, ms);
-                for name in self.some_machines(share) {
-                    self.touch(&name, trouble, until);
+                for name in self.random_machines(percent) {
+                    self.impair_machine(&name, event, until);
                 }
             }
             ScriptedEvent::PartitionZone(zone, ms) => {
                 let until = end(self, ms);
-                let there = |m: &&Machine| m.worker.zone == zone;
+                let in_zone = |m: &&Machine| m.worker.zone == zone;
                 let names: Vec<String> =
-                    self.machines.values().filter(there).map(|m| m.worker.name.clone()).collect();
+                    self.machines.values().filter(in_zone).map(|m| m.worker.name.clone()).collect();
                 for name in names {
-                    self.touch(&name, ScriptedEvent::PartitionMachines(0, 0), until);
+                    self.impair_machine(&name, ScriptedEvent::PartitionMachines(0, 0), until);
                 }
             }
             ScriptedEvent::KillMachines(n) => {
-                for name in self.some_machines(40).into_iter().take(n as usize) {
-                    let m = self.machines.get_mut(&name).expect("machine");
-                    m.gone = true;
+                for name in self.random_machines(40).into_iter().take(n as usize) {
+                    let m = self.machines.get_mut(&name).expect("a machine of that name");
+                    m.removed = true;
                     m.worker.alive = false;
-                    self.saw("machines died");
+                    self.count_occurrence("machines died");
                 }
             }
             ScriptedEvent::Cancel(n) => {
-                let live = self.live();
+                let live = self.live_attempts();
                 let running: Vec<String> = self
                     .jobs
                     .iter()
                     .filter(|(name, j)| {
-                        j.told.is_none()
+                        j.cancelled_at.is_none()
                             && live.keys().any(|t| t.0.starts_with(&format!("{name}/")))
                     })
                     .map(|(name, _)| name.clone())
@@ -390,100 +422,107 @@
         }
     }
 
-    fn touch(&mut self, name: &str, trouble: ScriptedEvent, until: Timestamp) {
-        let holds = self.machines.get(name).is_some_and(|m| !m.worker.live().is_empty());
+    /// Starts a fault of one machine.
+    fn impair_machine(&mut self, name: &str, fault: ScriptedEvent, until: Timestamp) {
+        let has_tasks = self.machines.get(name).is_some_and(|m| !m.worker.live().is_empty());
         let Some(m) = self.machines.get_mut(name) else { return };
-        let what = match trouble {
+        let condition = match fault {
             ScriptedEvent::LoseHeartbeats(..) => {
-                m.mute = until;
+                m.heartbeats_lost_until = until;
                 "mute with tasks"
             }
             ScriptedEvent::LoseInboundMessages(..) => {
-                m.deaf = until;
+                m.inbound_lost_until = until;
                 "deaf with tasks"
             }
             ScriptedEvent::PauseMachines(..) => {
-                m.hung = until;
+                m.paused_until = until;
                 "hung with tasks"
             }
             _ => {
-                (m.mute, m.deaf) = (until, until);
+                (m.heartbeats_lost_until, m.inbound_lost_until) = (until, until);
                 "cut with tasks"
             }
         };
-        if holds {
-            self.saw(what);
+        if has_tasks {
+            self.count_occurrence(condition);
         }
     }
 
-    pub fn submit(&mut self, kind: Kind) {
-        if self.on("outage").is_some() {
+    /// Stores a job as the accepting node does; leaders find it at their next poll.
+    pub fn submit(&mut self, kind: JobKind) {
+        if self.active("outage").is_some() {
             return;
         }
         self.next_job += 1;
         let name = format!("req-{:06}", self.next_job);
-        let mut runs = TimeDelta::from_secs(7);
+        let mut run_time = TimeDelta::from_secs(7);
         let plain = |n| JobSpec { deadline_s: Some(60.0), ..world::spec(n) };
         let spec = match kind {
-            Kind::Plain(n) => plain(n),
-            Kind::Capped(n) => JobSpec { team: "capped".into(), ..plain(n) },
-            Kind::Bound(n) => JobSpec { zone: Some("a".into()), ..plain(n) },
-            Kind::Together(n) => JobSpec { one_zone: true, ..plain(n) },
-            Kind::Spread(n) => JobSpec { spread: true, ..plain(n) },
-            Kind::Urgent(n) => JobSpec {
+            JobKind::Plain(n) => plain(n),
+            JobKind::Capped(n) => JobSpec { team: "capped".into(), ..plain(n) },
+            JobKind::InZoneA(n) => JobSpec { zone: Some("a".into()), ..plain(n) },
+            JobKind::SingleZone(n) => JobSpec { one_zone: true, ..plain(n) },
+            JobKind::Spread(n) => JobSpec { spread: true, ..plain(n) },
+            JobKind::HighPriority(n) => JobSpec {
                 priority: walnutlug_scheduler::model::job_spec::Priority::High,
                 ..plain(n)
             },
-            Kind::Flood(n) => {
+            JobKind::Flood(n) => {
                 let priority = walnutlug_scheduler::model::job_spec::Priority::High;
                 JobSpec { priority, class: "flood".into(), deadline_s: Some(20.0), ..plain(n) }
             }
-            Kind::Long(n) => {
-                runs = TimeDelta::from_secs(60);
+            JobKind::Long(n) => {
+                run_time = TimeDelta::from_secs(60);
                 JobSpec { estimate_s: 60.0, deadline_s: Some(200.0), ..plain(n) }
             }
         };
         let value = description_record(&spec, world::WALL + (self.now.0 - START.0), CHUNK);
         self.store.put(&keys::job(&name), json!(1));
         self.store.put(&keys::todo(&name), value);
-        self.jobs.insert(name, Job { spec, told: None, runs });
+        self.jobs.insert(name, Job { spec, cancelled_at: None, run_time });
     }
 
-    /// Another node writes the end, as the user asks; the user is told, and the others hear of it.
+    /// Cancels a job for its user: another node stores the end, confirms it and notifies the
+    /// leaders.
     fn cancel(&mut self, name: &str) {
         let key = keys::end(name);
-        if self.on("outage").is_some() || self.store.keys.contains_key(&key) {
+        if self.active("outage").is_some() || self.store.keys.contains_key(&key) {
             return;
         }
         self.store.put(&key, json!("aborted"));
-        self.jobs.get_mut(name).expect("job").told = Some(self.now);
-        self.saw("cancelled");
-        for (what, met) in [
+        self.jobs.get_mut(name).expect("submitted job").cancelled_at = Some(self.now);
+        self.count_occurrence("cancelled");
+        for (condition, fault) in [
             ("cancelled while the leader was cut", "leader cut"),
             ("cancelled while the leader was refused", "leader refused alone"),
         ] {
-            let cut = self.leaders.iter().any(|l| l.no_state > self.now);
-            if cut && self.occurrences.contains_key(met) {
-                self.saw(what);
+            let cut = self.leaders.iter().any(|l| l.store_unreachable_until > self.now);
+            if cut && self.occurrences.contains_key(fault) {
+                self.count_occurrence(condition);
             }
         }
-        if self.elect_at.is_some() {
-            self.saw("cancelled while the lead changed hands");
+        if self.next_election.is_some() {
+            self.count_occurrence("cancelled while the lead changed hands");
         }
-        let ill = |m: &&Machine| m.hung > self.now || m.deaf > self.now || m.mute > self.now;
+        let impaired = |m: &&Machine| {
+            m.paused_until > self.now
+                || m.inbound_lost_until > self.now
+                || m.heartbeats_lost_until > self.now
+        };
         let prefix = format!("{name}/");
-        let there = |m: &&Machine| m.worker.live().iter().any(|t| t.starts_with(&prefix));
-        if self.machines.values().filter(ill).any(|m| there(&m)) {
-            self.saw("cancelled on an ill machine");
+        let runs_job = |m: &&Machine| m.worker.live().iter().any(|t| t.starts_with(&prefix));
+        if self.machines.values().filter(impaired).any(|m| runs_job(&m)) {
+            self.count_occurrence("cancelled on an ill machine");
         }
         let at = self.now + STEP;
-        self.events.push((at, Event::Told { job: name.to_owned() }));
+        self.deliveries.push((at, Delivery::Cancellation { job: name.to_owned() }));
     }
 
-    /// Live tasks with their attempts, and where.
-    fn live(&self) -> BTreeMap<(String, Attempt), Vec<String>> {
+    /// Returns the machines on which each live attempt of a task runs.
+    fn live_attempts(&self) -> BTreeMap<(String, Attempt), Vec<String>> {
         let mut live: BTreeMap<(String, Attempt), Vec<String>> = BTreeMap::new();
-        for (name, m) in self.machines.iter().filter(|(_, m)| !m.gone) {
+        for (name, m) in self.machines.iter().filter(|(_, m)| !m.removed) {
             for (key, state) in &m.worker.tasks {
                 if state.0 != TaskState::Exited {
                     live.entry(key.clone()).or_default().push(name.clone());
@@ -493,407 +532,456 @@
         live
     }
 
+    /// Starts a new leader from the stored state if an election is due.
     fn elect(&mut self) {
-        if self.elect_at.is_none_or(|at| self.now < at) || self.on("outage").is_some() {
+        if self.next_election.is_none_or(|at| self.now < at) || self.active("outage").is_some() {
             return;
         }
-        self.elect_at = None;
-        self.saw("elected");
+        self.next_election = None;
+        self.count_occurrence("elected");
         let term = self.store.put(keys::LEADER, json!(self.now.0));
         let tunables = Rc::new(Tunables::default());
-        let mut s =
+        let mut scheduler =
             Scheduler::new(self.site.clone(), tunables, term.into(), world::types(), self.now);
         let wall = world::WALL + (self.now.0 - START.0);
         for key_value in self.store.key_values(keys::TODO) {
             let name = key_value.key.strip_prefix(keys::TODO).expect("a description").to_owned();
-            // Damaged descriptions are passed over, as by the program.
-            let _ = s.add_job(self.now, &name, &key_value.value, wall);
+            // Unreadable descriptions are skipped, as in the controller.
+            let _ = scheduler.add_job(self.now, &name, &key_value.value, wall);
         }
-        let strange = s.load_chunks(self.now, &self.store.key_values(keys::RUN));
-        assert!(strange.is_empty(), "{}: {strange:?}", self.what);
-        // In one order, whatever that of the table: a transcript holds what comes of it.
-        let mut names: Vec<String> = s.cluster.jobs_by_name.keys().cloned().collect();
+        let unreadable = scheduler.load_chunks(self.now, &self.store.key_values(keys::RUN));
+        assert!(unreadable.is_empty(), "{}: {unreadable:?}", self.scenario);
+        // Sorted because the hash map has no fixed order and the transcripts depend on the order.
+        let mut names: Vec<String> = scheduler.cluster.jobs_by_name.keys().cloned().collect();
         names.sort_unstable();
         for name in names.iter().filter(|n| self.store.keys.contains_key(&keys::end(n))) {
-            s.mark_job_ended(self.now, name);
+            scheduler.mark_job_ended(self.now, name);
         }
-        let (now, then) = (self.now, self.now);
+        let (now, watermark) = (self.now, self.now);
         self.leaders.push(Leader {
-            s,
-            served: now,
-            no_state: START,
-            no_peers: START,
-            known: then,
-            hears_at: now,
+            scheduler,
+            last_store_contact: now,
+            store_unreachable_until: START,
+            peers_unreachable_until: START,
+            cancellations_known_until: watermark,
+            next_store_poll: now,
         });
-        // What was kept for it arrives first of all.
-        for heartbeat in std::mem::take(&mut self.kept) {
-            self.saw("old reports at a new leader");
-            let answer =
-                self.leaders.last_mut().expect("leader").s.handle_heartbeat(now, &heartbeat).ok();
+        // Old heartbeats arrive before any other message.
+        for heartbeat in std::mem::take(&mut self.heartbeats_for_next_leader) {
+            self.count_occurrence("old reports at a new leader");
+            let answer = self
+                .leaders
+                .last_mut()
+                .expect("a leader")
+                .scheduler
+                .handle_heartbeat(now, &heartbeat)
+                .ok();
             transcript::answer("late", &heartbeat.machine, answer.as_ref());
         }
     }
 
+    /// Advances the simulation by [`STEP`] and checks the invariants.
     fn step(&mut self) {
         self.now = self.now + STEP;
         if self.now.since(START).0.is_multiple_of(RECORDED_STEP.0) {
             transcript::next_step();
         }
         self.elect();
-        if self.on("ones").is_some() && self.chance(66) {
-            self.submit(Kind::Plain(1));
+        if self.active("ones").is_some() && self.chance(66) {
+            self.submit(JobKind::Plain(1));
             if self.chance(25) {
                 let name = format!("req-{:06}", self.next_job);
-                let at = self.in_ms(0, 9_000);
-                self.events.push((at, Event::Told { job: format!("!{name}") }));
+                let at = self.random_time_in(0, 9_000);
+                self.deliveries.push((at, Delivery::Cancellation { job: format!("!{name}") }));
             }
         }
         let (due, rest): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.events).into_iter().partition(|e| e.0 <= self.now);
-        self.events = rest;
-        for (_, event) in due {
-            self.happen(event);
+            std::mem::take(&mut self.deliveries).into_iter().partition(|e| e.0 <= self.now);
+        self.deliveries = rest;
+        for (_, delivery) in due {
+            self.deliver(delivery);
         }
         let names: Vec<String> = self.machines.keys().cloned().collect();
         for name in &names {
-            self.work(name);
+            self.step_machine(name);
         }
         for i in 0..self.leaders.len() {
-            self.lead(i);
+            self.step_leader(i);
         }
-        let delay_ms = self.between(0, 300);
-        let linked = self.on("peers").is_none();
+        let delay_ms = self.random_between(0, 300);
+        let peers_reachable = self.active("peers").is_none();
         let leader = self.leaders.last_mut();
-        let linked = linked && leader.as_ref().is_some_and(|l| self.now >= l.no_peers);
-        self.follower.step(self.now, leader, linked, delay_ms);
-        self.leaders.retain(|l| l.served != Timestamp(0));
-        self.check();
+        let peers_reachable = peers_reachable
+            && leader.as_ref().is_some_and(|l| self.now >= l.peers_unreachable_until);
+        self.follower.step(self.now, leader, peers_reachable, delay_ms);
+        self.leaders.retain(|l| l.last_store_contact != Timestamp(0));
+        self.check_invariants();
     }
 
-    /// Carries a transaction out. Nobody but the leader of the newest term writes records, and none of
-    /// a job that has ended for its user but to drop it.
+    /// Executes a transaction in the store and checks that only the leader of the newest term
+    /// writes records, and that a job that has ended gets no new ones; deleting its records is
+    /// allowed.
     fn apply(&mut self, transaction: &Transaction) -> TransactionOutcome {
         let outcome = self.store.apply(transaction);
         if matches!(outcome, TransactionOutcome::Committed { .. }) {
             let term = self.store.keys.get(keys::LEADER).map_or(Revision::NONE, |k| k.1);
             let guarded =
                 transaction.compares.iter().any(|g| g.key == keys::LEADER && g.revision == term);
-            assert!(guarded, "{}: written by a deposed leader: {transaction:?}", self.what);
+            assert!(
+                guarded,
+                "{}: transaction executed for a deposed leader: {transaction:?}",
+                self.scenario
+            );
             for change in &transaction.operations {
                 let Operation::Put { put, .. } = change else { continue };
                 let Some(RunKey { job, .. }) = RunKey::parse(put) else { continue };
                 let ended = self.store.keys.contains_key(&keys::end(job));
-                assert!(!ended, "{}: {put} written after its job's end", self.what);
+                assert!(
+                    !ended,
+                    "{}: {put} was written although its job had already ended",
+                    self.scenario
+                );
             }
         }
         outcome
     }
 
-    fn happen(&mut self, event: Event) {
+    /// Delivers a message that is due.
+    fn deliver(&mut self, delivery: Delivery) {
         let now = self.now;
         let by_term = |sim: &mut Sim, term: Term, f: &mut dyn FnMut(&mut Scheduler)| {
-            if let Some(l) = sim.leaders.iter_mut().find(|l| l.s.term == term) {
-                f(&mut l.s);
+            if let Some(l) = sim.leaders.iter_mut().find(|l| l.scheduler.term == term) {
+                f(&mut l.scheduler);
             }
         };
-        match event {
-            Event::Answer { term, id, outcome } => {
+        match delivery {
+            Delivery::CommitResponse { term, id, outcome } => {
                 by_term(self, term, &mut |s| s.transaction_answered(now, id, outcome.clone()));
             }
-            Event::Read { term, id, outcome } => {
+            Delivery::ReadResponse { term, id, outcome } => {
                 by_term(self, term, &mut |s| s.read_answered(now, id, outcome.clone()));
             }
-            Event::Direct { term, machine, outcome } => {
+            Delivery::CommandResponse { term, machine, outcome } => {
                 by_term(self, term, &mut |s| s.message_answered(now, machine, outcome.clone()));
             }
-            Event::Late(transaction) => {
-                if self.on("outage").is_none() {
+            Delivery::DelayedTransaction(transaction) => {
+                if self.active("outage").is_none() {
                     let _ = self.apply(&transaction);
-                    self.saw("carried out late");
+                    self.count_occurrence("carried out late");
                 }
             }
-            Event::Copy(heartbeat) => {
+            Delivery::HeartbeatCopy(heartbeat) => {
                 if let Some(l) = self.leaders.last_mut() {
-                    let answer = l.s.handle_heartbeat(now, &heartbeat).ok();
+                    let answer = l.scheduler.handle_heartbeat(now, &heartbeat).ok();
                     transcript::answer("late", &heartbeat.machine, answer.as_ref());
-                    self.saw("copies of reports");
+                    self.count_occurrence("copies of reports");
                 }
             }
-            Event::Told { job } => {
+            Delivery::Cancellation { job } => {
                 if let Some(name) = job.strip_prefix('!') {
                     let name = name.to_owned();
                     return self.cancel(&name);
                 }
-                let lost = self.on("peers").is_some();
-                for l in self.leaders.iter_mut().filter(|l| !lost && l.no_peers <= now) {
-                    l.s.job_ended(now, &job, JobEnd::Cancelled);
+                let lost = self.active("peers").is_some();
+                for l in
+                    self.leaders.iter_mut().filter(|l| !lost && l.peers_unreachable_until <= now)
+                {
+                    l.scheduler.job_ended(now, &job, JobEnd::Cancelled);
                 }
             }
         }
     }
 
-    /// One machine's step: its lease, what was held up for it, its tasks, its heartbeat.
-    fn work(&mut self, name: &str) {
+    /// Advances one machine: expires its lease, executes delayed commands, runs its tasks and sends
+    /// a heartbeat.
+    fn step_machine(&mut self, name: &str) {
         let now = self.now;
-        let m = self.machines.get_mut(name).expect("machine");
-        if m.gone || now < m.up_at {
+        let m = self.machines.get_mut(name).expect("a machine of that name");
+        if m.removed || now < m.booted_at {
             return;
         }
-        if now.since(m.renewed) > self.site.worker_lease {
+        if now.since(m.lease_renewed_at) > self.site.worker_lease {
             m.worker.expire_lease();
-            m.renewed = now;
-            m.report_at = now;
+            m.lease_renewed_at = now;
+            m.next_heartbeat = now;
         }
-        if now < m.hung {
+        if now < m.paused_until {
             return;
         }
         let (due, rest): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut m.held).into_iter().partition(|h| h.0 <= now);
-        m.held = rest;
-        let late = due.len();
+            std::mem::take(&mut m.delayed_commands).into_iter().partition(|h| h.0 <= now);
+        m.delayed_commands = rest;
+        let executed_late = due.len();
         for (_, token, agent_epoch, calls) in due {
             m.worker.run_commands(token, agent_epoch, &calls);
         }
-        let mut ended = Vec::new();
+        let mut jobs_with_exits = Vec::new();
         for (key, state) in &mut m.worker.tasks {
             if state.0 == TaskState::Exited {
                 continue;
             }
-            let ran = m.ran.entry(key.clone()).or_default();
-            *ran = *ran + STEP;
+            let run_time = m.run_times.entry(key.clone()).or_default();
+            *run_time = *run_time + STEP;
             let job = key.0.split('/').next().unwrap_or_default();
-            if self.jobs.get(job).is_some_and(|j| *ran >= j.runs) {
+            if self.jobs.get(job).is_some_and(|j| *run_time >= j.run_time) {
                 *state = (TaskState::Exited, Some(ExitReason::Done));
-                m.report_at = now;
-                ended.push(job.to_owned());
+                m.next_heartbeat = now;
+                jobs_with_exits.push(job.to_owned());
             }
         }
-        for _ in 0..late {
-            self.saw("commands held up");
+        for _ in 0..executed_late {
+            self.count_occurrence("commands held up");
         }
-        for job in ended {
-            if self.on("at end").is_some_and(|share| self.chance(share)) {
-                self.saw("cancelled at the end");
+        for job in jobs_with_exits {
+            if self.active("at end").is_some_and(|percent| self.chance(percent)) {
+                self.count_occurrence("cancelled at the end");
                 self.cancel(&job);
             }
         }
-        let m = self.machines.get_mut(name).expect("machine");
-        if now < m.report_at || now < m.mute {
+        let m = self.machines.get_mut(name).expect("a machine of that name");
+        if now < m.next_heartbeat || now < m.heartbeats_lost_until {
             return;
         }
         let heartbeat = m.worker.heartbeat();
-        m.report_at = now + self.site.heartbeat_interval;
-        // To the newest leader, but to one that was cut off while it still answers.
-        let cut = self.leaders.len().saturating_sub(2);
-        let stays = self.leaders.len() > 1 && name.as_bytes()[4].is_multiple_of(2);
-        let at = if stays { cut } else { self.leaders.len().saturating_sub(1) };
-        let mut cached = m.cached.take();
-        let linked = self.on("peers").is_none();
-        let by_follower = (name.as_bytes()[4] / 2).is_multiple_of(2);
-        let at_follower = by_follower.then(|| {
+        m.next_heartbeat = now + self.site.heartbeat_interval;
+        // Heartbeats go to the newest leader. If there are several leaders, machines with an even
+        // last digit keep sending theirs to the previous one as long as it answers.
+        let previous = self.leaders.len().saturating_sub(2);
+        let uses_previous = self.leaders.len() > 1 && name.as_bytes()[4].is_multiple_of(2);
+        let target = if uses_previous { previous } else { self.leaders.len().saturating_sub(1) };
+        let mut cached = m.cached_heartbeat.take();
+        let peers_reachable = self.active("peers").is_none();
+        let uses_follower = (name.as_bytes()[4] / 2).is_multiple_of(2);
+        let follower_answer = uses_follower.then(|| {
             let leader = self.leaders.last_mut();
-            let linked = linked && leader.as_ref().is_some_and(|l| now >= l.no_peers);
-            self.follower.answer(now, leader, linked, &mut cached, &heartbeat)
+            let peers_reachable = peers_reachable
+                && leader.as_ref().is_some_and(|l| now >= l.peers_unreachable_until);
+            self.follower.answer(now, leader, peers_reachable, &mut cached, &heartbeat)
         });
-        let answer = at_follower.flatten().or_else(|| {
-            let leader = self.leaders.get_mut(at)?;
-            answer(leader, now, &mut cached, &heartbeat)
+        let answer = follower_answer.flatten().or_else(|| {
+            let leader = self.leaders.get_mut(target)?;
+            respond_to_heartbeat(leader, now, &mut cached, &heartbeat)
         });
-        if stays {
-            self.saw("a report to the former leader");
+        if uses_previous {
+            self.count_occurrence("a report to the former leader");
         }
-        let answer = match (answer, stays) {
+        let answer = match (answer, uses_previous) {
             (None, true) => {
-                // 421: it goes over.
-                let l = self.leaders.last_mut().expect("leader");
-                self::answer(l, now, &mut cached, &heartbeat)
+                // The previous leader refused with 421, so the worker switches to the newest one.
+                let l = self.leaders.last_mut().expect("a leader");
+                self::respond_to_heartbeat(l, now, &mut cached, &heartbeat)
             }
             (answer, _) => answer,
         };
-        if self.on("copies").is_some_and(|share| self.chance(share)) {
-            let at = self.in_ms(2_000, 2 * self.site.worker_lease.0 / 1_000);
-            self.events.push((at, Event::Copy(heartbeat.clone())));
+        if self.active("copies").is_some_and(|percent| self.chance(percent)) {
+            let at = self.random_time_in(2_000, 2 * self.site.worker_lease.0 / 1_000);
+            self.deliveries.push((at, Delivery::HeartbeatCopy(heartbeat.clone())));
         }
-        if self.on("next").is_some() {
-            self.kept.push(heartbeat.clone());
+        if self.active("next").is_some() {
+            self.heartbeats_for_next_leader.push(heartbeat.clone());
         }
-        let m = self.machines.get_mut(name).expect("machine");
-        m.cached = cached;
-        if let Some(HeartbeatAnswer { token, commands: calls }) = answer.filter(|_| now >= m.deaf) {
+        let m = self.machines.get_mut(name).expect("a machine of that name");
+        m.cached_heartbeat = cached;
+        if let Some(HeartbeatAnswer { token, commands: calls }) =
+            answer.filter(|_| now >= m.inbound_lost_until)
+        {
             if token >= m.worker.token && heartbeat.agent_epoch == m.worker.agent_epoch {
-                m.renewed = now;
+                m.lease_renewed_at = now;
             }
             m.worker.receive_heartbeat_response(heartbeat.agent_epoch, token, &calls);
         }
     }
 
-    /// One leader's step: what it hears, what it decides, what is done of it.
-    fn lead(&mut self, i: usize) {
+    /// Advances one leader: updates what it knows, lets it decide and executes its commands.
+    fn step_leader(&mut self, i: usize) {
         let now = self.now;
-        let outage = self.on("outage").is_some();
-        let peers = self.on("peers").is_none();
+        let outage = self.active("outage").is_some();
+        let peers_reachable = self.active("peers").is_none();
         let l = &mut self.leaders[i];
-        let served = !outage && now >= l.no_state;
-        if served {
-            l.served = now;
-            if now >= l.hears_at {
-                l.hears_at = now + TimeDelta::from_millis(300);
-                l.known = now;
+        let store_reachable = !outage && now >= l.store_unreachable_until;
+        if store_reachable {
+            l.last_store_contact = now;
+            if now >= l.next_store_poll {
+                l.next_store_poll = now + TimeDelta::from_millis(300);
+                l.cancellations_known_until = now;
                 let wall = world::WALL + (now.0 - START.0);
                 for key_value in self.store.key_values(keys::TODO) {
                     let name = key_value.key.strip_prefix(keys::TODO).expect("a description");
-                    let _ = l.s.add_job(now, name, &key_value.value, wall);
+                    let _ = l.scheduler.add_job(now, name, &key_value.value, wall);
                 }
-                for name in l.s.cluster.open_jobs() {
+                for name in l.scheduler.cluster.open_jobs() {
                     if let Some((end, _)) = self.store.keys.get(&keys::end(&name)) {
                         let end = serde_json::from_value(end.clone()).expect("an end");
-                        l.s.job_ended(now, &name, end);
+                        l.scheduler.job_ended(now, &name, end);
                     }
                 }
             }
-        } else if peers && now >= l.no_peers {
-            l.known = l.known.max(now - TimeDelta::from_secs(1));
+        } else if peers_reachable && now >= l.peers_unreachable_until {
+            l.cancellations_known_until =
+                l.cancellations_known_until.max(now - TimeDelta::from_secs(1));
         }
-        l.s.authority.set_cancellations_known_until(l.known);
-        l.s.authority.set_holds_lease(now.since(l.served) < TimeDelta::from_millis(2_400));
-        l.s.tick(now);
-        l.s.autoscale(now);
-        let shared = l.s.fair_share.is_active();
-        if shared {
+        l.scheduler.authority.set_cancellations_known_until(l.cancellations_known_until);
+        l.scheduler
+            .authority
+            .set_holds_lease(now.since(l.last_store_contact) < TimeDelta::from_millis(2_400));
+        l.scheduler.tick(now);
+        l.scheduler.autoscale(now);
+        let overloaded = l.scheduler.fair_share.is_active();
+        if overloaded {
             *self.occurrences.entry("an overload shared").or_default() += 1;
         }
         if now.0 % 3_000_000 < STEP.0 {
             let list: Vec<ListedMachine> = self
                 .machines
                 .values()
-                .filter(|m| !m.gone)
+                .filter(|m| !m.removed)
                 .map(|m| ListedMachine {
                     name: m.worker.name.clone(),
                     address: Some("10.0.0.1:1".into()),
                     kind: "t8".into(),
                     zone: m.worker.zone.clone(),
                     spot: false,
-                    stage: if now >= m.up_at {
+                    stage: if now >= m.booted_at {
                         CloudMachineState::Running
                     } else {
                         CloudMachineState::Booting
                     },
-                    age_s: now.since(m.up_at).as_secs_f64(),
+                    age_s: now.since(m.booted_at).as_secs_f64(),
                 })
                 .collect();
-            l.s.machine_list(now, &list);
+            l.scheduler.machine_list(now, &list);
         }
-        let term = l.s.term;
-        let commands = l.s.take_commands();
+        let term = l.scheduler.term;
+        let commands = l.scheduler.take_commands();
         transcript::commands(term, &commands);
         for command in commands {
-            self.execute_commands(i, term, served, command);
+            self.execute_command(i, term, store_reachable, command);
         }
     }
 
-    fn execute_commands(&mut self, i: usize, term: Term, served: bool, command: Command) {
+    /// Executes a command of the leader at index `i`, with the faults that are active.
+    fn execute_command(&mut self, i: usize, term: Term, store_reachable: bool, command: Command) {
         match command {
             Command::Log(_) | Command::FindJobEnds { .. } => {}
             Command::VerifyLeadership | Command::StepDown(_) => {
-                let cache_entry = self.store.keys.get(keys::LEADER).map_or(Revision::NONE, |k| k.1);
-                let down = matches!(command, Command::StepDown(_));
-                if served && (down || cache_entry != term.into()) {
-                    self.leaders[i].served = Timestamp(0);
-                    if cache_entry == term.into() {
-                        self.elect_at.get_or_insert(self.now + TimeDelta::from_millis(500));
+                let leader_revision =
+                    self.store.keys.get(keys::LEADER).map_or(Revision::NONE, |k| k.1);
+                let steps_down = matches!(command, Command::StepDown(_));
+                if store_reachable && (steps_down || leader_revision != term.into()) {
+                    self.leaders[i].last_store_contact = Timestamp(0);
+                    if leader_revision == term.into() {
+                        self.next_election.get_or_insert(self.now + TimeDelta::from_millis(500));
                     }
                 }
             }
             Command::Commit { id, transaction } => {
-                let answer = |at, outcome| (at, Event::Answer { term, id, outcome });
-                let soon = self.in_ms(10, 150);
-                if !served {
-                    return self.events.push(answer(soon, TransactionOutcome::Rejected));
+                let response = |at, outcome| (at, Delivery::CommitResponse { term, id, outcome });
+                let soon = self.random_time_in(10, 150);
+                if !store_reachable {
+                    return self.deliveries.push(response(soon, TransactionOutcome::Rejected));
                 }
-                let never = self.now + TimeDelta::from_millis(900);
-                if self.on("late").is_some_and(|share| self.chance(share)) {
-                    let at = self.in_ms(2_000, 12_000);
-                    self.events.push((at, Event::Late(transaction)));
-                    return self.events.push(answer(never, TransactionOutcome::Indeterminate));
+                let timeout = self.now + TimeDelta::from_millis(900);
+                if self.active("late").is_some_and(|percent| self.chance(percent)) {
+                    let at = self.random_time_in(2_000, 12_000);
+                    self.deliveries.push((at, Delivery::DelayedTransaction(transaction)));
+                    return self
+                        .deliveries
+                        .push(response(timeout, TransactionOutcome::Indeterminate));
                 }
                 let outcome = self.apply(&transaction);
-                if self.on("lost").is_some_and(|share| self.chance(share)) {
-                    self.saw("carried out unheard");
-                    return self.events.push(answer(never, TransactionOutcome::Indeterminate));
+                if self.active("lost").is_some_and(|percent| self.chance(percent)) {
+                    self.count_occurrence("carried out unheard");
+                    return self
+                        .deliveries
+                        .push(response(timeout, TransactionOutcome::Indeterminate));
                 }
-                self.events.push(answer(soon, outcome));
+                self.deliveries.push(response(soon, outcome));
             }
             Command::Read { id, key } => {
-                let outcome = if served { self.store.read(&key) } else { ReadOutcome::Unavailable };
-                let at = self.in_ms(10, 150);
-                self.events.push((at, Event::Read { term, id, outcome }));
+                let outcome =
+                    if store_reachable { self.store.read(&key) } else { ReadOutcome::Unavailable };
+                let at = self.random_time_in(10, 150);
+                self.deliveries.push((at, Delivery::ReadResponse { term, id, outcome }));
             }
             Command::SendToWorker { machine, token, agent_epoch, calls, .. } => {
-                let name = self.leaders[i].s.cluster.machines[machine].name.clone();
-                let answer = |at, outcome| (at, Event::Direct { term, machine, outcome });
-                let late = self.now + TimeDelta::from_secs(2);
+                let name = self.leaders[i].scheduler.cluster.machines[machine].name.clone();
+                let response =
+                    |at, outcome| (at, Delivery::CommandResponse { term, machine, outcome });
+                let timeout = self.now + TimeDelta::from_secs(2);
                 let now = self.now;
-                let held = self.on("hold").is_some_and(|share| self.chance(share));
-                let held_until = self.in_ms(2_500, 9_000);
-                let soon = self.in_ms(10, 150);
+                let delayed = self.active("hold").is_some_and(|percent| self.chance(percent));
+                let delayed_until = self.random_time_in(2_500, 9_000);
+                let soon = self.random_time_in(10, 150);
                 let Some(m) = self.machines.get_mut(&name) else {
-                    return self.events.push(answer(soon, MessageOutcome::NotSent));
+                    return self.deliveries.push(response(soon, MessageOutcome::NotSent));
                 };
-                if m.gone || now < m.up_at || now < m.deaf {
-                    return self.events.push(answer(late, MessageOutcome::Indeterminate));
+                if m.removed || now < m.booted_at || now < m.inbound_lost_until {
+                    return self.deliveries.push(response(timeout, MessageOutcome::Indeterminate));
                 }
-                if now < m.hung || held {
-                    let at = if held { held_until.max(m.hung) } else { m.hung };
-                    m.held.push((at, token, agent_epoch, calls));
-                    return self.events.push(answer(late, MessageOutcome::Indeterminate));
+                if now < m.paused_until || delayed {
+                    let at =
+                        if delayed { delayed_until.max(m.paused_until) } else { m.paused_until };
+                    m.delayed_commands.push((at, token, agent_epoch, calls));
+                    return self.deliveries.push(response(timeout, MessageOutcome::Indeterminate));
                 }
                 let heartbeat = m.worker.run_commands(token, agent_epoch, &calls);
                 if !calls.is_empty() {
-                    // A change of its tasks is reported, within half a second.
-                    m.report_at = m.report_at.min(now + TimeDelta::from_millis(500));
+                    // A worker sends a heartbeat within 500 ms of a change of its tasks.
+                    m.next_heartbeat = m.next_heartbeat.min(now + TimeDelta::from_millis(500));
                 }
                 let outcome = MessageOutcome::Answered(Box::new(heartbeat));
-                self.events.push(answer(soon, outcome));
+                self.deliveries.push(response(soon, outcome));
             }
             Command::ScaleOut { kind, zone, spot, count } => {
                 let now = self.now;
-                let most =
-                    14usize.saturating_sub(self.machines.values().filter(|m| !m.gone).count());
+                let room =
+                    14usize.saturating_sub(self.machines.values().filter(|m| !m.removed).count());
                 let mut names = Vec::new();
-                for _ in 0..(count as usize).min(most) {
-                    let ms = if now < self.boots { self.between(300, 1_900) } else { 12_000 };
-                    if now < self.boots {
-                        self.saw("up within two seconds");
+                for _ in 0..(count as usize).min(room) {
+                    let ms = if now < self.fast_boots_until {
+                        self.random_between(300, 1_900)
+                    } else {
+                        12_000
+                    };
+                    if now < self.fast_boots_until {
+                        self.count_occurrence("up within two seconds");
                     }
-                    names.push(self.boot(&zone, now + TimeDelta::from_millis(ms)));
+                    names.push(self.boot_machine(&zone, now + TimeDelta::from_millis(ms)));
                 }
-                self.leaders[i].s.scale_out_answered(now, &kind, &zone, spot, count, Ok(names));
+                self.leaders[i].scheduler.scale_out_answered(
+                    now,
+                    &kind,
+                    &zone,
+                    spot,
+                    count,
+                    Ok(names),
+                );
             }
             Command::ScaleIn { machines } => {
                 for name in &machines {
                     if let Some(m) = self.machines.get_mut(name) {
-                        m.gone = true;
+                        m.removed = true;
                         m.worker.alive = false;
                     }
                 }
                 let now = self.now;
-                self.leaders[i].s.scale_in_answered(now, &machines, true);
+                self.leaders[i].scheduler.scale_in_answered(now, &machines, true);
             }
         }
     }
 
-    /// The rules, as of this step.
-    fn check(&mut self) {
-        let live = self.live();
-        let mut places: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
+    /// Checks the invariants: no task is live twice, team limits and zone constraints hold, and
+    /// cancelled jobs are stopped in time.
+    fn check_invariants(&mut self) {
+        let live = self.live_attempts();
+        let mut machines_by_task: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
         let mut capped = 0.0;
         let mut zones: BTreeMap<&str, BTreeMap<&str, u32>> = BTreeMap::new();
         for ((task, _), machines) in &live {
             let (job, _) = task.split_once('/').expect("a task");
             let spec = &self.jobs[job].spec;
             for m in machines {
-                places.entry(task).or_default().push(m);
+                machines_by_task.entry(task).or_default().push(m);
                 let zone = self.machines[m].worker.zone.as_str();
                 *zones.entry(job).or_default().entry(zone).or_default() += 1;
                 if spec.team == "capped" {
@@ -902,30 +990,44 @@
             }
         }
         let at = self.now.since(START).as_secs_f64();
-        let what = format!("{} at {at:.1} s", self.what);
-        for (task, machines) in &places {
-            assert_eq!(machines.len(), 1, "ran_twice, {what}: {task} on {machines:?}");
+        let context = format!("{} at {at:.1} s", self.scenario);
+        for (task, machines) in &machines_by_task {
+            assert_eq!(
+                machines.len(),
+                1,
+                "{context}: task {task} is live on several machines: {machines:?}"
+            );
         }
-        assert!(capped <= 4.0 + 1e-9, "quota, {what}: {capped}");
+        assert!(capped <= 4.0 + 1e-9, "{context}: a team exceeds its limit of 4 CPUs: {capped}");
         for (job, zones) in &zones {
             let spec = &self.jobs[*job].spec;
             let most = zones.values().max().copied().unwrap_or(0);
             let half = spec.tasks.div_ceil(2);
-            assert!(!spec.spread || most <= half, "wrong_place, {what}: {job} {zones:?}");
-            assert!(!spec.one_zone || zones.len() == 1, "wrong_place, {what}: {job} {zones:?}");
-            let bound = spec.zone.as_deref().is_none_or(|z| zones.keys().all(|k| *k == z));
-            assert!(bound, "wrong_place, {what}: {job} {zones:?}");
-            if let Some(told) = self.jobs[*job].told {
-                let ago = self.now.since(told);
-                assert!(ago <= self.site.cancel_within, "ran_cancelled, {what}: {job}, {zones:?}");
+            assert!(
+                !spec.spread || most <= half,
+                "{context}: {job} is not spread over zones: {zones:?}"
+            );
+            assert!(
+                !spec.one_zone || zones.len() == 1,
+                "{context}: {job} is not in one zone: {zones:?}"
+            );
+            let in_zone = spec.zone.as_deref().is_none_or(|z| zones.keys().all(|k| *k == z));
+            assert!(in_zone, "{context}: {job} is outside of its zone: {zones:?}");
+            if let Some(cancelled_at) = self.jobs[*job].cancelled_at {
+                let ago = self.now.since(cancelled_at);
+                assert!(
+                    ago <= self.site.cancel_within,
+                    "{context}: cancelled job {job} still runs: {zones:?}"
+                );
             }
         }
         if capped >= 4.0 {
-            self.saw("team at its limit");
+            self.count_occurrence("team at its limit");
         }
     }
 
-    /// Plays the script, then a time without troubles; then nothing may be left.
+    /// Plays the script for `for_s` seconds, then runs without new events. Fails unless all jobs
+    /// have ended and their records are deleted within six minutes.
     pub fn play(&mut self, script: &[(u64, ScriptedEvent)], for_s: u64) {
         let mut script: Vec<(u64, ScriptedEvent)> = script.to_vec();
         script.sort_by_key(|s| s.0);
@@ -935,26 +1037,30 @@
                 .peek()
                 .is_some_and(|s| TimeDelta::from_millis(s.0) <= self.now.since(START))
             {
-                let (_, trouble) = script.next().expect("a trouble");
-                self.trouble(trouble);
+                let (_, event) = script.next().expect("a peeked event");
+                self.inject(event);
             }
             self.step();
         }
         for _ in 0..3_600 {
-            if self.left().is_empty() {
+            if self.unfinished().is_empty() {
                 return;
             }
             self.step();
         }
-        panic!("{}: six minutes after all troubles are left: {:?}", self.what, self.left());
+        panic!(
+            "{}: unfinished jobs or stale records six minutes after the script: {:?}",
+            self.scenario,
+            self.unfinished()
+        );
     }
 
-    /// Jobs without an end, and records of those that have one.
-    fn left(&self) -> BTreeSet<String> {
+    /// Returns the jobs without an end and the keys of descriptions that are not deleted yet.
+    fn unfinished(&self) -> BTreeSet<String> {
         let open = self.jobs.keys().filter(|n| !self.store.keys.contains_key(&keys::end(n)));
         let records = self.store.keys.keys().filter(|k| k.starts_with(keys::DESCRIPTIONS));
-        let mut left: BTreeSet<String> = open.cloned().collect();
-        left.extend(records.cloned());
-        left
+        let mut unfinished: BTreeSet<String> = open.cloned().collect();
+        unfinished.extend(records.cloned());
+        unfinished
     }
 }
