--- a/crates/scheduler/tests/random_interleavings.rs
+++ b/crates/scheduler/tests/random_interleavings.rs
@@ -1,5 +1,7 @@
-//! Random orders of everything that can happen: whatever comes, a task is live on at most one
-//! machine, and an end, once written, never changes. The seed is fixed, so the verdict is too.
+//! Property tests that interleave random ticks, message deliveries, losses and failures.
+//!
+//! In every order a task must be live on at most one machine, and a job's stored end must never
+//! change. The seed is fixed, so each run tests the same cases.
 
 mod world;
 
@@ -15,17 +17,20 @@
 use walnutlug_scheduler::storage::transactions::TransactionLimits;
 use world::{spec, World};
 
-/// A message that the test holds.
-enum Held {
-    /// To the state store; `None`: a copy nobody waits for.
+/// A message in flight, which the test delivers, repeats or loses.
+enum Message {
+    /// A transaction of the leader of that term. The id is `None` for a duplicate, whose response
+    /// nobody awaits.
     Commit(Term, Option<u64>, walnutlug_scheduler::protocol::key_value::Transaction),
+    /// The read of a key, with the id of the request.
     Read(Term, u64, String),
-    /// A leader's question about ends.
-    Ends(Term, Vec<String>),
-    /// To a worker: term of the sender, whether its answer still matters.
-    Direct {
+    /// A leader's request for the ends of these jobs.
+    JobEnds(Term, Vec<String>),
+    /// Commands to the worker with that name, from the leader of that term.
+    WorkerCommands {
         term: Term,
-        waits: bool,
+        /// Whether the leader still waits for the response.
+        awaits_response: bool,
         name: String,
         token: FencingToken,
         agent_epoch: AgentEpoch,
@@ -34,27 +39,32 @@
     Heartbeat(Heartbeat),
 }
 
-/// What the key-value store takes once its limits have fallen: less than a chunk of the former version
-/// with its tasks placed.
-const LEAST: (usize, usize) = (100, 2);
+/// The key-value store's limits after they are lowered: largest value in bytes and most operations
+/// per transaction. A chunk written by the previous version with all tasks placed exceeds them.
+const LOWERED_LIMITS: (usize, usize) = (100, 2);
 
-struct Play {
+/// The cluster under test and everything that can still happen to it.
+struct RandomRun {
     w: World,
-    old: Vec<Scheduler>,
-    held: Vec<Held>,
+    /// Leaders that were replaced and may not know it.
+    old_leaders: Vec<Scheduler>,
+    /// Messages in flight.
+    pending: Vec<Message>,
+    /// Tasks that a worker ran to completion.
     completed: std::collections::BTreeSet<String>,
-    /// Machines whose reports arrive and that nothing reaches.
-    deaf: std::collections::BTreeSet<String>,
-    /// Jobs accepted so far.
+    /// Machines whose heartbeats arrive, but which receive neither responses nor commands.
+    unreachable: std::collections::BTreeSet<String>,
+    /// How many of [`JOBS`] are accepted so far.
     accepted: usize,
-    /// Whether processes of the former version may still come to lead.
-    former: bool,
-    /// Terms under which one leads, or thinks it does.
-    former_terms: std::collections::BTreeSet<Term>,
+    /// Whether the upgrade still goes on, so that a node of the previous version may become leader.
+    upgrading: bool,
+    /// Terms of leaders that run the previous version.
+    previous_version_terms: std::collections::BTreeSet<Term>,
 }
 
-/// The jobs, each with those that it needs. The first two are there before the upgrade, in chunks of the
-/// former version; the others come after it, and only once what they need was accepted.
+/// The jobs and the jobs that each depends on. The first two are accepted before the upgrade, with
+/// chunks of the previous version's size. The others are accepted after the upgrade has begun, each
+/// after its dependencies.
 const JOBS: [(&str, &[&str]); 6] = [
     ("req-000001", &[]),
     ("req-000002", &[]),
@@ -63,23 +73,24 @@
     ("req-000005", &["req-000003"]),
     ("req-000006", &["req-000005", "req-000004", "req-000003"]),
 ];
-const FORMER_CHUNK: u32 = 168;
+/// Tasks per chunk in the previous version.
+const PREVIOUS_VERSION_CHUNK: u32 = 168;
 
-impl Play {
-    fn new() -> Play {
+impl RandomRun {
+    fn new() -> RandomRun {
         let mut w = World::new(&[("n-1", "a"), ("n-2", "b"), ("n-3", "a")]);
         for (job, _) in &JOBS[..2] {
-            w.submit_in_chunks(job, &spec(3), FORMER_CHUNK);
+            w.submit_in_chunks(job, &spec(3), PREVIOUS_VERSION_CHUNK);
         }
-        Play {
+        RandomRun {
             accepted: 2,
-            former: true,
-            former_terms: Default::default(),
+            upgrading: true,
+            previous_version_terms: Default::default(),
             w,
-            old: Vec::new(),
-            held: Vec::new(),
+            old_leaders: Vec::new(),
+            pending: Vec::new(),
             completed: Default::default(),
-            deaf: Default::default(),
+            unreachable: Default::default(),
         }
     }
 
@@ -87,54 +98,63 @@
         if self.w.leader.term == term {
             return Some(&mut self.w.leader);
         }
-        self.old.iter_mut().find(|s| s.term == term)
+        self.old_leaders.iter_mut().find(|s| s.term == term)
     }
 
-    fn hold(&mut self, term: Term, commands: Vec<Command>) {
+    /// Puts a leader's commands in flight.
+    fn enqueue(&mut self, term: Term, commands: Vec<Command>) {
         for command in commands {
             match command {
                 Command::Commit { id, transaction } => {
-                    self.held.push(Held::Commit(term, Some(id), transaction))
+                    self.pending.push(Message::Commit(term, Some(id), transaction))
                 }
-                Command::Read { id, key } => self.held.push(Held::Read(term, id, key)),
-                Command::FindJobEnds { names } => self.held.push(Held::Ends(term, names)),
+                Command::Read { id, key } => self.pending.push(Message::Read(term, id, key)),
+                Command::FindJobEnds { names } => self.pending.push(Message::JobEnds(term, names)),
                 Command::SendToWorker { machine, token, agent_epoch, calls, .. } => {
                     let name = self
                         .scheduler(term)
                         .map(|s| s.cluster.machines[machine].name.clone())
-                        .expect("the sender");
-                    let direct =
-                        Held::Direct { term, waits: true, name, token, agent_epoch, calls };
-                    self.held.push(direct);
+                        .expect("the sending leader exists");
+                    let message = Message::WorkerCommands {
+                        term,
+                        awaits_response: true,
+                        name,
+                        token,
+                        agent_epoch,
+                        calls,
+                    };
+                    self.pending.push(message);
                 }
                 _ => {}
             }
         }
     }
 
+    /// Lets the current leader or an old one make its decisions.
     fn tick(&mut self, which: usize) {
         let now = self.w.now;
-        // An old leader that nobody told goes on deciding.
+        // An old leader that doesn't know of its successor keeps making decisions.
         let s = match which % 4 {
-            0 if !self.old.is_empty() => {
-                let n = self.old.len();
-                &mut self.old[which / 4 % n]
+            0 if !self.old_leaders.is_empty() => {
+                let n = self.old_leaders.len();
+                &mut self.old_leaders[which / 4 % n]
             }
             _ => &mut self.w.leader,
         };
         s.tick(now);
         let (term, commands) = (s.term, s.take_commands());
-        self.hold(term, commands);
+        self.enqueue(term, commands);
     }
 
+    /// Takes a message in flight and executes, loses, repeats or rejects it, as `fate` says.
     fn deliver(&mut self, pick: usize, fate: usize) {
-        if self.held.is_empty() {
+        if self.pending.is_empty() {
             return;
         }
         let now = self.w.now;
-        let at = pick % self.held.len();
-        match self.held.swap_remove(at) {
-            Held::Commit(term, id, transaction) => {
+        let at = pick % self.pending.len();
+        match self.pending.swap_remove(at) {
+            Message::Commit(term, id, transaction) => {
                 let (outcome, copy) = match fate % 6 {
                     0 => (TransactionOutcome::Indeterminate, true),
                     1 => {
@@ -145,21 +165,21 @@
                     _ => (self.w.store.apply(&transaction), false),
                 };
                 if copy {
-                    self.held.push(Held::Commit(term, None, transaction));
+                    self.pending.push(Message::Commit(term, None, transaction));
                 }
                 if let (Some(id), Some(s)) = (id, self.scheduler(term)) {
                     s.transaction_answered(now, id, outcome);
                 }
             }
-            Held::Ends(term, names) => {
-                // Answered in part, or not at all.
+            Message::JobEnds(term, names) => {
+                // Only the first `fate` of the ends are found, perhaps none.
                 let mut found = self.w.store.ends(&names);
                 found.truncate(fate);
                 if let Some(s) = self.scheduler(term) {
                     s.job_ends_found(now, &found);
                 }
             }
-            Held::Read(term, id, key) => {
+            Message::Read(term, id, key) => {
                 let outcome = match fate.is_multiple_of(4) {
                     true => ReadOutcome::Unavailable,
                     false => self.w.store.read(&key),
@@ -168,28 +188,28 @@
                     s.read_answered(now, id, outcome);
                 }
             }
-            Held::Direct { term, waits, name, token, agent_epoch, calls }
-                if self.deaf.contains(&name) =>
+            Message::WorkerCommands { term, awaits_response, name, token, agent_epoch, calls }
+                if self.unreachable.contains(&name) =>
             {
-                // Held on the way: it may arrive once the machine hears again.
-                let copy = Held::Direct {
+                // The message stays in flight and may arrive once the machine is reachable again.
+                let copy = Message::WorkerCommands {
                     term,
-                    waits: false,
+                    awaits_response: false,
                     name: name.clone(),
                     token,
                     agent_epoch,
                     calls,
                 };
-                self.held.push(copy);
-                if waits {
+                self.pending.push(copy);
+                if awaits_response {
                     if let Some(s) = self.scheduler(term) {
                         let machine = s.cluster.machines_by_name[&name];
                         s.message_answered(now, machine, MessageOutcome::Indeterminate);
                     }
                 }
             }
-            Held::Direct { term, waits, name, token, agent_epoch, calls } => {
-                let worker = self.w.workers.get_mut(&name).expect("worker");
+            Message::WorkerCommands { term, awaits_response, name, token, agent_epoch, calls } => {
+                let worker = self.w.workers.get_mut(&name).expect("a worker of that name");
                 let (outcome, copy) = match fate % 6 {
                     0 => (MessageOutcome::Indeterminate, true),
                     2 => (MessageOutcome::NotSent, false),
@@ -199,40 +219,48 @@
                     }
                     _ if worker.alive => {
                         let heartbeat = worker.run_commands(token, agent_epoch, &calls);
-                        // A repeat of a request that was carried out may follow.
+                        // A duplicate of an executed request may follow.
                         (MessageOutcome::Answered(Box::new(heartbeat)), fate % 12 == 3)
                     }
                     _ => (MessageOutcome::Indeterminate, false),
                 };
                 if copy {
                     let name = name.clone();
-                    let copy = Held::Direct { term, waits: false, name, token, agent_epoch, calls };
-                    self.held.push(copy);
+                    let copy = Message::WorkerCommands {
+                        term,
+                        awaits_response: false,
+                        name,
+                        token,
+                        agent_epoch,
+                        calls,
+                    };
+                    self.pending.push(copy);
                 }
-                if waits {
+                if awaits_response {
                     if let Some(s) = self.scheduler(term) {
                         let machine = s.cluster.machines_by_name[&name];
                         s.message_answered(now, machine, outcome);
                     }
                 }
             }
-            Held::Heartbeat(heartbeat) => {
+            Message::Heartbeat(heartbeat) => {
                 if fate % 12 == 7 {
-                    // A copy comes later still, perhaps to the next leader.
-                    self.held.push(Held::Heartbeat(heartbeat.clone()));
+                    // A duplicate arrives later, perhaps at the next leader.
+                    self.pending.push(Message::Heartbeat(heartbeat.clone()));
                 }
-                // Late or not, to the leader or to an old one, answered or not.
-                let n = self.old.len();
+                // It reaches the current leader or an old one, and the response may get lost.
+                let n = self.old_leaders.len();
                 let s = match fate % 5 {
-                    0 if n > 0 => &mut self.old[fate / 5 % n],
+                    0 if n > 0 => &mut self.old_leaders[fate / 5 % n],
                     _ => &mut self.w.leader,
                 };
                 let answer = s.handle_heartbeat(now, &heartbeat);
-                let deaf = self.deaf.contains(&heartbeat.machine);
+                let unreachable = self.unreachable.contains(&heartbeat.machine);
                 if let (Ok(HeartbeatAnswer { token, commands: calls }), true) =
-                    (answer, !fate.is_multiple_of(3) && !deaf)
+                    (answer, !fate.is_multiple_of(3) && !unreachable)
                 {
-                    let worker = self.w.workers.get_mut(&heartbeat.machine).expect("worker");
+                    let worker =
+                        self.w.workers.get_mut(&heartbeat.machine).expect("a worker of that name");
                     if worker.alive {
                         worker.receive_heartbeat_response(heartbeat.agent_epoch, token, &calls);
                     }
@@ -241,6 +269,7 @@
         }
     }
 
+    /// Performs one random action; its low 5 bits choose the kind, the others the target.
     fn step(&mut self, action: u16) {
         let (kind, pick) = (usize::from(action % 32), usize::from(action / 32));
         let names: Vec<String> = self.w.workers.keys().cloned().collect();
@@ -249,10 +278,10 @@
             0..=6 => self.tick(pick),
             7..=16 => self.deliver(pick / 12, pick % 12),
             17..=21 => {
-                let worker = self.w.workers.get_mut(name).expect("worker");
+                let worker = self.w.workers.get_mut(name).expect("a worker of that name");
                 if worker.alive {
                     let heartbeat = worker.heartbeat();
-                    self.held.push(Held::Heartbeat(heartbeat));
+                    self.pending.push(Message::Heartbeat(heartbeat));
                 }
             }
             22..=24 => {
@@ -264,10 +293,11 @@
                     self.completed.insert(task);
                 }
             }
-            25 => self.w.workers.get_mut(name).expect("worker").expire_lease(),
+            25 => self.w.workers.get_mut(name).expect("a worker of that name").expire_lease(),
             26 if pick.is_multiple_of(4) => {
-                // Killed, returned and replaced: the answer to the return is proof.
-                let worker = self.w.workers.get_mut(name).expect("worker");
+                // The machine dies, is returned to the cloud and replaced. The cloud's response to
+                // the return proves that none of its tasks runs any more.
+                let worker = self.w.workers.get_mut(name).expect("a worker of that name");
                 worker.alive = false;
                 worker.tasks.clear();
                 let now = self.w.now;
@@ -276,11 +306,11 @@
                 self.w.workers.insert(fresh.clone(), world::Worker::new(&fresh, "a"));
             }
             27 if pick.is_multiple_of(3) => {
-                let former = self.former && pick.is_multiple_of(2);
-                let old = self.w.take_over_as(former);
-                self.old.push(old);
-                if former {
-                    self.former_terms.insert(self.w.leader.term);
+                let previous_version = self.upgrading && pick.is_multiple_of(2);
+                let old_leader = self.w.take_over_as(previous_version);
+                self.old_leaders.push(old_leader);
+                if previous_version {
+                    self.previous_version_terms.insert(self.w.leader.term);
                 }
             }
             28 if pick.is_multiple_of(16) => {
@@ -295,35 +325,36 @@
                 let dependencies = dependencies.iter().map(|n| (*n).to_owned()).collect();
                 let spec =
                     walnutlug_scheduler::model::job_spec::JobSpec { dependencies, ..spec(3) };
-                // Of what waits a leader of the former version hears nothing.
-                if self.former_terms.contains(&self.w.leader.term) {
+                // A leader of the previous version isn't notified of jobs with dependencies.
+                if self.previous_version_terms.contains(&self.w.leader.term) {
                     self.w.store_job(job, &spec, 2);
                 } else {
                     self.w.submit_in_chunks(job, &spec, 2);
                 }
             }
             31 if pick.is_multiple_of(5) => {
-                // The upgrade is over; some time later the limits fall, to less than one of the
-                // former chunks takes.
-                if !self.former && !self.former_terms.contains(&self.w.leader.term) {
-                    self.w.store.limits = Some(LEAST);
-                    for s in self.old.iter_mut().chain([&mut self.w.leader]) {
+                // The first time, the upgrade ends. Later the store's limits are lowered below the
+                // size of the previous version's chunks.
+                if !self.upgrading && !self.previous_version_terms.contains(&self.w.leader.term) {
+                    self.w.store.limits = Some(LOWERED_LIMITS);
+                    for s in self.old_leaders.iter_mut().chain([&mut self.w.leader]) {
                         s.set_limits(TransactionLimits {
-                            value_bytes: LEAST.0,
-                            operations: LEAST.1,
+                            value_bytes: LOWERED_LIMITS.0,
+                            operations: LOWERED_LIMITS.1,
                         });
                     }
                 }
-                self.former = false;
+                self.upgrading = false;
             }
             29 if pick.is_multiple_of(3) => {
-                if !self.deaf.remove(name) {
-                    self.deaf.insert(name.clone());
+                if !self.unreachable.remove(name) {
+                    self.unreachable.insert(name.clone());
                 }
             }
             30 if pick.is_multiple_of(4) => {
-                // Back within a moment: none of its tasks, or a new agent epoch and no token either.
-                let worker = self.w.workers.get_mut(name).expect("worker");
+                // The worker restarts immediately without its tasks, in half of the cases also with
+                // a new agent epoch and without its fencing token.
+                let worker = self.w.workers.get_mut(name).expect("a worker of that name");
                 worker.tasks.clear();
                 if pick.is_multiple_of(8) {
                     worker.agent_epoch.0 += 1;
@@ -336,6 +367,8 @@
         self.w.wait(30);
     }
 
+    /// Checks that no task is live twice, that a job that is done ran all its tasks, and that no
+    /// job runs before its dependencies are done.
     fn check(&self) {
         for (task, machines) in self.w.places() {
             assert!(machines.len() <= 1, "{task} is on {machines:?}");
@@ -343,14 +376,21 @@
         for (job, dependencies) in JOBS {
             if self.w.end(job) == Some(&json!("done")) {
                 for i in 0..3 {
-                    assert!(self.completed.contains(&format!("{job}/{i}")), "{job} isn't done");
+                    assert!(
+                        self.completed.contains(&format!("{job}/{i}")),
+                        "{job} is done, but its task {i} never completed"
+                    );
                 }
             }
             let live = |i: &u32| !self.w.places_of(&format!("{job}/{i}")).is_empty();
             if (0..3).any(|i| live(&i)) {
-                for need in dependencies {
-                    let end = self.w.end(need);
-                    assert_eq!(end, Some(&json!("done")), "{job} runs before {need} is done");
+                for dependency in dependencies {
+                    let end = self.w.end(dependency);
+                    assert_eq!(
+                        end,
+                        Some(&json!("done")),
+                        "{job} runs before its dependency {dependency} is done"
+                    );
                 }
             }
         }
@@ -371,28 +411,29 @@
     #![proptest_config(config())]
 
     #[test]
-    fn at_most_one_live_place_and_ends_that_never_change(
+    fn tasks_are_live_on_at_most_one_machine_and_job_ends_never_change(
         actions in prop::collection::vec(any::<u16>(), 50..700)
     ) {
-        let mut play = Play::new();
+        let mut run = RandomRun::new();
         for action in actions {
-            play.step(action);
-            play.check();
+            run.step(action);
+            run.check();
         }
     }
 }
 
-/// Plays a quiet world after the disorder: every job is done or was cancelled, or is still known and
-/// then gets done. Nothing may hang on a message that never came.
-fn end_quietly(mut play: Play) {
-    play.held.clear();
-    play.deaf.clear();
-    let accepted = play.accepted;
-    let w = &mut play.w;
+/// Drops all messages in flight and runs without faults, until every accepted job is done or
+/// cancelled. This fails if a job waits forever for a message that was lost.
+fn finish_without_faults(mut run: RandomRun) {
+    run.pending.clear();
+    run.unreachable.clear();
+    let accepted = run.accepted;
+    let w = &mut run.w;
     w.take_over();
     for _ in 0..80 {
         w.send_all_heartbeats();
-        // What died with its absence unwritten is silent for the new leader, which gives it back.
+        // A machine that died before its loss was recorded sends the new leader no heartbeats, so
+        // the leader returns it to the cloud.
         w.leader.autoscale(w.now);
         for command in w.leader.take_commands() {
             if let Command::ScaleIn { machines } = command {
@@ -411,10 +452,13 @@
     }
     for (job, dependencies) in &JOBS[..accepted] {
         let end = w.end(job);
-        assert!(end.is_some(), "{job} is neither done nor cancelled after all is quiet");
-        for need in *dependencies {
-            let before = w.end(need);
-            assert!(before == end || end == Some(&json!("aborted")), "{job} behind {need}");
+        assert!(end.is_some(), "{job} is neither done nor cancelled after the faults stopped");
+        for dependency in *dependencies {
+            let dependency_end = w.end(dependency);
+            assert!(
+                dependency_end == end || end == Some(&json!("aborted")),
+                "{job} ended other than its dependency {dependency}"
+            );
         }
     }
 }
@@ -423,14 +467,14 @@
     #![proptest_config(Config { cases: 150, ..config() })]
 
     #[test]
-    fn every_accepted_job_ends_once_the_disorder_does(
+    fn every_accepted_job_ends_after_the_faults_stop(
         actions in prop::collection::vec(any::<u16>(), 50..500)
     ) {
-        let mut play = Play::new();
+        let mut run = RandomRun::new();
         for action in actions {
-            play.step(action);
-            play.check();
+            run.step(action);
+            run.check();
         }
-        end_quietly(play);
+        finish_without_faults(run);
     }
 }
