--- a/crates/scheduler/tests/world/mod.rs
+++ b/crates/scheduler/tests/world/mod.rs
@@ -1,5 +1,6 @@
-//! A scripted world for the scheduler: a state store, workers and messages that the test holds,
-//! loses, repeats and delivers when it likes. No clock but the test's own.
+//! A scripted cluster for scheduler tests: an in-memory key-value store, workers and messages.
+//!
+//! The test decides when messages are delivered, lost or repeated, and advances the clock.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -30,20 +31,22 @@
 pub mod golden;
 pub mod transcript;
 
-/// The test's clock at its start, and the time of day then.
+/// Start of the tests' monotonic clock, in microseconds.
 const START: u64 = 1 << 40;
+/// Wall-clock time at [`START`], in microseconds since the Unix epoch.
 pub const WALL: u64 = 1_700_000_000_000_000;
 
+/// An in-memory key-value store with transactions.
 #[derive(Debug, Default)]
 pub struct Store {
     pub keys: BTreeMap<String, (Value, Revision)>,
     pub store_revision: Revision,
-    /// The largest value and the most changes that it takes.
+    /// The largest value in bytes and the most operations per transaction, if limited.
     pub limits: Option<(usize, usize)>,
 }
 
 impl Store {
-    /// The answer to the reading of a key.
+    /// Reads a key.
     pub fn read(&self, key: &str) -> ReadOutcome {
         match self.keys.get(key).cloned() {
             Some((value, revision)) => ReadOutcome::Found { value, revision },
@@ -51,20 +54,24 @@
         }
     }
 
+    /// Executes a transaction and records its outcome in the transcript.
     pub fn apply(&mut self, transaction: &Transaction) -> TransactionOutcome {
-        let outcome = self.decide(transaction);
+        let outcome = self.commit_or_reject(transaction);
         transcript::applied(transaction, &outcome);
         outcome
     }
 
-    fn decide(&mut self, transaction: &Transaction) -> TransactionOutcome {
-        if let Some((value_bytes, ops)) = self.limits {
+    fn commit_or_reject(&mut self, transaction: &Transaction) -> TransactionOutcome {
+        if let Some((max_value_bytes, max_operations)) = self.limits {
             let size = |c: &Operation| match c {
                 Operation::Put { value, .. } => value.size(),
                 Operation::Delete { .. } => 0,
             };
-            let large = transaction.operations.iter().any(|c| size(c) > value_bytes);
-            if large || transaction.operations.len() > ops || transaction.compares.len() > 4 * ops {
+            let large = transaction.operations.iter().any(|c| size(c) > max_value_bytes);
+            if large
+                || transaction.operations.len() > max_operations
+                || transaction.compares.len() > 4 * max_operations
+            {
                 return TransactionOutcome::TooLarge;
             }
         }
@@ -83,7 +90,10 @@
             match change {
                 Operation::Put { put, value, .. } => {
                     if put.starts_with(keys::END) {
-                        assert!(!self.keys.contains_key(put), "an end is written once: {put}");
+                        assert!(
+                            !self.keys.contains_key(put),
+                            "{put} is overwritten, but a job end may be written only once"
+                        );
                     }
                     self.keys.insert(put.clone(), (value.to_value(), self.store_revision));
                 }
@@ -95,6 +105,7 @@
         TransactionOutcome::Committed { revision: self.store_revision }
     }
 
+    /// Returns all keys with the prefix, in order.
     pub fn key_values(&self, prefix: &str) -> Vec<KeyValue> {
         let found = self.keys.iter().filter(|(k, _)| k.starts_with(prefix));
         found
@@ -106,7 +117,7 @@
             .collect()
     }
 
-    /// How the jobs stand, for a leader that asks.
+    /// Looks up whether each job has ended, is open or is unknown.
     pub fn ends(&self, names: &[String]) -> Vec<(String, JobEndLookup)> {
         let find = |name: &String| match self.keys.get(&keys::end(name)) {
             Some((end, _)) => {
@@ -118,6 +129,7 @@
         names.iter().map(|n| (n.clone(), find(n))).collect()
     }
 
+    /// Writes a key as another node would, and returns the new revision.
     pub fn put(&mut self, key: &str, value: Value) -> Revision {
         transcript::put(key, &value);
         self.store_revision.0 += 1;
@@ -126,7 +138,7 @@
     }
 }
 
-/// A worker as the protocol describes it.
+/// A worker that follows the worker protocol.
 #[derive(Debug, Clone)]
 pub struct Worker {
     pub name: String,
@@ -136,6 +148,7 @@
     pub token: FencingToken,
     pub tasks: BTreeMap<(String, Attempt), (TaskState, Option<ExitReason>)>,
     pub alive: bool,
+    /// Interruption notice that its heartbeats report, in seconds.
     pub interruption_at: Option<f64>,
     pub spot: bool,
 }
@@ -155,6 +168,7 @@
         }
     }
 
+    /// Returns its next heartbeat.
     pub fn heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
         Heartbeat {
@@ -184,7 +198,7 @@
         for call in calls {
             match call {
                 WorkerCommand::Run { task, attempt } => {
-                    let here =
+                    let is_live_here =
                         |(t, (s, _)): (&(String, Attempt), &(TaskState, Option<ExitReason>))| {
                             t.0 == *task && *s != TaskState::Exited
                         };
@@ -192,7 +206,7 @@
                     if self.tasks.contains_key(&key) {
                         continue;
                     }
-                    let state = if self.tasks.iter().any(here) {
+                    let state = if self.tasks.iter().any(is_live_here) {
                         (TaskState::Exited, Some(ExitReason::InUse))
                     } else {
                         (TaskState::Running, None)
@@ -216,7 +230,8 @@
         }
     }
 
-    /// `/commands`: the heartbeat after them, executed or not.
+    /// Handles a request to `/commands`. It executes the commands unless their token or agent epoch
+    /// is outdated, and returns the heartbeat after that.
     pub fn run_commands(
         &mut self,
         token: FencingToken,
@@ -230,7 +245,7 @@
         self.heartbeat()
     }
 
-    /// The answer to a heartbeat of the given agent epoch.
+    /// Handles the response to a heartbeat that it sent in the given agent epoch.
     pub fn receive_heartbeat_response(
         &mut self,
         agent_epoch: AgentEpoch,
@@ -243,11 +258,13 @@
         }
     }
 
+    /// Stops all tasks and begins a new agent epoch, as a worker does when its lease expires.
     pub fn expire_lease(&mut self) {
         self.tasks.clear();
         self.agent_epoch.0 += 1;
     }
 
+    /// Returns the tasks that have not exited.
     pub fn live(&self) -> BTreeSet<String> {
         if !self.alive {
             return BTreeSet::new();
@@ -257,6 +274,7 @@
     }
 }
 
+/// Returns the default job: tasks of 2 CPUs with 100 s to finish, for the team without a limit.
 pub fn spec(tasks: u32) -> JobSpec {
     JobSpec {
         class: "c".into(),
@@ -281,10 +299,12 @@
     }
 }
 
+/// Returns a cluster with the single machine `n-1`.
 pub fn one_machine() -> World {
     World::new(&[("n-1", "a")])
 }
 
+/// Returns the default settings: one team without a limit, and one limited to 4 CPUs.
 pub fn site() -> Site {
     Site {
         teams: vec![
@@ -302,6 +322,7 @@
     }
 }
 
+/// Returns the only machine type, with 8 CPUs.
 pub fn types() -> Vec<MachineType> {
     vec![MachineType {
         name: "t8".into(),
@@ -317,14 +338,16 @@
     }]
 }
 
-/// One leader with its messages, and the world around it.
+/// A leader, its pending commands, the store and the workers.
 pub struct World {
     pub now: Timestamp,
     pub store: Store,
     pub workers: BTreeMap<String, Worker>,
     pub leader: Scheduler,
+    /// Commands of the leader that have not been executed yet.
     pub commands: Vec<Command>,
-    /// Neither the key-value store nor another node tells the leader anything.
+    /// The leader reaches neither the key-value store nor another node, so it learns of no
+    /// cancellations.
     pub cut_off: bool,
 }
 
@@ -346,18 +369,19 @@
         world
     }
 
+    /// Stores a job and tells the leader of it.
     pub fn submit(&mut self, name: &str, spec: &JobSpec) {
         self.submit_in_chunks(name, spec, chunk_size(site().value_bytes));
     }
 
-    /// As a version accepted it that made chunks of that size.
+    /// Submits a job with `chunk` tasks per chunk; earlier versions used other chunk sizes.
     pub fn submit_in_chunks(&mut self, name: &str, spec: &JobSpec, chunk: u32) {
         let value = self.store_job(name, spec, chunk);
         let wall = self.wall_us();
         self.leader.add_job(self.now, name, &value, wall).expect("a readable description");
     }
 
-    /// Accepted, with nobody told.
+    /// Stores an accepted job without telling the leader, and returns its description record.
     pub fn store_job(&mut self, name: &str, spec: &JobSpec, chunk: u32) -> Value {
         let value = description_record(spec, self.wall_us(), chunk);
         self.store.put(&keys::job(name), json!(1));
@@ -369,7 +393,8 @@
         WALL + (self.now.0 - START)
     }
 
-    /// Time passes in which the leader hears of every cancellation, unless it is `cut_off`.
+    /// Advances the clock. The leader knows all cancellations up to the new time unless it is
+    /// `cut_off`.
     pub fn wait(&mut self, ms: u64) {
         self.now = self.now + TimeDelta::from_millis(ms);
         if !self.cut_off {
@@ -377,7 +402,7 @@
         }
     }
 
-    /// Lets the leader decide; what it wants done waits in `commands`.
+    /// Advances the clock by 50 ms, runs the leader's tick and adds its commands to `commands`.
     pub fn tick(&mut self) {
         transcript::next_step();
         self.wait(50);
@@ -385,7 +410,7 @@
         self.take_commands();
     }
 
-    /// Lets the leader look at what to rent and to give back.
+    /// Lets the leader decide which machines to rent and to return.
     pub fn autoscale(&mut self) {
         self.leader.autoscale(self.now);
         self.take_commands();
@@ -397,21 +422,23 @@
         self.commands.extend(commands);
     }
 
+    /// Removes and returns the first pending transaction.
     pub fn take_commit(&mut self) -> (u64, Transaction) {
         let at = self.commands.iter().position(|c| matches!(c, Command::Commit { .. }));
-        match self.commands.remove(at.expect("a transaction")) {
+        match self.commands.remove(at.expect("a pending transaction")) {
             Command::Commit { id, transaction } => (id, transaction),
             _ => unreachable!(),
         }
     }
 
+    /// Removes and returns the first pending message to a worker that holds commands.
     pub fn take_worker_message(
         &mut self,
     ) -> (MachineIndex, FencingToken, AgentEpoch, Vec<WorkerCommand>) {
         let with_calls =
             |c: &Command| matches!(c, Command::SendToWorker { calls, .. } if !calls.is_empty());
         let at = self.commands.iter().position(with_calls);
-        match self.commands.remove(at.expect("a direct command")) {
+        match self.commands.remove(at.expect("a pending message with commands")) {
             Command::SendToWorker { machine, token, agent_epoch, calls, .. } => {
                 (machine, token, agent_epoch, calls)
             }
@@ -419,7 +446,7 @@
         }
     }
 
-    /// Lets the leader place what waits, commits its write and lets it send.
+    /// Lets the leader place waiting tasks, commits the transaction and lets it send the starts.
     pub fn place_and_commit(&mut self) {
         self.tick();
         let (id, transaction) = self.take_commit();
@@ -428,7 +455,7 @@
         self.tick();
     }
 
-    /// A job of one task whose start is on its way: the machine's name and the message.
+    /// Submits a job of one task and returns its machine's name and the undelivered start message.
     pub fn submit_with_start_in_flight(
         &mut self,
         job: &str,
@@ -439,13 +466,13 @@
         (self.leader.cluster.machines[message.0].name.clone(), message)
     }
 
-    /// The job has ended for its user: the end is stored, and told to the leader.
+    /// Cancels a job: stores its end and tells the leader.
     pub fn cancel_job(&mut self, job: &str) {
         self.store.put(&keys::end(job), json!("aborted"));
         self.leader.job_ended(self.now, job, JobEnd::Cancelled);
     }
 
-    /// The same, if nothing has ended it yet.
+    /// Cancels a job if it was accepted and has not ended.
     pub fn cancel_job_if_open(&mut self, job: &str) {
         let accepted = self.store.keys.contains_key(&keys::job(job));
         if accepted && self.end(job).is_none() {
@@ -453,7 +480,7 @@
         }
     }
 
-    /// Lets everything that runs complete, round by round, until all is done that can be.
+    /// Completes all running tasks, 40 times in a row, so that waiting tasks get their turn.
     pub fn run_to_completion(&mut self) {
         for _ in 0..40 {
             self.settle();
@@ -467,7 +494,7 @@
         }
     }
 
-    /// Carries out every command there is, faultlessly, until nothing is left to do.
+    /// Ticks the leader and executes its commands without faults, 20 times.
     pub fn settle(&mut self) {
         for _ in 0..20 {
             self.tick();
@@ -475,7 +502,7 @@
         }
     }
 
-    /// Carries out, faultlessly, what the leader wants done now.
+    /// Executes the pending commands without faults.
     pub fn execute_commands(&mut self) {
         for command in std::mem::take(&mut self.commands) {
             match command {
@@ -499,6 +526,7 @@
         }
     }
 
+    /// Delivers commands to a machine's worker and returns the response to the leader.
     pub fn deliver(
         &mut self,
         machine: MachineIndex,
@@ -517,8 +545,9 @@
         self.leader.message_answered(self.now, machine, outcome);
     }
 
+    /// Sends a worker's heartbeat to the leader and delivers the response.
     pub fn heartbeat(&mut self, name: &str) {
-        let worker = self.workers.get_mut(name).expect("worker");
+        let worker = self.workers.get_mut(name).expect("a worker of that name");
         let heartbeat = worker.heartbeat();
         let answer = self.leader.handle_heartbeat(self.now, &heartbeat).ok();
         transcript::answer("whole", name, answer.as_ref());
@@ -527,6 +556,7 @@
         }
     }
 
+    /// Sends a heartbeat from every worker that is alive.
     pub fn send_all_heartbeats(&mut self) {
         let names: Vec<String> = self.workers.keys().cloned().collect();
         for name in names {
@@ -536,31 +566,33 @@
         }
     }
 
-    /// A new leader, with what the store holds and nothing else.
+    /// Replaces the leader by a new one, which knows only what the store holds. Returns the old
+    /// one.
     pub fn take_over(&mut self) -> Scheduler {
         self.take_over_as(false)
     }
 
-    /// The same, as the version without chains does it: it reads neither the jobs that wait nor their
+    /// Replaces the leader by a new one, which runs the previous version if `previous_version`.
+    /// That version doesn't support dependencies: it reads no job that has them, nor the job's
     /// chunks.
-    pub fn take_over_as(&mut self, former: bool) -> Scheduler {
+    pub fn take_over_as(&mut self, previous_version: bool) -> Scheduler {
         let term = self.store.put(keys::LEADER, json!("next"));
         let (site, tunables) = (self.leader.site.clone(), self.leader.tunables.clone());
         let mut s = Scheduler::new(site, tunables, term.into(), types(), self.now);
         for (key, (value, _)) in &self.store.keys {
             if let Some(name) = keys::described_job(key) {
-                if !former || key.starts_with(keys::TODO) {
-                    // Damaged descriptions are passed over, as by the program.
+                if !previous_version || key.starts_with(keys::TODO) {
+                    // Unreadable descriptions are skipped, as in the controller.
                     let _ = s.add_job(self.now, name, value, self.wall_us());
                 }
             }
         }
-        let strange = s.load_chunks(self.now, &self.store.key_values(keys::RUN));
-        assert!(former || strange.is_empty(), "{strange:?}");
-        if let Some((value_bytes, ops)) = self.store.limits {
-            s.set_limits(TransactionLimits { value_bytes, operations: ops });
+        let unreadable = s.load_chunks(self.now, &self.store.key_values(keys::RUN));
+        assert!(previous_version || unreadable.is_empty(), "{unreadable:?}");
+        if let Some((value_bytes, max_operations)) = self.store.limits {
+            s.set_limits(TransactionLimits { value_bytes, operations: max_operations });
         }
-        // In one order, whatever that of the table: a transcript holds what comes of it.
+        // Sorted because the hash map has no fixed order and the transcripts depend on the order.
         let mut names: Vec<String> = s.cluster.jobs_by_name.keys().cloned().collect();
         names.sort_unstable();
         for name in names {
@@ -572,8 +604,9 @@
         std::mem::replace(&mut self.leader, s)
     }
 
+    /// Lets a live task exit successfully.
     pub fn finish(&mut self, machine: &str, task: &str) {
-        let worker = self.workers.get_mut(machine).expect("worker");
+        let worker = self.workers.get_mut(machine).expect("a worker of that name");
         for (key, state) in &mut worker.tasks {
             if key.0 == task && state.0 != TaskState::Exited {
                 *state = (TaskState::Exited, Some(ExitReason::Done));
@@ -581,7 +614,7 @@
         }
     }
 
-    /// Where each live task is.
+    /// Returns the machines on which each live task runs.
     pub fn places(&self) -> BTreeMap<String, Vec<String>> {
         let mut places: BTreeMap<String, Vec<String>> = BTreeMap::new();
         for (name, worker) in &self.workers {
@@ -592,28 +625,30 @@
         places
     }
 
-    /// Where the task is live.
+    /// Returns the machines on which the task is live.
     pub fn places_of(&self, task: &str) -> Vec<&str> {
-        let here = |w: &&Worker| {
+        let runs_task = |w: &&Worker| {
             w.alive && w.tasks.iter().any(|(t, s)| t.0 == task && s.0 != TaskState::Exited)
         };
-        self.workers.values().filter(here).map(|w| w.name.as_str()).collect()
+        self.workers.values().filter(runs_task).map(|w| w.name.as_str()).collect()
     }
 
+    /// Returns the stored end of a job.
     pub fn end(&self, name: &str) -> Option<&Value> {
         self.store.keys.get(&keys::end(name)).map(|v| &v.0)
     }
 
     pub fn phase(&self, name: &str, index: usize) -> walnutlug_scheduler::model::task::TaskPhase {
         let ix = self.leader.cluster.jobs_by_name[name];
-        self.leader.cluster.job(ix).expect("job").tasks[index].phase
+        self.leader.cluster.job(ix).expect("an open job").tasks[index].phase
     }
 
     pub fn attempt(&self, name: &str, index: usize) -> Attempt {
         let ix = self.leader.cluster.jobs_by_name[name];
-        self.leader.cluster.job(ix).expect("job").tasks[index].attempt
+        self.leader.cluster.job(ix).expect("an open job").tasks[index].attempt
     }
 
+    /// Returns the first fencing token of the leader's term.
     pub fn token_now(&self) -> FencingToken {
         FencingToken::first_of(self.leader.term)
     }
--- a/crates/scheduler/tests/world/transcript.rs
+++ b/crates/scheduler/tests/world/transcript.rs
@@ -1,8 +1,8 @@
-//! Records what a scheduler wants done, what it answers and what the store takes, as neutral text.
+//! Records a scheduler's commands, its heartbeat responses and the store's transactions as text.
 //!
-//! The one place that spells the packages' variants and fields for the transcripts: a change of names
-//! changes the patterns here, never the words. What is written to the log and the reason for which a leader
-//! steps down are free text and left out.
+//! The recorded words are independent of the names in the code: renaming a variant or a field
+//! changes the patterns in this module, but never the transcripts. Log messages and the reason for
+//! which a leader steps down are free text and aren't recorded.
 
 use std::cell::RefCell;
 
@@ -17,59 +17,60 @@
 use super::golden::Transcript;
 
 thread_local! {
-    /// The script that this thread plays, if it is recorded.
-    static RECORDED: RefCell<Option<Transcript>> = const { RefCell::new(None) };
+    /// The transcript of the script that this thread plays, if it is recorded.
+    static CURRENT: RefCell<Option<Transcript>> = const { RefCell::new(None) };
 }
 
-/// Plays a script and gives what came to pass in it.
+/// Plays a script and returns its transcript.
 pub fn record(name: &str, play: impl FnOnce()) -> Transcript {
-    RECORDED.set(Some(Transcript::new(name)));
+    CURRENT.set(Some(Transcript::new(name)));
     play();
-    RECORDED.take().expect("the transcript of the script")
+    CURRENT.take().expect("the transcript that was set before the script")
 }
 
-fn with(change: impl FnOnce(&mut Transcript)) {
-    RECORDED.with_borrow_mut(|recorded| recorded.as_mut().map(change));
+/// Changes the current transcript; does nothing if the script isn't recorded.
+fn with_current(change: impl FnOnce(&mut Transcript)) {
+    CURRENT.with_borrow_mut(|current| current.as_mut().map(change));
 }
 
-/// What follows belongs to the next step.
+/// Starts the next step of the transcript.
 pub fn next_step() {
-    with(Transcript::next_step);
+    with_current(Transcript::next_step);
 }
 
-/// Something that the script saw for itself.
+/// Records a line of the script's own.
 pub fn line(kind: &str, text: &str) {
-    with(|transcript| transcript.line(kind, text));
+    with_current(|transcript| transcript.line(kind, text));
 }
 
-/// Something that came to pass so often.
+/// Adds to the count of one kind of event.
 pub fn count(kind: &str, times: u64) {
-    with(|transcript| transcript.count(kind, times));
+    with_current(|transcript| transcript.count(kind, times));
 }
 
 fn json(value: &impl Serialize) -> String {
-    serde_json::to_string(value).expect("a value with a written form")
+    serde_json::to_string(value).expect("a value that can be serialized")
 }
 
-/// The part of a key before its first slash.
+/// Returns the part of a key before its first slash.
 fn family(key: &str) -> &str {
     key.split('/').next().unwrap_or(key)
 }
 
-/// What the leader of that term wants done now.
+/// Records the commands that the leader of a term has issued.
 pub fn commands(term: Term, commands: &[Command]) {
-    with(|transcript| commands.iter().for_each(|c| command(transcript, term, c)));
+    with_current(|transcript| commands.iter().for_each(|c| command(transcript, term, c)));
 }
 
 fn command(transcript: &mut Transcript, term: Term, command: &Command) {
     match command {
-        // Text for the log.
+        // Log messages are free text.
         Command::Log(_) => {}
         Command::Commit { id, transaction } => {
             transcript
                 .line("commit", &format!("term={term} id={id} {}", transaction_text(transaction)));
             for change in &transaction.operations {
-                transcript.count(&change_kind(change), 1);
+                transcript.count(&operation_kind(change), 1);
             }
         }
         Command::Read { id, key } => {
@@ -96,11 +97,13 @@
     }
 }
 
-/// The conditions and changes of a transaction, with the exact bytes of each value, and its whole form
-/// on the wire.
+/// Returns a transaction's compares and operations with the exact bytes of each value, followed by
+/// the whole transaction as it is sent.
 fn transaction_text(transaction: &Transaction) -> String {
-    let conditions =
-        transaction.compares.iter().map(|guard| format!("if {}={}", guard.key, guard.revision));
+    let conditions = transaction
+        .compares
+        .iter()
+        .map(|compare| format!("if {}={}", compare.key, compare.revision));
     let changes = transaction.operations.iter().map(|change| match change {
         Operation::Put { put, value, lease } => {
             let lease = lease.map_or(String::new(), |lease| format!(" lease={lease}"));
@@ -112,7 +115,7 @@
     format!("{} wire={}", parts.join("; "), json(transaction))
 }
 
-fn change_kind(change: &Operation) -> String {
+fn operation_kind(change: &Operation) -> String {
     match change {
         Operation::Put { put, .. } => format!("commit puts {}", family(put)),
         Operation::Delete { drop } => format!("commit deletes {}", family(drop)),
@@ -131,9 +134,10 @@
     }
 }
 
-/// How a heartbeat of that kind (whole, repeated, repeated at another node, late) was answered.
+/// Records the response to a heartbeat. The kind says how it was handled: whole, repeated, repeated
+/// (at a follower), forwarded or late.
 pub fn answer(kind: &str, machine: &str, answer: Option<&HeartbeatAnswer>) {
-    with(|transcript| {
+    with_current(|transcript| {
         let text = match answer {
             Some(HeartbeatAnswer { token, commands: calls }) => {
                 count_calls(transcript, calls);
@@ -145,9 +149,9 @@
     });
 }
 
-/// What the store made of a transaction.
+/// Records the outcome of a transaction in the store.
 pub fn applied(transaction: &Transaction, outcome: &TransactionOutcome) {
-    with(|transcript| match outcome {
+    with_current(|transcript| match outcome {
         TransactionOutcome::Committed { revision } => {
             transcript
                 .line("stored", &format!("revision={revision} {}", transaction_text(transaction)));
@@ -159,12 +163,12 @@
             transcript.line("too-large", &transaction_text(transaction))
         }
         TransactionOutcome::Rejected | TransactionOutcome::Indeterminate => {
-            unreachable!("no answer of a store")
+            unreachable!("the test store never gives this outcome")
         }
     });
 }
 
-/// What another node, or the script, wrote to the store.
+/// Records a write to the store by another node or by the script.
 pub fn put(key: &str, value: &Value) {
     line("written by others", &format!("put {key}={}", json(value)));
 }
