--- a/crates/scheduler/tests/cancellations.rs
+++ b/crates/scheduler/tests/cancellations.rs
@@ -92,7 +92,7 @@
 impl Simulation {
     /// Creates a leader that could use the key-value store until now, with one running task.
     fn new(site: &Site) -> Simulation {
-        let mut w = World::of(site.clone(), &[("n-1", "a")]);
+        let mut w = World::with_site(site.clone(), &[("n-1", "a")]);
         w.submit(JOB, &spec(1));
         w.settle();
         w.heartbeat("n-1");
@@ -225,7 +225,7 @@
         self.w.leader.authority.set_cancellations_known_until(self.watermark.known_until(now));
         let lease = self.w.leader.site.worker_lease.mul_f64(WORKER_CLOCK_SLOWDOWN);
         if now.since(self.lease_renewed_at) > lease {
-            self.w.workers.get_mut("n-1").expect("worker").lease_ends();
+            self.w.workers.get_mut("n-1").expect("worker").expire_lease();
             self.lease_renewed_at = now;
         }
         if elapsed_ms.is_multiple_of(3_000) {
@@ -235,7 +235,7 @@
                 self.w.leader.handle_heartbeat(now, &heartbeat)
             {
                 let worker = self.w.workers.get_mut("n-1").expect("worker");
-                worker.answered(heartbeat.agent_epoch, token, &calls);
+                worker.receive_heartbeat_response(heartbeat.agent_epoch, token, &calls);
                 self.lease_renewed_at = now;
             }
         }
@@ -540,9 +540,9 @@
     w.settle();
     w.heartbeat("n-1");
     w.settle();
-    w.withdraw(JOB);
+    w.cancel_job(JOB);
     w.tick();
-    let (machine, _, _, calls) = w.take_direct();
+    let (machine, _, _, calls) = w.take_worker_message();
     assert_eq!(calls.len(), 1);
     w.leader.message_answered(
         w.now,
@@ -575,10 +575,14 @@
         machine,
         walnutlug_scheduler::command::MessageOutcome::Answered(Box::new(newer)),
     );
-    w.withdraw(JOB);
+    w.cancel_job(JOB);
     let HeartbeatAnswer { token, commands: calls } =
         w.leader.handle_heartbeat(w.now, &overtaken).expect("an answer");
-    w.workers.get_mut("n-1").expect("worker").answered(AgentEpoch(1), token, &calls);
+    w.workers.get_mut("n-1").expect("worker").receive_heartbeat_response(
+        AgentEpoch(1),
+        token,
+        &calls,
+    );
     assert!(
         w.places_of(&format!("{JOB}/0")).is_empty(),
         "the lease was renewed without a stop command"
--- a/crates/scheduler/tests/dependencies.rs
+++ b/crates/scheduler/tests/dependencies.rs
@@ -30,7 +30,7 @@
     w.submit(SECOND, &depending_on(&[FIRST]));
     w.settle();
     w.finish("n-1", "req-000001/0");
-    w.all_report();
+    w.send_all_heartbeats();
     w
 }
 
@@ -57,7 +57,7 @@
     let outcome = w.store.apply(&transaction);
     w.leader.transaction_answered(w.now, id, outcome);
     assert_eq!(w.leader.queue(w.now).len(), 1, "released by the commit");
-    w.run_out();
+    w.run_to_completion();
     assert_eq!(w.end(SECOND), Some(&json!("done")));
     assert!(!w.store.keys.keys().any(|k| k.starts_with("run/") || k.starts_with("todo")));
 }
@@ -97,7 +97,7 @@
 fn a_released_job_stays_released_across_a_failover_after_its_dependency_was_deleted() {
     let mut w = job_before_its_end();
     w.settle();
-    w.all_report();
+    w.send_all_heartbeats();
     w.settle();
     assert!(
         !w.store.keys.contains_key(&keys::todo(FIRST)),
@@ -105,9 +105,9 @@
     );
     assert_eq!(w.places().len(), 1, "the dependent job runs");
     w.take_over();
-    w.all_report();
+    w.send_all_heartbeats();
     assert!(w.leader.queue(w.now).is_empty());
-    w.run_out();
+    w.run_to_completion();
     assert_eq!(w.end(SECOND), Some(&json!("done")));
     assert_eq!(w.places().len(), 0);
 }
@@ -118,8 +118,8 @@
     w.store.put(&keys::job(FIRST), json!(1));
     w.submit(SECOND, &depending_on(&[FIRST]));
     w.take_over();
-    w.all_report();
-    w.all_report();
+    w.send_all_heartbeats();
+    w.send_all_heartbeats();
     assert_eq!(take_looked_up_names(&mut w), [FIRST]);
     w.leader.job_ends_found(w.now, &[]);
     w.wait(1_000);
@@ -129,14 +129,14 @@
         "names without an answer are looked up again"
     );
     w.leader.job_ends_found(w.now, &[(FIRST.to_owned(), JobEndLookup::Open)]);
-    w.run_out();
+    w.run_to_completion();
     assert!(w.places().is_empty() && w.end(SECOND).is_none());
     // The job isn't in the registry, so no commit of this leader reports its end; the watch or the
     // next reload does.
     assert_eq!(w.leader.open_dependencies(), [FIRST]);
     w.store.put(&keys::end(FIRST), json!("done"));
     w.leader.job_ended(w.now, FIRST, JobEnd::Done);
-    w.run_out();
+    w.run_to_completion();
     assert_eq!(w.end(SECOND), Some(&json!("done")));
 }
 
@@ -151,7 +151,7 @@
             w.submit(&name(i), &depending_on(&[&name(i - 1)]));
         }
         w.settle();
-        w.withdraw(&name(0));
+        w.cancel_job(&name(0));
         let open = |w: &World| (0..40).filter(|&i| w.end(&name(i)).is_none()).count();
         let mut leaders = 0;
         while open(&w) > 0 {
@@ -176,14 +176,14 @@
                 }
             }
             w.take_over();
-            w.all_report();
+            w.send_all_heartbeats();
             let names = take_looked_up_names(&mut w);
             let found = w.store.ends(&names);
             w.leader.job_ends_found(w.now, &found);
             leaders += 1;
             assert!(leaders < 10, "{} are still open", open(&w));
         }
-        w.run_out();
+        w.run_to_completion();
         for i in 0..40 {
             assert_eq!(w.end(&name(i)), Some(&json!("aborted")), "{i}");
         }
@@ -198,12 +198,12 @@
     let mut w = one_machine();
     w.submit(FIRST, &spec(1));
     w.settle();
-    w.withdraw(FIRST);
-    w.run_out();
+    w.cancel_job(FIRST);
+    w.run_to_completion();
     assert!(!w.store.keys.contains_key(&keys::todo(FIRST)));
     w.submit(SECOND, &depending_on(&[FIRST]));
     w.submit("req-000003", &depending_on(&[SECOND]));
-    w.run_out();
+    w.run_to_completion();
     assert_eq!(w.end(SECOND), Some(&json!("aborted")));
     assert_eq!(w.end("req-000003"), Some(&json!("aborted")));
 }
@@ -215,7 +215,7 @@
     assert_eq!(w.end(FIRST), Some(&json!("done")));
     // The user is told the end as it is stored.
     w.leader.job_ended(w.now, FIRST, JobEnd::Done);
-    w.run_out();
+    w.run_to_completion();
     assert_eq!(w.end(SECOND), Some(&json!("done")));
 }
 
@@ -228,9 +228,9 @@
         w.submit(&name(i), &depending_on(&[FIRST]));
     }
     w.settle();
-    w.withdraw(FIRST);
+    w.cancel_job(FIRST);
     w.store.put(&keys::end(&name(3)), json!("aborted"));
-    w.run_out();
+    w.run_to_completion();
     for i in 2..6 {
         assert_eq!(w.end(&name(i)), Some(&json!("aborted")), "{i}");
     }
@@ -262,9 +262,9 @@
     // A job with a tighter deadline depends on the same job, and is then cancelled.
     w.submit("req-000004", &JobSpec { deadline_s: Some(60.0), ..last.clone() });
     assert!(priority_and_slack(&w).1 < inherited_slack - 35.0);
-    w.withdraw("req-000004");
+    w.cancel_job("req-000004");
     assert!((priority_and_slack(&w).1 - inherited_slack).abs() < 0.5);
-    w.withdraw("req-000003");
+    w.cancel_job("req-000003");
     assert_eq!(
         (priority_and_slack(&w).0, priority_and_slack(&w).1 > 1_000.0),
         (Priority::Low, true)
@@ -340,8 +340,8 @@
     }
     assert_eq!(log_count, 1);
     assert!(w.places().is_empty());
-    w.withdraw(SECOND);
-    w.run_out();
+    w.cancel_job(SECOND);
+    w.run_to_completion();
     assert!(!w.store.keys.contains_key(&keys::description(SECOND, true)));
 }
 
@@ -350,10 +350,10 @@
     let mut w = one_machine();
     w.submit(FIRST, &depending_on(&[SECOND]));
     w.submit(SECOND, &depending_on(&[FIRST, SECOND]));
-    w.run_out();
+    w.run_to_completion();
     assert!(w.places().is_empty());
-    w.withdraw(FIRST);
-    w.run_out();
+    w.cancel_job(FIRST);
+    w.run_to_completion();
     assert_eq!(w.end(SECOND), Some(&json!("aborted")));
 }
 
@@ -388,7 +388,7 @@
         w.submit(&name(6_003 + 3 * i), &depending_on(&[&left, &right]));
     }
     for first in [0, 1_000, 6_000] {
-        w.withdraw(&name(first));
+        w.cancel_job(&name(first));
     }
     for _ in 0..60 {
         w.settle();
--- a/crates/scheduler/tests/fair_share.rs
+++ b/crates/scheduler/tests/fair_share.rs
@@ -24,7 +24,7 @@
 fn fleet(teams: Vec<Team>) -> World {
     let names: Vec<String> = (0..MACHINES).map(|i| format!("n-{i:03}")).collect();
     let machines: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "a")).collect();
-    let mut world = World::of(Site { teams, ..site() }, &machines);
+    let mut world = World::with_site(Site { teams, ..site() }, &machines);
     world.leader.autoscaler.machine_list_read = true;
     world
 }
@@ -112,11 +112,11 @@
                 self.world.finish(&machines[0], &task);
             }
         }
-        self.world.all_report();
+        self.world.send_all_heartbeats();
         for _ in 0..4 {
             self.world.wait(200);
             self.world.tick();
-            self.world.carry_out();
+            self.world.execute_commands();
         }
     }
 
@@ -128,8 +128,8 @@
     fn take_over(&mut self) {
         self.world.take_over();
         self.world.leader.autoscaler.machine_list_read = true;
-        self.world.all_report();
-        self.world.all_report();
+        self.world.send_all_heartbeats();
+        self.world.send_all_heartbeats();
     }
 }
 
@@ -252,12 +252,12 @@
             for (task, machines) in world.places().into_iter().take(tasks_to_end) {
                 world.finish(&machines[0], &task);
             }
-            world.all_report();
+            world.send_all_heartbeats();
             world.tick();
             world.leader.autoscale(world.now);
             overloaded |= world.leader.fair_share.is_active();
             commands.extend(world.commands.iter().map(|command| format!("{command:?}")));
-            world.carry_out();
+            world.execute_commands();
         }
         (commands, overloaded)
     };
--- a/crates/scheduler/tests/repeated_heartbeats.rs
+++ b/crates/scheduler/tests/repeated_heartbeats.rs
@@ -22,7 +22,11 @@
         w.leader.handle_heartbeat(w.now, &heartbeat).expect("the heartbeat is answered");
     let cached =
         calls.is_empty().then(|| w.leader.cache_heartbeat(w.now, &heartbeat, OWN_NODE)).flatten();
-    w.workers.get_mut(MACHINE).expect("worker").answered(heartbeat.agent_epoch, token, &calls);
+    w.workers.get_mut(MACHINE).expect("worker").receive_heartbeat_response(
+        heartbeat.agent_epoch,
+        token,
+        &calls,
+    );
     (heartbeat, cached)
 }
 
@@ -31,7 +35,7 @@
     let mut w = one_machine();
     w.submit(JOB, &JobSpec { cpus: 4.0, ..spec(3) });
     w.settle();
-    w.all_report();
+    w.send_all_heartbeats();
     w.settle();
     assert_eq!(w.places().len(), 2);
     let (heartbeat, cached) = send_and_cache_heartbeat(&mut w);
@@ -85,7 +89,7 @@
 fn a_repetition_is_not_answered_from_the_cache_after_a_relevant_change() {
     type Operation = fn(&mut World, &Heartbeat);
     let cases: [(&str, Operation); 9] = [
-        ("the job is cancelled", |w, _| w.withdraw(JOB)),
+        ("the job is cancelled", |w, _| w.cancel_job(JOB)),
         ("the job has ended with an unknown outcome", |w, _| w.leader.mark_job_ended(w.now, JOB)),
         ("another heartbeat arrived", |w, _| w.heartbeat(MACHINE)),
         ("a request to the machine was lost", |w, _| {
@@ -136,7 +140,7 @@
     let mut new_entry = None;
     while new_entry.is_none_or(|cache_entry: CachedHeartbeat| cache_entry.number < cached.number) {
         w.wait(500);
-        w.all_report();
+        w.send_all_heartbeats();
         w.settle();
         new_entry = send_and_cache_heartbeat(&mut w).1;
     }
@@ -194,7 +198,7 @@
     assert_eq!(cached, None, "the start of the third task is planned");
     w.settle();
     w.wait(TimeDelta::from_secs(1).0 / 1_000);
-    w.all_report();
+    w.send_all_heartbeats();
     w.settle();
     assert!(send_and_cache_heartbeat(&mut w).1.is_some());
 }
@@ -232,7 +236,7 @@
         let mut w = World::new(&machines);
         w.submit(JOB, &JobSpec { cpus: 4.0, ..spec(3) });
         w.settle();
-        w.all_report();
+        w.send_all_heartbeats();
         w.settle();
         let machine_name = w.places().into_values().next().expect("a task")[0].clone();
         let heartbeat = w.workers.get_mut(&machine_name).expect("worker").heartbeat();
--- a/crates/scheduler/tests/task_starts.rs
+++ b/crates/scheduler/tests/task_starts.rs
@@ -37,7 +37,7 @@
     assert!(w.store.keys.contains_key(&keys::run(JOB, 0)));
     w.leader.transaction_answered(w.now, id, outcome);
     w.tick();
-    let (_, _, _, calls) = w.take_direct();
+    let (_, _, _, calls) = w.take_worker_message();
     assert_eq!(calls, [WorkerCommand::Run { task: format!("{JOB}/0"), attempt: Attempt(1) }]);
 }
 
@@ -52,10 +52,10 @@
         assert_eq!(machines.len(), 1);
         w.finish(&machines[0], &task);
     }
-    w.all_report();
+    w.send_all_heartbeats();
     w.settle();
     assert_eq!(w.end(JOB), Some(&json!("done")));
-    w.all_report();
+    w.send_all_heartbeats();
     w.settle();
     assert!(!w.store.keys.keys().any(|k| k.starts_with("run/") || k.starts_with("todo/")));
     assert!(w.store.keys.contains_key(&keys::job(JOB)), "the job record is kept permanently");
@@ -67,7 +67,7 @@
 #[test]
 fn a_heartbeat_without_the_task_under_the_same_token_does_not_prove_absence() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
-    let (name, (machine, token, agent_epoch, calls)) = w.start_under_way(JOB);
+    let (name, (machine, token, agent_epoch, calls)) = w.submit_with_start_in_flight(JOB);
     w.heartbeat(&name);
     w.settle();
     assert_eq!(w.phase(JOB, 0), TaskPhase::Dispatching);
@@ -84,7 +84,7 @@
 #[test]
 fn a_lost_start_is_retried_only_after_the_worker_has_seen_a_raised_token() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
-    let (name, (machine, token, agent_epoch, calls)) = w.start_under_way(JOB);
+    let (name, (machine, token, agent_epoch, calls)) = w.submit_with_start_in_flight(JOB);
     w.leader.message_answered(w.now, machine, MessageOutcome::Indeterminate);
     // The worker has not seen the raised token when it sends this heartbeat.
     let old = w.workers.get_mut(&name).expect("worker").heartbeat();
@@ -95,7 +95,7 @@
     assert_eq!(w.attempt(JOB, 0), Attempt(2));
     assert_eq!(w.places().len(), 1);
     // The delayed request arrives at last and is refused.
-    w.workers.get_mut(&name).expect("worker").direct(token, agent_epoch, &calls);
+    w.workers.get_mut(&name).expect("worker").run_commands(token, agent_epoch, &calls);
     assert!(w.places().values().all(|m| m.len() == 1));
 }
 
@@ -124,7 +124,7 @@
     w.submit(JOB, &spec(1));
     w.tick();
     let (id, transaction) = w.take_commit();
-    w.workers.get_mut("n-1").expect("worker").lease_ends();
+    w.workers.get_mut("n-1").expect("worker").expire_lease();
     w.heartbeat("n-1");
     let outcome = w.store.apply(&transaction);
     w.leader.transaction_answered(w.now, id, outcome);
@@ -136,7 +136,7 @@
 #[test]
 fn a_refused_connection_retracts_the_start_immediately() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
-    let (_, (machine, ..)) = w.start_under_way(JOB);
+    let (_, (machine, ..)) = w.submit_with_start_in_flight(JOB);
     w.leader.message_answered(w.now, machine, MessageOutcome::NotSent);
     assert_eq!((w.phase(JOB, 0), w.attempt(JOB, 0)), (TaskPhase::Pending, Attempt(2)));
     w.settle();
@@ -148,7 +148,7 @@
 #[test]
 fn a_refused_connection_does_not_affect_the_next_attempt() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
-    let (name, (machine, ..)) = w.start_under_way(JOB);
+    let (name, (machine, ..)) = w.submit_with_start_in_flight(JOB);
     w.workers.get_mut(&name).expect("worker").alive = false;
     w.leader.machine_gone(w.now, &name);
     w.settle();
@@ -160,7 +160,7 @@
 #[test]
 fn an_unconfirmed_start_becomes_unknown_and_is_not_sent_again() {
     let mut w = one_machine();
-    let (_, (machine, ..)) = w.start_under_way(JOB);
+    let (_, (machine, ..)) = w.submit_with_start_in_flight(JOB);
     w.leader.message_answered(w.now, machine, MessageOutcome::Indeterminate);
     w.workers.get_mut("n-1").expect("worker").alive = false;
     for _ in 0..30 {
@@ -244,7 +244,7 @@
     let mut w = one_machine();
     w.submit(JOB, &spec(2));
     w.place_and_commit();
-    let (machine, token, agent_epoch, calls) = w.take_direct();
+    let (machine, token, agent_epoch, calls) = w.take_worker_message();
     w.deliver(machine, token, agent_epoch, &calls);
     w.finish("n-1", &format!("{JOB}/0"));
     w.heartbeat("n-1");
@@ -252,7 +252,7 @@
     w.settle();
     w.heartbeat("n-1");
     assert!(!w.workers["n-1"].tasks.keys().any(|k| k.0.ends_with("/0")));
-    w.workers.get_mut("n-1").expect("worker").direct(token, agent_epoch, &calls);
+    w.workers.get_mut("n-1").expect("worker").run_commands(token, agent_epoch, &calls);
     assert!(
         !w.workers["n-1"].live().contains(&format!("{JOB}/0")),
         "a completed task was started again"
@@ -284,7 +284,7 @@
     assert!(matches!(outcome, TransactionOutcome::Conflict { .. }));
     w.leader.transaction_answered(w.now, id, outcome);
     w.settle();
-    w.all_report();
+    w.send_all_heartbeats();
     w.settle();
     assert!(w.places().is_empty());
     assert!(!w.store.keys.contains_key(&keys::todo(JOB)), "cleaned up");
@@ -315,7 +315,7 @@
     w.store.put(&keys::end(JOB), json!("aborted"));
     w.settle();
     assert_eq!(w.end(JOB), Some(&json!("aborted")));
-    w.all_report();
+    w.send_all_heartbeats();
     w.settle();
     assert!(w.leader.cluster.jobs_by_name.is_empty());
 }
@@ -378,8 +378,8 @@
     );
     old.transaction_answered(w.now, id, outcome);
     assert!(old.take_commands().iter().any(|c| matches!(c, Command::StepDown(_))));
-    w.all_report();
-    w.all_report();
+    w.send_all_heartbeats();
+    w.send_all_heartbeats();
     w.settle();
     assert_eq!(w.places().len(), 1);
 }
@@ -389,7 +389,7 @@
 #[test]
 fn a_new_leader_accepts_absence_only_from_workers_that_have_seen_its_term() {
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
-    let (name, (_, token, agent_epoch, calls)) = w.start_under_way(JOB);
+    let (name, (_, token, agent_epoch, calls)) = w.submit_with_start_in_flight(JOB);
     let other = if name == "n-1" { "n-2" } else { "n-1" };
     w.take_over();
     let before = w.workers.get_mut(&name).expect("worker").heartbeat();
@@ -400,7 +400,7 @@
     w.tick();
     assert!(w.places().is_empty());
     // The old start arrives before the worker has seen the new token.
-    w.workers.get_mut(&name).expect("worker").direct(token, agent_epoch, &calls);
+    w.workers.get_mut(&name).expect("worker").run_commands(token, agent_epoch, &calls);
     w.heartbeat(&name);
     w.heartbeat(&name);
     w.settle();
@@ -417,8 +417,8 @@
     w.store.apply(&transaction);
     // The starts are stored but not sent when the leader fails.
     w.take_over();
-    w.all_report();
-    w.all_report();
+    w.send_all_heartbeats();
+    w.send_all_heartbeats();
     w.settle();
     assert_eq!(w.places().len(), 8);
     assert!(w.places().values().all(|m| m.len() == 1));
@@ -438,9 +438,9 @@
     let heartbeat = worker.heartbeat();
     let HeartbeatAnswer { token, commands: calls } =
         old.handle_heartbeat(w.now, &heartbeat).expect("the heartbeat is answered");
-    worker.answered(heartbeat.agent_epoch, token, &calls);
+    worker.receive_heartbeat_response(heartbeat.agent_epoch, token, &calls);
     assert!(calls.is_empty());
-    w.all_report();
+    w.send_all_heartbeats();
     // A worker that has seen the new term is no longer answered by the old leader.
     let heartbeat = w.workers.get_mut("n-1").expect("worker").heartbeat();
     let answer = old.handle_heartbeat(w.now, &heartbeat);
@@ -481,7 +481,7 @@
     w.workers.get_mut(&machine).expect("worker").alive = false;
     for _ in 0..20 {
         w.wait(2_000);
-        w.all_report();
+        w.send_all_heartbeats();
         w.settle();
     }
     assert_eq!(
@@ -489,7 +489,7 @@
         "tasks in unknown state count towards the limit"
     );
     w.leader.machine_gone(w.now, &machine);
-    w.all_report();
+    w.send_all_heartbeats();
     w.settle();
     assert_eq!(w.places().len(), 2);
 }
@@ -542,7 +542,7 @@
                 }
             }
         }
-        w.all_report();
+        w.send_all_heartbeats();
         w.wait(1_000);
     }
     let machines = &w.leader.cluster.machines;
@@ -579,7 +579,7 @@
     let mut w = World::new(&[("n-1", "a"), ("n-2", "a")]);
     w.submit(JOB, &spec(1));
     w.settle();
-    w.all_report();
+    w.send_all_heartbeats();
     let place = w.places_of(&format!("{JOB}/0"))[0].to_owned();
     // Contrary to the cluster state, an earlier attempt is running, and the recorded attempt was
     // refused because of it.
@@ -592,7 +592,7 @@
     assert_eq!(w.attempt(JOB, 0), Attempt(1), "the task is still on its machine");
     // After the earlier attempt was stopped, the task runs once, on either machine.
     for _ in 0..6 {
-        w.all_report();
+        w.send_all_heartbeats();
         w.settle();
         assert!(w.places_of(&task).len() <= 1);
     }
@@ -622,8 +622,12 @@
         w.leader.handle_heartbeat(w.now, &heartbeat).expect("the heartbeat is answered");
     w.settle();
     assert_eq!(w.places_of(&task), [other], "no second copy is started");
-    w.workers.get_mut(other).expect("worker").answered(AgentEpoch(1), token, &calls);
-    w.all_report();
+    w.workers.get_mut(other).expect("worker").receive_heartbeat_response(
+        AgentEpoch(1),
+        token,
+        &calls,
+    );
+    w.send_all_heartbeats();
     w.settle();
     assert_eq!(
         w.places_of(&task),
--- a/crates/scheduler/tests/transcripts.rs
+++ b/crates/scheduler/tests/transcripts.rs
@@ -31,8 +31,8 @@
 
 use std::collections::BTreeSet;
 
-use sim::meetings::{LOAD, MEETINGS};
-use sim::{Sim, Trouble};
+use sim::meetings::{BASE_WORKLOAD, SCENARIOS};
+use sim::{ScriptedEvent, Sim};
 use world::{golden, transcript};
 
 /// Scripts that run in the scripted world, with the names of their golden files.
@@ -144,14 +144,15 @@
 /// Runs every third failure scenario, beginning with the given index, so that three tests share
 /// them, and compares the transcripts with the golden files. Each scenario runs with three seeds.
 fn check_scenarios(first: usize) {
-    for (index, scenario) in MEETINGS.iter().enumerate().skip(first).step_by(3) {
-        let script: Vec<(u64, Trouble)> = LOAD.iter().chain(scenario.script).copied().collect();
+    for (index, scenario) in SCENARIOS.iter().enumerate().skip(first).step_by(3) {
+        let script: Vec<(u64, ScriptedEvent)> =
+            BASE_WORKLOAD.iter().chain(scenario.script).copied().collect();
         let transcript = transcript::record(&scenario_name(index), || {
             for seed in 1..=3 {
                 transcript::line("meeting", &format!("{} (seed {seed})", scenario.name));
                 let mut sim = Sim::new(scenario.name.to_owned(), seed);
                 sim.play(&script, 130);
-                for (condition, times) in &sim.seen {
+                for (condition, times) in &sim.occurrences {
                     transcript::count(&format!("seen {condition}"), *times);
                 }
             }
@@ -205,36 +206,37 @@
 }
 
 /// Returns the label of a scripted event in the check that each kind of event occurs.
-fn event_label(event: Trouble) -> &'static str {
+fn event_label(event: ScriptedEvent) -> &'static str {
     match event {
-        Trouble::Crash => "crash",
-        Trouble::Away(_) => "away",
-        Trouble::RefuseLeader(_) => "refuse leader",
-        Trouble::CutLeader(_) => "cut leader",
-        Trouble::Outage(_) => "outage",
-        Trouble::PeersLost(_) => "peers lost",
-        Trouble::LostAnswers(..) => "lost answers",
-        Trouble::LateWrites(..) => "late writes",
-        Trouble::Mute(..) => "mute",
-        Trouble::Deaf(..) => "deaf",
-        Trouble::CutMachines(..) => "cut machines",
-        Trouble::CutZone(..) => "cut zone",
-        Trouble::Hang(..) => "hang",
-        Trouble::Die(_) => "die",
-        Trouble::HoldCommands(..) => "hold commands",
-        Trouble::LateReports(..) => "late reports",
-        Trouble::ReportsForNext(_) => "reports for next",
-        Trouble::Cancel(_) => "cancel",
-        Trouble::CancelAtEnd(..) => "cancel at end",
-        Trouble::Submit(..) => "submit",
-        Trouble::Ones(_) => "ones",
-        Trouble::Boots(_) => "boots",
+        ScriptedEvent::CrashLeader => "crash",
+        ScriptedEvent::StopAllControllers(_) => "away",
+        ScriptedEvent::RejectLeader(_) => "refuse leader",
+        ScriptedEvent::PartitionLeader(_) => "cut leader",
+        ScriptedEvent::StoreOutage(_) => "outage",
+        ScriptedEvent::LosePeerMessages(_) => "peers lost",
+        ScriptedEvent::LoseCommitResponses(..) => "lost answers",
+        ScriptedEvent::DelayCommits(..) => "late writes",
+        ScriptedEvent::LoseHeartbeats(..) => "mute",
+        ScriptedEvent::LoseInboundMessages(..) => "deaf",
+        ScriptedEvent::PartitionMachines(..) => "cut machines",
+        ScriptedEvent::PartitionZone(..) => "cut zone",
+        ScriptedEvent::PauseMachines(..) => "hang",
+        ScriptedEvent::KillMachines(_) => "die",
+        ScriptedEvent::DelayCommands(..) => "hold commands",
+        ScriptedEvent::DuplicateHeartbeats(..) => "late reports",
+        ScriptedEvent::ReplayToNextLeader(_) => "reports for next",
+        ScriptedEvent::Cancel(_) => "cancel",
+        ScriptedEvent::CancelOnTaskExit(..) => "cancel at end",
+        ScriptedEvent::Submit(..) => "submit",
+        ScriptedEvent::SubmitSingleTaskJobs(_) => "ones",
+        ScriptedEvent::FastBoots(_) => "boots",
     }
 }
 
 #[test]
 fn every_kind_of_scripted_event_occurs_in_a_failure_scenario() {
-    let labels = MEETINGS.iter().flat_map(|m| m.script).chain(&LOAD).map(|(_, t)| event_label(*t));
+    let labels =
+        SCENARIOS.iter().flat_map(|m| m.script).chain(&BASE_WORKLOAD).map(|(_, t)| event_label(*t));
     let labels: BTreeSet<&str> = labels.collect();
     assert_eq!(labels.len(), 22, "{labels:?}");
 }
@@ -242,7 +244,7 @@
 #[test]
 fn transcripts_contain_the_minimum_number_of_each_event() {
     let mut names: Vec<String> = SCRIPTS.iter().map(|(name, _)| (*name).to_owned()).collect();
-    names.extend((0..MEETINGS.len()).map(scenario_name));
+    names.extend((0..SCENARIOS.len()).map(scenario_name));
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     golden::assert_min_counts(&names, MIN_EVENT_COUNTS);
 }
--- a/crates/scheduler/tests/transcripts/scripts.rs
+++ b/crates/scheduler/tests/transcripts/scripts.rs
@@ -39,7 +39,7 @@
     let zones = ["a", "b"];
     let machines: Vec<(&str, &str)> =
         names.iter().enumerate().map(|(i, n)| (n.as_str(), zones[i % 2])).collect();
-    World::of(site, &machines)
+    World::with_site(site, &machines)
 }
 
 fn team(name: &str, cpus: f64, cpus_max: f64) -> Team {
@@ -87,7 +87,7 @@
                 let name = world.leader.cluster.machines[machine].name.clone();
                 if rng.chance(50) {
                     if let Some(worker) = world.workers.get_mut(&name) {
-                        worker.direct(token, agent_epoch, &calls);
+                        worker.run_commands(token, agent_epoch, &calls);
                     }
                 }
                 let outcome = if rng.chance(80) {
@@ -106,7 +106,7 @@
             }
             command => {
                 world.commands.push(command);
-                world.carry_out();
+                world.execute_commands();
             }
         }
     }
@@ -131,10 +131,10 @@
             execute_commands_with_losses(&mut world, &mut rng, 12);
         }
         exit_random_tasks(&mut world, &mut rng, 25, &[ExitReason::Done]);
-        world.all_report();
+        world.send_all_heartbeats();
         world.wait(600);
     }
-    world.run_out();
+    world.run_to_completion();
 }
 
 /// Job chains and diamonds, dependencies on jobs that were never submitted, cancellations that
@@ -169,7 +169,7 @@
         }
         exit_random_tasks(&mut world, &mut rng, 30, &[ExitReason::Done]);
         if round % 15 == 14 {
-            world.withdraw_if_open(&job_name(8 * (round / 15)));
+            world.cancel_job_if_open(&job_name(8 * (round / 15)));
         }
         if round % 23 == 22 {
             world.take_over_as(round == 45);
@@ -178,10 +178,10 @@
             world.store.put(&keys::end(&job_name(905)), json!("done"));
             world.leader.job_ended(world.now, &job_name(905), JobEnd::Done);
         }
-        world.all_report();
+        world.send_all_heartbeats();
         world.wait(700);
     }
-    world.run_out();
+    world.run_to_completion();
 }
 
 /// Jobs in every stage are cancelled, also during an outage in which the leader learns nothing from
@@ -197,7 +197,7 @@
         }
         world.tick();
         if rng.chance(40) {
-            world.withdraw_if_open(&job_name(2 * rng.below(30)));
+            world.cancel_job_if_open(&job_name(2 * rng.below(30)));
         }
         execute_commands_with_losses(&mut world, &mut rng, 15);
         exit_random_tasks(
@@ -207,15 +207,15 @@
             &[ExitReason::Done, ExitReason::Done, ExitReason::Error],
         );
         match round {
-            20 => world.workers.get_mut("n-002").expect("a known worker").lease_ends(),
+            20 => world.workers.get_mut("n-002").expect("a known worker").expire_lease(),
             30 => world.cut_off = true,
             50 => world.cut_off = false,
             _ => {}
         }
-        world.all_report();
+        world.send_all_heartbeats();
         world.wait(700);
     }
-    world.run_out();
+    world.run_to_completion();
 }
 
 /// The leader is replaced repeatedly while commits and messages are lost and machines terminate.
@@ -245,10 +245,10 @@
             world.leader.machine_gone(world.now, &name);
         }
         exit_random_tasks(&mut world, &mut rng, 15, &[ExitReason::Done]);
-        world.all_report();
+        world.send_all_heartbeats();
         world.wait(500);
     }
-    world.run_out();
+    world.run_to_completion();
 }
 
 /// Jobs of all priorities overload a small fleet, so that urgent tasks preempt others.
@@ -277,10 +277,10 @@
             world.submit(&job_name(step), &job);
         }
         exit_random_tasks(&mut world, &mut rng, 6, &[ExitReason::Done]);
-        world.all_report();
+        world.send_all_heartbeats();
         world.tick();
         world.autoscale();
-        world.carry_out();
+        world.execute_commands();
         world.wait(250);
     }
 }
@@ -320,15 +320,15 @@
         if second == 40 {
             world.take_over();
             world.leader.autoscaler.machine_list_read = true;
-            world.all_report();
+            world.send_all_heartbeats();
         }
         exit_random_tasks(&mut world, &mut rng, 25, &[ExitReason::Done]);
-        world.all_report();
+        world.send_all_heartbeats();
         for _ in 0..3 {
             world.wait(250);
             world.tick();
             world.autoscale();
-            world.carry_out();
+            world.execute_commands();
         }
         overloaded_seconds += u64::from(world.leader.fair_share.is_active());
     }
@@ -382,7 +382,7 @@
             }
         }
         world.commands = others;
-        world.carry_out();
+        world.execute_commands();
     }
 
     /// Rents machines that are up five seconds later, and returns their names.
@@ -474,7 +474,7 @@
         }
         cloud.advance(&mut world, &mut rng);
         exit_random_tasks(&mut world, &mut rng, 12, &[ExitReason::Done]);
-        world.all_report();
+        world.send_all_heartbeats();
         for _ in 0..2 {
             world.wait(400);
             world.tick();
@@ -509,7 +509,7 @@
             live.for_each(|state| *state = (TaskState::Exited, Some(ExitReason::Error)));
         }
         exit_random_tasks(&mut world, &mut rng, 20, &causes);
-        world.all_report();
+        world.send_all_heartbeats();
         world.wait(500);
     }
 }
@@ -532,7 +532,7 @@
         if round % 3 == 1 {
             world.take_over();
         }
-        world.all_report();
+        world.send_all_heartbeats();
         for _ in 0..3 {
             world.tick();
             execute_commands_with_losses(&mut world, &mut rng, 10);
@@ -543,9 +543,9 @@
     world.submit_in_chunks(&job_name(2), &spec(60), 168);
     world.store.limits = Some((700, 2));
     world.tick();
-    world.carry_out();
+    world.execute_commands();
     lower_limits(&mut world, 700, 2);
-    world.run_out();
+    world.run_to_completion();
 }
 
 /// A leader loads the records of the previous version, runs their jobs to completion and deletes
@@ -568,14 +568,14 @@
         worker.tasks.insert((task.to_owned(), Attempt(1)), (TaskState::Running, None));
     }
     world.take_over();
-    world.all_report();
-    world.run_out();
+    world.send_all_heartbeats();
+    world.run_to_completion();
     world.submit_in_chunks(&job_name(11), &spec(3), 168);
     world.submit(&job_name(12), &JobSpec { dependencies: vec![job_name(11)], ..spec(3) });
     for turn in 0..8 {
         world.take_over_as(turn % 3 != 2);
-        world.all_report();
-        world.all_report();
+        world.send_all_heartbeats();
+        world.send_all_heartbeats();
         if turn == 4 {
             for (task, machines) in world.places() {
                 world.finish(&machines[0], &task);
@@ -584,8 +584,8 @@
         world.settle();
     }
     world.take_over();
-    world.all_report();
-    world.run_out();
+    world.send_all_heartbeats();
+    world.run_to_completion();
 }
 
 /// Jobs fill 4,200 machines, some tasks end, some machines are lost, and another leader takes over.
@@ -600,7 +600,7 @@
     let run_ticks = |world: &mut World, ticks: usize| {
         for _ in 0..ticks {
             world.tick();
-            world.carry_out();
+            world.execute_commands();
         }
     };
     run_ticks(&mut world, 30);
@@ -611,16 +611,16 @@
         worker.tasks.clear();
         world.leader.machine_gone(world.now, name);
     }
-    world.all_report();
+    world.send_all_heartbeats();
     run_ticks(&mut world, 4);
-    world.all_report();
+    world.send_all_heartbeats();
     run_ticks(&mut world, 4);
     world.take_over();
     for name in &names {
         world.leader.cluster.hint_address(world.now, name, "10.0.0.1:1");
     }
     run_ticks(&mut world, 6);
-    world.all_report();
+    world.send_all_heartbeats();
     run_ticks(&mut world, 4);
 }
 
@@ -698,10 +698,10 @@
             world.submit(&job_name(10 * second + index), &job);
         }
         exit_random_tasks(&mut world, &mut rng, 25, &[ExitReason::Done]);
-        world.all_report();
+        world.send_all_heartbeats();
         world.tick();
         world.autoscale();
-        world.carry_out();
+        world.execute_commands();
         world.wait(900);
     }
 }
@@ -735,7 +735,7 @@
         if round == 45 {
             world.take_over();
         }
-        world.all_report();
+        world.send_all_heartbeats();
         world.wait(900);
     }
 }
@@ -771,10 +771,10 @@
             world.submit(&job_name(round), &job);
         }
         exit_random_tasks(&mut world, &mut rng, 22, &[ExitReason::Done]);
-        world.all_report();
+        world.send_all_heartbeats();
         world.tick();
         world.autoscale();
-        world.carry_out();
+        world.execute_commands();
         world.wait(500);
     }
 }
@@ -811,12 +811,12 @@
             }
         }
         exit_random_tasks(&mut world, &mut rng, 4, &[ExitReason::Done]);
-        world.all_report();
+        world.send_all_heartbeats();
         for _ in 0..2 {
             world.wait(400);
             world.tick();
             world.autoscale();
-            world.carry_out();
+            world.execute_commands();
         }
     }
 }
@@ -846,7 +846,7 @@
                 transcript::answer("whole", name, answer.as_ref());
                 let Some(HeartbeatAnswer { token, commands: calls }) = answer else { continue };
                 let worker = world.workers.get_mut(name).expect("a known worker");
-                worker.answered(heartbeat.agent_epoch, token, &calls);
+                worker.receive_heartbeat_response(heartbeat.agent_epoch, token, &calls);
                 let holder = rng.below(3) as u16;
                 let revision = world.leader.cache_heartbeat(now, &heartbeat, holder);
                 if let Some(revision) = revision {
--- a/crates/scheduler/tests/untrusted_heartbeats.rs
+++ b/crates/scheduler/tests/untrusted_heartbeats.rs
@@ -46,7 +46,7 @@
 #[test]
 fn a_machine_that_requests_do_not_reach_gets_no_work_and_is_returned() {
     let mut w = World::new(&[("n-1", "a")]);
-    let (_, (m, ..)) = w.start_under_way(JOB);
+    let (_, (m, ..)) = w.submit_with_start_in_flight(JOB);
     w.leader.message_answered(w.now, m, MessageOutcome::Indeterminate);
     w.submit("req-000002", &spec(2));
     let mut returned_at = None;
@@ -74,7 +74,7 @@
     w.settle();
     assert_eq!(w.phase(JOB, 0), TaskPhase::Running);
     // The lease runs out although the heartbeats arrive, so the worker receives no responses.
-    w.workers.get_mut("n-1").expect("worker").lease_ends();
+    w.workers.get_mut("n-1").expect("worker").expire_lease();
     let heartbeat = next_heartbeat(&mut w, "n-1");
     let _ = w.leader.handle_heartbeat(w.now, &heartbeat);
     assert_eq!(w.attempt(JOB, 0), Attempt(2), "a later agent epoch proves absence");
@@ -89,7 +89,7 @@
 #[test]
 fn a_machine_gets_no_work_after_a_lost_request_until_it_acknowledges_the_raised_token() {
     let mut w = World::new(&[("n-1", "a")]);
-    let (_, (m, ..)) = w.start_under_way(JOB);
+    let (_, (m, ..)) = w.submit_with_start_in_flight(JOB);
     w.leader.message_answered(w.now, m, MessageOutcome::Indeterminate);
     w.wait(5_000);
     let stale = next_heartbeat(&mut w, "n-1");
@@ -109,7 +109,7 @@
     let mut old = next_heartbeat(&mut w, "n-1");
     old.interruption_notice_s = Some(5.0);
     old.address = "10.9.9.9:9".into();
-    w.workers.get_mut("n-1").expect("worker").lease_ends();
+    w.workers.get_mut("n-1").expect("worker").expire_lease();
     w.heartbeat("n-1");
     w.settle();
     let before = machine(&w, "n-1").clone();
@@ -267,18 +267,18 @@
     w.settle();
     // The machine restarts quickly, with the same name and agent epoch but without tasks.
     w.workers.get_mut("n-1").expect("worker").tasks.clear();
-    w.all_report();
+    w.send_all_heartbeats();
     w.settle();
-    w.all_report();
+    w.send_all_heartbeats();
     w.settle();
     assert_eq!(w.places().len(), 3);
     assert_eq!(w.attempt(JOB, 0), Attempt(2));
     // The machine restarts with a new agent epoch and without any token.
     let fresh = Worker { agent_epoch: AgentEpoch(2), sequence: 0, ..Worker::new("n-1", "a") };
     w.workers.insert("n-1".into(), fresh);
-    w.all_report();
+    w.send_all_heartbeats();
     w.settle();
-    w.all_report();
+    w.send_all_heartbeats();
     w.settle();
     assert_eq!(w.places().len(), 3);
     assert_eq!(w.attempt(JOB, 0), Attempt(3));
@@ -316,7 +316,7 @@
                 w.finish(&machines[0], &task);
             }
         }
-        w.all_report();
+        w.send_all_heartbeats();
     }
     assert!(
         first.is_some_and(|s| s < 240.0),
@@ -343,7 +343,7 @@
             w.finish(&machines[0], &task);
         }
     }
-    w.all_report();
+    w.send_all_heartbeats();
 }
 
 #[test]
