--- a/crates/controller/src/user_api/submission.rs
+++ b/crates/controller/src/user_api/submission.rs
@@ -104,8 +104,8 @@
     match error {
         KeyValueError::Rejected { .. } => "the state service refuses",
         KeyValueError::Indeterminate { .. } => "the state service does not answer",
-        KeyValueError::Expired { .. } => "gone",
-        KeyValueError::InvalidResponse { .. } => "a bad answer",
+        KeyValueError::Expired { .. } => "the state service no longer has what was requested",
+        KeyValueError::InvalidResponse { .. } => "the state service returned an invalid response",
     }
 }
 
--- a/crates/controller/src/user_api/tests.rs
+++ b/crates/controller/src/user_api/tests.rs
@@ -362,8 +362,8 @@
     for (error, text) in [
         (rejected, "the state service refuses"),
         (indeterminate, "the state service does not answer"),
-        (expired, "gone"),
-        (invalid, "a bad answer"),
+        (expired, "the state service no longer has what was requested"),
+        (invalid, "the state service returned an invalid response"),
     ] {
         let answer = Answer::from(SubmissionError::from(error));
         assert_eq!((answer.status, answer.retry_after), (503, Some(1)));
--- a/crates/scheduler/src/queue/order.rs
+++ b/crates/scheduler/src/queue/order.rs
@@ -18,8 +18,8 @@
 
 /// Fraction of its expected run time that a job must have left to be worth trying, below overload.
 const MIN_RUN_FRACTION: f64 = 0.5;
-/// Run time of a job's slowest task under overload, as a multiple of the expected run time; there
-/// the estimate gets no allowance for being too long.
+/// Expected run time of a job's slowest task, as a multiple of the job's expected run time. Under
+/// overload a job is worth trying only if it has time left for that whole run.
 const SLOWEST_TASK_FACTOR: f64 = 1.2;
 
 /// Urgency of a job, by which the queue is sorted; see [`QueueKey::order`].
--- a/crates/scheduler/tests/fleet_size.rs
+++ b/crates/scheduler/tests/fleet_size.rs
@@ -22,8 +22,8 @@
 const TASKS_PER_MACHINE: usize = 4;
 const JOBS: usize = 84;
 const TASKS_PER_JOB: u32 = 200;
-/// Most bytes of memory that the registry may take per machine with its tasks; it took 1,592 when
-/// the limit was set.
+/// Maximum memory that the registry may take per machine with its tasks, in bytes: about a quarter
+/// above the 1,592 that its tables take.
 const MAX_BYTES_PER_MACHINE: usize = 2_000;
 
 /// Makes the tests run one at a time, since the allocator counts for all of them.
